--- /dev/null
+++ b/internal/estate/golden_test.go
@@ -0,0 +1,107 @@
+package estate
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+const goldenNow = 50000.0
+
+// goldenCopy has all fields set, and a standing and an outcome by its number.
+func goldenCopy(n int) Copy {
+	return Copy{Work: Work{ID: fmt.Sprint("id-", n), Mark: fmt.Sprint("mark-", n), Offering: "once", Order: "key", Team: "model", Schema: "s1",
+		Group: 12, NeedMB: 1.5, WorkMS: 2.25, Body: []byte("body")}, Owner: Member{"a", 3}, Number: 17, Outcome: Outcome(n % 7), Standing: Standing(n % 3),
+		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: true, Sure: true}
+}
+
+var goldenOps = []string{"register", "shoot", "close", "withdraw", "take", "ask", "pull", "mind", "kept", "known", "none", "lacking", "higher", "refused", "page"}
+
+// goldenBatches is one batch for each op with all fields set, one that has all outcomes and standings, and small ones.
+func goldenBatches() map[string]Batch {
+	all := map[string]Batch{"bare": {From: Member{"a", 3}, Items: []Item{{Op: Ask}}}, "behind": {From: Member{"b", 4}, Version: 9, Behind: true},
+		"empty-answer": {From: Member{"a", 3}, Items: []Item{{Op: Close, Answer: []byte{}}}}}
+	for k, name := range goldenOps {
+		c := goldenCopy(k)
+		all[fmt.Sprintf("op-%02d-%s", k+1, name)] = Batch{From: Member{"a", 3}, Version: 9, Step: 8, Behind: true, Items: []Item{{Op: Op(k + 1),
+			Key: KeyOf("mark-1", ""), Number: 18, Copy: &c, Standing: Standing(k % 3), First: 41000, Place: "there", Cell: -6, Outcome: Outcome(k % 7),
+			Answer: []byte("told"), From: Member{"c", 5}, Part: 33, After: KeyOf("", "id-1"), More: true, Why: "busy",
+			Copies: []Copy{goldenCopy(k + 1), goldenCopy(k + 2)}}}}
+	}
+	var items []Item
+	for o := range Unknown + 1 {
+		for s := range Ran + 1 {
+			items = append(items, Item{Op: Kept, Outcome: o, Standing: s})
+		}
+	}
+	all["outcomes"] = Batch{From: Member{"a", 3}, Items: items}
+	return all
+}
+
+// later is what a copy is read as: its first shot may have been made earlier by as long as its word may have taken.
+func later(c Copy) Copy {
+	c.First -= sureMS
+	return c
+}
+
+// Each kind of message between controllers is written as it always was, and read from that again.
+func TestGolden_EstateMessages(t *testing.T) {
+	for name, b := range goldenBatches() {
+		data := golden(t, name+".bin", b.Append(nil, goldenNow))
+		got, err := ReadBatch(data, goldenNow)
+		require.NoError(t, err, name)
+		for k := range b.Items {
+			it := &b.Items[k]
+			if it.First != 0 {
+				it.First -= sureMS
+			}
+			if it.Copy != nil {
+				c := later(*it.Copy)
+				it.Copy = &c
+			}
+			for n := range it.Copies {
+				it.Copies[n] = later(it.Copies[n])
+			}
+		}
+		assert.Equal(t, &b, got, name)
+	}
+}
+
+// A copy on a disk is written as it always was, in each outcome, and read from that again.
+func TestGolden_EstateCopies(t *testing.T) {
+	for n := range 7 {
+		c := goldenCopy(n)
+		got, err := ReadCopy(golden(t, fmt.Sprintf("copy-%s.bin", c.Outcome), AppendCopy(nil, &c, goldenNow)), goldenNow)
+		require.NoError(t, err)
+		assert.Equal(t, later(c), got)
+	}
+}
+
+// The names of ops and their numbers on the wire.
+func TestGolden_EstateOps(t *testing.T) {
+	assert.Equal(t, []Op{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, []Op{Register, Shoot, Close, Withdraw, Take, Ask, Pull, Mind, Kept, Known,
+		None, Lacking, Higher, Refused, Page})
+	assert.Equal(t, []Outcome{0, 1, 2, 3, 4, 5, 6}, []Outcome{Open, Handled, Denied, WrittenOff, Left, Withdrawn, Unknown})
+	assert.Equal(t, []Standing{0, 1, 2}, []Standing{Clear, Doubt, Ran})
+}
--- /dev/null
+++ b/internal/keeper/golden_test.go
@@ -0,0 +1,173 @@
+package keeper
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"liftshift/internal/ledger"
+	"liftshift/internal/store"
+	"liftshift/internal/vfs"
+	"liftshift/rules"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+// goldenGiven has a ration, too, so that there is a record of it.
+func goldenGiven() rules.Given {
+	g := given()
+	g["ration_span_ms"], g["ration_floor"], g["ration_share"] = 10000.0, 3.0, 0.1
+	return g
+}
+
+// goldenFolder writes a store that has records of every kind, in a snapshot and behind it, at fixed times.
+func goldenFolder(t *testing.T, stop bool) *vfs.Memory {
+	disk := vfs.NewMemory()
+	c := &controller{now: 10000, heard: make(chan ledger.Event, 1000), engine: &engines{ran: map[string][]string{}}}
+	var err error
+	c.Keeper, _, err = OpenAt(disk, bounds, goldenGiven(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
+	require.NoError(t, err)
+	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
+	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
+		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
+	step(ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []rules.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
+	run := func(round string, ms float64) {
+		for _, s := range ends {
+			mark := s.mark
+			if mark != "" {
+				mark += round
+			}
+			c.search(s.id+round, s.offering, mark, s.ends, 1)
+		}
+		step(ledger.Event{Kind: ledger.Closed, ID: "denied" + round, Outcome: ledger.Denied})
+		step(ledger.Event{Kind: ledger.Closed, ID: "left" + round, Outcome: ledger.Left})
+		step(ledger.Event{Kind: ledger.Closed, ID: "writtenoff" + round, Outcome: ledger.WrittenOff})
+		step(ledger.Event{Kind: ledger.Noted, ID: "limit " + round, Mark: "ann", Body: []byte("{}")})
+		c.now += ms
+		step(ledger.Event{Kind: ledger.Listed, Index: 7, Entries: []rules.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: rules.Leaving, UpSince: 5}}})
+		step(ledger.Event{Kind: ledger.Ticked, Beliefs: []rules.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
+			Figures: []rules.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
+	}
+	run("-1", 2500) // nothing lapses before the snapshot: its order would hang on when that is seen
+	require.NoError(t, c.store.Snapshot())
+	run("-2", 6000)
+	step(ledger.Event{Kind: ledger.Noted, ID: "limit -1", Mark: "ann"}) // ends it
+	if stop {
+		require.NoError(t, c.Close())
+		return disk
+	}
+	require.NoError(t, c.store.Close())
+	names, err := disk.List()
+	require.NoError(t, err)
+	for k := len(names) - 1; k >= 0; k-- { // the last batch was half written
+		if strings.HasSuffix(names[k], ".log") {
+			b := disk.Bytes(names[k])
+			clear(b[len(strings.TrimRight(string(b), "\x00"))-10:])
+			disk.Set(names[k], b)
+			break
+		}
+	}
+	return disk
+}
+
+// goldenCopy lays a golden folder into a new one.
+func goldenCopy(t *testing.T, folder string) vfs.Dir {
+	t.Helper()
+	dir := t.TempDir()
+	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "golden", folder))))
+	fs, err := vfs.OpenDir(dir, false)
+	require.NoError(t, err)
+	return fs
+}
+
+// A store's folder is written as it always was, after a planned stop and with a torn end, and the same is found in it: each record in its
+// order, what is said of the end, and what a controller makes of it.
+func TestGolden_KeeperFolders(t *testing.T) {
+	for _, folder := range []string{"clean", "torn"} {
+		disk := goldenFolder(t, folder == "clean")
+		if *update {
+			require.NoError(t, os.RemoveAll(filepath.Join("testdata", "golden", folder)))
+		}
+		names, err := disk.List()
+		require.NoError(t, err)
+		var kept []string
+		for _, name := range names {
+			if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
+				kept = append(kept, name)
+				golden(t, filepath.Join(folder, name), disk.Bytes(name))
+			}
+		}
+		there, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
+		require.NoError(t, err)
+		assert.Len(t, there, len(kept), folder)
+
+		var text strings.Builder
+		kinds := map[string]bool{}
+		s, found, err := store.Open(goldenCopy(t, folder), bounds, func(k store.Key, expires int64, value []byte) {
+			fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
+			kind, _, _ := ledger.Show(value)
+			kinds[kind] = true
+		})
+		require.NoError(t, err, folder)
+		require.NoError(t, s.Close())
+		fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.Doubt,
+			found.Why, found.Removed, found.Began, found.Snapshot)
+		golden(t, folder+".txt", []byte(text.String()))
+		assert.Equal(t, folder == "torn", found.Doubt)
+		for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
+			assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
+		}
+
+		const now = 30000
+		again := goldenCopy(t, folder)
+		k, _, err := OpenAt(again, bounds, goldenGiven(), func() float64 { return now }, up(now), func(ledger.Event) {}, silent())
+		require.NoError(t, err, folder)
+		var told strings.Builder
+		for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
+			for _, round := range []string{"-1", "-2"} {
+				e := k.Step(now, &ledger.Event{Kind: ledger.Asked, ID: id + round})[0]
+				fmt.Fprintf(&told, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
+			}
+		}
+		for _, n := range k.Notes() {
+			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
+		}
+		recalled := k.First()
+		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []rules.Entry{{Executor: 1, Place: "here"},
+			{Executor: 2, Place: "there"}}}) {
+			recalled = append(recalled, e.Module)
+		}
+		for _, ev := range recalled {
+			fmt.Fprintf(&told, "figures %v trusts %v\n", ev.Figures, ev.Trusts)
+		}
+		golden(t, folder+"-told.txt", []byte(told.String()))
+		require.NoError(t, k.store.Close())
+		next, err := again.Open("0000000000000003.log") // what this life wrote; its head tells of the doubt
+		require.NoError(t, err)
+		data := make([]byte, bounds.Segment)
+		_, err = next.ReadAt(data, 0)
+		require.NoError(t, err)
+		require.NoError(t, next.Close())
+		golden(t, folder+"-next.log", data)
+	}
+}
--- /dev/null
+++ b/internal/parts/golden_test.go
@@ -0,0 +1,41 @@
+package parts
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+// A question for a loan and the loan are written as they always were, and what is read from them again is the loan.
+func TestGolden_PartsMessages(t *testing.T) {
+	asks, lends := New(0, 2, 0, true, 0x0123456789abcdef), New(0, 2, 1, true, 7)
+	question := asks.Look(10000, 1, true)
+	require.Len(t, question, 1)
+	assert.Equal(t, -1, question[0].To)
+	lends.Look(10000, 0.1, false)
+	given := lends.Heard(10000, 0, golden(t, "ask.bin", question[0].Data))
+	require.Len(t, given, 1)
+	assert.Equal(t, 0, given[0].To)
+	asks.Heard(10001, 1, golden(t, "loan.bin", given[0].Data))
+	assert.Equal(t, []float64{0.7, 0.3}, []float64{asks.Part(10001), lends.Part(10001)})
+}
--- /dev/null
+++ b/internal/scout/golden_test.go
@@ -0,0 +1,144 @@
+package scout
+
+import (
+	"flag"
+	"io"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"liftshift/internal/fleetwire"
+	"liftshift/internal/members"
+	"liftshift/internal/standin"
+	"liftshift/internal/zones"
+	"liftshift/rules"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+// goldenCarrier starts a carrier for a member.
+func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*fleetwire.Carrier, members.Member) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	at, err := standin.Spot()
+	require.NoError(t, err)
+	c, self := fleetwire.New(at, log), members.Member{Name: name, Life: 1, Address: at}
+	c.Scout = scout
+	view := members.New(c.Now(), "test", self, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	require.NoError(t, c.Start(view, nil))
+	t.Cleanup(c.Stop)
+	return c, self
+}
+
+var goldenPlan = &zones.Plan{Number: 300, Pairs: []zones.Pair{{From: "z0", To: "z1", Cap: 80, Parts: []zones.Part{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
+
+func goldenSeen(out float64) []zones.Executor {
+	return []zones.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Out: out}}
+}
+
+// The datagrams between scouts are written as they always were.
+func TestGolden_ScoutDatagrams(t *testing.T) {
+	came := make(chan []byte, 64)
+	_, b := goldenCarrier(t, "b", func(_ netip.AddrPort, data []byte) { came <- append([]byte(nil), data...) })
+	carrier, _ := goldenCarrier(t, "a", nil)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	view := members.New(0, "test", b, nil, rules.Given{}, 1) // its own member is the one that is sent to
+	s := New(zones.New("a", "z0", "r", zones.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
+	for _, ev := range []zones.Event{
+		{Kind: zones.Present, Leader: "b", Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
+		{Kind: zones.Planned, Plan: goldenPlan},
+		{Kind: zones.Confirmed, Number: 300, At: 1000},
+		{Kind: zones.Seen, Executors: goldenSeen(40), Wants: 50}, // asks for a loan
+		{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5},
+		{Kind: zones.LoanAsked, From: "b", Zone: "z1", Number: 7},
+		{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100},
+		{Kind: zones.LoanAsked, From: "b", Zone: "z1", Number: 0x0123456789abcdef}, // lends
+		{Kind: zones.Ticked, Unix: 1},                                              // reports
+	} {
+		s.step(1000, &ev)
+	}
+	words := map[byte]string{'r': "report", 'n': "announce", 'q': "ask-loan", 'l': "give-loan"}
+	got := map[byte][]byte{}
+	for late := time.After(5 * time.Second); len(got) < len(words); {
+		select {
+		case data := <-came:
+			got[data[0]] = data
+		case <-late:
+			require.Len(t, got, len(words), "%q", got)
+		}
+	}
+	for kind, name := range words {
+		got[kind] = golden(t, name+".bin", got[kind])
+	}
+	assert.Len(t, got, len(words))
+}
+
+// A report, a question for a loan and a loan are taken from the datagrams again. The loan bears the number of the question here.
+func TestGolden_ScoutDatagramsRead(t *testing.T) {
+	carrier, self := goldenCarrier(t, "b", nil)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	view := members.New(0, "test", self, nil, rules.Given{}, 1)
+	watch := func(name string) *Scout {
+		return New(zones.New(name, "z0", "r", zones.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
+	}
+	step := func(s *Scout, ev zones.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
+	read := func(name string) []byte {
+		data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
+		require.NoError(t, err)
+		return data
+	}
+	counts := func(s *Scout) zones.Counts {
+		got := make(chan zones.Counts, 1)
+		carrier.Post(func(float64) {
+			s.step(1000, &zones.Event{Kind: zones.Confirmed, Number: 300, At: 1000})
+			got <- s.Watch.Counts
+		})
+		return <-got
+	}
+	begin := func(s *Scout) {
+		step(s, zones.Event{Kind: zones.Present, Leader: "b", Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+		step(s, zones.Event{Kind: zones.Planned, Plan: goldenPlan})
+		step(s, zones.Event{Kind: zones.Confirmed, Number: 300, At: 1000})
+	}
+	b := watch("b")
+	begin(b)
+	step(b, zones.Event{Kind: zones.Present, Leader: "b", Leads: true, Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+	b.heard(netip.AddrPort{}, read("report"))
+	step(b, zones.Event{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5})
+	b.heard(netip.AddrPort{}, read("ask-loan"))
+	step(b, zones.Event{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100})
+	b.heard(netip.AddrPort{}, read("ask-loan"))
+	got := counts(b)
+	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.Heard, got.Malformed, got.Lent})
+
+	a := watch("a")
+	begin(a)
+	step(a, zones.Event{Kind: zones.Seen, Executors: goldenSeen(40), Wants: 50})
+	loan := read("give-loan")
+	copy(loan[3:11], read("ask-loan")[3:11])
+	loan[2] = 'b'
+	a.heard(netip.AddrPort{}, loan)
+	assert.Equal(t, uint64(1), counts(a).Borrowed)
+}
--- /dev/null
+++ b/internal/trustee/golden_test.go
@@ -0,0 +1,127 @@
+package trustee
+
+import (
+	"bytes"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"liftshift/internal/desk"
+	"liftshift/internal/estate"
+	"liftshift/internal/store"
+	"liftshift/internal/vfs"
+	"liftshift/rules"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+const goldenNow = 50000.0
+
+func goldenCopy(n int) estate.Copy {
+	id, mark := fmt.Sprint("id-", n), fmt.Sprint("mark-", n)
+	return estate.Copy{Work: estate.Work{ID: id, Mark: mark, Offering: "mark", Order: "key", Team: "model", Schema: "s1", Group: 12, NeedMB: 1.5, WorkMS: 2.25,
+		Body: []byte("body")}, Owner: estate.Member{Name: "a", Life: 3}, Number: 17, Outcome: estate.Outcome(n % 7), Standing: estate.Standing(n % 3),
+		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: n%2 == 0, Sure: true}
+}
+
+func goldenTrustee() *Trustee {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
+	return New(estate.Member{Name: "b", Life: 1}, given, 1, nil, desk.NewClock(), nil, log)
+}
+
+// A holder's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A log file stands here
+// without the zeros at its end; its head has its length.
+func TestGolden_TrusteeFolder(t *testing.T) {
+	disk, wrote := vfs.NewMemory(), make(chan any, 8)
+	a := goldenTrustee()
+	require.NoError(t, a.Keep(disk, func(note any) { wrote <- note }))
+	var effects []estate.Effect
+	for n := range 7 {
+		c := goldenCopy(n)
+		effects = append(effects, estate.Effect{Kind: estate.Keep, Key: estate.KeyOf(c.Mark, c.ID), Copy: &c, Version: uint64(70000 + n)})
+	}
+	gone := estate.Effect{Kind: estate.Keep, Key: estate.KeyOf("mark-6", "")}
+	require.Equal(t, uint64(1), a.copies.keep(goldenNow, effects[:3], true))
+	require.Equal(t, stored{token: 1}, <-wrote)
+	require.Equal(t, uint64(0), a.copies.keep(goldenNow, effects[3:], false))
+	require.Equal(t, uint64(2), a.copies.keep(goldenNow, []estate.Effect{gone}, true))
+	require.Equal(t, stored{token: 2}, <-wrote)
+	a.Close()
+
+	dir := t.TempDir()
+	names, err := disk.List()
+	require.NoError(t, err)
+	files := 0
+	for _, name := range names {
+		if !strings.HasSuffix(name, ".log") && !strings.HasSuffix(name, ".snap") {
+			continue
+		}
+		files++
+		data := golden(t, filepath.Join("copies", name), bytes.TrimRight(disk.Bytes(name), "\x00"))
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), data, 0o600))
+		length := int64(binary.LittleEndian.Uint64(data[40:]))
+		require.NoError(t, os.Truncate(filepath.Join(dir, name), length))
+		assert.Len(t, disk.Bytes(name), int(length))
+	}
+	require.Equal(t, 1, files)
+
+	fs, err := vfs.OpenDir(dir, false)
+	require.NoError(t, err)
+	got, expires := map[string]estate.Copy{}, map[string]int64{}
+	_, err = store.Survey(fs, func(k store.Key, until int64, value []byte) {
+		if value == nil {
+			assert.Equal(t, estate.KeyOf("mark-6", ""), estate.Key(k))
+			delete(got, "id-6")
+			return
+		}
+		c, err := estate.ReadCopy(value, goldenNow)
+		assert.NoError(t, err)
+		assert.Equal(t, estate.KeyOf(c.Mark, c.ID), estate.Key(k))
+		got[c.ID], expires[c.ID] = c, until
+	})
+	require.NoError(t, err)
+	assert.Len(t, got, 6)
+	for n := range 6 {
+		c := goldenCopy(n)
+		c.First -= 1000 // it may have been made earlier by as long as a word may take
+		assert.Equal(t, c, got[c.ID])
+		assert.Equal(t, int64(70000+n), expires[c.ID])
+	}
+
+	b := goldenTrustee()
+	require.NoError(t, b.Keep(fs, func(any) {}))
+	assert.Equal(t, 6, b.Estate().Counts().Copies)
+	b.Close()
+}
+
+// The datagrams of words, of their answers and of answers that are too long are framed as they always were.
+func TestGolden_TrusteeDatagrams(t *testing.T) {
+	for name, kind := range map[string]byte{"word": wordsKind, "answer": answerKind, "call": callKind} {
+		golden(t, name+".bin", frame(kind, 0x0123456789abcdef, []byte("batch")))
+	}
+}
--- /dev/null
+++ b/internal/zones/golden_test.go
@@ -0,0 +1,59 @@
+package zones
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	return want
+}
+
+// goldenJSON checks that a value is written as in its golden file and read from that again.
+func goldenJSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	data, err := json.Marshal(value)
+	require.NoError(t, err, name)
+	var got T
+	require.NoError(t, json.Unmarshal(golden(t, name+".json", data), &got), name)
+	assert.Equal(t, value, got, name)
+}
+
+// Reports, plans and orders are written as they always were, with all fields and with none, and read from that again.
+func TestGolden_ZonesWords(t *testing.T) {
+	goldenJSON(t, "report", letter{N: 7, Report: Report{Zone: "z0", Voices: 5, Deaf: 1, Wants: 12.5, Sights: []Sight{
+		{Zone: "z0", Fine: 3, Thin: 1, Gone: 1, Out: 4.5}, {Zone: "z1", Fine: 1, Thin: 2, Gone: 2, Out: 0.25}}}})
+	goldenJSON(t, "report-empty", letter{})
+	plan := Plan{Number: 9, Pairs: []Pair{{From: "z0", To: "z1", Cap: 3.5, Parts: []Part{{Name: "a", Threads: 1.5}, {Name: "b", Threads: 2}}}, {From: "z1", To: "z0"}},
+		Held: []Held{{From: "z0", To: "z1", Name: "c", Threads: 2.5, LeftMS: 1500}}}
+	for s, name := range []string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"} {
+		plan.Zones = append(plan.Zones, Zone{Name: "z-" + name, Region: "r", State: State(s), Stage: 2, Flaps: 3, Cores: 100.5, Kinds: []string{"big", "small"},
+			Why: "seen", ForMS: 250.5, Members: 5})
+	}
+	assert.Equal(t, []State{0, 1, 2, 3, 4, 5}, []State{Whole, Thinned, Doubtful, Lost, Evacuated, Returning})
+	goldenJSON(t, "plan", plan)
+	goldenJSON(t, "plan-empty", Plan{})
+	goldenJSON(t, "plan-bare", Plan{Number: 1, Zones: []Zone{{}}, Pairs: []Pair{{}}, Held: []Held{{}}})
+	for _, kind := range []OrderKind{Evacuate, Hold, Return} {
+		goldenJSON(t, "order-"+string(kind), Order{Kind: kind, Zone: "z0", Author: "ann", Why: "work on the net", Until: 1700000000123, SpanMS: 60000.5})
+	}
+	goldenJSON(t, "order-empty", Order{})
+}
