--- a/internal/estate/types.go
+++ b/internal/estate/types.go
@@ -68,15 +68,15 @@
 // Outcome is what became of a search.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes. Their numbers go to disks and over the wire: they do not change.
 const (
-	Open Outcome = iota
-	Handled
-	Denied
-	WrittenOff
-	Left
-	Withdrawn // it was never more than asked for
-	Unknown
+	Open       Outcome = 0
+	Handled    Outcome = 1
+	Denied     Outcome = 2
+	WrittenOff Outcome = 3
+	Left       Outcome = 4
+	Withdrawn  Outcome = 5 // it was never more than asked for
+	Unknown    Outcome = 6
 )
 
 var outcomeNames = [...]string{"open", "handled", "denied", "written_off", "left", "withdrawn", "unknown"}
@@ -86,11 +86,11 @@
 // Standing is whether a search may have run.
 type Standing uint8
 
-// The standings.
+// The standings. Their numbers go to disks and over the wire: they do not change.
 const (
-	Clear Standing = iota // no shot of it can have run
-	Doubt                 // one may have
-	Ran                   // it was handled
+	Clear Standing = 0 // no shot of it can have run
+	Doubt Standing = 1 // one may have
+	Ran   Standing = 2 // it was handled
 )
 
 // Work is what somebody needs to go on with a search.
@@ -215,24 +215,24 @@
 // Op is what an item says.
 type Op uint8
 
-// The ops. The first seven are words to a chair, the rest its answers.
+// The ops. The first eight are words to a chair, the rest its answers. Their numbers go over the wire: they do not change.
 const (
-	Register Op = iota + 1 // Copy is open, its owner says
-	Shoot                  // a shot may have run, or none can have
-	Close                  // it has ended
-	Withdraw               // it was asked for and not had
-	Take                   // Copy is adopted by the sender from From; More: a quorum knows of it already
-	Ask                    // what is known of Key
-	Pull                   // what is kept of Part behind After; From: only what that one owns, and open
-	Mind                   // ID stands for Key, whose mark this is; nobody waits for it
+	Register Op = 1 // Copy is open, its owner says
+	Shoot    Op = 2 // a shot may have run, or none can have
+	Close    Op = 3 // it has ended
+	Withdraw Op = 4 // it was asked for and not had
+	Take     Op = 5 // Copy is adopted by the sender from From; More: a quorum knows of it already
+	Ask      Op = 6 // what is known of Key
+	Pull     Op = 7 // what is kept of Part behind After; From: only what that one owns, and open
+	Mind     Op = 8 // ID stands for Key, whose mark this is; nobody waits for it
 
-	Kept    // it is kept; of what was before: Standing, First, Place, Cell, Number
-	Known   // another has it, or it has ended: Copy, without its work
-	None    // nothing is known
-	Lacking // the whole copy is needed
-	Higher  // its Number must be above this one
-	Refused // not here, not now, or not by this sender: Why
-	Page    // copies of Part, in Item.Copies; More: there are more behind After
+	Kept    Op = 9  // it is kept; of what was before: Standing, First, Place, Cell, Number
+	Known   Op = 10 // another has it, or it has ended: Copy, without its work
+	None    Op = 11 // nothing is known
+	Lacking Op = 12 // the whole copy is needed
+	Higher  Op = 13 // its Number must be above this one
+	Refused Op = 14 // not here, not now, or not by this sender: Why
+	Page    Op = 15 // copies of Part, in Item.Copies; More: there are more behind After
 )
 
 // Item is one thing that is said.
--- a/internal/installation/door.go
+++ b/internal/installation/door.go
@@ -103,9 +103,13 @@
 
 // limit is a change of a team's limits as it is kept.
 type limit struct {
-	Weight, Ceiling, Threads, MemoryMB float64
-	Searches, Queue                    int
-	At                                 time.Time
+	Weight   float64   `json:"Weight"`
+	Ceiling  float64   `json:"Ceiling"`
+	Threads  float64   `json:"Threads"`
+	MemoryMB float64   `json:"MemoryMB"`
+	Searches int       `json:"Searches"`
+	Queue    int       `json:"Queue"`
+	At       time.Time `json:"At"`
 }
 
 // set changes a team's limits, and has that last where there is a store.
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -11,49 +11,50 @@
 )
 
 // Records are protobuf messages without a schema file: a field has the same meaning in all kinds, so that a record can
-// be shown without knowing more. Times are log time in ms.
+// be shown without knowing more. Times are log time in ms. The numbers of kinds and fields stand on disks: none changes, and none is
+// given again.
 const (
-	searchRecord = 1 + iota
-	markRecord
-	rationRecord
-	trustRecord
-	lifeRecord
-	learntRecord
-	noteRecord
+	searchRecord = 1
+	markRecord   = 2
+	rationRecord = 3
+	trustRecord  = 4
+	lifeRecord   = 5
+	learntRecord = 6
+	noteRecord   = 7
 )
 
 const (
-	fieldKind protowire.Number = 1 + iota
-	fieldAt
-	fieldID
-	fieldMark
-	fieldOffering
-	fieldState
-	fieldUntil
-	fieldOut
-	fieldRan
-	fieldFirst
-	fieldExecutor
-	fieldPlace
-	fieldCell
-	fieldUnsure
-	fieldBody
-	fieldHasBody
-	fieldSlots
-	fieldCold
-	fieldAside
-	fieldStrikes
-	fieldDrain
-	fieldUpSince
-	fieldBegan
-	fieldWall
-	fieldUp
-	fieldBoot
-	fieldClean
-	fieldDoubt
-	fieldFigure
-	fieldValue
-	fieldEnd
+	fieldKind     protowire.Number = 1
+	fieldAt       protowire.Number = 2
+	fieldID       protowire.Number = 3
+	fieldMark     protowire.Number = 4
+	fieldOffering protowire.Number = 5
+	fieldState    protowire.Number = 6
+	fieldUntil    protowire.Number = 7
+	fieldOut      protowire.Number = 8
+	fieldRan      protowire.Number = 9
+	fieldFirst    protowire.Number = 10
+	fieldExecutor protowire.Number = 11
+	fieldPlace    protowire.Number = 12
+	fieldCell     protowire.Number = 13
+	fieldUnsure   protowire.Number = 14
+	fieldBody     protowire.Number = 15
+	fieldHasBody  protowire.Number = 16
+	fieldSlots    protowire.Number = 17
+	fieldCold     protowire.Number = 18
+	fieldAside    protowire.Number = 19
+	fieldStrikes  protowire.Number = 20
+	fieldDrain    protowire.Number = 21
+	fieldUpSince  protowire.Number = 22
+	fieldBegan    protowire.Number = 23
+	fieldWall     protowire.Number = 24
+	fieldUp       protowire.Number = 25
+	fieldBoot     protowire.Number = 26
+	fieldClean    protowire.Number = 27
+	fieldDoubt    protowire.Number = 28
+	fieldFigure   protowire.Number = 29
+	fieldValue    protowire.Number = 30
+	fieldEnd      protowire.Number = 31
 )
 
 var fieldNames = [fieldEnd]string{fieldKind: "kind", fieldAt: "at", fieldID: "id", fieldMark: "mark",
--- a/internal/ledger/tables.go
+++ b/internal/ledger/tables.go
@@ -1,17 +1,17 @@
 package ledger
 
-// state is where a search stands.
+// state is where a search stands. Its number stands in records on disks: it does not change.
 type state uint8
 
 const (
-	waiting state = iota // no shot of it may have run, none is out
-	out                  // a shot is out
-	doubted              // none is out, one may have run
-	handled              // the rest are ends
-	denied
-	writtenOff
-	left
-	stateEnd
+	waiting    state = 0 // no shot of it may have run, none is out
+	out        state = 1 // a shot is out
+	doubted    state = 2 // none is out, one may have run
+	handled    state = 3 // the rest are ends
+	denied     state = 4
+	writtenOff state = 5
+	left       state = 6
+	stateEnd   state = 7
 )
 
 var outcomes = [stateEnd]Outcome{waiting: Open, out: Open, doubted: Open, handled: Handled, denied: Denied,
--- a/internal/zones/types.go
+++ b/internal/zones/types.go
@@ -49,15 +49,15 @@
 // State is how a zone stands, as agreed.
 type State uint8
 
-// The states.
+// The states. Their numbers stand in plans that are agreed: they do not change.
 const (
-	Whole     State = iota
-	Thinned         // much of it is gone
-	Doubtful        // some see it gone, others don't
-	Lost            // its executors are out of reach
-	Evacuated       // an operator wants nothing new to go there
-	Returning       // by stages
-	states
+	Whole     State = 0
+	Thinned   State = 1 // much of it is gone
+	Doubtful  State = 2 // some see it gone, others don't
+	Lost      State = 3 // its executors are out of reach
+	Evacuated State = 4 // an operator wants nothing new to go there
+	Returning State = 5 // by stages
+	states    State = 6
 )
 
 var stateNames = [states]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
@@ -66,60 +66,65 @@
 
 // Sight is what one controller sees of a zone's executors, or what several together do.
 type Sight struct {
-	Zone             string
-	Fine, Thin, Gone int     // voices that see it so; one who has no evidence has none
-	Out              float64 // threads of their shots there
+	Zone string  `json:"Zone"`
+	Fine int     `json:"Fine"` // voices that see it so; one who has no evidence has none
+	Thin int     `json:"Thin"`
+	Gone int     `json:"Gone"`
+	Out  float64 `json:"Out"` // threads of their shots there
 }
 
 // Report is what the controllers of one zone see, summed up.
 type Report struct {
-	Zone   string // theirs
-	Voices int
-	Deaf   int     // of them, those to whom the list is out of reach
-	Wants  float64 // threads that their searches in hand want, whether they run or wait
-	Sights []Sight
+	Zone   string  `json:"Zone"` // theirs
+	Voices int     `json:"Voices"`
+	Deaf   int     `json:"Deaf"`  // of them, those to whom the list is out of reach
+	Wants  float64 `json:"Wants"` // threads that their searches in hand want, whether they run or wait
+	Sights []Sight `json:"Sights"`
 }
 
 // Part is how many threads of one controller may be out at once.
 type Part struct {
-	Name    string
-	Threads float64
+	Name    string  `json:"Name"`
+	Threads float64 `json:"Threads"`
 }
 
 // Pair is what may go from the controllers of a zone to the executors of one, that of their own while it is not whole too.
 type Pair struct {
-	From, To string
-	Cap      float64
-	Parts    []Part `json:",omitempty"`
+	From  string  `json:"From"`
+	To    string  `json:"To"`
+	Cap   float64 `json:"Cap"`
+	Parts []Part  `json:"Parts,omitempty"`
 }
 
 // Held is what was somebody's part, and may still be used by one that has not heard otherwise.
 type Held struct {
-	From, To, Name string
-	Threads        float64
-	LeftMS         float64
+	From    string  `json:"From"`
+	To      string  `json:"To"`
+	Name    string  `json:"Name"`
+	Threads float64 `json:"Threads"`
+	LeftMS  float64 `json:"LeftMS"`
 }
 
 // Zone is how one stands.
 type Zone struct {
-	Name    string
-	Region  string `json:",omitempty"`
-	State   State
-	Stage   int      `json:",omitempty"`
-	Flaps   int      `json:",omitempty"`
-	Cores   float64  // as it had them when it was whole
-	Kinds   []string `json:",omitempty"`
-	Why     string   `json:",omitempty"`
-	ForMS   float64  `json:",omitempty"` // it has been so, as of the plan
-	Members int      `json:",omitempty"`
+	Name    string   `json:"Name"`
+	Region  string   `json:"Region,omitempty"`
+	State   State    `json:"State"`
+	Stage   int      `json:"Stage,omitempty"`
+	Flaps   int      `json:"Flaps,omitempty"`
+	Cores   float64  `json:"Cores"` // as it had them when it was whole
+	Kinds   []string `json:"Kinds,omitempty"`
+	Why     string   `json:"Why,omitempty"`
+	ForMS   float64  `json:"ForMS,omitempty"` // it has been so, as of the plan
+	Members int      `json:"Members,omitempty"`
 }
 
 // Plan is what is agreed.
 type Plan struct {
-	Number uint64
-	Zones  []Zone
-	Pairs  []Pair `json:",omitempty"`
-	Held   []Held `json:",omitempty"`
+	Number uint64 `json:"Number"`
+	Zones  []Zone `json:"Zones"`
+	Pairs  []Pair `json:"Pairs,omitempty"`
+	Held   []Held `json:"Held,omitempty"`
 }
 
 // OrderKind is what an operator wants.
@@ -134,12 +139,12 @@
 
 // Order is an operator's, until a time of all machines' clocks.
 type Order struct {
-	Kind   OrderKind
-	Zone   string
-	Author string
-	Why    string  `json:",omitempty"`
-	Until  int64   // Unix ms, for people; 0: until it is taken back
-	SpanMS float64 `json:",omitempty"` // for which it lasts from when it was agreed; 0: until that time of all clocks
+	Kind   OrderKind `json:"Kind"`
+	Zone   string    `json:"Zone"`
+	Author string    `json:"Author"`
+	Why    string    `json:"Why,omitempty"`
+	Until  int64     `json:"Until"`            // Unix ms, for people; 0: until it is taken back
+	SpanMS float64   `json:"SpanMS,omitempty"` // for which it lasts from when it was agreed; 0: until that time of all clocks
 }
 
 // Member is a controller as the view has it.
--- a/internal/zones/watch.go
+++ b/internal/zones/watch.go
@@ -85,8 +85,8 @@
 
 // letter is a report on its way.
 type letter struct {
-	N      uint64
-	Report Report
+	N      uint64 `json:"N"`
+	Report Report `json:"Report"`
 }
 
 // Watch is one controller's part.
