--- /dev/null
+++ b/internal/chairs/golden_test.go
@@ -0,0 +1,60 @@
+package chairs
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden holds bytes against a file of testdata/golden, and gives what the file has.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), name)
+	return want
+}
+
+// goldenJSON holds a value against its file in both directions; value is a pointer.
+func goldenJSON(t *testing.T, name string, value any) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	back := reflect.New(reflect.TypeOf(value).Elem())
+	require.NoError(t, json.Unmarshal(golden(t, name, got), back.Interface()))
+	assert.Equal(t, value, back.Interface(), name)
+}
+
+// The table and what it is made of have the bytes that they had; who sits where is chosen as it was.
+func TestGolden_Chairs(t *testing.T) {
+	seated := Table{}
+	var places []Place
+	for _, name := range []string{"a", "b", "c", "d", "e"} {
+		places = append(places, Place{Name: name, Life: 1, Zone: "z" + name})
+	}
+	require.True(t, seated.Reseat(places, 1))
+	places[1].Lost = true
+	require.True(t, seated.Reseat(places, 0))
+	claim := Claim{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}
+	for name, value := range map[string]any{
+		"table": &Table{Version: 6, Step: 7, Copies: 1, Parts: []Part{{Now: []Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
+			Was: []Chair{{Name: "b", Life: 3}}}, {}}, Claims: []Claim{claim}},
+		"table-empty": &Table{}, "table-seated": &seated, "claim": &claim, "claim-empty": &Claim{}, "chair-empty": &Chair{},
+		"place": &Place{Name: "a", Life: 1, Lost: true, Zone: "z1"}, "place-empty": &Place{},
+	} {
+		goldenJSON(t, name+".json", value)
+	}
+}
--- /dev/null
+++ b/internal/council/golden_test.go
@@ -0,0 +1,120 @@
+package council
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"liftshift/internal/chairs"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden holds bytes against a file of testdata/golden, and gives what the file has.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), name)
+	return want
+}
+
+// goldenJSON holds a value against its file in both directions; value is a pointer.
+func goldenJSON(t *testing.T, name string, value any) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	back := reflect.New(reflect.TypeOf(value).Elem())
+	require.NoError(t, json.Unmarshal(golden(t, name, got), back.Interface()))
+	assert.Equal(t, value, back.Interface(), name)
+}
+
+// Every kind of entry of the replicated log has the bytes that it had, and does to the record what it did.
+func TestGolden_CouncilEntries(t *testing.T) {
+	claim := chairs.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}
+	c := &Council{record: Record{Places: map[string]Place{}}, doomed: map[string]uint64{}}
+	for k, e := range []struct {
+		file string
+		data []byte // as the package makes it, if it is proposed by members
+		want entry
+	}{
+		{"in", nil, entry{Kind: "in", Name: "a", Life: 1, Address: "127.0.0.1:7000", Zone: "z1"}},
+		{"in-second", nil, entry{Kind: "in", Name: "b", Life: 2, Address: "127.0.0.1:7001", Zone: "z2"}},
+		{"in-third", nil, entry{Kind: "in", Name: "c", Life: 3, Address: "127.0.0.1:7002"}},
+		{"copies", nil, entry{Kind: "copies", Copies: 1}},
+		{"ready", Motion("ready", chairs.Claim{Name: "a", Life: 1, Mask: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
+		{"lost", nil, entry{Kind: "lost", Name: "b", Life: 2}},
+		{"claim", Motion("claim", claim, 0), entry{Kind: "claim", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}},
+		{"settled", Motion("settled", chairs.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}, 0),
+			entry{Kind: "settled", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}},
+		{"anew", Motion("anew", chairs.Claim{Name: "a", Life: 1, Mask: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
+		{"left", nil, entry{Kind: "left", Name: "c", Life: 3}},
+		{"plan", PlanMotion(1, []byte(`{"x":1}`)), entry{Kind: "plan", Number: 1, Data: []byte(`{"x":1}`)}},
+		{"order", OrderMotion("zone z1", []byte(`{"y":2}`)), entry{Kind: "order", Name: "zone z1", Data: []byte(`{"y":2}`)}},
+		{"order-other", OrderMotion("zone z2", []byte(`{}`)), entry{Kind: "order", Name: "zone z2", Data: []byte(`{}`)}},
+		{"order-back", OrderMotion("zone z2", nil), entry{Kind: "order", Name: "zone z2"}},
+	} {
+		goldenJSON(t, "entry-"+e.file+".json", &e.want)
+		if e.data != nil {
+			golden(t, "entry-"+e.file+".json", e.data)
+		}
+		data := golden(t, "entry-"+e.file+".json", must(json.Marshal(&e.want)))
+		c.apply(&raftpb.Entry{Index: proto.Uint64(uint64(k + 1)), Type: raftpb.EntryNormal.Enum(), Data: data})
+		golden(t, "after-"+e.file+".json", must(json.Marshal(&c.record)))
+	}
+}
+
+func must(data []byte, err error) []byte {
+	if err != nil {
+		panic(err)
+	}
+	return data
+}
+
+// What is kept of the record, and what members say of themselves and of leases, has the bytes that it had.
+func TestGolden_CouncilValues(t *testing.T) {
+	voters := []Voter{{ID: Identity("a", "fa"), Name: "a", Zone: "z1"}, {ID: Identity("b", "fb"), Name: "b"}}
+	full := Record{
+		Places: map[string]Place{"a": {Life: 1, Term: 2, Address: "127.0.0.1:7000", Zone: "z1"}, "b": {Life: 3, Term: 4, Lost: true, Left: true}},
+		Voters: voters, Founding: voters[:1], Declared: 5,
+		Chairs: chairs.Table{Version: 6, Step: 7, Copies: 1, Parts: []chairs.Part{{Now: []chairs.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
+			Was: []chairs.Chair{{Name: "b", Life: 3}}}, {}}, Claims: []chairs.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}},
+		Plan: []byte(`{"x":1}`), Number: 8, Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)},
+	}
+	for name, value := range map[string]any{
+		"record": &full, "record-empty": &Record{}, "voters-of-a-change": &voters, "entry-empty": &entry{},
+		"hello":       &Hello{Name: "a", Folder: "fa", ID: Identity("a", "fa"), Founding: voters, Voter: true},
+		"hello-empty": &Hello{}, "reply-granted": &Reply{Verdict: Granted, Leader: "a", Term: 2, Step: 3, Number: 4},
+		"reply-not-leader": &Reply{Verdict: NotLeader, Leader: "b"}, "reply-not-yet": &Reply{Verdict: NotYet}, "reply-lost": &Reply{Verdict: LifeIsLost},
+	} {
+		goldenJSON(t, name+".json", value)
+	}
+	c := New(0, "x", 1, "", nil, Kept{}, nil, 1)
+	c.take(&raftpb.Snapshot{Data: must(os.ReadFile("testdata/golden/record.json")), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(9)}})
+	assert.Equal(t, full, c.record, "as a snapshot's data")
+}
+
+// The snapshot and state with which a council is founded have the bytes that they had, and a voter goes on from them.
+func TestGolden_CouncilFounding(t *testing.T) {
+	c, e := founder()
+	marshal := proto.MarshalOptions{Deterministic: true}
+	snap, state := &raftpb.Snapshot{}, &raftpb.HardState{}
+	require.NoError(t, proto.Unmarshal(golden(t, "founding-snapshot.pb", must(marshal.Marshal(e.Snap))), snap))
+	require.NoError(t, proto.Unmarshal(golden(t, "founding-state.pb", must(marshal.Marshal(e.State))), state))
+	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, Kept{Snap: snap, State: state}, nil, 1)
+	assert.Equal(t, c.record, again.record)
+	assert.Len(t, again.record.Voters, 3)
+}
--- /dev/null
+++ b/internal/fleetwire/testdata/golden/call.pb
@@ -0,0 +1,2 @@
+
+what is said
--- /dev/null
+++ b/internal/seat/golden_test.go
@@ -0,0 +1,199 @@
+package seat
+
+import (
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"liftshift/internal/chairs"
+	"liftshift/internal/council"
+	"liftshift/internal/fleetwire"
+	"liftshift/internal/members"
+	"liftshift/internal/store"
+	"liftshift/internal/vfs"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden holds bytes against a file of testdata/golden, and gives what the file has.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), name)
+	return want
+}
+
+// goldenJSON holds a value against its file in both directions; value is a pointer.
+func goldenJSON(t *testing.T, name string, value any) {
+	t.Helper()
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	back := reflect.New(reflect.TypeOf(value).Elem())
+	require.NoError(t, json.Unmarshal(golden(t, name, got), back.Interface()))
+	assert.Equal(t, value, back.Interface(), name)
+}
+
+// What members ask and answer has the bytes that it had.
+func TestGolden_SeatValues(t *testing.T) {
+	roll := Roll{Places: []chairs.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: chairs.Table{Version: 6, Step: 7, Copies: 1,
+		Parts:  []chairs.Part{{Now: []chairs.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}}, Was: []chairs.Chair{{Name: "b", Life: 3}}}, {}},
+		Claims: []chairs.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}}}
+	for name, value := range map[string]any{
+		"wish": &wish{Name: "a", Life: 3}, "wish-release": &wish{Name: "a", Life: 3, Release: true}, "wish-empty": &wish{},
+		"roll": &roll, "roll-empty": &Roll{}, "planned-empty": &Planned{},
+		"planned": &Planned{Number: 8, Plan: []byte(`{"x":1}`), Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)}},
+	} {
+		goldenJSON(t, name+".json", value)
+	}
+	data, err := json.Marshal(Roll{Addresses: map[string]string{"a": "127.0.0.1:7000"}})
+	require.NoError(t, err)
+	golden(t, "roll-empty.json", data)
+}
+
+// goldenFolder holds a voter's folder against its files, which end at their last byte that is set, and gives one with the same files.
+func goldenFolder(t *testing.T, name string, fs *vfs.Memory) *vfs.Memory {
+	t.Helper()
+	files, err := fs.List()
+	require.NoError(t, err)
+	require.NotEmpty(t, files)
+	again := vfs.NewMemory()
+	for _, file := range files {
+		whole := fs.Bytes(file)
+		data := golden(t, filepath.Join(name, file), []byte(strings.TrimRight(string(whole), "\x00")))
+		again.Set(file, append(data, make([]byte, len(whole)-len(data))...))
+	}
+	return again
+}
+
+// A voter's folder has the bytes that it had, and is read as it was; where its end is torn, as another voter's.
+func TestGolden_SeatFolder(t *testing.T) {
+	fs := vfs.NewMemory()
+	s, _, err := store.Open(fs, store.Bounds{Segment: segment}, func(store.Key, int64, []byte) {})
+	require.NoError(t, err)
+	var named store.Batch
+	named.Put(key(folderRecord, 0), 0, []byte("f0123456789abcdef01234567"))
+	require.NoError(t, s.Write(logTime, &named))
+	require.NoError(t, s.Close())
+	d, err := openDisk(fs, &Seat{}, silent())
+	require.NoError(t, err)
+	write(t, d, council.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
+	d.close()
+	whole := goldenFolder(t, "folder", fs)
+	again, err := openDisk(whole.Clone(), &Seat{}, silent())
+	require.NoError(t, err)
+	assert.Equal(t, "0123456789abcdef01234567", again.id)
+	assert.True(t, proto.Equal(state(2, 9, 2), again.kept.State))
+	assert.True(t, proto.Equal(snapAt(1), again.kept.Snap))
+	require.Len(t, again.kept.Entries, 2)
+	assert.True(t, proto.Equal(entryAt(2, 1), again.kept.Entries[0]))
+	assert.True(t, proto.Equal(entryAt(3, 2), again.kept.Entries[1]))
+	again.close()
+
+	files, err := whole.List()
+	require.NoError(t, err)
+	last := slices.Max(slices.DeleteFunc(files, func(name string) bool { return !strings.HasSuffix(name, ".log") }))
+	b := whole.Bytes(last)
+	end := len(strings.TrimRight(string(b), "\x00"))
+	whole.Set(last, append(b[:end-5], make([]byte, 64)...))
+	torn, err := openDisk(goldenFolder(t, "folder-torn", whole), &Seat{}, silent())
+	require.NoError(t, err)
+	defer torn.close()
+	assert.NotEqual(t, "0123456789abcdef01234567", torn.id)
+	assert.Equal(t, council.Kept{}, torn.kept)
+}
+
+// ear hears what a seat sends over real sockets, and answers each lease with a golden reply.
+type ear struct {
+	mu    sync.Mutex
+	heard map[string]bool
+	reply []byte
+}
+
+func (e *ear) Heard(_ float64, data []byte, reply func([]byte, error)) {
+	e.mu.Lock()
+	e.heard[string(data)] = true
+	e.mu.Unlock()
+	if data[0] == 'a' {
+		reply(e.reply, nil)
+		return
+	}
+	reply(nil, nil) // an error would end the connection, and with it the calls beside it
+}
+func (e *ear) Tick(float64)  {}
+func (e *ear) Next() float64 { return 1e15 }
+func (e *ear) Close()        {}
+
+// Each kind of message leaves a seat with the bytes that it had, its kind ahead, and a seat takes it in as one that it knows.
+func TestGolden_SeatMessages(t *testing.T) {
+	at := addresses(t, 2)
+	hears := &ear{heard: map[string]bool{}, reply: golden(t, "reply-granted.json", []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`))}
+	far := fleetwire.New(at[1], silent())
+	farView := members.New(far.Now(), "f", members.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 2)
+	require.NoError(t, far.Start(farView, hears))
+	t.Cleanup(far.Stop)
+	c := fleetwire.New(at[0], silent())
+	v := members.New(c.Now(), "f", members.Member{Name: "a", Life: 3, Address: at[0]}, at, nil, 1)
+	before := members.New(0, "f", members.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 3)
+	for _, e := range before.Step(0, &members.Event{Kind: members.Ticked}) { // b is known at once
+		if len(e.Data) > 0 {
+			v.Step(c.Now(), &members.Event{Kind: members.Heard, From: at[1], Data: e.Data})
+		}
+	}
+	_, known := v.Find("b")
+	require.True(t, known)
+	s, err := New(c, v, vfs.NewMemory(), []string{"c", "b", "a"}, nil, 1, silent())
+	require.NoError(t, err)
+	confirmed := make(chan uint64, 100)
+	s.Confirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
+	require.NoError(t, c.Start(v, s))
+	t.Cleanup(c.Stop)
+	require.Eventually(t, s.Held, 20*time.Second, 10*time.Millisecond)
+	assert.Equal(t, uint64(4), <-confirmed)
+	c.Do(func(now float64, _ *members.View) {
+		require.Equal(t, "b", s.Leader(now))
+		s.rolled = 300
+		s.askRoll(now)
+		s.Fetch(now, 300)
+		s.say("b", []byte("what a voter says"))
+	})
+	s.Move(council.OrderMotion("zone z1", []byte(`{"y":2}`)))
+	_, err = s.Record()
+	assert.Error(t, err, "the answer is empty")
+	s.Release()
+
+	other, err := New(c, v, nil, []string{"c", "b", "a"}, nil, 1, silent())
+	require.NoError(t, err)
+	for file, want := range map[string]string{
+		"hello": "h", "lease": `a{"Name":"a","Life":3}`, "lease-back": `a{"Name":"a","Life":3,"Release":true}`, "record": "r",
+		"roll": "l\xac\x02", "plan": "z\xac\x02", "voter": "v\x01awhat a voter says",
+		"motion": `p{"Kind":"order","Name":"zone z1","Life":0,"Data":{"y":2}}`,
+	} {
+		data := golden(t, "message-"+file+".bin", []byte(want))
+		assert.Eventually(t, func() bool {
+			hears.mu.Lock()
+			defer hears.mu.Unlock()
+			return hears.heard[string(data)]
+		}, 10*time.Second, 10*time.Millisecond, "%s is sent with other bytes, or not at all", file)
+		other.Heard(0, data, func(_ []byte, err error) { assert.NoError(t, err, file) })
+	}
+}
