--- a/internal/chairs/chairs.go
+++ b/internal/chairs/chairs.go
@@ -21,41 +21,41 @@
 
 // Chair is a place among those that keep a part, and who has it.
 type Chair struct {
-	Name  string
-	Life  uint64
-	Ready bool `json:",omitempty"` // it knows all that those before it knew
+	Name  string `json:"Name"`
+	Life  uint64 `json:"Life"`
+	Ready bool   `json:"Ready,omitempty"` // it knows all that those before it knew
 }
 
 // Part is who keeps a part. While Was is there, a word needs a quorum of both.
 type Part struct {
-	Now []Chair `json:",omitempty"`
-	Was []Chair `json:",omitempty"`
+	Now []Chair `json:"Now,omitempty"`
+	Was []Chair `json:"Was,omitempty"`
 }
 
 // Claim is what of a lost life's work its heir takes over.
 type Claim struct {
-	Name     string // who is lost
-	Life     uint64
-	Heir     string
-	HeirLife uint64
-	Mask     uint32 // parts
+	Name     string `json:"Name"` // who is lost
+	Life     uint64 `json:"Life"`
+	Heir     string `json:"Heir"`
+	HeirLife uint64 `json:"HeirLife"`
+	Mask     uint32 `json:"Mask"` // parts
 }
 
 // Place is a member as the council has it.
 type Place struct {
-	Name string
-	Life uint64
-	Lost bool
-	Zone string
+	Name string `json:"Name"`
+	Life uint64 `json:"Life"`
+	Lost bool   `json:"Lost"`
+	Zone string `json:"Zone"`
 }
 
 // Table is what is agreed.
 type Table struct {
-	Version uint64  `json:",omitempty"` // grows whenever another sits: a word counts in one version alone
-	Step    uint64  `json:",omitempty"` // grows with each change, also of who is lost and of claims
-	Copies  int     `json:",omitempty"`
-	Parts   []Part  `json:",omitempty"`
-	Claims  []Claim `json:",omitempty"`
+	Version uint64  `json:"Version,omitempty"` // grows whenever another sits: a word counts in one version alone
+	Step    uint64  `json:"Step,omitempty"`    // grows with each change, also of who is lost and of claims
+	Copies  int     `json:"Copies,omitempty"`
+	Parts   []Part  `json:"Parts,omitempty"`
+	Claims  []Claim `json:"Claims,omitempty"`
 }
 
 // Seats is how many chairs a part has for so many copies: any two halves and one more share a chair, and of each such there are so
--- a/internal/chairs/golden_test.go
+++ b/internal/chairs/golden_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -31,6 +32,7 @@
 // goldenJSON holds a value against its file in both directions; value is a pointer.
 func goldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
+	tagged(t, reflect.TypeOf(value))
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
 	back := reflect.New(reflect.TypeOf(value).Elem())
@@ -38,6 +40,22 @@
 	assert.Equal(t, value, back.Interface(), name)
 }
 
+// tagged holds that each field of a type, and of what it is made of, has its name in JSON said by a tag.
+func tagged(t *testing.T, of reflect.Type) {
+	t.Helper()
+	switch of.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Map:
+		tagged(t, of.Elem())
+	case reflect.Struct:
+		for k := range of.NumField() {
+			f := of.Field(k)
+			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+			assert.NotEmpty(t, name, "%v.%s", of, f.Name)
+			tagged(t, f.Type)
+		}
+	}
+}
+
 // The table and what it is made of have the bytes that they had; who sits where is chosen as it was.
 func TestGolden_Chairs(t *testing.T) {
 	seated := Table{}
--- a/internal/council/record.go
+++ b/internal/council/record.go
@@ -13,20 +13,20 @@
 
 // entry is one thing that is agreed.
 type entry struct {
-	Kind    string // "in", "lost", "left"; of the chairs: "copies", "ready", "claim", "settled", "anew"; "plan", "order"
-	Name    string
-	Life    uint64
-	Address string `json:",omitempty"`
-	Zone    string `json:",omitempty"`
+	Kind    string `json:"Kind"` // "in", "lost", "left"; of the chairs: "copies", "ready", "claim", "settled", "anew"; "plan", "order"
+	Name    string `json:"Name"`
+	Life    uint64 `json:"Life"`
+	Address string `json:"Address,omitempty"`
+	Zone    string `json:"Zone,omitempty"`
 	// Of the chairs alone.
-	Heir     string `json:",omitempty"`
-	HeirLife uint64 `json:",omitempty"`
-	Mask     uint32 `json:",omitempty"`
-	Version  uint64 `json:",omitempty"`
-	Copies   int    `json:",omitempty"`
+	Heir     string `json:"Heir,omitempty"`
+	HeirLife uint64 `json:"HeirLife,omitempty"`
+	Mask     uint32 `json:"Mask,omitempty"`
+	Version  uint64 `json:"Version,omitempty"`
+	Copies   int    `json:"Copies,omitempty"`
 	// Of a plan or an order: Name is what it is about; without Data it is taken back.
-	Number uint64          `json:",omitempty"`
-	Data   json.RawMessage `json:",omitempty"`
+	Number uint64          `json:"Number,omitempty"`
+	Data   json.RawMessage `json:"Data,omitempty"`
 }
 
 // Motion makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
--- a/internal/council/types.go
+++ b/internal/council/types.go
@@ -44,31 +44,31 @@
 
 // Place is one controller in the record.
 type Place struct {
-	Life    uint64
-	Term    uint64 // of the name: grows with each life that is let in or declared lost
-	Lost    bool
-	Left    bool // it stopped as planned
-	Address string
-	Zone    string
+	Life    uint64 `json:"Life"`
+	Term    uint64 `json:"Term"` // of the name: grows with each life that is let in or declared lost
+	Lost    bool   `json:"Lost"`
+	Left    bool   `json:"Left"` // it stopped as planned
+	Address string `json:"Address"`
+	Zone    string `json:"Zone"`
 }
 
 // Voter is one that votes, or is about to.
 type Voter struct {
-	ID   uint64
-	Name string
-	Zone string
+	ID   uint64 `json:"ID"`
+	Name string `json:"Name"`
+	Zone string `json:"Zone"`
 }
 
 // Record is what is agreed.
 type Record struct {
-	Places   map[string]Place
-	Voters   []Voter // and those about to be
-	Founding []Voter
-	Declared uint64 // lives declared lost so far
-	Chairs   chairs.Table
-	Plan     json.RawMessage            `json:",omitempty"` // how far searches may go, as package zones has it; the council does not read it
-	Number   uint64                     `json:",omitempty"` // of the plan: each is one later than the one before
-	Orders   map[string]json.RawMessage `json:",omitempty"` // of operators, by what they are about
+	Places   map[string]Place           `json:"Places"`
+	Voters   []Voter                    `json:"Voters"` // and those about to be
+	Founding []Voter                    `json:"Founding"`
+	Declared uint64                     `json:"Declared"` // lives declared lost so far
+	Chairs   chairs.Table               `json:"Chairs"`
+	Plan     json.RawMessage            `json:"Plan,omitempty"`   // how far searches may go, as package zones has it; the council does not read it
+	Number   uint64                     `json:"Number,omitempty"` // of the plan: each is one later than the one before
+	Orders   map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
 }
 
 // Identity gives the number under which a member votes with a folder. Without that folder it votes under another, so that nobody
@@ -124,31 +124,31 @@
 
 // Hello is what one says to a founder, or to one who would have it vote.
 type Hello struct {
-	Name     string
-	Folder   string // empty: it has no disk for the council
-	ID       uint64
-	Founding []Voter // of the council that it knows, if any
-	Voter    bool    // its number is one of the council's
+	Name     string  `json:"Name"`
+	Folder   string  `json:"Folder"` // empty: it has no disk for the council
+	ID       uint64  `json:"ID"`
+	Founding []Voter `json:"Founding"` // of the council that it knows, if any
+	Voter    bool    `json:"Voter"`    // its number is one of the council's
 }
 
 // Verdict is what becomes of an asking for a lease.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts. Their numbers go over the wire: they stay.
 const (
-	Granted Verdict = iota
-	NotLeader
-	NotYet     // it is not in the record yet
-	LifeIsLost // that life has been declared lost: only a later one may ask again
+	Granted    Verdict = 0
+	NotLeader  Verdict = 1
+	NotYet     Verdict = 2 // it is not in the record yet
+	LifeIsLost Verdict = 3 // that life has been declared lost: only a later one may ask again
 )
 
 // Reply answers an asking for a lease.
 type Reply struct {
-	Verdict Verdict
-	Leader  string // who is asked next, where it is known
-	Term    uint64 // of the name
-	Step    uint64 // of the table of chairs
-	Number  uint64 // of the plan that was in force after it was asked
+	Verdict Verdict `json:"Verdict"`
+	Leader  string  `json:"Leader"` // who is asked next, where it is known
+	Term    uint64  `json:"Term"`   // of the name
+	Step    uint64  `json:"Step"`   // of the table of chairs
+	Number  uint64  `json:"Number"` // of the plan that was in force after it was asked
 }
 
 // EffectKind tells what an effect is.
--- a/internal/members/codec.go
+++ b/internal/members/codec.go
@@ -20,18 +20,20 @@
 	mostRecord   = 400
 )
 
+// messageKind is what a message is for.
 type messageKind uint8
 
+// Message kinds. Their numbers go over the wire: they stay.
 const (
-	ping messageKind = iota + 1
-	ack
-	request // ask a third one for us
-	nack    // the third one did not answer so far; but I do
-	gossip
-	digest // the first part of an exchange
-	same   // the views are equal
-	full
-	lastKind
+	ping     messageKind = 1
+	ack      messageKind = 2
+	request  messageKind = 3 // ask a third one for us
+	nack     messageKind = 4 // the third one did not answer so far; but I do
+	gossip   messageKind = 5
+	digest   messageKind = 6 // the first part of an exchange
+	same     messageKind = 7 // the views are equal
+	full     messageKind = 8
+	lastKind messageKind = 9 // the first number that is free
 )
 
 var (
--- a/internal/members/types.go
+++ b/internal/members/types.go
@@ -8,15 +8,16 @@
 type Phase uint8
 
 // Phases. What a member says of itself are Joining, Here, Leaving and Left; Suspect and Gone are what others say of it.
+// Their numbers go over the wire: they stay.
 const (
-	Unknown Phase = iota
-	Joining       // started, and has not yet heard the whole view from anybody
-	Here
-	Suspect // did not answer, and may still say that it is here
-	Gone    // did not say so in time; comes back by a later incarnation alone
-	Leaving // stops as planned
-	Left
-	anyPhase
+	Unknown  Phase = 0
+	Joining  Phase = 1 // started, and has not yet heard the whole view from anybody
+	Here     Phase = 2
+	Suspect  Phase = 3 // did not answer, and may still say that it is here
+	Gone     Phase = 4 // did not say so in time; comes back by a later incarnation alone
+	Leaving  Phase = 5 // stops as planned
+	Left     Phase = 6
+	anyPhase Phase = 7 // past all of them, no phase itself
 )
 
 var phaseNames = [...]string{"unknown", "joining", "here", "suspect", "gone", "leaving", "left"}
@@ -34,15 +35,15 @@
 // Marks are small signs of health that a member tells of itself.
 type Marks uint8
 
-// Marks.
+// Marks. Their bits go over the wire: they stay.
 const (
-	Ready Marks = 1 << iota
-	Draining
-	DiskSick
-	Full
-	Doubled // another process bears its name: it takes no part in common work
-	Stalled // it stood still lately and does not trust its own view yet
-	Elector // it has a disk for the council
+	Ready    Marks = 1 << 0
+	Draining Marks = 1 << 1
+	DiskSick Marks = 1 << 2
+	Full     Marks = 1 << 3
+	Doubled  Marks = 1 << 4 // another process bears its name: it takes no part in common work
+	Stalled  Marks = 1 << 5 // it stood still lately and does not trust its own view yet
+	Elector  Marks = 1 << 6 // it has a disk for the council
 )
 
 var markNames = []string{"ready", "draining", "disk-sick", "full", "doubled", "stalled", "elector"}
--- a/internal/seat/golden_test.go
+++ b/internal/seat/golden_test.go
@@ -44,6 +44,7 @@
 // goldenJSON holds a value against its file in both directions; value is a pointer.
 func goldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
+	tagged(t, reflect.TypeOf(value))
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
 	back := reflect.New(reflect.TypeOf(value).Elem())
@@ -51,6 +52,22 @@
 	assert.Equal(t, value, back.Interface(), name)
 }
 
+// tagged holds that each field of a type, and of what it is made of, has its name in JSON said by a tag.
+func tagged(t *testing.T, of reflect.Type) {
+	t.Helper()
+	switch of.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Map:
+		tagged(t, of.Elem())
+	case reflect.Struct:
+		for k := range of.NumField() {
+			f := of.Field(k)
+			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+			assert.NotEmpty(t, name, "%v.%s", of, f.Name)
+			tagged(t, f.Type)
+		}
+	}
+}
+
 // What members ask and answer has the bytes that it had.
 func TestGolden_SeatValues(t *testing.T) {
 	roll := Roll{Places: []chairs.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: chairs.Table{Version: 6, Step: 7, Copies: 1,
--- a/internal/seat/roll.go
+++ b/internal/seat/roll.go
@@ -11,8 +11,8 @@
 
 // Roll is who is in and who sits where, as agreed, and where all are, as heard.
 type Roll struct {
-	Places    []chairs.Place
-	Table     chairs.Table
+	Places    []chairs.Place    `json:"Places"`
+	Table     chairs.Table      `json:"Table"`
 	Addresses map[string]string `json:"-"`
 }
 
@@ -76,9 +76,9 @@
 
 // Planned is the plan of zones that is agreed, as it was proposed, and the operators' orders by what they are about.
 type Planned struct {
-	Number uint64
-	Plan   json.RawMessage            `json:",omitempty"`
-	Orders map[string]json.RawMessage `json:",omitempty"`
+	Number uint64                     `json:"Number"`
+	Plan   json.RawMessage            `json:"Plan,omitempty"`
+	Orders map[string]json.RawMessage `json:"Orders,omitempty"`
 }
 
 func (s *Seat) plan(now float64) Planned {
--- a/internal/seat/seat.go
+++ b/internal/seat/seat.go
@@ -42,9 +42,9 @@
 
 // wish is an asking for a lease, as it goes over the wire.
 type wish struct {
-	Name    string
-	Life    uint64
-	Release bool `json:",omitempty"`
+	Name    string `json:"Name"`
+	Life    uint64 `json:"Life"`
+	Release bool   `json:"Release,omitempty"`
 }
 
 // Seat is a member's end of the council. Its methods are called by the carrier's goroutine unless they say otherwise.
