--- a/internal/council/golden_test.go
+++ b/internal/council/golden_test.go
@@ -15,6 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/chairs"
+	"liftshift/rules"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -136,3 +137,48 @@
 	assert.Equal(t, c.record, again.record)
 	assert.Len(t, again.record.Voters, 3)
 }
+
+// What the leader itself proposes, who is in, lost or has left, how many copies are kept and who learns to vote, has the bytes that it had.
+func TestGolden_CouncilLeader(t *testing.T) {
+	only := []Voter{{ID: Identity("a", "fa"), Name: "a"}}
+	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Places: map[string]Place{}, Voters: only, Founding: only})), Metadata: &raftpb.SnapshotMetadata{
+		ConfState: &raftpb.ConfState{Voters: []uint64{only[0].ID}}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	c := New(0, "a", 1, "fa", []string{"a"}, Kept{Snap: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
+		rules.Given{"copies": 1.0}, 1)
+	now, logged := 0.0, map[string]bool{}
+	var play func(ev Event)
+	play = func(ev Event) {
+		for _, e := range append([]Effect(nil), c.Step(now, &ev)...) {
+			for _, x := range e.Entries {
+				logged[string(x.GetData())] = true
+			}
+			if e.Kind == Keep && e.Token != 0 {
+				play(Event{Kind: Stored, Token: e.Token})
+			}
+		}
+	}
+	run := func(until float64) {
+		for ; now < until; now += 50 {
+			play(Event{Kind: Ticked})
+		}
+	}
+	sights := []Sight{{Name: "a", Life: 1, Living: true, Address: "127.0.0.1:7000", Zone: "z1"},
+		{Name: "b", Life: 2, Living: true, Address: "127.0.0.1:7001", Zone: "z2"}, {Name: "c", Life: 3, Living: true, Address: "127.0.0.1:7002"},
+		{Name: "d", Life: 4, Living: true, Address: "127.0.0.1:7003", Zone: "z3", Elector: true}}
+	c.See(sights)
+	run(4000)
+	require.True(t, c.leads)
+	play(Event{Kind: Asked, Token: 1, Name: "c", Life: 3, Release: true})
+	sights[1].Living = false
+	c.See(sights)
+	run(30000)
+	play(Event{Kind: Met, Hello: Hello{Name: "d", Folder: "fd"}})
+	for _, file := range []string{"entry-in", "entry-in-second", "entry-in-third", "entry-copies", "entry-left", "entry-lost"} {
+		assert.Contains(t, logged, string(must(os.ReadFile("testdata/golden/"+file+".json"))), file)
+	}
+	learner := &raftpb.ConfChangeV2{Context: must(json.Marshal([]Voter{{ID: Identity("d", "fd"), Name: "d", Zone: "z3"}})),
+		Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(Identity("d", "fd"))}}}
+	data := golden(t, "change-of-voters.pb", must(proto.MarshalOptions{Deterministic: true}.Marshal(learner)))
+	assert.Contains(t, logged, string(data), "change of voters")
+	assert.Contains(t, c.record.Voters, Voter{ID: Identity("d", "fd"), Name: "d", Zone: "z3"})
+}
--- /dev/null
+++ b/internal/council/testdata/golden/change-of-voters.pb
@@ -0,0 +1,1 @@
+ûÚ¨Õí¯Ë4[{"ID":14654158385242058107,"Name":"d","Zone":"z3"}]
--- a/internal/seat/golden_test.go
+++ b/internal/seat/golden_test.go
@@ -198,7 +198,8 @@
 	assert.Error(t, err, "the answer is empty")
 	s.Release()
 
-	other, err := New(c, v, nil, []string{"c", "b", "a"}, nil, 1, silent())
+	still := members.New(0, "f", members.Member{Name: "a", Life: 3, Address: at[0]}, nil, nil, 1)
+	other, err := New(fleetwire.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
 	require.NoError(t, err)
 	for file, want := range map[string]string{
 		"hello": "h", "lease": `a{"Name":"a","Life":3}`, "lease-back": `a{"Name":"a","Life":3,"Release":true}`, "record": "r",
