--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,8 @@
 
 lint:
 	go vet ./... && go vet -tags debug ./...
-	@test -z "$$(gofmt -l cmd internal rules)" || { gofmt -l cmd internal rules; exit 1; }
+	go tool staticcheck ./... && go tool staticcheck -tags debug ./...
+	@unformatted=$$(gofmt -l .) && test -z "$$unformatted" || { echo "gofmt: $$unformatted"; exit 1; }
 
 # Ten seconds for each parser of the wire.
 fuzz:
--- a/internal/estate/heir.go
+++ b/internal/estate/heir.go
@@ -11,7 +11,6 @@
 // learning is a part whose former copies this controller takes over as a chair.
 type learning struct {
 	pulls []*pulling
-	at    float64
 }
 
 // pulling is what one chair was asked for.
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -104,7 +103,6 @@
 type fleet struct {
 	desk *desk.Desk
 	sent atomic.Int64
-	held sync.Map
 }
 
 type flight struct {
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -21,8 +21,7 @@
 
 // disk keeps what ledgers want kept, as a store would, and can be looked at as of any step.
 type disk struct {
-	kept   map[Key]Effect
-	synced map[Key]Effect
+	kept map[Key]Effect
 }
 
 // lives is a ledger on a disk, with its own idea of the time.
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -50,7 +50,6 @@
 	name    string
 	stop    chan struct{}
 	last    float64 // when the view was looked at
-	number  uint64  // of the plan that was logged
 
 	// Of the desk's goroutine.
 	where   map[uint32]rules.Entry
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -309,7 +309,7 @@
 		switch {
 		case whole > 0 && from+int64(len(b)) < end:
 			from += whole
-		case whole == 0 && from+int64(len(b)) < end && blank(b) == false && len(buf) < 64*scanStep:
+		case whole == 0 && from+int64(len(b)) < end && !blank(b) && len(buf) < 64*scanStep:
 			buf = make([]byte, 4*len(buf)) // a batch longer than what was read, or the end
 		default:
 			return good, records, nil
