--- /dev/null
+++ b/internal/tools/repocheck/main.go
@@ -0,0 +1,67 @@
+// Command repocheck reads KNOWN-RED.txt, checks it, and runs what it lists.
+//
+// Usage, at the root of the repository:
+//
+//	repocheck            checks that the tests of KNOWN-RED.txt exist
+//	repocheck skip       prints the tests of KNOWN-RED.txt as a pattern for go test -skip; an empty line if there are none
+//	repocheck known-red  runs the tests of KNOWN-RED.txt and prints their outcome, which does not count
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+)
+
+// knownRedFile lists the known failures, relative to the root of the repository.
+const knownRedFile = "KNOWN-RED.txt"
+
+func main() {
+	if err := run(".", os.Args[1:], os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "repocheck:", err)
+		os.Exit(1)
+	}
+}
+
+// run carries out one command on the repository at root.
+func run(root string, args []string, out io.Writer) error {
+	switch {
+	case len(args) == 0:
+		return checkAll(root, out)
+	case len(args) == 1 && args[0] == "skip":
+		return printSkipPattern(root, out)
+	case len(args) == 1 && args[0] == "known-red":
+		return runKnownRed(root, out)
+	default:
+		return fmt.Errorf("unknown arguments %q; known are none, skip and known-red", args)
+	}
+}
+
+// checkAll prints each finding, and fails if there is one.
+func checkAll(root string, out io.Writer) error {
+	source, err := loadSource(root)
+	if err != nil {
+		return err
+	}
+	findings, err := checkKnownRed(root, source)
+	if err != nil {
+		return err
+	}
+	for _, finding := range findings {
+		fmt.Fprintln(out, finding)
+	}
+	if len(findings) > 0 {
+		return fmt.Errorf("%d findings", len(findings))
+	}
+	return nil
+}
+
+// printSkipPattern prints the pattern for go test -skip.
+func printSkipPattern(root string, out io.Writer) error {
+	entries, err := readKnownRed(root)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintln(out, skipPattern(entries))
+	return nil
+}
