--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,7 @@
 	go vet ./... && go vet -tags debug ./...
 	go tool staticcheck ./... && go tool staticcheck -tags debug ./...
 	@unformatted=$$(gofmt -l .) && test -z "$$unformatted" || { echo "gofmt: $$unformatted"; exit 1; }
+	go run ./internal/tools/repocheck
 
 # Ten seconds for each parser of the wire.
 fuzz:
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -103,10 +103,12 @@
 	Beliefs(now float64, out []rules.Belief) []rules.Belief
 }
 
-// Peers carries messages to other controllers, List asks for news of the list.
+// The other sides of a desk.
 type (
+	// Peers carries messages to other controllers.
 	Peers interface{ Tell(peer int, data []byte) }
-	List  interface{ Ask() }
+	// List asks for news of the list of executors.
+	List interface{ Ask() }
 )
 
 // Item is one thing in the queue: an event for the module, and what belongs to it.
--- a/internal/estate/types.go
+++ b/internal/estate/types.go
@@ -81,6 +81,7 @@
 
 var outcomeNames = [...]string{"open", "handled", "denied", "written_off", "left", "withdrawn", "unknown"}
 
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Standing is whether a search may have run.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -52,6 +52,7 @@
 
 var outcomeNames = [...]string{"unknown", "open", "handled", "denied", "written_off", "left"}
 
+// String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Event is one thing that the ledger is told. Only the fields of its kind are set.
--- a/internal/members/types.go
+++ b/internal/members/types.go
@@ -21,6 +21,7 @@
 
 var phaseNames = [...]string{"unknown", "joining", "here", "suspect", "gone", "leaving", "left"}
 
+// String returns the name of the phase, or "unknown" for a value that has none.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
--- a/internal/simfleet/history.go
+++ b/internal/simfleet/history.go
@@ -16,6 +16,7 @@
 	MS   float64
 }
 
+// String returns the fault on one line: its time, kind, node and length.
 func (f Fault) String() string { return fmt.Sprintf("%.0f ms: %s %d %.0f", f.At, f.Kind, f.Node, f.MS) }
 
 var faultKinds = []string{"kill", "kill", "open", "open", "open", "wipe", "stall", "stall", "cut", "mute", "heal", "heal", "lossy", "diskfull"}
--- a/internal/tools/repocheck/main.go
+++ b/internal/tools/repocheck/main.go
@@ -1,8 +1,9 @@
-// Command repocheck reads KNOWN-RED.txt, checks it, and runs what it lists.
+// Command repocheck checks what the Go tools do not: that the tests and paths that the repository's pages name exist, and that
+// exported names have doc comments. It also prints counts of the source.
 //
 // Usage, at the root of the repository:
 //
-//	repocheck            checks that the tests of KNOWN-RED.txt exist
+//	repocheck            checks everything and prints the counts
 //	repocheck skip       prints the tests of KNOWN-RED.txt as a pattern for go test -skip; an empty line if there are none
 //	repocheck known-red  runs the tests of KNOWN-RED.txt and prints their outcome, which does not count
 package main
@@ -13,8 +14,12 @@
 	"os"
 )
 
-// knownRedFile lists the known failures, relative to the root of the repository.
-const knownRedFile = "KNOWN-RED.txt"
+// Files that name tests or paths, relative to the root of the repository.
+const (
+	knownRedFile = "KNOWN-RED.txt"
+	auditFile    = "docs/terms-audit.md"
+	balancerFile = "deploy/balancer.toml"
+)
 
 func main() {
 	if err := run(".", os.Args[1:], os.Stdout); err != nil {
@@ -37,19 +42,25 @@
 	}
 }
 
-// checkAll prints each finding, and fails if there is one.
+// checkAll prints each finding and the counts, and fails if there is a finding.
 func checkAll(root string, out io.Writer) error {
 	source, err := loadSource(root)
 	if err != nil {
 		return err
 	}
-	findings, err := checkKnownRed(root, source)
-	if err != nil {
-		return err
+	docs := checkDocs(source)
+	findings := docs.findings
+	for _, check := range []func(string, *Source) ([]string, error){checkAudit, checkKnownRed, checkBalancer} {
+		found, err := check(root, source)
+		if err != nil {
+			return err
+		}
+		findings = append(findings, found...)
 	}
 	for _, finding := range findings {
 		fmt.Fprintln(out, finding)
 	}
+	printCounts(out, countSizes(source), docs)
 	if len(findings) > 0 {
 		return fmt.Errorf("%d findings", len(findings))
 	}
--- a/internal/tools/repocheck/source.go
+++ b/internal/tools/repocheck/source.go
@@ -70,3 +70,6 @@
 
 // Folder is the folder of the file's package.
 func (f *File) Folder() string { return filepath.ToSlash(filepath.Dir(f.Path)) }
+
+// line is the line of a position in its file.
+func (s *Source) line(pos token.Pos) int { return s.set.Position(pos).Line }
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -12,6 +12,7 @@
 	Active
 )
 
+// String returns the name of the state.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
 // input is what happens.
@@ -118,12 +119,22 @@
 	return &Machine{set: set, local: local, priority: set.Priority, interval: set.IntervalMS}, nil
 }
 
-// State, Since and Peer tell where it stands, since when, and who was heard last.
-func (m *Machine) State() State      { return m.state }
-func (m *Machine) Since() float64    { return m.since }
-func (m *Machine) Peer() netip.Addr  { return m.peer }
-func (m *Machine) Priority() uint8   { return m.priority }
-func (m *Machine) Counts() Counts    { return m.counts }
+// State returns the present state.
+func (m *Machine) State() State { return m.state }
+
+// Since returns the time at which the present state began.
+func (m *Machine) Since() float64 { return m.since }
+
+// Peer returns the address of the router that was heard last.
+func (m *Machine) Peer() netip.Addr { return m.peer }
+
+// Priority returns the priority that this router sends.
+func (m *Machine) Priority() uint8 { return m.priority }
+
+// Counts returns what the machine has counted.
+func (m *Machine) Counts() Counts { return m.counts }
+
+// Interval returns the interval between advertisements that is in force, in milliseconds.
 func (m *Machine) Interval() float64 { return m.interval }
 
 // Due is when Tick is to be called; 0: not at all.
--- a/internal/zones/types.go
+++ b/internal/zones/types.go
@@ -62,6 +62,7 @@
 
 var stateNames = [states]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
 
+// String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
 // Sight is what one controller sees of a zone's executors, or what several together do.
--- a/internal/zones/watch.go
+++ b/internal/zones/watch.go
@@ -142,8 +142,10 @@
 
 func (w *Watch) do(e Effect) { w.effects = append(w.effects, e) }
 
-// Plan is what is agreed, as far as it is known here; Lines why the latest one is as it is, where this controller leads.
-func (w *Watch) Plan() *Plan     { return &w.plan }
+// Plan returns the plan that is agreed, as far as it is known here.
+func (w *Watch) Plan() *Plan { return &w.plan }
+
+// Lines returns the reasons for the latest plan where this controller leads.
 func (w *Watch) Lines() []string { return w.planner.Lines }
 
 // Orders are those that are agreed.
