--- a/internal/desk/desk.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package desk keeps what is in memory: the open requests and their attempts, the timers, the decision module and
+// Package dispatch keeps what is in memory: the open requests and their attempts, the timers, the decision module and
 // its clock. One goroutine owns all of it (Run); socket code reaches it through Put alone, and what it asks of
 // the sockets in turn only lines up there, so that it never waits for one.
-package desk
+package dispatch
 
 import (
 	"net/netip"
--- a/internal/desk/desk_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -1,4 +1,4 @@
-package desk
+package dispatch
 
 import (
 	"bytes"
--- a/internal/installation/budgets.go
+++ b/internal/installation/budgets.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"liftshift/internal/budget"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/operator"
 	"liftshift/internal/parts"
 	"liftshift/internal/waits"
@@ -49,7 +49,7 @@
 }
 
 // Whose tells the team of a search.
-func (t *teams) Whose(s *desk.Request) string {
+func (t *teams) Whose(s *dispatch.Request) string {
 	t.seen = s.Waits
 	team := t.file.Whose.Of(s.Team, s.From, s.Offering, s.Schema)
 	if team == "" {
--- a/internal/installation/door.go
+++ b/internal/installation/door.go
@@ -10,7 +10,7 @@
 
 	"liftshift/internal/budget"
 	"liftshift/internal/control"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/operator"
 	"liftshift/internal/retry"
@@ -144,7 +144,7 @@
 		}
 		f.set(n)
 	}
-	i.desk.Follow(desk.Offers(nil, i.team.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: *team})))
+	i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: *team})))
 	i.log.WithField("team", name).WithField("who", who).Warn("budgets: a team's limits were changed")
 	if i.keep == nil {
 		return map[string]any{"lasts": false}, nil
@@ -177,14 +177,14 @@
 		}
 		t := teams[k]
 		t.Weight, t.Ceiling, t.Threads, t.MemoryMB, t.Searches, t.Queue = l.Weight, l.Ceiling, l.Threads, l.MemoryMB, l.Searches, l.Queue
-		i.desk.Follow(desk.Offers(nil, i.team.tree.Step(0, &budget.Event{Kind: budget.Changed, Set: t})))
+		i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(0, &budget.Event{Kind: budget.Changed, Set: t})))
 		log.Info("budgets: limits set at run time hold")
 	}
 }
 
 // reset takes over the figures of a file that was read again.
-func (t *teams) reset(d *desk.Desk, now float64, next *operator.Budgets) {
+func (t *teams) reset(d *dispatch.Desk, now float64, next *operator.Budgets) {
 	for _, team := range next.Teams {
-		d.Follow(desk.Offers(nil, t.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: team})))
+		d.Follow(dispatch.Offers(nil, t.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: team})))
 	}
 }
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -16,7 +16,7 @@
 
 	"liftshift/internal/control"
 	"liftshift/internal/council"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/ledger"
 	"liftshift/internal/members"
@@ -41,7 +41,7 @@
 	carrier *fleetwire.Carrier
 	view    *members.View // the carrier's goroutine owns it
 	seat    *seat.Seat    // nil: no council
-	clock   desk.Clock
+	clock   dispatch.Clock
 	log     logrus.FieldLogger
 	changes chan float64 // how many there are, for the desk
 	ended   chan struct{}
@@ -56,7 +56,7 @@
 }
 
 // openFleet makes the view and begins to listen, where the file has a block fleet.
-func (i *Installation) openFleet(name string, given rules.Given, clock desk.Clock) error {
+func (i *Installation) openFleet(name string, given rules.Given, clock dispatch.Clock) error {
 	file := i.file.Fleet
 	if file == nil {
 		return nil
@@ -194,9 +194,9 @@
 		for {
 			select {
 			case n := <-f.changes:
-				f.inst.desk.Put(desk.Item{Event: rules.Event{Kind: rules.Counted, Value: n}})
+				f.inst.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Counted, Value: n}})
 				if t := f.inst.team; t != nil {
-					f.inst.desk.Put(desk.Item{Call: func(float64) { t.parts.Owners(int(n)) }})
+					f.inst.desk.Put(dispatch.Item{Call: func(float64) { t.parts.Owners(int(n)) }})
 				}
 			case <-f.ended:
 				return
@@ -239,7 +239,7 @@
 		f.log.WithField("life", m.Life).Warn("fleet: the others knew a later life of this name; this one goes on under a later still")
 		if f.inst.keep != nil {
 			life := m.Life
-			go f.inst.desk.Put(desk.Item{Call: func(float64) { f.keepLife(life) }})
+			go f.inst.desk.Put(dispatch.Item{Call: func(float64) { f.keepLife(life) }})
 		}
 	case members.Twins:
 		f.log.WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "life": m.Life, "why": e.Why}).Error("fleet: a name borne twice")
--- a/internal/installation/heirs.go
+++ b/internal/installation/heirs.go
@@ -10,7 +10,7 @@
 
 	"liftshift/internal/chairs"
 	"liftshift/internal/control"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/estate"
 	"liftshift/internal/trustee"
 	"liftshift/internal/vfs"
@@ -40,7 +40,7 @@
 		if err != nil {
 			return fmt.Errorf("estate: %w", err)
 		}
-		if err := t.Keep(vfs.Beneath(dir), func(note any) { i.desk.Put(desk.Item{Note: note}) }); err != nil {
+		if err := t.Keep(vfs.Beneath(dir), func(note any) { i.desk.Put(dispatch.Item{Note: note}) }); err != nil {
 			return err
 		}
 	}
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/control"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/keeper"
 	"liftshift/internal/ledger"
 	"liftshift/internal/operator"
@@ -24,7 +24,7 @@
 // Installation is what an operators' file makes of a controller.
 type Installation struct {
 	file  *operator.File
-	desk  *desk.Desk
+	desk  *dispatch.Desk
 	keep  *keeper.Keeper // nil: no store
 	team  *teams         // nil: no budgets
 	door  *control.Server
@@ -49,7 +49,7 @@
 
 // Open opens the store, if there is to be one, and gives the desk its parts: first the one that asks others, then the budgets, then the
 // memory.
-func (i *Installation) Open(name string, d *desk.Desk, given rules.Given, clock desk.Clock, log logrus.FieldLogger) error {
+func (i *Installation) Open(name string, d *dispatch.Desk, given rules.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
 	i.desk, i.log = d, log
 	if i.file.Budgets != nil {
 		t, err := newTeams(clock.Now(), i.file.Budgets, given)
@@ -69,13 +69,13 @@
 		d.Gate = i.heirs.trustee.Held
 	}
 	if i.team != nil {
-		d.Join(desk.Budgeting(i.team))
+		d.Join(dispatch.Budgeting(i.team))
 	}
 	if i.lookout != nil {
 		d.Join(i.lookout.scout)
 	}
 	if i.keep != nil {
-		d.Join(desk.Remembering(i.keep))
+		d.Join(dispatch.Remembering(i.keep))
 		i.recallLimits()
 	}
 	return i.openDoor()
@@ -85,7 +85,7 @@
 // and what is ready to run would wait for the disk meanwhile. It is no more processor time: a sync takes none.
 const syncSlots = 2
 
-func (i *Installation) openStore(d *desk.Desk, given rules.Given, clock desk.Clock) error {
+func (i *Installation) openStore(d *dispatch.Desk, given rules.Given, clock dispatch.Clock) error {
 	s, log := i.file.Store, i.log
 	if s == nil {
 		return nil
@@ -98,7 +98,7 @@
 	var found store.Found
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
 		k, found, err = keeper.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
-			func(ev ledger.Event) { d.Put(desk.Item{Note: &ev}) }, log)
+			func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
 	if err != nil {
@@ -129,7 +129,7 @@
 func (i *Installation) Begin() {
 	if i.keep != nil {
 		for _, ev := range i.keep.First() {
-			i.desk.Put(desk.Item{Event: ev})
+			i.desk.Put(dispatch.Item{Event: ev})
 		}
 	}
 	i.fleet.begin()
@@ -143,10 +143,10 @@
 	}
 	return func() []string {
 		if i.keep != nil && next.Store != nil {
-			i.desk.Put(desk.Item{Note: &ledger.Event{Kind: ledger.Heeded, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
+			i.desk.Put(dispatch.Item{Note: &ledger.Event{Kind: ledger.Heeded, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
 		}
 		if i.team != nil && next.Budgets != nil && i.file.Budgets.SameTree(next.Budgets) {
-			i.desk.Put(desk.Item{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
+			i.desk.Put(dispatch.Item{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
 		}
 		return i.file.Differs(next)
 	}, nil
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
@@ -101,17 +101,17 @@
 
 // fleet is executors that answer at once, and count.
 type fleet struct {
-	desk *desk.Desk
+	desk *dispatch.Desk
 	sent atomic.Int64
 }
 
 type flight struct {
 	f    *fleet
-	shot desk.Attempt
+	shot dispatch.Attempt
 	gone atomic.Bool
 }
 
-func (f *fleet) Send(s desk.Attempt) (desk.Run, float64) {
+func (f *fleet) Send(s dispatch.Attempt) (dispatch.Run, float64) {
 	r := &flight{f: f, shot: s}
 	if !s.Held {
 		r.Release()
@@ -122,37 +122,37 @@
 func (r *flight) Release() {
 	if r.gone.CompareAndSwap(false, true) {
 		r.f.sent.Add(1)
-		go r.f.desk.Put(desk.Item{Event: rules.Event{Kind: rules.Ended, Request: r.shot.Request.ID, Attempt: r.shot.N}, Body: []byte("rows")})
+		go r.f.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Ended, Request: r.shot.Request.ID, Attempt: r.shot.N}, Body: []byte("rows")})
 	}
 }
 
-func (r *flight) CallOff() desk.Stopped {
+func (r *flight) CallOff() dispatch.Stopped {
 	if r.gone.CompareAndSwap(false, true) {
-		return desk.Unsent
+		return dispatch.Unsent
 	}
-	return desk.Decided
+	return dispatch.Decided
 }
-func (r *flight) Relevel(int)               { _ = r }
-func (f *fleet) Probe(uint32, uint64) bool  { return false }
-func (f *fleet) Unanswered(uint32, uint64)  {}
-func (f *fleet) Holds(uint32) desk.Holding  { return desk.Holding{} }
-func (f *fleet) Tell(peer int, data []byte) {}
-func (f *fleet) Ask()                       {}
+func (r *flight) Relevel(int)                  { _ = r }
+func (f *fleet) Probe(uint32, uint64) bool     { return false }
+func (f *fleet) Unanswered(uint32, uint64)     {}
+func (f *fleet) Holds(uint32) dispatch.Holding { return dispatch.Holding{} }
+func (f *fleet) Tell(peer int, data []byte)    {}
+func (f *fleet) Ask()                          {}
 
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
-func desks(t *testing.T, disk *vfs.Memory) (*desk.Desk, *fleet, *Keeper) {
-	clock := desk.NewClock()
-	d := desk.New(clock, rules.New(7, given()), silent())
-	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(desk.Item{Note: &ev}) }, silent())
+func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Desk, *fleet, *Keeper) {
+	clock := dispatch.NewClock()
+	d := dispatch.New(clock, rules.New(7, given()), silent())
+	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, silent())
 	require.NoError(t, err)
 	f := &fleet{desk: d}
 	d.Executors, d.Peers, d.List, d.ProbeMS = f, f, f, 250
-	d.Join(desk.Remembering(k))
+	d.Join(dispatch.Remembering(k))
 	go d.Run()
 	for _, ev := range k.First() {
-		d.Put(desk.Item{Event: ev})
+		d.Put(dispatch.Item{Event: ev})
 	}
-	d.Put(desk.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Restored,
+	d.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Restored,
 		Entries: []rules.Entry{{Executor: 1, Place: "here", Kind: "big"}, {Executor: 2, Place: "here", Kind: "big"}}}})
 	return d, f, k
 }
@@ -174,7 +174,7 @@
 		ask := func(offering string) string {
 			tag++
 			at := tag
-			s := &desk.Request{ID: fmt.Sprint("s", at), Offering: offering, WorkMS: 1, NeedMB: 1, Until: float64(time.Now().UnixMilli()) + 5000,
+			s := &dispatch.Request{ID: fmt.Sprint("s", at), Offering: offering, WorkMS: 1, NeedMB: 1, Until: float64(time.Now().UnixMilli()) + 5000,
 				Client: b, Tag: at}
 			if offering == "mark" {
 				s.Mark = fmt.Sprint("m", at)
@@ -219,11 +219,11 @@
 	d, f, k := desks(t, disk)
 	b := &box{answers: map[uint64]string{}}
 	until := float64(time.Now().UnixMilli()) + 5000
-	d.Take(&desk.Request{ID: "w", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 1})
+	d.Take(&dispatch.Request{ID: "w", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 1})
 	require.Eventually(t, func() bool { return b.get(1) == "handled" }, 5*time.Second, time.Millisecond)
 	closed.Store(true)
-	d.Take(&desk.Request{ID: "a", Offering: "mark", Mark: "m", WorkMS: 1, Until: until, Client: b, Tag: 2})
-	d.Take(&desk.Request{ID: "b", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 3})
+	d.Take(&dispatch.Request{ID: "a", Offering: "mark", Mark: "m", WorkMS: 1, Until: until, Client: b, Tag: 2})
+	d.Take(&dispatch.Request{ID: "b", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 3})
 	require.Eventually(t, func() bool { return b.get(3) == "handled" }, 5*time.Second, time.Millisecond)
 	assert.NotEqual(t, "handled", b.get(2))
 	assert.EqualValues(t, 2, f.sent.Load())
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/council"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
 	"liftshift/internal/seat"
@@ -45,7 +45,7 @@
 	carrier *fleetwire.Carrier
 	view    *members.View
 	seat    *seat.Seat
-	desk    *desk.Desk
+	desk    *dispatch.Desk
 	log     logrus.FieldLogger
 	name    string
 	stop    chan struct{}
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *zones.Watch, name string, given rules.Given, d *desk.Desk, c *fleetwire.Carrier, v *members.View, s *seat.Seat, log logrus.FieldLogger) *Scout {
+func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *members.View, s *seat.Seat, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
@@ -124,8 +124,8 @@
 		select {
 		case <-t.opened:
 			r := t.reaches.Load()
-			t.desk.Put(desk.Item{Event: rules.Event{Kind: rules.Opened, Reaches: r.list}})
-			t.desk.Put(desk.Item{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
+			t.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Opened, Reaches: r.list}})
+			t.desk.Put(dispatch.Item{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
 		case <-t.stop:
 			return
 		}
@@ -297,18 +297,18 @@
 // ---- as a part of the desk
 
 // Hear hands over what the module holds, and counts what searches in hand want.
-func (t *Scout) Hear(now float64, h *desk.Happening, out []desk.Follow) []desk.Follow {
+func (t *Scout) Hear(now float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
 	switch h.Kind {
-	case desk.Entered:
+	case dispatch.Entered:
 		t.wants += t.threads[h.Request.Offering]
-	case desk.Closed:
+	case dispatch.Closed:
 		t.wants = max(0, t.wants-t.threads[h.Request.Offering])
-	case desk.ListNews:
+	case dispatch.ListNews:
 		t.deaf = false
 		t.list(h.List)
-	case desk.ListLost:
+	case dispatch.ListLost:
 		t.deaf = true
-	case desk.Ticks:
+	case dispatch.Ticks:
 		if now < t.seenAt+seenMS {
 			break
 		}
--- a/internal/scout/scout_test.go
+++ b/internal/scout/scout_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/zones"
 	"liftshift/rules"
 )
@@ -20,24 +20,24 @@
 	log.SetOutput(io.Discard)
 	s := New(zones.New("a", "z0", "r", zones.BoundsOf(nil)), "a", rules.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
 		"offering.0.threads": 4.0}, nil, nil, nil, nil, log)
-	hear := func(h desk.Happening) { assert.Empty(t, s.Hear(1, &h, nil)) }
-	hear(desk.Happening{Kind: desk.Entered, Request: &desk.Request{Offering: "look"}})
-	hear(desk.Happening{Kind: desk.Entered, Request: &desk.Request{Offering: "look"}})
-	hear(desk.Happening{Kind: desk.Closed, Request: &desk.Request{Offering: "look"}})
+	hear := func(h dispatch.Happening) { assert.Empty(t, s.Hear(1, &h, nil)) }
+	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
+	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
+	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
 	assert.Equal(t, 4.0, s.wants)
-	hear(desk.Happening{Kind: desk.Closed, Request: &desk.Request{Offering: "look"}})
-	hear(desk.Happening{Kind: desk.Closed, Request: &desk.Request{Offering: "look"}})
+	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
+	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
 	assert.Zero(t, s.wants, "never below")
-	hear(desk.Happening{Kind: desk.ListLost})
+	hear(dispatch.Happening{Kind: dispatch.ListLost})
 	assert.True(t, s.deaf)
-	hear(desk.Happening{Kind: desk.ListNews, List: &rules.Event{List: rules.Whole, Entries: []rules.Entry{{Executor: 1, Place: "z0", Kind: "big"},
+	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &rules.Event{List: rules.Whole, Entries: []rules.Entry{{Executor: 1, Place: "z0", Kind: "big"},
 		{Executor: 2, Place: "z1", Kind: "big"}, {Executor: 3, Place: "z1", Kind: "odd"}}}})
 	assert.False(t, s.deaf)
 	list := s.executors([]rules.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
 		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: rules.Leaving}, {Executor: 9}})
 	assert.Equal(t, []zones.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
 		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Aside: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
-	hear(desk.Happening{Kind: desk.ListNews, List: &rules.Event{List: rules.Changes, Entries: []rules.Entry{{Executor: 2, Standing: rules.Gone}}}})
+	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &rules.Event{List: rules.Changes, Entries: []rules.Entry{{Executor: 2, Standing: rules.Gone}}}})
 	assert.Len(t, s.executors([]rules.Belief{{Executor: 1}, {Executor: 2}}), 1)
 	for _, data := range []string{"", "r", "r\xff", "r\x05ab", "?\x01a", "x\x01a"} {
 		s.heard(netip.AddrPort{}, []byte(data)) // nothing of it reaches the watch, which is not there
--- a/internal/service/beside.go
+++ b/internal/service/beside.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/rules"
 )
 
@@ -11,7 +11,7 @@
 // not wanted it is not even in the program.
 type Beside interface {
 	// Open is called before the desk runs, with this controller's name, and may give it a memory.
-	Open(name string, d *desk.Desk, given rules.Given, clock desk.Clock, log logrus.FieldLogger) error
+	Open(name string, d *dispatch.Desk, given rules.Given, clock dispatch.Clock, log logrus.FieldLogger) error
 	// Begin is called when the desk runs and has been told nothing yet.
 	Begin()
 	// Reread reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
@@ -28,7 +28,7 @@
 type Nothing struct{}
 
 // Open does nothing, as all of these.
-func (Nothing) Open(string, *desk.Desk, rules.Given, desk.Clock, logrus.FieldLogger) error {
+func (Nothing) Open(string, *dispatch.Desk, rules.Given, dispatch.Clock, logrus.FieldLogger) error {
 	return nil
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/wire"
 	"liftshift/rules"
 )
@@ -45,10 +45,10 @@
 	if n.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), max(1, int(n.Limits.Cores+0.5))))
 	}
-	g, clock := n.given, desk.NewClock()
+	g, clock := n.given, dispatch.NewClock()
 	held := int64(n.Limits.MemoryMB * heldShare * (1 << 20))
 	bodies, out := wire.NewBudget(held), wire.NewBudget(held)
-	d := desk.New(clock, rules.New(n.seed, g), log)
+	d := dispatch.New(clock, rules.New(n.seed, g), log)
 	if err := beside.Open(n.Name, d, g, clock, log); err != nil {
 		return err
 	}
--- a/internal/trustee/golden_test.go
+++ b/internal/trustee/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/estate"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
@@ -51,7 +51,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	return New(estate.Member{Name: "b", Life: 1}, given, 1, nil, desk.NewClock(), nil, log)
+	return New(estate.Member{Name: "b", Life: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
 }
 
 // A holder's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A log file stands here
--- a/internal/trustee/helpers_test.go
+++ b/internal/trustee/helpers_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/chairs"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
@@ -31,8 +31,8 @@
 	came []answers
 }
 
-func (e *ear) Hear(_ float64, h *desk.Happening, out []desk.Follow) []desk.Follow {
-	if a, is := h.Note.(answers); is && h.Kind == desk.Told {
+func (e *ear) Hear(_ float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
+	if a, is := h.Note.(answers); is && h.Kind == dispatch.Told {
 		e.mu.Lock()
 		e.came = append(e.came, a)
 		e.mu.Unlock()
@@ -50,7 +50,7 @@
 type end struct {
 	trustee *Trustee
 	carrier *fleetwire.Carrier
-	desk    *desk.Desk
+	desk    *dispatch.Desk
 	at      string
 	deaf    atomic.Bool // to datagrams
 	stops   sync.Once
@@ -61,13 +61,13 @@
 var names = []string{"a", "b", "c"}
 
 // open starts one; its desk's part is given, or is the trustee itself, which sits everywhere and holds its lease.
-func open(t *testing.T, name string, part desk.Part) *end {
+func open(t *testing.T, name string, part dispatch.Part) *end {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := standin.Spot()
 	require.NoError(t, err)
-	clock := desk.NewClock()
-	e := &end{carrier: fleetwire.New(at, log), desk: desk.New(clock, idle{}, log), at: at}
+	clock := dispatch.NewClock()
+	e := &end{carrier: fleetwire.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
 	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
 	e.trustee = New(estate.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
--- a/internal/trustee/line.go
+++ b/internal/trustee/line.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
 )
@@ -234,7 +234,7 @@
 	if back == nil {
 		f.over = 0
 		l.under = slices.Insert(slices.DeleteFunc(l.under, func(u uint64) bool { return u == n }), 0, n)
-	} else if t.desk.TryPut(desk.Item{Note: answers{l.to, f.batch, back}}) {
+	} else if t.desk.TryPut(dispatch.Item{Note: answers{l.to, f.batch, back}}) {
 		t.flights.Delete(n)
 		l.under = slices.DeleteFunc(l.under, func(u uint64) bool { return u == n })
 		return
@@ -252,7 +252,7 @@
 	select {
 	case <-t.stop:
 	default:
-		t.desk.Put(desk.Item{Note: answers{l.to, s.batch, back}})
+		t.desk.Put(dispatch.Item{Note: answers{l.to, s.batch, back}})
 	}
 }
 
@@ -311,7 +311,7 @@
 				t.Dropped.Add(1)
 			}
 		}
-		if !t.desk.TryPut(desk.Item{Note: words{b, back}}) {
+		if !t.desk.TryPut(dispatch.Item{Note: words{b, back}}) {
 			t.Dropped.Add(1)
 		}
 	case answerKind, callKind:
--- a/internal/trustee/trustee.go
+++ b/internal/trustee/trustee.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/council"
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/ledger"
@@ -34,8 +34,8 @@
 // Trustee joins an estate to a desk, to the fleet's carriage and to the council.
 type Trustee struct {
 	estate  *estate.Estate
-	desk    *desk.Desk
-	clock   desk.Clock
+	desk    *dispatch.Desk
+	clock   dispatch.Clock
 	carrier *fleetwire.Carrier
 	seat    *seat.Seat
 	held    func() bool // of the lease; nil: there is none yet
@@ -47,7 +47,7 @@
 	tokens    uint64
 	refreshed float64
 	replies   map[uint64]func([]byte, error)
-	questions map[uint64]*desk.Question
+	questions map[uint64]*dispatch.Question
 	copies    *copies // nil: copies are kept in memory alone
 
 	addresses atomic.Pointer[map[string]string]
@@ -81,9 +81,9 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self estate.Member, given rules.Given, seed uint32, d *desk.Desk, clock desk.Clock, carrier *fleetwire.Carrier, log logrus.FieldLogger) *Trustee {
+func New(self estate.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *fleetwire.Carrier, log logrus.FieldLogger) *Trustee {
 	return &Trustee{estate: estate.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
-		where: map[uint32]rules.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*desk.Question{},
+		where: map[uint32]rules.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
 
@@ -92,9 +92,9 @@
 	t.seat, t.held = s, s.Held
 	s.Rolled = func(r seat.Roll) {
 		t.addresses.Store(&r.Addresses)
-		go t.desk.Put(desk.Item{Note: rolled{r}})
+		go t.desk.Put(dispatch.Item{Note: rolled{r}})
 	}
-	s.Relived = func(life uint64) { go t.desk.Put(desk.Item{Note: relived{life}}) }
+	s.Relived = func(life uint64) { go t.desk.Put(dispatch.Item{Note: relived{life}}) }
 	t.listen()
 }
 
@@ -119,7 +119,7 @@
 		err  error
 	}
 	back := make(chan got, 1)
-	go t.desk.Put(desk.Item{Note: words{b, func(data []byte, err error) { back <- got{data, err} }}})
+	go t.desk.Put(dispatch.Item{Note: words{b, func(data []byte, err error) { back <- got{data, err} }}})
 	late := time.NewTimer(patience)
 	defer late.Stop()
 	select {
@@ -165,36 +165,36 @@
 	estate.WrittenOff: ledger.WrittenOff, estate.Left: ledger.Left, estate.Unknown: ledger.Unknown}
 
 // Hear tells the estate, in its own words.
-func (t *Trustee) Hear(now float64, h *desk.Happening, out []desk.Follow) []desk.Follow {
+func (t *Trustee) Hear(now float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
 	var ev estate.Event
 	switch s := h.Request; h.Kind {
-	case desk.Arriving:
+	case dispatch.Arriving:
 		ev = estate.Event{Kind: estate.Arrives, ID: s.ID, Copy: &estate.Copy{Until: s.Until, Work: estate.Work{ID: s.ID, Mark: s.Mark,
 			Offering: s.Offering, Order: s.Key, Team: s.Team, Schema: s.Schema, Group: s.Group, NeedMB: s.NeedMB, WorkMS: s.WorkMS, Body: s.Body}}}
-	case desk.Departed:
+	case dispatch.Departed:
 		ev = estate.Event{Kind: estate.Gone, ID: s.ID}
-	case desk.Firing:
+	case dispatch.Firing:
 		at := t.where[h.Executor]
 		ev = estate.Event{Kind: estate.Firing, ID: s.ID, Shot: h.Attempt, Place: at.Place, Cell: at.Cell}
-	case desk.ShotOver:
+	case dispatch.ShotOver:
 		ev = estate.Event{Kind: estate.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.Unrun}
-	case desk.Ending:
+	case dispatch.Ending:
 		ev = estate.Event{Kind: estate.Ending, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
-	case desk.Closed:
+	case dispatch.Closed:
 		ev = estate.Event{Kind: estate.Closed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
-	case desk.ListNews:
+	case dispatch.ListNews:
 		t.list(h.List)
 		return out
-	case desk.Stopping:
+	case dispatch.Stopping:
 		ev = estate.Event{Kind: estate.Leaving}
-	case desk.Ticks:
+	case dispatch.Ticks:
 		ev = estate.Event{Kind: estate.Ticked}
-	case desk.Inquiry:
+	case dispatch.Inquiry:
 		t.tokens++
 		t.questions[t.tokens] = h.Ask
-		out = append(out, desk.Follow{Kind: desk.Mine})
+		out = append(out, dispatch.Follow{Kind: dispatch.Mine})
 		ev = estate.Event{Kind: estate.Asked, ID: h.Ask.ID, Mark: h.Ask.Mark, Token: t.tokens}
-	case desk.Told:
+	case dispatch.Told:
 		switch n := h.Note.(type) {
 		case words:
 			t.tokens++
@@ -216,7 +216,7 @@
 		return out
 	}
 	out = t.step(now, &ev, out)
-	if h.Kind == desk.Ticks {
+	if h.Kind == dispatch.Ticks {
 		c := t.estate.Counts()
 		t.counts.Store(&c)
 		if t.copies != nil {
@@ -244,7 +244,7 @@
 // Estate is for a call on the desk's goroutine.
 func (t *Trustee) Estate() *estate.Estate { return t.estate }
 
-func (t *Trustee) step(now float64, ev *estate.Event, out []desk.Follow) []desk.Follow {
+func (t *Trustee) step(now float64, ev *estate.Event, out []dispatch.Follow) []dispatch.Follow {
 	ev.Held = t.Held()
 	lasts := t.copies != nil && (ev.Kind == estate.Words)
 	effects := t.estate.Step(now, ev)
@@ -255,28 +255,28 @@
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
 		case estate.Await:
-			out = append(out, desk.Follow{Kind: desk.Await})
+			out = append(out, dispatch.Follow{Kind: dispatch.Await})
 		case estate.Resume:
-			out = append(out, desk.Follow{Kind: desk.Resume, ID: e.ID, Prior: e.Prior, Barred: e.Barred})
+			out = append(out, dispatch.Follow{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Barred: e.Barred})
 		case estate.Settle:
-			out = append(out, desk.Follow{Kind: desk.Settle, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
+			out = append(out, dispatch.Follow{Kind: dispatch.Settle, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
 		case estate.Hold:
-			out = append(out, desk.Follow{Kind: desk.Hold})
+			out = append(out, dispatch.Follow{Kind: dispatch.Hold})
 		case estate.Forbid:
-			out = append(out, desk.Follow{Kind: desk.Hold}, desk.Follow{Kind: desk.Forbid})
+			out = append(out, dispatch.Follow{Kind: dispatch.Hold}, dispatch.Follow{Kind: dispatch.Forbid})
 		case estate.Release:
-			out = append(out, desk.Follow{Kind: desk.Release, ID: e.ID, Attempt: e.Shot})
+			out = append(out, dispatch.Follow{Kind: dispatch.Release, ID: e.ID, Attempt: e.Shot})
 		case estate.Withhold:
-			out = append(out, desk.Follow{Kind: desk.Withhold, ID: e.ID, Attempt: e.Shot})
+			out = append(out, dispatch.Follow{Kind: dispatch.Withhold, ID: e.ID, Attempt: e.Shot})
 		case estate.KeepBack:
-			out = append(out, desk.Follow{Kind: desk.KeepBack})
+			out = append(out, dispatch.Follow{Kind: dispatch.KeepBack})
 		case estate.LetGo:
-			out = append(out, desk.Follow{Kind: desk.LetGo, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
+			out = append(out, dispatch.Follow{Kind: dispatch.LetGo, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
 		case estate.Recall:
-			out = append(out, desk.Follow{Kind: desk.Dismiss, ID: e.ID})
+			out = append(out, dispatch.Follow{Kind: dispatch.Dismiss, ID: e.ID})
 		case estate.Adopt:
 			c := e.Copy
-			out = append(out, desk.Follow{Kind: desk.Adopt, Prior: e.Prior, New: &desk.Request{ID: c.ID, Offering: c.Offering, Key: c.Order,
+			out = append(out, dispatch.Follow{Kind: dispatch.Adopt, Prior: e.Prior, New: &dispatch.Request{ID: c.ID, Offering: c.Offering, Key: c.Order,
 				Mark: c.Mark, Group: c.Group, NeedMB: c.NeedMB, WorkMS: c.WorkMS, Until: c.Until, Team: c.Team, Schema: c.Schema,
 				Repeat: true, Body: c.Body, Client: nobody{}}})
 		case estate.Say:
@@ -316,13 +316,13 @@
 }
 
 // reply tells what became of a search; where the others know nothing, the parts behind are asked.
-func (t *Trustee) reply(e *estate.Effect, out []desk.Follow) []desk.Follow {
+func (t *Trustee) reply(e *estate.Effect, out []dispatch.Follow) []dispatch.Follow {
 	q := t.questions[e.Token]
 	delete(t.questions, e.Token)
 	switch {
 	case q == nil:
 	case e.Outcome == estate.Unknown:
-		out = append(out, desk.Follow{Kind: desk.AskOn, Ask: q})
+		out = append(out, dispatch.Follow{Kind: dispatch.AskOn, Ask: q})
 	default:
 		q.Reply(ledger.Effect{Kind: ledger.Tell, Outcome: ledgers[e.Outcome], Body: e.Answer, AgeMS: e.AfterMS})
 	}
--- a/internal/wire/changelog.go
+++ b/internal/wire/changelog.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/rules"
 )
 
@@ -174,7 +174,7 @@
 			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "since": e.entry.UpSince,
 				"standing": e.entry.Standing, "event": c.seq}).Debug("list")
 		}
-		f.queue.Put(desk.Item{Event: ev})
+		f.queue.Put(dispatch.Item{Event: ev})
 		f.log.WithFields(logrus.Fields{"event": c.seq, "entries": len(c.list), "whole": c.whole}).Info("list: changed")
 	}
 	f.last = max(f.last, last)
@@ -273,7 +273,7 @@
 		f.log.WithField("why", why).Warn("list: out of reach")
 	}
 	f.down = true
-	f.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Listed, List: rules.NoList, Until: f.heard, Deemed: deemed}})
+	f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.NoList, Until: f.heard, Deemed: deemed}})
 }
 
 // Stop ends Run.
@@ -328,7 +328,7 @@
 			f.heard += pollMS // it was held for as long as was asked: there was nothing until then
 		}
 		if f.down && len(changes) == 0 { // nothing has changed: that is news too
-			f.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Changes}})
+			f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Changes}})
 		}
 		f.apply(last, changes, rules.Whole)
 		if f.down {
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/rules"
 )
 
@@ -34,16 +34,16 @@
 
 // What happens between the decision and the socket is seen at the last step: nothing leaves, and it is told as never sent.
 func TestAnAttemptThatMayNotBeginAnyMoreNeverLeaves(t *testing.T) {
-	for name, cross := range map[string]func(*Fleet, *desk.Attempt){
-		"its client has gone": func(_ *Fleet, s *desk.Attempt) { s.Request.Gone.Store(true) },
-		"its executor drains": func(f *Fleet, _ *desk.Attempt) {
+	for name, cross := range map[string]func(*Fleet, *dispatch.Attempt){
+		"its client has gone": func(_ *Fleet, s *dispatch.Attempt) { s.Request.Gone.Store(true) },
+		"its executor drains": func(f *Fleet, _ *dispatch.Attempt) {
 			f.update(false, []listed{{rules.Entry{Executor: 1, Standing: rules.Leaving}, "s-1", f.machines[1].address}})
 		},
-		"its executor is gone": func(f *Fleet, _ *desk.Attempt) { f.update(true, nil) },
-		"a new executor has the address": func(f *Fleet, _ *desk.Attempt) {
+		"its executor is gone": func(f *Fleet, _ *dispatch.Attempt) { f.update(true, nil) },
+		"a new executor has the address": func(f *Fleet, _ *dispatch.Attempt) {
 			f.update(false, []listed{{rules.Entry{Executor: 2}, "s-2", f.machines[1].address}})
 		},
-		"its time is over": func(*Fleet, *desk.Attempt) { time.Sleep(60 * time.Millisecond) },
+		"its time is over": func(*Fleet, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
 	} {
 		f, m, e, up := lateFleet(t)
 		shot := shotOf("a")
@@ -58,7 +58,7 @@
 		it := m.next(t)
 		assert.Equal(t, []any{rules.Ended, rules.Superseded, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Barred}, name)
 		assert.True(t, it.Event.Outcome.NeverRan())
-		assert.Equal(t, desk.Decided, run.CallOff(), name)
+		assert.Equal(t, dispatch.Decided, run.CallOff(), name)
 		f.Stop()
 		e.hears(t, "closed") // and nothing before it
 		assert.Empty(t, m, name)
@@ -110,7 +110,7 @@
 		return link.up && !link.written() && link.open["big"].left
 	}, 3*time.Second, time.Millisecond)
 	second, _ := f.Send(shotOf("b"))
-	assert.Equal(t, desk.Unsent, second.CallOff())
+	assert.Equal(t, dispatch.Unsent, second.CallOff())
 	third, _ := f.Send(shotOf("c"))
 	require.NotNil(t, third)
 	c.Close()
@@ -147,13 +147,13 @@
 	room chan struct{}
 }
 
-func (q fullQueue) Put(it desk.Item) { <-q.room; q.mailbox.Put(it) }
+func (q fullQueue) Put(it dispatch.Item) { <-q.room; q.mailbox.Put(it) }
 
 // All that is open on a connection that ends is marked at once, however long the words of it stand in line.
 func TestTheMarkOfAClientThatLeftWaitsForNoQueue(t *testing.T) {
 	f, m, c, _ := door(t, Doors{})
 	f.queue = fullQueue{m, make(chan struct{})}
-	var open []*desk.Request
+	var open []*dispatch.Request
 	for id := range 3 {
 		ask(c, look(id+1, fmt.Sprint("a", id)))
 		open = append(open, m.next(t).Request)
@@ -261,7 +261,7 @@
 	require.NoError(t, err)
 	time.AfterFunc(100*time.Millisecond, func() { l.Close() })
 	m := make(mailbox, 1)
-	f, err := NewFront(l.Addr().String(), nil, m, desk.NewClock(), Doors{Answers: NewBudget(1), Bodies: NewBudget(1)}, silentLog())
+	f, err := NewFront(l.Addr().String(), nil, m, dispatch.NewClock(), Doors{Answers: NewBudget(1), Bodies: NewBudget(1)}, silentLog())
 	require.NoError(t, err)
 	f.Stop(0)
 }
@@ -355,7 +355,7 @@
 	ask(c, look(1, "stuck"))
 	stuck := m.next(t).Request
 	good, r := dial(t, f)
-	var open []*desk.Request
+	var open []*dispatch.Request
 	for id := range 8 {
 		ask(good, look(id+1, fmt.Sprint("g", id)))
 		open = append(open, m.next(t).Request)
@@ -401,7 +401,7 @@
 	for errno, gone := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.EINTR: false, syscall.EPROTO: false, syscall.ENOBUFS: false,
 		syscall.ENOMEM: false, syscall.ENETDOWN: false, syscall.EHOSTUNREACH: false, syscall.EMFILE: true, syscall.ENFILE: true} {
 		m, errs := make(mailbox, 10), make(chan error, 10)
-		f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}}, m, desk.NewClock(),
+		f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}}, m, dispatch.NewClock(),
 			Doors{Clients: 5, Answers: NewBudget(1 << 20), Bodies: NewBudget(1 << 20)}, silentLog())
 		require.NoError(t, err)
 		f.listener = faultyListener{f.listener, errs}
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -18,7 +18,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/given"
 	"liftshift/internal/pool"
 	"liftshift/rules"
@@ -46,7 +46,7 @@
 	Gate func() bool // whether an attempt that was held may leave at this moment; nil: it may. Set before the first one
 
 	queue   Queue
-	clock   desk.Clock
+	clock   dispatch.Clock
 	log     logrus.FieldLogger
 	budget  *Budget
 	connect time.Duration // for dialing, and for a write to get through
@@ -99,7 +99,7 @@
 type run struct {
 	fleet   *Fleet
 	link    *link
-	attempt desk.Attempt
+	attempt dispatch.Attempt
 	seq     uint64
 	signs   uint64 // of the link, when it went out
 	used    bool   // its connection had carried others
@@ -121,7 +121,7 @@
 }
 
 // NewFleet returns a Fleet without executors.
-func NewFleet(queue Queue, clock desk.Clock, budget *Budget, reach Reach, log logrus.FieldLogger) *Fleet {
+func NewFleet(queue Queue, clock dispatch.Clock, budget *Budget, reach Reach, log logrus.FieldLogger) *Fleet {
 	probe := "alive"
 	if len(reach.Reports) > 0 {
 		probe = "stats"
@@ -281,7 +281,7 @@
 }
 
 // Send puts an attempt on a connection of its executor, or holds it back for a time.
-func (f *Fleet) Send(shot desk.Attempt) (desk.Run, float64) {
+func (f *Fleet) Send(shot dispatch.Attempt) (dispatch.Run, float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[shot.Executor]
@@ -339,7 +339,7 @@
 		f.mu.Unlock()
 		return
 	}
-	var barred []desk.Item
+	var barred []dispatch.Item
 	for _, r := range l.pending {
 		if l.open[r.attempt.Request.ID] != r {
 			continue // called off
@@ -355,7 +355,7 @@
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
 			ev.Outcome, ev.Barred = rules.Superseded, why == pool.Lawless
-			barred = append(barred, desk.Item{Event: ev})
+			barred = append(barred, dispatch.Item{Event: ev})
 			continue
 		}
 		l.fetch(r)
@@ -423,18 +423,18 @@
 }
 
 // CallOff gives an attempt up.
-func (r *run) CallOff() desk.Stopped {
+func (r *run) CallOff() dispatch.Stopped {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	l := r.link
 	id := r.attempt.Request.ID
 	if l.open[id] != r {
-		return desk.Decided
+		return dispatch.Decided
 	}
 	delete(l.open, id)
 	defer l.settle()
 	if !r.left && r.pages == nil {
-		return desk.Unsent
+		return dispatch.Unsent
 	}
 	if r.pages != nil { // only pages are still under way
 		l.say("done", id)
@@ -453,7 +453,7 @@
 	if len(l.open) == 0 || l.signs == r.signs {
 		l.leaving = true
 	}
-	return desk.Halted
+	return dispatch.Halted
 }
 
 // ended keeps an id off this connection: what still comes for it here would pass for the next attempt's.
@@ -513,14 +513,14 @@
 }
 
 // Holds tells what there is of an executor here.
-func (f *Fleet) Holds(executor uint32) desk.Holding {
+func (f *Fleet) Holds(executor uint32) dispatch.Holding {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[executor]
 	if m == nil {
-		return desk.Holding{}
+		return dispatch.Holding{}
 	}
-	h, last := desk.Holding{Name: m.name, Connections: len(m.links), QuietMS: -1}, time.Time{}
+	h, last := dispatch.Holding{Name: m.name, Connections: len(m.links), QuietMS: -1}, time.Time{}
 	for _, l := range m.links {
 		if h.Attempts += len(l.open); l.used.After(last) {
 			last = l.used
@@ -608,10 +608,10 @@
 		} else if !r.left && as == rules.Severed {
 			r.event.Outcome = rules.Refused // no byte of it left
 		}
-		f.queue.Put(desk.Item{Event: r.event})
+		f.queue.Put(dispatch.Item{Event: r.event})
 	}
 	for _, token := range tokens {
-		f.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
+		f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
 	}
 	return len(runs)
 }
@@ -645,7 +645,7 @@
 var notes = map[string]rules.NoteKind{"pct": rules.Progress, "overflow": rules.Spills, "queued": rules.Waits}
 
 // answer takes one answer and gives what is to be told of it, if anything.
-func (l *link) answer(id, word, list string, body []byte) (it desk.Item, ok bool, err error) {
+func (l *link) answer(id, word, list string, body []byte) (it dispatch.Item, ok bool, err error) {
 	a, err := readAnswer(list, l.fleet.reports)
 	if err != nil {
 		return it, false, err
@@ -658,7 +658,7 @@
 	l.signs++
 	if token, ok := l.probes[id]; ok && (word == "well" || word == "ill") {
 		delete(l.probes, id)
-		it = desk.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
+		it = dispatch.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
 		if word == "ill" {
 			it.Event.Outcome = rules.Erred
 		}
@@ -677,13 +677,13 @@
 		r.event.Outcome, r.event.Report = outcome, a.report
 		delete(l.open, id)
 		l.ended(id) // its second copy, some ms later, must not end the next attempt of this id
-		return desk.Item{Event: r.event}, true, nil
+		return dispatch.Item{Event: r.event}, true, nil
 	case word == "news":
 		kind := notes[a.remark]
 		if kind == 0 {
 			return it, false, nil
 		}
-		return desk.Item{Event: rules.Event{Kind: rules.Noted, Request: id, Attempt: r.attempt.N, Executor: l.machine.id,
+		return dispatch.Item{Event: rules.Event{Kind: rules.Noted, Request: id, Attempt: r.attempt.N, Executor: l.machine.id,
 			Note: kind, Value: a.value}}, true, nil
 	case word == "data" && r.pages == nil:
 		if a.pages < 1 || a.pages > mostPages {
@@ -721,7 +721,7 @@
 		body = slices.Concat(r.pages...)
 	}
 	delete(l.open, id)
-	return desk.Item{Event: r.event, Body: body}, true, nil
+	return dispatch.Item{Event: r.event, Body: body}, true, nil
 }
 
 // wholeRows tells whether a page is what pages are: lines of three columns of text. Another length may fit by chance
--- a/internal/wire/executors_test.go
+++ b/internal/wire/executors_test.go
@@ -14,27 +14,27 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/pool"
 	"liftshift/rules"
 )
 
 // mailbox is the queue of a test.
-type mailbox chan desk.Item
+type mailbox chan dispatch.Item
 
-func (m mailbox) Put(it desk.Item) { m <- it }
-func (m mailbox) Take(s *desk.Request) {
-	m <- desk.Item{Event: rules.Event{Kind: rules.Taken}, Request: s}
+func (m mailbox) Put(it dispatch.Item) { m <- it }
+func (m mailbox) Take(s *dispatch.Request) {
+	m <- dispatch.Item{Event: rules.Event{Kind: rules.Taken}, Request: s}
 }
 func (m mailbox) Open() int { return 0 }
-func (m mailbox) next(t *testing.T) desk.Item {
+func (m mailbox) next(t *testing.T) dispatch.Item {
 	select {
 	case it := <-m:
 		return it
 	case <-time.After(3 * time.Second):
 		require.Fail(t, "nothing came")
 	}
-	return desk.Item{}
+	return dispatch.Item{}
 }
 
 func silentLog() *logrus.Logger {
@@ -107,7 +107,7 @@
 // fleetOf has one executor, numbered 1, at an address; its connections are closed when unused for idleMS.
 func fleetOf(t *testing.T, at string, idleMS float64, reports ...string) (*Fleet, mailbox) {
 	m := make(mailbox, 100)
-	f := NewFleet(m, desk.NewClock(), NewBudget(1<<20), Reach{ConnectMS: 200, IdleMS: idleMS, PerLink: 2, Links: 3,
+	f := NewFleet(m, dispatch.NewClock(), NewBudget(1<<20), Reach{ConnectMS: 200, IdleMS: idleMS, PerLink: 2, Links: 3,
 		Reports: reports},
 		silentLog())
 	f.update(true, []listed{{rules.Entry{Executor: 1}, "s-1", at}})
@@ -115,9 +115,9 @@
 	return f, m
 }
 
-func shotOf(id string) desk.Attempt {
-	s := &desk.Request{ID: id, Offering: "load", Mark: "k1", Body: []byte("SELECT 1"), Until: desk.NewClock().Now() + 5000}
-	return desk.Attempt{Request: s, Executor: 1, GrantMB: 63.2, Level: 3}
+func shotOf(id string) dispatch.Attempt {
+	s := &dispatch.Request{ID: id, Offering: "load", Mark: "k1", Body: []byte("SELECT 1"), Until: dispatch.NewClock().Now() + 5000}
+	return dispatch.Attempt{Request: s, Executor: 1, GrantMB: 63.2, Level: 3}
 }
 
 func TestAnAttemptGoesOutAndItsPagesAreJoinedInOrder(t *testing.T) {
@@ -143,7 +143,7 @@
 	it = m.next(t)
 	assert.Equal(t, rules.Handled, it.Event.Outcome)
 	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(it.Body))
-	assert.Equal(t, desk.Decided, run.CallOff())
+	assert.Equal(t, dispatch.Decided, run.CallOff())
 	assert.Equal(t, uint64(3), f.Strays.Load())
 	f.Send(shotOf("b"))
 	e.hears(t, "fetch b .*")
@@ -168,7 +168,7 @@
 	assert.Equal(t, "a", m.next(t).Event.Request)
 	e.hears(t, "closed")
 	assert.Empty(t, m, "b goes on")
-	assert.Equal(t, desk.Halted, b.CallOff())
+	assert.Equal(t, dispatch.Halted, b.CallOff())
 	e.hears(t, "abort b")
 	e.hears(t, "closed")
 	f.Probe(1, 1)
@@ -290,7 +290,7 @@
 	f.Probe(1, 4)
 	it := m.next(t)
 	assert.Equal(t, []any{rules.Probed, rules.Refused, uint64(4)}, []any{it.Event.Kind, it.Event.Outcome, it.Token})
-	run, _ := f.Send(desk.Attempt{Request: &desk.Request{}, Executor: 9})
+	run, _ := f.Send(dispatch.Attempt{Request: &dispatch.Request{}, Executor: 9})
 	assert.Nil(t, run, "an executor that isn't listed")
 }
 
@@ -310,7 +310,7 @@
 	e.hears(t, "fetch heard .*")
 	say(first, "heard", "news", "remark=pct,num=0.5", "")
 	m.next(t)
-	assert.Equal(t, desk.Halted, run.CallOff())
+	assert.Equal(t, dispatch.Halted, run.CallOff())
 	e.hears(t, "abort a")
 	f.mu.Lock()
 	assert.InDelta(t, f.clock.Now(), f.machines[1].halted["a"], 2000)
@@ -319,7 +319,7 @@
 	run, held = f.Send(shotOf("a"))
 	assert.InDelta(t, 60000+apartMS, held, 5000)
 	second := <-e.conns
-	assert.Equal(t, desk.Unsent, run.CallOff(), "held back, it never ran")
+	assert.Equal(t, dispatch.Unsent, run.CallOff(), "held back, it never ran")
 	run.Release()
 	run, _ = f.Send(shotOf("a"))
 	run.Release()
@@ -341,7 +341,7 @@
 	r := &run{fleet: f, link: l, attempt: shotOf("a")}
 	l.open["a"] = r
 	f.mu.Unlock()
-	assert.Equal(t, desk.Unsent, r.CallOff())
+	assert.Equal(t, dispatch.Unsent, r.CallOff())
 	assert.Empty(t, l.open)
 }
 
@@ -498,7 +498,7 @@
 	shot = shotOf("b")
 	shot.Held = true
 	run, _ = f.Send(shot)
-	assert.Equal(t, desk.Unsent, run.CallOff())
+	assert.Equal(t, dispatch.Unsent, run.CallOff())
 	run.Release()
 	assert.Empty(t, m)
 }
--- a/internal/wire/feed_test.go
+++ b/internal/wire/feed_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/rules"
 )
 
@@ -68,7 +68,7 @@
 	at, calls := changeLog(t, "once", `{"seq":9,"results":[{"seq":3},{"seq":1}]}`, "",
 		event(2, "s-2", "Gone"), event(3, "s-2", "Terminating"), "", "", "")
 	m := make(mailbox, 100)
-	fleet := NewFleet(m, desk.NewClock(), NewBudget(1), Reach{}, silentLog())
+	fleet := NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog())
 	f, err := NewFeed(at, []byte(strings.Replace(event(1, "s-1", "Ready"), `"endpoints"`, `"snapshot":true,"endpoints"`, 1)),
 		fleet, m, silentLog())
 	require.NoError(t, err)
@@ -100,7 +100,7 @@
 func TestAListThatIsBackUnchangedIsNews(t *testing.T) {
 	at, _ := changeLog(t, `{"seq":1,"results":[]}`, "", `{"seq":1,"results":[]}`, "silent")
 	m := make(mailbox, 100)
-	f, err := NewFeed(at, []byte(`{"seq":1,"results":[]}`), NewFleet(m, desk.NewClock(), NewBudget(1), Reach{}, silentLog()), m, silentLog())
+	f, err := NewFeed(at, []byte(`{"seq":1,"results":[]}`), NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog()), m, silentLog())
 	require.NoError(t, err)
 	f.Begin()
 	go f.Run()
@@ -117,7 +117,7 @@
 	old, calls := changeLog(t, event(2, "s-2", "Ready"), "silent")
 	next, moved := changeLog(t, event(3, "s-2", "Gone"), "silent")
 	m := make(mailbox, 100)
-	f, err := NewFeed(old, []byte(`{"seq":1,"results":[]}`), NewFleet(m, desk.NewClock(), NewBudget(1), Reach{}, silentLog()), m,
+	f, err := NewFeed(old, []byte(`{"seq":1,"results":[]}`), NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog()), m,
 		silentLog())
 	require.NoError(t, err)
 	f.Begin()
@@ -182,7 +182,7 @@
 func TestWhatTheListOwesCountsAsToldInItsTime(t *testing.T) {
 	for name, dueMS := range map[string]float64{"cut": 2000, "silent": pollMS + 2000, "moved": 4000, "moved while out of reach": 4000} {
 		var asked float64 // of the last call, or of the move
-		clock := desk.NewClock()
+		clock := dispatch.NewClock()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		m := make(mailbox, 100)
@@ -240,7 +240,7 @@
 		seen[executorID(name)] = name
 	}
 	m := make(mailbox, 100)
-	fleet := NewFleet(m, desk.NewClock(), NewBudget(1), Reach{}, silentLog())
+	fleet := NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog())
 	f, err := NewFeed("127.0.0.1:9", []byte(`{"seq":1,"results":[]}`), fleet, m, silentLog())
 	require.NoError(t, err)
 	play := func(seq int, events ...string) (list []rules.Entry) {
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/retry"
 	"liftshift/rules"
@@ -51,7 +51,7 @@
 // Front is the clients' side.
 type Front struct {
 	queue     Queue
-	clock     desk.Clock
+	clock     dispatch.Clock
 	log       logrus.FieldLogger
 	bodies    *Budget // of requests that are open
 	answers   *Budget // lined up
@@ -85,7 +85,7 @@
 }
 
 // NewFront listens where clients connect.
-func NewFront(listen string, offerings map[string]Offering, queue Queue, clock desk.Clock,
+func NewFront(listen string, offerings map[string]Offering, queue Queue, clock dispatch.Clock,
 	doors Doors, log logrus.FieldLogger) (*Front, error) {
 	var l net.Listener
 	err := retry.Listening(func() (err error) {
@@ -316,7 +316,7 @@
 	}
 	c.lock.Unlock()
 	for _, r := range waiting {
-		c.front.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Left, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
+		c.front.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Left, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
 	}
 	var none [1]byte
 	for began := time.Now(); time.Since(began) < clientWrite; time.Sleep(stopLook) {
@@ -344,7 +344,7 @@
 	if r.half.Load() {
 		return // the word of it has been told
 	}
-	c.front.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Left, Request: r.req}, Client: c, Token: r.tag})
+	c.front.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Left, Request: r.req}, Client: c, Token: r.tag})
 }
 
 // leave takes out what is open: nothing more is answered here.
@@ -518,7 +518,7 @@
 		return &fault{codeParams, "either req or opkey is needed"}
 	}
 	id := slices.Clone(m.id)
-	c.front.queue.Put(desk.Item{Ask: &desk.Question{ID: req, Mark: mark, Reply: func(e ledger.Effect) {
+	c.front.queue.Put(dispatch.Item{Ask: &dispatch.Question{ID: req, Mark: mark, Reply: func(e ledger.Effect) {
 		c.push(func(b []byte) []byte { return appendOutcome(b, id, e) })
 	}}})
 	return nil
@@ -568,7 +568,7 @@
 		a.timeout = min(a.timeout, offering.LimitMS)
 	}
 	group, schema, _ := tablesOf(a.body)
-	f.queue.Take(&desk.Request{ID: a.req, Offering: m.method, Key: a.key, Mark: a.mark, Group: group, NeedMB: a.ram,
+	f.queue.Take(&dispatch.Request{ID: a.req, Offering: m.method, Key: a.key, Mark: a.mark, Group: group, NeedMB: a.ram,
 		WorkMS: a.work, Until: now + a.timeout, Repeat: a.repeat, Body: a.body, Client: c, Tag: r.tag, Gone: r.gone, Half: r.half,
 		Team: a.team, From: c.from, Schema: schema, Waits: a.waits})
 	return nil
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/rules"
 )
@@ -27,7 +27,7 @@
 	if doors.Bodies == nil {
 		doors.Bodies = NewBudget(1 << 20)
 	}
-	f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}, "load": {Keyed: true}}, m, desk.NewClock(),
+	f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}, "load": {Keyed: true}}, m, dispatch.NewClock(),
 		doors, silentLog())
 	require.NoError(t, err)
 	go f.Run()
@@ -68,8 +68,8 @@
 	s.Client.Handled(s.Tag, []byte("x\n"))
 	s.Client.Denied(s.Tag, 5)
 	answered(t, r, `{"jsonrpc":"2.0","id":7,"result":{"data":"eAo="}}`)
-	for id, give := range map[int]func(*desk.Request){8: func(s *desk.Request) { s.Client.Denied(s.Tag, 200) },
-		9: func(s *desk.Request) { s.Client.Failed(s.Tag) }} {
+	for id, give := range map[int]func(*dispatch.Request){8: func(s *dispatch.Request) { s.Client.Denied(s.Tag, 200) },
+		9: func(s *dispatch.Request) { s.Client.Failed(s.Tag) }} {
 		ask(c, look(id, "b"))
 		give(m.next(t).Request)
 		got, _ := readMessage(r, nil)
@@ -154,7 +154,7 @@
 
 func TestGivingUpAndClosingEndRequests(t *testing.T) {
 	_, m, c, r := door(t, Doors{})
-	var open []*desk.Request
+	var open []*dispatch.Request
 	for id := 1; id < 5; id++ {
 		ask(c, look(id, fmt.Sprint("a", id)))
 		open = append(open, m.next(t).Request)
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 	"liftshift/internal/retry"
 	"liftshift/rules"
 )
@@ -129,7 +129,7 @@
 			continue
 		}
 		p.Heard.Add(1)
-		p.queue.Put(desk.Item{Event: rules.Event{Kind: rules.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
+		p.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
 	}
 }
 
--- a/internal/wire/pipe.go
+++ b/internal/wire/pipe.go
@@ -13,13 +13,13 @@
 	"syscall"
 	"time"
 
-	"liftshift/internal/desk"
+	"liftshift/internal/dispatch"
 )
 
 // Queue is the one way to who decides.
 type Queue interface {
-	Put(desk.Item)
-	Take(*desk.Request)
+	Put(dispatch.Item)
+	Take(*dispatch.Request)
 	Open() int // requests taken and not answered
 }
 
