--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -11,8 +11,8 @@
 
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/keeper"
 	"liftshift/internal/ledger"
+	"liftshift/internal/ledgerstore"
 	"liftshift/internal/operator"
 	"liftshift/internal/retry"
 	"liftshift/internal/service"
@@ -25,8 +25,8 @@
 type Installation struct {
 	file  *operator.File
 	desk  *dispatch.Desk
-	keep  *keeper.Keeper // nil: no store
-	team  *teams         // nil: no budgets
+	keep  *ledgerstore.Keeper // nil: no store
+	team  *teams              // nil: no budgets
 	door  *control.Server
 	fleet *fleet // nil: none
 	heirs *heirs // nil: nobody keeps copies
@@ -94,10 +94,10 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	var k *keeper.Keeper
+	var k *ledgerstore.Keeper
 	var found store.Found
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = keeper.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
+		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
 			func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
--- a/internal/keeper/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"flag"
--- a/internal/keeper/keeper.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -1,6 +1,6 @@
-// Package keeper carries what a ledger wants remembered to a store, and back to the desk what became of it. It decides
+// Package ledgerstore carries what a ledger wants remembered to a store, and back to the desk what became of it. It decides
 // nothing, and never waits: the store has a goroutine of its own.
-package keeper
+package ledgerstore
 
 import (
 	"os"
