--- a/internal/estate/pace.go
+++ b/internal/handoff/pace.go
@@ -1,4 +1,4 @@
-package estate
+package handoff
 
 import "slices"
 
--- a/internal/estate/table.go
+++ b/internal/handoff/table.go
@@ -1,4 +1,4 @@
-package estate
+package handoff
 
 // state is where a search stands in the eyes of one that keeps a copy.
 type state uint8
--- a/internal/estate/types.go
+++ b/internal/handoff/types.go
@@ -1,11 +1,11 @@
-// Package estate decides what becomes of open work when the controller that holds it is lost: who else keeps copies of it, what must
+// Package handoff decides what becomes of open work when the controller that holds it is lost: who else keeps copies of it, what must
 // stand with them before a shot may leave, who inherits when a life is declared lost, and what a client is told that comes again
 // elsewhere. Events and a time go in, effects come out; it owns no socket, disk, clock or goroutine, and chooses no executor: what is
 // adopted goes to the decision module like any other search, with what may have run of it.
 //
 // Two kinds of knowing are used. What may happen only once rests on the table of chairs that the council holds (package chairs) and on
 // the lease that it grants; nothing here rests on the view.
-package estate
+package handoff
 
 import (
 	"crypto/sha256"
--- a/internal/installation/heirs.go
+++ b/internal/installation/heirs.go
@@ -11,7 +11,7 @@
 	"liftshift/internal/chairs"
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 	"liftshift/internal/trustee"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
@@ -34,7 +34,7 @@
 		}
 	}
 	self := f.view.Self()
-	t := trustee.New(estate.Member{Name: self.Name, Life: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
+	t := trustee.New(handoff.Member{Name: self.Name, Life: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
 	if i.file.Estate.OnDisks {
 		dir, err := vfs.OpenDir(filepath.Join(i.file.Store.Directory, "estate"), true)
 		if err != nil {
@@ -91,11 +91,11 @@
 			}
 		case "estate release":
 			h.inst.log.WithField("search", name).WithField("who", fields["who"]).Warn("estate: a search is given up by an operator")
-			h.trustee.Step(now, &estate.Event{Kind: estate.Released, ID: name})
+			h.trustee.Step(now, &handoff.Event{Kind: handoff.Released, ID: name})
 			out = map[string]any{"asked": true}
 		case "estate adopt":
 			h.inst.log.WithField("member", name).WithField("who", fields["who"]).Warn("estate: an operator wants this controller to take over")
-			h.trustee.Step(now, &estate.Event{Kind: estate.Wanted, ID: name})
+			h.trustee.Step(now, &handoff.Event{Kind: handoff.Wanted, ID: name})
 			out = map[string]any{"asked": true}
 		default:
 			err = control.Wrongf("no question %q", question)
@@ -108,7 +108,7 @@
 }
 
 // show gives what is kept here, who sits where and what is claimed.
-func (h *heirs) show(e *estate.Estate) map[string]any {
+func (h *heirs) show(e *handoff.Estate) map[string]any {
 	out := map[string]any{}
 	for name, v := range h.trustee.Count() {
 		switch n := v.(type) {
@@ -155,7 +155,7 @@
 }
 
 // explainCopy gives what is known here of a search or mark.
-func explainCopy(now float64, e *estate.Estate, name string) map[string]any {
+func explainCopy(now float64, e *handoff.Estate, name string) map[string]any {
 	var list []any
 	for _, s := range e.Explain(name) {
 		c := &s.Copy
--- a/internal/lab/orphans.go
+++ b/internal/lab/orphans.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
+	"liftshift/internal/handoff"
 	"liftshift/internal/members"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/seat"
@@ -36,14 +36,14 @@
 type leaver struct {
 	carrier *fleetwire.Carrier
 	seat    *seat.Seat
-	self    estate.Member
+	self    handoff.Member
 	roll    atomic.Pointer[seat.Roll]
 }
 
 func joinLeaver(f *rehearse.Fleet, k int) (*leaver, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &leaver{self: estate.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
+	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
 	l.carrier = fleetwire.New(f.Relay.Listen(k), log)
 	given := rules.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
 	view := members.New(l.carrier.Now(), "rehearsal", members.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
@@ -77,18 +77,18 @@
 		go func() {
 			defer wait.Done()
 			for from := 0; from < n; from += orphanBatch {
-				b := &estate.Batch{From: l.self, Version: r.Table.Version}
+				b := &handoff.Batch{From: l.self, Version: r.Table.Version}
 				for k := from; k < min(n, from+orphanBatch); k++ {
-					w := estate.Work{ID: fmt.Sprintf("orphan-%d", k), Mark: fmt.Sprintf("o%d", k), Offering: "mark", Group: uint64(k % 97), NeedMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
-					b.Items = append(b.Items, estate.Item{Op: estate.Register, Key: estate.KeyOf(w.Mark, ""), Number: 1, From: l.self,
-						Copy: &estate.Copy{Work: w, Owner: l.self, Number: 1, Until: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Whole: true}})
+					w := handoff.Work{ID: fmt.Sprintf("orphan-%d", k), Mark: fmt.Sprintf("o%d", k), Offering: "mark", Group: uint64(k % 97), NeedMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
+					b.Items = append(b.Items, handoff.Item{Op: handoff.Register, Key: handoff.KeyOf(w.Mark, ""), Number: 1, From: l.self,
+						Copy: &handoff.Copy{Work: w, Owner: l.self, Number: 1, Until: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Whole: true}})
 				}
 				data, err := l.carrier.CallNow(f.Relay.Known(to), fleetwire.EstateMethod, b.Append(nil, l.carrier.Now()))
-				var back *estate.Batch
+				var back *handoff.Batch
 				if err == nil {
-					back, err = estate.ReadBatch(data, 0)
+					back, err = handoff.ReadBatch(data, 0)
 				}
-				if err == nil && (back.Behind || len(back.Items) != len(b.Items) || back.Items[0].Op != estate.Kept) {
+				if err == nil && (back.Behind || len(back.Items) != len(b.Items) || back.Items[0].Op != handoff.Kept) {
 					err = fmt.Errorf("c%d does not keep them: %+v", to, back)
 				}
 				if err != nil {
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"liftshift/internal/chairs"
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/simfleet"
 	"liftshift/internal/standin"
@@ -264,12 +264,12 @@
 	t.Reseat(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
-		e := estate.New(estate.Member{Name: "a", Life: 1}, rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
-		e.Step(1000, &estate.Event{Kind: estate.Seated, Held: true, Places: places, Table: &t})
+		e := handoff.New(handoff.Member{Name: "a", Life: 1}, rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
+		e.Step(1000, &handoff.Event{Kind: handoff.Seated, Held: true, Places: places, Table: &t})
 		for k := range keptCopies {
-			key := estate.KeyOf(fmt.Sprint("m", k), "")
-			e.Step(1000, &estate.Event{Kind: estate.Words, Held: true, Token: 1, Batch: &estate.Batch{From: estate.Member{Name: "b", Life: 1}, Version: t.Version,
-				Items: []estate.Item{{Op: estate.Register, Key: key, Number: 1, Copy: &estate.Copy{Work: estate.Work{ID: fmt.Sprint(k), Mark: fmt.Sprint("m", k), Offering: "mark"},
+			key := handoff.KeyOf(fmt.Sprint("m", k), "")
+			e.Step(1000, &handoff.Event{Kind: handoff.Words, Held: true, Token: 1, Batch: &handoff.Batch{From: handoff.Member{Name: "b", Life: 1}, Version: t.Version,
+				Items: []handoff.Item{{Op: handoff.Register, Key: key, Number: 1, Copy: &handoff.Copy{Work: handoff.Work{ID: fmt.Sprint(k), Mark: fmt.Sprint("m", k), Offering: "mark"},
 					Until: 6000, Whole: true, Number: 1}}}}})
 		}
 		return e
--- a/internal/simfleet/estates.go
+++ b/internal/simfleet/estates.go
@@ -7,7 +7,7 @@
 
 	"liftshift/internal/chairs"
 	"liftshift/internal/council"
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 	"liftshift/rules"
 )
 
@@ -43,14 +43,14 @@
 
 // End is a node's estate, and a stand-in for its module and sockets.
 type End struct {
-	Estate  *estate.Estate
+	Estate  *handoff.Estate
 	run     int
 	life    uint64
 	step    uint64
 	open    map[string]*search
 	waiting map[string]*search
 	tokens  uint64
-	replies map[uint64]func(*estate.Batch)
+	replies map[uint64]func(*handoff.Batch)
 }
 
 // Estates is a hall whose nodes keep copies of their open work.
@@ -83,8 +83,8 @@
 func (s *Estates) OpenEnd(k int) {
 	s.Open(k)
 	s.Ends[k] = &End{run: s.Nodes[k].run, life: s.Seats[k].life, open: map[string]*search{}, waiting: map[string]*search{},
-		replies: map[uint64]func(*estate.Batch){}}
-	s.Ends[k].Estate = estate.New(estate.Member{Name: s.Nodes[k].Name, Life: s.Seats[k].life}, s.given, s.chance.Uint32())
+		replies: map[uint64]func(*handoff.Batch){}}
+	s.Ends[k].Estate = handoff.New(handoff.Member{Name: s.Nodes[k].Name, Life: s.Seats[k].life}, s.given, s.chance.Uint32())
 	s.Ends[k].tokens = uint64(k) << 32
 	s.beat(k, s.Nodes[k].run)
 }
@@ -130,9 +130,9 @@
 	s.Asked = append(s.Asked, x)
 	s.at(k, func() {
 		x.Cut = false // it has arrived
-		c := &estate.Copy{Work: estate.Work{ID: x.ID, Mark: x.Mark, Offering: x.Offering, Body: []byte("select")}, Until: s.Local(k) + 5000}
+		c := &handoff.Copy{Work: handoff.Work{ID: x.ID, Mark: x.Mark, Offering: x.Offering, Body: []byte("select")}, Until: s.Local(k) + 5000}
 		s.Ends[k].waiting[x.ID] = &search{id: x.ID, mark: x.Mark, offering: x.Offering, until: c.Until, asked: x}
-		s.play(k, &estate.Event{Kind: estate.Arrives, ID: x.ID, Copy: c})
+		s.play(k, &handoff.Event{Kind: handoff.Arrives, ID: x.ID, Copy: c})
 	})
 	if a.impatient && a.tries == 1 {
 		for range 2 {
@@ -176,15 +176,15 @@
 	}
 	if l := s.Seats[k].life; l != end.life {
 		end.life = l
-		s.play(k, &estate.Event{Kind: estate.Relived, Life: l})
+		s.play(k, &handoff.Event{Kind: handoff.Relived, Life: l})
 	}
 	s.look(k)
-	s.play(k, &estate.Event{Kind: estate.Ticked})
+	s.play(k, &handoff.Event{Kind: handoff.Ticked})
 	for _, id := range sorted(end.open) {
 		if x := end.open[id]; x != nil && s.Local(k) >= x.until-20 {
-			out := estate.WrittenOff
+			out := handoff.WrittenOff
 			if x.fired == 0 && !x.prior {
-				out = estate.Denied
+				out = handoff.Denied
 			}
 			s.conclude(k, x, out)
 		}
@@ -224,75 +224,75 @@
 func (s *Estates) seat(k int, places []chairs.Place, table chairs.Table) {
 	if table.Step > s.Ends[k].step {
 		s.Ends[k].step = table.Step
-		s.play(k, &estate.Event{Kind: estate.Seated, Places: places, Table: &table})
+		s.play(k, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
 	}
 }
 
 // play plays an event to a node's estate and carries what follows.
-func (s *Estates) play(k int, ev *estate.Event) (verdict estate.EffectKind) {
+func (s *Estates) play(k int, ev *handoff.Event) (verdict handoff.EffectKind) {
 	ev.Held = s.held(k)
 	end, now := s.Ends[k], s.Local(k)
-	verdict = estate.Admit
+	verdict = handoff.Admit
 	effects := slices.Clone(end.Estate.Step(now, ev))
 	said := make([][]byte, len(effects)) // as it is at the end of the step, as the carriage does it
 	for n, e := range effects {
-		if e.Kind == estate.Say {
+		if e.Kind == handoff.Say {
 			said[n] = e.Batch.Append(nil, now)
 		}
 	}
 	for n, e := range effects {
 		switch e.Kind {
-		case estate.Hold, estate.Forbid, estate.KeepBack:
+		case handoff.Hold, handoff.Forbid, handoff.KeepBack:
 			verdict = e.Kind
-		case estate.Admit:
+		case handoff.Admit:
 			if x := end.waiting[ev.ID]; x != nil {
 				s.begin(k, x, false)
 			}
-		case estate.Resume:
+		case handoff.Resume:
 			if x := end.waiting[e.ID]; x != nil {
 				s.begin(k, x, e.Prior.At != 0)
 			}
-		case estate.Settle:
+		case handoff.Settle:
 			if x := end.waiting[e.ID]; x != nil {
 				delete(end.waiting, e.ID)
 				s.answer(k, x, e.Outcome)
 			}
-		case estate.LetGo:
+		case handoff.LetGo:
 			if x := end.open[e.ID]; x != nil {
 				delete(end.open, e.ID)
 				s.answer(k, x, e.Outcome)
 			}
-		case estate.Release:
+		case handoff.Release:
 			if x := end.open[e.ID]; x != nil {
 				s.fire(k, x)
 			}
-		case estate.Withhold:
+		case handoff.Withhold:
 			if x := end.open[e.ID]; x != nil && x.out && !x.prepared {
 				x.out = false
-				s.play(k, &estate.Event{Kind: estate.ShotOver, ID: x.id, Shot: e.Shot, Unrun: true})
+				s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: e.Shot, Unrun: true})
 				s.conclude(k, x, s.unsent(x))
 			}
-		case estate.Adopt:
+		case handoff.Adopt:
 			x := &search{id: e.Copy.ID, mark: e.Copy.Mark, offering: e.Copy.Offering, until: e.Copy.Until}
 			if end.open[x.id] == nil {
 				end.waiting[x.id] = x
 				s.begin(k, x, e.Prior.At != 0)
 			}
-		case estate.Recall:
+		case handoff.Recall:
 			delete(end.open, e.ID)
-		case estate.Say:
+		case handoff.Say:
 			s.say(k, e, said[n])
-		case estate.Answer:
+		case handoff.Answer:
 			if reply := end.replies[e.Token]; reply != nil {
 				delete(end.replies, e.Token)
 				reply(e.Batch)
 			}
-		case estate.Move:
+		case handoff.Move:
 			data := council.Motion(e.Motion, e.Claim, e.Version)
 			for to := range s.Nodes { // whoever leads takes it up
 				s.later(k, to, func() { s.step(to, council.Event{Kind: council.Proposed, Data: data}) }, nil)
 			}
-		case estate.Refresh:
+		case handoff.Refresh:
 			s.look(k)
 		}
 	}
@@ -300,13 +300,13 @@
 }
 
 // say carries a batch as it goes over the wire, and what comes back.
-func (s *Estates) say(k int, e estate.Effect, data []byte) {
+func (s *Estates) say(k int, e handoff.Effect, data []byte) {
 	to, sent := s.named(e.To), e.Batch
 	run := s.Nodes[k].run
 	failed := func() {
 		s.at(k, func() {
 			if s.Nodes[k].run == run {
-				s.play(k, &estate.Event{Kind: estate.Answers, To: e.To, Sent: sent})
+				s.play(k, &handoff.Event{Kind: handoff.Answers, To: e.To, Sent: sent})
 			}
 		})
 	}
@@ -316,28 +316,28 @@
 	}
 	// What is answered late, or not, is lost to the one who asked; whoever was asked may do it all the same.
 	deliver := func() {
-		b, err := estate.ReadBatch(data, s.Local(to))
+		b, err := handoff.ReadBatch(data, s.Local(to))
 		if err != nil {
 			s.Broken = append(s.Broken, err.Error())
 			return
 		}
 		end := s.Ends[to]
 		end.tokens++
-		end.replies[end.tokens] = func(back *estate.Batch) {
+		end.replies[end.tokens] = func(back *handoff.Batch) {
 			reply := back.Append(nil, s.Local(to))
 			s.later(to, k, func() {
 				if s.Nodes[k].run != run {
 					return
 				}
-				got, err := estate.ReadBatch(reply, s.Local(k))
+				got, err := handoff.ReadBatch(reply, s.Local(k))
 				if err != nil {
 					s.Broken = append(s.Broken, err.Error())
 					return
 				}
-				s.play(k, &estate.Event{Kind: estate.Answers, To: e.To, Sent: sent, Batch: got})
+				s.play(k, &handoff.Event{Kind: handoff.Answers, To: e.To, Sent: sent, Batch: got})
 			}, nil)
 		}
-		s.play(to, &estate.Event{Kind: estate.Words, Batch: b, Token: end.tokens})
+		s.play(to, &handoff.Event{Kind: handoff.Words, Batch: b, Token: end.tokens})
 	}
 	s.later(k, to, deliver, failed)
 	if s.chance.Float64() < doubled { // what went as a datagram comes again, or goes again by a call
@@ -357,7 +357,7 @@
 	delete(end.waiting, x.id)
 	end.open[x.id] = x
 	if x.prior = prior; prior && (x.offering == "once" || s.Window == 0) {
-		s.conclude(k, x, estate.WrittenOff) // it may have run, and nobody would drop it
+		s.conclude(k, x, handoff.WrittenOff) // it may have run, and nobody would drop it
 		return
 	}
 	run := s.Nodes[k].run
@@ -373,9 +373,9 @@
 func (s *Estates) shoot(k int, x *search) {
 	x.out, x.prepared = true, false
 	x.fired++
-	switch s.play(k, &estate.Event{Kind: estate.Firing, ID: x.id, Shot: x.fired - 1, Place: "z"}) {
-	case estate.Hold:
-	case estate.Forbid:
+	switch s.play(k, &handoff.Event{Kind: handoff.Firing, ID: x.id, Shot: x.fired - 1, Place: "z"}) {
+	case handoff.Hold:
+	case handoff.Forbid:
 		x.out = false
 		x.fired--
 		s.conclude(k, x, s.unsent(x))
@@ -385,11 +385,11 @@
 }
 
 // unsent is what becomes of a search whose shot must not leave.
-func (s *Estates) unsent(x *search) estate.Outcome {
+func (s *Estates) unsent(x *search) handoff.Outcome {
 	if x.prior {
-		return estate.WrittenOff
+		return handoff.WrittenOff
 	}
-	return estate.Denied
+	return handoff.Denied
 }
 
 // fire has a shot leave; one in three waits for its connection to come up.
@@ -415,7 +415,7 @@
 	}
 	if x.prepared = true; !s.held(k) {
 		x.out = false
-		s.play(k, &estate.Event{Kind: estate.ShotOver, ID: x.id, Shot: x.fired - 1, Unrun: true})
+		s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: x.fired - 1, Unrun: true})
 		s.conclude(k, x, s.unsent(x))
 		return
 	}
@@ -429,8 +429,8 @@
 		s.at(k, func() {
 			if s.Nodes[k].run == run && s.Ends[k].open[x.id] == x && !x.over {
 				x.out = false
-				s.play(k, &estate.Event{Kind: estate.ShotOver, ID: x.id, Shot: x.fired - 1})
-				s.conclude(k, x, estate.Handled)
+				s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: x.fired - 1})
+				s.conclude(k, x, handoff.Handled)
 			}
 		})
 	})
@@ -452,27 +452,27 @@
 }
 
 // conclude answers a search, or keeps the answer back as the estate wants it.
-func (s *Estates) conclude(k int, x *search, out estate.Outcome) {
+func (s *Estates) conclude(k int, x *search, out handoff.Outcome) {
 	if x.over {
 		return
 	}
 	x.over = true
-	kept := s.play(k, &estate.Event{Kind: estate.Ending, ID: x.id, Outcome: out, Answer: []byte("rows")}) == estate.KeepBack
+	kept := s.play(k, &handoff.Event{Kind: handoff.Ending, ID: x.id, Outcome: out, Answer: []byte("rows")}) == handoff.KeepBack
 	if !kept {
 		delete(s.Ends[k].open, x.id)
 		s.answer(k, x, out)
 	}
-	s.play(k, &estate.Event{Kind: estate.Closed, ID: x.id, Outcome: out, Answer: []byte("rows")})
+	s.play(k, &handoff.Event{Kind: handoff.Closed, ID: x.id, Outcome: out, Answer: []byte("rows")})
 }
 
-func (s *Estates) answer(_ int, x *search, out estate.Outcome) {
+func (s *Estates) answer(_ int, x *search, out handoff.Outcome) {
 	if x.asked == nil {
 		return
 	}
 	x.asked.Answers = append(x.asked.Answers, out.String())
-	if out == estate.Handled {
+	if out == handoff.Handled {
 		x.asked.ask.done = true
-	} else if out == estate.Denied {
+	} else if out == handoff.Denied {
 		s.return_(x.asked.ask)
 	}
 }
--- a/internal/trustee/copies.go
+++ b/internal/trustee/copies.go
@@ -5,7 +5,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
 )
@@ -34,8 +34,8 @@
 		return fmt.Errorf("estate: %w", err)
 	}
 	for k, value := range found {
-		if one, err := estate.ReadCopy(value, now); err == nil && estate.KeyOf(one.Mark, one.ID) == estate.Key(k) {
-			t.estate.Step(now, &estate.Event{Kind: estate.Read, Copy: &one})
+		if one, err := handoff.ReadCopy(value, now); err == nil && handoff.KeyOf(one.Mark, one.ID) == handoff.Key(k) {
+			t.estate.Step(now, &handoff.Event{Kind: handoff.Read, Copy: &one})
 		}
 	}
 	c.store = s
@@ -45,18 +45,18 @@
 }
 
 // keep writes what a step wants kept; the token is told once it lasts. 0: nobody waits for it.
-func (c *copies) keep(now float64, effects []estate.Effect, lasts bool) uint64 {
+func (c *copies) keep(now float64, effects []handoff.Effect, lasts bool) uint64 {
 	c.batch.Reset()
 	for i := range effects {
 		e := &effects[i]
-		if e.Kind != estate.Keep {
+		if e.Kind != handoff.Keep {
 			continue
 		}
 		if e.Copy == nil {
 			c.batch.Delete(store.Key(e.Key))
 			continue
 		}
-		c.room = estate.AppendCopy(c.room[:0], e.Copy, now)
+		c.room = handoff.AppendCopy(c.room[:0], e.Copy, now)
 		c.batch.Put(store.Key(e.Key), int64(e.Version), c.room)
 	}
 	if c.batch.Len() == 0 {
--- a/internal/trustee/golden_test.go
+++ b/internal/trustee/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/dispatch"
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
@@ -40,10 +40,10 @@
 
 const goldenNow = 50000.0
 
-func goldenCopy(n int) estate.Copy {
+func goldenCopy(n int) handoff.Copy {
 	id, mark := fmt.Sprint("id-", n), fmt.Sprint("mark-", n)
-	return estate.Copy{Work: estate.Work{ID: id, Mark: mark, Offering: "mark", Order: "key", Team: "model", Schema: "s1", Group: 12, NeedMB: 1.5, WorkMS: 2.25,
-		Body: []byte("body")}, Owner: estate.Member{Name: "a", Life: 3}, Number: 17, Outcome: estate.Outcome(n % 7), Standing: estate.Standing(n % 3),
+	return handoff.Copy{Work: handoff.Work{ID: id, Mark: mark, Offering: "mark", Order: "key", Team: "model", Schema: "s1", Group: 12, NeedMB: 1.5, WorkMS: 2.25,
+		Body: []byte("body")}, Owner: handoff.Member{Name: "a", Life: 3}, Number: 17, Outcome: handoff.Outcome(n % 7), Standing: handoff.Standing(n % 3),
 		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: n%2 == 0, Sure: true}
 }
 
@@ -51,7 +51,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	return New(estate.Member{Name: "b", Life: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
+	return New(handoff.Member{Name: "b", Life: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
 }
 
 // A holder's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A log file stands here
@@ -60,16 +60,16 @@
 	disk, wrote := vfs.NewMemory(), make(chan any, 8)
 	a := goldenTrustee()
 	require.NoError(t, a.Keep(disk, func(note any) { wrote <- note }))
-	var effects []estate.Effect
+	var effects []handoff.Effect
 	for n := range 7 {
 		c := goldenCopy(n)
-		effects = append(effects, estate.Effect{Kind: estate.Keep, Key: estate.KeyOf(c.Mark, c.ID), Copy: &c, Version: uint64(70000 + n)})
+		effects = append(effects, handoff.Effect{Kind: handoff.Keep, Key: handoff.KeyOf(c.Mark, c.ID), Copy: &c, Version: uint64(70000 + n)})
 	}
-	gone := estate.Effect{Kind: estate.Keep, Key: estate.KeyOf("mark-6", "")}
+	gone := handoff.Effect{Kind: handoff.Keep, Key: handoff.KeyOf("mark-6", "")}
 	require.Equal(t, uint64(1), a.copies.keep(goldenNow, effects[:3], true))
 	require.Equal(t, stored{token: 1}, <-wrote)
 	require.Equal(t, uint64(0), a.copies.keep(goldenNow, effects[3:], false))
-	require.Equal(t, uint64(2), a.copies.keep(goldenNow, []estate.Effect{gone}, true))
+	require.Equal(t, uint64(2), a.copies.keep(goldenNow, []handoff.Effect{gone}, true))
 	require.Equal(t, stored{token: 2}, <-wrote)
 	a.Close()
 
@@ -92,16 +92,16 @@
 
 	fs, err := vfs.OpenDir(dir, false)
 	require.NoError(t, err)
-	got, expires := map[string]estate.Copy{}, map[string]int64{}
+	got, expires := map[string]handoff.Copy{}, map[string]int64{}
 	_, err = store.Survey(fs, func(k store.Key, until int64, value []byte) {
 		if value == nil {
-			assert.Equal(t, estate.KeyOf("mark-6", ""), estate.Key(k))
+			assert.Equal(t, handoff.KeyOf("mark-6", ""), handoff.Key(k))
 			delete(got, "id-6")
 			return
 		}
-		c, err := estate.ReadCopy(value, goldenNow)
+		c, err := handoff.ReadCopy(value, goldenNow)
 		assert.NoError(t, err)
-		assert.Equal(t, estate.KeyOf(c.Mark, c.ID), estate.Key(k))
+		assert.Equal(t, handoff.KeyOf(c.Mark, c.ID), handoff.Key(k))
 		got[c.ID], expires[c.ID] = c, until
 	})
 	require.NoError(t, err)
--- a/internal/trustee/helpers_test.go
+++ b/internal/trustee/helpers_test.go
@@ -13,8 +13,8 @@
 
 	"liftshift/internal/chairs"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
+	"liftshift/internal/handoff"
 	"liftshift/internal/members"
 	"liftshift/internal/standin"
 	"liftshift/rules"
@@ -69,7 +69,7 @@
 	clock := dispatch.NewClock()
 	e := &end{carrier: fleetwire.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
 	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	e.trustee = New(estate.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
+	e.trustee = New(handoff.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
 	e.trustee.listen()
 	hear := e.carrier.Word
@@ -99,7 +99,7 @@
 		table.Reseat(places, 1)
 		table.Step = 1
 		e.desk.Do(func(now float64) {
-			e.trustee.Step(now, &estate.Event{Kind: estate.Seated, Places: places, Table: &table})
+			e.trustee.Step(now, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
 		})
 	}
 	return e
@@ -116,9 +116,9 @@
 
 // ask says words that ask for so many keys.
 func (e *end) ask(keys ...string) {
-	b := &estate.Batch{From: estate.Member{Name: "a", Life: 1}, Version: 1}
+	b := &handoff.Batch{From: handoff.Member{Name: "a", Life: 1}, Version: 1}
 	for _, k := range keys {
-		b.Items = append(b.Items, estate.Item{Op: estate.Ask, Key: estate.KeyOf(k, "")})
+		b.Items = append(b.Items, handoff.Item{Op: handoff.Ask, Key: handoff.KeyOf(k, "")})
 	}
 	e.trustee.say("b", b, e.trustee.clock.Now())
 }
--- a/internal/trustee/line.go
+++ b/internal/trustee/line.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"liftshift/internal/dispatch"
-	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
+	"liftshift/internal/handoff"
 )
 
 // A datagram is its kind, a number of 8 bytes that its answer bears, too, and a batch.
@@ -24,7 +24,7 @@
 
 // said is a batch that waits for its way.
 type said struct {
-	batch *estate.Batch
+	batch *handoff.Batch
 	data  []byte
 	at    float64
 }
@@ -59,7 +59,7 @@
 }
 
 // say lines up a batch for a member; it never waits.
-func (t *Trustee) say(to string, b *estate.Batch, now float64) {
+func (t *Trustee) say(to string, b *handoff.Batch, now float64) {
 	s := said{b, b.Append(nil, now), now}
 	select {
 	case t.line(to).in <- s:
@@ -135,8 +135,8 @@
 }
 
 // short tells whether a batch's answers are short, and nothing in it depends on the whole of what was agreed.
-func short(b *estate.Batch) bool {
-	return !slices.ContainsFunc(b.Items, func(it estate.Item) bool { return it.Op == estate.Pull || it.Op == estate.Take })
+func short(b *handoff.Batch) bool {
+	return !slices.ContainsFunc(b.Items, func(it handoff.Item) bool { return it.Op == handoff.Pull || it.Op == handoff.Take })
 }
 
 // gather puts together what waits, up to so many bytes.
@@ -222,7 +222,7 @@
 }
 
 // landed books an answer. A batch of nil: it is too long for a datagram.
-func (l *line) landed(t *Trustee, n uint64, back *estate.Batch) {
+func (l *line) landed(t *Trustee, n uint64, back *handoff.Batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v, _ := t.flights.Load(n)
@@ -268,7 +268,7 @@
 	}
 }
 
-func (l *line) ask(t *Trustee, data []byte) *estate.Batch {
+func (l *line) ask(t *Trustee, data []byte) *handoff.Batch {
 	if l.resolve(t); l.address == "" {
 		t.Failed.Add(1)
 		time.Sleep(20 * time.Millisecond)
@@ -276,8 +276,8 @@
 	}
 	got, err := t.carrier.CallNow(l.address, fleetwire.EstateMethod, data)
 	if err == nil {
-		var b *estate.Batch
-		if b, err = estate.ReadBatch(got, t.clock.Now()); err == nil {
+		var b *handoff.Batch
+		if b, err = handoff.ReadBatch(got, t.clock.Now()); err == nil {
 			return b
 		}
 	}
@@ -293,7 +293,7 @@
 	n := binary.BigEndian.Uint64(data[1:])
 	switch kind, rest := data[0], data[headBytes:]; kind {
 	case wordsKind:
-		b, err := estate.ReadBatch(rest, t.clock.Now())
+		b, err := handoff.ReadBatch(rest, t.clock.Now())
 		if err != nil || !short(b) {
 			return
 		}
@@ -320,10 +320,10 @@
 		if f == nil {
 			return
 		}
-		var b *estate.Batch
+		var b *handoff.Batch
 		if kind == answerKind {
 			var err error
-			if b, err = estate.ReadBatch(rest, t.clock.Now()); err != nil {
+			if b, err = handoff.ReadBatch(rest, t.clock.Now()); err != nil {
 				return
 			}
 		}
--- a/internal/trustee/trustee.go
+++ b/internal/trustee/trustee.go
@@ -15,8 +15,8 @@
 
 	"liftshift/internal/council"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/estate"
 	"liftshift/internal/fleetwire"
+	"liftshift/internal/handoff"
 	"liftshift/internal/ledger"
 	"liftshift/internal/seat"
 	"liftshift/rules"
@@ -33,7 +33,7 @@
 
 // Trustee joins an estate to a desk, to the fleet's carriage and to the council.
 type Trustee struct {
-	estate  *estate.Estate
+	estate  *handoff.Estate
 	desk    *dispatch.Desk
 	clock   dispatch.Clock
 	carrier *fleetwire.Carrier
@@ -59,18 +59,18 @@
 	replied   chan reply
 
 	Dropped, Calls, Failed, Datagrams, Silent atomic.Uint64
-	counts                                    atomic.Pointer[estate.Counts]
+	counts                                    atomic.Pointer[handoff.Counts]
 }
 
 // What reaches the estate by the desk's queue.
 type (
 	words struct {
-		batch *estate.Batch
+		batch *handoff.Batch
 		reply func([]byte, error)
 	}
 	answers struct {
 		to         string
-		sent, back *estate.Batch
+		sent, back *handoff.Batch
 	}
 	rolled  struct{ roll seat.Roll }
 	relived struct{ life uint64 }
@@ -81,8 +81,8 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self estate.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *fleetwire.Carrier, log logrus.FieldLogger) *Trustee {
-	return &Trustee{estate: estate.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
+func New(self handoff.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *fleetwire.Carrier, log logrus.FieldLogger) *Trustee {
+	return &Trustee{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
 		where: map[uint32]rules.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
@@ -110,7 +110,7 @@
 
 // heard takes what another member says; any goroutine calls it.
 func (t *Trustee) heard(ctx context.Context, data []byte) ([]byte, error) {
-	b, err := estate.ReadBatch(data, t.clock.Now())
+	b, err := handoff.ReadBatch(data, t.clock.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 
 // Count gives the counters for the log.
 func (t *Trustee) Count() logrus.Fields {
-	c := estate.Counts{}
+	c := handoff.Counts{}
 	if p := t.counts.Load(); p != nil {
 		c = *p
 	}
@@ -158,54 +158,54 @@
 
 // ---- as a part of the desk
 
-var outcomes = map[ledger.Outcome]estate.Outcome{ledger.Handled: estate.Handled, ledger.Denied: estate.Denied,
-	ledger.WrittenOff: estate.WrittenOff, ledger.Left: estate.Left}
+var outcomes = map[ledger.Outcome]handoff.Outcome{ledger.Handled: handoff.Handled, ledger.Denied: handoff.Denied,
+	ledger.WrittenOff: handoff.WrittenOff, ledger.Left: handoff.Left}
 
-var ledgers = map[estate.Outcome]ledger.Outcome{estate.Open: ledger.Open, estate.Handled: ledger.Handled, estate.Denied: ledger.Denied,
-	estate.WrittenOff: ledger.WrittenOff, estate.Left: ledger.Left, estate.Unknown: ledger.Unknown}
+var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Handled: ledger.Handled, handoff.Denied: ledger.Denied,
+	handoff.WrittenOff: ledger.WrittenOff, handoff.Left: ledger.Left, handoff.Unknown: ledger.Unknown}
 
 // Hear tells the estate, in its own words.
 func (t *Trustee) Hear(now float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
-	var ev estate.Event
+	var ev handoff.Event
 	switch s := h.Request; h.Kind {
 	case dispatch.Arriving:
-		ev = estate.Event{Kind: estate.Arrives, ID: s.ID, Copy: &estate.Copy{Until: s.Until, Work: estate.Work{ID: s.ID, Mark: s.Mark,
+		ev = handoff.Event{Kind: handoff.Arrives, ID: s.ID, Copy: &handoff.Copy{Until: s.Until, Work: handoff.Work{ID: s.ID, Mark: s.Mark,
 			Offering: s.Offering, Order: s.Key, Team: s.Team, Schema: s.Schema, Group: s.Group, NeedMB: s.NeedMB, WorkMS: s.WorkMS, Body: s.Body}}}
 	case dispatch.Departed:
-		ev = estate.Event{Kind: estate.Gone, ID: s.ID}
+		ev = handoff.Event{Kind: handoff.Gone, ID: s.ID}
 	case dispatch.Firing:
 		at := t.where[h.Executor]
-		ev = estate.Event{Kind: estate.Firing, ID: s.ID, Shot: h.Attempt, Place: at.Place, Cell: at.Cell}
+		ev = handoff.Event{Kind: handoff.Firing, ID: s.ID, Shot: h.Attempt, Place: at.Place, Cell: at.Cell}
 	case dispatch.ShotOver:
-		ev = estate.Event{Kind: estate.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.Unrun}
+		ev = handoff.Event{Kind: handoff.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.Unrun}
 	case dispatch.Ending:
-		ev = estate.Event{Kind: estate.Ending, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
+		ev = handoff.Event{Kind: handoff.Ending, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
 	case dispatch.Closed:
-		ev = estate.Event{Kind: estate.Closed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
+		ev = handoff.Event{Kind: handoff.Closed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
 	case dispatch.ListNews:
 		t.list(h.List)
 		return out
 	case dispatch.Stopping:
-		ev = estate.Event{Kind: estate.Leaving}
+		ev = handoff.Event{Kind: handoff.Leaving}
 	case dispatch.Ticks:
-		ev = estate.Event{Kind: estate.Ticked}
+		ev = handoff.Event{Kind: handoff.Ticked}
 	case dispatch.Inquiry:
 		t.tokens++
 		t.questions[t.tokens] = h.Ask
 		out = append(out, dispatch.Follow{Kind: dispatch.Mine})
-		ev = estate.Event{Kind: estate.Asked, ID: h.Ask.ID, Mark: h.Ask.Mark, Token: t.tokens}
+		ev = handoff.Event{Kind: handoff.Asked, ID: h.Ask.ID, Mark: h.Ask.Mark, Token: t.tokens}
 	case dispatch.Told:
 		switch n := h.Note.(type) {
 		case words:
 			t.tokens++
 			t.replies[t.tokens] = n.reply
-			ev = estate.Event{Kind: estate.Words, Batch: n.batch, Token: t.tokens}
+			ev = handoff.Event{Kind: handoff.Words, Batch: n.batch, Token: t.tokens}
 		case answers:
-			ev = estate.Event{Kind: estate.Answers, To: n.to, Sent: n.sent, Batch: n.back}
+			ev = handoff.Event{Kind: handoff.Answers, To: n.to, Sent: n.sent, Batch: n.back}
 		case rolled:
-			ev = estate.Event{Kind: estate.Seated, Places: n.roll.Places, Table: &n.roll.Table}
+			ev = handoff.Event{Kind: handoff.Seated, Places: n.roll.Places, Table: &n.roll.Table}
 		case relived:
-			ev = estate.Event{Kind: estate.Relived, Life: n.life}
+			ev = handoff.Event{Kind: handoff.Relived, Life: n.life}
 		case stored:
 			t.copies.stored(n, t)
 			return out
@@ -239,14 +239,14 @@
 }
 
 // Step plays an event from outside of a happening; it is for a call on the desk's goroutine.
-func (t *Trustee) Step(now float64, ev *estate.Event) { t.desk.Follow(t.step(now, ev, nil)) }
+func (t *Trustee) Step(now float64, ev *handoff.Event) { t.desk.Follow(t.step(now, ev, nil)) }
 
 // Estate is for a call on the desk's goroutine.
-func (t *Trustee) Estate() *estate.Estate { return t.estate }
+func (t *Trustee) Estate() *handoff.Estate { return t.estate }
 
-func (t *Trustee) step(now float64, ev *estate.Event, out []dispatch.Follow) []dispatch.Follow {
+func (t *Trustee) step(now float64, ev *handoff.Event, out []dispatch.Follow) []dispatch.Follow {
 	ev.Held = t.Held()
-	lasts := t.copies != nil && (ev.Kind == estate.Words)
+	lasts := t.copies != nil && (ev.Kind == handoff.Words)
 	effects := t.estate.Step(now, ev)
 	token := uint64(0)
 	if t.copies != nil {
@@ -254,46 +254,46 @@
 	}
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case estate.Await:
+		case handoff.Await:
 			out = append(out, dispatch.Follow{Kind: dispatch.Await})
-		case estate.Resume:
+		case handoff.Resume:
 			out = append(out, dispatch.Follow{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Barred: e.Barred})
-		case estate.Settle:
+		case handoff.Settle:
 			out = append(out, dispatch.Follow{Kind: dispatch.Settle, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
-		case estate.Hold:
+		case handoff.Hold:
 			out = append(out, dispatch.Follow{Kind: dispatch.Hold})
-		case estate.Forbid:
+		case handoff.Forbid:
 			out = append(out, dispatch.Follow{Kind: dispatch.Hold}, dispatch.Follow{Kind: dispatch.Forbid})
-		case estate.Release:
+		case handoff.Release:
 			out = append(out, dispatch.Follow{Kind: dispatch.Release, ID: e.ID, Attempt: e.Shot})
-		case estate.Withhold:
+		case handoff.Withhold:
 			out = append(out, dispatch.Follow{Kind: dispatch.Withhold, ID: e.ID, Attempt: e.Shot})
-		case estate.KeepBack:
+		case handoff.KeepBack:
 			out = append(out, dispatch.Follow{Kind: dispatch.KeepBack})
-		case estate.LetGo:
+		case handoff.LetGo:
 			out = append(out, dispatch.Follow{Kind: dispatch.LetGo, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
-		case estate.Recall:
+		case handoff.Recall:
 			out = append(out, dispatch.Follow{Kind: dispatch.Dismiss, ID: e.ID})
-		case estate.Adopt:
+		case handoff.Adopt:
 			c := e.Copy
 			out = append(out, dispatch.Follow{Kind: dispatch.Adopt, Prior: e.Prior, New: &dispatch.Request{ID: c.ID, Offering: c.Offering, Key: c.Order,
 				Mark: c.Mark, Group: c.Group, NeedMB: c.NeedMB, WorkMS: c.WorkMS, Until: c.Until, Team: c.Team, Schema: c.Schema,
 				Repeat: true, Body: c.Body, Client: nobody{}}})
-		case estate.Say:
+		case handoff.Say:
 			t.say(e.To, e.Batch, now)
-		case estate.Answer:
+		case handoff.Answer:
 			t.answer(e, now, token)
-		case estate.Reply:
+		case handoff.Reply:
 			out = t.reply(e, out)
-		case estate.Move:
+		case handoff.Move:
 			t.log.WithFields(logrus.Fields{"motion": e.Motion, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
 			t.seat.Move(council.Motion(e.Motion, e.Claim, e.Version))
-		case estate.Refresh:
+		case handoff.Refresh:
 			if now > t.refreshed+refreshMS {
 				t.refreshed = now
 				t.seat.Refresh()
 			}
-		case estate.Note:
+		case handoff.Note:
 			t.log.WithFields(logrus.Fields{"of": e.ID, "count": e.Count}).Warn("estate: " + e.Text)
 		}
 	}
@@ -301,7 +301,7 @@
 }
 
 // answer answers another member, once what it asked to be kept lasts, where that is wanted.
-func (t *Trustee) answer(e *estate.Effect, now float64, token uint64) {
+func (t *Trustee) answer(e *handoff.Effect, now float64, token uint64) {
 	reply := t.replies[e.Token]
 	delete(t.replies, e.Token)
 	if reply == nil {
@@ -316,12 +316,12 @@
 }
 
 // reply tells what became of a search; where the others know nothing, the parts behind are asked.
-func (t *Trustee) reply(e *estate.Effect, out []dispatch.Follow) []dispatch.Follow {
+func (t *Trustee) reply(e *handoff.Effect, out []dispatch.Follow) []dispatch.Follow {
 	q := t.questions[e.Token]
 	delete(t.questions, e.Token)
 	switch {
 	case q == nil:
-	case e.Outcome == estate.Unknown:
+	case e.Outcome == handoff.Unknown:
 		out = append(out, dispatch.Follow{Kind: dispatch.AskOn, Ask: q})
 	default:
 		q.Reply(ledger.Effect{Kind: ledger.Tell, Outcome: ledgers[e.Outcome], Body: e.Answer, AgeMS: e.AfterMS})
--- a/internal/trustee/trustee_test.go
+++ b/internal/trustee/trustee_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/estate"
+	"liftshift/internal/handoff"
 )
 
 func TestLanes(t *testing.T) {
@@ -58,7 +58,7 @@
 	assert.NotZero(t, a.trustee.Datagrams.Load())
 	for _, x := range heard.answers() {
 		require.Len(t, x.back.Items, len(x.sent.Items))
-		assert.Equal(t, estate.None, x.back.Items[0].Op)
+		assert.Equal(t, handoff.None, x.back.Items[0].Op)
 		assert.Equal(t, "b", x.to)
 	}
 	nothing := true
@@ -104,13 +104,13 @@
 	assert.Len(t, heard.waits(t, 1)[0].back.Items, 80)
 	assert.EqualValues(t, 1, a.trustee.Calls.Load())
 	assert.Zero(t, a.trustee.Datagrams.Load())
-	key := estate.KeyOf("long", "")
+	key := handoff.KeyOf("long", "")
 	b.desk.Do(func(now float64) {
-		who := estate.Member{Name: "c", Life: 1}
-		c := estate.Copy{Work: estate.Work{ID: "x", Mark: "long", Offering: "mark"}, Owner: who, Number: 1, Until: now + 5000, Whole: true}
-		b.trustee.estate.Step(now, &estate.Event{Kind: estate.Words, Held: true, Batch: &estate.Batch{From: who, Version: 1, Items: []estate.Item{
-			{Op: estate.Register, Key: key, Number: 1, From: who, Copy: &c},
-			{Op: estate.Close, Key: key, Number: 2, From: who, Outcome: estate.Handled, Standing: estate.Ran, First: now, Answer: make([]byte, 3000)}}}})
+		who := handoff.Member{Name: "c", Life: 1}
+		c := handoff.Copy{Work: handoff.Work{ID: "x", Mark: "long", Offering: "mark"}, Owner: who, Number: 1, Until: now + 5000, Whole: true}
+		b.trustee.estate.Step(now, &handoff.Event{Kind: handoff.Words, Held: true, Batch: &handoff.Batch{From: who, Version: 1, Items: []handoff.Item{
+			{Op: handoff.Register, Key: key, Number: 1, From: who, Copy: &c},
+			{Op: handoff.Close, Key: key, Number: 2, From: who, Outcome: handoff.Handled, Standing: handoff.Ran, First: now, Answer: make([]byte, 3000)}}}})
 	})
 	began := time.Now()
 	a.ask("long")
@@ -148,7 +148,7 @@
 		a.carrier.Tell(to, data)
 		a.trustee.heardWord(from, data)
 	}
-	pull := &estate.Batch{From: estate.Member{Name: "a", Life: 1}, Version: 1, Items: []estate.Item{{Op: estate.Pull}}}
+	pull := &handoff.Batch{From: handoff.Member{Name: "a", Life: 1}, Version: 1, Items: []handoff.Item{{Op: handoff.Pull}}}
 	a.carrier.Tell(to, frame(wordsKind, 8, pull.Append(nil, 0)))
 	a.ask("k")
 	heard.waits(t, 1)
