--- a/internal/trustee/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -1,4 +1,4 @@
-package trustee
+package handoffnet
 
 import (
 	"bytes"
--- a/internal/trustee/trustee.go
+++ b/internal/handoffnet/handoffnet.go
@@ -1,8 +1,8 @@
-// Package trustee carries what a controller's estate says to other controllers, and brings it what they say, what its own desk does and
+// Package handoffnet carries what a controller's estate says to other controllers, and brings it what they say, what its own desk does and
 // what the council agrees on. It decides nothing of what is kept or taken over. The estate belongs to the desk's goroutine; words to others
 // line up for a goroutine a member, which sends them as datagrams where these get through (lane.go), else has one call under way at a
 // time, so that what waits meanwhile goes together.
-package trustee
+package handoffnet
 
 import (
 	"context"
--- a/internal/trustee/lane.go
+++ b/internal/handoffnet/lane.go
@@ -1,4 +1,4 @@
-package trustee
+package handoffnet
 
 // Words to a member go by one of two ways: a datagram is half as long on its way as a call, but may be lost, and a member of a version
 // before knows none. A lane decides which, by what came of the ones before. It reads no clock.
--- a/internal/trustee/lawless.go
+++ b/internal/handoffnet/lawless.go
@@ -1,5 +1,5 @@
 //go:build lawless
 
-package trustee
+package handoffnet
 
 const lawless = true
--- a/internal/trustee/lease.go
+++ b/internal/handoffnet/lease.go
@@ -1,6 +1,6 @@
 //go:build !lawless
 
-package trustee
+package handoffnet
 
 // lawless is whether leases are not looked at: a control for tests, which must then see what goes wrong.
 const lawless = false
--- a/internal/installation/heirs.go
+++ b/internal/installation/heirs.go
@@ -12,7 +12,7 @@
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/handoff"
-	"liftshift/internal/trustee"
+	"liftshift/internal/handoffnet"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
 )
@@ -20,7 +20,7 @@
 // heirs joins a trustee to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type heirs struct {
 	inst    *Installation
-	trustee *trustee.Trustee
+	trustee *handoffnet.Trustee
 }
 
 // openHeirs makes the trustee, where the file has a block estate; the carriage does not listen yet.
@@ -34,7 +34,7 @@
 		}
 	}
 	self := f.view.Self()
-	t := trustee.New(handoff.Member{Name: self.Name, Life: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
+	t := handoffnet.New(handoff.Member{Name: self.Name, Life: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
 	if i.file.Estate.OnDisks {
 		dir, err := vfs.OpenDir(filepath.Join(i.file.Store.Directory, "estate"), true)
 		if err != nil {
