--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 	"liftshift/rules"
 )
 
@@ -540,12 +540,12 @@
 }
 
 // Roll gives the places and a copy of the table of chairs, where anybody keeps copies.
-func (c *Council) Roll() ([]chairs.Place, chairs.Table) {
+func (c *Council) Roll() ([]placement.Place, placement.Table) {
 	return c.record.places(), c.record.Chairs.Clone()
 }
 
 // Roll gives the same of a record that came from elsewhere.
-func (r *Record) Roll() ([]chairs.Place, chairs.Table) { return r.places(), r.Chairs.Clone() }
+func (r *Record) Roll() ([]placement.Place, placement.Table) { return r.places(), r.Chairs.Clone() }
 
 // told says what has become of a name.
 func (c *Council) told(name string, p Place) {
--- a/internal/council/record.go
+++ b/internal/council/record.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 )
 
 // entry is one thing that is agreed.
@@ -30,7 +30,7 @@
 }
 
 // Motion makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
-func Motion(kind string, c chairs.Claim, version uint64) []byte {
+func Motion(kind string, c placement.Claim, version uint64) []byte {
 	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Life: c.Life, Heir: c.Heir, HeirLife: c.HeirLife, Mask: c.Mask, Version: version})
 	return data
 }
@@ -82,12 +82,12 @@
 }
 
 // places gives the record as the table of chairs wants it, in order.
-func (r *Record) places() []chairs.Place {
-	list := make([]chairs.Place, 0, len(r.Places))
+func (r *Record) places() []placement.Place {
+	list := make([]placement.Place, 0, len(r.Places))
 	for name, p := range r.Places {
-		list = append(list, chairs.Place{Name: name, Life: p.Life, Lost: p.Lost, Zone: p.Zone})
+		list = append(list, placement.Place{Name: name, Life: p.Life, Lost: p.Lost, Zone: p.Zone})
 	}
-	slices.SortFunc(list, func(a, b chairs.Place) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b placement.Place) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
@@ -97,7 +97,7 @@
 		return false // nobody has asked for chairs
 	}
 	places, t := r.places(), &r.Chairs
-	claim := chairs.Claim{Name: e.Name, Life: e.Life, Heir: e.Heir, HeirLife: e.HeirLife, Mask: e.Mask}
+	claim := placement.Claim{Name: e.Name, Life: e.Life, Heir: e.Heir, HeirLife: e.HeirLife, Mask: e.Mask}
 	switch e.Kind {
 	case "in", "lost", "left":
 		t.Reseat(places, 0)
--- a/internal/council/types.go
+++ b/internal/council/types.go
@@ -15,7 +15,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 )
 
 const (
@@ -65,7 +65,7 @@
 	Voters   []Voter                    `json:"Voters"` // and those about to be
 	Founding []Voter                    `json:"Founding"`
 	Declared uint64                     `json:"Declared"` // lives declared lost so far
-	Chairs   chairs.Table               `json:"Chairs"`
+	Chairs   placement.Table            `json:"Chairs"`
 	Plan     json.RawMessage            `json:"Plan,omitempty"`   // how far searches may go, as package zones has it; the council does not read it
 	Number   uint64                     `json:"Number,omitempty"` // of the plan: each is one later than the one before
 	Orders   map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 	"liftshift/rules"
 )
 
@@ -47,8 +47,8 @@
 	local   []exchange        // words to this controller's own chair
 
 	// What is agreed.
-	places map[string]*chairs.Place
-	table  *chairs.Table
+	places map[string]*placement.Place
+	table  *placement.Table
 
 	// As a chair.
 	copies map[Key]*kept
@@ -95,7 +95,7 @@
 	e := &Estate{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
 		most: int(given.Num("most_kept", usualKept)), lag: given.Num("lag_ms", lagMS), alone: given.Is("alone"),
 		pace: pace{most: given.Num("adopt_at_once", adoptAtOnce), began: map[string]begun{}}, share: given.Num("ration_share", 0.1), floor: given.Num("ration_floor", 3),
-		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*chairs.Place{},
+		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Place{},
 		copies: map[Key]*kept{}, owners: map[Member]*owned{}, wheel: map[int64][]Key{}, learns: map[int]*learning{},
 		noted: map[Member]float64{}, moves: map[string]float64{}, bereft: map[int]float64{}, mine: map[Key]*mine{}, byID: map[string]*mine{},
 		backBy: map[takenWord]*taken{}, fresh: map[string]struct{}{}, lined: map[Key]struct{}{}}
@@ -237,7 +237,7 @@
 // sitting gives who sits in a part now, and who sat before as long as that counts.
 func (e *Estate) sitting(part int) (names []string) {
 	p := &e.table.Parts[part]
-	for _, list := range [][]chairs.Chair{p.Now, p.Was} {
+	for _, list := range [][]placement.Chair{p.Now, p.Was} {
 		for _, c := range list {
 			if e.sits(c) && !slices.Contains(names, c.Name) {
 				names = append(names, c.Name)
@@ -247,7 +247,7 @@
 	return names
 }
 
-func (e *Estate) sits(c chairs.Chair) bool {
+func (e *Estate) sits(c placement.Chair) bool {
 	p := e.places[c.Name]
 	return p != nil && !p.Lost && p.Life == c.Life
 }
@@ -259,7 +259,7 @@
 }
 
 // chaired tells whether there is anybody to keep copies at all.
-func (e *Estate) chaired() bool { return e.table != nil && len(e.table.Parts) == chairs.Parts }
+func (e *Estate) chaired() bool { return e.table != nil && len(e.table.Parts) == placement.Parts }
 
 // quorum tells whether these make a word for a part.
 func (e *Estate) quorum(part int, who []Member) bool {
@@ -267,14 +267,14 @@
 	return most(p.Now, who) && (p.Was == nil || most(p.Was, who))
 }
 
-func most(list []chairs.Chair, who []Member) bool {
+func most(list []placement.Chair, who []Member) bool {
 	n := 0
 	for _, c := range list {
 		if slices.Contains(who, Member{c.Name, c.Life}) {
 			n++
 		}
 	}
-	return n >= chairs.Quorum(len(list))
+	return n >= placement.Quorum(len(list))
 }
 
 // barredBy tells whether these who said no leave no quorum.
@@ -283,33 +283,33 @@
 	return blocked(p.Now, nays) || p.Was != nil && blocked(p.Was, nays)
 }
 
-func blocked(list []chairs.Chair, nays []Member) bool {
+func blocked(list []placement.Chair, nays []Member) bool {
 	n := 0
 	for _, c := range list {
 		if slices.Contains(nays, Member{c.Name, c.Life}) {
 			n++
 		}
 	}
-	return len(list)-n < chairs.Quorum(len(list))
+	return len(list)-n < placement.Quorum(len(list))
 }
 
 // reachable tells whether enough sit in a part for any word.
 func (e *Estate) reachable(part int) bool {
 	p := &e.table.Parts[part]
-	enough := func(list []chairs.Chair) bool {
+	enough := func(list []placement.Chair) bool {
 		n := 0
 		for _, c := range list {
 			if e.sits(c) {
 				n++
 			}
 		}
-		return n >= chairs.Quorum(len(list))
+		return n >= placement.Quorum(len(list))
 	}
 	return enough(p.Now) && (p.Was == nil || enough(p.Was))
 }
 
 // chair gives this controller's own in a part.
-func (e *Estate) chair(part int) *chairs.Chair {
+func (e *Estate) chair(part int) *placement.Chair {
 	for k := range e.table.Parts[part].Now {
 		if c := &e.table.Parts[part].Now[k]; c.Name == e.self.Name && c.Life == e.self.Life {
 			return c
@@ -321,7 +321,7 @@
 // sat tells whether this controller sits in a part, or sat in it and counts still.
 func (e *Estate) sat(part int) bool {
 	p := &e.table.Parts[part]
-	is := func(c chairs.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Life }
+	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Life }
 	return slices.ContainsFunc(p.Now, is) || slices.ContainsFunc(p.Was, is)
 }
 
@@ -378,12 +378,12 @@
 }
 
 // move has the council agree on something, and again while it has not.
-func (e *Estate) move(motion string, c chairs.Claim, version uint64) {
+func (e *Estate) move(motion string, c placement.Claim, version uint64) {
 	key := fmt.Sprint(motion, c.Name, c.Life, c.Mask)
 	if at, made := e.moves[key]; !e.held || made && e.now < at+claimMS {
 		return
 	}
-	if len(e.moves) > 4*chairs.Parts {
+	if len(e.moves) > 4*placement.Parts {
 		clear(e.moves)
 	}
 	e.moves[key] = e.now
--- a/internal/handoff/heir.go
+++ b/internal/handoff/heir.go
@@ -5,7 +5,7 @@
 	"cmp"
 	"slices"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 )
 
 // learning is a part whose former copies this controller takes over as a chair.
@@ -79,7 +79,7 @@
 			continue
 		}
 		owner := Member{c.Name, c.Life}
-		for part := range chairs.Parts {
+		for part := range placement.Parts {
 			has := func(i *inheritance) bool { return i.owner == owner && i.part == part }
 			if c.Mask&(1<<part) != 0 && !slices.ContainsFunc(e.inherits, has) {
 				e.inherits = append(e.inherits, &inheritance{owner: owner, part: part, since: e.now})
@@ -101,7 +101,7 @@
 func (e *Estate) learn() {
 	var mask uint32
 	under := 0
-	for part := range chairs.Parts {
+	for part := range placement.Parts {
 		c := e.chair(part)
 		if c == nil || c.Ready || e.table.Parts[part].Was == nil {
 			delete(e.learns, part)
@@ -129,7 +129,7 @@
 		}
 	}
 	if mask != 0 {
-		e.move("ready", chairs.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
+		e.move("ready", placement.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
 	}
 }
 
@@ -188,7 +188,7 @@
 func (e *Estate) renew() {
 	var mask uint32
 	found := 0
-	for part := range chairs.Parts {
+	for part := range placement.Parts {
 		if e.reachable(part) || e.chair(part) == nil {
 			if _, was := e.bereft[part]; was {
 				delete(e.bereft, part)
@@ -207,7 +207,7 @@
 		e.do(Effect{Kind: Note, Text: "parts have lost their chairs beyond a quorum: their searches are denied until their marks are past", Count: found})
 	}
 	if mask != 0 {
-		e.move("anew", chairs.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
+		e.move("anew", placement.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
 	}
 }
 
@@ -257,7 +257,7 @@
 	owners, masks := e.orphans()
 	for _, owner := range owners {
 		var mask uint32
-		for part := range chairs.Parts {
+		for part := range placement.Parts {
 			if masks[owner]&(1<<part) == 0 {
 				continue
 			}
@@ -269,7 +269,7 @@
 			}
 		}
 		if mask != 0 {
-			e.move("claim", chairs.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: mask}, 0)
+			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: mask}, 0)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 	for _, owner := range owners {
 		if owner.Name == name && e.chaired() {
 			n++
-			e.move("claim", chairs.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: masks[owner]}, 0)
+			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: masks[owner]}, 0)
 		}
 	}
 	e.do(Effect{Kind: Note, Text: "claimed as an operator wants it", ID: name, Count: n})
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 	"liftshift/rules"
 )
 
@@ -16,8 +16,8 @@
 	t      *testing.T
 	now    float64
 	ends   []*Estate
-	places []chairs.Place
-	table  chairs.Table
+	places []placement.Place
+	table  placement.Table
 	down   map[int]bool
 	mute   func(from, to int, it *Item) bool // whether an item is lost on its way
 	got    []map[EffectKind][]Effect         // by member, what is not carried here
@@ -35,7 +35,7 @@
 	}
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		w.places = append(w.places, chairs.Place{Name: name, Life: 1})
+		w.places = append(w.places, placement.Place{Name: name, Life: 1})
 		w.ends = append(w.ends, New(Member{name, 1}, given, uint32(k)))
 		w.got = append(w.got, map[EffectKind][]Effect{})
 	}
@@ -50,7 +50,7 @@
 	w.table.Step++
 	for k := range w.ends {
 		table := w.table.Clone()
-		places := append([]chairs.Place(nil), w.places...)
+		places := append([]placement.Place(nil), w.places...)
 		w.step(k, &Event{Kind: Seated, Places: places, Table: &table})
 	}
 }
--- a/internal/handoff/holder.go
+++ b/internal/handoff/holder.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"slices"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 )
 
 // kept is a copy that this controller keeps for another, or for itself.
@@ -75,7 +75,7 @@
 // knowing tells whether this controller's chair in a part knows all that was said there.
 func (e *Estate) knowing(part int) bool {
 	p := &e.table.Parts[part]
-	is := func(c chairs.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Life }
+	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Life }
 	if slices.ContainsFunc(p.Was, is) {
 		return true
 	}
@@ -93,7 +93,7 @@
 	if it.Op == Pull {
 		part = it.Part
 	}
-	if part < 0 || part >= chairs.Parts || !e.sat(part) {
+	if part < 0 || part >= placement.Parts || !e.sat(part) {
 		return refused("not here")
 	}
 	if !e.held {
@@ -261,9 +261,9 @@
 
 // owned are the open copies of one life, by part: what is done for a part does not go through all.
 type owned struct {
-	parts [chairs.Parts]map[Key]*kept
+	parts [placement.Parts]map[Key]*kept
 	n     int
-	told  [chairs.Parts]heardOf // what all of a part have heard of the loss of their owner
+	told  [placement.Parts]heardOf // what all of a part have heard of the loss of their owner
 }
 
 // heardOf is what copies have heard.
@@ -292,7 +292,7 @@
 
 // mask has the parts in which there are some.
 func (o *owned) mask() (mask uint32) {
-	for part := range chairs.Parts {
+	for part := range placement.Parts {
 		if len(o.of(part)) > 0 {
 			mask |= 1 << part
 		}
--- a/internal/handoff/question.go
+++ b/internal/handoff/question.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 )
 
 const questionMS = 800 // until a question that is not answered by enough is said to be unknown
@@ -101,7 +101,7 @@
 }
 
 // Table is what is agreed, as far as it is known here; nil: nothing yet.
-func (e *Estate) Table() *chairs.Table { return e.table }
+func (e *Estate) Table() *placement.Table { return e.table }
 
 // Orphans counts open copies of lost ones, by owner's name.
 func (e *Estate) Orphans() map[string]int {
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -10,7 +10,7 @@
 import (
 	"crypto/sha256"
 
-	"liftshift/internal/chairs"
+	"liftshift/internal/placement"
 	"liftshift/rules"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // Part is which part of all work it belongs to.
-func (k Key) Part() int { return int(k[0]) % chairs.Parts }
+func (k Key) Part() int { return int(k[0]) % placement.Parts }
 
 // Member is one life of a controller.
 type Member struct {
@@ -160,8 +160,8 @@
 	To      string
 	Token   uint64
 	Life    uint64
-	Places  []chairs.Place
-	Table   *chairs.Table
+	Places  []placement.Place
+	Table   *placement.Table
 }
 
 // EffectKind tells what an Effect asks for.
@@ -206,7 +206,7 @@
 	Batch   *Batch
 	Token   uint64
 	Motion  string
-	Claim   chairs.Claim
+	Claim   placement.Claim
 	Version uint64
 	Owner   string
 	Text    string
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 	"liftshift/internal/members"
+	"liftshift/internal/placement"
 	"liftshift/internal/standin"
 	"liftshift/rules"
 )
@@ -91,11 +91,11 @@
 		e.trustee.Close()
 	})
 	if part == e.trustee {
-		var places []chairs.Place
+		var places []placement.Place
 		for _, n := range names {
-			places = append(places, chairs.Place{Name: n, Life: 1})
+			places = append(places, placement.Place{Name: n, Life: 1})
 		}
-		var table chairs.Table
+		var table placement.Table
 		table.Reseat(places, 1)
 		table.Step = 1
 		e.desk.Do(func(now float64) {
--- a/internal/installation/heirs.go
+++ b/internal/installation/heirs.go
@@ -8,11 +8,11 @@
 	"slices"
 	"strings"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/handoff"
 	"liftshift/internal/handoffnet"
+	"liftshift/internal/placement"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
 )
@@ -148,7 +148,7 @@
 }
 
 func popcount(mask uint32) (n int) {
-	for k := range chairs.Parts {
+	for k := range placement.Parts {
 		n += int(mask >> k & 1)
 	}
 	return n
--- a/internal/lab/takeover.go
+++ b/internal/lab/takeover.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/handoff"
+	"liftshift/internal/placement"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/simfleet"
 	"liftshift/internal/standin"
@@ -259,8 +259,8 @@
 
 // keeping gives the bytes that a copy costs its holder, without its body.
 func keeping() float64 {
-	places := []chairs.Place{{Name: "a", Life: 1}, {Name: "b", Life: 1}, {Name: "c", Life: 1}}
-	var t chairs.Table
+	places := []placement.Place{{Name: "a", Life: 1}, {Name: "b", Life: 1}, {Name: "c", Life: 1}}
+	var t placement.Table
 	t.Reseat(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
--- a/internal/chairs/chairs.go
+++ b/internal/placement/placement.go
@@ -1,10 +1,10 @@
-// Package chairs decides which members keep the copies of which part of all open work, and who inherits what of a life that is lost.
+// Package placement decides which members keep the copies of which part of all open work, and who inherits what of a life that is lost.
 // It is a table that the council holds: each change of it is an entry that all apply alike. It owns no clock, socket or goroutine,
 // and chooses by hash alone, so that the same entries give the same table everywhere.
 //
 // What it promises: two owners that each have the word of a quorum of a part, in whatever order chairs were filled anew between
 // them, share a chair that knows of the one when it is asked by the other, or one of the two has no quorum.
-package chairs
+package placement
 
 import (
 	"hash/fnv"
--- a/internal/chairs/chairs_test.go
+++ b/internal/placement/placement_test.go
@@ -1,4 +1,4 @@
-package chairs
+package placement
 
 import (
 	"fmt"
--- a/internal/seat/golden_test.go
+++ b/internal/seat/golden_test.go
@@ -17,10 +17,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/council"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
+	"liftshift/internal/placement"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
 )
@@ -70,9 +70,9 @@
 
 // What members ask and answer has the bytes that it had.
 func TestGolden_SeatValues(t *testing.T) {
-	roll := Roll{Places: []chairs.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: chairs.Table{Version: 6, Step: 7, Copies: 1,
-		Parts:  []chairs.Part{{Now: []chairs.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}}, Was: []chairs.Chair{{Name: "b", Life: 3}}}, {}},
-		Claims: []chairs.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}}}
+	roll := Roll{Places: []placement.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
+		Parts:  []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}}, Was: []placement.Chair{{Name: "b", Life: 3}}}, {}},
+		Claims: []placement.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}}}
 	for name, value := range map[string]any{
 		"wish": &wish{Name: "a", Life: 3}, "wish-release": &wish{Name: "a", Life: 3, Release: true}, "wish-empty": &wish{},
 		"roll": &roll, "roll-empty": &Roll{}, "planned-empty": &Planned{},
--- a/internal/seat/roll.go
+++ b/internal/seat/roll.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 	"maps"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/council"
+	"liftshift/internal/placement"
 )
 
 // Roll is who is in and who sits where, as agreed, and where all are, as heard.
 type Roll struct {
-	Places    []chairs.Place    `json:"Places"`
-	Table     chairs.Table      `json:"Table"`
+	Places    []placement.Place `json:"Places"`
+	Table     placement.Table   `json:"Table"`
 	Addresses map[string]string `json:"-"`
 }
 
--- a/internal/simfleet/estates.go
+++ b/internal/simfleet/estates.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"liftshift/internal/chairs"
 	"liftshift/internal/council"
 	"liftshift/internal/handoff"
+	"liftshift/internal/placement"
 	"liftshift/rules"
 )
 
@@ -221,7 +221,7 @@
 	s.seat(k, places, table)
 }
 
-func (s *Estates) seat(k int, places []chairs.Place, table chairs.Table) {
+func (s *Estates) seat(k int, places []placement.Place, table placement.Table) {
 	if table.Step > s.Ends[k].step {
 		s.Ends[k].step = table.Step
 		s.play(k, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
