--- a/internal/council/record.go
+++ b/internal/consensus/record.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"cmp"
--- a/internal/council/types.go
+++ b/internal/consensus/types.go
@@ -1,4 +1,4 @@
-// Package council is what the fleet agrees on, not merely hears: a replicated record, held by a few voters, of which life of which
+// Package consensus is what the fleet agrees on, not merely hears: a replicated record, held by a few voters, of which life of which
 // controller is in, and which is declared lost, in which term; and the leases that keep the two apart. Agreement is Raft's, by a
 // library without I/O; the rules around it are here. The package owns no socket, disk, clock or goroutine.
 //
@@ -6,7 +6,7 @@
 // life lost, as long as clocks run apart by no more than drift and whatever stalls, dies or is cut off in between. The holder counts
 // from when it asked, the granter from when it granted, which is later; a new leader, who does not know what the one before it
 // granted, declares nobody lost until all that can have been granted is over.
-package council
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -14,8 +14,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/consensus"
 	"liftshift/internal/control"
-	"liftshift/internal/council"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/ledger"
@@ -117,28 +117,28 @@
 }
 
 // agreed takes what the council says; the carrier's goroutine calls it.
-func (f *fleet) agreed(now float64, e council.Effect) {
+func (f *fleet) agreed(now float64, e consensus.Effect) {
 	log := f.log.WithFields(logrus.Fields{"member": e.Name, "life": e.Life, "term": e.Term})
 	switch e.Kind {
-	case council.Declared:
+	case consensus.Declared:
 		f.declared.Add(1)
 		log.WithField("why", e.Why).Warn("council: a life is declared lost")
-	case council.Admitted:
+	case consensus.Admitted:
 		f.line(now).WithFields(logrus.Fields{"member": e.Name, "life": e.Life, "term": e.Term}).Info("council: a life is let in")
-	case council.Led:
+	case consensus.Led:
 		f.log.WithField("leader", e.Name).Info("council: led by another")
-	case council.Founded:
+	case consensus.Founded:
 		f.log.Info("council: founded")
-	case council.Lease:
+	case consensus.Lease:
 		if e.Held {
 			f.log.Info("council: this controller holds its lease")
 		} else {
 			f.log.Warn("council: this controller's lease is over")
 		}
-	case council.Dethrone:
+	case consensus.Dethrone:
 		f.log.Warn("council: this life has been declared lost; going on as another")
 		f.carrier.Renew(now)
-	case council.Broken:
+	case consensus.Broken:
 		f.log.WithField("why", e.Why).Error("council: this voter can't go on; the others do")
 		f.sick.Store(true)
 		go f.carrier.Mark(f.marks(members.Ready))
@@ -146,7 +146,7 @@
 }
 
 // showCouncil gives how this member stands to the council, and what is agreed.
-func (f *fleet) showCouncil(now float64, record council.Record) map[string]any {
+func (f *fleet) showCouncil(now float64, record consensus.Record) map[string]any {
 	s := f.seat.Status(now)
 	var voters, places []any
 	for _, v := range record.Voters {
@@ -304,7 +304,7 @@
 	if f == nil {
 		return true, nil, control.Wrongf("there is no fleet: the operators' file has no block fleet")
 	}
-	var record council.Record
+	var record consensus.Record
 	if question == "council" && f.seat != nil {
 		if record, err = f.seat.Record(); err != nil {
 			return true, nil, fmt.Errorf("council: the member that leads did not tell the record: %w", err)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/members"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/simfleet"
@@ -185,7 +185,7 @@
 	}
 	h.Run(10_000)
 	for n := range names {
-		h.Invented = append(h.Invented, council.Sight{Name: fmt.Sprint("x", n), Life: 1, Living: true})
+		h.Invented = append(h.Invented, consensus.Sight{Name: fmt.Sprint("x", n), Life: 1, Living: true})
 	}
 	began := h.Now
 	for h.Now < began+120_000 {
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
@@ -234,7 +234,7 @@
 			t.seat.Fetch(now, t.Watch.Plan().Number)
 		case zones.Propose:
 			if data, err := json.Marshal(e.Plan); err == nil {
-				t.seat.Move(council.PlanMotion(e.Plan.Number, data))
+				t.seat.Move(consensus.PlanMotion(e.Plan.Number, data))
 			}
 		case zones.Warn:
 			t.log.Warn("zones: " + e.Text)
@@ -290,7 +290,7 @@
 			return err
 		}
 	}
-	t.seat.Move(council.OrderMotion("zone "+o.Zone, data))
+	t.seat.Move(consensus.OrderMotion("zone "+o.Zone, data))
 	return nil
 }
 
--- a/internal/seat/disk.go
+++ b/internal/seat/disk.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
 )
@@ -31,7 +31,7 @@
 	store       *store.Store
 	seat        *Seat
 	id          string // of the folder
-	kept        council.Kept
+	kept        consensus.Kept
 	first, last uint64 // entries that are there
 	batch       store.Batch
 }
@@ -90,7 +90,7 @@
 		}
 		d.batch.Delete(key(snapRecord, 0))
 		d.batch.Delete(key(stateRecord, 0))
-		entries, d.kept, d.id = nil, council.Kept{}, ""
+		entries, d.kept, d.id = nil, consensus.Kept{}, ""
 	}
 	if d.id == "" {
 		var b [12]byte
@@ -118,7 +118,7 @@
 }
 
 // keep lines up what has to last. What follows from it waits until Stored.
-func (d *disk) keep(e *council.Effect) {
+func (d *disk) keep(e *consensus.Effect) {
 	d.batch.Reset()
 	put := func(kind byte, index uint64, m proto.Message) {
 		if b, err := proto.Marshal(m); err == nil {
@@ -167,7 +167,7 @@
 // Stored hears from the store's goroutine what became of a batch.
 func (d *disk) Stored(token uint64, err error) {
 	go d.seat.carrier.Post(func(now float64) {
-		d.seat.step(now, council.Event{Kind: council.Stored, Token: token, Failed: err != nil})
+		d.seat.step(now, consensus.Event{Kind: consensus.Stored, Token: token, Failed: err != nil})
 	})
 }
 
--- a/internal/seat/golden_test.go
+++ b/internal/seat/golden_test.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
 	"liftshift/internal/placement"
@@ -111,9 +111,9 @@
 	require.NoError(t, s.Close())
 	d, err := openDisk(fs, &Seat{}, silent())
 	require.NoError(t, err)
-	write(t, d, council.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
+	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	d.close()
 	whole := goldenFolder(t, "folder", fs)
 	again, err := openDisk(whole.Clone(), &Seat{}, silent())
@@ -136,7 +136,7 @@
 	require.NoError(t, err)
 	defer torn.close()
 	assert.NotEqual(t, "0123456789abcdef01234567", torn.id)
-	assert.Equal(t, council.Kept{}, torn.kept)
+	assert.Equal(t, consensus.Kept{}, torn.kept)
 }
 
 // ear hears what a seat sends over real sockets, and answers each lease with a golden reply.
@@ -193,7 +193,7 @@
 		s.Fetch(now, 300)
 		s.say("b", []byte("what a voter says"))
 	})
-	s.Move(council.OrderMotion("zone z1", []byte(`{"y":2}`)))
+	s.Move(consensus.OrderMotion("zone z1", []byte(`{"y":2}`)))
 	_, err = s.Record()
 	assert.Error(t, err, "the answer is empty")
 	s.Release()
--- a/internal/seat/helpers_test.go
+++ b/internal/seat/helpers_test.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/standin"
 	"liftshift/internal/store"
 )
@@ -26,7 +26,7 @@
 }
 
 // write keeps something and waits until all before it lasts.
-func write(t *testing.T, d *disk, e council.Effect) {
+func write(t *testing.T, d *disk, e consensus.Effect) {
 	t.Helper()
 	d.keep(&e)
 	var b store.Batch
--- a/internal/seat/roll.go
+++ b/internal/seat/roll.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"maps"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/placement"
 )
 
@@ -67,7 +67,7 @@
 		switch to := s.council.Status(now).Leader; to {
 		case "":
 		case s.name:
-			s.step(now, council.Event{Kind: council.Proposed, Data: motion})
+			s.step(now, consensus.Event{Kind: consensus.Proposed, Data: motion})
 		default:
 			s.ask(now, to, append([]byte{moves}, motion...), func(float64, []byte, error) {})
 		}
--- a/internal/seat/seat.go
+++ b/internal/seat/seat.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
 	"liftshift/internal/vfs"
@@ -50,7 +50,7 @@
 // Seat is a member's end of the council. Its methods are called by the carrier's goroutine unless they say otherwise.
 type Seat struct {
 	// Said is told of what the council says besides what is carried here. It must not wait.
-	Said func(now float64, e council.Effect)
+	Said func(now float64, e consensus.Effect)
 
 	// Rolled, if set, is told who is in and who sits where whenever that changes, and where all are; Relived of this controller's life.
 	Rolled  func(Roll)
@@ -61,7 +61,7 @@
 	Planned   func(now float64, p Planned)
 	Confirmed func(now float64, number uint64, at float64)
 
-	council *council.Council
+	council *consensus.Council
 	carrier *fleetwire.Carrier
 	view    *members.View
 	disk    *disk // nil: it never votes
@@ -87,8 +87,8 @@
 	log logrus.FieldLogger) (*Seat, error) {
 	self := view.Self()
 	s := &Seat{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
-		lines: map[string]chan []byte{}, stop: make(chan struct{}), Said: func(float64, council.Effect) {}}
-	var kept council.Kept
+		lines: map[string]chan []byte{}, stop: make(chan struct{}), Said: func(float64, consensus.Effect) {}}
+	var kept consensus.Kept
 	id := ""
 	if folder != nil {
 		d, err := openDisk(folder, s, log)
@@ -97,7 +97,7 @@
 		}
 		s.disk, kept, id = d, d.kept, d.id
 	}
-	s.council = council.New(carrier.Now(), self.Name, self.Life, id, founders, kept, given, seed)
+	s.council = consensus.New(carrier.Now(), self.Name, self.Life, id, founders, kept, given, seed)
 	return s, nil
 }
 
@@ -106,14 +106,14 @@
 func (s *Seat) Held() bool { return s.carrier.Now() < math.Float64frombits(s.until.Load()) }
 
 // Status tells how things stand.
-func (s *Seat) Status(now float64) council.Status { return s.council.Status(now) }
+func (s *Seat) Status(now float64) consensus.Status { return s.council.Status(now) }
 
 // Replace has a voter replaced by another, where this member leads.
 func (s *Seat) Replace(now float64, from, to string) error {
 	if st := s.council.Status(now); st.Leader != s.name {
 		return fmt.Errorf("this member does not lead the council; %s does", st.Leader)
 	}
-	s.step(now, council.Event{Kind: council.Moved, Name: from, To: to})
+	s.step(now, consensus.Event{Kind: consensus.Moved, Name: from, To: to})
 	return nil
 }
 
@@ -126,20 +126,20 @@
 		s.seeAt = now + seeMS
 		if l := s.view.Self().Life; l != s.life {
 			s.life = l
-			s.step(now, council.Event{Kind: council.Relived, Life: l})
+			s.step(now, consensus.Event{Kind: consensus.Relived, Life: l})
 			if s.Relived != nil {
 				s.Relived(l)
 			}
 		}
-		var list []council.Sight
+		var list []consensus.Sight
 		for _, m := range s.view.Members() {
-			list = append(list, council.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
+			list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
 				Zone: m.Zone, Elector: m.Marks&members.Elector != 0, Doubled: m.Marks&members.Doubled != 0})
 		}
 		s.council.See(list)
 		s.look(now)
 	}
-	s.step(now, council.Event{Kind: council.Ticked})
+	s.step(now, consensus.Event{Kind: consensus.Ticked})
 }
 
 // Heard takes what another member says or asks.
@@ -152,7 +152,7 @@
 	case voterSays:
 		if len(rest) > 0 && int(rest[0]) <= mostNameLen && len(rest) > int(rest[0]) {
 			n := int(rest[0])
-			s.step(now, council.Event{Kind: council.Heard, Name: string(rest[1 : 1+n]), Data: rest[1+n:]})
+			s.step(now, consensus.Event{Kind: consensus.Heard, Name: string(rest[1 : 1+n]), Data: rest[1+n:]})
 		}
 		reply(nil, nil)
 	case asksLease:
@@ -163,7 +163,7 @@
 		}
 		s.tokens++
 		s.answers[s.tokens] = reply
-		s.step(now, council.Event{Kind: council.Asked, Token: s.tokens, Name: w.Name, Life: w.Life, Release: w.Release})
+		s.step(now, consensus.Event{Kind: consensus.Asked, Token: s.tokens, Name: w.Name, Life: w.Life, Release: w.Release})
 	case asksRoll:
 		known, _ := binary.Uvarint(rest)
 		places, table := s.council.Roll()
@@ -181,7 +181,7 @@
 		}
 		reply(json.Marshal(p))
 	case moves:
-		s.step(now, council.Event{Kind: council.Proposed, Data: rest})
+		s.step(now, consensus.Event{Kind: consensus.Proposed, Data: rest})
 		reply(nil, nil)
 	case saysHello:
 		data, err := json.Marshal(s.council.Hello())
@@ -195,7 +195,7 @@
 
 // Record gives what is agreed, from the member that leads where this one does not vote. It may be called from any goroutine but the
 // carrier's, and waits for the answer.
-func (s *Seat) Record() (r council.Record, err error) {
+func (s *Seat) Record() (r consensus.Record, err error) {
 	at := ""
 	s.carrier.Do(func(now float64, _ *members.View) {
 		st := s.council.Status(now)
@@ -235,7 +235,7 @@
 			close(done)
 			return
 		}
-		s.step(now, council.Event{Kind: council.GivenBack}) // before the council hears of it
+		s.step(now, consensus.Event{Kind: consensus.GivenBack}) // before the council hears of it
 		s.ask(now, to, append([]byte{asksLease}, data...), func(float64, []byte, error) { close(done) })
 	})
 	select {
@@ -265,47 +265,47 @@
 }
 
 // step plays an event to the council and carries what follows.
-func (s *Seat) step(now float64, ev council.Event) {
+func (s *Seat) step(now float64, ev consensus.Event) {
 	effects := s.council.Step(now, &ev)
-	for _, e := range append([]council.Effect(nil), effects...) {
+	for _, e := range append([]consensus.Effect(nil), effects...) {
 		switch e.Kind {
-		case council.Keep:
+		case consensus.Keep:
 			if s.disk != nil {
 				s.disk.keep(&e)
 			}
-		case council.Say:
+		case consensus.Say:
 			s.say(e.To, e.Data)
-		case council.Ask:
+		case consensus.Ask:
 			data, err := json.Marshal(wish{Name: e.Name, Life: e.Life})
 			if err != nil {
 				continue
 			}
 			s.ask(now, e.To, append([]byte{asksLease}, data...), func(now float64, reply []byte, err error) {
-				got := council.Event{Kind: council.Replied, Token: e.Token}
+				got := consensus.Event{Kind: consensus.Replied, Token: e.Token}
 				got.Failed = err != nil || json.Unmarshal(reply, &got.Reply) != nil
 				s.step(now, got)
 			})
-		case council.Answer:
+		case consensus.Answer:
 			if reply := s.answers[e.Token]; reply != nil {
 				delete(s.answers, e.Token)
 				reply(json.Marshal(e.Reply))
 			}
-		case council.Greet:
+		case consensus.Greet:
 			s.ask(now, e.To, []byte{saysHello}, func(now float64, reply []byte, err error) {
-				var h council.Hello
+				var h consensus.Hello
 				if err == nil && json.Unmarshal(reply, &h) == nil {
-					s.step(now, council.Event{Kind: council.Met, Hello: h})
+					s.step(now, consensus.Event{Kind: consensus.Met, Hello: h})
 				}
 			})
-		case council.Reseated:
+		case consensus.Reseated:
 			if places, table := s.council.Roll(); table.Step > s.rolled {
 				s.roll(Roll{Places: places, Table: table})
 			}
-		case council.Replanned:
+		case consensus.Replanned:
 			if s.Planned != nil {
 				s.Planned(now, s.plan(now))
 			}
-		case council.Confirmed:
+		case consensus.Confirmed:
 			if s.Confirmed != nil {
 				s.Confirmed(now, e.Number, e.At)
 			}
--- a/internal/seat/seat_test.go
+++ b/internal/seat/seat_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
 	"liftshift/internal/vfs"
@@ -25,9 +25,9 @@
 	d, err := openDisk(fs, &Seat{}, silent())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, council.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
+	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	for seed, loss := range []vfs.Loss{vfs.All, vfs.Nought} {
 		again, err := openDisk(fs.Clone().Crash(loss, uint64(seed)), &Seat{}, silent())
 		require.NoError(t, err)
@@ -37,8 +37,8 @@
 		assert.Equal(t, uint64(2), again.kept.Entries[1].GetTerm())
 		again.close()
 	}
-	write(t, d, council.Effect{Snap: snapAt(3)})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
+	write(t, d, consensus.Effect{Snap: snapAt(3)})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
 	d.close()
 	again, err := openDisk(fs, &Seat{}, silent())
 	require.NoError(t, err)
@@ -54,8 +54,8 @@
 	d, err := openDisk(fs, &Seat{}, silent())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, council.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
-	write(t, d, council.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
+	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
 	d.close()
 	names, err := fs.List()
 	require.NoError(t, err)
@@ -107,8 +107,8 @@
 		s, err := New(c, v, fs, names, nil, uint32(k), silent())
 		require.NoError(t, err)
 		if name == "b" {
-			s.Said = func(_ float64, e council.Effect) {
-				if e.Kind == council.Broken {
+			s.Said = func(_ float64, e consensus.Effect) {
+				if e.Kind == consensus.Broken {
 					broken.Store(true)
 				}
 			}
@@ -124,7 +124,7 @@
 	full.Store(true)
 	s := seats[lead()] // something to be kept by all
 	require.True(t, s.carrier.Do(func(now float64, _ *members.View) {
-		s.step(now, council.Event{Kind: council.Asked, Name: "c", Life: 1, Release: true})
+		s.step(now, consensus.Event{Kind: consensus.Asked, Name: "c", Life: 1, Release: true})
 	}))
 	require.Eventually(t, broken.Load, 10*time.Second, 20*time.Millisecond)
 	require.Eventually(t, func() bool { leader = ""; return lead() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
--- a/internal/simfleet/estates.go
+++ b/internal/simfleet/estates.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/handoff"
 	"liftshift/internal/placement"
 	"liftshift/rules"
@@ -216,7 +216,7 @@
 	}
 }
 
-func (s *Estates) roll(k int, c *council.Council) {
+func (s *Estates) roll(k int, c *consensus.Council) {
 	places, table := c.Roll()
 	s.seat(k, places, table)
 }
@@ -288,9 +288,9 @@
 				reply(e.Batch)
 			}
 		case handoff.Move:
-			data := council.Motion(e.Motion, e.Claim, e.Version)
+			data := consensus.Motion(e.Motion, e.Claim, e.Version)
 			for to := range s.Nodes { // whoever leads takes it up
-				s.later(k, to, func() { s.step(to, council.Event{Kind: council.Proposed, Data: data}) }, nil)
+				s.later(k, to, func() { s.step(to, consensus.Event{Kind: consensus.Proposed, Data: data}) }, nil)
 			}
 		case handoff.Refresh:
 			s.look(k)
--- a/internal/simfleet/hall.go
+++ b/internal/simfleet/hall.go
@@ -6,13 +6,13 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 	"liftshift/internal/members"
 )
 
 // Seat is a node's end of the council, and its disk.
 type Seat struct {
-	Council *council.Council
+	Council *consensus.Council
 	Disk    Disk
 	life    uint64
 	sawAt   float64
@@ -46,18 +46,18 @@
 	Leader   string
 	LedAt    float64
 	Declared int
-	Invented []council.Sight // that each view has besides: many names at once
+	Invented []consensus.Sight // that each view has besides: many names at once
 
 	open    map[string]Claim // declarations that are under way
 	folders int
 	tokens  uint64
-	answers map[uint64]func(council.Reply)
+	answers map[uint64]func(consensus.Reply)
 	lost    map[string]bool // lives that are declared lost
 }
 
 // NewHall returns a fleet whose first so many nodes found a council.
 func NewHall(n, founders int, seed uint64) *Hall {
-	h := &Hall{Fleet: New(n, seed), open: map[string]Claim{}, answers: map[uint64]func(council.Reply){}, lost: map[string]bool{}}
+	h := &Hall{Fleet: New(n, seed), open: map[string]Claim{}, answers: map[uint64]func(consensus.Reply){}, lost: map[string]bool{}}
 	for k := range n {
 		h.Seats = append(h.Seats, &Seat{})
 		h.Nodes[k].Rate = 1 + 0.001*(2*h.chance.Float64()-1)
@@ -80,14 +80,14 @@
 	h.Start(k)
 	nd, s := h.Nodes[k], h.Seats[k]
 	h.Tell(k, members.Event{Kind: members.Marked, Marks: members.Ready | members.Elector})
-	kept := council.Kept{State: s.Disk.State, Snap: s.Disk.Snap}
+	kept := consensus.Kept{State: s.Disk.State, Snap: s.Disk.Snap}
 	if s.Disk.Snap != nil {
 		for i := s.Disk.Snap.GetMetadata().GetIndex() + 1; s.Disk.Entries[i] != nil; i++ {
 			kept.Entries = append(kept.Entries, s.Disk.Entries[i])
 		}
 	}
 	s.life = nd.View.Self().Life
-	s.Council = council.New(h.Local(k), nd.Name, s.life, s.Disk.Folder, h.Founders, kept, h.Given, h.chance.Uint32())
+	s.Council = consensus.New(h.Local(k), nd.Name, s.life, s.Disk.Folder, h.Founders, kept, h.Given, h.chance.Uint32())
 	s.sawAt = -1000
 	h.tick(k, nd.run)
 }
@@ -104,21 +104,21 @@
 	}
 	if l := nd.View.Self().Life; l != s.life {
 		s.life = l
-		h.step(k, council.Event{Kind: council.Relived, Life: l})
+		h.step(k, consensus.Event{Kind: consensus.Relived, Life: l})
 	}
 	if h.Now >= s.sawAt+100 {
 		s.sawAt = h.Now
 		s.Council.See(append(Sights(nd.View), h.Invented...))
 	}
-	h.step(k, council.Event{Kind: council.Ticked})
+	h.step(k, consensus.Event{Kind: consensus.Ticked})
 	next := max(h.Now+1, min(s.Council.Next()/nd.Rate, h.Now+200))
 	h.At(next, func() { h.tick(k, run) })
 }
 
 // Sights is a view as the council gets it.
-func Sights(v *members.View) (list []council.Sight) {
+func Sights(v *members.View) (list []consensus.Sight) {
 	for _, m := range v.Members() {
-		list = append(list, council.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
+		list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
 			Zone: m.Zone, Elector: m.Marks&members.Elector != 0, Doubled: m.Marks&members.Doubled != 0})
 	}
 	return list
@@ -156,13 +156,13 @@
 }
 
 // step plays an event to a node's council and carries what follows.
-func (h *Hall) step(k int, ev council.Event) {
+func (h *Hall) step(k int, ev consensus.Event) {
 	nd, s := h.Nodes[k], h.Seats[k]
 	run := nd.run
 	effects := slices.Clone(s.Council.Step(h.Local(k), &ev))
 	for _, e := range effects {
 		to := h.named(e.To)
-		mine := func(ev council.Event) func() {
+		mine := func(ev consensus.Event) func() {
 			return func() {
 				if nd.Up && nd.run == run {
 					if h.Now < nd.until {
@@ -174,40 +174,40 @@
 			}
 		}
 		switch e.Kind {
-		case council.Keep:
-			h.keep(k, run, e, mine(council.Event{Kind: council.Stored, Token: e.Token, Failed: s.Disk.Fails}))
-		case council.Say:
+		case consensus.Keep:
+			h.keep(k, run, e, mine(consensus.Event{Kind: consensus.Stored, Token: e.Token, Failed: s.Disk.Fails}))
+		case consensus.Say:
 			if to >= 0 {
-				h.later(k, to, func() { h.step(to, council.Event{Kind: council.Heard, Name: nd.Name, Data: e.Data}) }, nil)
+				h.later(k, to, func() { h.step(to, consensus.Event{Kind: consensus.Heard, Name: nd.Name, Data: e.Data}) }, nil)
 			}
-		case council.Ask:
+		case consensus.Ask:
 			h.ask(k, to, e, mine)
-		case council.Answer:
+		case consensus.Answer:
 			if back := h.answers[e.Token]; back != nil {
 				delete(h.answers, e.Token)
 				back(e.Reply)
 			}
-		case council.Greet:
+		case consensus.Greet:
 			if to >= 0 {
 				h.later(k, to, func() {
 					hello := h.Seats[to].Council.Hello()
-					h.later(to, k, mine(council.Event{Kind: council.Met, Hello: hello}), nil)
+					h.later(to, k, mine(consensus.Event{Kind: consensus.Met, Hello: hello}), nil)
 				}, nil)
 			}
-		case council.Led:
+		case consensus.Led:
 			if e.Name != "" && e.Name != h.Leader {
 				h.Leader, h.LedAt = e.Name, h.Now
 			}
-		case council.Doomed:
+		case consensus.Doomed:
 			key := fmt.Sprint(e.Name, "/", e.Life)
 			if _, under := h.open[key]; !under && !h.lost[key] {
 				h.open[key] = Claim{Node: k, Kind: "declared", Name: e.Name, Life: e.Life, Call: h.Now}
 			}
-		case council.Declared:
+		case consensus.Declared:
 			h.declared(&e)
-		case council.Dethrone:
+		case consensus.Dethrone:
 			h.Tell(k, members.Event{Kind: members.Renew})
-		case council.Broken:
+		case consensus.Broken:
 			if !s.Disk.Fails {
 				h.Broken = append(h.Broken, fmt.Sprintf("%.0f: voter %s: %s", h.Now, nd.Name, e.Why))
 			}
@@ -215,14 +215,14 @@
 	}
 }
 
-func (h *Hall) stepIf(k, run int, ev council.Event) {
+func (h *Hall) stepIf(k, run int, ev consensus.Event) {
 	if h.Nodes[k].Up && h.Nodes[k].run == run {
 		h.step(k, ev)
 	}
 }
 
 // keep writes; what a crash overtakes is lost.
-func (h *Hall) keep(k, run int, e council.Effect, done func()) {
+func (h *Hall) keep(k, run int, e consensus.Effect, done func()) {
 	h.At(h.Now+0.2+5*h.chance.Float64(), func() {
 		if !h.Nodes[k].Up || h.Nodes[k].run != run {
 			return
@@ -251,9 +251,9 @@
 }
 
 // ask carries an asking for a lease and what is answered.
-func (h *Hall) ask(k, to int, e council.Effect, mine func(council.Event) func()) {
+func (h *Hall) ask(k, to int, e consensus.Effect, mine func(consensus.Event) func()) {
 	called := h.Now
-	failed := mine(council.Event{Kind: council.Replied, Token: e.Token, Failed: true})
+	failed := mine(consensus.Event{Kind: consensus.Replied, Token: e.Token, Failed: true})
 	if to < 0 {
 		failed()
 		return
@@ -261,21 +261,21 @@
 	h.later(k, to, func() {
 		h.tokens++
 		token := h.tokens
-		h.answers[token] = func(r council.Reply) {
+		h.answers[token] = func(r consensus.Reply) {
 			h.later(to, k, func() {
-				kind := map[council.Verdict]string{council.Granted: "granted", council.LifeIsLost: "refused"}[r.Verdict]
+				kind := map[consensus.Verdict]string{consensus.Granted: "granted", consensus.LifeIsLost: "refused"}[r.Verdict]
 				if kind != "" {
 					h.Claims = append(h.Claims, Claim{Node: k, Kind: kind, Name: e.Name, Life: e.Life, Call: called, Return: h.Now})
 				}
-				mine(council.Event{Kind: council.Replied, Token: e.Token, Reply: r})()
+				mine(consensus.Event{Kind: consensus.Replied, Token: e.Token, Reply: r})()
 			}, failed)
 		}
-		h.step(to, council.Event{Kind: council.Asked, Token: token, Name: e.Name, Life: e.Life})
+		h.step(to, consensus.Event{Kind: consensus.Asked, Token: token, Name: e.Name, Life: e.Life})
 	}, failed)
 }
 
 // declared checks that the one who is declared lost does not act on a lease.
-func (h *Hall) declared(e *council.Effect) {
+func (h *Hall) declared(e *consensus.Effect) {
 	key := fmt.Sprint(e.Name, "/", e.Life)
 	if !h.lost[key] {
 		h.lost[key] = true
--- a/internal/simfleet/hall_test.go
+++ b/internal/simfleet/hall_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/council"
+	"liftshift/internal/consensus"
 )
 
 func opened(t *testing.T, n, founders int, seed uint64) *Hall {
@@ -70,7 +70,7 @@
 	assert.False(t, Linearizable([]Claim{{0, "refused", "a", 1, 0, 1}, {1, "declared", "a", 1, 2, 3}}, nil), "refused before")
 	assert.True(t, Linearizable([]Claim{{0, "refused", "a", 1, 5, 6}}, map[string]Claim{"a/1": {1, "declared", "a", 1, 2, 0}}))
 	h := opened(t, 4, 3, 5)
-	h.declared(&council.Effect{Name: "n3", Life: h.Seats[3].life})
+	h.declared(&consensus.Effect{Name: "n3", Life: h.Seats[3].life})
 	assert.NotEmpty(t, h.Broken, "one that holds its lease is declared lost")
 }
 
