--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -18,7 +18,7 @@
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 	"liftshift/internal/ledger"
-	"liftshift/internal/seat"
+	"liftshift/internal/raftnode"
 	"liftshift/rules"
 )
 
@@ -37,7 +37,7 @@
 	desk    *dispatch.Desk
 	clock   dispatch.Clock
 	carrier *fleetwire.Carrier
-	seat    *seat.Seat
+	seat    *raftnode.Seat
 	held    func() bool // of the lease; nil: there is none yet
 	log     logrus.FieldLogger
 	name    string
@@ -72,7 +72,7 @@
 		to         string
 		sent, back *handoff.Batch
 	}
-	rolled  struct{ roll seat.Roll }
+	rolled  struct{ roll raftnode.Roll }
 	relived struct{ life uint64 }
 	stored  struct {
 		token uint64
@@ -88,9 +88,9 @@
 }
 
 // Begin has the trustee hear of the council and of others, once they are there.
-func (t *Trustee) Begin(s *seat.Seat) {
+func (t *Trustee) Begin(s *raftnode.Seat) {
 	t.seat, t.held = s, s.Held
-	s.Rolled = func(r seat.Roll) {
+	s.Rolled = func(r raftnode.Roll) {
 		t.addresses.Store(&r.Addresses)
 		go t.desk.Put(dispatch.Item{Note: rolled{r}})
 	}
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -21,7 +21,7 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/members"
 	"liftshift/internal/operator"
-	"liftshift/internal/seat"
+	"liftshift/internal/raftnode"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
 )
@@ -39,8 +39,8 @@
 	inst    *Installation
 	file    *operator.Fleet
 	carrier *fleetwire.Carrier
-	view    *members.View // the carrier's goroutine owns it
-	seat    *seat.Seat    // nil: no council
+	view    *members.View  // the carrier's goroutine owns it
+	seat    *raftnode.Seat // nil: no council
 	clock   dispatch.Clock
 	log     logrus.FieldLogger
 	changes chan float64 // how many there are, for the desk
@@ -90,7 +90,7 @@
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	if f.seat, err = seat.New(f.carrier, f.view, vfs.Beneath(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
+	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.Beneath(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
 		return err
 	}
 	f.seat.Said = f.agreed
--- a/internal/lab/orphans.go
+++ b/internal/lab/orphans.go
@@ -15,8 +15,8 @@
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 	"liftshift/internal/members"
+	"liftshift/internal/raftnode"
 	"liftshift/internal/rehearse"
-	"liftshift/internal/seat"
 	"liftshift/internal/standin"
 	"liftshift/rules"
 )
@@ -35,9 +35,9 @@
 // leaver is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
 type leaver struct {
 	carrier *fleetwire.Carrier
-	seat    *seat.Seat
+	seat    *raftnode.Seat
 	self    handoff.Member
-	roll    atomic.Pointer[seat.Roll]
+	roll    atomic.Pointer[raftnode.Roll]
 }
 
 func joinLeaver(f *rehearse.Fleet, k int) (*leaver, error) {
@@ -49,10 +49,10 @@
 	view := members.New(l.carrier.Now(), "rehearsal", members.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
 	var err error
-	if l.seat, err = seat.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
+	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
 		return nil, err
 	}
-	l.seat.Rolled = func(r seat.Roll) { l.roll.Store(&r) }
+	l.seat.Rolled = func(r raftnode.Roll) { l.roll.Store(&r) }
 	if err := l.carrier.Start(view, l.seat); err != nil {
 		return nil, err
 	}
--- a/internal/seat/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -1,4 +1,4 @@
-package seat
+package raftnode
 
 import (
 	"encoding/json"
--- a/internal/seat/seat.go
+++ b/internal/raftnode/raftnode.go
@@ -1,6 +1,6 @@
-// Package seat carries one member's end of the council: its log and snapshot to a store of their own, what voters say to one another
+// Package raftnode carries one member's end of the council: its log and snapshot to a store of their own, what voters say to one another
 // and the askings for leases over the fleet's carriage. It decides nothing.
-package seat
+package raftnode
 
 import (
 	"encoding/binary"
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -18,7 +18,7 @@
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/members"
-	"liftshift/internal/seat"
+	"liftshift/internal/raftnode"
 	"liftshift/internal/zones"
 	"liftshift/rules"
 )
@@ -44,7 +44,7 @@
 	Watch   *zones.Watch // of the carriage's goroutine
 	carrier *fleetwire.Carrier
 	view    *members.View
-	seat    *seat.Seat
+	seat    *raftnode.Seat
 	desk    *dispatch.Desk
 	log     logrus.FieldLogger
 	name    string
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *members.View, s *seat.Seat, log logrus.FieldLogger) *Scout {
+func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *members.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
@@ -169,7 +169,7 @@
 }
 
 // planned takes what is agreed.
-func (t *Scout) planned(now float64, p seat.Planned) {
+func (t *Scout) planned(now float64, p raftnode.Planned) {
 	ev := zones.Event{Kind: zones.Planned}
 	if len(p.Plan) > 0 {
 		plan := &zones.Plan{}
