--- a/internal/fleetwire/fleetwire.go
+++ b/internal/fleetwire/fleetwire.go
@@ -21,7 +21,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/retry"
 )
 
@@ -50,7 +50,7 @@
 type Carrier struct {
 	Listen string
 	// Said is told of each effect of the view that is none of the carrier's, by the owner's goroutine. It must not wait.
-	Said func(now float64, e members.Effect)
+	Said func(now float64, e membership.Effect)
 
 	// Estate answers what others say of open work, if anything: by any goroutine, and no longer than the caller waits.
 	Estate func(ctx context.Context, data []byte) ([]byte, error)
@@ -60,7 +60,7 @@
 	// Scout takes a datagram of what is seen of zones, if anything does, as Word does.
 	Scout func(from netip.AddrPort, data []byte)
 
-	view    *members.View
+	view    *membership.View
 	council Council
 	log     logrus.FieldLogger
 	began   time.Time
@@ -83,14 +83,14 @@
 func New(listen string, log logrus.FieldLogger) *Carrier {
 	return &Carrier{Listen: listen, log: log, began: time.Now(), calls: make(chan func(float64), room), stop: make(chan struct{}),
 		done: make(chan struct{}), out: make(chan struct{}, mostOut), conns: map[string]*grpc.ClientConn{},
-		Said: func(float64, members.Effect) {}}
+		Said: func(float64, membership.Effect) {}}
 }
 
 // Now is the carrier's clock, in ms. It never jumps: only the time since the start is read.
 func (c *Carrier) Now() float64 { return float64(time.Since(c.began)) / float64(time.Millisecond) }
 
 // Start listens and runs the view, and the council if there is one.
-func (c *Carrier) Start(view *members.View, council Council) error {
+func (c *Carrier) Start(view *membership.View, council Council) error {
 	at, err := netip.ParseAddrPort(c.Listen)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -122,7 +122,7 @@
 }
 
 // Do has a call made by the owner's goroutine and waits for it; false once that has ended.
-func (c *Carrier) Do(call func(now float64, view *members.View)) bool {
+func (c *Carrier) Do(call func(now float64, view *membership.View)) bool {
 	made := make(chan struct{})
 	if !c.put(func(now float64) { call(now, c.view); close(made) }) {
 		return false
@@ -157,21 +157,21 @@
 }
 
 // Mark sets this controller's own marks.
-func (c *Carrier) Mark(m members.Marks) {
-	c.put(func(now float64) { c.step(now, &members.Event{Kind: members.Marked, Marks: m}) })
+func (c *Carrier) Mark(m membership.Marks) {
+	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Marked, Marks: m}) })
 }
 
 // Renew has this controller go on under a later life. It is for the owner's goroutine alone.
-func (c *Carrier) Renew(now float64) { c.step(now, &members.Event{Kind: members.Renew}) }
+func (c *Carrier) Renew(now float64) { c.step(now, &membership.Event{Kind: membership.Renew}) }
 
 // Leave says that a planned stop begins.
 func (c *Carrier) Leave() {
-	c.put(func(now float64) { c.step(now, &members.Event{Kind: members.Leave}) })
+	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Leave}) })
 }
 
 // Stop says good-bye and ends.
 func (c *Carrier) Stop() {
-	c.Do(func(now float64, _ *members.View) { c.step(now, &members.Event{Kind: members.Leaves}) })
+	c.Do(func(now float64, _ *membership.View) { c.step(now, &membership.Event{Kind: membership.Leaves}) })
 	time.Sleep(farewell)
 	close(c.stop)
 	<-c.done
@@ -195,7 +195,7 @@
 		}
 		now := c.Now()
 		if now >= c.view.Next() {
-			c.step(now, &members.Event{Kind: members.Ticked})
+			c.step(now, &membership.Event{Kind: membership.Ticked})
 		}
 		next := c.view.Next()
 		if c.council != nil {
@@ -219,11 +219,11 @@
 }
 
 // step plays an event to the view and carries what follows.
-func (c *Carrier) step(now float64, ev *members.Event) (reply []byte) {
+func (c *Carrier) step(now float64, ev *membership.Event) (reply []byte) {
 	effects := c.view.Step(now, ev)
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case members.Send:
+		case membership.Send:
 			at, err := netip.ParseAddrPort(e.To)
 			if err == nil {
 				_, err = c.udp.WriteToUDPAddrPort(e.Data, at) // never waits: what the system can't take is lost
@@ -231,9 +231,9 @@
 			if err != nil {
 				c.Dropped.Add(1)
 			}
-		case members.Exchange:
+		case membership.Exchange:
 			c.exchange(e.To, e.Data)
-		case members.Reply:
+		case membership.Reply:
 			reply = e.Data
 		default:
 			c.Said(now, *e)
@@ -247,9 +247,9 @@
 	c.Call(to, exchangeMethod, data, func(reply []byte, err error) {
 		c.put(func(now float64) {
 			if err != nil {
-				c.step(now, &members.Event{Kind: members.Failed, From: to})
+				c.step(now, &membership.Event{Kind: membership.Failed, From: to})
 			} else if len(reply) > 0 {
-				c.step(now, &members.Event{Kind: members.Answered, From: to, Data: reply})
+				c.step(now, &membership.Event{Kind: membership.Answered, From: to, Data: reply})
 			}
 		})
 	})
@@ -303,7 +303,7 @@
 			continue
 		}
 		select {
-		case c.calls <- func(now float64) { c.step(now, &members.Event{Kind: members.Heard, From: at, Data: data}) }:
+		case c.calls <- func(now float64) { c.step(now, &membership.Event{Kind: membership.Heard, From: at, Data: data}) }:
 		case <-c.done:
 			return
 		default:
@@ -324,7 +324,7 @@
 )
 
 type fleetServer interface {
-	Do(func(float64, *members.View)) bool
+	Do(func(float64, *membership.View)) bool
 }
 
 func handler(method string, handle func(c *Carrier, ctx context.Context, data []byte) ([]byte, error)) grpc.MethodDesc {
@@ -344,7 +344,7 @@
 var desc = grpc.ServiceDesc{ServiceName: service, HandlerType: (*fleetServer)(nil), Metadata: "liftshift/fleet", Methods: []grpc.MethodDesc{
 	handler("Exchange", func(c *Carrier, ctx context.Context, data []byte) ([]byte, error) {
 		return c.ask(ctx, func(now float64, reply func([]byte, error)) {
-			reply(c.step(now, &members.Event{Kind: members.Asked, Data: data}), nil)
+			reply(c.step(now, &membership.Event{Kind: membership.Asked, Data: data}), nil)
 		})
 	}),
 	handler("Council", func(c *Carrier, ctx context.Context, data []byte) ([]byte, error) {
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -14,7 +14,7 @@
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/placement"
 	"liftshift/internal/standin"
 	"liftshift/rules"
@@ -82,7 +82,7 @@
 		part = e.trustee
 	}
 	e.desk.Join(part)
-	view := members.New(e.carrier.Now(), "test", members.Member{Name: name, Life: 1, Address: at}, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Life: 1, Address: at}, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, e.carrier.Start(view, nil))
 	go e.desk.Run()
 	t.Cleanup(func() {
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -19,7 +19,7 @@
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/ledger"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/operator"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/vfs"
@@ -39,8 +39,8 @@
 	inst    *Installation
 	file    *operator.Fleet
 	carrier *fleetwire.Carrier
-	view    *members.View  // the carrier's goroutine owns it
-	seat    *raftnode.Seat // nil: no council
+	view    *membership.View // the carrier's goroutine owns it
+	seat    *raftnode.Seat   // nil: no council
 	clock   dispatch.Clock
 	log     logrus.FieldLogger
 	changes chan float64 // how many there are, for the desk
@@ -50,7 +50,7 @@
 	linesAt  float64
 	unsaid   uint64
 	present  float64
-	counts   atomic.Pointer[members.Counts]
+	counts   atomic.Pointer[membership.Counts]
 	declared atomic.Uint64
 	sick     atomic.Bool // the disk of this voter does not take what must last
 }
@@ -70,9 +70,9 @@
 	f := &fleet{inst: i, file: file, clock: clock, log: i.log, changes: make(chan float64, changedRoom), ended: make(chan struct{})}
 	f.carrier = fleetwire.New(file.Listen, i.log)
 	f.carrier.Said = f.said
-	self := members.Member{Name: name, Life: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
+	self := membership.Member{Name: name, Life: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
 	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Life, 10)))
-	f.view = members.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Given, seed)
+	f.view = membership.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Given, seed)
 	if err := f.openSeat(seed, given); err != nil {
 		return err
 	}
@@ -106,12 +106,12 @@
 }
 
 // marks are what this controller tells of itself.
-func (f *fleet) marks(m members.Marks) members.Marks {
+func (f *fleet) marks(m membership.Marks) membership.Marks {
 	if f.seat != nil {
-		m |= members.Elector
+		m |= membership.Elector
 	}
 	if f.sick.Load() {
-		m = m&^members.Elector | members.DiskSick
+		m = m&^membership.Elector | membership.DiskSick
 	}
 	return m
 }
@@ -141,7 +141,7 @@
 	case consensus.Broken:
 		f.log.WithField("why", e.Why).Error("council: this voter can't go on; the others do")
 		f.sick.Store(true)
-		go f.carrier.Mark(f.marks(members.Ready))
+		go f.carrier.Mark(f.marks(membership.Ready))
 	}
 }
 
@@ -189,7 +189,7 @@
 	if f == nil {
 		return
 	}
-	f.carrier.Mark(f.marks(members.Ready))
+	f.carrier.Mark(f.marks(membership.Ready))
 	go func() {
 		for {
 			select {
@@ -207,7 +207,7 @@
 
 func (f *fleet) stopping() {
 	if f != nil {
-		f.carrier.Mark(f.marks(members.Draining))
+		f.carrier.Mark(f.marks(membership.Draining))
 		f.carrier.Leave()
 	}
 }
@@ -223,29 +223,29 @@
 }
 
 // said takes what the view says; the carrier's goroutine calls it.
-func (f *fleet) said(now float64, e members.Effect) {
+func (f *fleet) said(now float64, e membership.Effect) {
 	m := &e.Member
 	switch e.Kind {
-	case members.Changed:
+	case membership.Changed:
 		if m.Name != f.view.Self().Name {
 			line := f.line(now).WithFields(logrus.Fields{"member": m.Name, "life": m.Life, "was": e.From.String(), "zone": m.Zone, "why": e.Why})
-			if m.Phase == members.Gone || m.Phase == members.Suspect {
+			if m.Phase == membership.Gone || m.Phase == membership.Suspect {
 				line.Warn("fleet: " + m.Phase.String())
 			} else if e.From != m.Phase {
 				line.Info("fleet: " + m.Phase.String())
 			}
 		}
-	case members.Relived:
+	case membership.Relived:
 		f.log.WithField("life", m.Life).Warn("fleet: the others knew a later life of this name; this one goes on under a later still")
 		if f.inst.keep != nil {
 			life := m.Life
 			go f.inst.desk.Put(dispatch.Item{Call: func(float64) { f.keepLife(life) }})
 		}
-	case members.Twins:
+	case membership.Twins:
 		f.log.WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "life": m.Life, "why": e.Why}).Error("fleet: a name borne twice")
-	case members.Stood:
+	case membership.Stood:
 		f.line(now).WithField("ms", math.Round(e.MS)).Warn("fleet: this controller stood still, and judges nobody by it")
-	case members.Cut:
+	case membership.Cut:
 		f.log.Warn("fleet: many went at once; it may be this controller that is cut off")
 	}
 	if n := f.view.Present(); n != f.present {
@@ -310,7 +310,7 @@
 			return true, nil, fmt.Errorf("council: the member that leads did not tell the record: %w", err)
 		}
 	}
-	done := f.carrier.Do(func(now float64, v *members.View) {
+	done := f.carrier.Do(func(now float64, v *membership.View) {
 		switch question {
 		case "members":
 			out = f.show(now, v)
@@ -342,7 +342,7 @@
 	return true, out, err
 }
 
-func names(m members.Marks) (list []any) {
+func names(m membership.Marks) (list []any) {
 	for _, n := range m.Names() {
 		list = append(list, n)
 	}
@@ -350,7 +350,7 @@
 }
 
 // show gives the whole view.
-func (f *fleet) show(now float64, v *members.View) map[string]any {
+func (f *fleet) show(now float64, v *membership.View) map[string]any {
 	var list []any
 	for _, m := range v.Members() {
 		list = append(list, map[string]any{"name": m.Name, "life": strconv.FormatUint(m.Life, 10), "incarnation": float64(m.Inc),
@@ -364,7 +364,7 @@
 }
 
 // explain gives what was noticed of a member.
-func explain(now float64, v *members.View, name string) (map[string]any, error) {
+func explain(now float64, v *membership.View, name string) (map[string]any, error) {
 	m, known := v.Find(name)
 	if !known {
 		return nil, control.Wrongf("no member %q is known here", name)
--- a/internal/installation/lookout.go
+++ b/internal/installation/lookout.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/control"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/scout"
 	"liftshift/internal/zones"
 	"liftshift/rules"
@@ -64,7 +64,7 @@
 	if l == nil {
 		return true, nil, control.Wrongf("nothing is decided between zones: the operators' file has no block zones")
 	}
-	done := l.fleet.carrier.Do(func(now float64, _ *members.View) {
+	done := l.fleet.carrier.Do(func(now float64, _ *membership.View) {
 		switch question {
 		case "zones":
 			out = l.show(now)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"liftshift/internal/consensus"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/simfleet"
 	"liftshift/rules"
@@ -73,8 +73,8 @@
 	for r := range rounds {
 		k := (r*7 + 3) % n
 		name, began, known, firstAt, lastAt := f.Nodes[k].Name, f.Now, 0, 0.0, 0.0
-		f.Saw = func(by int, e *members.Effect) {
-			if e.Kind == members.Changed && e.Member.Name == name && e.Member.Phase == members.Gone && by != k {
+		f.Saw = func(by int, e *membership.Effect) {
+			if e.Kind == membership.Changed && e.Member.Name == name && e.Member.Phase == membership.Gone && by != k {
 				if known++; known == 1 {
 					firstAt = f.Now - began
 				}
@@ -105,8 +105,8 @@
 		f := joined(shardMembers, uint64(s)+1000, rules.Given{"self_aware": aware})
 		f.Net.Loss = 0.1
 		last := map[string]float64{}
-		f.Saw = func(_ int, e *members.Effect) {
-			if e.Kind == members.Changed && e.Member.Phase == members.Gone {
+		f.Saw = func(_ int, e *membership.Effect) {
+			if e.Kind == membership.Changed && e.Member.Phase == membership.Gone {
 				if at, before := last[e.Member.Name]; !before || f.Now-at > 10_000 { // all that hold it so: one mistake
 					counts[s]++
 				}
--- a/internal/lab/orphans.go
+++ b/internal/lab/orphans.go
@@ -14,7 +14,7 @@
 
 	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/standin"
@@ -46,7 +46,7 @@
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
 	l.carrier = fleetwire.New(f.Relay.Listen(k), log)
 	given := rules.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
-	view := members.New(l.carrier.Now(), "rehearsal", members.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
+	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
 	var err error
 	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
@@ -56,7 +56,7 @@
 	if err := l.carrier.Start(view, l.seat); err != nil {
 		return nil, err
 	}
-	l.carrier.Mark(members.Ready)
+	l.carrier.Mark(membership.Ready)
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if r := l.roll.Load(); r != nil && l.seat.Held() && len(r.Table.Parts) > 0 {
 			return l, nil
--- a/internal/members/codec.go
+++ b/internal/membership/codec.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
--- a/internal/members/table.go
+++ b/internal/membership/table.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // input is what a member's phase goes by.
 type input uint8
--- a/internal/members/types.go
+++ b/internal/membership/types.go
@@ -1,8 +1,8 @@
-// Package members is one controller's view of the fleet: who is there, since when, in which zone and in what health. It hears
+// Package membership is one controller's view of the fleet: who is there, since when, in which zone and in what health. It hears
 // what others say and how probes went, with the time at which it heard it, and says what is to be sent and what has changed. It
 // owns no socket, clock or goroutine. What it holds is heard, not agreed: it is always there and may be wrong. Nothing that may
 // happen only once rests on it.
-package members
+package membership
 
 // Phase is where a member stands.
 type Phase uint8
--- a/internal/members/view.go
+++ b/internal/membership/view.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"hash/crc32"
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -19,7 +19,7 @@
 
 	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/placement"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
@@ -165,15 +165,15 @@
 	at := addresses(t, 2)
 	hears := &ear{heard: map[string]bool{}, reply: golden(t, "reply-granted.json", []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`))}
 	far := fleetwire.New(at[1], silent())
-	farView := members.New(far.Now(), "f", members.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 2)
+	farView := membership.New(far.Now(), "f", membership.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 2)
 	require.NoError(t, far.Start(farView, hears))
 	t.Cleanup(far.Stop)
 	c := fleetwire.New(at[0], silent())
-	v := members.New(c.Now(), "f", members.Member{Name: "a", Life: 3, Address: at[0]}, at, nil, 1)
-	before := members.New(0, "f", members.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 3)
-	for _, e := range before.Step(0, &members.Event{Kind: members.Ticked}) { // b is known at once
+	v := membership.New(c.Now(), "f", membership.Member{Name: "a", Life: 3, Address: at[0]}, at, nil, 1)
+	before := membership.New(0, "f", membership.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 3)
+	for _, e := range before.Step(0, &membership.Event{Kind: membership.Ticked}) { // b is known at once
 		if len(e.Data) > 0 {
-			v.Step(c.Now(), &members.Event{Kind: members.Heard, From: at[1], Data: e.Data})
+			v.Step(c.Now(), &membership.Event{Kind: membership.Heard, From: at[1], Data: e.Data})
 		}
 	}
 	_, known := v.Find("b")
@@ -186,7 +186,7 @@
 	t.Cleanup(c.Stop)
 	require.Eventually(t, s.Held, 20*time.Second, 10*time.Millisecond)
 	assert.Equal(t, uint64(4), <-confirmed)
-	c.Do(func(now float64, _ *members.View) {
+	c.Do(func(now float64, _ *membership.View) {
 		require.Equal(t, "b", s.Leader(now))
 		s.rolled = 300
 		s.askRoll(now)
@@ -198,7 +198,7 @@
 	assert.Error(t, err, "the answer is empty")
 	s.Release()
 
-	still := members.New(0, "f", members.Member{Name: "a", Life: 3, Address: at[0]}, nil, nil, 1)
+	still := membership.New(0, "f", membership.Member{Name: "a", Life: 3, Address: at[0]}, nil, nil, 1)
 	other, err := New(fleetwire.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
 	require.NoError(t, err)
 	for file, want := range map[string]string{
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -15,7 +15,7 @@
 
 	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
 )
@@ -63,7 +63,7 @@
 
 	council *consensus.Council
 	carrier *fleetwire.Carrier
-	view    *members.View
+	view    *membership.View
 	disk    *disk // nil: it never votes
 	log     logrus.FieldLogger
 	name    string
@@ -83,7 +83,7 @@
 }
 
 // New opens a member's end. Folder is where it votes from; nil: it has no disk and only asks.
-func New(carrier *fleetwire.Carrier, view *members.View, folder vfs.FS, founders []string, given rules.Given, seed uint32,
+func New(carrier *fleetwire.Carrier, view *membership.View, folder vfs.FS, founders []string, given rules.Given, seed uint32,
 	log logrus.FieldLogger) (*Seat, error) {
 	self := view.Self()
 	s := &Seat{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
@@ -133,8 +133,8 @@
 		}
 		var list []consensus.Sight
 		for _, m := range s.view.Members() {
-			list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
-				Zone: m.Zone, Elector: m.Marks&members.Elector != 0, Doubled: m.Marks&members.Doubled != 0})
+			list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == membership.Left, Address: m.Address,
+				Zone: m.Zone, Elector: m.Marks&membership.Elector != 0, Doubled: m.Marks&membership.Doubled != 0})
 		}
 		s.council.See(list)
 		s.look(now)
@@ -197,7 +197,7 @@
 // carrier's, and waits for the answer.
 func (s *Seat) Record() (r consensus.Record, err error) {
 	at := ""
-	s.carrier.Do(func(now float64, _ *members.View) {
+	s.carrier.Do(func(now float64, _ *membership.View) {
 		st := s.council.Status(now)
 		if r = st.Record; !st.Voter && st.Leader != s.name {
 			at = s.address(st.Leader)
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -15,7 +15,7 @@
 
 	"liftshift/internal/consensus"
 	"liftshift/internal/fleetwire"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
 )
 
@@ -83,7 +83,7 @@
 	lead := func() string {
 		for _, n := range names {
 			s := seats[n]
-			s.carrier.Do(func(now float64, _ *members.View) {
+			s.carrier.Do(func(now float64, _ *membership.View) {
 				if st := s.Status(now); st.Leader == n {
 					leader = n
 				}
@@ -103,7 +103,7 @@
 			}
 		}
 		c := fleetwire.New(at[k], silent())
-		v := members.New(c.Now(), "f", members.Member{Name: name, Life: 1, Address: at[k]}, at, nil, uint32(k))
+		v := membership.New(c.Now(), "f", membership.Member{Name: name, Life: 1, Address: at[k]}, at, nil, uint32(k))
 		s, err := New(c, v, fs, names, nil, uint32(k), silent())
 		require.NoError(t, err)
 		if name == "b" {
@@ -123,7 +123,7 @@
 	}
 	full.Store(true)
 	s := seats[lead()] // something to be kept by all
-	require.True(t, s.carrier.Do(func(now float64, _ *members.View) {
+	require.True(t, s.carrier.Do(func(now float64, _ *membership.View) {
 		s.step(now, consensus.Event{Kind: consensus.Asked, Name: "c", Life: 1, Release: true})
 	}))
 	require.Eventually(t, broken.Load, 10*time.Second, 20*time.Millisecond)
--- a/internal/scout/golden_test.go
+++ b/internal/scout/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/fleetwire"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/standin"
 	"liftshift/internal/zones"
 	"liftshift/rules"
@@ -37,14 +37,14 @@
 }
 
 // goldenCarrier starts a carrier for a member.
-func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*fleetwire.Carrier, members.Member) {
+func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*fleetwire.Carrier, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := standin.Spot()
 	require.NoError(t, err)
-	c, self := fleetwire.New(at, log), members.Member{Name: name, Life: 1, Address: at}
+	c, self := fleetwire.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
 	c.Scout = scout
-	view := members.New(c.Now(), "test", self, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	view := membership.New(c.Now(), "test", self, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, c.Start(view, nil))
 	t.Cleanup(c.Stop)
 	return c, self
@@ -63,7 +63,7 @@
 	carrier, _ := goldenCarrier(t, "a", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := members.New(0, "test", b, nil, rules.Given{}, 1) // its own member is the one that is sent to
+	view := membership.New(0, "test", b, nil, rules.Given{}, 1) // its own member is the one that is sent to
 	s := New(zones.New("a", "z0", "r", zones.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
 	for _, ev := range []zones.Event{
 		{Kind: zones.Present, Leader: "b", Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
@@ -99,7 +99,7 @@
 	carrier, self := goldenCarrier(t, "b", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := members.New(0, "test", self, nil, rules.Given{}, 1)
+	view := membership.New(0, "test", self, nil, rules.Given{}, 1)
 	watch := func(name string) *Scout {
 		return New(zones.New(name, "z0", "r", zones.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
 	}
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -17,7 +17,7 @@
 	"liftshift/internal/consensus"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/fleetwire"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/zones"
 	"liftshift/rules"
@@ -43,7 +43,7 @@
 type Scout struct {
 	Watch   *zones.Watch // of the carriage's goroutine
 	carrier *fleetwire.Carrier
-	view    *members.View
+	view    *membership.View
 	seat    *raftnode.Seat
 	desk    *dispatch.Desk
 	log     logrus.FieldLogger
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *members.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
+func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
--- a/internal/simfleet/hall.go
+++ b/internal/simfleet/hall.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"liftshift/internal/consensus"
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 )
 
 // Seat is a node's end of the council, and its disk.
@@ -79,7 +79,7 @@
 func (h *Hall) Open(k int) {
 	h.Start(k)
 	nd, s := h.Nodes[k], h.Seats[k]
-	h.Tell(k, members.Event{Kind: members.Marked, Marks: members.Ready | members.Elector})
+	h.Tell(k, membership.Event{Kind: membership.Marked, Marks: membership.Ready | membership.Elector})
 	kept := consensus.Kept{State: s.Disk.State, Snap: s.Disk.Snap}
 	if s.Disk.Snap != nil {
 		for i := s.Disk.Snap.GetMetadata().GetIndex() + 1; s.Disk.Entries[i] != nil; i++ {
@@ -116,10 +116,10 @@
 }
 
 // Sights is a view as the council gets it.
-func Sights(v *members.View) (list []consensus.Sight) {
+func Sights(v *membership.View) (list []consensus.Sight) {
 	for _, m := range v.Members() {
-		list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == members.Left, Address: m.Address,
-			Zone: m.Zone, Elector: m.Marks&members.Elector != 0, Doubled: m.Marks&members.Doubled != 0})
+		list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == membership.Left, Address: m.Address,
+			Zone: m.Zone, Elector: m.Marks&membership.Elector != 0, Doubled: m.Marks&membership.Doubled != 0})
 	}
 	return list
 }
@@ -206,7 +206,7 @@
 		case consensus.Declared:
 			h.declared(&e)
 		case consensus.Dethrone:
-			h.Tell(k, members.Event{Kind: members.Renew})
+			h.Tell(k, membership.Event{Kind: membership.Renew})
 		case consensus.Broken:
 			if !s.Disk.Fails {
 				h.Broken = append(h.Broken, fmt.Sprintf("%.0f: voter %s: %s", h.Now, nd.Name, e.Why))
--- a/internal/simfleet/helpers_test.go
+++ b/internal/simfleet/helpers_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 )
 
 func started(t *testing.T, n int, seed uint64) *Fleet {
@@ -28,9 +28,9 @@
 // falselyGone counts who is held for gone though it is up.
 func falselyGone(f *Fleet) *int {
 	n := new(int)
-	f.Saw = func(_ int, e *members.Effect) {
+	f.Saw = func(_ int, e *membership.Effect) {
 		for _, nd := range f.Nodes {
-			if e.Kind == members.Changed && e.Member.Phase == members.Gone && nd.Name == e.Member.Name && nd.Up {
+			if e.Kind == membership.Changed && e.Member.Phase == membership.Gone && nd.Name == e.Member.Name && nd.Up {
 				*n++
 			}
 		}
--- a/internal/simfleet/simfleet.go
+++ b/internal/simfleet/simfleet.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"liftshift/internal/members"
+	"liftshift/internal/membership"
 	"liftshift/rules"
 )
 
@@ -21,7 +21,7 @@
 
 // Node is one controller.
 type Node struct {
-	View    *members.View
+	View    *membership.View
 	Name    string
 	Address string
 	Up      bool
@@ -36,7 +36,7 @@
 	seq  uint64
 	to   int
 	run  int
-	ev   members.Event
+	ev   membership.Event
 	from int
 	call func()
 }
@@ -66,7 +66,7 @@
 	Given rules.Given
 	Zones int
 	// Saw is told of each effect that says something.
-	Saw func(node int, e *members.Effect)
+	Saw func(node int, e *membership.Effect)
 	// Tap is shown each datagram that arrives.
 	Tap func(from, to int, data []byte)
 
@@ -102,10 +102,10 @@
 	f.life++
 	nd.Up, nd.until = true, 0
 	nd.run++
-	nd.View = members.New(f.Local(k), "sim", members.Member{Name: nd.Name, Life: f.life, Address: nd.Address, Zone: fmt.Sprintf("z%d", k%f.Zones),
-		Version: 1, Marks: members.Ready}, f.Seeds, f.Given, f.chance.Uint32())
+	nd.View = membership.New(f.Local(k), "sim", membership.Member{Name: nd.Name, Life: f.life, Address: nd.Address, Zone: fmt.Sprintf("z%d", k%f.Zones),
+		Version: 1, Marks: membership.Ready}, f.Seeds, f.Given, f.chance.Uint32())
 	nd.ticking = f.Now
-	f.put(event{at: f.Now, to: k, run: nd.run, ev: members.Event{Kind: members.Ticked}})
+	f.put(event{at: f.Now, to: k, run: nd.run, ev: membership.Event{Kind: membership.Ticked}})
 }
 
 // Move gives a node another address before its next start.
@@ -127,7 +127,7 @@
 func (f *Fleet) At(at float64, call func()) { f.put(event{at: at, to: -1, call: call}) }
 
 // Tell plays an event to a node now.
-func (f *Fleet) Tell(k int, ev members.Event) { f.play(k, -1, &ev) }
+func (f *Fleet) Tell(k int, ev membership.Event) { f.play(k, -1, &ev) }
 
 func (f *Fleet) put(e event) {
 	f.seq++
@@ -153,7 +153,7 @@
 			f.put(e)
 			continue
 		}
-		if e.ev.Kind == members.Ticked && e.from < 0 && nd.ticking != e.at && nd.until < e.at {
+		if e.ev.Kind == membership.Ticked && e.from < 0 && nd.ticking != e.at && nd.until < e.at {
 			continue // another one took its place
 		}
 		f.play(e.to, e.from, &e.ev)
@@ -162,24 +162,24 @@
 }
 
 // play hands an event to a node and carries what follows.
-func (f *Fleet) play(k, from int, ev *members.Event) {
+func (f *Fleet) play(k, from int, ev *membership.Event) {
 	nd := f.Nodes[k]
 	effects := nd.View.Step(f.Local(k), ev)
 	for i := range effects {
 		e := &effects[i]
 		switch e.Kind {
-		case members.Send:
+		case membership.Send:
 			f.Messages++
 			f.Bytes += uint64(len(e.Data))
-			f.carry(k, e.To, members.Event{Kind: members.Heard, Data: e.Data})
-		case members.Exchange:
+			f.carry(k, e.To, membership.Event{Kind: membership.Heard, Data: e.Data})
+		case membership.Exchange:
 			f.exchange(k, e.To, e.Data)
-		case members.Reply:
+		case membership.Reply:
 			if from >= 0 && from < len(f.Nodes) && f.open(k, from) {
 				f.Messages++
 				f.Bytes += uint64(len(e.Data))
 				f.put(event{at: f.Now + f.delay(), to: from, run: f.Nodes[from].run, from: k,
-					ev: members.Event{Kind: members.Answered, From: nd.Address, Data: e.Data}})
+					ev: membership.Event{Kind: membership.Answered, From: nd.Address, Data: e.Data}})
 			}
 		default:
 			if f.Saw != nil {
@@ -187,9 +187,9 @@
 			}
 		}
 	}
-	if next := max(nd.View.Next()/nd.Rate, f.Now+0.01); next != nd.ticking || ev.Kind == members.Ticked {
+	if next := max(nd.View.Next()/nd.Rate, f.Now+0.01); next != nd.ticking || ev.Kind == membership.Ticked {
 		nd.ticking = next
-		f.put(event{at: next, to: k, run: nd.run, from: -1, ev: members.Event{Kind: members.Ticked}})
+		f.put(event{at: next, to: k, run: nd.run, from: -1, ev: membership.Event{Kind: membership.Ticked}})
 	}
 }
 
@@ -202,7 +202,7 @@
 
 func (f *Fleet) open(from, to int) bool { return f.Net.Cut == nil || !f.Net.Cut(from, to) }
 
-func (f *Fleet) carry(from int, address string, ev members.Event) {
+func (f *Fleet) carry(from int, address string, ev membership.Event) {
 	to, ok := f.byAddress[address]
 	if !ok || !f.Nodes[to].Up || f.Nodes[to].Address != address || !f.open(from, to) {
 		return
@@ -231,7 +231,7 @@
 	f.Messages++
 	f.Bytes += uint64(len(data))
 	f.put(event{at: f.Now + 2*f.delay(), to: to, run: f.Nodes[to].run, from: from,
-		ev: members.Event{Kind: members.Asked, From: f.Nodes[from].Address, Data: data}})
+		ev: membership.Event{Kind: membership.Asked, From: f.Nodes[from].Address, Data: data}})
 }
 
 // Settled tells whether each node that is up holds exactly those that are up for living, but suspects none.
@@ -250,7 +250,7 @@
 			continue
 		}
 		for _, other := range f.Nodes {
-			if m, known := nd.View.Find(other.Name); other.Up != (known && m.Phase == members.Here) {
+			if m, known := nd.View.Find(other.Name); other.Up != (known && m.Phase == membership.Here) {
 				return false
 			}
 		}
