--- a/internal/fleetwire/fleetwire.go
+++ b/internal/clusternet/clusternet.go
@@ -1,7 +1,7 @@
-// Package fleetwire carries what the members of a fleet say to one another: datagrams of at most 1,200 bytes over UDP, whole views
+// Package clusternet carries what the members of a fleet say to one another: datagrams of at most 1,200 bytes over UDP, whole views
 // and the council's talk by gRPC over TCP, both at the one address that the operators' file names. One goroutine owns the view and
 // the council. It decides nothing.
-package fleetwire
+package clusternet
 
 import (
 	"bytes"
--- a/internal/fleetwire/golden_test.go
+++ b/internal/clusternet/golden_test.go
@@ -1,4 +1,4 @@
-package fleetwire
+package clusternet
 
 import (
 	"flag"
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -13,9 +13,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 	"liftshift/internal/ledger"
 	"liftshift/internal/raftnode"
@@ -36,7 +36,7 @@
 	estate  *handoff.Estate
 	desk    *dispatch.Desk
 	clock   dispatch.Clock
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	seat    *raftnode.Seat
 	held    func() bool // of the lease; nil: there is none yet
 	log     logrus.FieldLogger
@@ -81,7 +81,7 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self handoff.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *fleetwire.Carrier, log logrus.FieldLogger) *Trustee {
+func New(self handoff.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Carrier, log logrus.FieldLogger) *Trustee {
 	return &Trustee{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
 		where: map[uint32]rules.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 	"liftshift/internal/membership"
 	"liftshift/internal/placement"
@@ -49,7 +49,7 @@
 // end is a trustee on a carriage of its own.
 type end struct {
 	trustee *Trustee
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	desk    *dispatch.Desk
 	at      string
 	deaf    atomic.Bool // to datagrams
@@ -67,7 +67,7 @@
 	at, err := standin.Spot()
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
-	e := &end{carrier: fleetwire.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
+	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
 	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
 	e.trustee = New(handoff.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
--- a/internal/handoffnet/line.go
+++ b/internal/handoffnet/line.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/handoff"
 )
 
@@ -18,7 +18,7 @@
 	answerKind = 'a'
 	callKind   = 'c' // the answer is too long for one: ask by a call
 	headBytes  = 9
-	mostSmall  = fleetwire.MostWord - headBytes
+	mostSmall  = clusternet.MostWord - headBytes
 	overDiskMS = 150 // in place of overMS where answers wait for disks
 )
 
@@ -274,7 +274,7 @@
 		time.Sleep(20 * time.Millisecond)
 		return nil
 	}
-	got, err := t.carrier.CallNow(l.address, fleetwire.EstateMethod, data)
+	got, err := t.carrier.CallNow(l.address, clusternet.EstateMethod, data)
 	if err == nil {
 		var b *handoff.Batch
 		if b, err = handoff.ReadBatch(got, t.clock.Now()); err == nil {
@@ -302,7 +302,7 @@
 				return // it is asked again by a call, and told why
 			}
 			out := frame(answerKind, n, data)
-			if len(out) > fleetwire.MostWord {
+			if len(out) > clusternet.MostWord {
 				out = frame(callKind, n, nil)
 			}
 			select {
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -14,10 +14,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/ledger"
 	"liftshift/internal/membership"
 	"liftshift/internal/operator"
@@ -38,7 +38,7 @@
 type fleet struct {
 	inst    *Installation
 	file    *operator.Fleet
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	view    *membership.View // the carrier's goroutine owns it
 	seat    *raftnode.Seat   // nil: no council
 	clock   dispatch.Clock
@@ -68,7 +68,7 @@
 		return fmt.Errorf("fleet: this controller has no name: give member, or a name in the platform's configuration")
 	}
 	f := &fleet{inst: i, file: file, clock: clock, log: i.log, changes: make(chan float64, changedRoom), ended: make(chan struct{})}
-	f.carrier = fleetwire.New(file.Listen, i.log)
+	f.carrier = clusternet.New(file.Listen, i.log)
 	f.carrier.Said = f.said
 	self := membership.Member{Name: name, Life: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
 	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Life, 10)))
--- a/internal/lab/orphans.go
+++ b/internal/lab/orphans.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/fleetwire"
+	"liftshift/internal/clusternet"
 	"liftshift/internal/handoff"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
@@ -34,7 +34,7 @@
 
 // leaver is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
 type leaver struct {
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	seat    *raftnode.Seat
 	self    handoff.Member
 	roll    atomic.Pointer[raftnode.Roll]
@@ -44,7 +44,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
-	l.carrier = fleetwire.New(f.Relay.Listen(k), log)
+	l.carrier = clusternet.New(f.Relay.Listen(k), log)
 	given := rules.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
 	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
@@ -83,7 +83,7 @@
 					b.Items = append(b.Items, handoff.Item{Op: handoff.Register, Key: handoff.KeyOf(w.Mark, ""), Number: 1, From: l.self,
 						Copy: &handoff.Copy{Work: w, Owner: l.self, Number: 1, Until: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Whole: true}})
 				}
-				data, err := l.carrier.CallNow(f.Relay.Known(to), fleetwire.EstateMethod, b.Append(nil, l.carrier.Now()))
+				data, err := l.carrier.CallNow(f.Relay.Known(to), clusternet.EstateMethod, b.Append(nil, l.carrier.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -17,8 +17,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/membership"
 	"liftshift/internal/placement"
 	"liftshift/internal/store"
@@ -164,11 +164,11 @@
 func TestGolden_SeatMessages(t *testing.T) {
 	at := addresses(t, 2)
 	hears := &ear{heard: map[string]bool{}, reply: golden(t, "reply-granted.json", []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`))}
-	far := fleetwire.New(at[1], silent())
+	far := clusternet.New(at[1], silent())
 	farView := membership.New(far.Now(), "f", membership.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 2)
 	require.NoError(t, far.Start(farView, hears))
 	t.Cleanup(far.Stop)
-	c := fleetwire.New(at[0], silent())
+	c := clusternet.New(at[0], silent())
 	v := membership.New(c.Now(), "f", membership.Member{Name: "a", Life: 3, Address: at[0]}, at, nil, 1)
 	before := membership.New(0, "f", membership.Member{Name: "b", Life: 1, Address: at[1]}, at, nil, 3)
 	for _, e := range before.Step(0, &membership.Event{Kind: membership.Ticked}) { // b is known at once
@@ -199,7 +199,7 @@
 	s.Release()
 
 	still := membership.New(0, "f", membership.Member{Name: "a", Life: 3, Address: at[0]}, nil, nil, 1)
-	other, err := New(fleetwire.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
+	other, err := New(clusternet.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
 	require.NoError(t, err)
 	for file, want := range map[string]string{
 		"hello": "h", "lease": `a{"Name":"a","Life":3}`, "lease-back": `a{"Name":"a","Life":3,"Release":true}`, "record": "r",
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
@@ -62,7 +62,7 @@
 	Confirmed func(now float64, number uint64, at float64)
 
 	council *consensus.Council
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	view    *membership.View
 	disk    *disk // nil: it never votes
 	log     logrus.FieldLogger
@@ -83,7 +83,7 @@
 }
 
 // New opens a member's end. Folder is where it votes from; nil: it has no disk and only asks.
-func New(carrier *fleetwire.Carrier, view *membership.View, folder vfs.FS, founders []string, given rules.Given, seed uint32,
+func New(carrier *clusternet.Carrier, view *membership.View, folder vfs.FS, founders []string, given rules.Given, seed uint32,
 	log logrus.FieldLogger) (*Seat, error) {
 	self := view.Self()
 	s := &Seat{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
@@ -206,7 +206,7 @@
 	if at == "" {
 		return r, nil
 	}
-	data, err := s.carrier.CallNow(at, fleetwire.CouncilMethod, []byte{asksRecord})
+	data, err := s.carrier.CallNow(at, clusternet.CouncilMethod, []byte{asksRecord})
 	if err == nil {
 		err = json.Unmarshal(data, &r)
 	}
@@ -258,7 +258,7 @@
 		return
 	}
 	if at := s.address(to); at != "" {
-		s.carrier.Call(at, fleetwire.CouncilMethod, data, bring)
+		s.carrier.Call(at, clusternet.CouncilMethod, data, bring)
 		return
 	}
 	go bring(nil, errors.New("it is not known where that member is"))
@@ -354,7 +354,7 @@
 			if !open {
 				return
 			}
-			if _, err := s.carrier.CallNow(at, fleetwire.CouncilMethod, data); err != nil {
+			if _, err := s.carrier.CallNow(at, clusternet.CouncilMethod, data); err != nil {
 				s.Dropped.Add(1)
 			}
 		case <-s.stop:
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
 )
@@ -102,7 +102,7 @@
 				return nil
 			}
 		}
-		c := fleetwire.New(at[k], silent())
+		c := clusternet.New(at[k], silent())
 		v := membership.New(c.Now(), "f", membership.Member{Name: name, Life: 1, Address: at[k]}, at, nil, uint32(k))
 		s, err := New(c, v, fs, names, nil, uint32(k), silent())
 		require.NoError(t, err)
--- a/internal/scout/golden_test.go
+++ b/internal/scout/golden_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/fleetwire"
+	"liftshift/internal/clusternet"
 	"liftshift/internal/membership"
 	"liftshift/internal/standin"
 	"liftshift/internal/zones"
@@ -37,12 +37,12 @@
 }
 
 // goldenCarrier starts a carrier for a member.
-func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*fleetwire.Carrier, membership.Member) {
+func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Carrier, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := standin.Spot()
 	require.NoError(t, err)
-	c, self := fleetwire.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
+	c, self := clusternet.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
 	c.Scout = scout
 	view := membership.New(c.Now(), "test", self, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, c.Start(view, nil))
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -14,9 +14,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/fleetwire"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/zones"
@@ -42,7 +42,7 @@
 // Scout joins a watch to a desk, to the carriage and to the council.
 type Scout struct {
 	Watch   *zones.Watch // of the carriage's goroutine
-	carrier *fleetwire.Carrier
+	carrier *clusternet.Carrier
 	view    *membership.View
 	seat    *raftnode.Seat
 	desk    *dispatch.Desk
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *fleetwire.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
+func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
