--- a/internal/installation/lookout.go
+++ b/internal/installation/lookout.go
@@ -12,9 +12,9 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/control"
+	"liftshift/internal/locality"
 	"liftshift/internal/membership"
 	"liftshift/internal/scout"
-	"liftshift/internal/zones"
 	"liftshift/rules"
 )
 
@@ -35,12 +35,12 @@
 	for k := 0; given.Text(fmt.Sprint("offering.", k, ".name")) != ""; k++ {
 		g["zone_unit"] = max(g.Num("zone_unit", 1), given.Num(fmt.Sprint("offering.", k, ".threads"), 1))
 	}
-	b := zones.BoundsOf(g)
+	b := locality.BoundsOf(g)
 	self := f.view.Self()
 	for name, r := range i.file.Zones.Regions {
 		b.WayMS[[2]string{self.Region, name}], b.Price[[2]string{self.Region, name}] = r.WayMS, r.Price
 	}
-	i.lookout = &lookout{inst: i, fleet: f, scout: scout.New(zones.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
+	i.lookout = &lookout{inst: i, fleet: f, scout: scout.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
 	i.lookout.scout.Begin()
 }
 
@@ -121,8 +121,8 @@
 // order has the council take in an operator's order.
 func (l *lookout) order(now float64, fields map[string]any) (map[string]any, error) {
 	text := func(name string) string { s, _ := fields[name].(string); return s }
-	o := zones.Order{Kind: zones.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Why: text("why")}
-	if !slices.ContainsFunc(l.scout.Watch.Plan().Zones, func(z zones.Zone) bool { return z.Name == o.Zone }) {
+	o := locality.Order{Kind: locality.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Why: text("why")}
+	if !slices.ContainsFunc(l.scout.Watch.Plan().Zones, func(z locality.Zone) bool { return z.Name == o.Zone }) {
 		return nil, control.Wrongf("no zone %q; see: liftshift zones show", o.Zone)
 	}
 	if l.fleet.seat.Leader(now) == "" {
@@ -134,10 +134,10 @@
 	}
 	if span > 0 {
 		o.Until, o.SpanMS = time.Now().Add(span).UnixMilli(), float64(span.Milliseconds())
-	} else if o.Kind != zones.Return {
+	} else if o.Kind != locality.Return {
 		return nil, control.Wrongf("an order to %s ends at some time: say for how long", o.Kind)
 	}
-	if o.Kind == zones.Return && span == 0 {
+	if o.Kind == locality.Return && span == 0 {
 		o.Until, o.SpanMS = time.Now().Add(time.Minute).UnixMilli(), float64(time.Minute.Milliseconds()) // it takes the place of the order before, and lapses
 	}
 	l.inst.log.WithFields(logrus.Fields{"zone": o.Zone, "order": string(o.Kind), "who": o.Author, "until": until(o.Until)}).Warn("zones: an operator's order")
--- a/internal/zones/table.go
+++ b/internal/locality/table.go
@@ -1,4 +1,4 @@
-package zones
+package locality
 
 import "slices"
 
--- a/internal/zones/types.go
+++ b/internal/locality/types.go
@@ -1,4 +1,4 @@
-// Package zones decides, for a fleet that stands in several zones, how far searches may go from where they came in: who may use which
+// Package locality decides, for a fleet that stands in several zones, how far searches may go from where they came in: who may use which
 // zone's executors, and for how many threads, while a zone is thinned, lost, evacuated or coming back. What controllers see is summed up
 // on its way to the one that leads the council; that one makes a plan, a pure function of what is seen and of the operators' orders; the
 // council holds the plan, and each controller hands its part of it to the decision module. Events and a time go in, effects come out;
@@ -7,7 +7,7 @@
 // Two kinds of knowing are kept apart. What is seen may be wrong, late, doubled or made up: it makes plans. What is agreed is the plan:
 // a part in it may be used only as long as a lease that was asked for confirms it, and what was one controller's is another's only after
 // that time. So all parts of a zone's cap together are never over it, whoever is cut off.
-package zones
+package locality
 
 import (
 	"slices"
--- a/internal/scout/golden_test.go
+++ b/internal/scout/golden_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/clusternet"
+	"liftshift/internal/locality"
 	"liftshift/internal/membership"
 	"liftshift/internal/standin"
-	"liftshift/internal/zones"
 	"liftshift/rules"
 )
 
@@ -50,10 +50,10 @@
 	return c, self
 }
 
-var goldenPlan = &zones.Plan{Number: 300, Pairs: []zones.Pair{{From: "z0", To: "z1", Cap: 80, Parts: []zones.Part{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
+var goldenPlan = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80, Parts: []locality.Part{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
 
-func goldenSeen(out float64) []zones.Executor {
-	return []zones.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Out: out}}
+func goldenSeen(out float64) []locality.Executor {
+	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Out: out}}
 }
 
 // The datagrams between scouts are written as they always were.
@@ -64,17 +64,17 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := membership.New(0, "test", b, nil, rules.Given{}, 1) // its own member is the one that is sent to
-	s := New(zones.New("a", "z0", "r", zones.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
-	for _, ev := range []zones.Event{
-		{Kind: zones.Present, Leader: "b", Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
-		{Kind: zones.Planned, Plan: goldenPlan},
-		{Kind: zones.Confirmed, Number: 300, At: 1000},
-		{Kind: zones.Seen, Executors: goldenSeen(40), Wants: 50}, // asks for a loan
-		{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5},
-		{Kind: zones.LoanAsked, From: "b", Zone: "z1", Number: 7},
-		{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100},
-		{Kind: zones.LoanAsked, From: "b", Zone: "z1", Number: 0x0123456789abcdef}, // lends
-		{Kind: zones.Ticked, Unix: 1},                                              // reports
+	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
+	for _, ev := range []locality.Event{
+		{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
+		{Kind: locality.Planned, Plan: goldenPlan},
+		{Kind: locality.Confirmed, Number: 300, At: 1000},
+		{Kind: locality.Seen, Executors: goldenSeen(40), Wants: 50}, // asks for a loan
+		{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5},
+		{Kind: locality.LoanAsked, From: "b", Zone: "z1", Number: 7},
+		{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100},
+		{Kind: locality.LoanAsked, From: "b", Zone: "z1", Number: 0x0123456789abcdef}, // lends
+		{Kind: locality.Ticked, Unix: 1},                                              // reports
 	} {
 		s.step(1000, &ev)
 	}
@@ -101,41 +101,41 @@
 	log.SetOutput(io.Discard)
 	view := membership.New(0, "test", self, nil, rules.Given{}, 1)
 	watch := func(name string) *Scout {
-		return New(zones.New(name, "z0", "r", zones.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
+		return New(locality.New(name, "z0", "r", locality.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
 	}
-	step := func(s *Scout, ev zones.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
+	step := func(s *Scout, ev locality.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
 	read := func(name string) []byte {
 		data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
 		require.NoError(t, err)
 		return data
 	}
-	counts := func(s *Scout) zones.Counts {
-		got := make(chan zones.Counts, 1)
+	counts := func(s *Scout) locality.Counts {
+		got := make(chan locality.Counts, 1)
 		carrier.Post(func(float64) {
-			s.step(1000, &zones.Event{Kind: zones.Confirmed, Number: 300, At: 1000})
+			s.step(1000, &locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
 			got <- s.Watch.Counts
 		})
 		return <-got
 	}
 	begin := func(s *Scout) {
-		step(s, zones.Event{Kind: zones.Present, Leader: "b", Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
-		step(s, zones.Event{Kind: zones.Planned, Plan: goldenPlan})
-		step(s, zones.Event{Kind: zones.Confirmed, Number: 300, At: 1000})
+		step(s, locality.Event{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+		step(s, locality.Event{Kind: locality.Planned, Plan: goldenPlan})
+		step(s, locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
 	}
 	b := watch("b")
 	begin(b)
-	step(b, zones.Event{Kind: zones.Present, Leader: "b", Leads: true, Members: []zones.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+	step(b, locality.Event{Kind: locality.Present, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
 	b.heard(netip.AddrPort{}, read("report"))
-	step(b, zones.Event{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5})
+	step(b, locality.Event{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5})
 	b.heard(netip.AddrPort{}, read("ask-loan"))
-	step(b, zones.Event{Kind: zones.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100})
+	step(b, locality.Event{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100})
 	b.heard(netip.AddrPort{}, read("ask-loan"))
 	got := counts(b)
 	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.Heard, got.Malformed, got.Lent})
 
 	a := watch("a")
 	begin(a)
-	step(a, zones.Event{Kind: zones.Seen, Executors: goldenSeen(40), Wants: 50})
+	step(a, locality.Event{Kind: locality.Seen, Executors: goldenSeen(40), Wants: 50})
 	loan := read("give-loan")
 	copy(loan[3:11], read("ask-loan")[3:11])
 	loan[2] = 'b'
--- a/internal/scout/scout.go
+++ b/internal/scout/scout.go
@@ -17,9 +17,9 @@
 	"liftshift/internal/clusternet"
 	"liftshift/internal/consensus"
 	"liftshift/internal/dispatch"
+	"liftshift/internal/locality"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
-	"liftshift/internal/zones"
 	"liftshift/rules"
 )
 
@@ -41,7 +41,7 @@
 
 // Scout joins a watch to a desk, to the carriage and to the council.
 type Scout struct {
-	Watch   *zones.Watch // of the carriage's goroutine
+	Watch   *locality.Watch // of the carriage's goroutine
 	carrier *clusternet.Carrier
 	view    *membership.View
 	seat    *raftnode.Seat
@@ -64,8 +64,8 @@
 	applied uint64 // what the module has, of the desk's goroutine
 	opened  chan struct{}
 
-	counts atomic.Pointer[zones.Counts]
-	plan   atomic.Pointer[zones.Plan]
+	counts atomic.Pointer[locality.Counts]
+	plan   atomic.Pointer[locality.Plan]
 }
 
 // reaching is what the module is to know, and its number.
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *zones.Watch, name string, given rules.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
+func New(w *locality.Watch, name string, given rules.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
@@ -100,7 +100,7 @@
 func (t *Scout) Begin() {
 	t.seat.Planned = t.planned
 	t.seat.Confirmed = func(now float64, number uint64, at float64) {
-		t.step(now, &zones.Event{Kind: zones.Confirmed, Number: number, At: at})
+		t.step(now, &locality.Event{Kind: locality.Confirmed, Number: number, At: at})
 	}
 	t.carrier.Scout = t.heard
 	go t.open()
@@ -137,7 +137,7 @@
 
 // Count gives the counters for the log.
 func (t *Scout) Count() logrus.Fields {
-	c, p := zones.Counts{}, zones.Plan{}
+	c, p := locality.Counts{}, locality.Plan{}
 	if x := t.counts.Load(); x != nil {
 		c = *x
 	}
@@ -156,23 +156,23 @@
 func (t *Scout) tick(now float64) {
 	if now >= t.last+presentMS {
 		t.last = now
-		var list []zones.Member
+		var list []locality.Member
 		for _, m := range t.view.Members() {
-			list = append(list, zones.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.Phase.Living()})
+			list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.Phase.Living()})
 		}
 		leader := t.seat.Leader(now)
-		t.step(now, &zones.Event{Kind: zones.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.Held()})
+		t.step(now, &locality.Event{Kind: locality.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.Held()})
 	}
-	t.step(now, &zones.Event{Kind: zones.Ticked, Unix: time.Now().UnixMilli()})
+	t.step(now, &locality.Event{Kind: locality.Ticked, Unix: time.Now().UnixMilli()})
 	c := t.Watch.Counts
 	t.counts.Store(&c)
 }
 
 // planned takes what is agreed.
 func (t *Scout) planned(now float64, p raftnode.Planned) {
-	ev := zones.Event{Kind: zones.Planned}
+	ev := locality.Event{Kind: locality.Planned}
 	if len(p.Plan) > 0 {
-		plan := &zones.Plan{}
+		plan := &locality.Plan{}
 		if json.Unmarshal(p.Plan, plan) != nil {
 			return // of a later version
 		}
@@ -185,7 +185,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		var o zones.Order
+		var o locality.Order
 		if json.Unmarshal(p.Orders[name], &o) == nil {
 			ev.Orders = append(ev.Orders, o)
 		}
@@ -204,7 +204,7 @@
 	one := *p
 	t.plan.Store(&one)
 	for _, z := range p.Zones {
-		before, stage := zones.Whole, 0
+		before, stage := locality.Whole, 0
 		if was != nil {
 			for _, o := range was.Zones {
 				if o.Name == z.Name {
@@ -219,26 +219,26 @@
 }
 
 // step plays an event to the watch and carries what follows.
-func (t *Scout) step(now float64, ev *zones.Event) {
+func (t *Scout) step(now float64, ev *locality.Event) {
 	for _, e := range slices.Clone(t.Watch.Step(now, ev)) {
 		switch e.Kind {
-		case zones.Tell:
+		case locality.Tell:
 			t.send(now, e.To, reports, e.Data)
-		case zones.Announce:
+		case locality.Announce:
 			t.send(now, e.To, announces, binary.AppendUvarint(nil, e.Number))
-		case zones.AskLoan:
+		case locality.AskLoan:
 			t.send(now, e.To, asksLoan, append(binary.BigEndian.AppendUint64(nil, e.Number), e.Zone...))
-		case zones.GiveLoan:
+		case locality.GiveLoan:
 			t.send(now, e.To, givesLoan, append(binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint64(nil, e.Number), uint16(e.Threads)), e.Zone...))
-		case zones.Fetch:
+		case locality.Fetch:
 			t.seat.Fetch(now, t.Watch.Plan().Number)
-		case zones.Propose:
+		case locality.Propose:
 			if data, err := json.Marshal(e.Plan); err == nil {
 				t.seat.Move(consensus.PlanMotion(e.Plan.Number, data))
 			}
-		case zones.Warn:
+		case locality.Warn:
 			t.log.Warn("zones: " + e.Text)
-		case zones.Reach:
+		case locality.Reach:
 			t.reaches.Store(&reaching{e.Reaches, e.Number})
 			select {
 			case t.opened <- struct{}{}:
@@ -263,17 +263,17 @@
 		return
 	}
 	kind, from, rest := data[0], string(data[2:2+int(data[1])]), data[2+int(data[1]):]
-	ev := zones.Event{From: from}
+	ev := locality.Event{From: from}
 	switch {
 	case kind == reports:
-		ev.Kind, ev.Data = zones.Heard, rest
+		ev.Kind, ev.Data = locality.Heard, rest
 	case kind == announces:
-		ev.Kind = zones.Announced
+		ev.Kind = locality.Announced
 		ev.Number, _ = binary.Uvarint(rest)
 	case kind == asksLoan && len(rest) > 8 && len(rest) <= 8+mostName:
-		ev.Kind, ev.Number, ev.Zone = zones.LoanAsked, binary.BigEndian.Uint64(rest), string(rest[8:])
+		ev.Kind, ev.Number, ev.Zone = locality.LoanAsked, binary.BigEndian.Uint64(rest), string(rest[8:])
 	case kind == givesLoan && len(rest) > 10 && len(rest) <= 10+mostName:
-		ev.Kind, ev.Number, ev.Threads = zones.LoanGiven, binary.BigEndian.Uint64(rest), float64(binary.BigEndian.Uint16(rest[8:]))
+		ev.Kind, ev.Number, ev.Threads = locality.LoanGiven, binary.BigEndian.Uint64(rest), float64(binary.BigEndian.Uint16(rest[8:]))
 		ev.Zone = string(rest[10:])
 	default:
 		return
@@ -282,7 +282,7 @@
 }
 
 // Order has the council take in an operator's order, or take one back.
-func (t *Scout) Order(o zones.Order, back bool) error {
+func (t *Scout) Order(o locality.Order, back bool) error {
 	var data []byte
 	if !back {
 		var err error
@@ -314,20 +314,20 @@
 		}
 		t.seenAt = now
 		beliefs, _ := h.Beliefs()
-		ev := &zones.Event{Kind: zones.Seen, Wants: t.wants, Deaf: t.deaf, Applied: t.applied, Executors: t.executors(beliefs)}
+		ev := &locality.Event{Kind: locality.Seen, Wants: t.wants, Deaf: t.deaf, Applied: t.applied, Executors: t.executors(beliefs)}
 		go t.carrier.Post(func(now float64) { t.step(now, ev) }) // this goroutine must not wait
 	}
 	return out
 }
 
-func (t *Scout) executors(beliefs []rules.Belief) (list []zones.Executor) {
+func (t *Scout) executors(beliefs []rules.Belief) (list []locality.Executor) {
 	for k := range beliefs {
 		b := &beliefs[k]
 		at, known := t.where[b.Executor]
 		if !known {
 			continue
 		}
-		x := zones.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
+		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
 			Out: float64(b.Threads)}
 		x.Known = b.Aside || b.Bad > 0 || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < knownMS || b.ReportMS >= 0 && b.ReportMS < knownMS
 		list = append(list, x)
--- a/internal/scout/scout_test.go
+++ b/internal/scout/scout_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"liftshift/internal/dispatch"
-	"liftshift/internal/zones"
+	"liftshift/internal/locality"
 	"liftshift/rules"
 )
 
@@ -18,7 +18,7 @@
 func TestWhatTheModuleHolds(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(zones.New("a", "z0", "r", zones.BoundsOf(nil)), "a", rules.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
+	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", rules.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
 		"offering.0.threads": 4.0}, nil, nil, nil, nil, log)
 	hear := func(h dispatch.Happening) { assert.Empty(t, s.Hear(1, &h, nil)) }
 	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
@@ -35,7 +35,7 @@
 	assert.False(t, s.deaf)
 	list := s.executors([]rules.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
 		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: rules.Leaving}, {Executor: 9}})
-	assert.Equal(t, []zones.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
+	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
 		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Aside: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
 	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &rules.Event{List: rules.Changes, Entries: []rules.Entry{{Executor: 2, Standing: rules.Gone}}}})
 	assert.Len(t, s.executors([]rules.Belief{{Executor: 1}, {Executor: 2}}), 1)
--- a/internal/simfleet/zones.go
+++ b/internal/simfleet/zones.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"liftshift/internal/zones"
+	"liftshift/internal/locality"
 	"liftshift/rules"
 )
 
@@ -114,10 +114,10 @@
 	chance  *rand.Rand
 	engines []*engine
 	gates   []*rules.Gateway
-	watches []*zones.Watch
+	watches []*locality.Watch
 	wants   []float64
 	open    []map[string]*asked
-	plan    zones.Plan
+	plan    locality.Plan
 	plans   []inForce
 	reaches [][]rules.Reach
 	applied map[int]uint64
@@ -136,7 +136,7 @@
 
 type inForce struct {
 	at   float64
-	plan zones.Plan
+	plan locality.Plan
 }
 
 func (p *betweenPlay) zoneOf(k int) int { return k % p.Zones }
@@ -158,14 +158,14 @@
 		"fall_multiple": 1.0, "cold_from": coldFrom, "warm_up_ms": simWarm, "kind.0.name": "big", "kind.0.cores": b.Cores, "kind.0.ram_mb": 65536.0,
 		"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.due_ms": 1000.0, "offering.0.limit_ms": 5000.0, "offering.0.gain": 1.0,
 		"offering.0.late_share": 0.3, "tells_come_back": true, "longest_come_back_ms": 500.0}
-	bounds := zones.BoundsOf(rules.Given{"lease_ms": simLease, "stage_ms": simStage, "return_wait_ms": simWait})
+	bounds := locality.BoundsOf(rules.Given{"lease_ms": simLease, "stage_ms": simStage, "return_wait_ms": simWait})
 	for k := range b.Controllers {
 		own := rules.Given{"slot": float64(k)}
 		for name, v := range given {
 			own[name] = v
 		}
 		p.gates = append(p.gates, rules.New(b.Seed+uint64(k), own))
-		p.watches = append(p.watches, zones.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
+		p.watches = append(p.watches, locality.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
 		p.open, p.wants, p.reaches = append(p.open, map[string]*asked{}), append(p.wants, 0), append(p.reaches, nil)
 		p.step(k, &rules.Event{Kind: rules.Began})
 		p.list(k)
@@ -424,18 +424,18 @@
 }
 
 func (p *betweenPlay) watch(look int) {
-	var list []zones.Member
+	var list []locality.Member
 	for k := range p.watches {
-		list = append(list, zones.Member{Name: fmt.Sprintf("c%03d", k), Zone: zoneName(p.zoneOf(k)), Region: "r", Living: !p.cutOff(k)})
+		list = append(list, locality.Member{Name: fmt.Sprintf("c%03d", k), Zone: zoneName(p.zoneOf(k)), Region: "r", Living: !p.cutOff(k)})
 	}
 	leader := 1
 	for k := range p.watches {
 		if look%10 == 0 && look%50 != 0 {
-			p.watchStep(k, &zones.Event{Kind: zones.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]})
+			p.watchStep(k, &locality.Event{Kind: locality.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]})
 		}
 		if look%25 == 0 {
-			present := &zones.Event{Kind: zones.Present, Members: list, Leader: fmt.Sprintf("c%03d", leader), Leads: k == leader}
-			seen := &zones.Event{Kind: zones.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]}
+			present := &locality.Event{Kind: locality.Present, Members: list, Leader: fmt.Sprintf("c%03d", leader), Leads: k == leader}
+			seen := &locality.Event{Kind: locality.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]}
 			if p.Manner == Alone {
 				present.Leader, present.Leads = fmt.Sprintf("c%03d", k), true
 				seen.Wants *= float64(p.Controllers) / float64(p.Zones)
@@ -448,23 +448,23 @@
 			if p.Manner == Alone {
 				number = p.watches[k].Plan().Number
 			}
-			p.watchStep(k, &zones.Event{Kind: zones.Confirmed, Number: number, At: p.now})
+			p.watchStep(k, &locality.Event{Kind: locality.Confirmed, Number: number, At: p.now})
 		}
-		p.watchStep(k, &zones.Event{Kind: zones.Ticked, Unix: int64(p.now)})
+		p.watchStep(k, &locality.Event{Kind: locality.Ticked, Unix: int64(p.now)})
 	}
 }
 
-func (p *betweenPlay) sees(k int) (list []zones.Executor) {
+func (p *betweenPlay) sees(k int) (list []locality.Executor) {
 	beliefs := p.gates[k].Beliefs(p.now+simWarm, nil)
 	for _, b := range beliefs {
 		e := p.engines[b.Executor-1]
-		list = append(list, zones.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
+		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
 			Out: float64(b.Threads), Known: b.Aside || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < 10_000 || b.ReportMS >= 0 && b.ReportMS < 10_000})
 	}
 	return list
 }
 
-func (p *betweenPlay) watchStep(k int, ev *zones.Event) {
+func (p *betweenPlay) watchStep(k int, ev *locality.Event) {
 	for _, e := range slices.Clone(p.watches[k].Step(p.now, ev)) {
 		to := -1
 		_, _ = fmt.Sscanf(e.To, "c%d", &to)
@@ -474,23 +474,25 @@
 			}
 		}
 		switch e.Kind {
-		case zones.Tell:
-			carry(func() { p.watchStep(to, &zones.Event{Kind: zones.Heard, From: fmt.Sprintf("c%03d", k), Data: e.Data}) })
-		case zones.Announce:
+		case locality.Tell:
 			carry(func() {
-				p.watchStep(to, &zones.Event{Kind: zones.Announced, From: fmt.Sprintf("c%03d", k), Number: e.Number})
+				p.watchStep(to, &locality.Event{Kind: locality.Heard, From: fmt.Sprintf("c%03d", k), Data: e.Data})
 			})
-		case zones.AskLoan:
+		case locality.Announce:
 			carry(func() {
-				p.watchStep(to, &zones.Event{Kind: zones.LoanAsked, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number})
+				p.watchStep(to, &locality.Event{Kind: locality.Announced, From: fmt.Sprintf("c%03d", k), Number: e.Number})
 			})
-		case zones.GiveLoan:
+		case locality.AskLoan:
 			carry(func() {
-				p.watchStep(to, &zones.Event{Kind: zones.LoanGiven, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number, Threads: e.Threads})
+				p.watchStep(to, &locality.Event{Kind: locality.LoanAsked, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number})
 			})
-		case zones.Fetch:
+		case locality.GiveLoan:
+			carry(func() {
+				p.watchStep(to, &locality.Event{Kind: locality.LoanGiven, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number, Threads: e.Threads})
+			})
+		case locality.Fetch:
 			carry(func() { p.planned(k, p.plan) })
-		case zones.Propose:
+		case locality.Propose:
 			plan := *e.Plan
 			if p.Manner == Alone {
 				p.planned(k, plan)
@@ -503,15 +505,15 @@
 					p.planned(1, plan)
 				}
 			})
-		case zones.Reach:
+		case locality.Reach:
 			p.reaches[k], p.applied[k] = e.Reaches, e.Number
 			p.step(k, &rules.Event{Kind: rules.Opened, Reaches: e.Reaches})
 		}
 	}
 }
 
-func (p *betweenPlay) planned(k int, plan zones.Plan) {
-	p.watchStep(k, &zones.Event{Kind: zones.Planned, Plan: &plan})
+func (p *betweenPlay) planned(k int, plan locality.Plan) {
+	p.watchStep(k, &locality.Event{Kind: locality.Planned, Plan: &plan})
 }
 
 // look counts what is out from each zone in each other, and holds it against what the caps allow.
@@ -550,7 +552,7 @@
 		n := 0
 		for _, w := range p.watches {
 			for _, z := range w.Plan().Zones {
-				if z.Name == "z0" && z.State == zones.Lost {
+				if z.Name == "z0" && z.State == locality.Lost {
 					n++
 				}
 			}
