--- a/internal/installation/lookout.go
+++ b/internal/installation/lookout.go
@@ -13,8 +13,8 @@
 
 	"liftshift/internal/control"
 	"liftshift/internal/locality"
+	"liftshift/internal/localityagent"
 	"liftshift/internal/membership"
-	"liftshift/internal/scout"
 	"liftshift/rules"
 )
 
@@ -24,7 +24,7 @@
 type lookout struct {
 	inst  *Installation
 	fleet *fleet
-	scout *scout.Scout
+	scout *localityagent.Scout
 }
 
 // openLookout makes the scout, where the file has a block zones; the carriage does not listen yet.
@@ -40,7 +40,7 @@
 	for name, r := range i.file.Zones.Regions {
 		b.WayMS[[2]string{self.Region, name}], b.Price[[2]string{self.Region, name}] = r.WayMS, r.Price
 	}
-	i.lookout = &lookout{inst: i, fleet: f, scout: scout.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
+	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
 	i.lookout.scout.Begin()
 }
 
--- a/internal/scout/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -1,4 +1,4 @@
-package scout
+package localityagent
 
 import (
 	"flag"
--- a/internal/scout/scout.go
+++ b/internal/localityagent/localityagent.go
@@ -1,7 +1,7 @@
-// Package scout carries a controller's part in deciding between zones: what its module holds of executors to its watch, what watches tell
+// Package localityagent carries a controller's part in deciding between zones: what its module holds of executors to its watch, what watches tell
 // one another, plans to the council and back, and how far searches may go to the module. It decides nothing. The watch belongs to the
 // carriage's goroutine, as the view and the council do; the desk's goroutine only hands over what it has.
-package scout
+package localityagent
 
 import (
 	"encoding/binary"
