--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -1,17 +1,17 @@
 package dispatch
 
 import (
-	"liftshift/internal/budget"
 	"liftshift/internal/ledger"
 	"liftshift/internal/parts"
+	"liftshift/internal/quota"
 	"liftshift/rules"
 )
 
 // Budgets decide who is offered to the module next. Their methods are called by the desk's goroutine alone and never wait.
 type Budgets interface {
-	Step(now float64, ev *budget.Event) []budget.Effect
+	Step(now float64, ev *quota.Event) []quota.Effect
 	Whose(s *Request) string // the team of a request
-	Listed(now float64, list rules.ListKind, entries []rules.Entry) []budget.Effect
+	Listed(now float64, list rules.ListKind, entries []rules.Entry) []quota.Effect
 	Wait(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
 	Tell(now float64) []parts.Message                     // what other controllers are to hear
 	Heard(now float64, from int, data []byte) []parts.Message
@@ -33,20 +33,20 @@
 	switch s := h.Request; h.Kind {
 	case Entered:
 		out = append(out, Follow{Kind: Detain})
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Asked, ID: s.ID, Team: b.Whose(s), Offering: s.Offering, WorkMS: s.WorkMS,
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Asked, ID: s.ID, Team: b.Whose(s), Offering: s.Offering, WorkMS: s.WorkMS,
 			NeedMB: s.NeedMB, Until: s.Until, Ordered: s.Key != ""}))
 		if s.Waits {
 			start, end := b.Wait(now, s.ID)
 			out = append(out, Follow{Kind: Foretell, ID: s.ID, StartMS: start, EndMS: end})
 		}
 	case Fired:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Sent, ID: s.ID, GrantMB: h.GrantMB}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Sent, ID: s.ID, GrantMB: h.GrantMB}))
 	case ShotOver:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.ShotEnded, ID: s.ID}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.ShotEnded, ID: s.ID}))
 	case GivenBack:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Back, ID: s.ID}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Back, ID: s.ID}))
 	case Closed:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Closed, ID: s.ID, SpentMS: h.SpentMS, Handled: h.Outcome == ledger.Handled}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.SpentMS, Handled: h.Outcome == ledger.Handled}))
 	case Denying:
 		// When its request would have begun, where that is known and no longer than may be told.
 		if start, _ := b.Wait(now, s.ID); h.AfterMS > 0 && start > 0 {
@@ -55,9 +55,9 @@
 	case ListNews:
 		out = Offers(out, b.Listed(now, h.List.List, h.List.Entries))
 	case Stopping:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Closing}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Closing}))
 	case Ticks:
-		out = Offers(out, b.Step(now, &budget.Event{Kind: budget.Ticked}))
+		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Ticked}))
 		b.Changed(now, func(id string, start, end float64) {
 			out = append(out, Follow{Kind: Foretell, ID: id, StartMS: start, EndMS: end})
 		})
@@ -71,10 +71,10 @@
 }
 
 // Offers appends what budgets want.
-func Offers(out []Follow, effects []budget.Effect) []Follow {
+func Offers(out []Follow, effects []quota.Effect) []Follow {
 	for _, e := range effects {
 		f := Follow{Kind: Press, ID: e.ID, Start: e.Start, Part: e.Grant, Barred: e.Full, Now: e.Now}
-		if e.Kind == budget.Offer {
+		if e.Kind == quota.Offer {
 			f.Kind = Offer
 		}
 		out = append(out, f)
--- a/internal/dispatch/budgets_test.go
+++ b/internal/dispatch/budgets_test.go
@@ -5,26 +5,26 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/internal/budget"
 	"liftshift/internal/parts"
+	"liftshift/internal/quota"
 	"liftshift/rules"
 )
 
 // purse plays budgets: it keeps what it was told and wants what it is given.
 type purse struct {
-	told  []budget.Event
-	wants map[budget.EventKind][]budget.Effect
+	told  []quota.Event
+	wants map[quota.EventKind][]quota.Effect
 	wait  float64
 	heard []byte
 }
 
-func (p *purse) Step(_ float64, ev *budget.Event) []budget.Effect {
+func (p *purse) Step(_ float64, ev *quota.Event) []quota.Effect {
 	p.told = append(p.told, *ev)
 	return p.wants[ev.Kind]
 }
 func (p *purse) Whose(s *Request) string { return "team of " + s.Team }
-func (p *purse) Listed(float64, rules.ListKind, []rules.Entry) []budget.Effect {
-	return p.wants[budget.Sized]
+func (p *purse) Listed(float64, rules.ListKind, []rules.Entry) []quota.Effect {
+	return p.wants[quota.Sized]
 }
 func (p *purse) Wait(float64, string) (float64, float64)                { return p.wait, p.wait + 10 }
 func (p *purse) Tell(float64) []parts.Message                           { return nil }
@@ -34,7 +34,7 @@
 	return []parts.Message{{To: 1, Data: []byte{9}}}
 }
 
-func (p *purse) kinds() (list []budget.EventKind) {
+func (p *purse) kinds() (list []quota.EventKind) {
 	for _, ev := range p.told {
 		list = append(list, ev.Kind)
 	}
@@ -68,8 +68,8 @@
 
 // A request stands in line until it is offered; the module then gets it with what the budgets say, and they hear all of it.
 func TestARequestReachesTheModuleOnceItIsOffered(t *testing.T) {
-	p, f := &purse{wait: 50, wants: map[budget.EventKind][]budget.Effect{budget.Ticked: {{Kind: budget.Offer, ID: "a", Start: 500, Grant: 0.7}},
-		budget.Sent: {{Kind: budget.Press, ID: "a", Start: 500}, {Kind: budget.Offer, ID: "a"}, {Kind: budget.Offer, ID: "gone"}}}}, &told{}
+	p, f := &purse{wait: 50, wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Start: 500, Grant: 0.7}},
+		quota.Sent: {{Kind: quota.Press, ID: "a", Start: 500}, {Kind: quota.Offer, ID: "a"}, {Kind: quota.Offer, ID: "gone"}}}}, &told{}
 	d, one := lined(p, f, nil)
 	assert.Nil(t, one.last(rules.Taken), "nothing yet")
 	assert.Equal(t, "team of x", p.told[0].Team)
@@ -83,7 +83,7 @@
 	assert.Equal(t, 500.0, one.last(rules.Pressed).Start)
 	p.wants = nil
 	d.play(end(rules.Handled))
-	assert.Equal(t, []budget.EventKind{budget.Asked, budget.Ticked, budget.Sent, budget.ShotEnded, budget.Closed}, p.kinds())
+	assert.Equal(t, []quota.EventKind{quota.Asked, quota.Ticked, quota.Sent, quota.ShotEnded, quota.Closed}, p.kinds())
 	assert.True(t, p.told[4].Handled)
 	assert.Empty(t, d.requests)
 	d.offer(&Follow{Kind: Press, ID: "a", Start: 500}) // it crosses the answer
@@ -93,13 +93,13 @@
 // What the module gives back stands in line again; a client that leaves meanwhile is forgotten, and a denial names the wait.
 func TestWhatIsGivenBackStandsInLine(t *testing.T) {
 	back := map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Back, Request: "a"}}}
-	p, f := &purse{wants: map[budget.EventKind][]budget.Effect{budget.Ticked: {{Kind: budget.Offer, ID: "a", Now: true}}}}, &told{}
+	p, f := &purse{wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Now: true}}}}, &told{}
 	d, one := lined(p, f, nil)
 	one.on = back
 	d.tick()
 	assert.True(t, one.last(rules.Taken).Now)
 	assert.True(t, d.requests["a"].inLine)
-	assert.Equal(t, budget.Back, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.Back, p.told[len(p.told)-1].Kind)
 	one.on = map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Deny, Request: "a", AfterMS: 400}}}
 	p.wait = 300
 	d.tick()
@@ -107,7 +107,7 @@
 	assert.Empty(t, d.requests)
 	d, _ = lined(p, f, nil)
 	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 5})
-	assert.Equal(t, budget.Closed, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.Closed, p.told[len(p.told)-1].Kind)
 	assert.Empty(t, d.requests)
 	assert.Zero(t, d.Open())
 }
@@ -122,7 +122,7 @@
 	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{0}}})
 	assert.NotNil(t, one.last(rules.Heard))
 	d.play(Item{Event: rules.Event{Kind: rules.Closing}})
-	assert.Equal(t, budget.Closing, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.Closing, p.told[len(p.told)-1].Kind)
 	go d.Run()
 	called := false
 	assert.True(t, d.Do(func(float64) { called = true }))
--- a/internal/installation/budgets.go
+++ b/internal/installation/budgets.go
@@ -5,17 +5,17 @@
 	"slices"
 	"strconv"
 
-	"liftshift/internal/budget"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/operator"
 	"liftshift/internal/parts"
+	"liftshift/internal/quota"
 	"liftshift/internal/waits"
 	"liftshift/rules"
 )
 
 // teams joins the tree of budgets, the rules of whose a search is and the book of waits to a desk. It decides nothing.
 type teams struct {
-	tree  *budget.Tree
+	tree  *quota.Tree
 	file  *operator.Budgets
 	book  *waits.Book
 	given rules.Given
@@ -42,7 +42,7 @@
 	for k, v := range file.Given {
 		g[k] = v
 	}
-	tree, err := budget.New(file.Teams, file.Default, g)
+	tree, err := quota.New(file.Teams, file.Default, g)
 	p := parts.New(now, int(given.Num("controllers", 1)), int(given.Num("slot", 0)), given.Is("may_tell"), uint64(now*1000))
 	return &teams{parts: p, tree: tree, file: file, book: waits.New(), given: g, cores: map[uint32]float64{}, open: map[string]*waiting{},
 		asked: map[string]struct{}{}}, err
@@ -59,7 +59,7 @@
 }
 
 // Listed counts the cores that there are.
-func (t *teams) Listed(now float64, list rules.ListKind, entries []rules.Entry) []budget.Effect {
+func (t *teams) Listed(now float64, list rules.ListKind, entries []rules.Entry) []quota.Effect {
 	if list != rules.Changes {
 		clear(t.cores)
 	}
@@ -77,12 +77,12 @@
 	for _, n := range t.cores {
 		sum += n
 	}
-	return t.tree.Step(now, &budget.Event{Kind: budget.Sized, Cores: sum})
+	return t.tree.Step(now, &quota.Event{Kind: quota.Sized, Cores: sum})
 }
 
 // Step tells the tree, and the book of waits, of an event.
-func (t *teams) Step(now float64, ev *budget.Event) []budget.Effect {
-	if ev.Kind == budget.Ticked { // a change of the part counts from the tick on
+func (t *teams) Step(now float64, ev *quota.Event) []quota.Effect {
+	if ev.Kind == quota.Ticked { // a change of the part counts from the tick on
 		if part := t.parts.Part(now); part != t.part {
 			t.part = part
 			t.tree.Part(part)
@@ -90,7 +90,7 @@
 	}
 	effects := t.tree.Step(now, ev)
 	switch w := t.open[ev.ID]; {
-	case ev.Kind == budget.Asked:
+	case ev.Kind == quota.Asked:
 		w = &waiting{team: ev.Team, offering: ev.Offering}
 		w.told = t.tell(now, ev.ID, w)
 		w.last = w.told
@@ -98,11 +98,11 @@
 			t.asked[ev.ID] = struct{}{}
 		}
 	case w == nil:
-	case ev.Kind == budget.Sent && !w.started:
+	case ev.Kind == quota.Sent && !w.started:
 		w.started = true
 		delete(t.asked, ev.ID)
 		t.book.Started(now, w.team, w.offering, w.told)
-	case ev.Kind == budget.Closed:
+	case ev.Kind == quota.Closed:
 		if ev.Handled {
 			t.book.Ended(now, w.team, w.offering, w.told)
 		}
--- a/internal/installation/door.go
+++ b/internal/installation/door.go
@@ -8,11 +8,11 @@
 	"strings"
 	"time"
 
-	"liftshift/internal/budget"
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/operator"
+	"liftshift/internal/quota"
 	"liftshift/internal/retry"
 	"liftshift/internal/waits"
 )
@@ -116,7 +116,7 @@
 func (i *Installation) set(now float64, fields map[string]any) (map[string]any, error) {
 	name, _ := fields["team"].(string)
 	who, _ := fields["who"].(string)
-	var team *budget.Team
+	var team *quota.Team
 	for _, t := range i.team.tree.Teams() {
 		if t.Name == name {
 			team = &t
@@ -144,7 +144,7 @@
 		}
 		f.set(n)
 	}
-	i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: *team})))
+	i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: *team})))
 	i.log.WithField("team", name).WithField("who", who).Warn("budgets: a team's limits were changed")
 	if i.keep == nil {
 		return map[string]any{"lasts": false}, nil
@@ -165,7 +165,7 @@
 	teams := i.team.tree.Teams()
 	for _, n := range i.keep.Notes() {
 		name, ok := strings.CutPrefix(n.ID, limitNote)
-		k := slices.IndexFunc(teams, func(t budget.Team) bool { return t.Name == name })
+		k := slices.IndexFunc(teams, func(t quota.Team) bool { return t.Name == name })
 		var l limit
 		if !ok || json.Unmarshal(n.Body, &l) != nil {
 			continue
@@ -177,7 +177,7 @@
 		}
 		t := teams[k]
 		t.Weight, t.Ceiling, t.Threads, t.MemoryMB, t.Searches, t.Queue = l.Weight, l.Ceiling, l.Threads, l.MemoryMB, l.Searches, l.Queue
-		i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(0, &budget.Event{Kind: budget.Changed, Set: t})))
+		i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(0, &quota.Event{Kind: quota.Changed, Set: t})))
 		log.Info("budgets: limits set at run time hold")
 	}
 }
@@ -185,6 +185,6 @@
 // reset takes over the figures of a file that was read again.
 func (t *teams) reset(d *dispatch.Desk, now float64, next *operator.Budgets) {
 	for _, team := range next.Teams {
-		d.Follow(dispatch.Offers(nil, t.tree.Step(now, &budget.Event{Kind: budget.Changed, Set: team})))
+		d.Follow(dispatch.Offers(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
 	}
 }
--- a/internal/lab/budgets.go
+++ b/internal/lab/budgets.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"liftshift/internal/budget"
+	"liftshift/internal/quota"
 	"liftshift/internal/standin"
 	"liftshift/rules"
 )
@@ -321,28 +321,28 @@
 func (s *strict) tick(float64)        {}
 
 type fair struct {
-	tree  *budget.Tree
+	tree  *quota.Tree
 	items map[string]item
 	ready []string
 }
 
 func newFair(threads float64, age float64) *fair {
-	t, err := budget.New([]budget.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}, "other",
+	t, err := quota.New([]quota.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}, "other",
 		rules.Given{"offering.0.name": "look", "age_ms": age})
 	if err != nil {
 		return nil // of constants alone
 	}
-	t.Step(0, &budget.Event{Kind: budget.Sized, Cores: threads / 1.2})
+	t.Step(0, &quota.Event{Kind: quota.Sized, Cores: threads / 1.2})
 	return &fair{tree: t, items: map[string]item{}}
 }
 
-func (f *fair) step(now float64, ev *budget.Event) {
+func (f *fair) step(now float64, ev *quota.Event) {
 	for _, e := range f.tree.Step(now, ev) {
-		if e.Kind != budget.Offer {
+		if e.Kind != quota.Offer {
 			continue
 		}
 		if e.Now {
-			f.step(now, &budget.Event{Kind: budget.Back, ID: e.ID})
+			f.step(now, &quota.Event{Kind: quota.Back, ID: e.ID})
 			continue
 		}
 		f.ready = append(f.ready, e.ID)
@@ -351,7 +351,7 @@
 
 func (f *fair) put(now float64, x item) {
 	f.items[x.id] = x
-	f.step(now, &budget.Event{Kind: budget.Asked, ID: x.id, Team: x.team, Offering: "look", WorkMS: x.work, Until: now + 1e7})
+	f.step(now, &quota.Event{Kind: quota.Asked, ID: x.id, Team: x.team, Offering: "look", WorkMS: x.work, Until: now + 1e7})
 }
 func (f *fair) take(now float64) (x item, ok bool) {
 	if len(f.ready) == 0 {
@@ -359,15 +359,15 @@
 	}
 	x = f.items[f.ready[0]]
 	f.ready = f.ready[1:]
-	f.step(now, &budget.Event{Kind: budget.Sent, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.Sent, ID: x.id})
 	return x, true
 }
 func (f *fair) ended(now float64, x item) {
 	delete(f.items, x.id)
-	f.step(now, &budget.Event{Kind: budget.ShotEnded, ID: x.id})
-	f.step(now, &budget.Event{Kind: budget.Closed, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.ShotEnded, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.Closed, ID: x.id})
 }
-func (f *fair) tick(now float64) { f.step(now, &budget.Event{Kind: budget.Ticked}) }
+func (f *fair) tick(now float64) { f.step(now, &quota.Event{Kind: quota.Ticked}) }
 
 // run is a search under way.
 type run struct {
@@ -505,11 +505,11 @@
 func structures(string, string) (all []Figure, err error) {
 	for _, teams := range []int{10, 10_000} {
 		for _, waiting := range []int{1e3, 1e5, 1e6} {
-			list := []budget.Team{{Name: "other"}}
+			list := []quota.Team{{Name: "other"}}
 			for k := range teams {
-				list = append(list, budget.Team{Name: fmt.Sprint("t", k)})
+				list = append(list, quota.Team{Name: fmt.Sprint("t", k)})
 			}
-			tree, err := budget.New(list, "other", rules.Given{"offering.0.name": "look", "age_ms": 1e12})
+			tree, err := quota.New(list, "other", rules.Given{"offering.0.name": "look", "age_ms": 1e12})
 			if err != nil {
 				return all, err
 			}
@@ -522,9 +522,9 @@
 			}
 			now, n := 1.0, 0
 			var ready []string
-			step := func(ev *budget.Event) {
+			step := func(ev *quota.Event) {
 				for _, e := range tree.Step(now, ev) {
-					if e.Kind == budget.Offer && !e.Now {
+					if e.Kind == quota.Offer && !e.Now {
 						ready = append(ready, e.ID)
 					} else if e.Now {
 						ready = append(ready, "?"+e.ID)
@@ -532,7 +532,7 @@
 				}
 			}
 			ask := func() {
-				step(&budget.Event{Kind: budget.Asked, ID: ids[n%len(ids)], Team: names[n*7919%teams], Offering: "look", WorkMS: 10, Until: 1e15})
+				step(&quota.Event{Kind: quota.Asked, ID: ids[n%len(ids)], Team: names[n*7919%teams], Offering: "look", WorkMS: 10, Until: 1e15})
 				n++
 			}
 			bytes, kept := heapBytes(func() any {
@@ -548,12 +548,12 @@
 					id := ready[0]
 					ready = ready[1:]
 					if id[0] == '?' {
-						step(&budget.Event{Kind: budget.Back, ID: id[1:]})
+						step(&quota.Event{Kind: quota.Back, ID: id[1:]})
 						continue
 					}
-					step(&budget.Event{Kind: budget.Sent, ID: id})
-					step(&budget.Event{Kind: budget.ShotEnded, ID: id})
-					step(&budget.Event{Kind: budget.Closed, ID: id})
+					step(&quota.Event{Kind: quota.Sent, ID: id})
+					step(&quota.Event{Kind: quota.ShotEnded, ID: id})
+					step(&quota.Event{Kind: quota.Closed, ID: id})
 					return
 				}
 			}
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -6,14 +6,14 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"liftshift/internal/budget"
+	"liftshift/internal/quota"
 	"liftshift/internal/whose"
 	"liftshift/rules"
 )
 
 // Budgets is the block budgets.
 type Budgets struct {
-	Teams   []budget.Team
+	Teams   []quota.Team
 	Default string
 	Whose   whose.Rules
 	Given   rules.Given // for the tree: age_ms
@@ -61,7 +61,7 @@
 		diags = append(diags, wrong(v.set["whose"], "whose: %v", err))
 	}
 	for _, t := range v.kids["team"] {
-		b.Teams = append(b.Teams, budget.Team{Name: t.label, Parent: t.texts["parent"], Weight: t.nums["weight"],
+		b.Teams = append(b.Teams, quota.Team{Name: t.label, Parent: t.texts["parent"], Weight: t.nums["weight"],
 			Guaranteed: t.nums["guaranteed"], Ceiling: t.nums["ceiling"], BurstMS: t.nums["burst"], Searches: int(t.nums["searches"]),
 			Threads: t.nums["threads"], MemoryMB: t.nums["memory"] / miB, Queue: int(t.nums["queue"])})
 		b.Whose.Teams[t.label] = true
@@ -91,7 +91,7 @@
 			b.said[kind][x.label] = team
 		}
 	}
-	if _, err := budget.New(b.Teams, b.Default, rules.Given{}); err != nil {
+	if _, err := quota.New(b.Teams, b.Default, rules.Given{}); err != nil {
 		diags = append(diags, wrong(v.at, "budgets: %v", err))
 	}
 	return b, diags
--- a/internal/budget/press.go
+++ b/internal/quota/press.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 // pressing is what is done to a search's priority.
 type pressing uint8
--- a/internal/budget/budget.go
+++ b/internal/quota/quota.go
@@ -1,8 +1,8 @@
-// Package budget decides who is offered to the decision module next, where several teams share one installation. It keeps a
+// Package quota decides who is offered to the decision module next, where several teams share one installation. It keeps a
 // tree of budgets and a fair queue in it; events and a time in ms go in, effects come out. It has no clock, no
 // goroutine and no I/O. Which executor, whether to try again and what is turned away stays with the module: what waits too
 // long here is offered all the same, and the module turns it away.
-package budget
+package quota
 
 import (
 	"fmt"
--- a/internal/budget/budget_test.go
+++ b/internal/quota/quota_test.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 import (
 	"fmt"
--- a/internal/budget/slab.go
+++ b/internal/quota/slab.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 // none is no place.
 const none int32 = -1
--- a/internal/budget/tree.go
+++ b/internal/quota/tree.go
@@ -1,4 +1,4 @@
-package budget
+package quota
 
 // why a node's searches may not be offered.
 type why uint8
