--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -2,8 +2,8 @@
 
 import (
 	"liftshift/internal/ledger"
-	"liftshift/internal/parts"
 	"liftshift/internal/quota"
+	"liftshift/internal/quotashare"
 	"liftshift/rules"
 )
 
@@ -13,8 +13,8 @@
 	Whose(s *Request) string // the team of a request
 	Listed(now float64, list rules.ListKind, entries []rules.Entry) []quota.Effect
 	Wait(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
-	Tell(now float64) []parts.Message                     // what other controllers are to hear
-	Heard(now float64, from int, data []byte) []parts.Message
+	Tell(now float64) []quotashare.Message                // what other controllers are to hear
+	Heard(now float64, from int, data []byte) []quotashare.Message
 	Changed(now float64, each func(id string, startMS, endMS float64)) // figures that changed much, of those that asked
 }
 
@@ -63,7 +63,7 @@
 		})
 		out = posts(out, b.Tell(now))
 	case Letter:
-		if len(h.Data) > 0 && h.Data[0] == parts.Tag {
+		if len(h.Data) > 0 && h.Data[0] == quotashare.Tag {
 			out = posts(append(out, Follow{Kind: Mine}), b.Heard(now, h.Peer, h.Data))
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // posts appends what other controllers are to hear of ceilings.
-func posts(out []Follow, list []parts.Message) []Follow {
+func posts(out []Follow, list []quotashare.Message) []Follow {
 	for _, m := range list {
 		out = append(out, Follow{Kind: Post, Peer: m.To, Data: m.Data})
 	}
--- a/internal/dispatch/budgets_test.go
+++ b/internal/dispatch/budgets_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/internal/parts"
 	"liftshift/internal/quota"
+	"liftshift/internal/quotashare"
 	"liftshift/rules"
 )
 
@@ -27,11 +27,11 @@
 	return p.wants[quota.Sized]
 }
 func (p *purse) Wait(float64, string) (float64, float64)                { return p.wait, p.wait + 10 }
-func (p *purse) Tell(float64) []parts.Message                           { return nil }
+func (p *purse) Tell(float64) []quotashare.Message                      { return nil }
 func (p *purse) Changed(_ float64, each func(string, float64, float64)) { each("a", 77, 88) }
-func (p *purse) Heard(_ float64, _ int, data []byte) []parts.Message {
+func (p *purse) Heard(_ float64, _ int, data []byte) []quotashare.Message {
 	p.heard = data
-	return []parts.Message{{To: 1, Data: []byte{9}}}
+	return []quotashare.Message{{To: 1, Data: []byte{9}}}
 }
 
 func (p *purse) kinds() (list []quota.EventKind) {
@@ -115,8 +115,8 @@
 func TestLoansGoToTheBudgetsAndCallsAreMadeHere(t *testing.T) {
 	p, f := &purse{}, &told{}
 	d, one := lined(p, f, nil)
-	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{parts.Tag, 0}}})
-	assert.Equal(t, []byte{parts.Tag, 0}, p.heard)
+	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{quotashare.Tag, 0}}})
+	assert.Equal(t, []byte{quotashare.Tag, 0}, p.heard)
 	assert.Equal(t, []byte{9}, f.data)
 	assert.Nil(t, one.last(rules.Heard))
 	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{0}}})
--- a/internal/installation/budgets.go
+++ b/internal/installation/budgets.go
@@ -7,8 +7,8 @@
 
 	"liftshift/internal/dispatch"
 	"liftshift/internal/operator"
-	"liftshift/internal/parts"
 	"liftshift/internal/quota"
+	"liftshift/internal/quotashare"
 	"liftshift/internal/waits"
 	"liftshift/rules"
 )
@@ -19,7 +19,7 @@
 	file  *operator.Budgets
 	book  *waits.Book
 	given rules.Given
-	parts *parts.Parts
+	parts *quotashare.Parts
 	part  float64
 	cores map[uint32]float64 // of listed executors that are not gone
 	open  map[string]*waiting
@@ -43,7 +43,7 @@
 		g[k] = v
 	}
 	tree, err := quota.New(file.Teams, file.Default, g)
-	p := parts.New(now, int(given.Num("controllers", 1)), int(given.Num("slot", 0)), given.Is("may_tell"), uint64(now*1000))
+	p := quotashare.New(now, int(given.Num("controllers", 1)), int(given.Num("slot", 0)), given.Is("may_tell"), uint64(now*1000))
 	return &teams{parts: p, tree: tree, file: file, book: waits.New(), given: g, cores: map[uint32]float64{}, open: map[string]*waiting{},
 		asked: map[string]struct{}{}}, err
 }
@@ -118,13 +118,13 @@
 }
 
 // Tell looks at the ceilings and gives what other controllers are to hear.
-func (t *teams) Tell(now float64) []parts.Message {
+func (t *teams) Tell(now float64) []quotashare.Message {
 	used, waits := t.tree.Ceilings()
 	return t.parts.Look(now, used, waits)
 }
 
 // Heard takes what another controller tells of ceilings.
-func (t *teams) Heard(now float64, from int, data []byte) []parts.Message {
+func (t *teams) Heard(now float64, from int, data []byte) []quotashare.Message {
 	return t.parts.Heard(now, from, data)
 }
 
--- a/internal/parts/golden_test.go
+++ b/internal/quotashare/golden_test.go
@@ -1,4 +1,4 @@
-package parts
+package quotashare
 
 import (
 	"flag"
--- a/internal/parts/parts.go
+++ b/internal/quotashare/quotashare.go
@@ -1,11 +1,11 @@
-// Package parts decides which part of the installation's ceilings this controller may use. Each of n controllers owns an
+// Package quotashare decides which part of the installation's ceilings this controller may use. Each of n controllers owns an
 // n-th; who has more than it needs lends to who asks, for a time. It is free of I/O, clock and goroutines: messages and a
 // time in ms go in, messages and a part come out.
 //
 // Whatever becomes of messages, lost, late, doubled or out of order, and whoever is cut off or comes back, the parts in use add up to
 // one at most: a lender does without before it tells, and for longer than the borrower may use it. The borrower counts from
 // when it asked, the lender from when it heard the question, which is later; so no two clocks are compared.
-package parts
+package quotashare
 
 import "encoding/binary"
 
