--- a/internal/installation/budgets.go
+++ b/internal/installation/budgets.go
@@ -9,7 +9,7 @@
 	"liftshift/internal/operator"
 	"liftshift/internal/quota"
 	"liftshift/internal/quotashare"
-	"liftshift/internal/waits"
+	"liftshift/internal/waitestimate"
 	"liftshift/rules"
 )
 
@@ -17,7 +17,7 @@
 type teams struct {
 	tree  *quota.Tree
 	file  *operator.Budgets
-	book  *waits.Book
+	book  *waitestimate.Book
 	given rules.Given
 	parts *quotashare.Parts
 	part  float64
@@ -30,7 +30,7 @@
 // waiting is a search that has not ended, with what was told of it.
 type waiting struct {
 	team, offering string
-	told, last     waits.Told
+	told, last     waitestimate.Told
 	started        bool
 }
 
@@ -44,7 +44,7 @@
 	}
 	tree, err := quota.New(file.Teams, file.Default, g)
 	p := quotashare.New(now, int(given.Num("controllers", 1)), int(given.Num("slot", 0)), given.Is("may_tell"), uint64(now*1000))
-	return &teams{parts: p, tree: tree, file: file, book: waits.New(), given: g, cores: map[uint32]float64{}, open: map[string]*waiting{},
+	return &teams{parts: p, tree: tree, file: file, book: waitestimate.New(), given: g, cores: map[uint32]float64{}, open: map[string]*waiting{},
 		asked: map[string]struct{}{}}, err
 }
 
@@ -112,9 +112,9 @@
 	return effects
 }
 
-func (t *teams) tell(now float64, id string, w *waiting) waits.Told {
+func (t *teams) tell(now float64, id string, w *waiting) waitestimate.Told {
 	ahead, threads, run := t.tree.Line(id)
-	return t.book.Tell(now, w.team, w.offering, waits.Line{AheadMS: ahead, Threads: threads, RunMS: run})
+	return t.book.Tell(now, w.team, w.offering, waitestimate.Line{AheadMS: ahead, Threads: threads, RunMS: run})
 }
 
 // Tell looks at the ceilings and gives what other controllers are to hear.
@@ -145,7 +145,7 @@
 	for _, id := range slices.Sorted(maps.Keys(t.asked)) {
 		w := t.open[id]
 		told := t.tell(now, id, w)
-		if !waits.Changed(w.last, told) {
+		if !waitestimate.Changed(w.last, told) {
 			continue
 		}
 		if w.last = told; told.Known {
--- a/internal/installation/door.go
+++ b/internal/installation/door.go
@@ -14,7 +14,7 @@
 	"liftshift/internal/operator"
 	"liftshift/internal/quota"
 	"liftshift/internal/retry"
-	"liftshift/internal/waits"
+	"liftshift/internal/waitestimate"
 )
 
 // limitNote is what stands before the name of a team in a note of its limits.
@@ -90,7 +90,7 @@
 // waits gives how well the figures told held.
 func (t *teams) showWaits() map[string]any {
 	kept := t.book.Kept()
-	slices.SortFunc(kept, func(a, b waits.Kept) int {
+	slices.SortFunc(kept, func(a, b waitestimate.Kept) int {
 		return strings.Compare(a.Team+"\x00"+a.Offering, b.Team+"\x00"+b.Offering)
 	})
 	var list []any
--- a/internal/waits/waits.go
+++ b/internal/waitestimate/waitestimate.go
@@ -1,7 +1,7 @@
-// Package waits estimates how long a search will wait: until its first shot, and until its end. It is free of I/O, clock
+// Package waitestimate estimates how long a search will wait: until its first shot, and until its end. It is free of I/O, clock
 // and goroutines. An estimate is a quantile of what was seen lately, against the work that was ahead, and is made longer or shorter
 // as it is found to be wrong, so that nine in ten waits stay within what was told. What can't be told is unknown.
-package waits
+package waitestimate
 
 import (
 	"math"
--- a/internal/waits/waits_test.go
+++ b/internal/waitestimate/waitestimate_test.go
@@ -1,4 +1,4 @@
-package waits
+package waitestimate
 
 import (
 	"math"
