--- a/internal/whose/whose.go
+++ b/internal/attribution/attribution.go
@@ -1,6 +1,6 @@
-// Package whose tells whose a search is: by what the client says, by where it comes from, by offering or by schema, in the
+// Package attribution tells whose a search is: by what the client says, by where it comes from, by offering or by schema, in the
 // order that the operators give. It is free of I/O, and keeps nothing of names that nobody configured.
-package whose
+package attribution
 
 import (
 	"fmt"
--- a/internal/whose/whose_test.go
+++ b/internal/attribution/attribution_test.go
@@ -1,4 +1,4 @@
-package whose
+package attribution
 
 import (
 	"net/netip"
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -6,8 +6,8 @@
 
 	"github.com/hashicorp/hcl/v2"
 
+	"liftshift/internal/attribution"
 	"liftshift/internal/quota"
-	"liftshift/internal/whose"
 	"liftshift/rules"
 )
 
@@ -15,7 +15,7 @@
 type Budgets struct {
 	Teams   []quota.Team
 	Default string
-	Whose   whose.Rules
+	Whose   attribution.Rules
 	Given   rules.Given // for the tree: age_ms
 	said    map[string]map[string]string
 }
@@ -51,13 +51,13 @@
 func budgetsOf(v values) (*Budgets, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
 	b := &Budgets{Default: v.texts["default"], Given: rules.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
-	b.Whose = whose.Rules{Teams: map[string]bool{}, Offerings: map[string]string{}, Schemas: map[string]string{}}
+	b.Whose = attribution.Rules{Teams: map[string]bool{}, Offerings: map[string]string{}, Schemas: map[string]string{}}
 	order, given := v.lists["whose"]
 	if !given {
 		order = []string{"field", "address", "offering", "schema"}
 	}
 	var err error
-	if b.Whose.Order, err = whose.Check(order); err != nil {
+	if b.Whose.Order, err = attribution.Check(order); err != nil {
 		diags = append(diags, wrong(v.set["whose"], "whose: %v", err))
 	}
 	for _, t := range v.kids["team"] {
