--- a/internal/pool/pool.go
+++ b/internal/connpool/connpool.go
@@ -1,6 +1,6 @@
-// Package pool decides on connections to executors: which one an attempt takes, which are used no more, and whether an attempt
+// Package connpool decides on connections to executors: which one an attempt takes, which are used no more, and whether an attempt
 // may still leave as its connection takes it. It owns no socket, clock or goroutine; who calls it carries that out.
-package pool
+package connpool
 
 const (
 	spare     = 4   // one connection in so many is kept for executors that have none yet
--- a/internal/pool/pool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"testing"
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -18,8 +18,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/connpool"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/pool"
 	"liftshift/internal/settings"
 	"liftshift/rules"
 )
@@ -62,8 +62,8 @@
 	machines map[uint32]*machine
 	all      map[*link]struct{} // connections, those of executors that are gone included
 	seq      uint64
-	fates    pool.Fates
-	conns    []pool.Conn // scratch of pick
+	fates    connpool.Fates
+	conns    []connpool.Conn // scratch of pick
 	retired  []int
 
 	Strays, Malformed, Dials, Failed, Unsent, Moved, Barred atomic.Uint64
@@ -227,10 +227,10 @@
 	now := time.Now()
 	f.conns = f.conns[:0]
 	for _, l := range m.links {
-		f.conns = append(f.conns, pool.Conn{Up: l.up, Leaving: l.leaving, Barred: l.open[id] != nil || l.ends[id],
+		f.conns = append(f.conns, connpool.Conn{Up: l.up, Leaving: l.leaving, Barred: l.open[id] != nil || l.ends[id],
 			Open: len(l.open), Probes: len(l.probes), IdleMS: float64(now.Sub(l.used)) / float64(time.Millisecond)})
 	}
-	limits := pool.Limits{PerConn: f.perLink, Most: f.links, IdleMS: float64(f.idle) / float64(time.Millisecond)}
+	limits := connpool.Limits{PerConn: f.perLink, Most: f.links, IdleMS: float64(f.idle) / float64(time.Millisecond)}
 	k, retired := limits.Pick(f.conns, len(f.all), &f.fates, f.retired[:0])
 	f.retired = retired
 	links := m.links[:len(m.links):len(m.links)]
@@ -240,7 +240,7 @@
 	if k >= 0 {
 		return links[k]
 	}
-	if k == pool.None && (f.links == 0 || !f.giveWay()) {
+	if k == connpool.None && (f.links == 0 || !f.giveWay()) {
 		return nil
 	}
 	l := &link{fleet: f, machine: m, used: now, open: map[string]*run{}, ends: map[string]bool{},
@@ -348,13 +348,13 @@
 			l.more(r)
 			continue
 		}
-		last := pool.Last{Forsaken: r.attempt.Request.Forsaken(), Closed: l.machine.closed, NowMS: f.clock.Now(), ByMS: r.attempt.By,
+		last := connpool.Last{Forsaken: r.attempt.Request.Forsaken(), Closed: l.machine.closed, NowMS: f.clock.Now(), ByMS: r.attempt.By,
 			Lawless: r.attempt.Held && f.Gate != nil && !f.Gate()}
 		if why := last.Bar(); why != 0 {
 			f.Barred.Add(1)
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
-			ev.Outcome, ev.Barred = rules.Superseded, why == pool.Lawless
+			ev.Outcome, ev.Barred = rules.Superseded, why == connpool.Lawless
 			barred = append(barred, dispatch.Item{Event: ev})
 			continue
 		}
--- a/internal/wire/executors_test.go
+++ b/internal/wire/executors_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"liftshift/internal/connpool"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/pool"
 	"liftshift/rules"
 )
 
@@ -235,7 +235,7 @@
 	e.hears(t, "fetch b .*")
 	c.Close()
 	assert.Equal(t, rules.Severed, m.next(t).Event.Outcome)
-	assert.Equal(t, pool.Fates{New: pool.Fate{Attempts: 1}, Used: pool.Fate{Attempts: 1, Lost: 1}}, f.fates)
+	assert.Equal(t, connpool.Fates{New: connpool.Fate{Attempts: 1}, Used: connpool.Fate{Attempts: 1, Lost: 1}}, f.fates)
 }
 
 // Bytes may be spoilt where every length still fits.
