--- a/internal/attribution/attribution.go
+++ b/internal/attribution/attribution.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"net/netip"
 
-	"liftshift/internal/prefix"
+	"liftshift/internal/ipprefix"
 )
 
 // By is a way to tell.
@@ -24,7 +24,7 @@
 type Rules struct {
 	Order     []By
 	Teams     map[string]bool // those that a client may name
-	Addresses prefix.Table[string]
+	Addresses ipprefix.Table[string]
 	Offerings map[string]string
 	Schemas   map[string]string
 }
--- a/internal/prefix/prefix.go
+++ b/internal/ipprefix/ipprefix.go
@@ -1,6 +1,6 @@
-// Package prefix finds the longest address prefix that holds an address: a binary trie with paths pressed together, for IPv4
+// Package ipprefix finds the longest address prefix that holds an address: a binary trie with paths pressed together, for IPv4
 // and IPv6. It knows nothing of who stands behind a prefix.
-package prefix
+package ipprefix
 
 import (
 	"math/bits"
--- a/internal/prefix/prefix_test.go
+++ b/internal/ipprefix/ipprefix_test.go
@@ -1,4 +1,4 @@
-package prefix
+package ipprefix
 
 import (
 	"flag"
