--- a/cmd/liftshift-full/budgets.go
+++ b/cmd/liftshift-full/budgets.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"liftshift/internal/control"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 )
 
 // ask asks the controller whose socket --socket or the operators' file names.
@@ -23,7 +23,7 @@
 		if name == "" {
 			return nil, usage{errors.New("which controller? give --socket, or --file with a block control")}
 		}
-		file, err := operator.Read(name)
+		file, err := operatorconfig.Read(name)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/liftshift-full/serve.go
+++ b/cmd/liftshift-full/serve.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"liftshift/internal/installation"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 	"liftshift/internal/service"
 )
 
@@ -65,7 +65,7 @@
 			}
 			if path, _ := cmd.Flags().GetString("file"); path != "" {
 				looked = true
-				if _, err := operator.Read(path); err != nil {
+				if _, err := operatorconfig.Read(path); err != nil {
 					wrong = append(wrong, err)
 				} else {
 					fmt.Fprintln(cmd.OutOrStdout(), path+": good")
--- a/internal/installation/budgets.go
+++ b/internal/installation/budgets.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"liftshift/internal/dispatch"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 	"liftshift/internal/quota"
 	"liftshift/internal/quotashare"
 	"liftshift/internal/waitestimate"
@@ -16,7 +16,7 @@
 // teams joins the tree of budgets, the rules of whose a search is and the book of waits to a desk. It decides nothing.
 type teams struct {
 	tree  *quota.Tree
-	file  *operator.Budgets
+	file  *operatorconfig.Budgets
 	book  *waitestimate.Book
 	given rules.Given
 	parts *quotashare.Parts
@@ -34,7 +34,7 @@
 	started        bool
 }
 
-func newTeams(now float64, file *operator.Budgets, given rules.Given) (*teams, error) {
+func newTeams(now float64, file *operatorconfig.Budgets, given rules.Given) (*teams, error) {
 	g := rules.Given{}
 	for k, v := range given {
 		g[k] = v
--- a/internal/installation/door.go
+++ b/internal/installation/door.go
@@ -11,7 +11,7 @@
 	"liftshift/internal/control"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 	"liftshift/internal/quota"
 	"liftshift/internal/retry"
 	"liftshift/internal/waitestimate"
@@ -183,7 +183,7 @@
 }
 
 // reset takes over the figures of a file that was read again.
-func (t *teams) reset(d *dispatch.Desk, now float64, next *operator.Budgets) {
+func (t *teams) reset(d *dispatch.Desk, now float64, next *operatorconfig.Budgets) {
 	for _, team := range next.Teams {
 		d.Follow(dispatch.Offers(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
 	}
--- a/internal/installation/fleet.go
+++ b/internal/installation/fleet.go
@@ -20,7 +20,7 @@
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/membership"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/vfs"
 	"liftshift/rules"
@@ -37,7 +37,7 @@
 // fleet joins the view of the fleet to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type fleet struct {
 	inst    *Installation
-	file    *operator.Fleet
+	file    *operatorconfig.Fleet
 	carrier *clusternet.Carrier
 	view    *membership.View // the carrier's goroutine owns it
 	seat    *raftnode.Seat   // nil: no council
--- a/internal/installation/installation.go
+++ b/internal/installation/installation.go
@@ -13,7 +13,7 @@
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/ledgerstore"
-	"liftshift/internal/operator"
+	"liftshift/internal/operatorconfig"
 	"liftshift/internal/retry"
 	"liftshift/internal/service"
 	"liftshift/internal/store"
@@ -23,7 +23,7 @@
 
 // Installation is what an operators' file makes of a controller.
 type Installation struct {
-	file  *operator.File
+	file  *operatorconfig.File
 	desk  *dispatch.Desk
 	keep  *ledgerstore.Keeper // nil: no store
 	team  *teams              // nil: no budgets
@@ -40,7 +40,7 @@
 	if path == "" {
 		return service.Nothing{}, nil
 	}
-	file, err := operator.Read(path)
+	file, err := operatorconfig.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // ledgerGiven is what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerGiven(given rules.Given, s *operator.Store, e *operator.Estate) rules.Given {
+func ledgerGiven(given rules.Given, s *operatorconfig.Store, e *operatorconfig.Estate) rules.Given {
 	g := maps.Clone(given)
 	maps.Copy(g, s.Given)
 	if e != nil { // what was open at a crash is its heirs' to end
@@ -137,7 +137,7 @@
 
 // Reread reads the file again.
 func (i *Installation) Reread(given rules.Given) (func() []string, error) {
-	next, err := operator.Read(i.file.Path)
+	next, err := operatorconfig.Read(i.file.Path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,6 +1,6 @@
-// Package operator reads the operators' own file: what this installation wants beyond the platform's configuration. It is
+// Package operatorconfig reads the operators' own file: what this installation wants beyond the platform's configuration. It is
 // taken whole or not at all; each complaint names file, line and column. It holds values and decides nothing.
-package operator
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/operator/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"reflect"
