--- a/cmd/liftshift-full/serve.go
+++ b/cmd/liftshift-full/serve.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"liftshift/internal/installation"
+	"liftshift/internal/assembly"
 	"liftshift/internal/operatorconfig"
 	"liftshift/internal/service"
 )
@@ -33,7 +33,7 @@
 		return err
 	}
 	file, _ := cmd.Flags().GetString("file")
-	beside, err := installation.New(file)
+	beside, err := assembly.New(file)
 	if err != nil {
 		return err
 	}
--- a/internal/installation/installation.go
+++ b/internal/assembly/assembly.go
@@ -1,6 +1,6 @@
-// Package installation joins what the operators' own file asks for to a controller: the store beneath its memory, and the
+// Package assembly joins what the operators' own file asks for to a controller: the store beneath its memory, and the
 // budgets of its teams.
-package installation
+package assembly
 
 import (
 	"fmt"
--- a/internal/installation/door.go
+++ b/internal/assembly/door.go
@@ -1,4 +1,4 @@
-package installation
+package assembly
 
 import (
 	"context"
