--- a/cmd/liftshift-full/budgets.go
+++ b/cmd/liftshift-full/budgets.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"liftshift/internal/control"
+	"liftshift/internal/adminapi"
 	"liftshift/internal/operatorconfig"
 )
 
@@ -31,8 +31,8 @@
 			return nil, usage{fmt.Errorf("%s has no block control", name)}
 		}
 	}
-	answer, err := control.Ask(cmd.Context(), path, question, fields)
-	var wrong control.Wrong
+	answer, err := adminapi.Ask(cmd.Context(), path, question, fields)
+	var wrong adminapi.Wrong
 	if errors.As(err, &wrong) {
 		return nil, usage{err}
 	}
--- a/internal/control/control.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package control is the operators' door to a running controller: gRPC with protobuf messages over a Unix socket that only its
+// Package adminapi is the operators' door to a running controller: gRPC with protobuf messages over a Unix socket that only its
 // owner may open. It decides nothing and knows nothing of what it carries.
-package control
+package adminapi
 
 import (
 	"context"
--- a/internal/control/control_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"context"
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/control"
+	"liftshift/internal/adminapi"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/ledgerstore"
@@ -27,7 +27,7 @@
 	desk  *dispatch.Desk
 	keep  *ledgerstore.Keeper // nil: no store
 	team  *teams              // nil: no budgets
-	door  *control.Server
+	door  *adminapi.Server
 	fleet *fleet // nil: none
 	heirs *heirs // nil: nobody keeps copies
 
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"liftshift/internal/control"
+	"liftshift/internal/adminapi"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/ledger"
 	"liftshift/internal/operatorconfig"
@@ -26,9 +26,9 @@
 		return nil
 	}
 	return retry.For(retry.AtStart, func() error {
-		i.door, err = control.Serve(i.file.Control, i.answer)
+		i.door, err = adminapi.Serve(i.file.Control, i.answer)
 		return err
-	}, control.ErrInUse)
+	}, adminapi.ErrInUse)
 }
 
 // answer answers a question of the operators' tools.
@@ -43,7 +43,7 @@
 		return out, err
 	}
 	if i.team == nil {
-		return nil, control.Wrongf("there are no budgets: the operators' file has no block budgets")
+		return nil, adminapi.Wrongf("there are no budgets: the operators' file has no block budgets")
 	}
 	var out map[string]any
 	var err error
@@ -58,12 +58,12 @@
 			if why := i.team.tree.Explain(id); why != "" {
 				out = map[string]any{"why": why}
 			} else {
-				err = control.Wrongf("no search %q waits here", id)
+				err = adminapi.Wrongf("no search %q waits here", id)
 			}
 		case "set":
 			out, err = i.set(now, fields)
 		default:
-			err = control.Wrongf("no question %q", question)
+			err = adminapi.Wrongf("no question %q", question)
 		}
 	})
 	if !done {
@@ -123,7 +123,7 @@
 		}
 	}
 	if team == nil {
-		return nil, control.Wrongf("there is no team %q", name)
+		return nil, adminapi.Wrongf("there is no team %q", name)
 	}
 	for _, f := range []struct {
 		name        string
@@ -140,7 +140,7 @@
 		}
 		n, ok := v.(float64)
 		if !ok || !(n >= f.least && n <= f.most) {
-			return nil, control.Wrongf("%s must be from %g to %g", f.name, f.least, f.most)
+			return nil, adminapi.Wrongf("%s must be from %g to %g", f.name, f.least, f.most)
 		}
 		f.set(n)
 	}
