--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/check"
+	"liftshift/internal/invariant"
 	"liftshift/internal/ledger"
 	"liftshift/rules"
 )
@@ -517,7 +517,7 @@
 }
 
 func (d *Desk) answered(s *request, as ledger.Outcome, body []byte, spentMS float64) {
-	if check.That(!s.answered, "a search is answered once") {
+	if invariant.That(!s.answered, "a search is answered once") {
 		s.answered = true
 		d.open.Add(-1)
 		d.happen(Happening{Kind: Closed, Request: &s.Request, Outcome: as, Body: body, SpentMS: spentMS})
@@ -563,7 +563,7 @@
 		return
 	}
 	s := d.requests[a.Request]
-	if !check.That(s != nil, "the module names open searches") {
+	if !invariant.That(s != nil, "the module names open searches") {
 		return
 	}
 	switch a.Kind {
@@ -607,7 +607,7 @@
 }
 
 func (d *Desk) send(now float64, s *request, a *rules.Action) {
-	if !check.That(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
+	if !invariant.That(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
 		return
 	}
 	n := s.fired
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	"liftshift/internal/check"
+	"liftshift/internal/invariant"
 	"liftshift/internal/ledger"
 	"liftshift/rules"
 )
@@ -114,7 +114,7 @@
 	before := len(d.later)
 	d.halt(s, n, rules.Superseded)
 	for k := before; k < len(d.later); k++ {
-		check.That(d.later[k].Event.Outcome == rules.Superseded, "a shot that is held has not left")
+		invariant.That(d.later[k].Event.Outcome == rules.Superseded, "a shot that is held has not left")
 		d.later[k].Event.Barred = true
 	}
 }
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/check"
+	"liftshift/internal/invariant"
 	"liftshift/rules"
 )
 
@@ -80,7 +80,7 @@
 			f["shots_"+endNames[k]] = n
 		}
 	}
-	broken := check.Broken()
+	broken := invariant.Broken()
 	for _, claim := range slices.Sorted(maps.Keys(broken)) {
 		f["broken: "+claim] = broken[claim]
 	}
--- a/internal/check/debug.go
+++ b/internal/invariant/debug.go
@@ -1,6 +1,6 @@
 //go:build debug
 
-package check
+package invariant
 
 // Debug tells which build this is.
 const Debug = true
--- a/internal/check/check.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package check watches what must hold. Built with the tag debug, a broken claim stops the program; without it,
+// Package invariant watches what must hold. Built with the tag debug, a broken claim stops the program; without it,
 // the claim is counted under its name and the program goes on.
-package check
+package invariant
 
 import (
 	"maps"
--- a/internal/check/check_test.go
+++ b/internal/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package check
+package invariant
 
 import (
 	"testing"
