--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"liftshift/internal/benchwire"
+	"liftshift/internal/simproto"
 	"liftshift/rules"
 )
 
@@ -39,14 +39,14 @@
 	}
 	h.actions = one.Step(now, ev, h.actions[:0])
 	for i := range h.actions {
-		h.reply = benchwire.Append(h.reply, instance, &h.actions[i])
+		h.reply = simproto.Append(h.reply, instance, &h.actions[i])
 	}
 	return nil
 }
 
 func play(in io.Reader, out io.Writer) error {
 	h := &hall{instances: map[int]rules.Instance{}}
-	r := benchwire.NewReader(in)
+	r := simproto.NewReader(in)
 	for {
 		h.reply = h.reply[:0]
 		seq, err := r.Batch(h)
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := out.Write(benchwire.AppendEnd(h.reply, seq)); err != nil {
+		if _, err := out.Write(simproto.AppendEnd(h.reply, seq)); err != nil {
 			return err
 		}
 	}
--- a/internal/benchwire/benchwire.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
-// Package benchwire reads and writes the text lines of the bench's wire. The wire's names end here: what
+// Package simproto reads and writes the text lines of the bench's wire. The wire's names end here: what
 // leaves this package are the events of package rules, and what enters are its actions.
-package benchwire
+package simproto
 
 import (
 	"bufio"
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/simproto/simproto_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simproto
 
 import (
 	"io"
