--- a/internal/assembly/budgets_test.go
+++ b/internal/assembly/budgets_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 const twoTeams = `budgets {
@@ -28,22 +28,22 @@
 `
 
 // served is a controller with an operators' file before engines of eight cores.
-func served(t *testing.T, file string, works map[string]time.Duration) (listen string, cmd *exec.Cmd, log *bytes.Buffer, runs *standin.Memory) {
-	runs = &standin.Memory{}
-	var engines []*standin.Engine
+func served(t *testing.T, file string, works map[string]time.Duration) (listen string, cmd *exec.Cmd, log *bytes.Buffer, runs *testservers.Memory) {
+	runs = &testservers.Memory{}
+	var engines []*testservers.Engine
 	for k := range 2 {
-		e := &standin.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: runs}
+		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: runs}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
 	}
 	dir := t.TempDir()
-	list, stop, err := standin.List()
+	list, stop, err := testservers.List()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, log = freePort(t), &bytes.Buffer{}
 	node, hcl := filepath.Join(dir, "node.json"), filepath.Join(dir, "teams.hcl")
-	require.NoError(t, os.WriteFile(node, standin.Node(listen, list, 20*time.Second, engines...), 0o600))
+	require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, 20*time.Second, engines...), 0o600))
 	require.NoError(t, os.WriteFile(hcl, []byte(file), 0o600))
 	cmd = exec.Command(programs(t), "serve", "--file", hcl)
 	cmd.Env, cmd.Stderr = append(os.Environ(), "RELAY_CONFIG="+node), log
@@ -53,13 +53,13 @@
 }
 
 // crowd is clients of a team that ask without end until stop; it counts what was handled.
-func crowd(t *testing.T, all *sync.WaitGroup, listen, team, offering string, clients int, stop *atomic.Bool, each func(standin.Answer, time.Time)) *atomic.Int64 {
+func crowd(t *testing.T, all *sync.WaitGroup, listen, team, offering string, clients int, stop *atomic.Bool, each func(testservers.Answer, time.Time)) *atomic.Int64 {
 	handled := &atomic.Int64{}
 	for w := range clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := standin.Dial(listen, 10*time.Second)
+			c, err := testservers.Dial(listen, 10*time.Second)
 			if !assert.NoError(t, err) {
 				return
 			}
@@ -95,7 +95,7 @@
 	var stop atomic.Bool
 	var told, kept, answers atomic.Int64
 	began := time.Now()
-	each := func(a standin.Answer, at time.Time) {
+	each := func(a testservers.Answer, at time.Time) {
 		answers.Add(1)
 		if len(a.Waits) == 0 || a.Waits[0].Unknown || a.Code != 0 || time.Since(began) < 2*time.Second {
 			return
@@ -141,7 +141,7 @@
 			assert.Equal(t, code, c.ProcessState.ExitCode(), "%v: %s", args, out)
 			return string(out)
 		}
-		c, err := standin.Dial(listen, 10*time.Second)
+		c, err := testservers.Dial(listen, 10*time.Second)
 		require.NoError(t, err)
 		c.Close()
 		want := map[bool]string{true: "it lasts", false: "will not last"}[stored]
@@ -170,7 +170,7 @@
 		again := exec.Command(cmd.Path, cmd.Args[1:]...)
 		again.Env, again.Stderr = cmd.Env, log
 		require.NoError(t, again.Start())
-		c, err = standin.Dial(listen, 10*time.Second)
+		c, err = testservers.Dial(listen, 10*time.Second)
 		require.NoError(t, err)
 		c.Close()
 		assert.Equal(t, stored, bytes.Contains([]byte(run(0, "budgets", "show", "--json")), []byte(`"searches": 1`)))
@@ -184,7 +184,7 @@
 	listen, cmd, log, _ := served(t, twoTeams, map[string]time.Duration{"look": 30 * time.Millisecond})
 	var all sync.WaitGroup
 	var stop atomic.Bool
-	render := crowd(t, &all, listen, "render", "look", 40, &stop, func(a standin.Answer, _ time.Time) { assert.Zero(t, a.Code) })
+	render := crowd(t, &all, listen, "render", "look", 40, &stop, func(a testservers.Answer, _ time.Time) { assert.Zero(t, a.Code) })
 	require.Eventually(t, func() bool { return render.Load() > 20 }, 10*time.Second, 5*time.Millisecond)
 	file := cmd.Args[len(cmd.Args)-1]
 	require.NoError(t, os.WriteFile(file, []byte("budgets {\n default = \"other\"\n team \"other\" {}\n}\n"), 0o600))
--- a/internal/assembly/kill_test.go
+++ b/internal/assembly/kill_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // programs builds the programs as an operator would and gives the path of the plain one.
@@ -28,20 +28,20 @@
 }
 
 func freePort(t *testing.T) string {
-	at, err := standin.Spot()
+	at, err := testservers.Spot()
 	require.NoError(t, err)
 	return at
 }
 
 // setup writes the files of a controller before some engines, with a store, and gives what starts it.
-func setup(t *testing.T, program string, engines ...*standin.Engine) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
+func setup(t *testing.T, program string, engines ...*testservers.Engine) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
 	dir := t.TempDir()
-	list, stop, err := standin.List()
+	list, stop, err := testservers.List()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, folder = freePort(t), filepath.Join(dir, "store")
 	node, file := filepath.Join(dir, "node.json"), filepath.Join(dir, "office.hcl")
-	require.NoError(t, os.WriteFile(node, standin.Node(listen, list, 20*time.Second, engines...), 0o600))
+	require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, 20*time.Second, engines...), 0o600))
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "store {\n  directory = %q\n  segment = \"64KiB\"\n}\n", folder), 0o600))
 	return listen, folder, func(log *bytes.Buffer) *exec.Cmd {
 		cmd := exec.Command(program)
@@ -55,10 +55,10 @@
 // The real program is killed outright twenty times under load, and started again. Clients come again with their marks. No
 // mark runs twice, no search gets two answers, and what ran is never told as denied or unknown.
 func TestKilledTwentyTimesUnderLoad(t *testing.T) {
-	memory := &standin.Memory{}
-	var engines []*standin.Engine
+	memory := &testservers.Memory{}
+	var engines []*testservers.Engine
 	for k, place := range []string{"here", "here", "there"} {
-		e := &standin.Engine{Name: fmt.Sprint("s-", k), Place: place, Drops: 20 * time.Second, Work: 3 * time.Millisecond, Memory: memory}
+		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: place, Drops: 20 * time.Second, Work: 3 * time.Millisecond, Memory: memory}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
@@ -73,7 +73,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			var c *standin.Client
+			var c *testservers.Client
 			for n := 0; !stop.Load(); n++ {
 				offering, mark := []string{"mark", "mark", "look", "once"}[n%4], ""
 				if offering == "mark" {
@@ -83,7 +83,7 @@
 					req := fmt.Sprintf("r%d-%d-%d", w, n, try)
 					var err error
 					if c == nil {
-						if c, err = standin.Dial(listen, 10*time.Second); err != nil {
+						if c, err = testservers.Dial(listen, 10*time.Second); err != nil {
 							return
 						}
 					}
@@ -109,7 +109,7 @@
 	var logs bytes.Buffer
 	for kill := range 20 {
 		cmd := start(&logs)
-		c, err := standin.Dial(listen, 10*time.Second)
+		c, err := testservers.Dial(listen, 10*time.Second)
 		require.NoError(t, err)
 		c.Close()
 		time.Sleep(time.Duration(60+17*kill%100) * time.Millisecond)
@@ -119,7 +119,7 @@
 	stop.Store(true)
 	last := start(&logs)
 	clients.Wait()
-	c, err := standin.Dial(listen, 10*time.Second)
+	c, err := testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
 	ran, marks := map[string]bool{}, map[string]int{}
 	for _, r := range memory.Runs() {
@@ -162,13 +162,13 @@
 // The tools and the operators' file, as an operator uses them.
 func TestTheCommandLine(t *testing.T) {
 	program := programs(t)
-	e := &standin.Engine{Name: "s-0", Place: "here", Drops: 20 * time.Second}
+	e := &testservers.Engine{Name: "s-0", Place: "here", Drops: 20 * time.Second}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
 	listen, folder, start := setup(t, program, e)
 	var log bytes.Buffer
 	cmd := start(&log)
-	c, err := standin.Dial(listen, 10*time.Second)
+	c, err := testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
 	a, err := c.Search("mark", "r1", "m1", 4*time.Second)
 	require.NoError(t, err)
@@ -203,11 +203,11 @@
 	assert.Contains(t, run(0, "store", "repair", folder), "saved")
 	assert.Contains(t, run(0, "store", "verify", folder), "in doubt")
 	again := start(&log)
-	c, err = standin.Dial(listen, 10*time.Second)
+	c, err = testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
 	a, err = c.Search("mark", "r2", "m2", 4*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, standin.Denied, a.Code, "what is not known may have run")
+	assert.Equal(t, testservers.Denied, a.Code, "what is not known may have run")
 	assert.Positive(t, a.HoldOff)
 	a, err = c.Search("look", "r3", "", 4*time.Second)
 	require.NoError(t, err)
@@ -227,16 +227,16 @@
 // Whoever reads the log may go: the program goes on. A write to a pipe that nobody reads would end it by a signal.
 func TestALogThatNobodyReadsEndsNothing(t *testing.T) {
 	program := programs(t)
-	e := &standin.Engine{Name: "s-0", Place: "here"}
+	e := &testservers.Engine{Name: "s-0", Place: "here"}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
-	list, stop, err := standin.List()
+	list, stop, err := testservers.List()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	for _, file := range []string{"", "control { socket = \"" + filepath.Join(t.TempDir(), "sock") + "\" }\n"} {
 		dir := t.TempDir()
 		listen, node, office := freePort(t), filepath.Join(dir, "node.json"), ""
-		require.NoError(t, os.WriteFile(node, standin.Node(listen, list, time.Second, e), 0o600))
+		require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, time.Second, e), 0o600))
 		if file != "" {
 			office = filepath.Join(dir, "office.hcl")
 			require.NoError(t, os.WriteFile(office, []byte(file), 0o600))
@@ -247,7 +247,7 @@
 		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+node, "LIFTSHIFT_FILE="+office)
 		cmd.Stderr = w
 		require.NoError(t, cmd.Start())
-		c, err := standin.Dial(listen, 5*time.Second)
+		c, err := testservers.Dial(listen, 5*time.Second)
 		require.NoError(t, err)
 		require.NoError(t, errors.Join(r.Close(), w.Close()))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP)) // which is logged
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"liftshift/internal/quota"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
 
@@ -49,25 +49,25 @@
 type site struct {
 	listen  string
 	cmd     *exec.Cmd
-	engines []*standin.Engine
-	runs    *standin.Memory
+	engines []*testservers.Engine
+	runs    *testservers.Memory
 	seq     atomic.Int64
 }
 
 func newSite(dir, programs, file string, works map[string]time.Duration, engines int) (*site, error) {
-	s := &site{runs: &standin.Memory{}}
+	s := &site{runs: &testservers.Memory{}}
 	for k := range engines {
-		e := &standin.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: s.runs}
+		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: s.runs}
 		if err := e.Start(); err != nil {
 			return nil, err
 		}
 		s.engines = append(s.engines, e)
 	}
-	list, _, err := standin.List() // ends with this program
+	list, _, err := testservers.List() // ends with this program
 	if err != nil {
 		return nil, err
 	}
-	if s.listen, err = standin.Spot(); err != nil {
+	if s.listen, err = testservers.Spot(); err != nil {
 		return nil, err
 	}
 	at, err := os.MkdirTemp(dir, "site-")
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	node := filepath.Join(at, "node.json")
-	if err := os.WriteFile(node, standin.Node(s.listen, list, 20*time.Second, s.engines...), 0o600); err != nil {
+	if err := os.WriteFile(node, testservers.Node(s.listen, list, 20*time.Second, s.engines...), 0o600); err != nil {
 		return nil, err
 	}
 	s.cmd = exec.Command(filepath.Join(programs, "liftshift"))
@@ -114,7 +114,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := standin.Dial(s.listen, 10*time.Second)
+			c, err := testservers.Dial(s.listen, 10*time.Second)
 			if err != nil {
 				return
 			}
--- a/internal/benchmark/holds.go
+++ b/internal/benchmark/holds.go
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // controller is a real controller under measurement.
@@ -25,17 +25,17 @@
 }
 
 // launch starts a controller before engines; file is the operators' file, or empty.
-func launch(dir, program, file string, engines []*standin.Engine) (*controller, error) {
-	list, _, err := standin.List() // ends with this program
+func launch(dir, program, file string, engines []*testservers.Engine) (*controller, error) {
+	list, _, err := testservers.List() // ends with this program
 	if err != nil {
 		return nil, err
 	}
 	c := &controller{}
-	if c.listen, err = standin.Spot(); err != nil {
+	if c.listen, err = testservers.Spot(); err != nil {
 		return nil, err
 	}
 	node := filepath.Join(dir, "node-"+strconv.Itoa(len(file))+".json")
-	if err := os.WriteFile(node, standin.Node(c.listen, list, 20*time.Second, engines...), 0o600); err != nil {
+	if err := os.WriteFile(node, testservers.Node(c.listen, list, 20*time.Second, engines...), 0o600); err != nil {
 		return nil, err
 	}
 	c.cmd = exec.Command(program)
@@ -60,7 +60,7 @@
 		go func() {
 			defer all.Done()
 			err := func() error {
-				k, err := standin.Dial(c.listen, 5*time.Second)
+				k, err := testservers.Dial(c.listen, 5*time.Second)
 				if err != nil {
 					return err
 				}
@@ -102,9 +102,9 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	var engines []*standin.Engine
+	var engines []*testservers.Engine
 	for k := range 3 {
-		e := &standin.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Work: 2 * time.Millisecond}
+		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Work: 2 * time.Millisecond}
 		if err := e.Start(); err != nil {
 			return nil, err
 		}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -17,7 +17,7 @@
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/rehearse"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
 
@@ -116,7 +116,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := standin.Dial(f.Controllers[w%controllers].Client, time.Second)
+			c, err := testservers.Dial(f.Controllers[w%controllers].Client, time.Second)
 			for k := 0; err == nil; k++ {
 				select {
 				case <-stop:
@@ -125,7 +125,7 @@
 				case <-time.After(ownPause):
 				}
 				began := time.Now()
-				var a standin.Answer
+				var a testservers.Answer
 				a, err = c.Search("look", fmt.Sprintf("own-%d-%d", w, k), "", 5*time.Second)
 				mu.Lock()
 				if at, ms = append(at, began), append(ms, time.Since(began).Seconds()*1000); err != nil || a.Code != 0 {
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -15,7 +15,7 @@
 	"liftshift/internal/placement"
 	"liftshift/internal/rehearse"
 	"liftshift/internal/simfleet"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
 
@@ -183,13 +183,13 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, wrong := standin.Dial(f.Controllers[0].Client, time.Second)
+			c, wrong := testservers.Dial(f.Controllers[0].Client, time.Second)
 			for k := 0; wrong == nil && k < millSearches/millClients; k++ {
 				id, mark := fmt.Sprintf("%s-%d-%d", tag, w, k), ""
 				if offering == "mark" {
 					mark = "m" + id
 				}
-				var a standin.Answer
+				var a testservers.Answer
 				if a, wrong = c.Search(offering, id, mark, 5*time.Second); wrong == nil && a.Code != 0 {
 					wrong = fmt.Errorf("%s: %d %s", id, a.Code, a.Message)
 				}
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -16,7 +16,7 @@
 	"liftshift/internal/handoff"
 	"liftshift/internal/membership"
 	"liftshift/internal/placement"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
 
@@ -64,7 +64,7 @@
 func open(t *testing.T, name string, part dispatch.Part) *end {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	at, err := standin.Spot()
+	at, err := testservers.Spot()
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
 	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -16,7 +16,7 @@
 	"liftshift/internal/clusternet"
 	"liftshift/internal/locality"
 	"liftshift/internal/membership"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
 
@@ -40,7 +40,7 @@
 func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Carrier, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	at, err := standin.Spot()
+	at, err := testservers.Spot()
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
 	c.Scout = scout
--- a/internal/raftnode/helpers_test.go
+++ b/internal/raftnode/helpers_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/consensus"
-	"liftshift/internal/standin"
 	"liftshift/internal/store"
+	"liftshift/internal/testservers"
 )
 
 func entryAt(index, term uint64) *raftpb.Entry {
@@ -37,7 +37,7 @@
 // addresses gives free ones on loopback.
 func addresses(t *testing.T, n int) (list []string) {
 	for range n {
-		at, err := standin.Spot()
+		at, err := testservers.Spot()
 		require.NoError(t, err)
 		list = append(list, at)
 	}
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // Asked is one search as its client saw it.
@@ -47,7 +47,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			conns := make([]*standin.Client, len(f.Controllers))
+			conns := make([]*testservers.Client, len(f.Controllers))
 			defer func() {
 				for _, c := range conns {
 					if c != nil {
@@ -70,13 +70,13 @@
 }
 
 // search has one search made. What is cut off is not sent again: whether it ran is for the engines to say.
-func (f *Fleet) search(h *History, conns []*standin.Client, k int, number uint64) {
+func (f *Fleet) search(h *History, conns []*testservers.Client, k int, number uint64) {
 	a := Asked{ID: fmt.Sprintf("%016x", number), Offering: []string{"look", "mark", "once"}[number%3], Controller: k, At: time.Now()}
 	if a.Offering == "mark" {
 		a.Mark = fmt.Sprintf("m%015x", number)
 	}
 	if conns[k] == nil {
-		c, err := standin.Dial(f.Controllers[k].Client, 50*time.Millisecond)
+		c, err := testservers.Dial(f.Controllers[k].Client, 50*time.Millisecond)
 		if err != nil {
 			return // nobody there: nothing was asked
 		}
@@ -91,7 +91,7 @@
 		conns[k] = nil
 	case answer.Code == 0:
 		a.Outcome = "handled"
-	case answer.Code == standin.Denied:
+	case answer.Code == testservers.Denied:
 		a.Outcome = "denied"
 	default:
 		a.Outcome = "written off"
@@ -101,7 +101,7 @@
 
 // Check holds what clients saw against what engines ran and gives what is wrong: an effect twice, an answer for what never ran, a
 // denial of what did, or more further shots than the ration of all controllers allows.
-func Check(list []Asked, runs []standin.Run, controllers int) (wrong []string) {
+func Check(list []Asked, runs []testservers.Run, controllers int) (wrong []string) {
 	byID, byMark := map[string]int{}, map[string]int{}
 	for _, r := range runs {
 		byID[r.ID]++
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"liftshift/internal/adminapi"
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // drainGrace is the grace of the settings after a drain is told, and what sockets have on top.
@@ -80,16 +80,16 @@
 	Plan        Plan
 	Relay       *Relay
 	Controllers []*Controller
-	Engines     []*standin.Engine
-	Memory      *standin.Memory
-	list        *standin.Changes
+	Engines     []*testservers.Engine
+	Memory      *testservers.Memory
+	list        *testservers.Changes
 	drained     map[string]time.Time // engines that are told to be leaving, since when
 	stops       []func()
 }
 
 // New writes the files and starts the engines and the relay; no controller yet.
 func New(p Plan) (f *Fleet, err error) {
-	f = &Fleet{Plan: p, Memory: &standin.Memory{}, drained: map[string]time.Time{}}
+	f = &Fleet{Plan: p, Memory: &testservers.Memory{}, drained: map[string]time.Time{}}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	for k := range max(1, p.Engines) {
-		e := &standin.Engine{Name: fmt.Sprint("s-", k), Place: fmt.Sprint("z", k%max(1, p.Zones)), Drops: 100 * time.Millisecond,
+		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: fmt.Sprint("z", k%max(1, p.Zones)), Drops: 100 * time.Millisecond,
 			Work: time.Duration(p.WorkMS * float64(time.Millisecond)), Works: p.Works, Memory: f.Memory, Cores: p.Cores, Room: p.Room}
 		if p.Drops != 0 {
 			e.Drops = max(0, p.Drops)
@@ -109,7 +109,7 @@
 		}
 		f.Engines = append(f.Engines, e)
 	}
-	if f.list, err = standin.NewChanges(); err != nil {
+	if f.list, err = testservers.NewChanges(); err != nil {
 		return nil, err
 	}
 	f.stops = append(f.stops, f.list.Stop)
@@ -129,7 +129,7 @@
 		return err
 	}
 	var err error
-	if c.Client, err = standin.Spot(); err != nil {
+	if c.Client, err = testservers.Spot(); err != nil {
 		return err
 	}
 	c.Socket = filepath.Join(c.Folder, "sock")
@@ -138,7 +138,7 @@
 		seeds = append(seeds, f.Relay.Known(s))
 	}
 	node := map[string]any{}
-	if err := json.Unmarshal(standin.Node(c.Client, list, f.window(), f.Engines...), &node); err != nil {
+	if err := json.Unmarshal(testservers.Node(c.Client, list, f.window(), f.Engines...), &node); err != nil {
 		return err
 	}
 	node["name"] = c.Name
@@ -275,7 +275,7 @@
 }
 
 // Undrained gives the runs that began at an engine past the grace after it was told to be leaving.
-func Undrained(runs []standin.Run, drained map[string]time.Time) (wrong []string) {
+func Undrained(runs []testservers.Run, drained map[string]time.Time) (wrong []string) {
 	for _, r := range runs {
 		if at, drains := drained[r.Engine]; drains && r.At.After(at.Add(drainGrace)) {
 			wrong = append(wrong, fmt.Sprintf("search %s ran at %s, %v after that was told to be leaving", r.ID, r.Engine, r.At.Sub(at)))
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // quick are times at which a test need not wait long.
@@ -292,22 +292,22 @@
 // The checker refuses what must be refused.
 func TestCheckerRefuses(t *testing.T) {
 	at := time.Now()
-	run := func(id, mark string) standin.Run { return standin.Run{ID: id, Mark: mark, At: at} }
-	assert.Empty(t, Check([]Asked{{ID: "1", Offering: "look", Outcome: "handled"}}, []standin.Run{run("1", "")}, 1))
+	run := func(id, mark string) testservers.Run { return testservers.Run{ID: id, Mark: mark, At: at} }
+	assert.Empty(t, Check([]Asked{{ID: "1", Offering: "look", Outcome: "handled"}}, []testservers.Run{run("1", "")}, 1))
 	leaving := map[string]time.Time{"s-1": at}
-	assert.Empty(t, Undrained([]standin.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Millisecond)}, {ID: "2", Engine: "s-2", At: at.Add(time.Hour)}}, leaving))
-	assert.NotEmpty(t, Undrained([]standin.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Second)}}, leaving), "a drain that is not kept")
+	assert.Empty(t, Undrained([]testservers.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Millisecond)}, {ID: "2", Engine: "s-2", At: at.Add(time.Hour)}}, leaving))
+	assert.NotEmpty(t, Undrained([]testservers.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Second)}}, leaving), "a drain that is not kept")
 	for name, c := range map[string]struct {
 		asked []Asked
-		runs  []standin.Run
+		runs  []testservers.Run
 	}{
 		"two answers":          {[]Asked{{ID: "1", Offering: "look", Outcome: "denied"}, {ID: "1", Offering: "look", Outcome: "denied"}}, nil},
-		"a mark twice":         {[]Asked{{ID: "1", Offering: "mark", Mark: "m", Outcome: "handled"}}, []standin.Run{run("1", "m"), run("2", "m")}},
-		"once, twice":          {[]Asked{{ID: "1", Offering: "once", Outcome: "cut off"}}, []standin.Run{run("1", ""), run("1", "")}},
+		"a mark twice":         {[]Asked{{ID: "1", Offering: "mark", Mark: "m", Outcome: "handled"}}, []testservers.Run{run("1", "m"), run("2", "m")}},
+		"once, twice":          {[]Asked{{ID: "1", Offering: "once", Outcome: "cut off"}}, []testservers.Run{run("1", ""), run("1", "")}},
 		"handled out of air":   {[]Asked{{ID: "1", Offering: "look", Outcome: "handled"}}, nil},
-		"denied though it ran": {[]Asked{{ID: "1", Offering: "once", Outcome: "denied"}}, []standin.Run{run("1", "")}},
+		"denied though it ran": {[]Asked{{ID: "1", Offering: "once", Outcome: "denied"}}, []testservers.Run{run("1", "")}},
 		"past the ration": {[]Asked{{ID: "1", Offering: "look", Outcome: "handled"}},
-			[]standin.Run{run("1", ""), run("1", ""), run("1", ""), run("1", ""), run("1", "")}},
+			[]testservers.Run{run("1", ""), run("1", ""), run("1", ""), run("1", ""), run("1", "")}},
 	} {
 		assert.NotEmpty(t, Check(c.asked, c.runs, 1), name)
 	}
@@ -319,13 +319,13 @@
 	for _, sick := range []string{"full", "failing"} {
 		f := rehearsal(t, Plan{Controllers: 1, Engines: 2, NoFleet: true, Store: true, WorkMS: 2})
 		ask := func(offering, id, mark string) (string, error) {
-			c, err := standin.Dial(f.Controllers[0].Client, 8*time.Second)
+			c, err := testservers.Dial(f.Controllers[0].Client, 8*time.Second)
 			if err != nil {
 				return "", err
 			}
 			defer c.Close()
 			a, err := c.Search(offering, id, mark, 2*time.Second)
-			return map[int]string{0: "handled", standin.Denied: "denied"}[a.Code], err
+			return map[int]string{0: "handled", testservers.Denied: "denied"}[a.Code], err
 		}
 		for round := range 2 {
 			id := func(n int) string { return fmt.Sprintf("%s-%d-%d", sick, round, n) }
@@ -361,7 +361,7 @@
 	settles(t, f, "both join")
 	f.Engines[0].Hangs.Store(true)
 	f.Engines[1].Hangs.Store(true)
-	c, err := standin.Dial(f.Controllers[0].Client, time.Second)
+	c, err := testservers.Dial(f.Controllers[0].Client, time.Second)
 	require.NoError(t, err)
 	defer c.Close()
 	go func() { _, _ = c.Search("look", "0000000000000001", "", 5*time.Second) }() // which the stop waits for
@@ -382,7 +382,7 @@
 	f.Engines[0].Hangs.Store(false)
 	f.Engines[1].Hangs.Store(false)
 	require.Eventually(t, func() bool {
-		next, err := standin.Dial(one.Client, time.Second)
+		next, err := testservers.Dial(one.Client, time.Second)
 		if err != nil {
 			return false
 		}
@@ -411,7 +411,7 @@
 		stop := make(chan struct{})
 		for w := range clients {
 			all.Go(func() {
-				c, err := standin.Dial(f.Controllers[0].Client, 5*time.Second)
+				c, err := testservers.Dial(f.Controllers[0].Client, 5*time.Second)
 				for n := 0; err == nil; n++ {
 					select {
 					case <-stop:
@@ -426,7 +426,7 @@
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		joins := &standin.Engine{Name: "s-new", Place: "z0", Work: 5 * time.Millisecond, Memory: f.Memory}
+		joins := &testservers.Engine{Name: "s-new", Place: "z0", Work: 5 * time.Millisecond, Memory: f.Memory}
 		require.NoError(t, joins.Start())
 		t.Cleanup(joins.Stop)
 		require.NoError(t, f.list.TellSince(joins, "Ready", time.Now().Add(off).UnixMilli()))
--- a/internal/rehearse/soak_test.go
+++ b/internal/rehearse/soak_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // The operators' figures for a planned stop and for what clients hear.
@@ -177,9 +177,9 @@
 	}
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	if c.s.answered[o.id] = m.Error.Code == standin.Denied; m.Error.Code == 0 {
+	if c.s.answered[o.id] = m.Error.Code == testservers.Denied; m.Error.Code == 0 {
 		c.s.outcomes["handled"]++
-	} else if m.Error.Code == standin.Denied {
+	} else if m.Error.Code == testservers.Denied {
 		c.s.outcomes["denied"]++
 	} else {
 		c.s.outcomes["failed"]++
@@ -316,7 +316,7 @@
 	started := time.Now()
 	fit := false
 	for !fit && time.Since(started) < 10*time.Second {
-		if one, err := standin.Dial(c.Client, 10*time.Second); err == nil {
+		if one, err := testservers.Dial(c.Client, 10*time.Second); err == nil {
 			_, err = one.Call("probe", map[string]any{}, time.Second)
 			fit = err == nil
 			one.Close()
@@ -403,7 +403,7 @@
 // move has the list go on at another address, which a new configuration names; the one before tells nothing more, and ends later.
 func (s *soak) move() {
 	before := s.fleet.list
-	next, err := standin.NewChanges()
+	next, err := testservers.NewChanges()
 	require.NoError(s.t, err)
 	s.t.Cleanup(next.Stop)
 	s.fleet.list = next
--- a/internal/rehearse/takeover.go
+++ b/internal/rehearse/takeover.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // Takeovers are the faults that a round of taking over knows, each of them while searches are in hand.
@@ -73,7 +73,7 @@
 // one makes a search and tells how it ended. Its connection breaks after a time, if that is not 0.
 func (f *Fleet) one(k int, offering, id, mark string, breaks time.Duration) string {
 	const patience = 5 * time.Second
-	c, err := standin.Dial(f.Controllers[k].Client, 200*time.Millisecond)
+	c, err := testservers.Dial(f.Controllers[k].Client, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -87,7 +87,7 @@
 		return "cut off"
 	case a.Code == 0:
 		return "handled"
-	case a.Code == standin.Denied:
+	case a.Code == testservers.Denied:
 		return "denied"
 	}
 	return "written off"
@@ -95,7 +95,7 @@
 
 // Outcome asks a controller what became of a search.
 func (f *Fleet) Outcome(k int, req, mark string) string {
-	c, err := standin.Dial(f.Controllers[k].Client, 200*time.Millisecond)
+	c, err := testservers.Dial(f.Controllers[k].Client, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -289,7 +289,7 @@
 }
 
 // judge holds what clients heard and what is told now against what ran.
-func (f *Fleet) judge(r *Round, list []inHand, ran int, at time.Time, before []standin.Run) {
+func (f *Fleet) judge(r *Round, list []inHand, ran int, at time.Time, before []testservers.Run) {
 	times := map[string]int{}
 	for _, x := range f.Memory.Runs()[ran:] {
 		times[key(x.ID, x.Mark)]++
--- a/internal/rehearse/takeover_test.go
+++ b/internal/rehearse/takeover_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // chaired waits until all that run know who sits where, and hold their leases.
@@ -48,10 +48,10 @@
 				o.mark = fmt.Sprintf("m%d", w)
 			}
 			began := time.Now()
-			if c, err := standin.Dial(f.Controllers[k].Client, time.Second); err == nil {
+			if c, err := testservers.Dial(f.Controllers[k].Client, time.Second); err == nil {
 				defer c.Close()
 				if a, err := c.Search(offering, o.id, o.mark, 5*time.Second); err == nil {
-					o.outcome = map[int]string{0: "handled", standin.Denied: "denied"}[a.Code]
+					o.outcome = map[int]string{0: "handled", testservers.Denied: "denied"}[a.Code]
 					if o.outcome == "" {
 						o.outcome = "written off"
 					}
--- a/internal/rehearse/zones.go
+++ b/internal/rehearse/zones.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 // Traffic is what clients of all controllers heard, search by search.
@@ -34,7 +34,7 @@
 }
 
 func (t *Traffic) client(f *Fleet, k int, tag string, pause time.Duration) {
-	var c *standin.Client
+	var c *testservers.Client
 	for n := 0; ; n++ {
 		select {
 		case <-t.stop:
@@ -46,7 +46,7 @@
 		}
 		if c == nil {
 			var err error
-			if c, err = standin.Dial(f.Controllers[k].Client, 50*time.Millisecond); err != nil {
+			if c, err = testservers.Dial(f.Controllers[k].Client, 50*time.Millisecond); err != nil {
 				c = nil
 				continue
 			}
@@ -59,7 +59,7 @@
 			c = nil
 		case got.Code == 0:
 			a.Outcome = "handled"
-		case got.Code == standin.Denied:
+		case got.Code == testservers.Denied:
 			a.Outcome = "denied"
 		default:
 			a.Outcome = "written off"
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"liftshift/internal/standin"
+	"liftshift/internal/testservers"
 )
 
 const testSettings = `{"Bounds": {"Cancelling": true, "ConnectTimeout": 250000, "IdleClose": 15000000, "MaxAttempts": 6,
@@ -30,7 +30,7 @@
 
 // free is an address that nobody listens on.
 func free(t *testing.T) string {
-	at, err := standin.Spot()
+	at, err := testservers.Spot()
 	require.NoError(t, err)
 	return at
 }
--- a/internal/standin/engine.go
+++ b/internal/testservers/engine.go
@@ -1,6 +1,6 @@
-// Package standin plays the outside of a controller for tests and measurements, on loopback: one kind of engine, the list of
+// Package testservers plays the outside of a controller for tests and measurements, on loopback: one kind of engine, the list of
 // engines, and a client. All of it is written from the pages on the protocols. The daemon never uses it.
-package standin
+package testservers
 
 import (
 	"bufio"
--- a/internal/standin/spot.go
+++ b/internal/testservers/spot.go
@@ -1,4 +1,4 @@
-package standin
+package testservers
 
 import (
 	"fmt"
