--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
+	"liftshift/internal/clustersim"
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
 	"liftshift/internal/rehearse"
-	"liftshift/internal/simfleet"
 	"liftshift/rules"
 )
 
@@ -51,8 +51,8 @@
 }
 
 // joined is a simulated fleet whose views are settled.
-func joined(n int, seed uint64, given rules.Given) *simfleet.Fleet {
-	f := simfleet.New(n, seed)
+func joined(n int, seed uint64, given rules.Given) *clustersim.Fleet {
+	f := clustersim.New(n, seed)
 	f.Given = given
 	for k := range n {
 		f.Start(k)
@@ -154,7 +154,7 @@
 func leaderless() (median float64) {
 	var times []float64
 	for seed := range uint64(20) {
-		h := simfleet.NewHall(5, 3, seed)
+		h := clustersim.NewHall(5, 3, seed)
 		for k := range h.Nodes {
 			h.Open(k)
 		}
@@ -179,7 +179,7 @@
 // the log is then at most.
 func entries() (rate, kept float64) {
 	const names = 4000
-	h := simfleet.NewHall(3, 3, 77)
+	h := clustersim.NewHall(3, 3, 77)
 	for k := range h.Nodes {
 		h.Open(k)
 	}
@@ -343,7 +343,7 @@
 	var mu sync.Mutex
 	claims, declared, broken := 0, 0, 0
 	parallel(histories, func(k int) {
-		o := simfleet.Play(uint64(k), nil)
+		o := clustersim.Play(uint64(k), nil)
 		mu.Lock()
 		defer mu.Unlock()
 		claims, declared = claims+o.Claims, declared+o.Declared
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"liftshift/internal/clustersim"
 	"liftshift/internal/handoff"
 	"liftshift/internal/placement"
 	"liftshift/internal/rehearse"
-	"liftshift/internal/simfleet"
 	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
@@ -40,7 +40,7 @@
 func tales(n int) (twice, two, without, other, adopted int) {
 	var mu sync.Mutex
 	parallel(n, func(k int) {
-		o := simfleet.PlayEstates(uint64(k), []float64{0, 6000, 20_000}[k%3], nil, false)
+		o := clustersim.PlayEstates(uint64(k), []float64{0, 6000, 20_000}[k%3], nil, false)
 		mu.Lock()
 		defer mu.Unlock()
 		adopted += o.Adopted
@@ -65,8 +65,8 @@
 func lawless(n int) (twice int) {
 	var mu sync.Mutex
 	parallel(n, func(k int) {
-		faults := []simfleet.Fault{{At: 12_000 + 40*float64(k), Kind: "stall", Node: 4, MS: 24_000}, {At: 14_000, Kind: "stall", Node: 3, MS: 24_000}}
-		for _, b := range simfleet.PlayEstates(uint64(k), 10_000, faults, true).Broken {
+		faults := []clustersim.Fault{{At: 12_000 + 40*float64(k), Kind: "stall", Node: 4, MS: 24_000}, {At: 14_000, Kind: "stall", Node: 3, MS: 24_000}}
+		for _, b := range clustersim.PlayEstates(uint64(k), 10_000, faults, true).Broken {
 			if strings.Contains(b, "times") {
 				mu.Lock()
 				twice++
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"liftshift/internal/clustersim"
 	"liftshift/internal/rehearse"
-	"liftshift/internal/simfleet"
 	"liftshift/rules"
 )
 
@@ -31,11 +31,11 @@
 			return figures, err
 		}
 	}
-	manners := []simfleet.Manner{simfleet.InCommon, simfleet.Before, simfleet.Nearest, simfleet.Even, simfleet.Alone}
+	manners := []clustersim.Manner{clustersim.InCommon, clustersim.Before, clustersim.Nearest, clustersim.Even, clustersim.Alone}
 	for _, load := range []float64{0.5, 0.65, 0.8} {
-		got := make([]simfleet.Figures, len(manners))
+		got := make([]clustersim.Figures, len(manners))
 		parallel(len(manners), func(k int) {
-			got[k] = simfleet.PlayBetween(simfleet.Between{Manner: manners[k], Zones: 3, Controllers: 9, Executors: 24, Load: load, Cores: 8, WayMS: 10,
+			got[k] = clustersim.PlayBetween(clustersim.Between{Manner: manners[k], Zones: 3, Controllers: 9, Executors: 24, Load: load, Cores: 8, WayMS: 10,
 				Lost: 8000, Back: 20_000, End: 40_000, Seed: 7})
 		})
 		ours, at := got[0], fmt.Sprintf("at_%.0f_", 100*load)
@@ -55,7 +55,7 @@
 	if number("ZONES_MANY", 1) > 0 {
 		per := map[int]float64{}
 		for _, n := range []int{30, 300} {
-			f := simfleet.PlayBetween(simfleet.Between{Manner: simfleet.InCommon, Zones: 3, Controllers: n, Executors: n * 2 / 3, Load: 0.5, Cores: 8, WayMS: 10,
+			f := clustersim.PlayBetween(clustersim.Between{Manner: clustersim.InCommon, Zones: 3, Controllers: n, Executors: n * 2 / 3, Load: 0.5, Cores: 8, WayMS: 10,
 				Lost: 6000, Back: 12_000, End: 20_000, Seed: 9, Cut: 2})
 			fmt.Printf("# sim, %d controllers, %d executors: %+v\n", n, n*2/3, f)
 			per[n] = f.BytesASecond
--- a/internal/simfleet/simfleet.go
+++ b/internal/clustersim/clustersim.go
@@ -1,7 +1,7 @@
-// Package simfleet plays a fleet of the very decision packages in simulated time: hundreds to thousands of views on a network
+// Package clustersim plays a fleet of the very decision packages in simulated time: hundreds to thousands of views on a network
 // that delays, drops, doubles and cuts, with members that stall, die and start again. One seed plays one history. It is used by
 // tests and measurements alone.
-package simfleet
+package clustersim
 
 import (
 	"container/heap"
--- a/internal/simfleet/helpers_test.go
+++ b/internal/clustersim/helpers_test.go
@@ -1,4 +1,4 @@
-package simfleet
+package clustersim
 
 import (
 	"testing"
