--- a/cmd/liftshift-full/rehearse.go
+++ b/cmd/liftshift-full/rehearse.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"liftshift/internal/rehearse"
+	"liftshift/internal/chaostest"
 )
 
 func rehearseCommand() *cobra.Command {
@@ -18,7 +18,7 @@
 			"FILE (HCL) lists. What clients and engines saw is checked; a failed drill prints its seed and exits with 1.",
 		Example: "  liftshift rehearse deploy/drill.hcl --report drill.html",
 		RunE: func(cmd *cobra.Command, given []string) error {
-			script, err := rehearse.ReadScript(given[0])
+			script, err := chaostest.ReadScript(given[0])
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 				return err
 			}
 			defer os.RemoveAll(folder)
-			o, err := rehearse.Play(script, filepath.Join(filepath.Dir(self), "liftshift"), folder, cmd.OutOrStdout())
+			o, err := chaostest.Play(script, filepath.Join(filepath.Dir(self), "liftshift"), folder, cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(rehearse.Report(file, o), file.Close()); err != nil {
+				if err := errors.Join(chaostest.Report(file, o), file.Close()); err != nil {
 					return err
 				}
 			}
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
+	"liftshift/internal/chaostest"
 	"liftshift/internal/clustersim"
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
-	"liftshift/internal/rehearse"
 	"liftshift/rules"
 )
 
@@ -229,7 +229,7 @@
 }
 
 // idle gives the processor time of a core, in percent, and the memory of each of some quiet controllers.
-func idle(f *rehearse.Fleet) (percent, mb float64) {
+func idle(f *chaostest.Fleet) (percent, mb float64) {
 	var cpu, rss []float64
 	before := map[int]float64{}
 	for k := range f.Controllers {
@@ -246,10 +246,10 @@
 // real measures thirty real processes: how soon the views are settled after ten are killed, and what the block costs.
 func realFleet(dir, programs string) ([]Figure, error) {
 	program := filepath.Join(programs, "liftshift")
-	plan := rehearse.Plan{Program: program, Folder: filepath.Join(dir, "with"), Controllers: realOnes, Engines: 1, Zones: 3, Seed: 11}
+	plan := chaostest.Plan{Program: program, Folder: filepath.Join(dir, "with"), Controllers: realOnes, Engines: 1, Zones: 3, Seed: 11}
 	plain := plan
 	plain.Folder, plain.NoFleet, plain.Controllers = filepath.Join(dir, "without"), true, 10
-	without, err := rehearse.New(plain)
+	without, err := chaostest.New(plain)
 	if err != nil {
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 	time.Sleep(2 * time.Second)
 	cpu0, mb0 := idle(without)
 	without.Close()
-	f, err := rehearse.New(plan)
+	f, err := chaostest.New(plan)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -12,11 +12,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/chaostest"
 	"liftshift/internal/clusternet"
 	"liftshift/internal/handoff"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
-	"liftshift/internal/rehearse"
 	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
@@ -40,7 +40,7 @@
 	roll    atomic.Pointer[raftnode.Roll]
 }
 
-func joinLeaver(f *rehearse.Fleet, k int) (*leaver, error) {
+func joinLeaver(f *chaostest.Fleet, k int) (*leaver, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
@@ -68,7 +68,7 @@
 }
 
 // keep has so many labelled searches kept by all that sit, none of them sent.
-func (l *leaver) keep(f *rehearse.Fleet, n int) error {
+func (l *leaver) keep(f *chaostest.Fleet, n int) error {
 	r := l.roll.Load()
 	var wait sync.WaitGroup
 	var failed atomic.Pointer[error]
@@ -106,7 +106,7 @@
 }
 
 // own has clients look things up at all controllers, and gives a call that ends them and tells how long they took, with when each began.
-func own(f *rehearse.Fleet, controllers int) func() (at []time.Time, ms []float64, failed int) {
+func own(f *chaostest.Fleet, controllers int) func() (at []time.Time, ms []float64, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var at []time.Time
@@ -149,7 +149,7 @@
 	n := number("ORPHANS", orphansUsual)
 	p := heirsPlan(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
 	p.Controllers, p.Works, p.Cores, p.Room = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, engineCores, engineRoom
-	f, err := rehearse.New(p)
+	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 		e.Full.Store(0)
 	}
 	cut := time.Now()
-	f.Relay.Set(func(a, b int) rehearse.Link { return rehearse.Link{Cut: a == heirs || b == heirs} })
+	f.Relay.Set(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == heirs || b == heirs} })
 	first, last, ran := adoption(f, n, cut)
 	at, ms, failed := ended()
 	var before, during []float64
@@ -221,7 +221,7 @@
 }
 
 // adoption waits until all orphans have run, or nothing has for some seconds, and tells when it began and ended.
-func adoption(f *rehearse.Fleet, n int, cut time.Time) (first, last time.Time, ran int) {
+func adoption(f *chaostest.Fleet, n int, cut time.Time) (first, last time.Time, ran int) {
 	for idle := time.Now(); time.Since(cut) < orphanLimit && time.Since(idle) < 20*time.Second && ran < n; time.Sleep(200 * time.Millisecond) {
 		seen := map[string]bool{}
 		for _, r := range f.Memory.Runs() {
@@ -245,9 +245,9 @@
 // first must run marks twice, or the rounds could not see it.
 func Control(dir, _ string) ([]Figure, error) {
 	figures, add := collect()
-	usual := rehearse.Takeovers
-	defer func() { rehearse.Takeovers = usual }()
-	rehearse.Takeovers = []string{"asleep"}
+	usual := chaostest.Takeovers
+	defer func() { chaostest.Takeovers = usual }()
+	chaostest.Takeovers = []string{"asleep"}
 	n := number("CONTROL_ROUNDS", 12)
 	for _, tags := range []string{"faults lawless", "faults"} {
 		programs := filepath.Join(dir, strings.ReplaceAll(tags, " ", "-"))
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
+	"liftshift/internal/chaostest"
 	"liftshift/internal/clustersim"
 	"liftshift/internal/handoff"
 	"liftshift/internal/placement"
-	"liftshift/internal/rehearse"
 	"liftshift/internal/testservers"
 	"liftshift/rules"
 )
@@ -77,15 +77,15 @@
 	return twice
 }
 
-func heirsPlan(dir, program, name string, drops time.Duration, seed uint64) rehearse.Plan {
-	return rehearse.Plan{Program: program, Folder: filepath.Join(dir, name), Controllers: 5, Engines: 3, Founders: 3, Store: true, Fleet: fastFleet,
+func heirsPlan(dir, program, name string, drops time.Duration, seed uint64) chaostest.Plan {
+	return chaostest.Plan{Program: program, Folder: filepath.Join(dir, name), Controllers: 5, Engines: 3, Founders: 3, Store: true, Fleet: fastFleet,
 		Estate: "copies = 2", Drops: drops, WorkMS: 10, Seed: seed,
 		Works: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}}
 }
 
 // opened starts a fleet and waits until it is ready.
-func opened(p rehearse.Plan) (*rehearse.Fleet, error) {
-	f, err := rehearse.New(p)
+func opened(p chaostest.Plan) (*chaostest.Fleet, error) {
+	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 
 // rounds plays rounds of all faults with real processes, and gives them. Disk is how the disks of owners are, in builds with the tag
 // faults; empty: sound.
-func rounds(dir, program string, n int, disk string) (all []rehearse.Round, err error) {
+func rounds(dir, program string, n int, disk string) (all []chaostest.Round, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for w := range atOnce {
@@ -119,8 +119,8 @@
 			}
 			chance := rand.New(rand.NewPCG(seed, 3))
 			for k := w; k < n && wrong == nil; k += atOnce {
-				var r rehearse.Round
-				if r, wrong = f.Takeover(rehearse.Takeovers[k%len(rehearse.Takeovers)], fmt.Sprint("r", k), 24, chance); wrong != nil {
+				var r chaostest.Round
+				if r, wrong = f.Takeover(chaostest.Takeovers[k%len(chaostest.Takeovers)], fmt.Sprint("r", k), 24, chance); wrong != nil {
 					break
 				}
 				mu.Lock()
@@ -175,7 +175,7 @@
 }
 
 // mill has clients search at a controller one after the other and gives the processor time a search, and how long shots were held.
-func mill(f *rehearse.Fleet, offering, tag string) (cpu, holdMS float64, err error) {
+func mill(f *chaostest.Fleet, offering, tag string) (cpu, holdMS float64, err error) {
 	before := cpuMS(f.Process(0))
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -213,7 +213,7 @@
 }
 
 // lastField waits for the next line of counters and gives one of them.
-func lastField(c *rehearse.Controller, line, field string) float64 {
+func lastField(c *chaostest.Controller, line, field string) float64 {
 	n := strings.Count(c.Log(), "msg="+line+" ")
 	for began := time.Now(); time.Since(began) < 12*time.Second; time.Sleep(100 * time.Millisecond) {
 		if log := c.Log(); strings.Count(log, "msg="+line+" ") > n {
@@ -318,7 +318,7 @@
 func Takeover(dir, programs string) ([]Figure, error) {
 	figures, add := collect()
 	if kinds := os.Getenv("TAKEOVER_KINDS"); kinds != "" {
-		rehearse.Takeovers = strings.Split(kinds, ",")
+		chaostest.Takeovers = strings.Split(kinds, ",")
 	}
 	all, err := rounds(dir, filepath.Join(programs, "liftshift"), number("TAKEOVER_ROUNDS", roundsUsual), "")
 	if err != nil {
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"liftshift/internal/chaostest"
 	"liftshift/internal/clustersim"
-	"liftshift/internal/rehearse"
 	"liftshift/rules"
 )
 
@@ -72,7 +72,7 @@
 func zonesRounds(dir, program string, add func(name string, value float64, unit, op string, want float64)) error {
 	var near, agreed, back, handled, own []float64
 	for r := range zonesReal {
-		p := rehearse.Plan{Program: program, Folder: filepath.Join(dir, fmt.Sprint("zones", r)), Controllers: 9, Engines: 12, Zones: 3, Founders: 3, Store: true,
+		p := chaostest.Plan{Program: program, Folder: filepath.Join(dir, fmt.Sprint("zones", r)), Controllers: 9, Engines: 12, Zones: 3, Founders: 3, Store: true,
 			Fleet: fastFleet, Between: "stage = \"700ms\"\n return_wait = \"700ms\"", WorkMS: 20, Cores: 4, Room: 64, Seed: uint64(90 + r)}
 		f, err := opened(p)
 		if err != nil {
--- a/internal/rehearse/load.go
+++ b/internal/chaostest/load.go
@@ -1,4 +1,4 @@
-package rehearse
+package chaostest
 
 import (
 	"fmt"
--- a/internal/rehearse/relay.go
+++ b/internal/chaostest/relay.go
@@ -1,6 +1,6 @@
-// Package rehearse starts several real controllers with stand-ins for all else, carries every link between them through relays of
+// Package chaostest starts several real controllers with stand-ins for all else, carries every link between them through relays of
 // its own, causes failures, and checks what clients and executors saw. The daemon never uses it.
-package rehearse
+package chaostest
 
 import (
 	"errors"
