--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -9,18 +9,18 @@
 	"os"
 
 	"liftshift/internal/simproto"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // hall hosts the instances of this process by number.
 type hall struct {
-	instances map[int]rules.Instance
+	instances map[int]scheduler.Instance
 	reply     []byte
-	actions   []rules.Action
+	actions   []scheduler.Action
 }
 
-func (h *hall) Attach(instance int, seed uint64, given rules.Given) error {
-	h.instances[instance] = rules.New(seed, given)
+func (h *hall) Attach(instance int, seed uint64, given scheduler.Given) error {
+	h.instances[instance] = scheduler.New(seed, given)
 	return nil
 }
 
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func (h *hall) Event(instance int, now float64, ev *rules.Event) error {
+func (h *hall) Event(instance int, now float64, ev *scheduler.Event) error {
 	one := h.instances[instance]
 	if one == nil {
 		return fmt.Errorf("instance %d does not run", instance)
@@ -45,7 +45,7 @@
 }
 
 func play(in io.Reader, out io.Writer) error {
-	h := &hall{instances: map[int]rules.Instance{}}
+	h := &hall{instances: map[int]scheduler.Instance{}}
 	r := simproto.NewReader(in)
 	for {
 		h.reply = h.reply[:0]
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -18,7 +18,7 @@
 	"liftshift/internal/service"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Installation is what an operators' file makes of a controller.
@@ -49,7 +49,7 @@
 
 // Open opens the store, if there is to be one, and gives the desk its parts: first the one that asks others, then the budgets, then the
 // memory.
-func (i *Installation) Open(name string, d *dispatch.Desk, given rules.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
+func (i *Installation) Open(name string, d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
 	i.desk, i.log = d, log
 	if i.file.Budgets != nil {
 		t, err := newTeams(clock.Now(), i.file.Budgets, given)
@@ -85,7 +85,7 @@
 // and what is ready to run would wait for the disk meanwhile. It is no more processor time: a sync takes none.
 const syncSlots = 2
 
-func (i *Installation) openStore(d *dispatch.Desk, given rules.Given, clock dispatch.Clock) error {
+func (i *Installation) openStore(d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock) error {
 	s, log := i.file.Store, i.log
 	if s == nil {
 		return nil
@@ -116,7 +116,7 @@
 }
 
 // ledgerGiven is what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerGiven(given rules.Given, s *operatorconfig.Store, e *operatorconfig.Estate) rules.Given {
+func ledgerGiven(given scheduler.Given, s *operatorconfig.Store, e *operatorconfig.Estate) scheduler.Given {
 	g := maps.Clone(given)
 	maps.Copy(g, s.Given)
 	if e != nil { // what was open at a crash is its heirs' to end
@@ -136,7 +136,7 @@
 }
 
 // Reread reads the file again.
-func (i *Installation) Reread(given rules.Given) (func() []string, error) {
+func (i *Installation) Reread(given scheduler.Given) (func() []string, error) {
 	next, err := operatorconfig.Read(i.file.Path)
 	if err != nil {
 		return nil, err
--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -10,7 +10,7 @@
 	"liftshift/internal/quota"
 	"liftshift/internal/quotashare"
 	"liftshift/internal/waitestimate"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // teams joins the tree of budgets, the rules of whose a search is and the book of waits to a desk. It decides nothing.
@@ -18,7 +18,7 @@
 	tree  *quota.Tree
 	file  *operatorconfig.Budgets
 	book  *waitestimate.Book
-	given rules.Given
+	given scheduler.Given
 	parts *quotashare.Parts
 	part  float64
 	cores map[uint32]float64 // of listed executors that are not gone
@@ -34,8 +34,8 @@
 	started        bool
 }
 
-func newTeams(now float64, file *operatorconfig.Budgets, given rules.Given) (*teams, error) {
-	g := rules.Given{}
+func newTeams(now float64, file *operatorconfig.Budgets, given scheduler.Given) (*teams, error) {
+	g := scheduler.Given{}
 	for k, v := range given {
 		g[k] = v
 	}
@@ -59,12 +59,12 @@
 }
 
 // Listed counts the cores that there are.
-func (t *teams) Listed(now float64, list rules.ListKind, entries []rules.Entry) []quota.Effect {
-	if list != rules.Changes {
+func (t *teams) Listed(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect {
+	if list != scheduler.Changes {
 		clear(t.cores)
 	}
 	for _, e := range entries {
-		if delete(t.cores, e.Executor); e.Standing == rules.Active {
+		if delete(t.cores, e.Executor); e.Standing == scheduler.Active {
 			t.cores[e.Executor] = 1
 			for j := 0; t.given.Text("kind."+strconv.Itoa(j)+".name") != ""; j++ {
 				if at := "kind." + strconv.Itoa(j) + "."; t.given.Text(at+"name") == e.Kind {
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -23,7 +23,7 @@
 	"liftshift/internal/operatorconfig"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -56,7 +56,7 @@
 }
 
 // openFleet makes the view and begins to listen, where the file has a block fleet.
-func (i *Installation) openFleet(name string, given rules.Given, clock dispatch.Clock) error {
+func (i *Installation) openFleet(name string, given scheduler.Given, clock dispatch.Clock) error {
 	file := i.file.Fleet
 	if file == nil {
 		return nil
@@ -82,7 +82,7 @@
 }
 
 // openSeat begins to listen, with a seat in the council where the file names its founders.
-func (f *fleet) openSeat(seed uint32, given rules.Given) error {
+func (f *fleet) openSeat(seed uint32, given scheduler.Given) error {
 	if len(f.file.Founders) == 0 {
 		return f.carrier.Start(f.view, nil)
 	}
@@ -194,7 +194,7 @@
 		for {
 			select {
 			case n := <-f.changes:
-				f.inst.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Counted, Value: n}})
+				f.inst.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Counted, Value: n}})
 				if t := f.inst.team; t != nil {
 					f.inst.desk.Put(dispatch.Item{Call: func(float64) { t.parts.Owners(int(n)) }})
 				}
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -14,7 +14,7 @@
 	"liftshift/internal/handoffnet"
 	"liftshift/internal/placement"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // heirs joins a trustee to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
@@ -24,7 +24,7 @@
 }
 
 // openHeirs makes the trustee, where the file has a block estate; the carriage does not listen yet.
-func (i *Installation) openHeirs(f *fleet, seed uint32, given rules.Given) error {
+func (i *Installation) openHeirs(f *fleet, seed uint32, given scheduler.Given) error {
 	g := maps.Clone(given)
 	maps.Copy(g, i.file.Store.Given)
 	maps.Copy(g, i.file.Estate.Given)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func offers(given rules.Given, name string) bool {
+func offers(given scheduler.Given, name string) bool {
 	for k := 0; ; k++ {
 		switch given.Text(fmt.Sprint("offering.", k, ".name")) {
 		case name:
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -15,7 +15,7 @@
 	"liftshift/internal/locality"
 	"liftshift/internal/localityagent"
 	"liftshift/internal/membership"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const longestOrder = 7 * 24 * time.Hour
@@ -28,7 +28,7 @@
 }
 
 // openLookout makes the scout, where the file has a block zones; the carriage does not listen yet.
-func (i *Installation) openLookout(f *fleet, given rules.Given) {
+func (i *Installation) openLookout(f *fleet, given scheduler.Given) {
 	g := maps.Clone(given)
 	maps.Copy(g, i.file.Fleet.Given)
 	maps.Copy(g, i.file.Zones.Given)
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -18,7 +18,7 @@
 
 	"liftshift/internal/quota"
 	"liftshift/internal/testservers"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Budgets measures budgets and waits: before the real program, before simulated executors, and the structures alone.
@@ -328,7 +328,7 @@
 
 func newFair(threads float64, age float64) *fair {
 	t, err := quota.New([]quota.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}, "other",
-		rules.Given{"offering.0.name": "look", "age_ms": age})
+		scheduler.Given{"offering.0.name": "look", "age_ms": age})
 	if err != nil {
 		return nil // of constants alone
 	}
@@ -509,7 +509,7 @@
 			for k := range teams {
 				list = append(list, quota.Team{Name: fmt.Sprint("t", k)})
 			}
-			tree, err := quota.New(list, "other", rules.Given{"offering.0.name": "look", "age_ms": 1e12})
+			tree, err := quota.New(list, "other", scheduler.Given{"offering.0.name": "look", "age_ms": 1e12})
 			if err != nil {
 				return all, err
 			}
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -16,7 +16,7 @@
 	"liftshift/internal/clustersim"
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -51,7 +51,7 @@
 }
 
 // joined is a simulated fleet whose views are settled.
-func joined(n int, seed uint64, given rules.Given) *clustersim.Fleet {
+func joined(n int, seed uint64, given scheduler.Given) *clustersim.Fleet {
 	f := clustersim.New(n, seed)
 	f.Given = given
 	for k := range n {
@@ -102,7 +102,7 @@
 	shards := int(math.Ceil(hours / shardMembers * 6))
 	counts := make([]int, shards)
 	parallel(shards, func(s int) {
-		f := joined(shardMembers, uint64(s)+1000, rules.Given{"self_aware": aware})
+		f := joined(shardMembers, uint64(s)+1000, scheduler.Given{"self_aware": aware})
 		f.Net.Loss = 0.1
 		last := map[string]float64{}
 		f.Saw = func(_ int, e *membership.Effect) {
--- a/internal/benchmark/store.go
+++ b/internal/benchmark/store.go
@@ -15,7 +15,7 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Store measures the store, the index and the ledger in a folder. Dir is the file system that is measured.
@@ -336,7 +336,7 @@
 
 // ledgerPath measures what a lookup costs the desk's goroutine in the ledger.
 func ledgerPath(string) ([]Figure, error) {
-	g := rules.Given{"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.limit_ms": 5000.0,
+	g := scheduler.Given{"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.limit_ms": 5000.0,
 		"ration_span_ms": 10000.0}
 	l := ledger.New(g)
 	l.Step(0, &ledger.Event{Kind: ledger.Began})
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -16,7 +16,7 @@
 	"liftshift/internal/handoff"
 	"liftshift/internal/placement"
 	"liftshift/internal/testservers"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -264,7 +264,7 @@
 	t.Reseat(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
-		e := handoff.New(handoff.Member{Name: "a", Life: 1}, rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
+		e := handoff.New(handoff.Member{Name: "a", Life: 1}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
 		e.Step(1000, &handoff.Event{Kind: handoff.Seated, Held: true, Places: places, Table: &t})
 		for k := range keptCopies {
 			key := handoff.KeyOf(fmt.Sprint("m", k), "")
--- a/internal/clustersim/clustersim.go
+++ b/internal/clustersim/clustersim.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 
 	"liftshift/internal/membership"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Net is how the network is.
@@ -63,7 +63,7 @@
 	Net   Net
 	Nodes []*Node
 	Seeds []string
-	Given rules.Given
+	Given scheduler.Given
 	Zones int
 	// Saw is told of each effect that says something.
 	Saw func(node int, e *membership.Effect)
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"liftshift/internal/membership"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // A fleet joins at once, a third of it is killed, it is parted in halves and healed: the views settle each time.
@@ -190,7 +190,7 @@
 // A broken member that invents names can't make a view larger than its bound, nor keep real ones out.
 func TestInventedNames(t *testing.T) {
 	f := New(4, 12)
-	f.Given = rules.Given{"most_members": 200.0}
+	f.Given = scheduler.Given{"most_members": 200.0}
 	for k := range f.Nodes {
 		f.Start(k)
 	}
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -8,7 +8,7 @@
 	"liftshift/internal/consensus"
 	"liftshift/internal/handoff"
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Asked is a search of a client, as it was asked at one node.
@@ -64,14 +64,14 @@
 	Window  float64 // for which engines drop repeats; 0: they drop none
 	Lawless bool    // leases are not looked at: what the tests must be able to see
 	number  int
-	given   rules.Given
+	given   scheduler.Given
 }
 
 // NewEstates returns a hall of so many, with so many copies.
 func NewEstates(n, copies int, seed uint64, window float64) *Estates {
 	s := &Estates{Hall: NewHall(n, 3, seed), Runs: map[string]int{}, ran: map[string]float64{}, ids: map[string]int{}, Window: window}
-	s.Given = rules.Given{"lease_ms": 2000.0, "declare_ms": 500.0, "copies": float64(copies)}
-	s.given = rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": window, "offering.0.limit_ms": limitMS,
+	s.Given = scheduler.Given{"lease_ms": 2000.0, "declare_ms": 500.0, "copies": float64(copies)}
+	s.given = scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": window, "offering.0.limit_ms": limitMS,
 		"offering.1.name": "once", "offering.1.effect": "irreversible", "offering.1.limit_ms": limitMS, "remember_ms": 60e3}
 	for range n {
 		s.Ends = append(s.Ends, &End{})
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"liftshift/internal/locality"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Manner is how searches are sent between zones.
@@ -113,13 +113,13 @@
 	agenda  agenda
 	chance  *rand.Rand
 	engines []*engine
-	gates   []*rules.Gateway
+	gates   []*scheduler.Gateway
 	watches []*locality.Watch
 	wants   []float64
 	open    []map[string]*asked
 	plan    locality.Plan
 	plans   []inForce
-	reaches [][]rules.Reach
+	reaches [][]scheduler.Reach
 	applied map[int]uint64
 	number  int
 	f       Figures
@@ -153,30 +153,30 @@
 	for k := range b.Executors {
 		p.engines = append(p.engines, &engine{id: uint32(k + 1), zone: k % b.Zones, up: true, since: -simWarm})
 	}
-	given := rules.Given{"controllers": float64(b.Controllers), "may_call_off": true, "may_probe": true, "most_shots": 4.0, "report_comes": "probes",
+	given := scheduler.Given{"controllers": float64(b.Controllers), "may_call_off": true, "may_probe": true, "most_shots": 4.0, "report_comes": "probes",
 		"report": []string{"inflight"}, "told_every_ms": 0.0, "ration_floor": 3.0, "ration_share": 0.1, "ration_span_ms": 10000.0, "fall_ms": simFall,
 		"fall_multiple": 1.0, "cold_from": coldFrom, "warm_up_ms": simWarm, "kind.0.name": "big", "kind.0.cores": b.Cores, "kind.0.ram_mb": 65536.0,
 		"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.due_ms": 1000.0, "offering.0.limit_ms": 5000.0, "offering.0.gain": 1.0,
 		"offering.0.late_share": 0.3, "tells_come_back": true, "longest_come_back_ms": 500.0}
-	bounds := locality.BoundsOf(rules.Given{"lease_ms": simLease, "stage_ms": simStage, "return_wait_ms": simWait})
+	bounds := locality.BoundsOf(scheduler.Given{"lease_ms": simLease, "stage_ms": simStage, "return_wait_ms": simWait})
 	for k := range b.Controllers {
-		own := rules.Given{"slot": float64(k)}
+		own := scheduler.Given{"slot": float64(k)}
 		for name, v := range given {
 			own[name] = v
 		}
-		p.gates = append(p.gates, rules.New(b.Seed+uint64(k), own))
+		p.gates = append(p.gates, scheduler.New(b.Seed+uint64(k), own))
 		p.watches = append(p.watches, locality.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
 		p.open, p.wants, p.reaches = append(p.open, map[string]*asked{}), append(p.wants, 0), append(p.reaches, nil)
-		p.step(k, &rules.Event{Kind: rules.Began})
+		p.step(k, &scheduler.Event{Kind: scheduler.Began})
 		p.list(k)
 		if b.Manner == Nearest {
-			var list []rules.Reach
+			var list []scheduler.Reach
 			for z := range b.Zones {
 				if z != p.zoneOf(k) {
-					list = append(list, rules.Reach{Place: zoneName(z), Tier: 1, Room: math.Inf(1)})
+					list = append(list, scheduler.Reach{Place: zoneName(z), Tier: 1, Room: math.Inf(1)})
 				}
 			}
-			p.step(k, &rules.Event{Kind: rules.Opened, Reaches: list})
+			p.step(k, &scheduler.Event{Kind: scheduler.Opened, Reaches: list})
 		}
 	}
 	p.play()
@@ -185,34 +185,34 @@
 
 // list tells a controller what executors there are.
 func (p *betweenPlay) list(k int) {
-	ev := &rules.Event{Kind: rules.Listed, List: rules.Whole}
+	ev := &scheduler.Event{Kind: scheduler.Listed, List: scheduler.Whole}
 	for _, e := range p.engines {
 		if e.up {
-			ev.Entries = append(ev.Entries, rules.Entry{Executor: e.id, Place: zoneName(e.zone), Kind: "big", UpSince: max(0, e.since)})
+			ev.Entries = append(ev.Entries, scheduler.Entry{Executor: e.id, Place: zoneName(e.zone), Kind: "big", UpSince: max(0, e.since)})
 		}
 	}
 	p.step(k, ev)
 }
 
-func (p *betweenPlay) step(k int, ev *rules.Event) {
+func (p *betweenPlay) step(k int, ev *scheduler.Event) {
 	for _, a := range slices.Clone(p.gates[k].Step(p.now+simWarm, ev, nil)) {
 		switch a.Kind {
-		case rules.Wake:
-			p.after(a.AfterMS, func() { p.step(k, &rules.Event{Kind: rules.Rang, Token: a.Token}) })
-		case rules.Send:
+		case scheduler.Wake:
+			p.after(a.AfterMS, func() { p.step(k, &scheduler.Event{Kind: scheduler.Rang, Token: a.Token}) })
+		case scheduler.Send:
 			p.send(k, &a)
-		case rules.Probe:
+		case scheduler.Probe:
 			e := p.engines[a.Executor-1]
 			p.after(1+p.way(k, e), func() {
-				ev := &rules.Event{Kind: rules.Probed, Executor: e.id, Outcome: rules.Refused}
+				ev := &scheduler.Event{Kind: scheduler.Probed, Executor: e.id, Outcome: scheduler.Refused}
 				if e.up {
-					ev.Outcome, ev.Report = rules.Handled, []float64{float64(len(e.jobs))}
+					ev.Outcome, ev.Report = scheduler.Handled, []float64{float64(len(e.jobs))}
 				}
 				p.step(k, ev)
 			})
-		case rules.CallOff:
-			p.end(k, a.Request, a.Attempt, rules.Recalled)
-		case rules.Deny, rules.Fail:
+		case scheduler.CallOff:
+			p.end(k, a.Request, a.Attempt, scheduler.Recalled)
+		case scheduler.Deny, scheduler.Fail:
 			p.answer(k, a.Request, false)
 		}
 	}
@@ -225,7 +225,7 @@
 	return 0.5
 }
 
-func (p *betweenPlay) send(k int, a *rules.Action) {
+func (p *betweenPlay) send(k int, a *scheduler.Action) {
 	e, x := p.engines[a.Executor-1], p.open[k][a.Request]
 	if x == nil || x.over {
 		return
@@ -235,7 +235,7 @@
 	p.after(p.way(k, e)/2, func() {
 		if !e.up {
 			p.after(1, func() {
-				p.step(k, &rules.Event{Kind: rules.Ended, Request: a.Request, Attempt: shot, Executor: e.id, Outcome: rules.Refused})
+				p.step(k, &scheduler.Event{Kind: scheduler.Ended, Request: a.Request, Attempt: shot, Executor: e.id, Outcome: scheduler.Refused})
 			})
 			return
 		}
@@ -279,16 +279,16 @@
 	e.jobs = nil
 	for _, j := range jobs {
 		p.after(1, func() {
-			p.step(j.by, &rules.Event{Kind: rules.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: rules.Severed})
+			p.step(j.by, &scheduler.Event{Kind: scheduler.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.Severed})
 		})
 	}
 }
 
-func (p *betweenPlay) end(k int, id string, shot int, as rules.Outcome) {
+func (p *betweenPlay) end(k int, id string, shot int, as scheduler.Outcome) {
 	for _, e := range p.engines {
 		e.jobs = slices.DeleteFunc(e.jobs, func(j *shotOut) bool { return j.by == k && j.search == id && j.shot == shot })
 	}
-	p.after(0.1, func() { p.step(k, &rules.Event{Kind: rules.Ended, Request: id, Attempt: shot, Outcome: as}) })
+	p.after(0.1, func() { p.step(k, &scheduler.Event{Kind: scheduler.Ended, Request: id, Attempt: shot, Outcome: as}) })
 }
 
 func (p *betweenPlay) answer(k int, id string, handled bool) {
@@ -374,7 +374,7 @@
 		}
 		p.open[k][id] = &asked{at: p.now, by: k}
 		p.wants[k]++
-		p.step(k, &rules.Event{Kind: rules.Taken, Request: id, Offering: "look", Group: group, NeedMB: 1, WorkMS: simWork, Until: p.now + simWarm + 5000})
+		p.step(k, &scheduler.Event{Kind: scheduler.Taken, Request: id, Offering: "look", Group: group, NeedMB: 1, WorkMS: simWork, Until: p.now + simWarm + 5000})
 		p.arrive(k, rate, at)
 	})
 }
@@ -410,7 +410,7 @@
 			}
 			p.after(p.way(j.by, e)/2, func() {
 				p.answer(j.by, j.search, true)
-				p.step(j.by, &rules.Event{Kind: rules.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: rules.Handled, TookMS: p.now - j.began, Over: true})
+				p.step(j.by, &scheduler.Event{Kind: scheduler.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.Handled, TookMS: p.now - j.began, Over: true})
 			})
 		}
 		e.jobs = rest
@@ -458,7 +458,7 @@
 	beliefs := p.gates[k].Beliefs(p.now+simWarm, nil)
 	for _, b := range beliefs {
 		e := p.engines[b.Executor-1]
-		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
+		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == scheduler.Active, Aside: b.Aside, Cold: b.Cold,
 			Out: float64(b.Threads), Known: b.Aside || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < 10_000 || b.ReportMS >= 0 && b.ReportMS < 10_000})
 	}
 	return list
@@ -507,7 +507,7 @@
 			})
 		case locality.Reach:
 			p.reaches[k], p.applied[k] = e.Reaches, e.Number
-			p.step(k, &rules.Event{Kind: rules.Opened, Reaches: e.Reaches})
+			p.step(k, &scheduler.Event{Kind: scheduler.Opened, Reaches: e.Reaches})
 		}
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Council is one member's end of it: a voter, or one that only asks.
@@ -80,7 +80,7 @@
 
 // New returns the end of a member. Folder names what it keeps on disk; without one it never votes. Founders are the names that found
 // the council together; kept is what was on disk, if anything. Given: voters, lease_ms, declare_ms, replace_ms.
-func New(now float64, name string, life uint64, folder string, founders []string, kept Kept, given rules.Given, seed uint32) *Council {
+func New(now float64, name string, life uint64, folder string, founders []string, kept Kept, given scheduler.Given, seed uint32) *Council {
 	c := &Council{name: name, life: life, folder: folder, founders: founders, now: now, seed: seed, want: int(given.Num("voters", 3)),
 		leaseMS: given.Num("lease_ms", leaseMS), declareMS: given.Num("declare_ms", declareMS), replaceMS: given.Num("replace_ms", replaceMS),
 		copies: int(given.Num("copies", 0)),
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -144,7 +144,7 @@
 	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Places: map[string]Place{}, Voters: only, Founding: only})), Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{only[0].ID}}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	c := New(0, "a", 1, "fa", []string{"a"}, Kept{Snap: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
-		rules.Given{"copies": 1.0}, 1)
+		scheduler.Given{"copies": 1.0}, 1)
 	now, logged := 0.0, map[string]bool{}
 	var play func(ev Event)
 	play = func(ev Event) {
--- a/internal/dispatch/await_test.go
+++ b/internal/dispatch/await_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/ledger"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // asker is a desk whose first part has request a wait, and which then hears what follows.
 func asker(f *side, at map[HappeningKind][]Follow) (d *Desk, one *script, heard *[]HappeningKind) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	one = &script{on: map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: rules.Send, Request: "a", Executor: 7}}}}
+	one = &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
 	d = New(NewClock(), one, log)
 	d.Executors, d.ProbeMS = f, 250
 	heard = &[]HappeningKind{}
@@ -26,7 +26,7 @@
 		return append(out, at[h.Kind]...)
 	}))
 	d.open.Add(1)
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: search0(d, f)})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	return d, one, heard
 }
 
@@ -38,7 +38,7 @@
 		did    []string
 		prior  float64
 	}{
-		"goes on":     {Follow{Kind: Resume, ID: "a", Prior: rules.Prior{At: 7}}, nil, 7},
+		"goes on":     {Follow{Kind: Resume, ID: "a", Prior: scheduler.Prior{At: 7}}, nil, 7},
 		"told":        {Follow{Kind: Settle, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}, []string{"handled"}, 0},
 		"denied":      {Follow{Kind: Settle, ID: "a", Outcome: ledger.Denied}, []string{"denied"}, 0},
 		"written off": {Follow{Kind: Settle, ID: "a", Outcome: ledger.Handled}, []string{"written off"}, 0},
@@ -50,7 +50,7 @@
 			}
 			d, one, heard := asker(f, at)
 			if !atOnce {
-				assert.Nil(t, one.last(rules.Taken), "the module does not have it yet")
+				assert.Nil(t, one.last(scheduler.Taken), "the module does not have it yet")
 				assert.Equal(t, 1, d.Open())
 				d.Follow([]Follow{c.follow})
 				d.rest()
@@ -58,11 +58,11 @@
 			assert.Empty(t, d.awaiting, name)
 			assert.Equal(t, c.did, f.did, name)
 			if c.prior != 0 {
-				require.NotNil(t, one.last(rules.Taken), name)
-				assert.Equal(t, c.prior, one.last(rules.Taken).Prior.At)
+				require.NotNil(t, one.last(scheduler.Taken), name)
+				assert.Equal(t, c.prior, one.last(scheduler.Taken).Prior.At)
 				assert.Contains(t, *heard, Came)
 			} else {
-				assert.Nil(t, one.last(rules.Taken))
+				assert.Nil(t, one.last(scheduler.Taken))
 				assert.Zero(t, d.Open())
 			}
 		}
@@ -73,14 +73,14 @@
 	f := &side{}
 	d, one, heard := asker(f, map[HappeningKind][]Follow{Arriving: awaits})
 	d.open.Add(1)
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: search0(d, f)})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	assert.Equal(t, []string{"written off"}, f.did, "its id came twice")
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 5})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
 	assert.Equal(t, Departed, (*heard)[len(*heard)-1])
 	assert.Zero(t, d.Open())
 	d.Follow([]Follow{{Kind: Resume, ID: "a"}})
 	d.rest()
-	assert.Nil(t, one.last(rules.Taken))
+	assert.Nil(t, one.last(scheduler.Taken))
 }
 
 func TestAnAttemptLeavesOnceAllPartsLetItGo(t *testing.T) {
@@ -97,7 +97,7 @@
 func TestAnAnswerIsKeptBackUntilItIsLetGo(t *testing.T) {
 	f := &side{}
 	d, _, heard := asker(f, map[HappeningKind][]Follow{Ending: {{Kind: KeepBack}}})
-	d.play(end(rules.Handled))
+	d.play(end(scheduler.Handled))
 	assert.Empty(t, f.did)
 	assert.Equal(t, 1, d.Open(), "a planned stop waits for it")
 	assert.Contains(t, *heard, Closed)
@@ -113,13 +113,13 @@
 	f := &side{stopped: Halted}
 	d, one, heard := asker(f, map[HappeningKind][]Follow{Arriving: {{Kind: Await}, {Kind: Settle, ID: "a", Outcome: ledger.Denied}}})
 	*heard = nil
-	d.Follow([]Follow{{Kind: Adopt, New: search0(d, f), Prior: rules.Prior{At: 9}}})
+	d.Follow([]Follow{{Kind: Adopt, New: search0(d, f), Prior: scheduler.Prior{At: 9}}})
 	d.rest()
 	assert.NotContains(t, *heard, Arriving, "its own part has it already")
-	assert.Equal(t, 9.0, one.last(rules.Taken).Prior.At)
+	assert.Equal(t, 9.0, one.last(scheduler.Taken).Prior.At)
 	d.Follow([]Follow{{Kind: Dismiss, ID: "a"}})
 	d.rest()
-	assert.NotNil(t, one.last(rules.Left))
+	assert.NotNil(t, one.last(scheduler.Left))
 	assert.Zero(t, d.Open())
 }
 
@@ -127,34 +127,34 @@
 // last step before its attempt left.
 func TestAHalfClosedClientIsAnsweredWhereverItsRequestStands(t *testing.T) {
 	half := func(d *Desk, c Client) {
-		d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a", HalfClosed: true}, Client: c, Token: 5})
+		d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a", HalfClosed: true}, Client: c, Token: 5})
 	}
 	f := &side{}
 	d, one, _ := asker(f, map[HappeningKind][]Follow{Arriving: awaits})
 	half(d, f)
 	assert.Equal(t, []string{"written off"}, f.did, "what others know of it is not known here")
-	assert.Nil(t, one.last(rules.Taken))
+	assert.Nil(t, one.last(scheduler.Taken))
 	assert.Zero(t, d.Open())
 
 	f = &side{}
 	d, one, _ = asker(f, map[HappeningKind][]Follow{Entered: {{Kind: Detain}}})
-	one.on = map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Deny, Request: "a"}}}
+	one.on = map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Deny, Request: "a"}}}
 	half(d, f)
-	assert.True(t, one.last(rules.Taken).Barred, "the module gets it to turn it away")
+	assert.True(t, one.last(scheduler.Taken).Barred, "the module gets it to turn it away")
 	assert.Equal(t, []string{"denied"}, f.did)
 	assert.Zero(t, d.Open())
 
 	f = &side{}
-	d, one = sent(f, map[rules.EventKind][]rules.Action{rules.Ended: {{Kind: rules.Deny, Request: "a"}}})
+	d, one = sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Ended: {{Kind: scheduler.Deny, Request: "a"}}})
 	s := d.requests["a"]
 	s.Gone, s.Half = &atomic.Bool{}, &atomic.Bool{}
 	s.Half.Store(true)
 	s.Gone.Store(true)
-	d.play(end(rules.Superseded))
-	assert.Equal(t, []bool{true, false}, []bool{one.last(rules.Ended).Barred, one.last(rules.Ended).Over})
+	d.play(end(scheduler.Superseded))
+	assert.Equal(t, []bool{true, false}, []bool{one.last(scheduler.Ended).Barred, one.last(scheduler.Ended).Over})
 	assert.Equal(t, []string{"denied"}, f.did)
 	half(d, f)
-	assert.Nil(t, one.last(rules.Left), "told once")
+	assert.Nil(t, one.last(scheduler.Left), "told once")
 	assert.Zero(t, d.Open())
 	assert.Equal(t, []uint64{1, 0}, []uint64{d.tally.Left, d.tally.Denied}, "most likely it has gone")
 }
--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -4,14 +4,14 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/quota"
 	"liftshift/internal/quotashare"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Budgets decide who is offered to the module next. Their methods are called by the desk's goroutine alone and never wait.
 type Budgets interface {
 	Step(now float64, ev *quota.Event) []quota.Effect
 	Whose(s *Request) string // the team of a request
-	Listed(now float64, list rules.ListKind, entries []rules.Entry) []quota.Effect
+	Listed(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect
 	Wait(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
 	Tell(now float64) []quotashare.Message                // what other controllers are to hear
 	Heard(now float64, from int, data []byte) []quotashare.Message
--- a/internal/dispatch/budgets_test.go
+++ b/internal/dispatch/budgets_test.go
@@ -7,7 +7,7 @@
 
 	"liftshift/internal/quota"
 	"liftshift/internal/quotashare"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // purse plays budgets: it keeps what it was told and wants what it is given.
@@ -23,7 +23,7 @@
 	return p.wants[ev.Kind]
 }
 func (p *purse) Whose(s *Request) string { return "team of " + s.Team }
-func (p *purse) Listed(float64, rules.ListKind, []rules.Entry) []quota.Effect {
+func (p *purse) Listed(float64, scheduler.ListKind, []scheduler.Entry) []quota.Effect {
 	return p.wants[quota.Sized]
 }
 func (p *purse) Wait(float64, string) (float64, float64)                { return p.wait, p.wait + 10 }
@@ -52,9 +52,9 @@
 func (t *told) Waits(_ uint64, start, end float64) { t.waits = append(t.waits, start, end) }
 
 // lined is a desk with budgets where request a stands in line.
-func lined(p *purse, f *told, on map[rules.EventKind][]rules.Action) (*Desk, *script) {
+func lined(p *purse, f *told, on map[scheduler.EventKind][]scheduler.Action) (*Desk, *script) {
 	d, one := sent(&f.side, on)
-	d.play(end(rules.Handled)) // the request that is there already
+	d.play(end(scheduler.Handled)) // the request that is there already
 	f.side.did, f.side.sent, one.told = nil, nil, nil
 	d.spent = map[string]struct{}{}
 	d.Peers = f
@@ -62,7 +62,7 @@
 	d.open.Add(1)
 	s := search0(d, &f.side)
 	s.Client, s.Team, s.Waits, s.Key = f, "x", true, "k"
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: s})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 	return d, one
 }
 
@@ -71,18 +71,18 @@
 	p, f := &purse{wait: 50, wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Start: 500, Grant: 0.7}},
 		quota.Sent: {{Kind: quota.Press, ID: "a", Start: 500}, {Kind: quota.Offer, ID: "a"}, {Kind: quota.Offer, ID: "gone"}}}}, &told{}
 	d, one := lined(p, f, nil)
-	assert.Nil(t, one.last(rules.Taken), "nothing yet")
+	assert.Nil(t, one.last(scheduler.Taken), "nothing yet")
 	assert.Equal(t, "team of x", p.told[0].Team)
 	assert.True(t, p.told[0].Ordered)
 	assert.Equal(t, []float64{50, 60}, f.waits)
 	d.tick()
-	ev := one.last(rules.Taken)
+	ev := one.last(scheduler.Taken)
 	assert.Equal(t, []any{"a", 500.0, 0.7, false, false}, []any{ev.Request, ev.Start, ev.Part, ev.Now, ev.Barred})
 	assert.Len(t, f.sent, 1)
 	assert.Equal(t, []float64{50, 60, 77, 88}, f.waits, "told again while it waited")
-	assert.Equal(t, 500.0, one.last(rules.Pressed).Start)
+	assert.Equal(t, 500.0, one.last(scheduler.Pressed).Start)
 	p.wants = nil
-	d.play(end(rules.Handled))
+	d.play(end(scheduler.Handled))
 	assert.Equal(t, []quota.EventKind{quota.Asked, quota.Ticked, quota.Sent, quota.ShotEnded, quota.Closed}, p.kinds())
 	assert.True(t, p.told[4].Handled)
 	assert.Empty(t, d.requests)
@@ -92,21 +92,21 @@
 
 // What the module gives back stands in line again; a client that leaves meanwhile is forgotten, and a denial names the wait.
 func TestWhatIsGivenBackStandsInLine(t *testing.T) {
-	back := map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Back, Request: "a"}}}
+	back := map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Back, Request: "a"}}}
 	p, f := &purse{wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Now: true}}}}, &told{}
 	d, one := lined(p, f, nil)
 	one.on = back
 	d.tick()
-	assert.True(t, one.last(rules.Taken).Now)
+	assert.True(t, one.last(scheduler.Taken).Now)
 	assert.True(t, d.requests["a"].inLine)
 	assert.Equal(t, quota.Back, p.told[len(p.told)-1].Kind)
-	one.on = map[rules.EventKind][]rules.Action{rules.Taken: {{Kind: rules.Deny, Request: "a", AfterMS: 400}}}
+	one.on = map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Deny, Request: "a", AfterMS: 400}}}
 	p.wait = 300
 	d.tick()
 	assert.Equal(t, []string{"denied"}, f.did)
 	assert.Empty(t, d.requests)
 	d, _ = lined(p, f, nil)
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 5})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
 	assert.Equal(t, quota.Closed, p.told[len(p.told)-1].Kind)
 	assert.Empty(t, d.requests)
 	assert.Zero(t, d.Open())
@@ -115,13 +115,13 @@
 func TestLoansGoToTheBudgetsAndCallsAreMadeHere(t *testing.T) {
 	p, f := &purse{}, &told{}
 	d, one := lined(p, f, nil)
-	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{quotashare.Tag, 0}}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{quotashare.Tag, 0}}})
 	assert.Equal(t, []byte{quotashare.Tag, 0}, p.heard)
 	assert.Equal(t, []byte{9}, f.data)
-	assert.Nil(t, one.last(rules.Heard))
-	d.play(Item{Event: rules.Event{Kind: rules.Heard, FromPeer: 1, Data: []byte{0}}})
-	assert.NotNil(t, one.last(rules.Heard))
-	d.play(Item{Event: rules.Event{Kind: rules.Closing}})
+	assert.Nil(t, one.last(scheduler.Heard))
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{0}}})
+	assert.NotNil(t, one.last(scheduler.Heard))
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Closing}})
 	assert.Equal(t, quota.Closing, p.told[len(p.told)-1].Kind)
 	go d.Run()
 	called := false
@@ -141,11 +141,11 @@
 
 func TestTheMemoryOfAnAttemptThatRunsIsChangedWhereThatCanBe(t *testing.T) {
 	f := &side{}
-	d, _ := sent(f, map[rules.EventKind][]rules.Action{rules.Pressed: {{Kind: rules.Terms, Request: "a", GrantMB: 32, Level: 3}}})
+	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Pressed: {{Kind: scheduler.Terms, Request: "a", GrantMB: 32, Level: 3}}})
 	l := &lender{}
 	d.requests["a"].attempts[0].run = l
-	d.play(Item{Event: rules.Event{Kind: rules.Pressed, Request: "a"}})
-	d.play(Item{Event: rules.Event{Kind: rules.Pressed, Request: "a"}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
 	assert.Equal(t, []float64{32}, l.mb, "once, and its level stays")
 	assert.Empty(t, l.did)
 }
@@ -161,11 +161,11 @@
 	}))
 	d.Join(part(func(h *Happening, out []Follow) []Follow {
 		heard = append(heard, "second")
-		return append(out, Follow{Kind: Admit, Prior: rules.Prior{At: 7}}, Follow{Kind: ComeBack, AfterMS: 3})
+		return append(out, Follow{Kind: Admit, Prior: scheduler.Prior{At: 7}}, Follow{Kind: ComeBack, AfterMS: 3})
 	}))
 	v := d.happen(Happening{Kind: Came, AfterMS: 9})
 	assert.Equal(t, []string{"first", "second"}, heard)
-	assert.Equal(t, verdict{barred: true, prior: rules.Prior{At: 7}, holds: 1, afterMS: 3}, v)
+	assert.Equal(t, verdict{barred: true, prior: scheduler.Prior{At: 7}, holds: 1, afterMS: 3}, v)
 }
 
 type part func(h *Happening, out []Follow) []Follow
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -12,7 +12,7 @@
 
 	"liftshift/internal/invariant"
 	"liftshift/internal/ledger"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Client is who gets the answer of a request. Tag is the client's own name for it.
@@ -100,7 +100,7 @@
 
 // believer is a module that tells what it holds of executors.
 type believer interface {
-	Beliefs(now float64, out []rules.Belief) []rules.Belief
+	Beliefs(now float64, out []scheduler.Belief) []scheduler.Belief
 }
 
 // The other sides of a desk.
@@ -113,7 +113,7 @@
 
 // Item is one thing in the queue: an event for the module, and what belongs to it.
 type Item struct {
-	Event   rules.Event
+	Event   scheduler.Event
 	Request *Request // Taken
 	Body    []byte   // Ended: the answer
 	Client  Client   // Left: who left
@@ -147,7 +147,7 @@
 
 type request struct {
 	Request
-	prior    rules.Prior // what may have run under its mark
+	prior    scheduler.Prior // what may have run under its mark
 	barred   bool
 	inLine   bool // the module does not have it yet
 	attempts [mostAttempts]attempt
@@ -168,7 +168,7 @@
 	Gate      func() bool // asked at the last step before an attempt that was held leaves; nil: it may
 
 	clock    Clock
-	one      rules.Instance
+	one      scheduler.Instance
 	log      logrus.FieldLogger
 	queue    chan Item
 	stop     chan struct{}
@@ -181,19 +181,19 @@
 	probes   map[uint32]uint64 // the probe out at each executor
 	token    uint64
 	later    []Item // ends that came of the module's own actions
-	actions  []rules.Action
+	actions  []scheduler.Action
 	tally    Tally
 	offers   []Follow // what parts offer, in order
 	parts    []Part   // beside the module; none: it gets every request as it comes, and a crash forgets all
 	follows  []Follow
-	beliefs  []rules.Belief
-	figures  []rules.Figure
+	beliefs  []scheduler.Belief
+	figures  []scheduler.Figure
 	open     atomic.Int64
 	pulse    pulse
 }
 
 // New returns a Desk for one instance of the module.
-func New(clock Clock, one rules.Instance, log logrus.FieldLogger) *Desk {
+func New(clock Clock, one scheduler.Instance, log logrus.FieldLogger) *Desk {
 	return &Desk{clock: clock, one: one, log: log, queue: make(chan Item, queueRoom), stop: make(chan struct{}),
 		done: make(chan struct{}), requests: map[string]*request{}, awaiting: map[string]*Request{}, spent: map[string]struct{}{}, probes: map[uint32]uint64{}}
 }
@@ -224,12 +224,12 @@
 // Take lines up a request.
 func (d *Desk) Take(s *Request) {
 	d.open.Add(1)
-	d.Put(Item{Event: rules.Event{Kind: rules.Taken}, Request: s})
+	d.Put(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 }
 
 // Close tells the module that this controller stops: all that has been taken must be answered by then.
 func (d *Desk) Close(by float64) {
-	d.Put(Item{Event: rules.Event{Kind: rules.Closing, Until: by}})
+	d.Put(Item{Event: scheduler.Event{Kind: scheduler.Closing, Until: by}})
 }
 
 // Arrival gives the earliest clock at which what is read now may have come; it may be called from anywhere.
@@ -259,7 +259,7 @@
 	defer close(d.done)
 	alarm, armed := time.NewTimer(time.Hour), 0.0
 	defer alarm.Stop()
-	d.play(Item{Event: rules.Event{Kind: rules.Began}, at: d.clock.Now()})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Began}, at: d.clock.Now()})
 	d.timers.push(timer{at: d.clock.Now() + tallyMS, what: tallies})
 	if len(d.parts) > 0 {
 		d.timers.push(timer{at: d.clock.Now() + tickMS, what: ticks})
@@ -292,7 +292,7 @@
 	for now := d.clock.Now(); d.timers[0].at <= now; {
 		switch t := d.timers.pop(); t.what {
 		case wakes:
-			d.play(Item{Event: rules.Event{Kind: rules.Rang, Token: t.token}, at: t.at})
+			d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang, Token: t.token}, at: t.at})
 		case limits:
 			d.expire(t.request)
 		case releases:
@@ -307,7 +307,7 @@
 				d.timers.push(t)
 			} else {
 				d.Executors.Unanswered(t.executor, t.token)
-				d.play(Item{Event: rules.Event{Kind: rules.Probed, Executor: t.executor, Outcome: rules.TimedOut,
+				d.play(Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: t.executor, Outcome: scheduler.TimedOut,
 					TookMS: d.ProbeMS}, Token: t.token, at: t.at})
 			}
 		case ticks:
@@ -334,7 +334,7 @@
 		d.ask(it.Ask)
 	case it.Call != nil:
 		it.Call(d.clock.Now())
-	case it.Event.Kind == rules.Heard && d.happen(Happening{Kind: Letter, Peer: it.Event.FromPeer, Data: it.Event.Data}).mine:
+	case it.Event.Kind == scheduler.Heard && d.happen(Happening{Kind: Letter, Peer: it.Event.FromPeer, Data: it.Event.Data}).mine:
 	default:
 		d.hand(it)
 	}
@@ -363,7 +363,7 @@
 	ev := &it.Event
 	var s *request
 	switch ev.Kind {
-	case rules.Taken:
+	case scheduler.Taken:
 		if s = d.take(it.Request, ev, it.resumed); s == nil {
 			return
 		}
@@ -371,7 +371,7 @@
 			s.inLine = true
 			return
 		}
-	case rules.Left:
+	case scheduler.Left:
 		if in := d.awaiting[ev.Request]; in != nil && in.Client == it.Client && in.Tag == it.Token {
 			delete(d.awaiting, ev.Request)
 			d.open.Add(-1)
@@ -393,29 +393,29 @@
 			d.answered(s, ledger.Left, nil, 0)
 			d.tally.Left++
 		}
-	case rules.Ended:
+	case scheduler.Ended:
 		if s = d.settle(ev); s == nil {
 			d.tally.Stray++
 			return
 		}
-		if ev.Outcome == rules.Superseded && !s.answered && s.Forsaken() { // the word of it still stands in the queue
+		if ev.Outcome == scheduler.Superseded && !s.answered && s.Forsaken() { // the word of it still stands in the queue
 			if ev.Barred = ev.Barred || s.halfClosed(); !s.halfClosed() {
 				d.answered(s, ledger.Left, nil, 0)
 				d.tally.Left++
 			}
 		}
-		if ev.Outcome == rules.Handled && !s.answered {
+		if ev.Outcome == scheduler.Handled && !s.answered {
 			d.conclude(s, ledger.Handled, it.Body, 0, ev.SpentMS)
 			d.tally.Handled++
 		}
 		ev.Over = s.answered
-	case rules.Probed:
+	case scheduler.Probed:
 		if d.probes[ev.Executor] != it.Token {
 			d.tally.Stray++
 			return
 		}
 		delete(d.probes, ev.Executor)
-	case rules.Noted:
+	case scheduler.Noted:
 		if s = d.requests[ev.Request]; s == nil || ev.Attempt >= s.fired || !s.attempts[ev.Attempt].out {
 			d.tally.Stray++
 			return
@@ -425,17 +425,17 @@
 	if s != nil {
 		d.release(s)
 	}
-	if ev.Kind == rules.Listed && ev.List != rules.NoList {
+	if ev.Kind == scheduler.Listed && ev.List != scheduler.NoList {
 		d.happen(Happening{Kind: ListNews, List: ev})
-	} else if ev.Kind == rules.Listed {
+	} else if ev.Kind == scheduler.Listed {
 		d.happen(Happening{Kind: ListLost})
-	} else if ev.Kind == rules.Closing {
+	} else if ev.Kind == scheduler.Closing {
 		d.happen(Happening{Kind: Stopping})
 	}
 }
 
 // step plays an event to the module and does what it asks for.
-func (d *Desk) step(ev *rules.Event) {
+func (d *Desk) step(ev *scheduler.Event) {
 	now := d.clock.Now()
 	d.actions = d.one.Step(now, ev, d.actions[:0])
 	d.tally.stepped(d.clock.Now() - now)
@@ -446,7 +446,7 @@
 
 // take enters a request. One whose id is still known gets a failure: the first of that id goes on. That holds for an
 // id given back or answered, too, up to its hard limit: run anew, each copy would count as a further attempt.
-func (d *Desk) take(in *Request, ev *rules.Event, resumed bool) *request {
+func (d *Desk) take(in *Request, ev *scheduler.Event, resumed bool) *request {
 	_, spent := d.spent[in.ID]
 	if !resumed {
 		d.tally.Taken++
@@ -503,7 +503,7 @@
 }
 
 // settle books the end of an attempt; nil if that has ended before.
-func (d *Desk) settle(ev *rules.Event) *request {
+func (d *Desk) settle(ev *scheduler.Event) *request {
 	s := d.requests[ev.Request]
 	if s == nil || ev.Attempt >= s.fired || !s.attempts[ev.Attempt].out {
 		return nil
@@ -537,28 +537,28 @@
 }
 
 // act does what the module asks for.
-func (d *Desk) act(now float64, a *rules.Action) {
+func (d *Desk) act(now float64, a *scheduler.Action) {
 	switch a.Kind {
-	case rules.Wake:
+	case scheduler.Wake:
 		d.timers.push(timer{at: now + a.AfterMS, what: wakes, token: a.Token})
 		return
-	case rules.Probe:
+	case scheduler.Probe:
 		d.token++
 		d.tally.Probes++
 		d.probes[a.Executor] = d.token
 		if !d.Executors.Probe(a.Executor, d.token) {
-			d.later = append(d.later, Item{Event: rules.Event{Kind: rules.Probed, Executor: a.Executor,
-				Outcome: rules.Unsent}, Token: d.token})
+			d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: a.Executor,
+				Outcome: scheduler.Unsent}, Token: d.token})
 		}
 		d.timers.push(timer{at: now + d.ProbeMS, what: probes, token: d.token, executor: a.Executor})
 		return
-	case rules.Listen:
+	case scheduler.Listen:
 		d.List.Ask()
 		return
-	case rules.Tell:
+	case scheduler.Tell:
 		d.Peers.Tell(a.Peer, a.Data)
 		return
-	case rules.Log:
+	case scheduler.Log:
 		d.log.WithField("says", a.Text).Info("module")
 		return
 	}
@@ -567,12 +567,12 @@
 		return
 	}
 	switch a.Kind {
-	case rules.Send:
+	case scheduler.Send:
 		d.send(now, s, a)
-	case rules.Back:
+	case scheduler.Back:
 		s.inLine = true
 		d.happen(Happening{Kind: GivenBack, Request: &s.Request})
-	case rules.Terms:
+	case scheduler.Terms:
 		if s.grant != a.GrantMB {
 			s.grant = a.GrantMB
 			for k := range s.fired {
@@ -589,16 +589,16 @@
 				}
 			}
 		}
-	case rules.CallOff:
+	case scheduler.CallOff:
 		if a.Attempt < s.fired && s.attempts[a.Attempt].out {
-			d.halt(s, a.Attempt, rules.Recalled)
+			d.halt(s, a.Attempt, scheduler.Recalled)
 		}
-	case rules.Deny, rules.Fail:
+	case scheduler.Deny, scheduler.Fail:
 		if s.answered {
 			return
 		}
 		d.tally.turnedAway(a.Kind, s.halfClosed())
-		if a.Kind == rules.Deny {
+		if a.Kind == scheduler.Deny {
 			d.conclude(s, ledger.Denied, nil, d.happen(Happening{Kind: Denying, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
 		} else {
 			d.conclude(s, ledger.WrittenOff, nil, 0, 0)
@@ -606,7 +606,7 @@
 	}
 }
 
-func (d *Desk) send(now float64, s *request, a *rules.Action) {
+func (d *Desk) send(now float64, s *request, a *scheduler.Action) {
 	if !invariant.That(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
 		return
 	}
@@ -619,7 +619,7 @@
 	s.fired, s.out = n+1, s.out+1
 	d.happen(Happening{Kind: Fired, Request: &s.Request, Attempt: n, Executor: a.Executor, GrantMB: s.grant})
 	if run == nil {
-		d.end(s, n, rules.Unsent)
+		d.end(s, n, scheduler.Unsent)
 	} else if v.forbid {
 		d.withhold(s.ID, n) // its record could not even be lined up
 	} else if kept {
@@ -630,7 +630,7 @@
 }
 
 // halt calls an attempt off and lines up its end, unless that is on its way.
-func (d *Desk) halt(s *request, n int, as rules.Outcome) {
+func (d *Desk) halt(s *request, n int, as scheduler.Outcome) {
 	if s.attempts[n].run == nil {
 		return // its end stands in line
 	}
@@ -638,13 +638,13 @@
 	case Halted:
 		d.end(s, n, as)
 	case Unsent:
-		d.end(s, n, rules.Superseded)
+		d.end(s, n, scheduler.Superseded)
 	}
 }
 
-func (d *Desk) end(s *request, n int, as rules.Outcome) {
+func (d *Desk) end(s *request, n int, as scheduler.Outcome) {
 	s.attempts[n].run = nil
-	d.later = append(d.later, Item{Event: rules.Event{Kind: rules.Ended, Request: s.ID, Attempt: n, Outcome: as}})
+	d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Attempt: n, Outcome: as}})
 }
 
 // expire ends the attempts of a request whose hard limit has come: silence shows by then at the latest.
@@ -659,7 +659,7 @@
 	}
 	for n := range s.fired {
 		if s.attempts[n].out {
-			d.halt(s, n, rules.TimedOut)
+			d.halt(s, n, scheduler.TimedOut)
 		}
 	}
 	d.rest()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,26 +11,26 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // script is a module that answers each kind of event with fixed actions and keeps what it was told.
 type script struct {
-	on   map[rules.EventKind][]rules.Action
-	told []rules.Event
+	on   map[scheduler.EventKind][]scheduler.Action
+	told []scheduler.Event
 }
 
-func (s *script) Beliefs(float64, []rules.Belief) []rules.Belief {
-	return []rules.Belief{{Executor: 7, Out: 3, Aside: true}}
+func (s *script) Beliefs(float64, []scheduler.Belief) []scheduler.Belief {
+	return []scheduler.Belief{{Executor: 7, Out: 3, Aside: true}}
 }
 
-func (s *script) Step(_ float64, ev *rules.Event, out []rules.Action) []rules.Action {
+func (s *script) Step(_ float64, ev *scheduler.Event, out []scheduler.Action) []scheduler.Action {
 	s.told = append(s.told, *ev)
 	return append(out, s.on[ev.Kind]...)
 }
 
 // last is what the module was told last, of a kind.
-func (s *script) last(kind rules.EventKind) *rules.Event {
+func (s *script) last(kind scheduler.EventKind) *scheduler.Event {
 	for k := len(s.told) - 1; k >= 0; k-- {
 		if s.told[k].Kind == kind {
 			return &s.told[k]
@@ -67,18 +67,18 @@
 func (f *side) Failed(uint64)              { f.did = append(f.did, "written off") }
 
 // sent is a desk whose module has sent request a to executor 7 at level 3.
-func sent(f *side, on map[rules.EventKind][]rules.Action) (*Desk, *script) {
+func sent(f *side, on map[scheduler.EventKind][]scheduler.Action) (*Desk, *script) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	one := &script{on: map[rules.EventKind][]rules.Action{rules.Taken: {
-		{Kind: rules.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: rules.Send, Request: "a", Executor: 7}}}}
+	one := &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {
+		{Kind: scheduler.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
 	for k, v := range on {
 		one.on[k] = v
 	}
 	d := New(NewClock(), one, log)
 	d.Executors, d.ProbeMS = f, 250
 	d.open.Add(1)
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: search0(d, f)})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	return d, one
 }
 
@@ -86,8 +86,8 @@
 	return &Request{ID: "a", Offering: "look", Until: d.clock.Now() + 1000, Client: f, Tag: 5}
 }
 
-func end(o rules.Outcome) Item {
-	return Item{Event: rules.Event{Kind: rules.Ended, Request: "a", Outcome: o}, Body: []byte("rows")}
+func end(o scheduler.Outcome) Item {
+	return Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: "a", Outcome: o}, Body: []byte("rows")}
 }
 
 func TestARequestIsSentHandledAndForgotten(t *testing.T) {
@@ -95,14 +95,14 @@
 	d, one := sent(f, nil)
 	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{f.sent[0].Executor, f.sent[0].GrantMB, f.sent[0].Level, f.sent[0].N})
 	assert.InDelta(t, 1000, f.sent[0].MaxMS, 900)
-	d.play(end(rules.Handled))
+	d.play(end(scheduler.Handled))
 	assert.Equal(t, "rows", f.body)
-	ev := one.last(rules.Ended)
+	ev := one.last(scheduler.Ended)
 	assert.True(t, ev.Over)
 	assert.Equal(t, uint32(7), ev.Executor)
 	assert.Zero(t, d.Open())
 	assert.Empty(t, d.requests)
-	d.play(end(rules.Handled)) // nothing is answered twice
+	d.play(end(scheduler.Handled)) // nothing is answered twice
 	assert.Equal(t, []string{"handled"}, f.did)
 	assert.Equal(t, uint64(1), d.tally.Stray)
 }
@@ -123,27 +123,27 @@
 // An answer that is in the queue when its attempt is called off counts, as long as nothing was answered.
 func TestAnAnswerOnItsWayGoesBeforeACallOff(t *testing.T) {
 	f := &side{stopped: Decided}
-	d, one := sent(f, map[rules.EventKind][]rules.Action{rules.Noted: {{Kind: rules.CallOff, Request: "a"}}})
-	d.play(Item{Event: rules.Event{Kind: rules.Noted, Request: "a"}})
-	assert.Nil(t, one.last(rules.Ended), "its end comes by itself")
-	d.play(end(rules.Handled))
+	d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"}}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+	assert.Nil(t, one.last(scheduler.Ended), "its end comes by itself")
+	d.play(end(scheduler.Handled))
 	assert.Equal(t, []string{"off", "handled"}, f.did)
 }
 
 func TestWhatACallOffComesTo(t *testing.T) {
-	for stopped, want := range map[Stopped]rules.Outcome{Halted: rules.Recalled, Unsent: rules.Superseded} {
+	for stopped, want := range map[Stopped]scheduler.Outcome{Halted: scheduler.Recalled, Unsent: scheduler.Superseded} {
 		f := &side{stopped: stopped}
-		d, one := sent(f, map[rules.EventKind][]rules.Action{rules.Noted: {{Kind: rules.CallOff, Request: "a"},
-			{Kind: rules.Terms, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
-		d.play(Item{Event: rules.Event{Kind: rules.Noted, Request: "a"}})
-		assert.Equal(t, want, one.last(rules.Ended).Outcome)
+		d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"},
+			{Kind: scheduler.Terms, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
+		d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+		assert.Equal(t, want, one.last(scheduler.Ended).Outcome)
 		assert.Equal(t, []string{"off"}, f.did)
 	}
 }
 
 func TestAnAttemptThatCannotGoOutHereIsUnsent(t *testing.T) {
 	_, one := sent(&side{refuse: true}, nil)
-	assert.Equal(t, rules.Unsent, one.last(rules.Ended).Outcome)
+	assert.Equal(t, scheduler.Unsent, one.last(scheduler.Ended).Outcome)
 }
 
 // Silence shows by the hard limit: the attempt is told as timed out, whoever forgot to look.
@@ -151,19 +151,19 @@
 	f := &side{}
 	d, one := sent(f, nil)
 	d.expire("a")
-	assert.Nil(t, one.last(rules.Ended), "not before it")
+	assert.Nil(t, one.last(scheduler.Ended), "not before it")
 	d.requests["a"].Until = d.clock.Now() - 1
 	d.expire("a")
-	assert.Equal(t, rules.TimedOut, one.last(rules.Ended).Outcome)
+	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Ended).Outcome)
 	assert.Equal(t, uint64(1), d.tally.Late)
 }
 
 func TestDeniedOnceAndNothingAfter(t *testing.T) {
 	f := &side{}
-	d, _ := sent(f, map[rules.EventKind][]rules.Action{rules.Noted: {{Kind: rules.Deny, Request: "a"},
-		{Kind: rules.CallOff, Request: "a"}}})
-	d.play(Item{Event: rules.Event{Kind: rules.Noted, Request: "a"}})
-	d.play(end(rules.Handled))
+	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.Deny, Request: "a"},
+		{Kind: scheduler.CallOff, Request: "a"}}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+	d.play(end(scheduler.Handled))
 	assert.Equal(t, []string{"denied", "off"}, f.did)
 	assert.Zero(t, d.Open())
 }
@@ -171,11 +171,11 @@
 func TestAClientEndsItsOwnRequestsAlone(t *testing.T) {
 	f := &side{}
 	d, one := sent(f, nil)
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: &side{}, Token: 5})
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 4})
-	assert.Nil(t, one.last(rules.Left))
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 5})
-	assert.NotNil(t, one.last(rules.Left))
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: &side{}, Token: 5})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 4})
+	assert.Nil(t, one.last(scheduler.Left))
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	assert.NotNil(t, one.last(scheduler.Left))
 	assert.Zero(t, d.Open())
 }
 
@@ -184,13 +184,13 @@
 	d, _ := sent(f, nil)
 	s := search0(d, other)
 	d.open.Add(1)
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: s})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 	assert.Equal(t, []string{"written off"}, other.did)
 	assert.Equal(t, 1, d.Open())
 	assert.Len(t, f.sent, 1)
-	d.play(end(rules.Handled))
+	d.play(end(scheduler.Handled))
 	d.open.Add(1)
-	d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: search0(d, other)})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, other)})
 	assert.Len(t, f.sent, 1, "nor once the first is over: its shot would be a further one")
 	assert.Len(t, d.spent, 1)
 	d.expire("a")
@@ -198,29 +198,29 @@
 }
 
 func TestProbes(t *testing.T) {
-	probe := map[rules.EventKind][]rules.Action{rules.Rang: {{Kind: rules.Probe, Executor: 7}}}
+	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.Rang: {{Kind: scheduler.Probe, Executor: 7}}}
 	f := &side{}
 	d, one := sent(f, probe)
-	d.play(Item{Event: rules.Event{Kind: rules.Rang}})
-	d.play(Item{Event: rules.Event{Kind: rules.Probed, Executor: 7}, Token: 9})
-	assert.Nil(t, one.last(rules.Probed), "an older probe's answer")
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang}})
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: 7}, Token: 9})
+	assert.Nil(t, one.last(scheduler.Probed), "an older probe's answer")
 	d.ProbeMS = 0
 	for d.timers[0].what != probes {
 		d.timers.pop()
 	}
 	d.timers[0].at = d.clock.Now() - 2*stoodMS // this controller stood still: the answer may wait to be read
 	d.due()
-	assert.Nil(t, one.last(rules.Probed))
+	assert.Nil(t, one.last(scheduler.Probed))
 	for d.timers[0].what != probes {
 		d.timers.pop()
 	}
 	d.timers[0].at = d.clock.Now()
 	d.due()
-	assert.Equal(t, rules.TimedOut, one.last(rules.Probed).Outcome)
+	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Probed).Outcome)
 	assert.Equal(t, []string{"probe", "unanswered"}, f.did)
 	d, one = sent(&side{refuse: true}, probe)
-	d.play(Item{Event: rules.Event{Kind: rules.Rang}})
-	assert.Equal(t, rules.Unsent, one.last(rules.Probed).Outcome)
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang}})
+	assert.Equal(t, scheduler.Unsent, one.last(scheduler.Probed).Outcome)
 }
 
 func TestTimersComeInOrder(t *testing.T) {
@@ -234,14 +234,14 @@
 }
 
 func TestRunStopsAndPutNeverHangsAfter(t *testing.T) {
-	d, one := sent(&side{}, map[rules.EventKind][]rules.Action{rules.Began: {{Kind: rules.Wake, AfterMS: 1, Token: 3}}})
+	d, one := sent(&side{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Began: {{Kind: scheduler.Wake, AfterMS: 1, Token: 3}}})
 	go d.Run()
 	for range 2 * queueRoom {
-		d.Put(Item{Event: rules.Event{Kind: rules.Heard}})
+		d.Put(Item{Event: scheduler.Event{Kind: scheduler.Heard}})
 	}
 	assert.Eventually(t, func() bool { return len(d.queue) == 0 }, 5e9, 1e6)
 	d.Stop()
-	assert.Equal(t, uint64(3), one.last(rules.Rang).Token)
+	assert.Equal(t, uint64(3), one.last(scheduler.Rang).Token)
 	for range 2 * queueRoom {
 		d.Put(Item{})
 	}
@@ -277,17 +277,17 @@
 		s := search0(d, f)
 		s.ID, s.Until = fmt.Sprint("a", n), d.clock.Now()+200
 		d.open.Add(1)
-		d.play(Item{Event: rules.Event{Kind: rules.Taken}, Request: s})
-		d.act(d.clock.Now(), &rules.Action{Kind: rules.Send, Request: s.ID, Executor: uint32(n)})
+		d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+		d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
 		switch n % 3 {
 		case 0:
-			d.play(Item{Event: rules.Event{Kind: rules.Ended, Request: s.ID, Outcome: rules.Handled}})
+			d.play(Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Outcome: scheduler.Handled}})
 		case 1:
-			d.play(Item{Event: rules.Event{Kind: rules.Left, Request: s.ID}, Client: f, Token: s.Tag})
-			d.act(d.clock.Now(), &rules.Action{Kind: rules.CallOff, Request: s.ID})
+			d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: s.ID}, Client: f, Token: s.Tag})
+			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.CallOff, Request: s.ID})
 			d.rest()
 		default:
-			d.act(d.clock.Now(), &rules.Action{Kind: rules.Deny, Request: s.ID})
+			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Deny, Request: s.ID})
 		}
 	}
 	time.Sleep(250 * time.Millisecond) // all hard limits go by
@@ -304,11 +304,11 @@
 	s := d.requests["a"]
 	s.Gone = &atomic.Bool{}
 	s.Gone.Store(true)
-	d.play(end(rules.Superseded))
-	assert.True(t, one.last(rules.Ended).Over)
+	d.play(end(scheduler.Superseded))
+	assert.True(t, one.last(scheduler.Ended).Over)
 	assert.Zero(t, d.Open())
-	d.play(Item{Event: rules.Event{Kind: rules.Left, Request: "a"}, Client: f, Token: 5})
-	assert.Nil(t, one.last(rules.Left), "told once")
+	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	assert.Nil(t, one.last(scheduler.Left), "told once")
 	assert.Equal(t, uint64(1), d.tally.Left)
 	assert.Empty(t, f.did)
 	assert.Len(t, f.sent, 1)
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -3,7 +3,7 @@
 import (
 	"liftshift/internal/invariant"
 	"liftshift/internal/ledger"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Memory remembers through crashes. Its methods are called by the desk's goroutine alone and never wait.
@@ -20,7 +20,7 @@
 
 // learner is a module that tells what it has learnt.
 type learner interface {
-	Learnt(out []rules.Figure) []rules.Figure
+	Learnt(out []scheduler.Figure) []scheduler.Figure
 }
 
 // Remembering puts a memory beside the module.
@@ -42,7 +42,7 @@
 		ev = ledger.Event{Kind: ledger.Closed, ID: s.ID, Outcome: h.Outcome, Body: h.Body}
 	case ListNews:
 		l := h.List
-		ev = ledger.Event{Kind: ledger.Listed, Index: l.Index, Restored: l.List == rules.Restored, Whole: l.List != rules.Changes, Entries: l.Entries}
+		ev = ledger.Event{Kind: ledger.Listed, Index: l.Index, Restored: l.List == scheduler.Restored, Whole: l.List != scheduler.Changes, Entries: l.Entries}
 	case Ticks:
 		ev = ledger.Event{Kind: ledger.Ticked}
 		if r.WantsBeliefs(now) {
@@ -112,9 +112,9 @@
 		return
 	}
 	before := len(d.later)
-	d.halt(s, n, rules.Superseded)
+	d.halt(s, n, scheduler.Superseded)
 	for k := before; k < len(d.later); k++ {
-		invariant.That(d.later[k].Event.Outcome == rules.Superseded, "a shot that is held has not left")
+		invariant.That(d.later[k].Event.Outcome == scheduler.Superseded, "a shot that is held has not left")
 		d.later[k].Event.Barred = true
 	}
 }
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/seam.go
@@ -2,7 +2,7 @@
 
 import (
 	"liftshift/internal/ledger"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Part is a subsystem that stands beside the module. It hears what happens, in order, and says what follows, which it appends to out.
@@ -43,19 +43,19 @@
 	Attempt  int
 	Executor uint32 // Firing
 	GrantMB  float64
-	Unrun    bool           // ShotOver: the outcome proves that it never ran
-	Prior    rules.Prior    // Came
-	Outcome  ledger.Outcome // Ending, Closed
-	Body     []byte         // Ending, Closed: the answer
-	SpentMS  float64        // Closed
-	AfterMS  float64        // Denying: as the module has it
-	List     *rules.Event   // ListNews
+	Unrun    bool             // ShotOver: the outcome proves that it never ran
+	Prior    scheduler.Prior  // Came
+	Outcome  ledger.Outcome   // Ending, Closed
+	Body     []byte           // Ending, Closed: the answer
+	SpentMS  float64          // Closed
+	AfterMS  float64          // Denying: as the module has it
+	List     *scheduler.Event // ListNews
 	Peer     int
 	Data     []byte
 	Note     any
 	Ask      *Question
 	// Beliefs gives what the module holds of executors and what it has learnt, on Ticks, to a part that wants it.
-	Beliefs func() ([]rules.Belief, []rules.Figure)
+	Beliefs func() ([]scheduler.Belief, []scheduler.Figure)
 }
 
 // FollowKind tells what follows.
@@ -92,7 +92,7 @@
 	Kind    FollowKind
 	ID      string
 	Attempt int
-	Prior   rules.Prior
+	Prior   scheduler.Prior
 	Barred  bool
 	Outcome ledger.Outcome
 	Body    []byte
@@ -104,7 +104,7 @@
 	Data    []byte
 	StartMS float64
 	EndMS   float64
-	Event   rules.Event
+	Event   scheduler.Event
 	New     *Request
 	Ask     *Question
 }
@@ -115,7 +115,7 @@
 // verdict is what parts say of what is about to happen.
 type verdict struct {
 	answer  *Follow
-	prior   rules.Prior
+	prior   scheduler.Prior
 	barred  bool
 	detain  bool
 	holds   int
@@ -173,7 +173,7 @@
 		case Resume:
 			if in := d.awaiting[f.ID]; in != nil {
 				delete(d.awaiting, f.ID)
-				d.later = append(d.later, Item{Event: rules.Event{Kind: rules.Taken, Prior: f.Prior, Barred: f.Barred}, Request: in, resumed: true})
+				d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Taken, Prior: f.Prior, Barred: f.Barred}, Request: in, resumed: true})
 			}
 		case Settle:
 			if in := d.awaiting[f.ID]; in != nil {
@@ -182,10 +182,10 @@
 			}
 		case Adopt:
 			d.open.Add(1)
-			d.later = append(d.later, Item{Event: rules.Event{Kind: rules.Taken, Prior: f.Prior}, Request: f.New, resumed: true})
+			d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Taken, Prior: f.Prior}, Request: f.New, resumed: true})
 		case Dismiss:
 			if s := d.requests[f.ID]; s != nil {
-				d.later = append(d.later, Item{Event: rules.Event{Kind: rules.Left, Request: f.ID}, Client: s.Client, Token: s.Tag})
+				d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Left, Request: f.ID}, Client: s.Client, Token: s.Tag})
 			}
 		case LetGo:
 			d.letGo(f)
@@ -236,11 +236,11 @@
 			return
 		}
 		s.inLine = false
-		d.step(&rules.Event{Kind: rules.Taken, Request: s.ID, Offering: s.Offering, Group: s.Group, Key: s.Key, NeedMB: s.NeedMB,
+		d.step(&scheduler.Event{Kind: scheduler.Taken, Request: s.ID, Offering: s.Offering, Group: s.Group, Key: s.Key, NeedMB: s.NeedMB,
 			WorkMS: s.WorkMS, Until: s.Until, Repeat: s.Repeat, Prior: s.prior, Barred: s.barred || o.Barred, Start: o.Start,
 			Part: o.Part, Now: o.Now})
 	case Press:
-		d.step(&rules.Event{Kind: rules.Pressed, Request: s.ID, Start: o.Start, Part: o.Part})
+		d.step(&scheduler.Event{Kind: scheduler.Pressed, Request: s.ID, Start: o.Start, Part: o.Part})
 	}
 	d.release(s)
 }
@@ -266,7 +266,7 @@
 
 // tick gives all parts their time.
 func (d *Desk) tick() {
-	d.happen(Happening{Kind: Ticks, Beliefs: func() ([]rules.Belief, []rules.Figure) {
+	d.happen(Happening{Kind: Ticks, Beliefs: func() ([]scheduler.Belief, []scheduler.Figure) {
 		if one, ok := d.one.(believer); ok {
 			d.beliefs = one.Beliefs(d.clock.Now(), d.beliefs[:0])
 		}
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/invariant"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Tally counts what went by. Times are milliseconds.
@@ -19,7 +19,7 @@
 	Told                                 uint64 // answered by what is on record
 	Stray                                uint64 // ends and notes of attempts that had ended
 	Probes                               uint64
-	Ends                                 [rules.Unsent + 1]uint64
+	Ends                                 [scheduler.Unsent + 1]uint64
 
 	items, steps        uint64
 	waitSum, waitMost   float64
@@ -49,20 +49,20 @@
 }
 
 // turnedAway counts a request that the module denies or fails; one whose client has most likely gone counts as left.
-func (t *Tally) turnedAway(as rules.ActionKind, left bool) {
+func (t *Tally) turnedAway(as scheduler.ActionKind, left bool) {
 	switch {
 	case left:
 		t.Left++
-	case as == rules.Deny:
+	case as == scheduler.Deny:
 		t.Denied++
 	default:
 		t.Failed++
 	}
 }
 
-var endNames = [...]string{rules.Handled: "handled", rules.Erred: "erred", rules.Full: "full",
-	rules.TimedOut: "timed_out", rules.Refused: "refused", rules.Severed: "severed", rules.Recalled: "recalled",
-	rules.Superseded: "superseded", rules.Unsent: "unsent"}
+var endNames = [...]string{scheduler.Handled: "handled", scheduler.Erred: "erred", scheduler.Full: "full",
+	scheduler.TimedOut: "timed_out", scheduler.Refused: "refused", scheduler.Severed: "severed", scheduler.Recalled: "recalled",
+	scheduler.Superseded: "superseded", scheduler.Unsent: "unsent"}
 
 // tell logs the counters; the times start anew with each line.
 func (d *Desk) tell(line string) {
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -8,7 +8,7 @@
 	"strconv"
 
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // offering is what the settings say of one offering.
@@ -91,7 +91,7 @@
 // New gives the estate of a controller. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer,
 // most_kept, lag_ms, alone, adopt_at_once, adopts.NAME, ration_span_ms, ration_floor, ration_share, tells_come_back,
 // longest_come_back_ms, doubt_ms.
-func New(self Member, given rules.Given, seed uint32) *Estate {
+func New(self Member, given scheduler.Given, seed uint32) *Estate {
 	e := &Estate{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
 		most: int(given.Num("most_kept", usualKept)), lag: given.Num("lag_ms", lagMS), alone: given.Is("alone"),
 		pace: pace{most: given.Num("adopt_at_once", adoptAtOnce), began: map[string]begun{}}, share: given.Num("ration_share", 0.1), floor: given.Num("ration_floor", 3),
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // world is some estates that hear one another at once.
@@ -25,9 +25,9 @@
 	deaf   bool // answers that something is kept are lost on their way
 }
 
-func newWorld(t *testing.T, n, copies int, more rules.Given) *world {
+func newWorld(t *testing.T, n, copies int, more scheduler.Given) *world {
 	w := &world{t: t, now: 1000, down: map[int]bool{}}
-	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3,
+	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3,
 		"offering.1.name": "once", "offering.1.effect": "irreversible", "offering.1.limit_ms": 5e3,
 		"offering.2.name": "look", "offering.2.effect": "redoable", "offering.2.limit_ms": 5e3, "adopts.look": true}
 	for k, v := range more {
--- a/internal/handoff/owner.go
+++ b/internal/handoff/owner.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // phase is where a search stands with the one that has it.
@@ -284,8 +284,8 @@
 }
 
 // prior is what the module is told of what may have run.
-func priorOf(c *Copy) rules.Prior {
-	p := rules.Prior{At: c.First, Place: c.Place, Cell: c.Cell}
+func priorOf(c *Copy) scheduler.Prior {
+	p := scheduler.Prior{At: c.First, Place: c.Place, Cell: c.Cell}
 	if p.At == 0 || math.IsInf(p.At, 0) {
 		p.At = -math.MaxFloat64
 	}
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -11,7 +11,7 @@
 	"crypto/sha256"
 
 	"liftshift/internal/placement"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -195,7 +195,7 @@
 	Kind    EffectKind
 	ID      string
 	Shot    int
-	Prior   rules.Prior
+	Prior   scheduler.Prior
 	Barred  bool
 	Outcome Outcome
 	Answer  []byte
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -19,7 +19,7 @@
 	"liftshift/internal/handoff"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -50,7 +50,7 @@
 func goldenTrustee() *Trustee {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
+	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
 	return New(handoff.Member{Name: "b", Life: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
 }
 
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -19,7 +19,7 @@
 	"liftshift/internal/handoff"
 	"liftshift/internal/ledger"
 	"liftshift/internal/raftnode"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -43,7 +43,7 @@
 	name    string
 
 	// Of the desk's goroutine.
-	where     map[uint32]rules.Entry
+	where     map[uint32]scheduler.Entry
 	tokens    uint64
 	refreshed float64
 	replies   map[uint64]func([]byte, error)
@@ -81,9 +81,9 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self handoff.Member, given rules.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Carrier, log logrus.FieldLogger) *Trustee {
+func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Carrier, log logrus.FieldLogger) *Trustee {
 	return &Trustee{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
-		where: map[uint32]rules.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
+		where: map[uint32]scheduler.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
 
@@ -227,12 +227,12 @@
 }
 
 // list keeps where executors are.
-func (t *Trustee) list(l *rules.Event) {
-	if l.List != rules.Changes {
+func (t *Trustee) list(l *scheduler.Event) {
+	if l.List != scheduler.Changes {
 		clear(t.where)
 	}
 	for _, e := range l.Entries {
-		if delete(t.where, e.Executor); e.Standing != rules.Gone {
+		if delete(t.where, e.Executor); e.Standing != scheduler.Gone {
 			t.where[e.Executor] = e
 		}
 	}
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -17,13 +17,15 @@
 	"liftshift/internal/membership"
 	"liftshift/internal/placement"
 	"liftshift/internal/testservers"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // idle is a module that does nothing.
 type idle struct{}
 
-func (idle) Step(_ float64, _ *rules.Event, out []rules.Action) []rules.Action { return out }
+func (idle) Step(_ float64, _ *scheduler.Event, out []scheduler.Action) []scheduler.Action {
+	return out
+}
 
 // ear is a part that keeps what the trustee's lines bring.
 type ear struct {
@@ -68,7 +70,7 @@
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
 	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
-	given := rules.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
+	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
 	e.trustee = New(handoff.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
 	e.trustee.listen()
@@ -82,7 +84,7 @@
 		part = e.trustee
 	}
 	e.desk.Join(part)
-	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Life: 1, Address: at}, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Life: 1, Address: at}, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, e.carrier.Start(view, nil))
 	go e.desk.Run()
 	t.Cleanup(func() {
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"strings"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // given has an offering of each effect; marks are dropped as repeats within a place for 20 s.
-func given() rules.Given {
-	g := rules.Given{"remember_ms": 60000.0, "keep_answer": 8.0, "ration_span_ms": 10000.0, "ration_floor": 3.0, "ration_share": 0.1}
+func given() scheduler.Given {
+	g := scheduler.Given{"remember_ms": 60000.0, "keep_answer": 8.0, "ration_span_ms": 10000.0, "ration_floor": 3.0, "ration_share": 0.1}
 	for i, o := range []string{"look redoable", "mark labelled", "once irreversible"} {
 		name, effect, _ := strings.Cut(o, " ")
 		at := fmt.Sprintf("offering.%d.", i)
@@ -28,7 +28,7 @@
 type lives struct {
 	*Ledger
 	disk   *disk
-	recall []rules.Event
+	recall []scheduler.Event
 	said   []string
 }
 
@@ -91,15 +91,15 @@
 
 // listed tells of executors 1 and 2 here and 3 there.
 func (l *lives) listed(now float64, index uint64, leaving ...uint32) {
-	var list []rules.Entry
+	var list []scheduler.Entry
 	for id := range uint32(3) {
-		e := rules.Entry{Executor: id + 1, Place: "here"}
+		e := scheduler.Entry{Executor: id + 1, Place: "here"}
 		if id == 2 {
 			e.Place = "there"
 		}
 		for _, x := range leaving {
 			if x == id+1 {
-				e.Standing = rules.Leaving
+				e.Standing = scheduler.Leaving
 			}
 		}
 		list = append(list, e)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"liftshift/internal/index"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Key names a record.
@@ -61,7 +61,7 @@
 	ID, Mark string // Taken, Fired, ShotEnded, Closed, Asked
 	Offering string // Taken
 	Until    float64
-	Prior    rules.Prior // Taken: what may have run elsewhere under the mark
+	Prior    scheduler.Prior // Taken: what may have run elsewhere under the mark
 	Shot     int
 	Executor uint32 // Fired
 	Unrun    bool   // ShotEnded: it is known not to have run
@@ -78,15 +78,15 @@
 	Token uint64 // Stored
 	OK    bool
 
-	Given rules.Given // Heeded: remember_ms, keep_answer and most_kept
+	Given scheduler.Given // Heeded: remember_ms, keep_answer and most_kept
 
 	Index    uint64 // Listed: the version of the list; 0 where it tells none
 	Restored bool   // Listed: as known at the start
 	Whole    bool
-	Entries  []rules.Entry
+	Entries  []scheduler.Entry
 
-	Beliefs []rules.Belief // Ticked, where it is time for them
-	Figures []rules.Figure
+	Beliefs []scheduler.Belief // Ticked, where it is time for them
+	Figures []scheduler.Figure
 }
 
 // EffectKind tells what an Effect asks for.
@@ -117,12 +117,12 @@
 	Token   uint64
 	ID      string
 	Shot    int
-	Prior   rules.Prior
+	Prior   scheduler.Prior
 	Outcome Outcome
 	Body    []byte // of an answer on record; nil: it was not kept
 	AfterMS float64
 	AgeMS   float64 // since the outcome
-	Module  rules.Event
+	Module  scheduler.Event
 	Text    string
 }
 
@@ -160,7 +160,7 @@
 
 // Ledger is one controller's memory.
 type Ledger struct {
-	given      rules.Given
+	given      scheduler.Given
 	offerings  []offering
 	longest    float64 // for which a mark may come again: the longest window or hard limit of a labelled offering
 	remember   float64
@@ -180,7 +180,7 @@
 	marks    index.Table[mark]
 	ration   ration
 	trusts   map[uint32]*trust
-	learnt   []rules.Figure
+	learnt   []scheduler.Figure
 	notes    []note
 	learntAt float64
 	bookAt   float64
@@ -214,7 +214,7 @@
 
 // New gives an empty ledger. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer
 // (bytes), most_kept, ration_span_ms, ration_floor, ration_share, tells_come_back, longest_come_back_ms, inherited, leaves_at_once.
-func New(given rules.Given) *Ledger {
+func New(given scheduler.Given) *Ledger {
 	l := &Ledger{given: given, trusts: map[uint32]*trust{}}
 	l.heed(given)
 	for i := 0; ; i++ {
@@ -233,7 +233,7 @@
 }
 
 // heed takes over what may change while it runs. What is kept already is kept for as long as was said then.
-func (l *Ledger) heed(given rules.Given) {
+func (l *Ledger) heed(given scheduler.Given) {
 	l.remember = given.Num("remember_ms", usualMemory)
 	l.keepAnswer = int(given.Num("keep_answer", usualAnswer))
 	l.mostKept = int(given.Num("most_kept", usualKept))
@@ -361,7 +361,7 @@
 	}
 	closed := l.crashed(ev.Doubt)
 	l.ageMarks(gone)
-	recall := rules.Event{Kind: rules.Kept, Figures: l.learnt}
+	recall := scheduler.Event{Kind: scheduler.Kept, Figures: l.learnt}
 	l.ration.recall(l, &recall, gone, !l.life.clean)
 	clean := l.life.clean || l.life.at == 0
 	l.life = life{at: l.now, moment: ev.Moment}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // What is on record when the controller dies says what became of a search: denied only where no shot can have run.
@@ -254,7 +254,7 @@
 func TestExecutorsStayWhatTheyWere(t *testing.T) {
 	l := firstLife(1000)
 	l.listed(1000, 5, 2)
-	l.do(2000, Event{Kind: Ticked, Beliefs: []rules.Belief{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2},
+	l.do(2000, Event{Kind: Ticked, Beliefs: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2},
 		{Executor: 3, Cold: true, ColdTo: 9000}, {Executor: 77, Aside: true}}})
 	for _, c := range []struct {
 		index   uint64
@@ -267,9 +267,9 @@
 		after := born(d, 3000, up(3000), false)
 		after.listed(3000, c.index)
 		require.Len(t, after.recall, 2)
-		want := []rules.Trust{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2, Leaving: true}, {Executor: 3, ColdUntil: 9000}}
+		want := []scheduler.Trust{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2, Leaving: true}, {Executor: 3, ColdUntil: 9000}}
 		if !c.leaving {
-			want = []rules.Trust{want[0], want[2]}
+			want = []scheduler.Trust{want[0], want[2]}
 		}
 		got := after.recall[1].Trusts
 		for k := range got { // times are late by the step of a clock at most
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"liftshift/internal/index"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Records are protobuf messages without a schema file: a field has the same meaning in all kinds, so that a record can
@@ -71,7 +71,7 @@
 	kind    int
 	nums    [fieldEnd]float64
 	texts   [fieldEnd][]byte
-	figures []rules.Figure
+	figures []scheduler.Figure
 	set     [fieldEnd]bool
 }
 
@@ -96,7 +96,7 @@
 			}
 			b = b[used:]
 			if x := math.Float64frombits(v); n == fieldValue {
-				f.figures = append(f.figures, rules.Figure{Name: name, Value: x})
+				f.figures = append(f.figures, scheduler.Figure{Name: name, Value: x})
 			} else if known {
 				f.nums[n], f.set[n] = x, true
 			}
--- a/internal/ledger/searches.go
+++ b/internal/ledger/searches.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"math"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // search is what is remembered of a search.
@@ -86,7 +86,7 @@
 	e := Effect{Kind: Admit}
 	if verdict == again {
 		l.counts.Again++
-		e.Prior = rules.Prior{At: m.first - l.offset, Place: m.place, Cell: m.cell}
+		e.Prior = scheduler.Prior{At: m.first - l.offset, Place: m.place, Cell: m.cell}
 		if math.IsInf(m.first, 0) || e.Prior.At == 0 {
 			e.Prior.At = -math.MaxFloat64
 		}
--- a/internal/ledger/trusts.go
+++ b/internal/ledger/trusts.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // trust is what is remembered of an executor.
@@ -26,7 +26,7 @@
 	seen := map[uint32]bool{}
 	for _, e := range ev.Entries {
 		t := l.trusts[e.Executor]
-		if e.Standing == rules.Gone {
+		if e.Standing == scheduler.Gone {
 			l.gone(e.Executor)
 			continue
 		}
@@ -35,7 +35,7 @@
 			l.trusts[e.Executor] = t
 		}
 		seen[e.Executor] = true
-		leaving := e.Standing == rules.Leaving
+		leaving := e.Standing == scheduler.Leaving
 		// A list of the start that is older than a drain on record does not end that drain.
 		older := ev.Restored && t.drain > 0 && (ev.Index == 0 || ev.Index < t.drain) && e.UpSince <= t.upSince
 		drain := t.drain
@@ -80,7 +80,7 @@
 }
 
 // believe puts on record what the module holds of executors, where that changed.
-func (l *Ledger) believe(beliefs []rules.Belief) {
+func (l *Ledger) believe(beliefs []scheduler.Belief) {
 	for _, b := range beliefs {
 		t := l.trusts[b.Executor]
 		if t == nil {
@@ -101,11 +101,11 @@
 // recallTrusts tells the module what it held of executors: those that were aside stay so until they have answered
 // probes, cold ones stay cold, and drains that the list of the start did not know hold.
 func (l *Ledger) recallTrusts() {
-	ev := rules.Event{Kind: rules.Kept}
+	ev := scheduler.Event{Kind: scheduler.Kept}
 	for _, id := range l.trustIDs() {
 		t := l.trusts[id]
 		if t.aside || t.coldUntil > l.now || t.drain > 0 {
-			ev.Trusts = append(ev.Trusts, rules.Trust{Executor: id, ColdUntil: t.coldUntil - l.offset, Aside: t.aside,
+			ev.Trusts = append(ev.Trusts, scheduler.Trust{Executor: id, ColdUntil: t.coldUntil - l.offset, Aside: t.aside,
 				Strikes: t.strikes, Leaving: t.drain > 0 && !t.drained})
 		}
 	}
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -14,7 +14,7 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -34,7 +34,7 @@
 }
 
 // goldenGiven has a ration, too, so that there is a record of it.
-func goldenGiven() rules.Given {
+func goldenGiven() scheduler.Given {
 	g := given()
 	g["ration_span_ms"], g["ration_floor"], g["ration_share"] = 10000.0, 3.0, 0.1
 	return g
@@ -50,7 +50,7 @@
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
 	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
 		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
-	step(ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []rules.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
+	step(ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []scheduler.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
 	run := func(round string, ms float64) {
 		for _, s := range ends {
 			mark := s.mark
@@ -64,9 +64,9 @@
 		step(ledger.Event{Kind: ledger.Closed, ID: "writtenoff" + round, Outcome: ledger.WrittenOff})
 		step(ledger.Event{Kind: ledger.Noted, ID: "limit " + round, Mark: "ann", Body: []byte("{}")})
 		c.now += ms
-		step(ledger.Event{Kind: ledger.Listed, Index: 7, Entries: []rules.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: rules.Leaving, UpSince: 5}}})
-		step(ledger.Event{Kind: ledger.Ticked, Beliefs: []rules.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
-			Figures: []rules.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
+		step(ledger.Event{Kind: ledger.Listed, Index: 7, Entries: []scheduler.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: scheduler.Leaving, UpSince: 5}}})
+		step(ledger.Event{Kind: ledger.Ticked, Beliefs: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
+			Figures: []scheduler.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
 	}
 	run("-1", 2500) // nothing lapses before the snapshot: its order would hang on when that is seen
 	require.NoError(t, c.store.Snapshot())
@@ -153,7 +153,7 @@
 			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
 		}
 		recalled := k.First()
-		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []rules.Entry{{Executor: 1, Place: "here"},
+		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []scheduler.Entry{{Executor: 1, Place: "here"},
 			{Executor: 2, Place: "there"}}}) {
 			recalled = append(recalled, e.Module)
 		}
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -13,12 +13,12 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // given has an offering of each effect; engines of a place drop repeats of a mark for 20 s, those of others do not.
-func given() rules.Given {
-	g := rules.Given{"controllers": 1.0, "most_shots": 4.0, "may_call_off": true, "kind.0.name": "big", "kind.0.cores": 8.0,
+func given() scheduler.Given {
+	g := scheduler.Given{"controllers": 1.0, "most_shots": 4.0, "may_call_off": true, "kind.0.name": "big", "kind.0.cores": 8.0,
 		"kind.0.ram_mb": 16000.0, "remember_ms": 60000.0}
 	for i, o := range []string{"look redoable", "mark labelled", "once irreversible"} {
 		name, effect, _ := strings.Cut(o, " ")
@@ -85,9 +85,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var list []rules.Entry
+	var list []scheduler.Entry
 	for id, place := range []string{"here", "there"} {
-		list = append(list, rules.Entry{Executor: uint32(id + 1), Place: place})
+		list = append(list, scheduler.Entry{Executor: uint32(id + 1), Place: place})
 	}
 	c.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: list})
 	return c, nil
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -14,7 +14,7 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Keeper is a ledger with a store beneath. Step and WantsBeliefs belong to the desk's goroutine.
@@ -25,7 +25,7 @@
 	log    logrus.FieldLogger
 	batch  store.Batch
 	out    []ledger.Effect
-	first  []rules.Event // for the module, as of the start
+	first  []scheduler.Event // for the module, as of the start
 	notes  []ledger.Effect
 	now    func() float64
 
@@ -35,13 +35,13 @@
 
 // Open opens the store, ends what was open at the last crash, and gives what was found. Back gets what is heard of the
 // disk, from another goroutine; it must lead to Step.
-func Open(fs vfs.FS, bounds store.Bounds, given rules.Given, now func() float64, back func(ledger.Event),
+func Open(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, back func(ledger.Event),
 	log logrus.FieldLogger) (*Keeper, store.Found, error) {
 	return OpenAt(fs, bounds, given, now, Now(), back, log)
 }
 
 // OpenAt is Open at a moment of the machine's clocks.
-func OpenAt(fs vfs.FS, bounds store.Bounds, given rules.Given, now func() float64, moment ledger.Moment,
+func OpenAt(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, moment ledger.Moment,
 	back func(ledger.Event), log logrus.FieldLogger) (*Keeper, store.Found, error) {
 	k := &Keeper{ledger: ledger.New(given), back: back, log: log, now: now}
 	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
@@ -65,7 +65,7 @@
 }
 
 // First gives what the module is to be told before anything else.
-func (k *Keeper) First() []rules.Event { return k.first }
+func (k *Keeper) First() []scheduler.Event { return k.first }
 
 // Notes gives what operators had set before the start.
 func (k *Keeper) Notes() []ledger.Effect { return k.notes }
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -15,7 +15,7 @@
 	"liftshift/internal/ledger"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const rounds = 12
@@ -122,7 +122,7 @@
 func (r *flight) Release() {
 	if r.gone.CompareAndSwap(false, true) {
 		r.f.sent.Add(1)
-		go r.f.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Ended, Request: r.shot.Request.ID, Attempt: r.shot.N}, Body: []byte("rows")})
+		go r.f.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: r.shot.Request.ID, Attempt: r.shot.N}, Body: []byte("rows")})
 	}
 }
 
@@ -142,7 +142,7 @@
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
 func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Desk, *fleet, *Keeper) {
 	clock := dispatch.NewClock()
-	d := dispatch.New(clock, rules.New(7, given()), silent())
+	d := dispatch.New(clock, scheduler.New(7, given()), silent())
 	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, silent())
 	require.NoError(t, err)
 	f := &fleet{desk: d}
@@ -152,8 +152,8 @@
 	for _, ev := range k.First() {
 		d.Put(dispatch.Item{Event: ev})
 	}
-	d.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Restored,
-		Entries: []rules.Entry{{Executor: 1, Place: "here", Kind: "big"}, {Executor: 2, Place: "here", Kind: "big"}}}})
+	d.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Restored,
+		Entries: []scheduler.Entry{{Executor: 1, Place: "here", Kind: "big"}, {Executor: 2, Place: "here", Kind: "big"}}}})
 	return d, f, k
 }
 
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // site is a zone of a world: what its executors really are, and what its controllers want.
@@ -41,7 +41,7 @@
 	late    []func()
 	at      []float64
 	loss    float64
-	reaches []map[string]rules.Reach
+	reaches []map[string]scheduler.Reach
 	applied map[int]uint64
 	outs    map[int]map[string]float64 // threads that controllers have out, where a test says so
 	caps    []granted                  // plans, with when they came into force
@@ -71,7 +71,7 @@
 func (w *world) name(k int) string { return fmt.Sprintf("c%03d", k) }
 
 func testBounds() Bounds {
-	b := BoundsOf(rules.Given{"lease_ms": 3000.0, "stage_ms": 1000.0, "return_wait_ms": 1000.0})
+	b := BoundsOf(scheduler.Given{"lease_ms": 3000.0, "stage_ms": 1000.0, "return_wait_ms": 1000.0})
 	return b
 }
 
@@ -124,7 +124,7 @@
 			}
 		case Reach:
 			w.applied[k] = e.Number
-			w.reaches[k] = map[string]rules.Reach{}
+			w.reaches[k] = map[string]scheduler.Reach{}
 			for _, r := range e.Reaches {
 				w.reaches[k][r.Place] = r
 			}
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -12,7 +12,7 @@
 import (
 	"slices"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -209,7 +209,7 @@
 }
 
 // BoundsOf reads them from plain names: zone_room, zone_spill, stage_ms, return_wait_ms, lease_ms, and the offerings' threads.
-func BoundsOf(g rules.Given) Bounds {
+func BoundsOf(g scheduler.Given) Bounds {
 	b := Bounds{Room: g.Num("zone_room", usualRoom), Spill: g.Num("zone_spill", usualSpill), StageMS: g.Num("stage_ms", usualStage),
 		WaitMS: g.Num("return_wait_ms", usualWait), ValidMS: g.Num("lease_ms", confirmMS), Unit: g.Num("zone_unit", 1),
 		WayMS: map[[2]string]float64{}, Price: map[[2]string]float64{}}
--- a/internal/locality/watch.go
+++ b/internal/locality/watch.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // EventKind tells what an Event reports.
@@ -68,7 +68,7 @@
 	To      string
 	Data    []byte
 	Plan    *Plan
-	Reaches []rules.Reach
+	Reaches []scheduler.Reach
 	Number  uint64
 	Text    string
 	Zone    string
@@ -125,7 +125,7 @@
 	planner     planner
 	proposed    uint64
 	proposedAt  float64
-	reaches     []rules.Reach
+	reaches     []scheduler.Reach
 	strange     bool // its own zone has no executors, and never had
 	loans       loans
 	gen         uint64 // of what the module was told
@@ -152,7 +152,7 @@
 func (w *Watch) Orders() []Order { return w.orders }
 
 // Reaches is what the module was told last.
-func (w *Watch) Reaches() []rules.Reach { return w.reaches }
+func (w *Watch) Reaches() []scheduler.Reach { return w.reaches }
 
 // Reports are those that count now, where this controller leads.
 func (w *Watch) Reports() map[string]Report { return w.reports() }
@@ -487,7 +487,7 @@
 // open tells the module how far searches may go now.
 func (w *Watch) open() {
 	valid := w.valid()
-	var list []rules.Reach
+	var list []scheduler.Reach
 	names := w.places()
 	if strange := len(w.executors) > 0 && !slices.Contains(names, w.zone); strange != w.strange {
 		if w.strange = strange; strange {
@@ -503,7 +503,7 @@
 			if pair == nil || z == nil {
 				continue // near, and whole
 			}
-			r := rules.Reach{Place: name, Room: w.room(name, valid)}
+			r := scheduler.Reach{Place: name, Room: w.room(name, valid)}
 			if z.State == Evacuated && orderOf(w.inForce(), name) != Evacuate && valid == 0 {
 				r.Room = w.bounds.Unit // the order has lapsed, and nobody can agree on what follows: one search at a time
 			}
@@ -535,9 +535,9 @@
 }
 
 // far is how far another zone is. One that is in no plan yet is closed, but for kinds that there are nowhere near.
-func (w *Watch) far(name string, valid float64) rules.Reach {
+func (w *Watch) far(name string, valid float64) scheduler.Reach {
 	self, z := w.plan.zone(w.zone), w.plan.zone(name)
-	r := rules.Reach{Place: name, Tier: 2}
+	r := scheduler.Reach{Place: name, Tier: 2}
 	if z == nil || z.State <= Doubtful {
 		near, there := w.kinds(w.zone, self), w.kinds(name, z)
 		for _, kind := range there {
@@ -569,6 +569,6 @@
 	return kinds
 }
 
-func same(a, b rules.Reach) bool {
+func same(a, b scheduler.Reach) bool {
 	return a.Place == b.Place && a.Tier == b.Tier && a.Room == b.Room && a.WayMS == b.WayMS && a.Least == b.Least && slices.Equal(a.Free, b.Free)
 }
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -17,7 +17,7 @@
 	"liftshift/internal/locality"
 	"liftshift/internal/membership"
 	"liftshift/internal/testservers"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -44,7 +44,7 @@
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
 	c.Scout = scout
-	view := membership.New(c.Now(), "test", self, []string{at}, rules.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	view := membership.New(c.Now(), "test", self, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, c.Start(view, nil))
 	t.Cleanup(c.Stop)
 	return c, self
@@ -63,7 +63,7 @@
 	carrier, _ := goldenCarrier(t, "a", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", b, nil, rules.Given{}, 1) // its own member is the one that is sent to
+	view := membership.New(0, "test", b, nil, scheduler.Given{}, 1) // its own member is the one that is sent to
 	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
 	for _, ev := range []locality.Event{
 		{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
@@ -99,7 +99,7 @@
 	carrier, self := goldenCarrier(t, "b", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", self, nil, rules.Given{}, 1)
+	view := membership.New(0, "test", self, nil, scheduler.Given{}, 1)
 	watch := func(name string) *Scout {
 		return New(locality.New(name, "z0", "r", locality.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
 	}
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -20,7 +20,7 @@
 	"liftshift/internal/locality"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -52,7 +52,7 @@
 	last    float64 // when the view was looked at
 
 	// Of the desk's goroutine.
-	where   map[uint32]rules.Entry
+	where   map[uint32]scheduler.Entry
 	cores   map[string]float64 // of a machine, by kind
 	threads map[string]float64 // of a search, by offering
 	wants   float64
@@ -70,13 +70,13 @@
 
 // reaching is what the module is to know, and its number.
 type reaching struct {
-	list   []rules.Reach
+	list   []scheduler.Reach
 	number uint64
 }
 
 // New joins one; Begin has it work.
-func New(w *locality.Watch, name string, given rules.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
-	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]rules.Entry{},
+func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
+	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
 		at := "kind." + strconv.Itoa(k) + "."
@@ -124,7 +124,7 @@
 		select {
 		case <-t.opened:
 			r := t.reaches.Load()
-			t.desk.Put(dispatch.Item{Event: rules.Event{Kind: rules.Opened, Reaches: r.list}})
+			t.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Opened, Reaches: r.list}})
 			t.desk.Put(dispatch.Item{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
 		case <-t.stop:
 			return
@@ -320,14 +320,14 @@
 	return out
 }
 
-func (t *Scout) executors(beliefs []rules.Belief) (list []locality.Executor) {
+func (t *Scout) executors(beliefs []scheduler.Belief) (list []locality.Executor) {
 	for k := range beliefs {
 		b := &beliefs[k]
 		at, known := t.where[b.Executor]
 		if !known {
 			continue
 		}
-		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == rules.Active, Aside: b.Aside, Cold: b.Cold,
+		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == scheduler.Active, Aside: b.Aside, Cold: b.Cold,
 			Out: float64(b.Threads)}
 		x.Known = b.Aside || b.Bad > 0 || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < knownMS || b.ReportMS >= 0 && b.ReportMS < knownMS
 		list = append(list, x)
@@ -336,12 +336,12 @@
 }
 
 // list keeps where executors are.
-func (t *Scout) list(l *rules.Event) {
-	if l.List != rules.Changes {
+func (t *Scout) list(l *scheduler.Event) {
+	if l.List != scheduler.Changes {
 		clear(t.where)
 	}
 	for _, e := range l.Entries {
-		if delete(t.where, e.Executor); e.Standing != rules.Gone {
+		if delete(t.where, e.Executor); e.Standing != scheduler.Gone {
 			t.where[e.Executor] = e
 		}
 	}
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -10,7 +10,7 @@
 
 	"liftshift/internal/dispatch"
 	"liftshift/internal/locality"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // What the module holds reaches the watch in the watch's own words: executors by zone with what is known of them, what searches in hand
@@ -18,7 +18,7 @@
 func TestWhatTheModuleHolds(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", rules.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
+	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", scheduler.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
 		"offering.0.threads": 4.0}, nil, nil, nil, nil, log)
 	hear := func(h dispatch.Happening) { assert.Empty(t, s.Hear(1, &h, nil)) }
 	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
@@ -30,15 +30,15 @@
 	assert.Zero(t, s.wants, "never below")
 	hear(dispatch.Happening{Kind: dispatch.ListLost})
 	assert.True(t, s.deaf)
-	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &rules.Event{List: rules.Whole, Entries: []rules.Entry{{Executor: 1, Place: "z0", Kind: "big"},
+	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &scheduler.Event{List: scheduler.Whole, Entries: []scheduler.Entry{{Executor: 1, Place: "z0", Kind: "big"},
 		{Executor: 2, Place: "z1", Kind: "big"}, {Executor: 3, Place: "z1", Kind: "odd"}}}})
 	assert.False(t, s.deaf)
-	list := s.executors([]rules.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
-		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: rules.Leaving}, {Executor: 9}})
+	list := s.executors([]scheduler.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
+		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: scheduler.Leaving}, {Executor: 9}})
 	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
 		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Aside: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
-	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &rules.Event{List: rules.Changes, Entries: []rules.Entry{{Executor: 2, Standing: rules.Gone}}}})
-	assert.Len(t, s.executors([]rules.Belief{{Executor: 1}, {Executor: 2}}), 1)
+	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &scheduler.Event{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: 2, Standing: scheduler.Gone}}}})
+	assert.Len(t, s.executors([]scheduler.Belief{{Executor: 1}, {Executor: 2}}), 1)
 	for _, data := range []string{"", "r", "r\xff", "r\x05ab", "?\x01a", "x\x01a"} {
 		s.heard(netip.AddrPort{}, []byte(data)) // nothing of it reaches the watch, which is not there
 	}
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // pair gives two views that have not met.
@@ -45,7 +45,7 @@
 
 func (w *walked) start(k int) {
 	w.lives[k]++
-	given := rules.Given{"probe_ms": 100.0, "answer_ms": 40.0, "suspect_ms": 150.0}
+	given := scheduler.Given{"probe_ms": 100.0, "answer_ms": 40.0, "suspect_ms": 150.0}
 	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Life: w.lives[k]}, []string{"0", "1", "2"}, given, uint32(k))
 	w.play(k, -1, Event{Kind: Ticked})
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -121,7 +121,7 @@
 
 // New returns the view of a controller that has just started and knows its seeds alone. Given are the times, in ms: probe_ms,
 // answer_ms, suspect_ms, exchange_ms; how many are kept, most_members; and whether it takes its own slowness into account, self_aware.
-func New(now float64, fleet string, self Member, seeds []string, given rules.Given, seed uint32) *View {
+func New(now float64, fleet string, self Member, seeds []string, given scheduler.Given, seed uint32) *View {
 	self.Phase, self.Since = Joining, now
 	self.Inc = max(1, self.Inc)
 	v := &View{fleet: fleet, now: now, byName: map[string]*member{}, stead: map[uint64]asked{}, seed: seed,
--- a/internal/operatorconfig/budgets.go
+++ b/internal/operatorconfig/budgets.go
@@ -8,7 +8,7 @@
 
 	"liftshift/internal/attribution"
 	"liftshift/internal/quota"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Budgets is the block budgets.
@@ -16,7 +16,7 @@
 	Teams   []quota.Team
 	Default string
 	Whose   attribution.Rules
-	Given   rules.Given // for the tree: age_ms
+	Given   scheduler.Given // for the tree: age_ms
 	said    map[string]map[string]string
 }
 
@@ -50,7 +50,7 @@
 // budgetsOf reads the block budgets and checks that its parts fit together.
 func budgetsOf(v values) (*Budgets, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	b := &Budgets{Default: v.texts["default"], Given: rules.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
+	b := &Budgets{Default: v.texts["default"], Given: scheduler.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
 	b.Whose = attribution.Rules{Teams: map[string]bool{}, Offerings: map[string]string{}, Schemas: map[string]string{}}
 	order, given := v.lists["whose"]
 	if !given {
@@ -91,7 +91,7 @@
 			b.said[kind][x.label] = team
 		}
 	}
-	if _, err := quota.New(b.Teams, b.Default, rules.Given{}); err != nil {
+	if _, err := quota.New(b.Teams, b.Default, scheduler.Given{}); err != nil {
 		diags = append(diags, wrong(v.at, "budgets: %v", err))
 	}
 	return b, diags
--- a/internal/operatorconfig/estate.go
+++ b/internal/operatorconfig/estate.go
@@ -5,14 +5,14 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Estate is the block estate.
 type Estate struct {
-	Given    rules.Given // for the estate: copies, lag_ms, adopt_at_once, most_kept, keep_answer, alone, adopts.NAME
-	OwnDisk  bool        // a shot waits for this controller's own disk, too
-	OnDisks  bool        // holders answer once their copies last
+	Given    scheduler.Given // for the estate: copies, lag_ms, adopt_at_once, most_kept, keep_answer, alone, adopts.NAME
+	OwnDisk  bool            // a shot waits for this controller's own disk, too
+	OnDisks  bool            // holders answer once their copies last
 	Copies   int
 	Adopting []string
 }
@@ -36,7 +36,7 @@
 // estateOf reads the block estate and checks that its parts fit together.
 func estateOf(v values, founders, store bool) (*Estate, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	e := &Estate{Copies: int(v.nums["copies"]), Adopting: v.lists["adopt"], Given: rules.Given{"lag_ms": v.nums["lag"],
+	e := &Estate{Copies: int(v.nums["copies"]), Adopting: v.lists["adopt"], Given: scheduler.Given{"lag_ms": v.nums["lag"],
 		"adopt_at_once": v.nums["adopt_at_once"], "keep_answer": v.nums["keep_answers"], "most_kept": v.nums["most_kept"],
 		"doubt_ms": v.nums["doubt"], "alone": v.texts["unreachable"] == "alone"}}
 	how, known := conditions[v.texts["condition"]]
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // File is what the operators' file says. Without one, all is off.
@@ -29,7 +29,7 @@
 	Directory string
 	Segment   int64
 	Lag       time.Duration
-	Given     rules.Given // for the ledger: remember_ms, keep_answer, most_kept
+	Given     scheduler.Given // for the ledger: remember_ms, keep_answer, most_kept
 }
 
 // Default is where the file is looked for if nothing else is said: nowhere, unless this names a path.
@@ -76,7 +76,7 @@
 	f := &File{Path: path}
 	for _, s := range body.kids["store"] {
 		f.Store = &Store{Directory: s.texts["directory"], Segment: int64(s.nums["segment"]),
-			Lag: time.Duration(s.nums["lag"] * float64(time.Millisecond)), Given: rules.Given{
+			Lag: time.Duration(s.nums["lag"] * float64(time.Millisecond)), Given: scheduler.Given{
 				"remember_ms": s.nums["remember"], "keep_answer": s.nums["keep_answers"], "most_kept": s.nums["most_kept"]}}
 	}
 	for _, c := range body.kids["control"] {
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Fleet is the block fleet.
@@ -21,7 +21,7 @@
 	Region  string
 	// Founders are the members that found the council together; empty: there is none.
 	Founders []string
-	Given    rules.Given // for the view and the council: probe_ms, answer_ms, suspect_ms, lease_ms, declare_ms, replace_ms, voters
+	Given    scheduler.Given // for the view and the council: probe_ms, answer_ms, suspect_ms, lease_ms, declare_ms, replace_ms, voters
 }
 
 const mostName = 60 // bytes of a name that goes over the wire
@@ -49,7 +49,7 @@
 func fleetOf(v values, store bool) (*Fleet, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
 	f := &Fleet{Name: v.texts["name"], Member: v.texts["member"], Address: v.texts["address"], Listen: v.texts["listen"], Seeds: v.lists["seeds"],
-		Zone: v.texts["zone"], Region: v.texts["region"], Founders: v.lists["founders"], Given: rules.Given{"voters": v.nums["voters"]}}
+		Zone: v.texts["zone"], Region: v.texts["region"], Founders: v.lists["founders"], Given: scheduler.Given{"voters": v.nums["voters"]}}
 	for _, name := range []string{"probe", "answer", "suspect", "lease", "declare", "replace"} {
 		f.Given[name+"_ms"] = v.nums[name]
 	}
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -5,12 +5,12 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Zones is the block zones.
 type Zones struct {
-	Given   rules.Given // zone_room, zone_spill, stage_ms, return_wait_ms
+	Given   scheduler.Given // zone_room, zone_spill, stage_ms, return_wait_ms
 	Regions map[string]Region
 }
 
@@ -31,7 +31,7 @@
 // zonesOf reads the block zones and checks that its parts fit together.
 func zonesOf(v values, fleet *Fleet) (*Zones, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	z := &Zones{Regions: map[string]Region{}, Given: rules.Given{"zone_room": v.nums["room"], "zone_spill": v.nums["spill"],
+	z := &Zones{Regions: map[string]Region{}, Given: scheduler.Given{"zone_room": v.nums["room"], "zone_spill": v.nums["spill"],
 		"stage_ms": v.nums["stage"], "return_wait_ms": v.nums["return_wait"]}}
 	switch {
 	case fleet == nil || len(fleet.Founders) == 0:
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // given has three offerings: look of one thread, report of two, load of two that holds its group.
-func given(more rules.Given) rules.Given {
-	g := rules.Given{"controllers": 1.0}
+func given(more scheduler.Given) scheduler.Given {
+	g := scheduler.Given{"controllers": 1.0}
 	for i, o := range []struct {
 		name    string
 		threads float64
@@ -62,7 +62,7 @@
 	until          float64
 }
 
-func before(t require.TestingT, threads float64, teams []Team, more rules.Given) *world {
+func before(t require.TestingT, threads float64, teams []Team, more scheduler.Given) *world {
 	tree, err := New(teams, "other", given(more))
 	require.NoError(t, err)
 	w := &world{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,7 +9,7 @@
 	"math"
 	"strconv"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -162,7 +162,7 @@
 }
 
 // New gives a tree. Of the settings it reads the offerings and age_ms; the team named by fallback takes what is nobody's.
-func New(teams []Team, fallback string, given rules.Given) (*Tree, error) {
+func New(teams []Team, fallback string, given scheduler.Given) (*Tree, error) {
 	t := &Tree{age: given.Num("age_ms", usualAge), byName: map[string]int32{}, queue: empty, runs: empty, fresh: empty, free: room,
 		home: 1 / max(1, given.Num("controllers", 1)), total: perCore}
 	t.part = t.home
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 var two = []Team{{Name: "model", Weight: 3}, {Name: "render", Weight: 1}, {Name: "other", Weight: 1}}
@@ -82,7 +82,7 @@
 
 // Nobody waits past the age and the bound that is told, however small its weight.
 func TestAgeingBoundsTheLongestWait(t *testing.T) {
-	w := before(t, 8, []Team{{Name: "big", Weight: 1000}, {Name: "tiny", Weight: 0.001}, {Name: "other"}}, rules.Given{"age_ms": 2000.0})
+	w := before(t, 8, []Team{{Name: "big", Weight: 1000}, {Name: "tiny", Weight: 0.001}, {Name: "other"}}, scheduler.Given{"age_ms": 2000.0})
 	bound := 0.0
 	w.until(60000, func() {
 		w.keep("big", "look", 40, 100, 100)
@@ -112,7 +112,7 @@
 	for n := range 10_000 {
 		teams = append(teams, Team{Name: fmt.Sprint("t", n)})
 	}
-	w := before(t, 50, teams, rules.Given{"age_ms": 1e9})
+	w := before(t, 50, teams, scheduler.Given{"age_ms": 1e9})
 	for n := range 10_000 {
 		w.ask(fmt.Sprint("t", n), "look", 10, 10, 1e6)
 	}
@@ -228,7 +228,7 @@
 func TestTheCountsAddUpAfterAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := before(t, 6, []Team{{Name: "p", Ceiling: 0.9}, {Name: "a", Parent: "p", Searches: 3}, {Name: "b", Parent: "p", Threads: 4},
-			{Name: "other", MemoryMB: 30}}, rules.Given{"age_ms": 300.0})
+			{Name: "other", MemoryMB: 30}}, scheduler.Given{"age_ms": 300.0})
 		var ids []string
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -17,7 +17,7 @@
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 const (
@@ -83,7 +83,7 @@
 }
 
 // New opens a member's end. Folder is where it votes from; nil: it has no disk and only asks.
-func New(carrier *clusternet.Carrier, view *membership.View, folder vfs.FS, founders []string, given rules.Given, seed uint32,
+func New(carrier *clusternet.Carrier, view *membership.View, folder vfs.FS, founders []string, given scheduler.Given, seed uint32,
 	log logrus.FieldLogger) (*Seat, error) {
 	self := view.Self()
 	s := &Seat{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
--- a/internal/service/beside.go
+++ b/internal/service/beside.go
@@ -4,18 +4,18 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/dispatch"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Beside is what an installation has besides the platform's side. Package service knows nothing of it, so that where it is
 // not wanted it is not even in the program.
 type Beside interface {
 	// Open is called before the desk runs, with this controller's name, and may give it a memory.
-	Open(name string, d *dispatch.Desk, given rules.Given, clock dispatch.Clock, log logrus.FieldLogger) error
+	Open(name string, d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error
 	// Begin is called when the desk runs and has been told nothing yet.
 	Begin()
 	// Reread reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
-	Reread(given rules.Given) (take func() []string, err error)
+	Reread(given scheduler.Given) (take func() []string, err error)
 	// Count logs its counters.
 	Count()
 	// Stopping is called when a planned stop begins.
@@ -28,7 +28,7 @@
 type Nothing struct{}
 
 // Open does nothing, as all of these.
-func (Nothing) Open(string, *dispatch.Desk, rules.Given, dispatch.Clock, logrus.FieldLogger) error {
+func (Nothing) Open(string, *dispatch.Desk, scheduler.Given, dispatch.Clock, logrus.FieldLogger) error {
 	return nil
 }
 
@@ -36,7 +36,7 @@
 func (Nothing) Begin() {}
 
 // Reread finds nothing.
-func (Nothing) Reread(rules.Given) (func() []string, error) {
+func (Nothing) Reread(scheduler.Given) (func() []string, error) {
 	return func() []string { return nil }, nil
 }
 
--- a/internal/service/node.go
+++ b/internal/service/node.go
@@ -18,7 +18,7 @@
 	"liftshift/internal/retry"
 	"liftshift/internal/settings"
 	"liftshift/internal/wire"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // readPatience is for how long a configuration is read again that can't be read for a moment.
@@ -42,7 +42,7 @@
 	Settings   json.RawMessage `json:"settings"`
 
 	seed  uint64
-	given rules.Given
+	given scheduler.Given
 }
 
 // ReadNode reads the configuration file whose path the environment names.
@@ -78,7 +78,7 @@
 }
 
 // Given gives the settings in our names.
-func (n *Node) Given() rules.Given { return n.given }
+func (n *Node) Given() scheduler.Given { return n.given }
 
 func (n *Node) check() (err error) {
 	for _, at := range []struct{ name, address string }{{"listen", n.Listen}, {"changelog", n.ChangeLog}} {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,7 +13,7 @@
 
 	"liftshift/internal/dispatch"
 	"liftshift/internal/wire"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Shares of the limits. They bound memory and sockets and decide nothing.
@@ -48,7 +48,7 @@
 	g, clock := n.given, dispatch.NewClock()
 	held := int64(n.Limits.MemoryMB * heldShare * (1 << 20))
 	bodies, out := wire.NewBudget(held), wire.NewBudget(held)
-	d := dispatch.New(clock, rules.New(n.seed, g), log)
+	d := dispatch.New(clock, scheduler.New(n.seed, g), log)
 	if err := beside.Open(n.Name, d, g, clock, log); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 }
 
 // awayOf gives the time to stay away that a denial for want of room may name; 0 where none may be told.
-func awayOf(g rules.Given) float64 {
+func awayOf(g scheduler.Given) float64 {
 	if !g.Is("tells_come_back") {
 		return 0
 	}
@@ -156,7 +156,7 @@
 }
 
 // offeringsOf gives what a front needs to know of each offering, and the longest hard limit.
-func offeringsOf(g rules.Given) (map[string]wire.Offering, time.Duration) {
+func offeringsOf(g scheduler.Given) (map[string]wire.Offering, time.Duration) {
 	offerings, longest := map[string]wire.Offering{}, 0.0
 	for i := 0; ; i++ {
 		at := "offering." + strconv.Itoa(i) + "."
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"fmt"
 
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // usPerMS is the settings' unit of time: microseconds.
@@ -66,7 +66,7 @@
 }
 
 // Read flattens the settings, a JSON object, into our names. Unknown ones are skipped.
-func Read(text []byte) (rules.Given, error) {
+func Read(text []byte) (scheduler.Given, error) {
 	var tree any
 	if err := json.Unmarshal(text, &tree); err != nil {
 		return nil, err
@@ -74,11 +74,11 @@
 	if _, ok := tree.(map[string]any); !ok {
 		return nil, fmt.Errorf("not an object")
 	}
-	out := rules.Given{}
+	out := scheduler.Given{}
 	return out, flatten(out, tree, "", "")
 }
 
-func flatten(out rules.Given, v any, path, place string) error {
+func flatten(out scheduler.Given, v any, path, place string) error {
 	name, known := renamed[path]
 	if known {
 		ours := name
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"liftshift/internal/settings"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // usPerMS is the wire's time unit: microseconds.
@@ -24,9 +24,9 @@
 // Host is what a batch is played to.
 type Host interface {
 	// Attach starts an instance, Stop ends it, Event hands it one event.
-	Attach(instance int, seed uint64, given rules.Given) error
+	Attach(instance int, seed uint64, given scheduler.Given) error
 	Stop(instance int) error
-	Event(instance int, now float64, ev *rules.Event) error
+	Event(instance int, now float64, ev *scheduler.Event) error
 }
 
 // Reader reads batches.
@@ -34,10 +34,10 @@
 	in    *bufio.Reader
 	line  int
 	long  []byte
-	lists [banks][]rules.Entry
+	lists [banks][]scheduler.Entry
 	held  [banks]bool
 	words map[string]string // names that come again and again, kept once
-	ev    rules.Event
+	ev    scheduler.Event
 	load  []float64
 }
 
@@ -153,29 +153,29 @@
 	return false, fmt.Errorf("%q is neither 1 nor 0", s)
 }
 
-var outcomes = map[string]rules.Outcome{
-	"completed": rules.Handled, "errored": rules.Erred, "saturated": rules.Full, "overdue": rules.TimedOut,
-	"refused_conn": rules.Refused, "severed": rules.Severed, "recalled": rules.Recalled,
-	"superseded": rules.Superseded,
+var outcomes = map[string]scheduler.Outcome{
+	"completed": scheduler.Handled, "errored": scheduler.Erred, "saturated": scheduler.Full, "overdue": scheduler.TimedOut,
+	"refused_conn": scheduler.Refused, "severed": scheduler.Severed, "recalled": scheduler.Recalled,
+	"superseded": scheduler.Superseded,
 }
 
-var standings = map[string]rules.Standing{
-	"active": rules.Active, "leaving": rules.Leaving, "left": rules.Gone,
+var standings = map[string]scheduler.Standing{
+	"active": scheduler.Active, "leaving": scheduler.Leaving, "left": scheduler.Gone,
 }
 
-var listKinds = map[string]rules.ListKind{
-	"update": rules.Changes, "replace": rules.Whole, "restored": rules.Restored, "unavailable": rules.NoList,
+var listKinds = map[string]scheduler.ListKind{
+	"update": scheduler.Changes, "replace": scheduler.Whole, "restored": scheduler.Restored, "unavailable": scheduler.NoList,
 }
 
 // tags are the events of the wire, with the kind of event and the parts that each can't do without.
 var tags = map[string]struct {
-	kind  rules.EventKind
+	kind  scheduler.EventKind
 	needs string
 }{
-	"ENDPOINTS": {rules.Listed, "Kind"}, "ARRIVAL": {rules.Taken, "Handle TierClass DropDead"},
-	"CLIENT_GONE": {rules.Left, "Handle"}, "VERDICT": {rules.Ended, "Handle Code"},
-	"CHANGE": {rules.Noted, "Handle What"}, "PROBE_DONE": {rules.Probed, "Code"}, "TIMER": {rules.Rang, ""},
-	"FIRST": {rules.Streaming, "Handle"}, "MESSAGE": {rules.Heard, ""},
+	"ENDPOINTS": {scheduler.Listed, "Kind"}, "ARRIVAL": {scheduler.Taken, "Handle TierClass DropDead"},
+	"CLIENT_GONE": {scheduler.Left, "Handle"}, "VERDICT": {scheduler.Ended, "Handle Code"},
+	"CHANGE": {scheduler.Noted, "Handle What"}, "PROBE_DONE": {scheduler.Probed, "Code"}, "TIMER": {scheduler.Rang, ""},
+	"FIRST": {scheduler.Streaming, "Handle"}, "MESSAGE": {scheduler.Heard, ""},
 }
 
 // Batch plays the next batch to host and returns its number. At the end of the input it returns io.EOF.
@@ -244,7 +244,7 @@
 	if !ok {
 		return r.errorf("unknown event %.80q", tag)
 	}
-	r.ev = rules.Event{Kind: t.kind}
+	r.ev = scheduler.Event{Kind: t.kind}
 	ev := &r.ev
 	instance, bank, seen := 0, 0, 0
 	_, err := r.fields(line, "", func(name, value string) (err error) {
@@ -271,7 +271,7 @@
 	if seen != len(strings.Fields(t.needs)) {
 		return r.errorf("%s: needs %s: %.120q", tag, t.needs, line)
 	}
-	if t.kind == rules.Listed && ev.List != rules.NoList {
+	if t.kind == scheduler.Listed && ev.List != scheduler.NoList {
 		if bank < 0 || bank >= banks || !r.held[bank] {
 			return r.errorf("ENDPOINTS: no list numbered %d", bank)
 		}
@@ -288,7 +288,7 @@
 }
 
 // part puts one part of a line into the event; parts that no event has are skipped.
-func (r *Reader) part(ev *rules.Event, name, value string) (err error) {
+func (r *Reader) part(ev *scheduler.Event, name, value string) (err error) {
 	ok := true
 	switch name {
 	case "Handle":
@@ -336,10 +336,10 @@
 	case "What":
 		var n int
 		n, err = whole(value)
-		if err == nil && (n < int(rules.Progress) || n > int(rules.Waits)) {
+		if err == nil && (n < int(scheduler.Progress) || n > int(scheduler.Waits)) {
 			err = fmt.Errorf("unknown note %d", n)
 		}
-		ev.Note = rules.NoteKind(n)
+		ev.Note = scheduler.NoteKind(n)
 	case "X":
 		ev.Value, err = number(value)
 	case "KeyBack":
@@ -384,7 +384,7 @@
 		if err != nil {
 			return err
 		}
-		var e rules.Entry
+		var e scheduler.Entry
 		named := false
 		tag, err := r.fields(line, "", func(name, value string) (err error) {
 			ok := true
@@ -448,51 +448,51 @@
 	if err := host.Attach(instance, seed, settings); err != nil {
 		return r.at("ATTACH", err)
 	}
-	return r.at("ATTACH", host.Event(instance, now, &rules.Event{Kind: rules.Began}))
+	return r.at("ATTACH", host.Event(instance, now, &scheduler.Event{Kind: scheduler.Began}))
 }
 
 // Append writes the action of an instance as a line to b.
-func Append(b []byte, instance int, a *rules.Action) []byte {
+func Append(b []byte, instance int, a *scheduler.Action) []byte {
 	num := func(name string, n int64) { b = strconv.AppendInt(append(append(b, '\t'), name...), n, 10) }
 	text := func(name, s string) { b = append(append(append(b, '\t'), name...), s...) }
-	name := [...]string{rules.Send: "ASSIGN", rules.Terms: "RESOURCES", rules.CallOff: "CALL_OFF",
-		rules.Deny: "TURN_AWAY", rules.Fail: "REPORT_FAILURE", rules.Wake: "SLEEP", rules.Probe: "PROBE",
-		rules.Listen: "LISTEN", rules.Log: "LOG", rules.Tell: "SHARE"}[a.Kind]
+	name := [...]string{scheduler.Send: "ASSIGN", scheduler.Terms: "RESOURCES", scheduler.CallOff: "CALL_OFF",
+		scheduler.Deny: "TURN_AWAY", scheduler.Fail: "REPORT_FAILURE", scheduler.Wake: "SLEEP", scheduler.Probe: "PROBE",
+		scheduler.Listen: "LISTEN", scheduler.Log: "LOG", scheduler.Tell: "SHARE"}[a.Kind]
 	b = append(b, name...)
 	num("I=", int64(instance))
 	switch a.Kind {
-	case rules.Send:
+	case scheduler.Send:
 		text("Handle=", a.Request)
 		num("Executor=", int64(a.Executor))
-	case rules.Terms:
+	case scheduler.Terms:
 		text("Handle=", a.Request)
 		b = strconv.AppendFloat(append(b, "\tGrantMb="...), a.GrantMB, 'f', -1, 64)
 		num("Prio=", int64(a.Level))
-	case rules.CallOff:
+	case scheduler.CallOff:
 		text("Handle=", a.Request)
 		num("N=", int64(a.Attempt))
-	case rules.Deny:
+	case scheduler.Deny:
 		text("Handle=", a.Request)
 		if a.AfterMS > 0 {
 			num("ComeBack=", int64(a.AfterMS*usPerMS))
 		}
-	case rules.Fail:
+	case scheduler.Fail:
 		text("Handle=", a.Request)
-	case rules.Wake:
+	case scheduler.Wake:
 		num("Delay=", int64(math.Ceil(a.AfterMS*usPerMS)))
 		num("KeyBack=", int64(a.Token))
-	case rules.Probe:
+	case scheduler.Probe:
 		num("Executor=", int64(a.Executor))
-	case rules.Listen:
+	case scheduler.Listen:
 		num("Active=", 1)
-	case rules.Tell:
+	case scheduler.Tell:
 		if a.Peer < 0 {
 			text("Dest=", "*")
 		} else {
 			num("Dest=", int64(a.Peer))
 		}
 		b = base64.StdEncoding.AppendEncode(append(b, "\tData="...), a.Data)
-	case rules.Log:
+	case scheduler.Log:
 		text("BodyText=", a.Text)
 	}
 	return append(b, '\n')
--- a/internal/wire/changelog.go
+++ b/internal/wire/changelog.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/dispatch"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // The change log's figures.
@@ -33,7 +33,7 @@
 
 // listed is one executor of the list.
 type listed struct {
-	entry         rules.Entry
+	entry         scheduler.Entry
 	name, address string
 }
 
@@ -48,7 +48,7 @@
 	list  []listed
 }
 
-var standings = map[string]rules.Standing{"Ready": rules.Active, "Terminating": rules.Leaving, "Gone": rules.Gone}
+var standings = map[string]scheduler.Standing{"Ready": scheduler.Active, "Terminating": scheduler.Leaving, "Gone": scheduler.Gone}
 
 // readChanges reads a page of events, all or nothing. Those of other kinds only move the number on.
 func readChanges(text []byte) (last uint64, changes []change, err error) {
@@ -92,10 +92,10 @@
 		}
 		for _, x := range e.Fleet.Endpoints {
 			standing, ok := standings[x.Status]
-			if !ok || x.Name == "" || x.Address == "" && standing != rules.Gone {
+			if !ok || x.Name == "" || x.Address == "" && standing != scheduler.Gone {
 				return 0, nil, malformed("event %d: executor %q at %q is %q", e.Seq, x.Name, x.Address, x.Status)
 			}
-			c.list = append(c.list, listed{name: x.Name, address: x.Address, entry: rules.Entry{
+			c.list = append(c.list, listed{name: x.Name, address: x.Address, entry: scheduler.Entry{
 				Executor: executorID(x.Name), Place: x.Zone, Kind: x.Type, Cell: x.Group, Standing: standing,
 				Units: x.Weight, UpSince: x.Since}})
 		}
@@ -149,12 +149,12 @@
 // Begin hands on the events known at the start.
 func (f *Feed) Begin() {
 	f.heard = f.fleet.clock.Now()
-	f.apply(f.knownTo, f.known, rules.Restored)
+	f.apply(f.knownTo, f.known, scheduler.Restored)
 	f.known = nil
 }
 
 // apply hands on events that come after the last.
-func (f *Feed) apply(last uint64, changes []change, whole rules.ListKind) {
+func (f *Feed) apply(last uint64, changes []change, whole scheduler.ListKind) {
 	for _, c := range changes {
 		if c.seq <= f.last {
 			continue
@@ -165,7 +165,7 @@
 			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "event": c.seq}).Info("list: displaced")
 		}
 		c.list = append(c.list, displaced...)
-		ev := rules.Event{Kind: rules.Listed, List: rules.Changes, Index: c.index}
+		ev := scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes, Index: c.index}
 		if c.whole {
 			ev.List = whole
 		}
@@ -199,7 +199,7 @@
 				id++
 			}
 		}
-		if e.entry.Executor = id; e.entry.Standing == rules.Gone {
+		if e.entry.Executor = id; e.entry.Standing == scheduler.Gone {
 			delete(f.names, id)
 			delete(f.ids, e.name)
 		} else {
@@ -273,7 +273,7 @@
 		f.log.WithField("why", why).Warn("list: out of reach")
 	}
 	f.down = true
-	f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.NoList, Until: f.heard, Deemed: deemed}})
+	f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.NoList, Until: f.heard, Deemed: deemed}})
 }
 
 // Stop ends Run.
@@ -328,9 +328,9 @@
 			f.heard += pollMS // it was held for as long as was asked: there was nothing until then
 		}
 		if f.down && len(changes) == 0 { // nothing has changed: that is news too
-			f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Listed, List: rules.Changes}})
+			f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes}})
 		}
-		f.apply(last, changes, rules.Whole)
+		f.apply(last, changes, scheduler.Whole)
 		if f.down {
 			f.down = false
 			f.log.Info("list: back")
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/dispatch"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // lateFleet has one executor whose connections come up only once the test lets them.
@@ -37,11 +37,11 @@
 	for name, cross := range map[string]func(*Fleet, *dispatch.Attempt){
 		"its client has gone": func(_ *Fleet, s *dispatch.Attempt) { s.Request.Gone.Store(true) },
 		"its executor drains": func(f *Fleet, _ *dispatch.Attempt) {
-			f.update(false, []listed{{rules.Entry{Executor: 1, Standing: rules.Leaving}, "s-1", f.machines[1].address}})
+			f.update(false, []listed{{scheduler.Entry{Executor: 1, Standing: scheduler.Leaving}, "s-1", f.machines[1].address}})
 		},
 		"its executor is gone": func(f *Fleet, _ *dispatch.Attempt) { f.update(true, nil) },
 		"a new executor has the address": func(f *Fleet, _ *dispatch.Attempt) {
-			f.update(false, []listed{{rules.Entry{Executor: 2}, "s-2", f.machines[1].address}})
+			f.update(false, []listed{{scheduler.Entry{Executor: 2}, "s-2", f.machines[1].address}})
 		},
 		"its time is over": func(*Fleet, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
 	} {
@@ -56,7 +56,7 @@
 		cross(f, &shot)
 		up <- struct{}{}
 		it := m.next(t)
-		assert.Equal(t, []any{rules.Ended, rules.Superseded, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Barred}, name)
+		assert.Equal(t, []any{scheduler.Ended, scheduler.Superseded, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Barred}, name)
 		assert.True(t, it.Event.Outcome.NeverRan())
 		assert.Equal(t, dispatch.Decided, run.CallOff(), name)
 		f.Stop()
@@ -85,7 +85,7 @@
 		assert.Eventually(t, func() bool { return f.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
 		say(second, "a", "data", "-", "x\ty\tz\n")
 		it := m.next(t)
-		assert.Equal(t, []any{rules.Handled, 1}, []any{it.Event.Outcome, it.Event.Attempt}, word)
+		assert.Equal(t, []any{scheduler.Handled, 1}, []any{it.Event.Outcome, it.Event.Attempt}, word)
 		assert.Empty(t, m)
 	}
 }
@@ -114,12 +114,12 @@
 	third, _ := f.Send(shotOf("c"))
 	require.NotNil(t, third)
 	c.Close()
-	ends := map[string]rules.Outcome{}
+	ends := map[string]scheduler.Outcome{}
 	for range 2 {
 		it := m.next(t)
 		ends[it.Event.Request] = it.Event.Outcome
 	}
-	assert.Equal(t, map[string]rules.Outcome{"big": rules.Severed, "c": rules.Refused}, ends)
+	assert.Equal(t, map[string]scheduler.Outcome{"big": scheduler.Severed, "c": scheduler.Refused}, ends)
 }
 
 // A client that reads nothing is still heard: what it gives up is given up at once, though its answers are stuck.
@@ -136,7 +136,7 @@
 	time.Sleep(2 * writeTurn) // into the stuck write
 	ask(c, `{"jsonrpc":"2.0","method":"giveUp","params":{"req":"b"}}`)
 	it := m.next(t)
-	assert.Equal(t, []any{rules.Left, "b"}, []any{it.Event.Kind, it.Event.Request})
+	assert.Equal(t, []any{scheduler.Left, "b"}, []any{it.Event.Kind, it.Event.Request})
 	assert.True(t, second.Forsaken())
 	assert.False(t, pipe.written(), "it was stuck throughout")
 }
@@ -242,15 +242,15 @@
 // A new executor at an address shows that the one listed there is gone, whatever the list still says of it.
 func TestANewExecutorAtAnAddressDisplacesTheOldOne(t *testing.T) {
 	f, _ := fleetOf(t, "127.0.0.1:9", 15000)
-	old := listed{rules.Entry{Executor: 1}, "s-1", "127.0.0.1:9"}
-	next := listed{rules.Entry{Executor: 2, UpSince: 5}, "s-2", "127.0.0.1:9"}
+	old := listed{scheduler.Entry{Executor: 1}, "s-1", "127.0.0.1:9"}
+	next := listed{scheduler.Entry{Executor: 2, UpSince: 5}, "s-2", "127.0.0.1:9"}
 	gone := old
-	gone.entry.Standing = rules.Gone
+	gone.entry.Standing = scheduler.Gone
 	assert.Equal(t, []listed{gone}, f.update(false, []listed{next}))
 	assert.Empty(t, f.update(false, []listed{next}), "told once")
-	assert.Empty(t, f.update(true, []listed{next, {rules.Entry{Executor: 3}, "s-3", "127.0.0.1:10"}}))
+	assert.Empty(t, f.update(true, []listed{next, {scheduler.Entry{Executor: 3}, "s-3", "127.0.0.1:10"}}))
 	leaving := next
-	leaving.entry.Standing, leaving.entry.Executor, leaving.name = rules.Leaving, 4, "s-4"
+	leaving.entry.Standing, leaving.entry.Executor, leaving.name = scheduler.Leaving, 4, "s-4"
 	assert.Empty(t, f.update(false, []listed{leaving}), "one that drains displaces nobody")
 	assert.Contains(t, f.machines, uint32(2))
 }
@@ -270,7 +270,7 @@
 func TestAnIdleConnectionGivesWayToAFirstOne(t *testing.T) {
 	e, other := standIn(t, "127.0.0.1:0"), standIn(t, "127.0.0.1:0")
 	f, m := fleetOf(t, e.listener.Addr().String(), 15000)
-	f.update(false, []listed{{rules.Entry{Executor: 2}, "s-2", other.listener.Addr().String()}})
+	f.update(false, []listed{{scheduler.Entry{Executor: 2}, "s-2", other.listener.Addr().String()}})
 	for range f.links {
 		f.Send(shotOf(fmt.Sprint("a", len(f.all))))
 		e.hears(t, "fetch .*")
@@ -334,9 +334,9 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
 		f.Send(shotOf("a"))
-		assert.Equal(t, rules.Unsent, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
 		assert.True(t, f.Probe(1, 7))
-		assert.Equal(t, rules.Unsent, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		f, m := fleetOf(t, "127.0.0.1:9", 15000)
@@ -344,7 +344,7 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
 		f.Send(shotOf("a"))
-		assert.Equal(t, rules.Refused, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.Refused, m.next(t).Event.Outcome, errno.Error())
 	}
 }
 
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -21,7 +21,7 @@
 	"liftshift/internal/connpool"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/settings"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Limits of the executors' side.
@@ -73,7 +73,7 @@
 type machine struct {
 	id            uint32
 	name, address string
-	entry         rules.Entry // as it was listed first
+	entry         scheduler.Entry // as it was listed first
 	since         float64
 	links         []*link
 	halted        map[string]float64 // ids called off there within the last apartMS
@@ -109,7 +109,7 @@
 	size    int
 	held    bool // until Release
 	left    bool // its bytes were handed to the socket
-	event   rules.Event
+	event   scheduler.Event
 }
 
 // Reach are the figures that a Fleet keeps to.
@@ -141,23 +141,23 @@
 	defer f.mu.Unlock()
 	kept := map[uint32]bool{}
 	for _, e := range list {
-		kept[e.entry.Executor] = e.entry.Standing != rules.Gone
+		kept[e.entry.Executor] = e.entry.Standing != scheduler.Gone
 		m := f.machines[e.entry.Executor]
 		if m != nil {
-			m.closed = e.entry.Standing != rules.Active
+			m.closed = e.entry.Standing != scheduler.Active
 		}
 		if m != nil && m.name != e.name {
 			f.log.WithFields(logrus.Fields{"one": m.name, "other": e.name}).Error("executor ids collide")
 		}
-		if m != nil && (m.address != e.address || e.entry.UpSince != m.since || e.entry.Standing == rules.Gone) {
+		if m != nil && (m.address != e.address || e.entry.UpSince != m.since || e.entry.Standing == scheduler.Gone) {
 			f.retire(m)
 			m = nil
 		}
-		if e.entry.Standing == rules.Gone {
+		if e.entry.Standing == scheduler.Gone {
 			delete(f.machines, e.entry.Executor)
 		} else if m == nil {
 			f.machines[e.entry.Executor] = &machine{id: e.entry.Executor, name: e.name, address: e.address, entry: e.entry,
-				since: e.entry.UpSince, halted: map[string]float64{}, closed: e.entry.Standing != rules.Active}
+				since: e.entry.UpSince, halted: map[string]float64{}, closed: e.entry.Standing != scheduler.Active}
 		}
 	}
 	for id, m := range f.machines {
@@ -168,7 +168,7 @@
 	}
 	owners := map[string]bool{}
 	for _, e := range list {
-		if e.entry.Standing == rules.Active {
+		if e.entry.Standing == scheduler.Active {
 			owners[e.address] = true
 		}
 	}
@@ -177,7 +177,7 @@
 			f.retire(m)
 			delete(f.machines, id)
 			gone := listed{entry: m.entry, name: m.name, address: m.address}
-			gone.entry.Standing = rules.Gone
+			gone.entry.Standing = scheduler.Gone
 			displaced = append(displaced, gone)
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 	f.seq++
 	r := &run{fleet: f, link: l, attempt: shot, seq: f.seq}
-	r.event = rules.Event{Kind: rules.Ended, Request: shot.Request.ID, Attempt: shot.N}
+	r.event = scheduler.Event{Kind: scheduler.Ended, Request: shot.Request.ID, Attempt: shot.N}
 	if l.signs > 0 {
 		r.used = true
 	}
@@ -354,7 +354,7 @@
 			f.Barred.Add(1)
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
-			ev.Outcome, ev.Barred = rules.Superseded, why == connpool.Lawless
+			ev.Outcome, ev.Barred = scheduler.Superseded, why == connpool.Lawless
 			barred = append(barred, dispatch.Item{Event: ev})
 			continue
 		}
@@ -537,10 +537,10 @@
 	conn, err := f.dial("tcp", l.machine.address)
 	if err != nil {
 		f.Failed.Add(1)
-		as := rules.Refused
+		as := scheduler.Refused
 		if isLocal(err) {
 			f.Unsent.Add(1)
-			as = rules.Unsent
+			as = scheduler.Unsent
 		}
 		l.finish(as)
 		return
@@ -563,7 +563,7 @@
 		f.log.WithFields(logrus.Fields{"executor": l.machine.name, "why": err}).Warn("executor: malformed answer")
 	}
 	l.close()
-	if shots := l.finish(rules.Severed); shots > 0 {
+	if shots := l.finish(scheduler.Severed); shots > 0 {
 		f.log.WithFields(logrus.Fields{"executor": l.machine.name, "why": err, "shots": shots, "messages": l.signs}).
 			Info("executor: connection lost")
 	}
@@ -580,7 +580,7 @@
 }
 
 // finish takes a link out, ends all that was open on it and tells how many attempts that were.
-func (l *link) finish(as rules.Outcome) int {
+func (l *link) finish(as scheduler.Outcome) int {
 	f := l.fleet
 	f.mu.Lock()
 	l.leaving = true
@@ -604,14 +604,14 @@
 	f.mu.Unlock()
 	for _, r := range runs {
 		if r.event.Outcome = as; r.pages != nil {
-			r.event.Outcome = rules.Severed // it ran, whatever became of the second connection
-		} else if !r.left && as == rules.Severed {
-			r.event.Outcome = rules.Refused // no byte of it left
+			r.event.Outcome = scheduler.Severed // it ran, whatever became of the second connection
+		} else if !r.left && as == scheduler.Severed {
+			r.event.Outcome = scheduler.Refused // no byte of it left
 		}
 		f.queue.Put(dispatch.Item{Event: r.event})
 	}
 	for _, token := range tokens {
-		f.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
+		f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
 	}
 	return len(runs)
 }
@@ -639,10 +639,10 @@
 }
 
 // ends are the words that end an attempt, with what they mean.
-var ends = map[string]rules.Outcome{"full": rules.Full, "failed": rules.Erred, "moot": rules.Superseded}
+var ends = map[string]scheduler.Outcome{"full": scheduler.Full, "failed": scheduler.Erred, "moot": scheduler.Superseded}
 
 // notes are the words of a remark.
-var notes = map[string]rules.NoteKind{"pct": rules.Progress, "overflow": rules.Spills, "queued": rules.Waits}
+var notes = map[string]scheduler.NoteKind{"pct": scheduler.Progress, "overflow": scheduler.Spills, "queued": scheduler.Waits}
 
 // answer takes one answer and gives what is to be told of it, if anything.
 func (l *link) answer(id, word, list string, body []byte) (it dispatch.Item, ok bool, err error) {
@@ -658,9 +658,9 @@
 	l.signs++
 	if token, ok := l.probes[id]; ok && (word == "well" || word == "ill") {
 		delete(l.probes, id)
-		it = dispatch.Item{Event: rules.Event{Kind: rules.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
+		it = dispatch.Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
 		if word == "ill" {
-			it.Event.Outcome = rules.Erred
+			it.Event.Outcome = scheduler.Erred
 		}
 		return it, true, nil
 	}
@@ -683,7 +683,7 @@
 		if kind == 0 {
 			return it, false, nil
 		}
-		return dispatch.Item{Event: rules.Event{Kind: rules.Noted, Request: id, Attempt: r.attempt.N, Executor: l.machine.id,
+		return dispatch.Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: id, Attempt: r.attempt.N, Executor: l.machine.id,
 			Note: kind, Value: a.value}}, true, nil
 	case word == "data" && r.pages == nil:
 		if a.pages < 1 || a.pages > mostPages {
--- a/internal/wire/feed_test.go
+++ b/internal/wire/feed_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"liftshift/internal/dispatch"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // changeLog is a stand-in that answers each call with the next page; an empty one closes the connection.
@@ -75,13 +75,13 @@
 	f.Begin()
 	go f.Run()
 	defer f.Stop()
-	want := []rules.Event{{List: rules.Restored, Entries: []rules.Entry{{Executor: executorID("s-1")}}},
-		{List: rules.Changes, Entries: []rules.Entry{{Executor: executorID("s-2")}}}, {List: rules.NoList},
-		{List: rules.Changes, Entries: []rules.Entry{{Executor: executorID("s-2"), Standing: rules.Leaving}}}}
+	want := []scheduler.Event{{List: scheduler.Restored, Entries: []scheduler.Entry{{Executor: executorID("s-1")}}},
+		{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: executorID("s-2")}}}, {List: scheduler.NoList},
+		{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: executorID("s-2"), Standing: scheduler.Leaving}}}}
 	for _, ev := range want {
-		ev.Kind = rules.Listed
+		ev.Kind = scheduler.Listed
 		got := m.next(t).Event
-		if got.List == rules.NoList {
+		if got.List == scheduler.NoList {
 			assert.InDelta(t, fleet.clock.Now(), got.Until, 3000, "when it was last heard")
 			assert.InDelta(t, fleet.clock.Now()+brokenMS, got.Deemed, 1000, "a page that can't be read was to tell something")
 			got.Until, got.Deemed = 0, 0
@@ -105,9 +105,9 @@
 	f.Begin()
 	go f.Run()
 	defer f.Stop()
-	for _, want := range []rules.ListKind{rules.NoList, rules.Changes} {
+	for _, want := range []scheduler.ListKind{scheduler.NoList, scheduler.Changes} {
 		ev := m.next(t).Event
-		assert.Equal(t, []any{rules.Listed, want, 0}, []any{ev.Kind, ev.List, len(ev.Entries)})
+		assert.Equal(t, []any{scheduler.Listed, want, 0}, []any{ev.Kind, ev.List, len(ev.Entries)})
 	}
 }
 
@@ -130,7 +130,7 @@
 	f.Follow(old) // again and again, the same and others
 	f.Follow(next)
 	assert.Contains(t, <-moved, "since=2")
-	assert.Equal(t, rules.Gone, m.next(t).Event.Entries[0].Standing)
+	assert.Equal(t, scheduler.Gone, m.next(t).Event.Entries[0].Standing)
 	assert.Less(t, time.Since(began), millis(pollMS))
 	assert.Empty(t, m, "nothing twice, and never out of reach")
 	assert.Zero(t, f.Lost.Load())
@@ -169,7 +169,7 @@
 	_, _ = other.WriteTo(make([]byte, mostDatagram+1), here)
 	_, _ = other.WriteTo([]byte("hi"), here)
 	it := m.next(t)
-	assert.Equal(t, []any{rules.Heard, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Data)})
+	assert.Equal(t, []any{scheduler.Heard, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Data)})
 	assert.Equal(t, uint64(2), p.Foreign.Load())
 	quiet, err := NewPeers("", nil, "", m, silentLog())
 	assert.NoError(t, err)
@@ -221,7 +221,7 @@
 			f.Follow(l.Addr().String())
 		}
 		ev := m.next(t).Event
-		assert.Equal(t, rules.NoList, ev.List, name)
+		assert.Equal(t, scheduler.NoList, ev.List, name)
 		assert.InDelta(t, asked+dueMS, ev.Deemed, 100, name)
 		assert.LessOrEqual(t, ev.Until, first+5, "%s: by the call, not by its answer", name)
 		f.Stop()
@@ -243,11 +243,11 @@
 	fleet := NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog())
 	f, err := NewFeed("127.0.0.1:9", []byte(`{"seq":1,"results":[]}`), fleet, m, silentLog())
 	require.NoError(t, err)
-	play := func(seq int, events ...string) (list []rules.Entry) {
+	play := func(seq int, events ...string) (list []scheduler.Entry) {
 		text := strings.Join(events, ",")
 		last, changes, err := readChanges(fmt.Appendf(nil, `{"seq":%d,"results":[{"seq":%d,"fleet":{"snapshot":%v,"endpoints":[%s]}}]}`, seq, seq, seq == 2 || seq == 5, text))
 		require.NoError(t, err)
-		f.apply(last, changes, rules.Whole)
+		f.apply(last, changes, scheduler.Whole)
 		return m.next(t).Event.Entries
 	}
 	entry := func(name, kind, status string) string {
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -10,7 +10,7 @@
 
 	"liftshift/internal/dispatch"
 	"liftshift/internal/retry"
-	"liftshift/rules"
+	"liftshift/scheduler"
 )
 
 // Limits of what controllers send one another.
@@ -129,7 +129,7 @@
 			continue
 		}
 		p.Heard.Add(1)
-		p.queue.Put(dispatch.Item{Event: rules.Event{Kind: rules.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
+		p.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
 	}
 }
 
--- a/rules/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,4 +1,4 @@
-package rules
+package scheduler
 
 // given is a deployment with one offering of each effect.
 func given(more Given) Given {
--- a/rules/rules.go
+++ b/scheduler/scheduler.go
@@ -2,7 +2,7 @@
 // with New and hands it each event through Step, which appends the actions it wants done: step.go routes
 // events here; slab.go is storage. docs/design.md says what was added to the design's ordinary path, and
 // when that acts.
-package rules
+package scheduler
 
 import (
 	"cmp"
--- a/rules/rules_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package rules
+package scheduler
 
 import (
 	"math"
--- a/rules/step.go
+++ b/scheduler/step.go
@@ -1,4 +1,4 @@
-package rules
+package scheduler
 
 // Step takes one event and appends what is to be done about it.
 func (g *Gateway) Step(now float64, ev *Event, out []Action) []Action {
--- a/rules/types.go
+++ b/scheduler/types.go
@@ -1,7 +1,7 @@
-// Package rules decides what becomes of each request: where its attempts go, at which level they run, when they
+// Package scheduler decides what becomes of each request: where its attempts go, at which level they run, when they
 // are called off and what the client is told. types.go is the interface, slab.go the storage, rules.go,
 // slowstart.go and drains.go the decisions.
-package rules
+package scheduler
 
 // Given holds the settings handed over at start: plain names and values (float64, bool, string or
 // []string). Times are milliseconds; names that end in _ms say so. A missing name means that the rule or
