--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink plays the bench's batches, read from standard input, to instances of the decision
+// Command simadapter plays the bench's batches, read from standard input, to instances of the decision
 // module, which share nothing, and writes what they decide to standard output. It decides nothing itself.
 package main
 
@@ -64,7 +64,7 @@
 
 func main() {
 	if err := play(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
