--- a/cmd/liftshift-full/budgets.go
+++ b/cmd/liftshift-full/budgets.go
@@ -31,8 +31,8 @@
 			return nil, usage{fmt.Errorf("%s has no block control", name)}
 		}
 	}
-	answer, err := adminapi.Ask(cmd.Context(), path, question, fields)
-	var wrong adminapi.Wrong
+	answer, err := adminapi.Call(cmd.Context(), path, question, fields)
+	var wrong adminapi.RequestError
 	if errors.As(err, &wrong) {
 		return nil, usage{err}
 	}
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -28,11 +28,13 @@
 // Handler answers one question, told by its name, with its fields. Errors of the asker are Wrong.
 type Handler func(ctx context.Context, question string, fields map[string]any) (map[string]any, error)
 
-// Wrong is an error in a question.
-type Wrong struct{ error }
+// RequestError is an error in a question.
+type RequestError struct{ error }
 
-// Wrongf makes one.
-func Wrongf(format string, args ...any) error { return Wrong{fmt.Errorf(format, args...)} }
+// RequestErrorf makes one.
+func RequestErrorf(format string, args ...any) error {
+	return RequestError{fmt.Errorf(format, args...)}
+}
 
 // Server is an open door.
 type Server struct {
@@ -51,7 +53,7 @@
 	question, _ := fields["question"].(string)
 	delete(fields, "question")
 	answer, err := h.handle(ctx, question, fields)
-	var wrong Wrong
+	var wrong RequestError
 	switch {
 	case errors.As(err, &wrong):
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -104,8 +106,8 @@
 // Close shuts the door.
 func (s *Server) Close() { s.grpc.Stop() }
 
-// Ask asks the controller behind a path.
-func Ask(ctx context.Context, path, question string, fields map[string]any) (map[string]any, error) {
+// Call asks the controller behind a path.
+func Call(ctx context.Context, path, question string, fields map[string]any) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	conn, err := grpc.NewClient("unix:"+path, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -125,7 +127,7 @@
 	out := &structpb.Struct{}
 	if err := conn.Invoke(ctx, "/"+service+"/"+method, in, out); err != nil {
 		if s, ok := status.FromError(err); ok && s.Code() == codes.InvalidArgument {
-			return nil, Wrong{errors.New(s.Message())}
+			return nil, RequestError{errors.New(s.Message())}
 		}
 		return nil, fmt.Errorf("control: %s: %w", path, err)
 	}
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -57,7 +57,7 @@
 		}}}}, struct{}{})
 	go func() { _ = server.Serve(l) }()
 	defer server.Stop()
-	got, err := Ask(t.Context(), path, "say", given)
+	got, err := Call(t.Context(), path, "say", given)
 	require.NoError(t, err)
 	assert.Equal(t, said, got)
 
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -43,7 +43,7 @@
 		return out, err
 	}
 	if i.team == nil {
-		return nil, adminapi.Wrongf("there are no budgets: the operators' file has no block budgets")
+		return nil, adminapi.RequestErrorf("there are no budgets: the operators' file has no block budgets")
 	}
 	var out map[string]any
 	var err error
@@ -58,12 +58,12 @@
 			if why := i.team.tree.Explain(id); why != "" {
 				out = map[string]any{"why": why}
 			} else {
-				err = adminapi.Wrongf("no search %q waits here", id)
+				err = adminapi.RequestErrorf("no search %q waits here", id)
 			}
 		case "set":
 			out, err = i.set(now, fields)
 		default:
-			err = adminapi.Wrongf("no question %q", question)
+			err = adminapi.RequestErrorf("no question %q", question)
 		}
 	})
 	if !done {
@@ -123,7 +123,7 @@
 		}
 	}
 	if team == nil {
-		return nil, adminapi.Wrongf("there is no team %q", name)
+		return nil, adminapi.RequestErrorf("there is no team %q", name)
 	}
 	for _, f := range []struct {
 		name        string
@@ -140,7 +140,7 @@
 		}
 		n, ok := v.(float64)
 		if !ok || !(n >= f.least && n <= f.most) {
-			return nil, adminapi.Wrongf("%s must be from %g to %g", f.name, f.least, f.most)
+			return nil, adminapi.RequestErrorf("%s must be from %g to %g", f.name, f.least, f.most)
 		}
 		f.set(n)
 	}
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -302,7 +302,7 @@
 		return false, nil, nil
 	}
 	if f == nil {
-		return true, nil, adminapi.Wrongf("there is no fleet: the operators' file has no block fleet")
+		return true, nil, adminapi.RequestErrorf("there is no fleet: the operators' file has no block fleet")
 	}
 	var record consensus.Record
 	if question == "council" && f.seat != nil {
@@ -319,7 +319,7 @@
 			out, err = explain(now, v, name)
 		case "council":
 			if f.seat == nil {
-				err = adminapi.Wrongf("there is no council: the block fleet names no founders")
+				err = adminapi.RequestErrorf("there is no council: the block fleet names no founders")
 				return
 			}
 			out = f.showCouncil(now, record)
@@ -327,13 +327,13 @@
 			from, _ := fields["from"].(string)
 			to, _ := fields["to"].(string)
 			if f.seat == nil {
-				err = adminapi.Wrongf("there is no council: the block fleet names no founders")
+				err = adminapi.RequestErrorf("there is no council: the block fleet names no founders")
 			} else if err = f.seat.Replace(now, from, to); err != nil {
-				err = adminapi.Wrongf("%v", err)
+				err = adminapi.RequestErrorf("%v", err)
 			}
 			out = map[string]any{"asked": true}
 		default:
-			err = adminapi.Wrongf("no question %q", question)
+			err = adminapi.RequestErrorf("no question %q", question)
 		}
 	})
 	if !done {
@@ -367,7 +367,7 @@
 func explain(now float64, v *membership.View, name string) (map[string]any, error) {
 	m, known := v.Find(name)
 	if !known {
-		return nil, adminapi.Wrongf("no member %q is known here", name)
+		return nil, adminapi.RequestErrorf("no member %q is known here", name)
 	}
 	var list []any
 	for _, e := range v.Explain(name) {
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -78,7 +78,7 @@
 		return false, nil, nil
 	}
 	if h == nil {
-		return true, nil, adminapi.Wrongf("there is no estate: the operators' file has no block estate")
+		return true, nil, adminapi.RequestErrorf("there is no estate: the operators' file has no block estate")
 	}
 	name, _ := fields["name"].(string)
 	done := h.inst.desk.Do(func(now float64) {
@@ -87,7 +87,7 @@
 			out = h.show(e)
 		case "estate explain":
 			if out = explainCopy(now, e, name); out == nil {
-				err = adminapi.Wrongf("nothing is known here of a search or mark %q; ask another controller, or the method outcome", name)
+				err = adminapi.RequestErrorf("nothing is known here of a search or mark %q; ask another controller, or the method outcome", name)
 			}
 		case "estate release":
 			h.inst.log.WithField("search", name).WithField("who", fields["who"]).Warn("estate: a search is given up by an operator")
@@ -98,7 +98,7 @@
 			h.trustee.Step(now, &handoff.Event{Kind: handoff.Wanted, ID: name})
 			out = map[string]any{"asked": true}
 		default:
-			err = adminapi.Wrongf("no question %q", question)
+			err = adminapi.RequestErrorf("no question %q", question)
 		}
 	})
 	if !done {
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -62,7 +62,7 @@
 		return false, nil, nil
 	}
 	if l == nil {
-		return true, nil, adminapi.Wrongf("nothing is decided between zones: the operators' file has no block zones")
+		return true, nil, adminapi.RequestErrorf("nothing is decided between zones: the operators' file has no block zones")
 	}
 	done := l.fleet.carrier.Do(func(now float64, _ *membership.View) {
 		switch question {
@@ -73,7 +73,7 @@
 		case "zones plan":
 			out, err = l.whatIf(now, fields)
 		default:
-			err = adminapi.Wrongf("no question %q", question)
+			err = adminapi.RequestErrorf("no question %q", question)
 		}
 	})
 	if !done {
@@ -123,19 +123,19 @@
 	text := func(name string) string { s, _ := fields[name].(string); return s }
 	o := locality.Order{Kind: locality.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Why: text("why")}
 	if !slices.ContainsFunc(l.scout.Watch.Plan().Zones, func(z locality.Zone) bool { return z.Name == o.Zone }) {
-		return nil, adminapi.Wrongf("no zone %q; see: liftshift zones show", o.Zone)
+		return nil, adminapi.RequestErrorf("no zone %q; see: liftshift zones show", o.Zone)
 	}
 	if l.fleet.seat.Leader(now) == "" {
-		return nil, adminapi.Wrongf("nobody leads the council now: an order could not be agreed on")
+		return nil, adminapi.RequestErrorf("nobody leads the council now: an order could not be agreed on")
 	}
 	span, err := time.ParseDuration(cmp.Or(text("for"), "0s"))
 	if err != nil || span < 0 || span > longestOrder {
-		return nil, adminapi.Wrongf("for must be a time of up to %v, not %q", longestOrder, text("for"))
+		return nil, adminapi.RequestErrorf("for must be a time of up to %v, not %q", longestOrder, text("for"))
 	}
 	if span > 0 {
 		o.Until, o.SpanMS = time.Now().Add(span).UnixMilli(), float64(span.Milliseconds())
 	} else if o.Kind != locality.Return {
-		return nil, adminapi.Wrongf("an order to %s ends at some time: say for how long", o.Kind)
+		return nil, adminapi.RequestErrorf("an order to %s ends at some time: say for how long", o.Kind)
 	}
 	if o.Kind == locality.Return && span == 0 {
 		o.Until, o.SpanMS = time.Now().Add(time.Minute).UnixMilli(), float64(time.Minute.Milliseconds()) // it takes the place of the order before, and lapses
@@ -148,14 +148,14 @@
 func (l *lookout) whatIf(now float64, fields map[string]any) (map[string]any, error) {
 	w := l.scout.Watch
 	if len(w.Reports()) == 0 {
-		return nil, adminapi.Wrongf("what controllers want is summed up at the one who leads the council; ask %s", cmp.Or(l.fleet.seat.Leader(now), "it, once somebody does"))
+		return nil, adminapi.RequestErrorf("what controllers want is summed up at the one who leads the council; ask %s", cmp.Or(l.fleet.seat.Leader(now), "it, once somebody does"))
 	}
 	name, _ := fields["zone"].(string)
 	var out []any
 	for _, peak := range []bool{false, true} {
 		lines, err := w.WhatIf(name, peak)
 		if err != nil {
-			return nil, adminapi.Wrongf("%v", err)
+			return nil, adminapi.RequestErrorf("%v", err)
 		}
 		out = append(out, map[bool]string{false: "with what is wanted now:", true: "with the most that was wanted in the last hour, as far as this leader has led:"}[peak])
 		for _, line := range lines {
--- a/internal/chaostest/chaostest.go
+++ b/internal/chaostest/chaostest.go
@@ -314,7 +314,7 @@
 func (f *Fleet) Ask(k int, question string, fields map[string]any) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return adminapi.Ask(ctx, f.Controllers[k].Socket, question, fields)
+	return adminapi.Call(ctx, f.Controllers[k].Socket, question, fields)
 }
 
 // View gives the phase of each member as a controller holds it.
