--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -51,7 +51,7 @@
 // Whose tells the team of a search.
 func (t *teams) Whose(s *dispatch.Request) string {
 	t.seen = s.Waits
-	team := t.file.Whose.Of(s.Team, s.From, s.Offering, s.Schema)
+	team := t.file.Whose.TeamOf(s.Team, s.From, s.Offering, s.Schema)
 	if team == "" {
 		team = t.file.Default
 	}
--- a/internal/attribution/attribution.go
+++ b/internal/attribution/attribution.go
@@ -9,33 +9,33 @@
 	"liftshift/internal/ipprefix"
 )
 
-// By is a way to tell.
-type By string
+// Source is a way to tell.
+type Source string
 
 // The ways.
 const (
-	Field    By = "field"
-	Address  By = "address"
-	Offering By = "offering"
-	Schema   By = "schema"
+	Field   Source = "field"
+	Address Source = "address"
+	Class   Source = "offering"
+	Schema  Source = "schema"
 )
 
 // Rules tell whose a search is. Empty ones know nobody.
 type Rules struct {
-	Order     []By
+	Order     []Source
 	Teams     map[string]bool // those that a client may name
 	Addresses ipprefix.Table[string]
-	Offerings map[string]string
+	Classes   map[string]string
 	Schemas   map[string]string
 }
 
-// Check tells what is wrong with an order.
-func Check(order []string) ([]By, error) {
-	var list []By
-	seen := map[By]bool{}
+// ParseOrder tells what is wrong with an order.
+func ParseOrder(order []string) ([]Source, error) {
+	var list []Source
+	seen := map[Source]bool{}
 	for _, name := range order {
-		switch by := By(name); by {
-		case Field, Address, Offering, Schema:
+		switch by := Source(name); by {
+		case Field, Address, Class, Schema:
 			if seen[by] {
 				return nil, fmt.Errorf("%q stands there twice", name)
 			}
@@ -48,8 +48,8 @@
 	return list, nil
 }
 
-// Of gives the team of a search, or nothing: then it is the default team's.
-func (r *Rules) Of(field string, from netip.Addr, offering, schema string) string {
+// TeamOf gives the team of a search, or nothing: then it is the default team's.
+func (r *Rules) TeamOf(field string, from netip.Addr, offering, schema string) string {
 	for _, by := range r.Order {
 		team := ""
 		switch by {
@@ -59,8 +59,8 @@
 			}
 		case Address:
 			team, _ = r.Addresses.Get(from)
-		case Offering:
-			team = r.Offerings[offering]
+		case Class:
+			team = r.Classes[offering]
 		case Schema:
 			team = r.Schemas[schema]
 		}
--- a/internal/operatorconfig/budgets.go
+++ b/internal/operatorconfig/budgets.go
@@ -51,13 +51,13 @@
 func budgetsOf(v values) (*Budgets, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
 	b := &Budgets{Default: v.texts["default"], Given: scheduler.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
-	b.Whose = attribution.Rules{Teams: map[string]bool{}, Offerings: map[string]string{}, Schemas: map[string]string{}}
+	b.Whose = attribution.Rules{Teams: map[string]bool{}, Classes: map[string]string{}, Schemas: map[string]string{}}
 	order, given := v.lists["whose"]
 	if !given {
 		order = []string{"field", "address", "offering", "schema"}
 	}
 	var err error
-	if b.Whose.Order, err = attribution.Check(order); err != nil {
+	if b.Whose.Order, err = attribution.ParseOrder(order); err != nil {
 		diags = append(diags, wrong(v.set["whose"], "whose: %v", err))
 	}
 	for _, t := range v.kids["team"] {
@@ -74,7 +74,7 @@
 			}
 			return err
 		},
-		"offering": func(name, team string) error { b.Whose.Offerings[name] = team; return nil },
+		"offering": func(name, team string) error { b.Whose.Classes[name] = team; return nil },
 		"schema":   func(name, team string) error { b.Whose.Schemas[name] = team; return nil },
 	}
 	for _, kind := range []string{"address", "offering", "schema"} { // in an order, so that complaints have one
