--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -38,9 +38,9 @@
 type fleet struct {
 	inst    *Installation
 	file    *operatorconfig.Fleet
-	carrier *clusternet.Carrier
+	carrier *clusternet.Transport
 	view    *membership.View // the carrier's goroutine owns it
-	seat    *raftnode.Seat   // nil: no council
+	seat    *raftnode.Node   // nil: no council
 	clock   dispatch.Clock
 	log     logrus.FieldLogger
 	changes chan float64 // how many there are, for the desk
@@ -69,7 +69,7 @@
 	}
 	f := &fleet{inst: i, file: file, clock: clock, log: i.log, changes: make(chan float64, changedRoom), ended: make(chan struct{})}
 	f.carrier = clusternet.New(file.Listen, i.log)
-	f.carrier.Said = f.said
+	f.carrier.OnEffect = f.said
 	self := membership.Member{Name: name, Life: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
 	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Life, 10)))
 	f.view = membership.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Given, seed)
@@ -93,7 +93,7 @@
 	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.Beneath(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
 		return err
 	}
-	f.seat.Said = f.agreed
+	f.seat.OnEffect = f.agreed
 	if f.inst.file.Estate != nil {
 		if err := f.inst.openHeirs(f, seed, given); err != nil {
 			return err
@@ -137,11 +137,11 @@
 		}
 	case consensus.Dethrone:
 		f.log.Warn("council: this life has been declared lost; going on as another")
-		f.carrier.Renew(now)
+		f.carrier.RaiseIncarnation(now)
 	case consensus.Broken:
 		f.log.WithField("why", e.Why).Error("council: this voter can't go on; the others do")
 		f.sick.Store(true)
-		go f.carrier.Mark(f.marks(membership.Ready))
+		go f.carrier.SetFlag(f.marks(membership.Ready))
 	}
 }
 
@@ -189,7 +189,7 @@
 	if f == nil {
 		return
 	}
-	f.carrier.Mark(f.marks(membership.Ready))
+	f.carrier.SetFlag(f.marks(membership.Ready))
 	go func() {
 		for {
 			select {
@@ -207,7 +207,7 @@
 
 func (f *fleet) stopping() {
 	if f != nil {
-		f.carrier.Mark(f.marks(membership.Draining))
+		f.carrier.SetFlag(f.marks(membership.Draining))
 		f.carrier.Leave()
 	}
 }
@@ -215,7 +215,7 @@
 func (f *fleet) close() {
 	if f != nil {
 		if f.seat != nil {
-			f.seat.Release()
+			f.seat.ReleaseLease()
 		}
 		f.carrier.Stop()
 		close(f.ended)
@@ -328,7 +328,7 @@
 			to, _ := fields["to"].(string)
 			if f.seat == nil {
 				err = adminapi.RequestErrorf("there is no council: the block fleet names no founders")
-			} else if err = f.seat.Replace(now, from, to); err != nil {
+			} else if err = f.seat.ReplaceVoter(now, from, to); err != nil {
 				err = adminapi.RequestErrorf("%v", err)
 			}
 			out = map[string]any{"asked": true}
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -107,7 +107,7 @@
 	for _, line := range w.Lines() {
 		lines = append(lines, line)
 	}
-	return map[string]any{"plan": float64(p.Number), "leader": l.fleet.seat.Leader(now), "held": l.fleet.seat.Held(), "zones": list, "pairs": pairs,
+	return map[string]any{"plan": float64(p.Number), "leader": l.fleet.seat.Leader(now), "held": l.fleet.seat.LeaseHeld(), "zones": list, "pairs": pairs,
 		"orders": orders, "reaches": reaches, "reports": reports, "lines": lines}
 }
 
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -34,10 +34,10 @@
 
 // leaver is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
 type leaver struct {
-	carrier *clusternet.Carrier
-	seat    *raftnode.Seat
+	carrier *clusternet.Transport
+	seat    *raftnode.Node
 	self    handoff.Member
-	roll    atomic.Pointer[raftnode.Roll]
+	roll    atomic.Pointer[raftnode.Configuration]
 }
 
 func joinLeaver(f *chaostest.Fleet, k int) (*leaver, error) {
@@ -52,13 +52,13 @@
 	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
 		return nil, err
 	}
-	l.seat.Rolled = func(r raftnode.Roll) { l.roll.Store(&r) }
+	l.seat.OnConfiguration = func(r raftnode.Configuration) { l.roll.Store(&r) }
 	if err := l.carrier.Start(view, l.seat); err != nil {
 		return nil, err
 	}
-	l.carrier.Mark(membership.Ready)
+	l.carrier.SetFlag(membership.Ready)
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		if r := l.roll.Load(); r != nil && l.seat.Held() && len(r.Table.Parts) > 0 {
+		if r := l.roll.Load(); r != nil && l.seat.LeaseHeld() && len(r.Table.Parts) > 0 {
 			return l, nil
 		}
 		if time.Since(began) > 20*time.Second {
@@ -83,7 +83,7 @@
 					b.Items = append(b.Items, handoff.Item{Op: handoff.Register, Key: handoff.KeyOf(w.Mark, ""), Number: 1, From: l.self,
 						Copy: &handoff.Copy{Work: w, Owner: l.self, Number: 1, Until: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Whole: true}})
 				}
-				data, err := l.carrier.CallNow(f.Relay.Known(to), clusternet.EstateMethod, b.Append(nil, l.carrier.Now()))
+				data, err := l.carrier.CallNow(f.Relay.Known(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
--- a/internal/clusternet/clusternet.go
+++ b/internal/clusternet/clusternet.go
@@ -37,31 +37,31 @@
 	farewell     = 50 * time.Millisecond // for the last datagrams to leave
 )
 
-// Council is what the carrier carries besides the view, if anything. Its methods are called by the owner's goroutine.
-type Council interface {
-	// Heard takes what a member asked; reply must be called once, now or later, from any goroutine.
-	Heard(now float64, data []byte, reply func(data []byte, err error))
+// ConsensusNode is what the carrier carries besides the view, if anything. Its methods are called by the owner's goroutine.
+type ConsensusNode interface {
+	// Handle takes what a member asked; reply must be called once, now or later, from any goroutine.
+	Handle(now float64, data []byte, reply func(data []byte, err error))
 	Tick(now float64)
 	Next() float64
 	Close()
 }
 
-// Carrier is one member's end of the fleet's talk.
-type Carrier struct {
+// Transport is one member's end of the fleet's talk.
+type Transport struct {
 	Listen string
-	// Said is told of each effect of the view that is none of the carrier's, by the owner's goroutine. It must not wait.
-	Said func(now float64, e membership.Effect)
+	// OnEffect is told of each effect of the view that is none of the carrier's, by the owner's goroutine. It must not wait.
+	OnEffect func(now float64, e membership.Effect)
 
-	// Estate answers what others say of open work, if anything: by any goroutine, and no longer than the caller waits.
-	Estate func(ctx context.Context, data []byte) ([]byte, error)
-	// Word takes a datagram of open work, if anything does: data begins behind what marks it as one, is the callee's, and it must not wait.
-	Word func(from netip.AddrPort, data []byte)
+	// HandoffCall answers what others say of open work, if anything: by any goroutine, and no longer than the caller waits.
+	HandoffCall func(ctx context.Context, data []byte) ([]byte, error)
+	// HandoffDatagram takes a datagram of open work, if anything does: data begins behind what marks it as one, is the callee's, and it must not wait.
+	HandoffDatagram func(from netip.AddrPort, data []byte)
 
-	// Scout takes a datagram of what is seen of zones, if anything does, as Word does.
-	Scout func(from netip.AddrPort, data []byte)
+	// LocalityDatagram takes a datagram of what is seen of zones, if anything does, as Word does.
+	LocalityDatagram func(from netip.AddrPort, data []byte)
 
 	view    *membership.View
-	council Council
+	council ConsensusNode
 	log     logrus.FieldLogger
 	began   time.Time
 	udp     *net.UDPConn
@@ -80,17 +80,17 @@
 }
 
 // New returns a carrier that does not listen yet.
-func New(listen string, log logrus.FieldLogger) *Carrier {
-	return &Carrier{Listen: listen, log: log, began: time.Now(), calls: make(chan func(float64), room), stop: make(chan struct{}),
+func New(listen string, log logrus.FieldLogger) *Transport {
+	return &Transport{Listen: listen, log: log, began: time.Now(), calls: make(chan func(float64), room), stop: make(chan struct{}),
 		done: make(chan struct{}), out: make(chan struct{}, mostOut), conns: map[string]*grpc.ClientConn{},
-		Said: func(float64, membership.Effect) {}}
+		OnEffect: func(float64, membership.Effect) {}}
 }
 
 // Now is the carrier's clock, in ms. It never jumps: only the time since the start is read.
-func (c *Carrier) Now() float64 { return float64(time.Since(c.began)) / float64(time.Millisecond) }
+func (c *Transport) Now() float64 { return float64(time.Since(c.began)) / float64(time.Millisecond) }
 
 // Start listens and runs the view, and the council if there is one.
-func (c *Carrier) Start(view *membership.View, council Council) error {
+func (c *Transport) Start(view *membership.View, council ConsensusNode) error {
 	at, err := netip.ParseAddrPort(c.Listen)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -122,7 +122,7 @@
 }
 
 // Do has a call made by the owner's goroutine and waits for it; false once that has ended.
-func (c *Carrier) Do(call func(now float64, view *membership.View)) bool {
+func (c *Transport) Do(call func(now float64, view *membership.View)) bool {
 	made := make(chan struct{})
 	if !c.put(func(now float64) { call(now, c.view); close(made) }) {
 		return false
@@ -136,10 +136,10 @@
 }
 
 // Post lines up a call for the owner's goroutine and does not wait for it.
-func (c *Carrier) Post(call func(now float64)) bool { return c.put(call) }
+func (c *Transport) Post(call func(now float64)) bool { return c.put(call) }
 
 // TryPost lines one up, or drops it where there is no room: for who must not wait.
-func (c *Carrier) TryPost(call func(now float64)) {
+func (c *Transport) TryPost(call func(now float64)) {
 	select {
 	case c.calls <- call:
 	default:
@@ -147,7 +147,7 @@
 	}
 }
 
-func (c *Carrier) put(call func(now float64)) bool {
+func (c *Transport) put(call func(now float64)) bool {
 	select {
 	case c.calls <- call:
 		return true
@@ -156,21 +156,23 @@
 	}
 }
 
-// Mark sets this controller's own marks.
-func (c *Carrier) Mark(m membership.Marks) {
+// SetFlag sets this controller's own marks.
+func (c *Transport) SetFlag(m membership.Marks) {
 	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Marked, Marks: m}) })
 }
 
-// Renew has this controller go on under a later life. It is for the owner's goroutine alone.
-func (c *Carrier) Renew(now float64) { c.step(now, &membership.Event{Kind: membership.Renew}) }
+// RaiseIncarnation has this controller go on under a later life. It is for the owner's goroutine alone.
+func (c *Transport) RaiseIncarnation(now float64) {
+	c.step(now, &membership.Event{Kind: membership.Renew})
+}
 
 // Leave says that a planned stop begins.
-func (c *Carrier) Leave() {
+func (c *Transport) Leave() {
 	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Leave}) })
 }
 
 // Stop says good-bye and ends.
-func (c *Carrier) Stop() {
+func (c *Transport) Stop() {
 	c.Do(func(now float64, _ *membership.View) { c.step(now, &membership.Event{Kind: membership.Leaves}) })
 	time.Sleep(farewell)
 	close(c.stop)
@@ -185,7 +187,7 @@
 }
 
 // run is the owner's goroutine. What has come goes before what is due.
-func (c *Carrier) run() {
+func (c *Transport) run() {
 	defer close(c.done)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -219,7 +221,7 @@
 }
 
 // step plays an event to the view and carries what follows.
-func (c *Carrier) step(now float64, ev *membership.Event) (reply []byte) {
+func (c *Transport) step(now float64, ev *membership.Event) (reply []byte) {
 	effects := c.view.Step(now, ev)
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
@@ -236,14 +238,14 @@
 		case membership.Reply:
 			reply = e.Data
 		default:
-			c.Said(now, *e)
+			c.OnEffect(now, *e)
 		}
 	}
 	return reply
 }
 
 // exchange carries our part of one and brings back the reply.
-func (c *Carrier) exchange(to string, data []byte) {
+func (c *Transport) exchange(to string, data []byte) {
 	c.Call(to, exchangeMethod, data, func(reply []byte, err error) {
 		c.put(func(now float64) {
 			if err != nil {
@@ -259,16 +261,16 @@
 var wordMark, scoutMark = []byte("LE1"), []byte("LZ1")
 
 // MostWord is how long the data of a Tell may be.
-const MostWord = mostDatagram - 3
+const MaxHandoffDatagram = mostDatagram - 3
 
-// Tell sends a datagram of open work. It never waits long: what the system can't take is lost.
-func (c *Carrier) Tell(to netip.AddrPort, data []byte) { c.send(to, wordMark, data) }
+// SendHandoff sends a datagram of open work. It never waits long: what the system can't take is lost.
+func (c *Transport) SendHandoff(to netip.AddrPort, data []byte) { c.send(to, wordMark, data) }
 
-// TellScout sends one of zones in the same way.
-func (c *Carrier) TellScout(to netip.AddrPort, data []byte) { c.send(to, scoutMark, data) }
+// SendLocality sends one of zones in the same way.
+func (c *Transport) SendLocality(to netip.AddrPort, data []byte) { c.send(to, scoutMark, data) }
 
-func (c *Carrier) send(to netip.AddrPort, mark, data []byte) {
-	if len(data) > MostWord {
+func (c *Transport) send(to netip.AddrPort, mark, data []byte) {
+	if len(data) > MaxHandoffDatagram {
 		c.Dropped.Add(1)
 		return
 	}
@@ -278,7 +280,7 @@
 }
 
 // listen takes datagrams.
-func (c *Carrier) listen() {
+func (c *Transport) listen() {
 	var b [mostDatagram + 1]byte
 	for {
 		n, from, err := c.udp.ReadFromUDPAddrPort(b[:])
@@ -291,14 +293,14 @@
 		}
 		data, at := append([]byte(nil), b[:n]...), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
 		if bytes.HasPrefix(data, wordMark) {
-			if c.Word != nil {
-				c.Word(from, data[len(wordMark):])
+			if c.HandoffDatagram != nil {
+				c.HandoffDatagram(from, data[len(wordMark):])
 			}
 			continue
 		}
 		if bytes.HasPrefix(data, scoutMark) {
-			if c.Scout != nil {
-				c.Scout(from, data[len(scoutMark):])
+			if c.LocalityDatagram != nil {
+				c.LocalityDatagram(from, data[len(scoutMark):])
 			}
 			continue
 		}
@@ -317,23 +319,23 @@
 const (
 	service        = "liftshift.Fleet"
 	exchangeMethod = "/" + service + "/Exchange"
-	// CouncilMethod carries what the council says.
-	CouncilMethod = "/" + service + "/Council"
-	// EstateMethod carries what is said of open work.
-	EstateMethod = "/" + service + "/Estate"
+	// ConsensusMethod carries what the council says.
+	ConsensusMethod = "/" + service + "/Council"
+	// HandoffMethod carries what is said of open work.
+	HandoffMethod = "/" + service + "/Estate"
 )
 
 type fleetServer interface {
 	Do(func(float64, *membership.View)) bool
 }
 
-func handler(method string, handle func(c *Carrier, ctx context.Context, data []byte) ([]byte, error)) grpc.MethodDesc {
+func handler(method string, handle func(c *Transport, ctx context.Context, data []byte) ([]byte, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: method, Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		in := &wrapperspb.BytesValue{}
 		if err := decode(in); err != nil {
 			return nil, err
 		}
-		out, err := handle(srv.(*Carrier), ctx, in.GetValue())
+		out, err := handle(srv.(*Transport), ctx, in.GetValue())
 		if err != nil {
 			return nil, status.Error(codes.Unavailable, err.Error())
 		}
@@ -342,25 +344,25 @@
 }
 
 var desc = grpc.ServiceDesc{ServiceName: service, HandlerType: (*fleetServer)(nil), Metadata: "liftshift/fleet", Methods: []grpc.MethodDesc{
-	handler("Exchange", func(c *Carrier, ctx context.Context, data []byte) ([]byte, error) {
+	handler("Exchange", func(c *Transport, ctx context.Context, data []byte) ([]byte, error) {
 		return c.ask(ctx, func(now float64, reply func([]byte, error)) {
 			reply(c.step(now, &membership.Event{Kind: membership.Asked, Data: data}), nil)
 		})
 	}),
-	handler("Council", func(c *Carrier, ctx context.Context, data []byte) ([]byte, error) {
+	handler("Council", func(c *Transport, ctx context.Context, data []byte) ([]byte, error) {
 		return c.ask(ctx, func(now float64, reply func([]byte, error)) {
 			if c.council == nil {
 				reply(nil, errors.New("no council here"))
 				return
 			}
-			c.council.Heard(now, data, reply)
+			c.council.Handle(now, data, reply)
 		})
 	}),
-	handler("Estate", func(c *Carrier, ctx context.Context, data []byte) ([]byte, error) {
-		if c.Estate == nil {
+	handler("Estate", func(c *Transport, ctx context.Context, data []byte) ([]byte, error) {
+		if c.HandoffCall == nil {
 			return nil, errors.New("no copies are kept here")
 		}
-		return c.Estate(ctx, data)
+		return c.HandoffCall(ctx, data)
 	}),
 }}
 
@@ -370,7 +372,7 @@
 }
 
 // ask has the owner answer a call, and waits for it no longer than the caller does.
-func (c *Carrier) ask(ctx context.Context, handle func(now float64, reply func([]byte, error))) ([]byte, error) {
+func (c *Transport) ask(ctx context.Context, handle func(now float64, reply func([]byte, error))) ([]byte, error) {
 	got := make(chan answer, 1)
 	call := func(now float64) { handle(now, func(data []byte, err error) { got <- answer{data, err} }) }
 	select {
@@ -391,7 +393,7 @@
 }
 
 // Call calls another member and hands on what comes back, from another goroutine. Past so many at a time it fails at once.
-func (c *Carrier) Call(to, method string, data []byte, back func(reply []byte, err error)) {
+func (c *Transport) Call(to, method string, data []byte, back func(reply []byte, err error)) {
 	select {
 	case c.out <- struct{}{}:
 	default:
@@ -410,11 +412,11 @@
 }
 
 // CallNow calls another member and waits for what comes back.
-func (c *Carrier) CallNow(to, method string, data []byte) ([]byte, error) {
+func (c *Transport) CallNow(to, method string, data []byte) ([]byte, error) {
 	return c.call(to, method, data)
 }
 
-func (c *Carrier) call(to, method string, data []byte) ([]byte, error) {
+func (c *Transport) call(to, method string, data []byte) ([]byte, error) {
 	conn, err := c.connection(to)
 	if err != nil {
 		return nil, err
@@ -430,7 +432,7 @@
 }
 
 // connection gives one to an address; so many are kept, the oldest ends.
-func (c *Carrier) connection(to string) (*grpc.ClientConn, error) {
+func (c *Transport) connection(to string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[to]; conn != nil {
@@ -455,7 +457,7 @@
 }
 
 // drop ends a connection that failed, so that no waiting time of an earlier failure delays the next call.
-func (c *Carrier) drop(to string, conn *grpc.ClientConn) {
+func (c *Transport) drop(to string, conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[to] != conn {
--- a/internal/clusternet/golden_test.go
+++ b/internal/clusternet/golden_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, []string{"Exchange", "Council", "Estate"}, names)
 	assert.Empty(t, desc.Streams)
 	assert.Equal(t, []string{"/liftshift.Fleet/Exchange", "/liftshift.Fleet/Council", "/liftshift.Fleet/Estate"},
-		[]string{exchangeMethod, CouncilMethod, EstateMethod})
+		[]string{exchangeMethod, ConsensusMethod, HandoffMethod})
 }
 
 // A call's bytes are wrapped as they were.
@@ -67,15 +67,15 @@
 	c := New("", logrus.New())
 	c.udp = socket()
 	words, scouts := make(chan string, 1), make(chan string, 1)
-	c.Word = func(_ netip.AddrPort, data []byte) { words <- string(data) }
-	c.Scout = func(_ netip.AddrPort, data []byte) { scouts <- string(data) }
+	c.HandoffDatagram = func(_ netip.AddrPort, data []byte) { words <- string(data) }
+	c.LocalityDatagram = func(_ netip.AddrPort, data []byte) { scouts <- string(data) }
 	ended := make(chan struct{})
 	go func() { c.listen(); close(ended) }()
 	for _, m := range []struct {
 		file string
 		send func(netip.AddrPort, []byte)
 		came chan string
-	}{{"datagram-open-work.bin", c.Tell, words}, {"datagram-zones.bin", c.TellScout, scouts}} {
+	}{{"datagram-open-work.bin", c.SendHandoff, words}, {"datagram-zones.bin", c.SendLocality, scouts}} {
 		m.send(far.LocalAddr().(*net.UDPAddr).AddrPort(), []byte("what is said"))
 		var b [mostDatagram]byte
 		n, err := far.Read(b[:])
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -36,8 +36,8 @@
 	estate  *handoff.Estate
 	desk    *dispatch.Desk
 	clock   dispatch.Clock
-	carrier *clusternet.Carrier
-	seat    *raftnode.Seat
+	carrier *clusternet.Transport
+	seat    *raftnode.Node
 	held    func() bool // of the lease; nil: there is none yet
 	log     logrus.FieldLogger
 	name    string
@@ -72,7 +72,7 @@
 		to         string
 		sent, back *handoff.Batch
 	}
-	rolled  struct{ roll raftnode.Roll }
+	rolled  struct{ roll raftnode.Configuration }
 	relived struct{ life uint64 }
 	stored  struct {
 		token uint64
@@ -81,26 +81,26 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Carrier, log logrus.FieldLogger) *Trustee {
+func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Trustee {
 	return &Trustee{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
 		where: map[uint32]scheduler.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
 
 // Begin has the trustee hear of the council and of others, once they are there.
-func (t *Trustee) Begin(s *raftnode.Seat) {
-	t.seat, t.held = s, s.Held
-	s.Rolled = func(r raftnode.Roll) {
+func (t *Trustee) Begin(s *raftnode.Node) {
+	t.seat, t.held = s, s.LeaseHeld
+	s.OnConfiguration = func(r raftnode.Configuration) {
 		t.addresses.Store(&r.Addresses)
 		go t.desk.Put(dispatch.Item{Note: rolled{r}})
 	}
-	s.Relived = func(life uint64) { go t.desk.Put(dispatch.Item{Note: relived{life}}) }
+	s.OnIncarnation = func(life uint64) { go t.desk.Put(dispatch.Item{Note: relived{life}}) }
 	t.listen()
 }
 
 // listen has it hear what others say.
 func (t *Trustee) listen() {
-	t.carrier.Estate, t.carrier.Word = t.heard, t.heardWord
+	t.carrier.HandoffCall, t.carrier.HandoffDatagram = t.heard, t.heardWord
 	t.number.Store(uint64(t.clock.Now()) << 20) // no answer to an earlier life is taken for one to this
 	go t.answerWords()
 }
@@ -203,7 +203,7 @@
 		case answers:
 			ev = handoff.Event{Kind: handoff.Answers, To: n.to, Sent: n.sent, Batch: n.back}
 		case rolled:
-			ev = handoff.Event{Kind: handoff.Seated, Places: n.roll.Places, Table: &n.roll.Table}
+			ev = handoff.Event{Kind: handoff.Seated, Places: n.roll.Members, Table: &n.roll.Table}
 		case relived:
 			ev = handoff.Event{Kind: handoff.Relived, Life: n.life}
 		case stored:
@@ -287,11 +287,11 @@
 			out = t.reply(e, out)
 		case handoff.Move:
 			t.log.WithFields(logrus.Fields{"motion": e.Motion, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
-			t.seat.Move(consensus.Motion(e.Motion, e.Claim, e.Version))
+			t.seat.Propose(consensus.Motion(e.Motion, e.Claim, e.Version))
 		case handoff.Refresh:
 			if now > t.refreshed+refreshMS {
 				t.refreshed = now
-				t.seat.Refresh()
+				t.seat.RefreshConfiguration()
 			}
 		case handoff.Note:
 			t.log.WithFields(logrus.Fields{"of": e.ID, "count": e.Count}).Warn("estate: " + e.Text)
--- a/internal/handoffnet/handoffnet_test.go
+++ b/internal/handoffnet/handoffnet_test.go
@@ -145,11 +145,11 @@
 	to := netip.MustParseAddrPort(b.at)
 	from := netip.MustParseAddrPort(a.at)
 	for _, data := range [][]byte{nil, {wordsKind}, frame(wordsKind, 7, []byte{0xff}), frame('?', 7, nil), frame(answerKind, 7, nil), frame(callKind, 9, nil)} {
-		a.carrier.Tell(to, data)
+		a.carrier.SendHandoff(to, data)
 		a.trustee.heardWord(from, data)
 	}
 	pull := &handoff.Batch{From: handoff.Member{Name: "a", Life: 1}, Version: 1, Items: []handoff.Item{{Op: handoff.Pull}}}
-	a.carrier.Tell(to, frame(wordsKind, 8, pull.Append(nil, 0)))
+	a.carrier.SendHandoff(to, frame(wordsKind, 8, pull.Append(nil, 0)))
 	a.ask("k")
 	heard.waits(t, 1)
 	time.Sleep(20 * time.Millisecond)
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -51,7 +51,7 @@
 // end is a trustee on a carriage of its own.
 type end struct {
 	trustee *Trustee
-	carrier *clusternet.Carrier
+	carrier *clusternet.Transport
 	desk    *dispatch.Desk
 	at      string
 	deaf    atomic.Bool // to datagrams
@@ -74,8 +74,8 @@
 	e.trustee = New(handoff.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
 	e.trustee.listen()
-	hear := e.carrier.Word
-	e.carrier.Word = func(from netip.AddrPort, data []byte) {
+	hear := e.carrier.HandoffDatagram
+	e.carrier.HandoffDatagram = func(from netip.AddrPort, data []byte) {
 		if !e.deaf.Load() {
 			hear(from, data)
 		}
--- a/internal/handoffnet/line.go
+++ b/internal/handoffnet/line.go
@@ -18,7 +18,7 @@
 	answerKind = 'a'
 	callKind   = 'c' // the answer is too long for one: ask by a call
 	headBytes  = 9
-	mostSmall  = clusternet.MostWord - headBytes
+	mostSmall  = clusternet.MaxHandoffDatagram - headBytes
 	overDiskMS = 150 // in place of overMS where answers wait for disks
 )
 
@@ -179,7 +179,7 @@
 	l.under = append(l.under, n)
 	l.mu.Unlock()
 	t.Datagrams.Add(1)
-	t.carrier.Tell(l.at, frame(wordsKind, n, s.data))
+	t.carrier.SendHandoff(l.at, frame(wordsKind, n, s.data))
 	return true
 }
 
@@ -274,7 +274,7 @@
 		time.Sleep(20 * time.Millisecond)
 		return nil
 	}
-	got, err := t.carrier.CallNow(l.address, clusternet.EstateMethod, data)
+	got, err := t.carrier.CallNow(l.address, clusternet.HandoffMethod, data)
 	if err == nil {
 		var b *handoff.Batch
 		if b, err = handoff.ReadBatch(got, t.clock.Now()); err == nil {
@@ -302,7 +302,7 @@
 				return // it is asked again by a call, and told why
 			}
 			out := frame(answerKind, n, data)
-			if len(out) > clusternet.MostWord {
+			if len(out) > clusternet.MaxHandoffDatagram {
 				out = frame(callKind, n, nil)
 			}
 			select {
@@ -336,7 +336,7 @@
 	for {
 		select {
 		case r := <-t.replied:
-			t.carrier.Tell(r.to, r.data)
+			t.carrier.SendHandoff(r.to, r.data)
 		case <-t.stop:
 			return
 		}
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -37,13 +37,13 @@
 }
 
 // goldenCarrier starts a carrier for a member.
-func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Carrier, membership.Member) {
+func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := testservers.Spot()
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
-	c.Scout = scout
+	c.LocalityDatagram = scout
 	view := membership.New(c.Now(), "test", self, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, c.Start(view, nil))
 	t.Cleanup(c.Stop)
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -42,9 +42,9 @@
 // Scout joins a watch to a desk, to the carriage and to the council.
 type Scout struct {
 	Watch   *locality.Watch // of the carriage's goroutine
-	carrier *clusternet.Carrier
+	carrier *clusternet.Transport
 	view    *membership.View
-	seat    *raftnode.Seat
+	seat    *raftnode.Node
 	desk    *dispatch.Desk
 	log     logrus.FieldLogger
 	name    string
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Desk, c *clusternet.Carrier, v *membership.View, s *raftnode.Seat, log logrus.FieldLogger) *Scout {
+func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Desk, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Scout {
 	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
@@ -98,11 +98,11 @@
 
 // Begin has it hear the council and the others; it is called before the carriage listens.
 func (t *Scout) Begin() {
-	t.seat.Planned = t.planned
-	t.seat.Confirmed = func(now float64, number uint64, at float64) {
+	t.seat.OnPlan = t.planned
+	t.seat.OnPlanConfirmed = func(now float64, number uint64, at float64) {
 		t.step(now, &locality.Event{Kind: locality.Confirmed, Number: number, At: at})
 	}
-	t.carrier.Scout = t.heard
+	t.carrier.LocalityDatagram = t.heard
 	go t.open()
 	go func() {
 		tick := time.NewTicker(beat)
@@ -161,7 +161,7 @@
 			list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.Phase.Living()})
 		}
 		leader := t.seat.Leader(now)
-		t.step(now, &locality.Event{Kind: locality.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.Held()})
+		t.step(now, &locality.Event{Kind: locality.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.LeaseHeld()})
 	}
 	t.step(now, &locality.Event{Kind: locality.Ticked, Unix: time.Now().UnixMilli()})
 	c := t.Watch.Counts
@@ -169,7 +169,7 @@
 }
 
 // planned takes what is agreed.
-func (t *Scout) planned(now float64, p raftnode.Planned) {
+func (t *Scout) planned(now float64, p raftnode.AgreedPlan) {
 	ev := locality.Event{Kind: locality.Planned}
 	if len(p.Plan) > 0 {
 		plan := &locality.Plan{}
@@ -231,10 +231,10 @@
 		case locality.GiveLoan:
 			t.send(now, e.To, givesLoan, append(binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint64(nil, e.Number), uint16(e.Threads)), e.Zone...))
 		case locality.Fetch:
-			t.seat.Fetch(now, t.Watch.Plan().Number)
+			t.seat.FetchPlan(now, t.Watch.Plan().Number)
 		case locality.Propose:
 			if data, err := json.Marshal(e.Plan); err == nil {
-				t.seat.Move(consensus.PlanMotion(e.Plan.Number, data))
+				t.seat.Propose(consensus.PlanMotion(e.Plan.Number, data))
 			}
 		case locality.Warn:
 			t.log.Warn("zones: " + e.Text)
@@ -254,7 +254,7 @@
 	if !known || err != nil {
 		return
 	}
-	t.carrier.TellScout(at, append(append([]byte{kind, byte(len(t.name))}, t.name...), data...))
+	t.carrier.SendLocality(at, append(append([]byte{kind, byte(len(t.name))}, t.name...), data...))
 }
 
 // heard takes a datagram; the carriage's listening goroutine calls it.
@@ -290,7 +290,7 @@
 			return err
 		}
 	}
-	t.seat.Move(consensus.OrderMotion("zone "+o.Zone, data))
+	t.seat.Propose(consensus.OrderMotion("zone "+o.Zone, data))
 	return nil
 }
 
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -29,7 +29,7 @@
 // disk keeps what a voter must not forget.
 type disk struct {
 	store       *store.Store
-	seat        *Seat
+	seat        *Node
 	id          string // of the folder
 	kept        consensus.Kept
 	first, last uint64 // entries that are there
@@ -44,7 +44,7 @@
 
 // openDisk opens the store of a voter, or begins one. Where its end is not as it was left, what was promised there may be missing:
 // the folder gets another name, under which it has promised nothing, and comes to the council as a newcomer.
-func openDisk(folder vfs.FS, seat *Seat, log logrus.FieldLogger) (*disk, error) {
+func openDisk(folder vfs.FS, seat *Node, log logrus.FieldLogger) (*disk, error) {
 	d := &disk{seat: seat}
 	entries := map[uint64]*raftpb.Entry{}
 	var wrong error
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -70,17 +70,17 @@
 
 // What members ask and answer has the bytes that it had.
 func TestGolden_SeatValues(t *testing.T) {
-	roll := Roll{Places: []placement.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
+	roll := Configuration{Members: []placement.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
 		Parts:  []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}}, Was: []placement.Chair{{Name: "b", Life: 3}}}, {}},
 		Claims: []placement.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}}}
 	for name, value := range map[string]any{
 		"wish": &wish{Name: "a", Life: 3}, "wish-release": &wish{Name: "a", Life: 3, Release: true}, "wish-empty": &wish{},
-		"roll": &roll, "roll-empty": &Roll{}, "planned-empty": &Planned{},
-		"planned": &Planned{Number: 8, Plan: []byte(`{"x":1}`), Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)}},
+		"roll": &roll, "roll-empty": &Configuration{}, "planned-empty": &AgreedPlan{},
+		"planned": &AgreedPlan{Number: 8, Plan: []byte(`{"x":1}`), Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)}},
 	} {
 		goldenJSON(t, name+".json", value)
 	}
-	data, err := json.Marshal(Roll{Addresses: map[string]string{"a": "127.0.0.1:7000"}})
+	data, err := json.Marshal(Configuration{Addresses: map[string]string{"a": "127.0.0.1:7000"}})
 	require.NoError(t, err)
 	golden(t, "roll-empty.json", data)
 }
@@ -109,14 +109,14 @@
 	named.Put(key(folderRecord, 0), 0, []byte("f0123456789abcdef01234567"))
 	require.NoError(t, s.Write(logTime, &named))
 	require.NoError(t, s.Close())
-	d, err := openDisk(fs, &Seat{}, silent())
+	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	d.close()
 	whole := goldenFolder(t, "folder", fs)
-	again, err := openDisk(whole.Clone(), &Seat{}, silent())
+	again, err := openDisk(whole.Clone(), &Node{}, silent())
 	require.NoError(t, err)
 	assert.Equal(t, "0123456789abcdef01234567", again.id)
 	assert.True(t, proto.Equal(state(2, 9, 2), again.kept.State))
@@ -132,7 +132,7 @@
 	b := whole.Bytes(last)
 	end := len(strings.TrimRight(string(b), "\x00"))
 	whole.Set(last, append(b[:end-5], make([]byte, 64)...))
-	torn, err := openDisk(goldenFolder(t, "folder-torn", whole), &Seat{}, silent())
+	torn, err := openDisk(goldenFolder(t, "folder-torn", whole), &Node{}, silent())
 	require.NoError(t, err)
 	defer torn.close()
 	assert.NotEqual(t, "0123456789abcdef01234567", torn.id)
@@ -146,7 +146,7 @@
 	reply []byte
 }
 
-func (e *ear) Heard(_ float64, data []byte, reply func([]byte, error)) {
+func (e *ear) Handle(_ float64, data []byte, reply func([]byte, error)) {
 	e.mu.Lock()
 	e.heard[string(data)] = true
 	e.mu.Unlock()
@@ -181,22 +181,22 @@
 	s, err := New(c, v, vfs.NewMemory(), []string{"c", "b", "a"}, nil, 1, silent())
 	require.NoError(t, err)
 	confirmed := make(chan uint64, 100)
-	s.Confirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
+	s.OnPlanConfirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
 	require.NoError(t, c.Start(v, s))
 	t.Cleanup(c.Stop)
-	require.Eventually(t, s.Held, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, s.LeaseHeld, 20*time.Second, 10*time.Millisecond)
 	assert.Equal(t, uint64(4), <-confirmed)
 	c.Do(func(now float64, _ *membership.View) {
 		require.Equal(t, "b", s.Leader(now))
 		s.rolled = 300
 		s.askRoll(now)
-		s.Fetch(now, 300)
+		s.FetchPlan(now, 300)
 		s.say("b", []byte("what a voter says"))
 	})
-	s.Move(consensus.OrderMotion("zone z1", []byte(`{"y":2}`)))
+	s.Propose(consensus.OrderMotion("zone z1", []byte(`{"y":2}`)))
 	_, err = s.Record()
 	assert.Error(t, err, "the answer is empty")
-	s.Release()
+	s.ReleaseLease()
 
 	still := membership.New(0, "f", membership.Member{Name: "a", Life: 3, Address: at[0]}, nil, nil, 1)
 	other, err := New(clusternet.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
@@ -212,6 +212,6 @@
 			defer hears.mu.Unlock()
 			return hears.heard[string(data)]
 		}, 10*time.Second, 10*time.Millisecond, "%s is sent with other bytes, or not at all", file)
-		other.Heard(0, data, func(_ []byte, err error) { assert.NoError(t, err, file) })
+		other.Handle(0, data, func(_ []byte, err error) { assert.NoError(t, err, file) })
 	}
 }
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -47,22 +47,22 @@
 	Release bool   `json:"Release,omitempty"`
 }
 
-// Seat is a member's end of the council. Its methods are called by the carrier's goroutine unless they say otherwise.
-type Seat struct {
-	// Said is told of what the council says besides what is carried here. It must not wait.
-	Said func(now float64, e consensus.Effect)
+// Node is a member's end of the council. Its methods are called by the carrier's goroutine unless they say otherwise.
+type Node struct {
+	// OnEffect is told of what the council says besides what is carried here. It must not wait.
+	OnEffect func(now float64, e consensus.Effect)
 
-	// Rolled, if set, is told who is in and who sits where whenever that changes, and where all are; Relived of this controller's life.
-	Rolled  func(Roll)
-	Relived func(life uint64)
+	// OnConfiguration, if set, is told who is in and who sits where whenever that changes, and where all are; Relived of this controller's life.
+	OnConfiguration func(Configuration)
+	OnIncarnation   func(life uint64)
 
 	// Planned, if set, is told the plan of zones and the operators' orders whenever either changes, as far as this member knows; Confirmed
 	// which plan was in force after a time.
-	Planned   func(now float64, p Planned)
-	Confirmed func(now float64, number uint64, at float64)
+	OnPlan          func(now float64, p AgreedPlan)
+	OnPlanConfirmed func(now float64, number uint64, at float64)
 
 	council *consensus.Council
-	carrier *clusternet.Carrier
+	carrier *clusternet.Transport
 	view    *membership.View
 	disk    *disk // nil: it never votes
 	log     logrus.FieldLogger
@@ -83,11 +83,11 @@
 }
 
 // New opens a member's end. Folder is where it votes from; nil: it has no disk and only asks.
-func New(carrier *clusternet.Carrier, view *membership.View, folder vfs.FS, founders []string, given scheduler.Given, seed uint32,
-	log logrus.FieldLogger) (*Seat, error) {
+func New(carrier *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string, given scheduler.Given, seed uint32,
+	log logrus.FieldLogger) (*Node, error) {
 	self := view.Self()
-	s := &Seat{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
-		lines: map[string]chan []byte{}, stop: make(chan struct{}), Said: func(float64, consensus.Effect) {}}
+	s := &Node{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
+		lines: map[string]chan []byte{}, stop: make(chan struct{}), OnEffect: func(float64, consensus.Effect) {}}
 	var kept consensus.Kept
 	id := ""
 	if folder != nil {
@@ -101,15 +101,15 @@
 	return s, nil
 }
 
-// Held tells whether this controller may act on its lease at this moment. It may be called from any goroutine, and is to be asked at
+// LeaseHeld tells whether this controller may act on its lease at this moment. It may be called from any goroutine, and is to be asked at
 // the last step before anything leaves.
-func (s *Seat) Held() bool { return s.carrier.Now() < math.Float64frombits(s.until.Load()) }
+func (s *Node) LeaseHeld() bool { return s.carrier.Now() < math.Float64frombits(s.until.Load()) }
 
 // Status tells how things stand.
-func (s *Seat) Status(now float64) consensus.Status { return s.council.Status(now) }
+func (s *Node) Status(now float64) consensus.Status { return s.council.Status(now) }
 
-// Replace has a voter replaced by another, where this member leads.
-func (s *Seat) Replace(now float64, from, to string) error {
+// ReplaceVoter has a voter replaced by another, where this member leads.
+func (s *Node) ReplaceVoter(now float64, from, to string) error {
 	if st := s.council.Status(now); st.Leader != s.name {
 		return fmt.Errorf("this member does not lead the council; %s does", st.Leader)
 	}
@@ -118,17 +118,17 @@
 }
 
 // Next is when the seat wants its Tick.
-func (s *Seat) Next() float64 { return s.wakeAt }
+func (s *Node) Next() float64 { return s.wakeAt }
 
 // Tick lets the council see who is there, and gives it its time.
-func (s *Seat) Tick(now float64) {
+func (s *Node) Tick(now float64) {
 	if now >= s.seeAt {
 		s.seeAt = now + seeMS
 		if l := s.view.Self().Life; l != s.life {
 			s.life = l
 			s.step(now, consensus.Event{Kind: consensus.Relived, Life: l})
-			if s.Relived != nil {
-				s.Relived(l)
+			if s.OnIncarnation != nil {
+				s.OnIncarnation(l)
 			}
 		}
 		var list []consensus.Sight
@@ -142,8 +142,8 @@
 	s.step(now, consensus.Event{Kind: consensus.Ticked})
 }
 
-// Heard takes what another member says or asks.
-func (s *Seat) Heard(now float64, data []byte, reply func([]byte, error)) {
+// Handle takes what another member says or asks.
+func (s *Node) Handle(now float64, data []byte, reply func([]byte, error)) {
 	if len(data) == 0 {
 		reply(nil, errors.New("nothing is said"))
 		return
@@ -171,7 +171,7 @@
 			reply(nil, nil)
 			return
 		}
-		reply(json.Marshal(Roll{Places: places, Table: table}))
+		reply(json.Marshal(Configuration{Members: places, Table: table}))
 	case asksPlan:
 		known, _ := binary.Uvarint(rest)
 		p := s.plan(now)
@@ -195,7 +195,7 @@
 
 // Record gives what is agreed, from the member that leads where this one does not vote. It may be called from any goroutine but the
 // carrier's, and waits for the answer.
-func (s *Seat) Record() (r consensus.Record, err error) {
+func (s *Node) Record() (r consensus.Record, err error) {
 	at := ""
 	s.carrier.Do(func(now float64, _ *membership.View) {
 		st := s.council.Status(now)
@@ -206,7 +206,7 @@
 	if at == "" {
 		return r, nil
 	}
-	data, err := s.carrier.CallNow(at, clusternet.CouncilMethod, []byte{asksRecord})
+	data, err := s.carrier.CallNow(at, clusternet.ConsensusMethod, []byte{asksRecord})
 	if err == nil {
 		err = json.Unmarshal(data, &r)
 	}
@@ -214,7 +214,7 @@
 }
 
 // Close ends the seat; the carrier calls it last.
-func (s *Seat) Close() {
+func (s *Node) Close() {
 	close(s.stop)
 	for _, reply := range s.answers {
 		reply(nil, errors.New("this member stops"))
@@ -224,9 +224,9 @@
 	}
 }
 
-// Release gives the lease back before a planned end and waits a little for that to be heard. It may be called from any goroutine but
+// ReleaseLease gives the lease back before a planned end and waits a little for that to be heard. It may be called from any goroutine but
 // the carrier's.
-func (s *Seat) Release() {
+func (s *Node) ReleaseLease() {
 	done := make(chan struct{})
 	s.carrier.Post(func(now float64) {
 		to := s.council.Status(now).Leader
@@ -245,27 +245,27 @@
 }
 
 // address gives where a member is, or "".
-func (s *Seat) address(name string) string {
+func (s *Node) address(name string) string {
 	m, _ := s.view.Find(name)
 	return m.Address
 }
 
 // ask asks a member, this one itself too, and hands on what comes back.
-func (s *Seat) ask(now float64, to string, data []byte, back func(now float64, reply []byte, err error)) {
+func (s *Node) ask(now float64, to string, data []byte, back func(now float64, reply []byte, err error)) {
 	bring := func(reply []byte, err error) { s.carrier.Post(func(now float64) { back(now, reply, err) }) }
 	if to == s.name {
-		s.Heard(now, data, func(reply []byte, err error) { go bring(reply, err) })
+		s.Handle(now, data, func(reply []byte, err error) { go bring(reply, err) })
 		return
 	}
 	if at := s.address(to); at != "" {
-		s.carrier.Call(at, clusternet.CouncilMethod, data, bring)
+		s.carrier.Call(at, clusternet.ConsensusMethod, data, bring)
 		return
 	}
 	go bring(nil, errors.New("it is not known where that member is"))
 }
 
 // step plays an event to the council and carries what follows.
-func (s *Seat) step(now float64, ev consensus.Event) {
+func (s *Node) step(now float64, ev consensus.Event) {
 	effects := s.council.Step(now, &ev)
 	for _, e := range append([]consensus.Effect(nil), effects...) {
 		switch e.Kind {
@@ -299,18 +299,18 @@
 			})
 		case consensus.Reseated:
 			if places, table := s.council.Roll(); table.Step > s.rolled {
-				s.roll(Roll{Places: places, Table: table})
+				s.roll(Configuration{Members: places, Table: table})
 			}
 		case consensus.Replanned:
-			if s.Planned != nil {
-				s.Planned(now, s.plan(now))
+			if s.OnPlan != nil {
+				s.OnPlan(now, s.plan(now))
 			}
 		case consensus.Confirmed:
-			if s.Confirmed != nil {
-				s.Confirmed(now, e.Number, e.At)
+			if s.OnPlanConfirmed != nil {
+				s.OnPlanConfirmed(now, e.Number, e.At)
 			}
 		default:
-			s.Said(now, e)
+			s.OnEffect(now, e)
 		}
 	}
 	until := s.council.Until()
@@ -320,7 +320,7 @@
 
 // say lines up a message for a voter. Each line is carried in order by a goroutine of its own, so that a voter that does not answer
 // holds up nobody else.
-func (s *Seat) say(to string, data []byte) {
+func (s *Node) say(to string, data []byte) {
 	at := s.address(to)
 	if at == "" || to == s.name {
 		s.Dropped.Add(1)
@@ -347,14 +347,14 @@
 	}
 }
 
-func (s *Seat) carry(at string, line chan []byte) {
+func (s *Node) carry(at string, line chan []byte) {
 	for {
 		select {
 		case data, open := <-line:
 			if !open {
 				return
 			}
-			if _, err := s.carrier.CallNow(at, clusternet.CouncilMethod, data); err != nil {
+			if _, err := s.carrier.CallNow(at, clusternet.ConsensusMethod, data); err != nil {
 				s.Dropped.Add(1)
 			}
 		case <-s.stop:
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -22,14 +22,14 @@
 // What a voter keeps is there again after a crash, whatever became of what was not synced; entries that lost against others are not.
 func TestAVotersDisk(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openDisk(fs, &Seat{}, silent())
+	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	id := d.id
 	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	for seed, loss := range []vfs.Loss{vfs.All, vfs.Nought} {
-		again, err := openDisk(fs.Clone().Crash(loss, uint64(seed)), &Seat{}, silent())
+		again, err := openDisk(fs.Clone().Crash(loss, uint64(seed)), &Node{}, silent())
 		require.NoError(t, err)
 		assert.Equal(t, id, again.id)
 		assert.Equal(t, uint64(9), again.kept.State.GetVote())
@@ -40,7 +40,7 @@
 	write(t, d, consensus.Effect{Snap: snapAt(3)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
 	d.close()
-	again, err := openDisk(fs, &Seat{}, silent())
+	again, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	defer again.close()
 	assert.Equal(t, uint64(3), again.kept.Snap.GetMetadata().GetIndex())
@@ -51,7 +51,7 @@
 // A log whose end is torn may lack what was promised: the folder comes as another voter, with nothing of what it held.
 func TestATornLogIsAnotherVoter(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openDisk(fs, &Seat{}, silent())
+	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	id := d.id
 	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
@@ -65,7 +65,7 @@
 			fs.Set(name, append(b[:end-5], make([]byte, 64)...))
 		}
 	}
-	again, err := openDisk(fs, &Seat{}, silent())
+	again, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	defer again.close()
 	assert.NotEqual(t, id, again.id)
@@ -77,7 +77,7 @@
 func TestAFullDiskSilencesOneVoter(t *testing.T) {
 	var full atomic.Bool
 	names := []string{"a", "b", "c"}
-	seats := map[string]*Seat{}
+	seats := map[string]*Node{}
 	var broken atomic.Bool
 	leader := ""
 	lead := func() string {
@@ -107,7 +107,7 @@
 		s, err := New(c, v, fs, names, nil, uint32(k), silent())
 		require.NoError(t, err)
 		if name == "b" {
-			s.Said = func(_ float64, e consensus.Effect) {
+			s.OnEffect = func(_ float64, e consensus.Effect) {
 				if e.Kind == consensus.Broken {
 					broken.Store(true)
 				}
@@ -117,7 +117,7 @@
 		seats[name] = s
 		t.Cleanup(c.Stop)
 	}
-	held := func(n string) func() bool { return func() bool { return seats[n].Held() } }
+	held := func(n string) func() bool { return func() bool { return seats[n].LeaseHeld() } }
 	for _, n := range names {
 		require.Eventually(t, held(n), 20*time.Second, 20*time.Millisecond, n)
 	}
@@ -129,7 +129,7 @@
 	require.Eventually(t, broken.Load, 10*time.Second, 20*time.Millisecond)
 	require.Eventually(t, func() bool { leader = ""; return lead() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
 	time.Sleep(7 * time.Second)
-	assert.True(t, seats["b"].Held(), "it asks the others for its lease")
+	assert.True(t, seats["b"].LeaseHeld(), "it asks the others for its lease")
 }
 
 func silent() logrus.FieldLogger {
