--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -62,7 +62,7 @@
 	machines map[uint32]*machine
 	all      map[*link]struct{} // connections, those of executors that are gone included
 	seq      uint64
-	fates    connpool.Fates
+	fates    connpool.LossStats
 	conns    []connpool.Conn // scratch of pick
 	retired  []int
 
@@ -227,10 +227,10 @@
 	now := time.Now()
 	f.conns = f.conns[:0]
 	for _, l := range m.links {
-		f.conns = append(f.conns, connpool.Conn{Up: l.up, Leaving: l.leaving, Barred: l.open[id] != nil || l.ends[id],
-			Open: len(l.open), Probes: len(l.probes), IdleMS: float64(now.Sub(l.used)) / float64(time.Millisecond)})
+		f.conns = append(f.conns, connpool.Conn{Up: l.up, Draining: l.leaving, Excluded: l.open[id] != nil || l.ends[id],
+			Attempts: len(l.open), HealthChecks: len(l.probes), IdleMS: float64(now.Sub(l.used)) / float64(time.Millisecond)})
 	}
-	limits := connpool.Limits{PerConn: f.perLink, Most: f.links, IdleMS: float64(f.idle) / float64(time.Millisecond)}
+	limits := connpool.Limits{MaxPerConn: f.perLink, MaxConns: f.links, IdleMS: float64(f.idle) / float64(time.Millisecond)}
 	k, retired := limits.Pick(f.conns, len(f.all), &f.fates, f.retired[:0])
 	f.retired = retired
 	links := m.links[:len(m.links):len(m.links)]
@@ -240,7 +240,7 @@
 	if k >= 0 {
 		return links[k]
 	}
-	if k == connpool.None && (f.links == 0 || !f.giveWay()) {
+	if k == connpool.NoConn && (f.links == 0 || !f.giveWay()) {
 		return nil
 	}
 	l := &link{fleet: f, machine: m, used: now, open: map[string]*run{}, ends: map[string]bool{},
@@ -348,13 +348,13 @@
 			l.more(r)
 			continue
 		}
-		last := connpool.Last{Forsaken: r.attempt.Request.Forsaken(), Closed: l.machine.closed, NowMS: f.clock.Now(), ByMS: r.attempt.By,
-			Lawless: r.attempt.Held && f.Gate != nil && !f.Gate()}
-		if why := last.Bar(); why != 0 {
+		last := connpool.FinalCheck{ClientGone: r.attempt.Request.Forsaken(), ExecutorClosed: l.machine.closed, NowMS: f.clock.Now(), LatestStartMS: r.attempt.By,
+			LeaseLost: r.attempt.Held && f.Gate != nil && !f.Gate()}
+		if why := last.Reason(); why != 0 {
 			f.Barred.Add(1)
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
-			ev.Outcome, ev.Barred = scheduler.Superseded, why == connpool.Lawless
+			ev.Outcome, ev.Barred = scheduler.Superseded, why == connpool.LeaseLost
 			barred = append(barred, dispatch.Item{Event: ev})
 			continue
 		}
@@ -589,7 +589,7 @@
 	runs := l.runs()
 	for _, r := range runs {
 		if r.left && l.signs == r.signs {
-			f.fates.Tell(r.used, true)
+			f.fates.Record(r.used, true)
 		}
 	}
 	var tokens []uint64
@@ -666,7 +666,7 @@
 	}
 	r := l.open[id]
 	if r != nil && l.signs == r.signs+1 {
-		f.fates.Tell(r.used, false)
+		f.fates.Record(r.used, false)
 	}
 	if r == nil { // an end told twice keeps its id off this connection all the same: it may be told a third time
 		f.Strays.Add(1)
--- a/internal/wire/executors_test.go
+++ b/internal/wire/executors_test.go
@@ -235,7 +235,7 @@
 	e.hears(t, "fetch b .*")
 	c.Close()
 	assert.Equal(t, scheduler.Severed, m.next(t).Event.Outcome)
-	assert.Equal(t, connpool.Fates{New: connpool.Fate{Attempts: 1}, Used: connpool.Fate{Attempts: 1, Lost: 1}}, f.fates)
+	assert.Equal(t, connpool.LossStats{New: connpool.LossCount{Attempts: 1}, Used: connpool.LossCount{Attempts: 1, Lost: 1}}, f.fates)
 }
 
 // Bytes may be spoilt where every length still fits.
