--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -118,28 +118,28 @@
 
 // agreed takes what the council says; the carrier's goroutine calls it.
 func (f *fleet) agreed(now float64, e consensus.Effect) {
-	log := f.log.WithFields(logrus.Fields{"member": e.Name, "life": e.Life, "term": e.Term})
+	log := f.log.WithFields(logrus.Fields{"member": e.Name, "life": e.Incarnation, "term": e.Term})
 	switch e.Kind {
-	case consensus.Declared:
+	case consensus.MemberLost:
 		f.declared.Add(1)
-		log.WithField("why", e.Why).Warn("council: a life is declared lost")
-	case consensus.Admitted:
-		f.line(now).WithFields(logrus.Fields{"member": e.Name, "life": e.Life, "term": e.Term}).Info("council: a life is let in")
-	case consensus.Led:
+		log.WithField("why", e.Reason).Warn("council: a life is declared lost")
+	case consensus.MemberAdmitted:
+		f.line(now).WithFields(logrus.Fields{"member": e.Name, "life": e.Incarnation, "term": e.Term}).Info("council: a life is let in")
+	case consensus.LeaderChanged:
 		f.log.WithField("leader", e.Name).Info("council: led by another")
-	case consensus.Founded:
+	case consensus.GroupFormed:
 		f.log.Info("council: founded")
-	case consensus.Lease:
+	case consensus.LeaseChanged:
 		if e.Held {
 			f.log.Info("council: this controller holds its lease")
 		} else {
 			f.log.Warn("council: this controller's lease is over")
 		}
-	case consensus.Dethrone:
+	case consensus.IncarnationRevoked:
 		f.log.Warn("council: this life has been declared lost; going on as another")
 		f.carrier.RaiseIncarnation(now)
-	case consensus.Broken:
-		f.log.WithField("why", e.Why).Error("council: this voter can't go on; the others do")
+	case consensus.VoterFailed:
+		f.log.WithField("why", e.Reason).Error("council: this voter can't go on; the others do")
 		f.sick.Store(true)
 		go f.carrier.SetFlag(f.marks(membership.Ready))
 	}
@@ -153,13 +153,13 @@
 		m, _ := f.view.Find(v.Name)
 		voters = append(voters, map[string]any{"name": v.Name, "zone": m.Zone, "phase": m.Phase.String(), "id": strconv.FormatUint(v.ID, 16)})
 	}
-	for _, name := range slices.Sorted(maps.Keys(record.Places)) {
-		p := record.Places[name]
-		places = append(places, map[string]any{"name": name, "life": strconv.FormatUint(p.Life, 10), "term": float64(p.Term), "lost": p.Lost, "left": p.Left})
+	for _, name := range slices.Sorted(maps.Keys(record.Members)) {
+		p := record.Members[name]
+		places = append(places, map[string]any{"name": name, "life": strconv.FormatUint(p.Incarnation, 10), "term": float64(p.Term), "lost": p.Lost, "left": p.LeftGracefully})
 	}
-	return map[string]any{"founded": s.Founded, "voter": s.Voter, "broken": s.Broken, "leader": s.Leader, "term": float64(s.Term),
-		"commit": float64(s.Commit), "log": float64(s.Log), "held": s.Held, "lease_ms": math.Round(s.LeftMS), "voters": voters, "places": places,
-		"declared": float64(record.Declared)}
+	return map[string]any{"founded": s.Formed, "voter": s.Voter, "broken": s.Failed, "leader": s.Leader, "term": float64(s.Term),
+		"commit": float64(s.Commit), "log": float64(s.LogEntries), "held": s.LeaseHeld, "lease_ms": math.Round(s.LeaseLeftMS), "voters": voters, "places": places,
+		"declared": float64(record.DeclaredLost)}
 }
 
 // life gives the number of this start: later than any that is on record here, and than any start before by the machine's clock.
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -185,7 +185,7 @@
 	}
 	h.Run(10_000)
 	for n := range names {
-		h.Invented = append(h.Invented, consensus.Sight{Name: fmt.Sprint("x", n), Life: 1, Living: true})
+		h.Invented = append(h.Invented, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
 	}
 	began := h.Now
 	for h.Now < began+120_000 {
@@ -193,7 +193,7 @@
 		least := names
 		for k, s := range h.Seats {
 			st := s.Council.Status(h.Local(k))
-			kept, least = max(kept, float64(st.Log)), min(least, len(st.Record.Places))
+			kept, least = max(kept, float64(st.LogEntries)), min(least, len(st.Record.Members))
 		}
 		if least >= names {
 			return names / (h.Now - began) * 1000, kept
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -162,7 +162,7 @@
 	do()
 }
 
-func (s *Estates) held(k int) bool { return s.Lawless || s.Seats[k].Council.Held(s.Local(k)) }
+func (s *Estates) held(k int) bool { return s.Lawless || s.Seats[k].Council.LeaseHeld(s.Local(k)) }
 
 // beat gives a node its ticks, and what is agreed.
 func (s *Estates) beat(k, run int) {
@@ -209,15 +209,15 @@
 	for to := range s.Nodes {
 		if st := s.Seats[to].Council; st != nil && to != k && st.Status(s.Local(to)).Leader == s.Nodes[to].Name {
 			s.later(k, to, func() {
-				places, table := s.Seats[to].Council.Roll()
+				places, table := s.Seats[to].Council.Configuration()
 				s.later(to, k, func() { s.seat(k, places, table) }, nil)
 			}, nil)
 		}
 	}
 }
 
-func (s *Estates) roll(k int, c *consensus.Council) {
-	places, table := c.Roll()
+func (s *Estates) roll(k int, c *consensus.Group) {
+	places, table := c.Configuration()
 	s.seat(k, places, table)
 }
 
@@ -288,9 +288,9 @@
 				reply(e.Batch)
 			}
 		case handoff.Move:
-			data := consensus.Motion(e.Motion, e.Claim, e.Version)
+			data := consensus.Proposal(e.Motion, e.Claim, e.Version)
 			for to := range s.Nodes { // whoever leads takes it up
-				s.later(k, to, func() { s.step(to, consensus.Event{Kind: consensus.Proposed, Data: data}) }, nil)
+				s.later(k, to, func() { s.step(to, consensus.Event{Kind: consensus.ProposalReceived, Data: data}) }, nil)
 			}
 		case handoff.Refresh:
 			s.look(k)
--- a/internal/clustersim/hall.go
+++ b/internal/clustersim/hall.go
@@ -12,7 +12,7 @@
 
 // Seat is a node's end of the council, and its disk.
 type Seat struct {
-	Council *consensus.Council
+	Council *consensus.Group
 	Disk    Disk
 	life    uint64
 	sawAt   float64
@@ -46,18 +46,18 @@
 	Leader   string
 	LedAt    float64
 	Declared int
-	Invented []consensus.Sight // that each view has besides: many names at once
+	Invented []consensus.Observation // that each view has besides: many names at once
 
 	open    map[string]Claim // declarations that are under way
 	folders int
 	tokens  uint64
-	answers map[uint64]func(consensus.Reply)
+	answers map[uint64]func(consensus.LeaseReply)
 	lost    map[string]bool // lives that are declared lost
 }
 
 // NewHall returns a fleet whose first so many nodes found a council.
 func NewHall(n, founders int, seed uint64) *Hall {
-	h := &Hall{Fleet: New(n, seed), open: map[string]Claim{}, answers: map[uint64]func(consensus.Reply){}, lost: map[string]bool{}}
+	h := &Hall{Fleet: New(n, seed), open: map[string]Claim{}, answers: map[uint64]func(consensus.LeaseReply){}, lost: map[string]bool{}}
 	for k := range n {
 		h.Seats = append(h.Seats, &Seat{})
 		h.Nodes[k].Rate = 1 + 0.001*(2*h.chance.Float64()-1)
@@ -80,7 +80,7 @@
 	h.Start(k)
 	nd, s := h.Nodes[k], h.Seats[k]
 	h.Tell(k, membership.Event{Kind: membership.Marked, Marks: membership.Ready | membership.Elector})
-	kept := consensus.Kept{State: s.Disk.State, Snap: s.Disk.Snap}
+	kept := consensus.PersistedState{State: s.Disk.State, Snapshot: s.Disk.Snap}
 	if s.Disk.Snap != nil {
 		for i := s.Disk.Snap.GetMetadata().GetIndex() + 1; s.Disk.Entries[i] != nil; i++ {
 			kept.Entries = append(kept.Entries, s.Disk.Entries[i])
@@ -104,11 +104,11 @@
 	}
 	if l := nd.View.Self().Life; l != s.life {
 		s.life = l
-		h.step(k, consensus.Event{Kind: consensus.Relived, Life: l})
+		h.step(k, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: l})
 	}
 	if h.Now >= s.sawAt+100 {
 		s.sawAt = h.Now
-		s.Council.See(append(Sights(nd.View), h.Invented...))
+		s.Council.Observe(append(Sights(nd.View), h.Invented...))
 	}
 	h.step(k, consensus.Event{Kind: consensus.Ticked})
 	next := max(h.Now+1, min(s.Council.Next()/nd.Rate, h.Now+200))
@@ -116,10 +116,10 @@
 }
 
 // Sights is a view as the council gets it.
-func Sights(v *membership.View) (list []consensus.Sight) {
+func Sights(v *membership.View) (list []consensus.Observation) {
 	for _, m := range v.Members() {
-		list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == membership.Left, Address: m.Address,
-			Zone: m.Zone, Elector: m.Marks&membership.Elector != 0, Doubled: m.Marks&membership.Doubled != 0})
+		list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Life, Alive: m.Phase.Living(), LeftGracefully: m.Phase == membership.Left, Address: m.Address,
+			Zone: m.Zone, CanVote: m.Marks&membership.Elector != 0, Duplicated: m.Marks&membership.Doubled != 0})
 	}
 	return list
 }
@@ -174,42 +174,42 @@
 			}
 		}
 		switch e.Kind {
-		case consensus.Keep:
+		case consensus.Persist:
 			h.keep(k, run, e, mine(consensus.Event{Kind: consensus.Stored, Token: e.Token, Failed: s.Disk.Fails}))
-		case consensus.Say:
+		case consensus.SendMessage:
 			if to >= 0 {
-				h.later(k, to, func() { h.step(to, consensus.Event{Kind: consensus.Heard, Name: nd.Name, Data: e.Data}) }, nil)
+				h.later(k, to, func() { h.step(to, consensus.Event{Kind: consensus.MessageReceived, Name: nd.Name, Data: e.Data}) }, nil)
 			}
-		case consensus.Ask:
+		case consensus.RequestLease:
 			h.ask(k, to, e, mine)
-		case consensus.Answer:
+		case consensus.ReplyLease:
 			if back := h.answers[e.Token]; back != nil {
 				delete(h.answers, e.Token)
 				back(e.Reply)
 			}
-		case consensus.Greet:
+		case consensus.SendHello:
 			if to >= 0 {
 				h.later(k, to, func() {
 					hello := h.Seats[to].Council.Hello()
-					h.later(to, k, mine(consensus.Event{Kind: consensus.Met, Hello: hello}), nil)
+					h.later(to, k, mine(consensus.Event{Kind: consensus.HelloReceived, Hello: hello}), nil)
 				}, nil)
 			}
-		case consensus.Led:
+		case consensus.LeaderChanged:
 			if e.Name != "" && e.Name != h.Leader {
 				h.Leader, h.LedAt = e.Name, h.Now
 			}
-		case consensus.Doomed:
-			key := fmt.Sprint(e.Name, "/", e.Life)
+		case consensus.LossProposed:
+			key := fmt.Sprint(e.Name, "/", e.Incarnation)
 			if _, under := h.open[key]; !under && !h.lost[key] {
-				h.open[key] = Claim{Node: k, Kind: "declared", Name: e.Name, Life: e.Life, Call: h.Now}
+				h.open[key] = Claim{Node: k, Kind: "declared", Name: e.Name, Life: e.Incarnation, Call: h.Now}
 			}
-		case consensus.Declared:
+		case consensus.MemberLost:
 			h.declared(&e)
-		case consensus.Dethrone:
+		case consensus.IncarnationRevoked:
 			h.Tell(k, membership.Event{Kind: membership.Renew})
-		case consensus.Broken:
+		case consensus.VoterFailed:
 			if !s.Disk.Fails {
-				h.Broken = append(h.Broken, fmt.Sprintf("%.0f: voter %s: %s", h.Now, nd.Name, e.Why))
+				h.Broken = append(h.Broken, fmt.Sprintf("%.0f: voter %s: %s", h.Now, nd.Name, e.Reason))
 			}
 		}
 	}
@@ -229,8 +229,8 @@
 		}
 		d := &h.Seats[k].Disk
 		if !d.Fails {
-			if e.Snap != nil {
-				d.Snap = e.Snap
+			if e.Snapshot != nil {
+				d.Snap = e.Snapshot
 			}
 			if e.State != nil {
 				d.State = e.State
@@ -253,7 +253,7 @@
 // ask carries an asking for a lease and what is answered.
 func (h *Hall) ask(k, to int, e consensus.Effect, mine func(consensus.Event) func()) {
 	called := h.Now
-	failed := mine(consensus.Event{Kind: consensus.Replied, Token: e.Token, Failed: true})
+	failed := mine(consensus.Event{Kind: consensus.LeaseReplied, Token: e.Token, Failed: true})
 	if to < 0 {
 		failed()
 		return
@@ -261,22 +261,22 @@
 	h.later(k, to, func() {
 		h.tokens++
 		token := h.tokens
-		h.answers[token] = func(r consensus.Reply) {
+		h.answers[token] = func(r consensus.LeaseReply) {
 			h.later(to, k, func() {
-				kind := map[consensus.Verdict]string{consensus.Granted: "granted", consensus.LifeIsLost: "refused"}[r.Verdict]
+				kind := map[consensus.Verdict]string{consensus.Granted: "granted", consensus.IncarnationLost: "refused"}[r.Verdict]
 				if kind != "" {
-					h.Claims = append(h.Claims, Claim{Node: k, Kind: kind, Name: e.Name, Life: e.Life, Call: called, Return: h.Now})
+					h.Claims = append(h.Claims, Claim{Node: k, Kind: kind, Name: e.Name, Life: e.Incarnation, Call: called, Return: h.Now})
 				}
-				mine(consensus.Event{Kind: consensus.Replied, Token: e.Token, Reply: r})()
+				mine(consensus.Event{Kind: consensus.LeaseReplied, Token: e.Token, Reply: r})()
 			}, failed)
 		}
-		h.step(to, consensus.Event{Kind: consensus.Asked, Token: token, Name: e.Name, Life: e.Life})
+		h.step(to, consensus.Event{Kind: consensus.LeaseRequested, Token: token, Name: e.Name, Incarnation: e.Incarnation})
 	}, failed)
 }
 
 // declared checks that the one who is declared lost does not act on a lease.
 func (h *Hall) declared(e *consensus.Effect) {
-	key := fmt.Sprint(e.Name, "/", e.Life)
+	key := fmt.Sprint(e.Name, "/", e.Incarnation)
 	if !h.lost[key] {
 		h.lost[key] = true
 		h.Declared++
@@ -291,7 +291,7 @@
 	if k < 0 || !h.Nodes[k].Up || h.Now < h.Nodes[k].until { // one that stands still looks at its clock before anything leaves
 		return
 	}
-	if s := h.Seats[k]; s.life == e.Life && s.Council.Held(h.Local(k)) {
-		h.Broken = append(h.Broken, fmt.Sprintf("%.0f: %s holds the lease of life %d, which is declared lost", h.Now, e.Name, e.Life))
+	if s := h.Seats[k]; s.life == e.Incarnation && s.Council.LeaseHeld(h.Local(k)) {
+		h.Broken = append(h.Broken, fmt.Sprintf("%.0f: %s holds the lease of life %d, which is declared lost", h.Now, e.Name, e.Incarnation))
 	}
 }
--- a/internal/clustersim/hall_test.go
+++ b/internal/clustersim/hall_test.go
@@ -17,7 +17,7 @@
 	h.Run(h.Now + 8000)
 	require.NotEmpty(t, h.Leader, "seed %d", seed)
 	for k := range n {
-		require.True(t, h.Seats[k].Council.Held(h.Local(k)), "seed %d: %d holds its lease: %+v", seed, k, h.Seats[k].Council.Status(h.Local(k)))
+		require.True(t, h.Seats[k].Council.LeaseHeld(h.Local(k)), "seed %d: %d holds its lease: %+v", seed, k, h.Seats[k].Council.Status(h.Local(k)))
 	}
 	return h
 }
@@ -40,7 +40,7 @@
 	for k, nd := range h.Nodes {
 		if nd.Up {
 			s := h.Seats[k].Council.Status(h.Local(k))
-			t.Logf("%s voter %v leader %s term %d commit %d held %v voters %v", nd.Name, s.Voter, s.Leader, s.Term, s.Commit, s.Held, s.Record.Voters)
+			t.Logf("%s voter %v leader %s term %d commit %d held %v voters %v", nd.Name, s.Voter, s.Leader, s.Term, s.Commit, s.LeaseHeld, s.Record.Voters)
 		}
 	}
 	assert.Empty(t, h.Broken)
@@ -70,7 +70,7 @@
 	assert.False(t, Linearizable([]Claim{{0, "refused", "a", 1, 0, 1}, {1, "declared", "a", 1, 2, 3}}, nil), "refused before")
 	assert.True(t, Linearizable([]Claim{{0, "refused", "a", 1, 5, 6}}, map[string]Claim{"a/1": {1, "declared", "a", 1, 2, 0}}))
 	h := opened(t, 4, 3, 5)
-	h.declared(&consensus.Effect{Name: "n3", Life: h.Seats[3].life})
+	h.declared(&consensus.Effect{Name: "n3", Incarnation: h.Seats[3].life})
 	assert.NotEmpty(t, h.Broken, "one that holds its lease is declared lost")
 }
 
@@ -95,9 +95,9 @@
 	h.Open(1)
 	h.Run(h.Now + 10_000)
 	assert.False(t, h.Seats[1].Council.Hello().Voter)
-	assert.True(t, h.Seats[1].Council.Held(h.Local(1)), "it is let in all the same")
+	assert.True(t, h.Seats[1].Council.LeaseHeld(h.Local(1)), "it is let in all the same")
 	for k := range h.Nodes {
-		assert.Equal(t, h.Nodes[k].Up, h.Seats[k].Council.Held(h.Local(k)), "node %d", k)
+		assert.Equal(t, h.Nodes[k].Up, h.Seats[k].Council.LeaseHeld(h.Local(k)), "node %d", k)
 	}
 	assert.Empty(t, h.Broken)
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -16,8 +16,8 @@
 	"liftshift/scheduler"
 )
 
-// Council is one member's end of it: a voter, or one that only asks.
-type Council struct {
+// Group is one member's end of it: a voter, or one that only asks.
+type Group struct {
 	name     string
 	life     uint64
 	folder   string
@@ -58,7 +58,7 @@
 	retiring                                 uint64 // the voter that the newcomer takes the place of
 	move                                     [2]string
 	proposedAt                               float64
-	sights                                   map[string]Sight
+	sights                                   map[string]Observation
 	callers                                  map[uint64]string // voters that spoke to this one, which may not know the record yet
 
 	// this controller's own lease
@@ -80,34 +80,34 @@
 
 // New returns the end of a member. Folder names what it keeps on disk; without one it never votes. Founders are the names that found
 // the council together; kept is what was on disk, if anything. Given: voters, lease_ms, declare_ms, replace_ms.
-func New(now float64, name string, life uint64, folder string, founders []string, kept Kept, given scheduler.Given, seed uint32) *Council {
-	c := &Council{name: name, life: life, folder: folder, founders: founders, now: now, seed: seed, want: int(given.Num("voters", 3)),
+func New(now float64, name string, life uint64, folder string, founders []string, kept PersistedState, given scheduler.Given, seed uint32) *Group {
+	c := &Group{name: name, life: life, folder: folder, founders: founders, now: now, seed: seed, want: int(given.Num("voters", 3)),
 		leaseMS: given.Num("lease_ms", leaseMS), declareMS: given.Num("declare_ms", declareMS), replaceMS: given.Num("replace_ms", replaceMS),
 		copies: int(given.Num("copies", 0)),
-		record: Record{Places: map[string]Place{}}, granted: map[string]float64{}, goneAt: map[string]float64{}, doomed: map[string]uint64{},
-		reads: map[uint64][]asking{}, hellos: map[string]Hello{}, sights: map[string]Sight{}, callers: map[uint64]string{}, wakeAt: now}
+		record: Record{Members: map[string]Member{}}, granted: map[string]float64{}, goneAt: map[string]float64{}, doomed: map[string]uint64{},
+		reads: map[uint64][]asking{}, hellos: map[string]Hello{}, sights: map[string]Observation{}, callers: map[uint64]string{}, wakeAt: now}
 	c.tokens = uint64(c.chance() * (1 << 32))
 	if folder != "" {
-		c.id = Identity(name, folder)
+		c.id = NodeID(name, folder)
 	}
-	if kept.Snap != nil {
+	if kept.Snapshot != nil {
 		c.begin(kept)
 	}
 	return c
 }
 
 // chance draws from [0, 1), the same for the same seed.
-func (c *Council) chance() float64 {
+func (c *Group) chance() float64 {
 	c.drawn++
 	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", c.seed, c.drawn))) / (1 << 32)
 }
 
 // begin starts to take part, with what is on disk.
-func (c *Council) begin(kept Kept) {
+func (c *Group) begin(kept PersistedState) {
 	c.log = raft.NewMemoryStorage()
-	if kept.Snap != nil {
-		c.must(c.log.ApplySnapshot(kept.Snap))
-		c.take(kept.Snap)
+	if kept.Snapshot != nil {
+		c.must(c.log.ApplySnapshot(kept.Snapshot))
+		c.take(kept.Snapshot)
 	}
 	if kept.State != nil {
 		c.must(c.log.SetHardState(kept.State))
@@ -123,39 +123,39 @@
 }
 
 // must stops this voter where the library finds that it can't go on.
-func (c *Council) must(err error) {
+func (c *Group) must(err error) {
 	if err != nil {
 		c.fail(err.Error())
 	}
 }
 
-func (c *Council) fail(why string) {
+func (c *Group) fail(why string) {
 	if !c.broken {
 		c.broken = true
-		c.do(Effect{Kind: Broken, Why: why})
+		c.do(Effect{Kind: VoterFailed, Reason: why})
 	}
 }
 
-func (c *Council) do(e Effect) { c.effects = append(c.effects, e) }
+func (c *Group) do(e Effect) { c.effects = append(c.effects, e) }
 
 // Next is when the council wants to be Ticked.
-func (c *Council) Next() float64 { return c.wakeAt }
+func (c *Group) Next() float64 { return c.wakeAt }
 
-// Held tells whether this controller may act on its lease at a time. It is asked at the last step before anything leaves.
-func (c *Council) Held(now float64) bool { return now < c.until }
+// LeaseHeld tells whether this controller may act on its lease at a time. It is asked at the last step before anything leaves.
+func (c *Group) LeaseHeld(now float64) bool { return now < c.until }
 
-// Until is when the lease ends, by this controller's clock.
-func (c *Council) Until() float64 { return c.until }
+// LeaseUntil is when the lease ends, by this controller's clock.
+func (c *Group) LeaseUntil() float64 { return c.until }
 
 // Hello is what this member says of itself.
-func (c *Council) Hello() Hello {
-	h := Hello{Name: c.name, Folder: c.folder, ID: c.id, Founding: c.record.Founding}
+func (c *Group) Hello() Hello {
+	h := Hello{Name: c.name, Folder: c.folder, ID: c.id, Founders: c.record.Founders}
 	h.Voter = c.conf != nil && slices.Contains(c.conf.GetVoters(), c.id)
 	return h
 }
 
-// See takes what the view has of members; all of them if whole.
-func (c *Council) See(list []Sight) {
+// Observe takes what the view has of members; all of them if whole.
+func (c *Group) Observe(list []Observation) {
 	clear(c.sights)
 	for _, s := range list {
 		c.sights[s.Name] = s
@@ -163,8 +163,8 @@
 }
 
 // Status tells how things stand.
-func (c *Council) Status(now float64) Status {
-	s := Status{Founded: c.conf != nil || len(c.record.Founding) > 0, Broken: c.broken, Leader: c.thought(), Applied: c.applied, Held: c.Held(now), LeftMS: max(0, c.until-now),
+func (c *Group) Status(now float64) Status {
+	s := Status{Formed: c.conf != nil || len(c.record.Founders) > 0, Failed: c.broken, Leader: c.thought(), Applied: c.applied, LeaseHeld: c.LeaseHeld(now), LeaseLeftMS: max(0, c.until-now),
 		Record: c.record}
 	if c.node != nil {
 		b := c.node.BasicStatus()
@@ -172,13 +172,13 @@
 		s.Voter = c.Hello().Voter
 		first, _ := c.log.FirstIndex()
 		last, _ := c.log.LastIndex()
-		s.Log = last + 1 - first
+		s.LogEntries = last + 1 - first
 	}
 	return s
 }
 
 // Step takes an event at a time in ms and gives what follows. The slice is good until the next call.
-func (c *Council) Step(now float64, ev *Event) (effects []Effect) {
+func (c *Group) Step(now float64, ev *Event) (effects []Effect) {
 	c.effects = c.effects[:0]
 	c.now = max(now, c.now)
 	defer func() { // the library stops where its log and what it is told can't both be true: the process goes on without this voter
@@ -194,31 +194,31 @@
 	return
 }
 
-func (c *Council) play(ev *Event) {
+func (c *Group) play(ev *Event) {
 	switch ev.Kind {
-	case Heard:
+	case MessageReceived:
 		c.heard(ev.Name, ev.Data)
 	case Stored:
 		c.stored(ev)
-	case Asked:
+	case LeaseRequested:
 		c.asks(ev)
-	case Replied:
+	case LeaseReplied:
 		c.replied(ev)
-	case Met:
+	case HelloReceived:
 		c.met(&ev.Hello)
-	case Relived:
-		c.life, c.until, c.askAt = ev.Life, 0, c.now
-	case GivenBack:
+	case IncarnationChanged:
+		c.life, c.until, c.askAt = ev.Incarnation, 0, c.now
+	case LeaseReturned:
 		c.until, c.asked, c.askAt = 0, 0, math.Inf(1)
-	case Moved:
+	case VoterMoveRequested:
 		c.move = [2]string{ev.Name, ev.To}
-	case Proposed:
+	case ProposalReceived:
 		c.proposed(ev.Data)
 	}
 }
 
 // tick does what is due.
-func (c *Council) tick() {
+func (c *Group) tick() {
 	if c.node == nil && c.id != 0 && !c.broken {
 		c.found()
 	}
@@ -247,7 +247,7 @@
 	c.renew()
 }
 
-func (c *Council) wake() {
+func (c *Group) wake() {
 	c.wakeAt = c.askAt
 	if c.held {
 		c.wakeAt = min(c.wakeAt, c.until)
@@ -269,7 +269,7 @@
 // ---- what is said among voters
 
 // heard takes what a voter says.
-func (c *Council) heard(from string, data []byte) {
+func (c *Group) heard(from string, data []byte) {
 	m := &raftpb.Message{}
 	if c.id == 0 || c.broken || proto.Unmarshal(data, m) != nil || m.GetTo() != c.id {
 		return // for a folder that is no more, or nothing that a voter says
@@ -282,7 +282,7 @@
 		if t := m.GetType(); t != raftpb.MsgApp && t != raftpb.MsgSnap && t != raftpb.MsgHeartbeat {
 			return
 		}
-		c.begin(Kept{})
+		c.begin(PersistedState{})
 		if c.node == nil {
 			return
 		}
@@ -299,7 +299,7 @@
 }
 
 // flush takes what the library wants done: it is kept first, then said, then applied. One such batch is under way at a time.
-func (c *Council) flush() {
+func (c *Group) flush() {
 	for c.node != nil && !c.broken && c.ready == nil && c.node.HasReady() {
 		rd := c.node.Ready()
 		c.ready = &rd
@@ -309,9 +309,9 @@
 		if rd.Snapshot != nil && rd.Snapshot.GetMetadata().GetIndex() > 0 || len(rd.Entries) > 0 || rd.HardState != nil {
 			c.tokens++
 			c.keeping = c.tokens
-			e := Effect{Kind: Keep, Token: c.keeping, Entries: rd.Entries, State: rd.HardState}
+			e := Effect{Kind: Persist, Token: c.keeping, Entries: rd.Entries, State: rd.HardState}
 			if rd.Snapshot.GetMetadata().GetIndex() > 0 {
-				e.Snap = rd.Snapshot
+				e.Snapshot = rd.Snapshot
 			}
 			c.do(e)
 			return
@@ -321,7 +321,7 @@
 }
 
 // stored hears what became of the batch.
-func (c *Council) stored(ev *Event) {
+func (c *Group) stored(ev *Event) {
 	if c.ready == nil || ev.Token != c.keeping {
 		return
 	}
@@ -333,7 +333,7 @@
 }
 
 // finish says and applies what has been kept.
-func (c *Council) finish() {
+func (c *Group) finish() {
 	rd := c.ready
 	if rd.Snapshot.GetMetadata().GetIndex() > 0 {
 		c.must(c.log.ApplySnapshot(rd.Snapshot))
@@ -345,7 +345,7 @@
 	c.must(c.log.Append(rd.Entries))
 	for _, m := range rd.Messages {
 		if data, err := proto.Marshal(m); err == nil {
-			c.do(Effect{Kind: Say, To: c.nameOf(m.GetTo()), Data: data})
+			c.do(Effect{Kind: SendMessage, To: c.nameOf(m.GetTo()), Data: data})
 		}
 		if m.GetType() == raftpb.MsgSnap { // whether it arrives shows by what the other asks for next
 			c.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
@@ -362,8 +362,8 @@
 	c.compact()
 }
 
-func (c *Council) nameOf(id uint64) string {
-	for _, v := range slices.Concat(c.record.Voters, c.record.Founding) {
+func (c *Group) nameOf(id uint64) string {
+	for _, v := range slices.Concat(c.record.Voters, c.record.Founders) {
 		if v.ID == id {
 			return v.Name
 		}
@@ -375,7 +375,7 @@
 }
 
 // led takes who leads now.
-func (c *Council) led(s *raft.SoftState) {
+func (c *Group) led(s *raft.SoftState) {
 	leads := s.RaftState == raft.StateLeader
 	if leads && !c.leads { // what the one before it granted is not known here
 		c.quietUntil = c.now + c.leaseMS*(1+2*drift)
@@ -386,18 +386,18 @@
 	}
 	if !leads && c.leads {
 		for _, a := range c.drain() {
-			c.do(Effect{Kind: Answer, Token: a.token, Reply: Reply{Verdict: NotLeader}})
+			c.do(Effect{Kind: ReplyLease, Token: a.token, Reply: LeaseReply{Verdict: NotLeader}})
 		}
 		c.electAt = c.now + electMS*(1+c.chance())
 	}
 	if c.leads = leads; s.Lead != c.lead {
 		c.lead, c.astray = s.Lead, ""
-		c.do(Effect{Kind: Led, Name: c.leaderName()})
+		c.do(Effect{Kind: LeaderChanged, Name: c.leaderName()})
 	}
 }
 
 // drain gives all askings that wait.
-func (c *Council) drain() []asking {
+func (c *Group) drain() []asking {
 	all := c.asking
 	tokens := make([]uint64, 0, len(c.reads))
 	for t := range c.reads {
@@ -412,7 +412,7 @@
 	return all
 }
 
-func (c *Council) leaderName() string {
+func (c *Group) leaderName() string {
 	if c.lead == 0 {
 		return ""
 	}
@@ -420,7 +420,7 @@
 }
 
 // compact makes the log into a snapshot where it is long, so that neither disk nor memory grows.
-func (c *Council) compact() {
+func (c *Group) compact() {
 	if c.applied < c.snapped+keepLog && !c.reformed { // a newcomer's first snapshot has to name it
 		return
 	}
@@ -439,27 +439,27 @@
 	if first, err := c.log.FirstIndex(); err == nil && c.applied > keepTail+first {
 		c.must(c.log.Compact(c.applied - keepTail))
 	}
-	c.do(Effect{Kind: Keep, Snap: snap}) // nobody waits for it
+	c.do(Effect{Kind: Persist, Snapshot: snap}) // nobody waits for it
 }
 
 // ---- founding
 
 // found greets the other founders until each has said which folder it votes with, then begins with all of them: each comes to the
 // same beginning by itself.
-func (c *Council) found() {
+func (c *Group) found() {
 	if !slices.Contains(c.founders, c.name) || c.now < c.helloAt {
 		return
 	}
 	c.helloAt = c.now + helloMS*(0.75+0.5*c.chance())
 	for _, name := range c.founders {
 		if name != c.name {
-			c.do(Effect{Kind: Greet, To: name})
+			c.do(Effect{Kind: SendHello, To: name})
 		}
 	}
 }
 
 // met takes what another says of itself.
-func (c *Council) met(h *Hello) {
+func (c *Group) met(h *Hello) {
 	if c.leads {
 		c.meetNewcomer(h)
 		return
@@ -467,9 +467,9 @@
 	if c.node != nil || c.id == 0 || !slices.Contains(c.founders, c.name) {
 		return
 	}
-	if len(h.Founding) > 0 { // the council is there
-		if slices.ContainsFunc(h.Founding, func(v Voter) bool { return v.ID == c.id }) {
-			c.enact(h.Founding)
+	if len(h.Founders) > 0 { // the council is there
+		if slices.ContainsFunc(h.Founders, func(v Voter) bool { return v.ID == c.id }) {
+			c.enact(h.Founders)
 		}
 		return // else this folder is a later one: it waits to be made a voter
 	}
@@ -480,7 +480,7 @@
 	voters := []Voter{{ID: c.id, Name: c.name}}
 	for _, name := range c.founders {
 		if other, met := c.hellos[name]; met {
-			voters = append(voters, Voter{ID: Identity(name, other.Folder), Name: name})
+			voters = append(voters, Voter{ID: NodeID(name, other.Folder), Name: name})
 		}
 	}
 	if len(voters) == len(c.founders) {
@@ -489,8 +489,8 @@
 }
 
 // enact begins with the founders.
-func (c *Council) enact(founding []Voter) {
-	r := Record{Places: map[string]Place{}, Voters: founding, Founding: founding}
+func (c *Group) enact(founding []Voter) {
+	r := Record{Members: map[string]Member{}, Voters: founding, Founders: founding}
 	data, err := json.Marshal(&r)
 	if err != nil {
 		c.must(err)
@@ -503,61 +503,63 @@
 	slices.Sort(conf.Voters)
 	snap := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	state := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-	c.do(Effect{Kind: Keep, Snap: snap, State: state})
-	c.begin(Kept{Snap: snap, State: state})
-	c.do(Effect{Kind: Founded})
+	c.do(Effect{Kind: Persist, Snapshot: snap, State: state})
+	c.begin(PersistedState{Snapshot: snap, State: state})
+	c.do(Effect{Kind: GroupFormed})
 }
 
 // take goes on from a snapshot.
-func (c *Council) take(snap *raftpb.Snapshot) {
+func (c *Group) take(snap *raftpb.Snapshot) {
 	r := Record{}
 	if err := json.Unmarshal(snap.GetData(), &r); err != nil {
 		c.must(err)
 		return
 	}
-	if r.Places == nil {
-		r.Places = map[string]Place{}
+	if r.Members == nil {
+		r.Members = map[string]Member{}
 	}
-	before := c.record.Places
+	before := c.record.Members
 	c.record, c.conf = r, snap.GetMetadata().GetConfState()
 	c.applied, c.snapped = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
-	names := make([]string, 0, len(r.Places))
-	for name := range r.Places {
+	names := make([]string, 0, len(r.Members))
+	for name := range r.Members {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if p := r.Places[name]; p != before[name] {
+		if p := r.Members[name]; p != before[name] {
 			c.told(name, p)
 		}
 	}
-	if r.Chairs.Copies > 0 {
-		c.do(Effect{Kind: Reseated})
+	if r.Placement.Copies > 0 {
+		c.do(Effect{Kind: PlacementChanged})
 	}
-	if r.Number > 0 || len(r.Orders) > 0 {
-		c.do(Effect{Kind: Replanned})
+	if r.PlanNumber > 0 || len(r.Orders) > 0 {
+		c.do(Effect{Kind: PlanChanged})
 	}
 }
 
-// Roll gives the places and a copy of the table of chairs, where anybody keeps copies.
-func (c *Council) Roll() ([]placement.Place, placement.Table) {
-	return c.record.places(), c.record.Chairs.Clone()
+// Configuration gives the places and a copy of the table of chairs, where anybody keeps copies.
+func (c *Group) Configuration() ([]placement.Place, placement.Table) {
+	return c.record.places(), c.record.Placement.Clone()
 }
 
-// Roll gives the same of a record that came from elsewhere.
-func (r *Record) Roll() ([]placement.Place, placement.Table) { return r.places(), r.Chairs.Clone() }
+// Configuration gives the same of a record that came from elsewhere.
+func (r *Record) Configuration() ([]placement.Place, placement.Table) {
+	return r.places(), r.Placement.Clone()
+}
 
 // told says what has become of a name.
-func (c *Council) told(name string, p Place) {
-	kind := Admitted
+func (c *Group) told(name string, p Member) {
+	kind := MemberAdmitted
 	if p.Lost {
-		kind = Declared
+		kind = MemberLost
 	}
-	c.do(Effect{Kind: kind, Name: name, Life: p.Life, Term: p.Term, Why: whyOf(p)})
+	c.do(Effect{Kind: kind, Name: name, Incarnation: p.Incarnation, Term: p.Term, Reason: whyOf(p)})
 }
 
-func whyOf(p Place) string {
-	if p.Left {
+func whyOf(p Member) string {
+	if p.LeftGracefully {
 		return "it left"
 	}
 	return ""
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -64,7 +64,7 @@
 // Every kind of entry of the replicated log has the bytes that it had, and does to the record what it did.
 func TestGolden_CouncilEntries(t *testing.T) {
 	claim := placement.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}
-	c := &Council{record: Record{Places: map[string]Place{}}, doomed: map[string]uint64{}}
+	c := &Group{record: Record{Members: map[string]Member{}}, doomed: map[string]uint64{}}
 	for k, e := range []struct {
 		file string
 		data []byte // as the package makes it, if it is proposed by members
@@ -74,17 +74,17 @@
 		{"in-second", nil, entry{Kind: "in", Name: "b", Life: 2, Address: "127.0.0.1:7001", Zone: "z2"}},
 		{"in-third", nil, entry{Kind: "in", Name: "c", Life: 3, Address: "127.0.0.1:7002"}},
 		{"copies", nil, entry{Kind: "copies", Copies: 1}},
-		{"ready", Motion("ready", placement.Claim{Name: "a", Life: 1, Mask: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
+		{"ready", Proposal("ready", placement.Claim{Name: "a", Life: 1, Mask: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
 		{"lost", nil, entry{Kind: "lost", Name: "b", Life: 2}},
-		{"claim", Motion("claim", claim, 0), entry{Kind: "claim", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}},
-		{"settled", Motion("settled", placement.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}, 0),
+		{"claim", Proposal("claim", claim, 0), entry{Kind: "claim", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}},
+		{"settled", Proposal("settled", placement.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}, 0),
 			entry{Kind: "settled", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}},
-		{"anew", Motion("anew", placement.Claim{Name: "a", Life: 1, Mask: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
+		{"anew", Proposal("anew", placement.Claim{Name: "a", Life: 1, Mask: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
 		{"left", nil, entry{Kind: "left", Name: "c", Life: 3}},
-		{"plan", PlanMotion(1, []byte(`{"x":1}`)), entry{Kind: "plan", Number: 1, Data: []byte(`{"x":1}`)}},
-		{"order", OrderMotion("zone z1", []byte(`{"y":2}`)), entry{Kind: "order", Name: "zone z1", Data: []byte(`{"y":2}`)}},
-		{"order-other", OrderMotion("zone z2", []byte(`{}`)), entry{Kind: "order", Name: "zone z2", Data: []byte(`{}`)}},
-		{"order-back", OrderMotion("zone z2", nil), entry{Kind: "order", Name: "zone z2"}},
+		{"plan", PlanProposal(1, []byte(`{"x":1}`)), entry{Kind: "plan", Number: 1, Data: []byte(`{"x":1}`)}},
+		{"order", OrderProposal("zone z1", []byte(`{"y":2}`)), entry{Kind: "order", Name: "zone z1", Data: []byte(`{"y":2}`)}},
+		{"order-other", OrderProposal("zone z2", []byte(`{}`)), entry{Kind: "order", Name: "zone z2", Data: []byte(`{}`)}},
+		{"order-back", OrderProposal("zone z2", nil), entry{Kind: "order", Name: "zone z2"}},
 	} {
 		goldenJSON(t, "entry-"+e.file+".json", &e.want)
 		if e.data != nil {
@@ -105,23 +105,23 @@
 
 // What is kept of the record, and what members say of themselves and of leases, has the bytes that it had.
 func TestGolden_CouncilValues(t *testing.T) {
-	voters := []Voter{{ID: Identity("a", "fa"), Name: "a", Zone: "z1"}, {ID: Identity("b", "fb"), Name: "b"}}
+	voters := []Voter{{ID: NodeID("a", "fa"), Name: "a", Zone: "z1"}, {ID: NodeID("b", "fb"), Name: "b"}}
 	full := Record{
-		Places: map[string]Place{"a": {Life: 1, Term: 2, Address: "127.0.0.1:7000", Zone: "z1"}, "b": {Life: 3, Term: 4, Lost: true, Left: true}},
-		Voters: voters, Founding: voters[:1], Declared: 5,
-		Chairs: placement.Table{Version: 6, Step: 7, Copies: 1, Parts: []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
+		Members: map[string]Member{"a": {Incarnation: 1, Term: 2, Address: "127.0.0.1:7000", Zone: "z1"}, "b": {Incarnation: 3, Term: 4, Lost: true, LeftGracefully: true}},
+		Voters:  voters, Founders: voters[:1], DeclaredLost: 5,
+		Placement: placement.Table{Version: 6, Step: 7, Copies: 1, Parts: []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
 			Was: []placement.Chair{{Name: "b", Life: 3}}}, {}}, Claims: []placement.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}},
-		Plan: []byte(`{"x":1}`), Number: 8, Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)},
+		Plan: []byte(`{"x":1}`), PlanNumber: 8, Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)},
 	}
 	for name, value := range map[string]any{
 		"record": &full, "record-empty": &Record{}, "voters-of-a-change": &voters, "entry-empty": &entry{},
-		"hello":       &Hello{Name: "a", Folder: "fa", ID: Identity("a", "fa"), Founding: voters, Voter: true},
-		"hello-empty": &Hello{}, "reply-granted": &Reply{Verdict: Granted, Leader: "a", Term: 2, Step: 3, Number: 4},
-		"reply-not-leader": &Reply{Verdict: NotLeader, Leader: "b"}, "reply-not-yet": &Reply{Verdict: NotYet}, "reply-lost": &Reply{Verdict: LifeIsLost},
+		"hello":       &Hello{Name: "a", Folder: "fa", ID: NodeID("a", "fa"), Founders: voters, Voter: true},
+		"hello-empty": &Hello{}, "reply-granted": &LeaseReply{Verdict: Granted, Leader: "a", Term: 2, PlacementStep: 3, PlanNumber: 4},
+		"reply-not-leader": &LeaseReply{Verdict: NotLeader, Leader: "b"}, "reply-not-yet": &LeaseReply{Verdict: NotAdmitted}, "reply-lost": &LeaseReply{Verdict: IncarnationLost},
 	} {
 		goldenJSON(t, name+".json", value)
 	}
-	c := New(0, "x", 1, "", nil, Kept{}, nil, 1)
+	c := New(0, "x", 1, "", nil, PersistedState{}, nil, 1)
 	c.take(&raftpb.Snapshot{Data: must(os.ReadFile("testdata/golden/record.json")), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(9)}})
 	assert.Equal(t, full, c.record, "as a snapshot's data")
 }
@@ -131,19 +131,19 @@
 	c, e := founder()
 	marshal := proto.MarshalOptions{Deterministic: true}
 	snap, state := &raftpb.Snapshot{}, &raftpb.HardState{}
-	require.NoError(t, proto.Unmarshal(golden(t, "founding-snapshot.pb", must(marshal.Marshal(e.Snap))), snap))
+	require.NoError(t, proto.Unmarshal(golden(t, "founding-snapshot.pb", must(marshal.Marshal(e.Snapshot))), snap))
 	require.NoError(t, proto.Unmarshal(golden(t, "founding-state.pb", must(marshal.Marshal(e.State))), state))
-	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, Kept{Snap: snap, State: state}, nil, 1)
+	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{Snapshot: snap, State: state}, nil, 1)
 	assert.Equal(t, c.record, again.record)
 	assert.Len(t, again.record.Voters, 3)
 }
 
 // What the leader itself proposes, who is in, lost or has left, how many copies are kept and who learns to vote, has the bytes that it had.
 func TestGolden_CouncilLeader(t *testing.T) {
-	only := []Voter{{ID: Identity("a", "fa"), Name: "a"}}
-	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Places: map[string]Place{}, Voters: only, Founding: only})), Metadata: &raftpb.SnapshotMetadata{
+	only := []Voter{{ID: NodeID("a", "fa"), Name: "a"}}
+	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Members: map[string]Member{}, Voters: only, Founders: only})), Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{only[0].ID}}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	c := New(0, "a", 1, "fa", []string{"a"}, Kept{Snap: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
+	c := New(0, "a", 1, "fa", []string{"a"}, PersistedState{Snapshot: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
 		scheduler.Given{"copies": 1.0}, 1)
 	now, logged := 0.0, map[string]bool{}
 	var play func(ev Event)
@@ -152,7 +152,7 @@
 			for _, x := range e.Entries {
 				logged[string(x.GetData())] = true
 			}
-			if e.Kind == Keep && e.Token != 0 {
+			if e.Kind == Persist && e.Token != 0 {
 				play(Event{Kind: Stored, Token: e.Token})
 			}
 		}
@@ -162,23 +162,23 @@
 			play(Event{Kind: Ticked})
 		}
 	}
-	sights := []Sight{{Name: "a", Life: 1, Living: true, Address: "127.0.0.1:7000", Zone: "z1"},
-		{Name: "b", Life: 2, Living: true, Address: "127.0.0.1:7001", Zone: "z2"}, {Name: "c", Life: 3, Living: true, Address: "127.0.0.1:7002"},
-		{Name: "d", Life: 4, Living: true, Address: "127.0.0.1:7003", Zone: "z3", Elector: true}}
-	c.See(sights)
+	sights := []Observation{{Name: "a", Incarnation: 1, Alive: true, Address: "127.0.0.1:7000", Zone: "z1"},
+		{Name: "b", Incarnation: 2, Alive: true, Address: "127.0.0.1:7001", Zone: "z2"}, {Name: "c", Incarnation: 3, Alive: true, Address: "127.0.0.1:7002"},
+		{Name: "d", Incarnation: 4, Alive: true, Address: "127.0.0.1:7003", Zone: "z3", CanVote: true}}
+	c.Observe(sights)
 	run(4000)
 	require.True(t, c.leads)
-	play(Event{Kind: Asked, Token: 1, Name: "c", Life: 3, Release: true})
-	sights[1].Living = false
-	c.See(sights)
+	play(Event{Kind: LeaseRequested, Token: 1, Name: "c", Incarnation: 3, Release: true})
+	sights[1].Alive = false
+	c.Observe(sights)
 	run(30000)
-	play(Event{Kind: Met, Hello: Hello{Name: "d", Folder: "fd"}})
+	play(Event{Kind: HelloReceived, Hello: Hello{Name: "d", Folder: "fd"}})
 	for _, file := range []string{"entry-in", "entry-in-second", "entry-in-third", "entry-copies", "entry-left", "entry-lost"} {
 		assert.Contains(t, logged, string(must(os.ReadFile("testdata/golden/"+file+".json"))), file)
 	}
-	learner := &raftpb.ConfChangeV2{Context: must(json.Marshal([]Voter{{ID: Identity("d", "fd"), Name: "d", Zone: "z3"}})),
-		Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(Identity("d", "fd"))}}}
+	learner := &raftpb.ConfChangeV2{Context: must(json.Marshal([]Voter{{ID: NodeID("d", "fd"), Name: "d", Zone: "z3"}})),
+		Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddLearnerNode.Enum(), NodeId: proto.Uint64(NodeID("d", "fd"))}}}
 	data := golden(t, "change-of-voters.pb", must(proto.MarshalOptions{Deterministic: true}.Marshal(learner)))
 	assert.Contains(t, logged, string(data), "change of voters")
-	assert.Contains(t, c.record.Voters, Voter{ID: Identity("d", "fd"), Name: "d", Zone: "z3"})
+	assert.Contains(t, c.record.Voters, Voter{ID: NodeID("d", "fd"), Name: "d", Zone: "z3"})
 }
--- a/internal/consensus/helpers_test.go
+++ b/internal/consensus/helpers_test.go
@@ -21,7 +21,7 @@
 // kept gives what is to be kept.
 func kept(list []Effect) (out []Effect) {
 	for _, e := range list {
-		if e.Kind == Keep {
+		if e.Kind == Persist {
 			out = append(out, e)
 		}
 	}
@@ -29,16 +29,16 @@
 }
 
 // founder is one of three that have founded the council.
-func founder() (*Council, Effect) {
-	c := New(0, "a", 1, "fa", []string{"a", "b", "c"}, Kept{}, nil, 1)
-	c.Step(0, &Event{Kind: Met, Hello: Hello{Name: "b", Folder: "fb"}})
-	return c, kept(c.Step(1, &Event{Kind: Met, Hello: Hello{Name: "c", Folder: "fc"}}))[0]
+func founder() (*Group, Effect) {
+	c := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, nil, 1)
+	c.Step(0, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})
+	return c, kept(c.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))[0]
 }
 
 // said is what a voter is told.
 func said(t *testing.T, e Effect) *raftpb.Message {
 	t.Helper()
-	require.Equal(t, Say, e.Kind)
+	require.Equal(t, SendMessage, e.Kind)
 	m := &raftpb.Message{}
 	require.NoError(t, proto.Unmarshal(e.Data, m))
 	return m
--- a/internal/consensus/lead.go
+++ b/internal/consensus/lead.go
@@ -15,25 +15,25 @@
 // ---- leases, as the leader grants them
 
 // asks takes somebody's wish for a lease. It is granted once the leader has heard, after it was asked, that it leads still.
-func (c *Council) asks(ev *Event) {
+func (c *Group) asks(ev *Event) {
 	if ev.Release {
-		if p := c.record.Places[ev.Name]; c.leads && p.Life == ev.Life && !p.Lost {
+		if p := c.record.Members[ev.Name]; c.leads && p.Incarnation == ev.Incarnation && !p.Lost {
 			delete(c.granted, ev.Name)
-			c.propose(entry{Kind: "left", Name: ev.Name, Life: ev.Life})
+			c.propose(entry{Kind: "left", Name: ev.Name, Life: ev.Incarnation})
 		}
-		c.do(Effect{Kind: Answer, Token: ev.Token, Reply: Reply{Verdict: Granted}})
+		c.do(Effect{Kind: ReplyLease, Token: ev.Token, Reply: LeaseReply{Verdict: Granted}})
 		return
 	}
 	if !c.leads || c.broken || len(c.asking) >= mostOpen {
-		c.do(Effect{Kind: Answer, Token: ev.Token, Reply: Reply{Verdict: NotLeader, Leader: c.leaderName()}})
+		c.do(Effect{Kind: ReplyLease, Token: ev.Token, Reply: LeaseReply{Verdict: NotLeader, Leader: c.leaderName()}})
 		return
 	}
-	c.asking = append(c.asking, asking{ev.Name, ev.Life, ev.Token})
+	c.asking = append(c.asking, asking{ev.Name, ev.Incarnation, ev.Token})
 	c.read()
 }
 
 // read asks the others whether this one leads still, for all that wait; one such question is out at a time, or a few.
-func (c *Council) read() {
+func (c *Group) read() {
 	if len(c.asking) == 0 || len(c.reads) >= 4 {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // confirmed grants what was asked for before the question went out.
-func (c *Council) confirmed(r raft.ReadState) {
+func (c *Group) confirmed(r raft.ReadState) {
 	if len(r.RequestCtx) != 8 {
 		return
 	}
@@ -52,35 +52,35 @@
 	list := c.reads[token]
 	delete(c.reads, token)
 	for _, a := range list {
-		c.do(Effect{Kind: Answer, Token: a.token, Reply: c.grant(&a, r.Index)})
+		c.do(Effect{Kind: ReplyLease, Token: a.token, Reply: c.grant(&a, r.Index)})
 	}
 	c.read()
 }
 
-func (c *Council) grant(a *asking, index uint64) Reply {
-	p, known := c.record.Places[a.name]
+func (c *Group) grant(a *asking, index uint64) LeaseReply {
+	p, known := c.record.Members[a.name]
 	switch {
 	case !c.leads || c.applied < index:
-		return Reply{Verdict: NotLeader}
-	case known && (p.Life > a.life || p.Life == a.life && p.Lost):
-		return Reply{Verdict: LifeIsLost, Term: p.Term}
-	case !known || p.Life != a.life || c.doomed[a.name] == a.life && a.life != 0:
-		return Reply{Verdict: NotYet}
+		return LeaseReply{Verdict: NotLeader}
+	case known && (p.Incarnation > a.life || p.Incarnation == a.life && p.Lost):
+		return LeaseReply{Verdict: IncarnationLost, Term: p.Term}
+	case !known || p.Incarnation != a.life || c.doomed[a.name] == a.life && a.life != 0:
+		return LeaseReply{Verdict: NotAdmitted}
 	}
 	c.granted[a.name] = c.now + c.leaseMS*(1+drift)
-	return Reply{Verdict: Granted, Leader: c.name, Term: p.Term, Step: c.record.Chairs.Step, Number: c.record.Number}
+	return LeaseReply{Verdict: Granted, Leader: c.name, Term: p.Term, PlacementStep: c.record.Placement.Step, PlanNumber: c.record.PlanNumber}
 }
 
 // ---- who is in, and who is lost
 
 // look compares the record with what the view has. What it proposes rests on the view alone where that does no harm: one that is let
 // in can be declared lost again. One is declared lost only when its lease is over, whatever the view says.
-func (c *Council) look() {
+func (c *Group) look() {
 	names := make([]string, 0, len(c.sights))
 	for name := range c.sights {
 		names = append(names, name)
 	}
-	for name := range c.record.Places {
+	for name := range c.record.Members {
 		if _, seen := c.sights[name]; !seen {
 			names = append(names, name)
 		}
@@ -89,22 +89,22 @@
 	in := 0
 	for _, name := range names {
 		s, seen := c.sights[name]
-		p, known := c.record.Places[name]
+		p, known := c.record.Members[name]
 		switch {
-		case (!known || p.Lost) && seen && s.Living && !s.Doubled && s.Life > p.Life:
+		case (!known || p.Lost) && seen && s.Alive && !s.Duplicated && s.Incarnation > p.Incarnation:
 			if in++; in > mostIn {
 				continue
 			}
-			c.propose(entry{Kind: "in", Name: name, Life: s.Life, Address: s.Address, Zone: s.Zone})
+			c.propose(entry{Kind: "in", Name: name, Life: s.Incarnation, Address: s.Address, Zone: s.Zone})
 		case known && !p.Lost:
 			c.judge(name, p, s, seen)
 		}
 	}
-	if c.copies > 0 && c.copies != c.record.Chairs.Copies {
+	if c.copies > 0 && c.copies != c.record.Placement.Copies {
 		c.propose(entry{Kind: "copies", Copies: c.copies})
 	}
 	for name := range c.granted {
-		if c.granted[name] <= c.now && c.record.Places[name].Lost {
+		if c.granted[name] <= c.now && c.record.Members[name].Lost {
 			delete(c.granted, name)
 		}
 	}
@@ -114,8 +114,8 @@
 }
 
 // judge declares a life lost that is not seen any more, once its lease is over.
-func (c *Council) judge(name string, p Place, s Sight, seen bool) {
-	if seen && s.Life == p.Life && s.Living {
+func (c *Group) judge(name string, p Member, s Observation, seen bool) {
+	if seen && s.Incarnation == p.Incarnation && s.Alive {
 		delete(c.goneAt, name)
 		return
 	}
@@ -125,22 +125,22 @@
 		c.goneAt[name] = since
 	}
 	wait := c.declareMS
-	if seen && s.Life > p.Life {
+	if seen && s.Incarnation > p.Incarnation {
 		wait = 0 // another life of it is there: only the lease keeps the two apart
 	}
 	if c.now < since+wait || c.now < c.quietUntil || c.now < c.granted[name] {
 		return
 	}
-	if c.propose(entry{Kind: "lost", Name: name, Life: p.Life}) {
-		c.doomed[name] = p.Life // nothing is granted to it from here on
-		c.do(Effect{Kind: Doomed, Name: name, Life: p.Life})
+	if c.propose(entry{Kind: "lost", Name: name, Life: p.Incarnation}) {
+		c.doomed[name] = p.Incarnation // nothing is granted to it from here on
+		c.do(Effect{Kind: LossProposed, Name: name, Incarnation: p.Incarnation})
 	}
 }
 
 // ---- who votes
 
 // reseat replaces a voter that stays gone, one at a time: first the newcomer learns all that was agreed, then it takes the place.
-func (c *Council) reseat() {
+func (c *Group) reseat() {
 	if c.proposedAt != 0 && c.now < c.proposedAt+c.replaceMS || len(c.conf.GetVotersOutgoing()) > 0 {
 		return
 	}
@@ -153,13 +153,13 @@
 		return
 	}
 	if to := c.candidate(out); to != "" {
-		c.do(Effect{Kind: Greet, To: to})
+		c.do(Effect{Kind: SendHello, To: to})
 	}
 }
 
 // worst gives the voter that is to be replaced, if any: the one that an operator names, or one that has been gone for long, or whose
 // folder is lost.
-func (c *Council) worst() *Voter {
+func (c *Group) worst() *Voter {
 	for k := range c.record.Voters {
 		v := &c.record.Voters[k]
 		s, seen := c.sights[v.Name]
@@ -170,7 +170,7 @@
 			return v
 		}
 		key := "voter " + v.Name
-		if seen && s.Living && c.heardOf(v.ID) {
+		if seen && s.Alive && c.heardOf(v.ID) {
 			delete(c.goneAt, key)
 			continue
 		}
@@ -184,14 +184,14 @@
 }
 
 // heardOf tells whether a voter has answered lately.
-func (c *Council) heardOf(id uint64) bool {
+func (c *Group) heardOf(id uint64) bool {
 	return c.node.Status().Progress[id].RecentActive
 }
 
 // candidate chooses who is to vote by rule: one with a disk, in the zone with the fewest voters, the first by name.
-func (c *Council) candidate(out *Voter) string {
+func (c *Group) candidate(out *Voter) string {
 	if c.move[1] != "" {
-		if s, seen := c.sights[c.move[1]]; seen && s.Living && s.Elector {
+		if s, seen := c.sights[c.move[1]]; seen && s.Alive && s.CanVote {
 			return c.move[1]
 		}
 		return ""
@@ -204,27 +204,27 @@
 		zones[c.sights[v.Name].Zone]++
 		votes[v.Name] = true
 	}
-	var fit []Sight
+	var fit []Observation
 	for _, s := range c.sights {
-		if s.Living && s.Elector && !s.Doubled && !votes[s.Name] {
+		if s.Alive && s.CanVote && !s.Duplicated && !votes[s.Name] {
 			fit = append(fit, s)
 		}
 	}
 	if len(fit) == 0 {
 		return ""
 	}
-	return slices.MinFunc(fit, func(a, b Sight) int {
+	return slices.MinFunc(fit, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(zones[a.Zone], zones[b.Zone]), cmp.Compare(a.Name, b.Name))
 	}).Name
 }
 
 // meetNewcomer lets one who said which folder it votes with learn what was agreed.
-func (c *Council) meetNewcomer(h *Hello) {
+func (c *Group) meetNewcomer(h *Hello) {
 	out := c.worst()
 	if c.newcomer.ID != 0 || h.Folder == "" || h.Name != c.candidate(out) || c.proposedAt != 0 && c.now < c.proposedAt+c.replaceMS {
 		return
 	}
-	id := Identity(h.Name, h.Folder)
+	id := NodeID(h.Name, h.Folder)
 	if slices.Contains(c.conf.GetVoters(), id) {
 		return
 	}
@@ -236,7 +236,7 @@
 }
 
 // change proposes one more who learns, or the change of places.
-func (c *Council) change(v Voter, kind raftpb.ConfChangeType) {
+func (c *Group) change(v Voter, kind raftpb.ConfChangeType) {
 	context, err := json.Marshal([]Voter{v})
 	if err != nil {
 		return
@@ -251,7 +251,7 @@
 }
 
 // seatNewcomer gives the newcomer its place once it has caught up, or gives it up.
-func (c *Council) seatNewcomer() {
+func (c *Group) seatNewcomer() {
 	p, learns := c.node.Status().Progress[c.newcomer.ID]
 	switch {
 	case slices.Contains(c.conf.GetVoters(), c.newcomer.ID):
@@ -260,7 +260,7 @@
 		c.change(Voter{ID: c.newcomer.ID, Name: c.newcomer.Name, Zone: c.sights[c.newcomer.Name].Zone}, raftpb.ConfChangeAddNode)
 	case !learns:
 		c.newcomer = Hello{}
-	case !c.sights[c.newcomer.Name].Living:
+	case !c.sights[c.newcomer.Name].Alive:
 		cc := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.newcomer.ID)}}}
 		if c.node.ProposeConfChange(cc) == nil {
 			c.newcomer, c.proposedAt = Hello{}, c.now
@@ -271,14 +271,14 @@
 // ---- this controller's own lease
 
 // renew asks for the lease again in time, and says when it is over.
-func (c *Council) renew() {
+func (c *Group) renew() {
 	if c.asked != 0 && c.now >= c.askedAt+answerMS {
 		c.asked, c.leader, c.askAt = 0, "", c.now // whoever that was does not answer
 		c.tries++
 	}
-	if held := c.Held(c.now); held != c.held {
+	if held := c.LeaseHeld(c.now); held != c.held {
 		c.held = held
-		c.do(Effect{Kind: Lease, Held: held})
+		c.do(Effect{Kind: LeaseChanged, Held: held})
 	}
 	if c.asked != 0 || c.now < c.askAt || len(c.founders) == 0 {
 		return
@@ -298,11 +298,11 @@
 	c.tokens++
 	c.asked, c.askedAt, c.askedOf = c.tokens, c.now, to
 	c.askAt = c.now + c.leaseMS/renewals*(0.9+0.1*c.chance())
-	c.do(Effect{Kind: Ask, To: to, Token: c.asked, Name: c.name, Life: c.life})
+	c.do(Effect{Kind: RequestLease, To: to, Token: c.asked, Name: c.name, Incarnation: c.life})
 }
 
 // thought is who is thought to lead: as the library has it, unless that one has said that it does not.
-func (c *Council) thought() string {
+func (c *Group) thought() string {
 	if to := c.leaderName(); to != "" && to != c.astray {
 		return to
 	}
@@ -310,7 +310,7 @@
 }
 
 // replied takes the answer to our asking. The lease counts from when it was asked for.
-func (c *Council) replied(ev *Event) {
+func (c *Group) replied(ev *Event) {
 	if ev.Token != c.asked {
 		return // it came too late to be told apart from what came since
 	}
@@ -322,8 +322,8 @@
 	case ev.Reply.Verdict == Granted:
 		c.leader = ev.Reply.Leader
 		c.until = max(c.until, c.askedAt+c.leaseMS*(1-drift))
-		if ev.Reply.Number > 0 {
-			c.do(Effect{Kind: Confirmed, Number: ev.Reply.Number, At: c.askedAt})
+		if ev.Reply.PlanNumber > 0 {
+			c.do(Effect{Kind: PlanConfirmed, Number: ev.Reply.PlanNumber, At: c.askedAt})
 		}
 	case ev.Reply.Verdict == NotLeader:
 		c.leader, c.askAt = ev.Reply.Leader, soon
@@ -331,14 +331,14 @@
 		if c.askedOf == c.leaderName() { // one that votes no more hears of no later leader from the library
 			c.astray = c.askedOf
 		}
-	case ev.Reply.Verdict == LifeIsLost:
+	case ev.Reply.Verdict == IncarnationLost:
 		c.until, c.askAt = 0, math.Inf(1)
-		c.do(Effect{Kind: Dethrone})
+		c.do(Effect{Kind: IncarnationRevoked})
 	default:
 		c.askAt = soon
 	}
-	if held := c.Held(c.now); held != c.held {
+	if held := c.LeaseHeld(c.now); held != c.held {
 		c.held = held
-		c.do(Effect{Kind: Lease, Held: held})
+		c.do(Effect{Kind: LeaseChanged, Held: held})
 	}
 }
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -29,20 +29,20 @@
 	Data   json.RawMessage `json:"Data,omitempty"`
 }
 
-// Motion makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
-func Motion(kind string, c placement.Claim, version uint64) []byte {
+// Proposal makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
+func Proposal(kind string, c placement.Claim, version uint64) []byte {
 	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Life: c.Life, Heir: c.Heir, HeirLife: c.HeirLife, Mask: c.Mask, Version: version})
 	return data
 }
 
-// PlanMotion makes a plan that is to follow the one numbered one less; OrderMotion an operator's order, or takes it back.
-func PlanMotion(number uint64, plan []byte) []byte {
+// PlanProposal makes a plan that is to follow the one numbered one less; OrderMotion an operator's order, or takes it back.
+func PlanProposal(number uint64, plan []byte) []byte {
 	data, _ := json.Marshal(&entry{Kind: "plan", Number: number, Data: plan})
 	return data
 }
 
-// OrderMotion makes an operator's order about something, or takes it back: no data.
-func OrderMotion(about string, order []byte) []byte {
+// OrderProposal makes an operator's order about something, or takes it back: no data.
+func OrderProposal(about string, order []byte) []byte {
 	data, _ := json.Marshal(&entry{Kind: "order", Name: about, Data: order})
 	return data
 }
@@ -50,8 +50,8 @@
 // replan takes in a plan or an order, and tells whether that changed anything. A plan that follows another one than is there is late.
 func (r *Record) replan(e *entry) bool {
 	switch {
-	case e.Kind == "plan" && e.Number == r.Number+1 && len(e.Data) > 0 && len(e.Data) <= mostPlan:
-		r.Plan, r.Number = e.Data, e.Number
+	case e.Kind == "plan" && e.Number == r.PlanNumber+1 && len(e.Data) > 0 && len(e.Data) <= mostPlan:
+		r.Plan, r.PlanNumber = e.Data, e.Number
 		return true
 	case e.Kind != "order" || len(e.Name) > mostPlanText:
 		return false
@@ -70,7 +70,7 @@
 }
 
 // proposed takes what a member wants agreed. It is checked when it is applied.
-func (c *Council) proposed(data []byte) {
+func (c *Group) proposed(data []byte) {
 	var e entry
 	if !c.leads || c.broken || json.Unmarshal(data, &e) != nil {
 		return
@@ -83,9 +83,9 @@
 
 // places gives the record as the table of chairs wants it, in order.
 func (r *Record) places() []placement.Place {
-	list := make([]placement.Place, 0, len(r.Places))
-	for name, p := range r.Places {
-		list = append(list, placement.Place{Name: name, Life: p.Life, Lost: p.Lost, Zone: p.Zone})
+	list := make([]placement.Place, 0, len(r.Members))
+	for name, p := range r.Members {
+		list = append(list, placement.Place{Name: name, Life: p.Incarnation, Lost: p.Lost, Zone: p.Zone})
 	}
 	slices.SortFunc(list, func(a, b placement.Place) int { return cmp.Compare(a.Name, b.Name) })
 	return list
@@ -93,10 +93,10 @@
 
 // reseat has the table of chairs take in an entry, and tells whether that changed it.
 func (r *Record) reseat(e *entry) (changed bool) {
-	if e.Kind != "copies" && r.Chairs.Copies == 0 {
+	if e.Kind != "copies" && r.Placement.Copies == 0 {
 		return false // nobody has asked for chairs
 	}
-	places, t := r.places(), &r.Chairs
+	places, t := r.places(), &r.Placement
 	claim := placement.Claim{Name: e.Name, Life: e.Life, Heir: e.Heir, HeirLife: e.HeirLife, Mask: e.Mask}
 	switch e.Kind {
 	case "in", "lost", "left":
@@ -125,23 +125,23 @@
 //	none, or lost         in, later life   that life, next term        Admitted
 //	a life                lost, that life  lost, next term             Declared
 //	a life                left, that life  lost and left, next term    Declared
-func (r *Record) enter(e *entry) (Place, bool) {
-	p, known := r.Places[e.Name]
+func (r *Record) enter(e *entry) (Member, bool) {
+	p, known := r.Members[e.Name]
 	switch {
-	case e.Kind == "in" && (!known || p.Lost && e.Life > p.Life) && (known || len(r.Places) < mostKept):
-		p = Place{Life: e.Life, Term: p.Term + 1, Address: e.Address, Zone: e.Zone}
-	case (e.Kind == "lost" || e.Kind == "left") && known && !p.Lost && e.Life == p.Life:
-		p.Lost, p.Left, p.Term = true, e.Kind == "left", p.Term+1
-		r.Declared++
+	case e.Kind == "in" && (!known || p.Lost && e.Life > p.Incarnation) && (known || len(r.Members) < mostKept):
+		p = Member{Incarnation: e.Life, Term: p.Term + 1, Address: e.Address, Zone: e.Zone}
+	case (e.Kind == "lost" || e.Kind == "left") && known && !p.Lost && e.Life == p.Incarnation:
+		p.Lost, p.LeftGracefully, p.Term = true, e.Kind == "left", p.Term+1
+		r.DeclaredLost++
 	default:
 		return p, false
 	}
-	r.Places[e.Name] = p
+	r.Members[e.Name] = p
 	return p, true
 }
 
 // apply takes an entry that is agreed.
-func (c *Council) apply(e *raftpb.Entry) {
+func (c *Group) apply(e *raftpb.Entry) {
 	if e.GetIndex() <= c.applied {
 		return
 	}
@@ -154,7 +154,7 @@
 		}
 		if n.Kind == "plan" || n.Kind == "order" {
 			if c.record.replan(&n) {
-				c.do(Effect{Kind: Replanned})
+				c.do(Effect{Kind: PlanChanged})
 			}
 			return
 		}
@@ -163,7 +163,7 @@
 			c.told(n.Name, p)
 		}
 		if (changed || n.ofChairs()) && c.record.reseat(&n) {
-			c.do(Effect{Kind: Reseated})
+			c.do(Effect{Kind: PlacementChanged})
 		}
 		if !n.ofChairs() && c.doomed[n.Name] == n.Life {
 			delete(c.doomed, n.Name)
@@ -182,7 +182,7 @@
 func (e *entry) ofChairs() bool { return e.Kind != "in" && e.Kind != "lost" && e.Kind != "left" }
 
 // reform changes who votes.
-func (c *Council) reform(cc raftpb.ConfChangeI, context []byte) {
+func (c *Group) reform(cc raftpb.ConfChangeI, context []byte) {
 	c.conf = c.node.ApplyConfChange(cc)
 	var come []Voter
 	if len(context) > 0 {
@@ -202,7 +202,7 @@
 }
 
 // propose has something agreed; what comes of it is heard by apply, or it is proposed again.
-func (c *Council) propose(e entry) bool {
+func (c *Group) propose(e entry) bool {
 	data, err := json.Marshal(&e)
 	return err == nil && c.node.Propose(data) == nil
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -42,14 +42,14 @@
 	mostCallers  = 32 // voters that are remembered by number: seven, and those that were
 )
 
-// Place is one controller in the record.
-type Place struct {
-	Life    uint64 `json:"Life"`
-	Term    uint64 `json:"Term"` // of the name: grows with each life that is let in or declared lost
-	Lost    bool   `json:"Lost"`
-	Left    bool   `json:"Left"` // it stopped as planned
-	Address string `json:"Address"`
-	Zone    string `json:"Zone"`
+// Member is one controller in the record.
+type Member struct {
+	Incarnation    uint64 `json:"Life"`
+	Term           uint64 `json:"Term"` // of the name: grows with each life that is let in or declared lost
+	Lost           bool   `json:"Lost"`
+	LeftGracefully bool   `json:"Left"` // it stopped as planned
+	Address        string `json:"Address"`
+	Zone           string `json:"Zone"`
 }
 
 // Voter is one that votes, or is about to.
@@ -61,34 +61,34 @@
 
 // Record is what is agreed.
 type Record struct {
-	Places   map[string]Place           `json:"Places"`
-	Voters   []Voter                    `json:"Voters"` // and those about to be
-	Founding []Voter                    `json:"Founding"`
-	Declared uint64                     `json:"Declared"` // lives declared lost so far
-	Chairs   placement.Table            `json:"Chairs"`
-	Plan     json.RawMessage            `json:"Plan,omitempty"`   // how far searches may go, as package zones has it; the council does not read it
-	Number   uint64                     `json:"Number,omitempty"` // of the plan: each is one later than the one before
-	Orders   map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
+	Members      map[string]Member          `json:"Places"`
+	Voters       []Voter                    `json:"Voters"` // and those about to be
+	Founders     []Voter                    `json:"Founding"`
+	DeclaredLost uint64                     `json:"Declared"` // lives declared lost so far
+	Placement    placement.Table            `json:"Chairs"`
+	Plan         json.RawMessage            `json:"Plan,omitempty"`   // how far searches may go, as package zones has it; the council does not read it
+	PlanNumber   uint64                     `json:"Number,omitempty"` // of the plan: each is one later than the one before
+	Orders       map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
 }
 
-// Identity gives the number under which a member votes with a folder. Without that folder it votes under another, so that nobody
+// NodeID gives the number under which a member votes with a folder. Without that folder it votes under another, so that nobody
 // votes twice who has forgotten how it voted.
-func Identity(name, folder string) uint64 {
+func NodeID(name, folder string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name + "\x00" + folder))
 	return max(1, h.Sum64())
 }
 
-// Sight is a member as the view has it.
-type Sight struct {
-	Name    string
-	Life    uint64
-	Living  bool
-	Left    bool
-	Address string
-	Zone    string
-	Elector bool // it has a disk for the council
-	Doubled bool // two processes bear its name: neither is let in
+// Observation is a member as the view has it.
+type Observation struct {
+	Name           string
+	Incarnation    uint64
+	Alive          bool
+	LeftGracefully bool
+	Address        string
+	Zone           string
+	CanVote        bool // it has a disk for the council
+	Duplicated     bool // two processes bear its name: neither is let in
 }
 
 // EventKind tells what an event is.
@@ -96,30 +96,30 @@
 
 // Events.
 const (
-	Ticked    EventKind = iota
-	Heard               // Data of the voter Name
-	Stored              // what Keep with this Token asked for lasts, or not: Failed
-	Asked               // Name and Life ask for a lease, or give one back: Release
-	Replied             // to our own asking: Reply, or Failed
-	Met                 // what a founder, or one to be a voter, said: Hello
-	Relived             // this controller goes on under another Life
-	GivenBack           // this controller is about to give its lease back: it acts on it no more
-	Moved               // an operator wants a voter replaced: Name by To
-	Proposed            // a member wants Data agreed, as Motion makes it; what comes of it shows in the record
+	Ticked             EventKind = iota
+	MessageReceived              // Data of the voter Name
+	Stored                       // what Keep with this Token asked for lasts, or not: Failed
+	LeaseRequested               // Name and Life ask for a lease, or give one back: Release
+	LeaseReplied                 // to our own asking: Reply, or Failed
+	HelloReceived                // what a founder, or one to be a voter, said: Hello
+	IncarnationChanged           // this controller goes on under another Life
+	LeaseReturned                // this controller is about to give its lease back: it acts on it no more
+	VoterMoveRequested           // an operator wants a voter replaced: Name by To
+	ProposalReceived             // a member wants Data agreed, as Motion makes it; what comes of it shows in the record
 )
 
 // Event is something that the council hears.
 type Event struct {
-	Kind    EventKind
-	Data    []byte
-	Token   uint64
-	Failed  bool
-	Name    string
-	To      string
-	Life    uint64
-	Release bool
-	Reply   Reply
-	Hello   Hello
+	Kind        EventKind
+	Data        []byte
+	Token       uint64
+	Failed      bool
+	Name        string
+	To          string
+	Incarnation uint64
+	Release     bool
+	Reply       LeaseReply
+	Hello       Hello
 }
 
 // Hello is what one says to a founder, or to one who would have it vote.
@@ -127,7 +127,7 @@
 	Name     string  `json:"Name"`
 	Folder   string  `json:"Folder"` // empty: it has no disk for the council
 	ID       uint64  `json:"ID"`
-	Founding []Voter `json:"Founding"` // of the council that it knows, if any
+	Founders []Voter `json:"Founding"` // of the council that it knows, if any
 	Voter    bool    `json:"Voter"`    // its number is one of the council's
 }
 
@@ -136,19 +136,19 @@
 
 // Verdicts. Their numbers go over the wire: they stay.
 const (
-	Granted    Verdict = 0
-	NotLeader  Verdict = 1
-	NotYet     Verdict = 2 // it is not in the record yet
-	LifeIsLost Verdict = 3 // that life has been declared lost: only a later one may ask again
+	Granted         Verdict = 0
+	NotLeader       Verdict = 1
+	NotAdmitted     Verdict = 2 // it is not in the record yet
+	IncarnationLost Verdict = 3 // that life has been declared lost: only a later one may ask again
 )
 
 // Reply answers an asking for a lease.
-type Reply struct {
-	Verdict Verdict `json:"Verdict"`
-	Leader  string  `json:"Leader"` // who is asked next, where it is known
-	Term    uint64  `json:"Term"`   // of the name
-	Step    uint64  `json:"Step"`   // of the table of chairs
-	Number  uint64  `json:"Number"` // of the plan that was in force after it was asked
+type LeaseReply struct {
+	Verdict       Verdict `json:"Verdict"`
+	Leader        string  `json:"Leader"` // who is asked next, where it is known
+	Term          uint64  `json:"Term"`   // of the name
+	PlacementStep uint64  `json:"Step"`   // of the table of chairs
+	PlanNumber    uint64  `json:"Number"` // of the plan that was in force after it was asked
 }
 
 // EffectKind tells what an effect is.
@@ -156,59 +156,59 @@
 
 // Effects.
 const (
-	Keep      EffectKind = iota // on disk, before anything that follows from it; Stored brings back the Token
-	Say                         // Data to the voter To
-	Ask                         // the council for a lease, at To by name; Replied brings the answer, or Failed
-	Answer                      // Reply to the asking with this Token
-	Greet                       // the member To; Met brings its Hello
-	Declared                    // Name's Life is lost, in Term; told once by each that holds the record
-	Admitted                    // Name's Life is in, in Term
-	Lease                       // Held is another now
-	Dethrone                    // this life has been declared lost: go on as another
-	Led                         // who leads is another now: Name, or nobody
-	Founded                     // the council is there
-	Reseated                    // the table of chairs, or who is lost, is another now
-	Replanned                   // the plan, or the orders, are others now
-	Confirmed                   // the plan numbered Number was in force after the time At, by this controller's clock
-	Doomed                      // the leader has proposed that Name's Life be lost
-	Broken                      // this voter can't go on: Why
+	Persist            EffectKind = iota // on disk, before anything that follows from it; Stored brings back the Token
+	SendMessage                          // Data to the voter To
+	RequestLease                         // the council for a lease, at To by name; Replied brings the answer, or Failed
+	ReplyLease                           // Reply to the asking with this Token
+	SendHello                            // the member To; Met brings its Hello
+	MemberLost                           // Name's Life is lost, in Term; told once by each that holds the record
+	MemberAdmitted                       // Name's Life is in, in Term
+	LeaseChanged                         // Held is another now
+	IncarnationRevoked                   // this life has been declared lost: go on as another
+	LeaderChanged                        // who leads is another now: Name, or nobody
+	GroupFormed                          // the council is there
+	PlacementChanged                     // the table of chairs, or who is lost, is another now
+	PlanChanged                          // the plan, or the orders, are others now
+	PlanConfirmed                        // the plan numbered Number was in force after the time At, by this controller's clock
+	LossProposed                         // the leader has proposed that Name's Life be lost
+	VoterFailed                          // this voter can't go on: Why
 )
 
 // Effect is what the council wants done, or says.
 type Effect struct {
-	Kind    EffectKind
-	To      string
-	Data    []byte
-	Token   uint64
-	Name    string
-	Life    uint64
-	Term    uint64
-	Reply   Reply
-	Held    bool
-	Why     string
-	Number  uint64
-	At      float64
-	Entries []*raftpb.Entry
-	State   *raftpb.HardState
-	Snap    *raftpb.Snapshot
+	Kind        EffectKind
+	To          string
+	Data        []byte
+	Token       uint64
+	Name        string
+	Incarnation uint64
+	Term        uint64
+	Reply       LeaseReply
+	Held        bool
+	Reason      string
+	Number      uint64
+	At          float64
+	Entries     []*raftpb.Entry
+	State       *raftpb.HardState
+	Snapshot    *raftpb.Snapshot
 }
 
-// Kept is what a voter finds on its disk at a start.
-type Kept struct {
-	Entries []*raftpb.Entry
-	State   *raftpb.HardState
-	Snap    *raftpb.Snapshot
+// PersistedState is what a voter finds on its disk at a start.
+type PersistedState struct {
+	Entries  []*raftpb.Entry
+	State    *raftpb.HardState
+	Snapshot *raftpb.Snapshot
 }
 
 // Status is how a member stands to the council.
 type Status struct {
-	Voter, Founded, Broken bool
-	Leader                 string
-	Term, Commit, Applied  uint64
-	Log                    uint64 // entries kept
-	Held                   bool
-	LeftMS                 float64 // of the lease
-	Record                 Record
+	Voter, Formed, Failed bool
+	Leader                string
+	Term, Commit, Applied uint64
+	LogEntries            uint64 // entries kept
+	LeaseHeld             bool
+	LeaseLeftMS           float64 // of the lease
+	Record                Record
 }
 
 func sortVoters(v []Voter) []Voter {
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -287,7 +287,7 @@
 			out = t.reply(e, out)
 		case handoff.Move:
 			t.log.WithFields(logrus.Fields{"motion": e.Motion, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
-			t.seat.Propose(consensus.Motion(e.Motion, e.Claim, e.Version))
+			t.seat.Propose(consensus.Proposal(e.Motion, e.Claim, e.Version))
 		case handoff.Refresh:
 			if now > t.refreshed+refreshMS {
 				t.refreshed = now
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -234,7 +234,7 @@
 			t.seat.FetchPlan(now, t.Watch.Plan().Number)
 		case locality.Propose:
 			if data, err := json.Marshal(e.Plan); err == nil {
-				t.seat.Propose(consensus.PlanMotion(e.Plan.Number, data))
+				t.seat.Propose(consensus.PlanProposal(e.Plan.Number, data))
 			}
 		case locality.Warn:
 			t.log.Warn("zones: " + e.Text)
@@ -290,7 +290,7 @@
 			return err
 		}
 	}
-	t.seat.Propose(consensus.OrderMotion("zone "+o.Zone, data))
+	t.seat.Propose(consensus.OrderProposal("zone "+o.Zone, data))
 	return nil
 }
 
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -31,7 +31,7 @@
 	store       *store.Store
 	seat        *Node
 	id          string // of the folder
-	kept        consensus.Kept
+	kept        consensus.PersistedState
 	first, last uint64 // entries that are there
 	batch       store.Batch
 }
@@ -70,8 +70,8 @@
 			d.kept.State = &raftpb.HardState{}
 			err = proto.Unmarshal(rest, d.kept.State)
 		case snapRecord:
-			d.kept.Snap = &raftpb.Snapshot{}
-			err = proto.Unmarshal(rest, d.kept.Snap)
+			d.kept.Snapshot = &raftpb.Snapshot{}
+			err = proto.Unmarshal(rest, d.kept.Snapshot)
 		case entryRecord:
 			e := &raftpb.Entry{}
 			if err = proto.Unmarshal(rest, e); err == nil {
@@ -90,7 +90,7 @@
 		}
 		d.batch.Delete(key(snapRecord, 0))
 		d.batch.Delete(key(stateRecord, 0))
-		entries, d.kept, d.id = nil, consensus.Kept{}, ""
+		entries, d.kept, d.id = nil, consensus.PersistedState{}, ""
 	}
 	if d.id == "" {
 		var b [12]byte
@@ -109,8 +109,8 @@
 		}
 		d.last = max(d.last, k)
 	}
-	if d.kept.Snap != nil {
-		for k := d.kept.Snap.GetMetadata().GetIndex() + 1; entries[k] != nil; k++ {
+	if d.kept.Snapshot != nil {
+		for k := d.kept.Snapshot.GetMetadata().GetIndex() + 1; entries[k] != nil; k++ {
 			d.kept.Entries = append(d.kept.Entries, entries[k])
 		}
 	}
@@ -141,9 +141,9 @@
 	if e.State != nil {
 		put(stateRecord, 0, e.State)
 	}
-	if e.Snap != nil {
-		put(snapRecord, 0, e.Snap)
-		upTo := e.Snap.GetMetadata().GetIndex()
+	if e.Snapshot != nil {
+		put(snapRecord, 0, e.Snapshot)
+		upTo := e.Snapshot.GetMetadata().GetIndex()
 		for k := d.first; k != 0 && k <= min(upTo, d.last); k++ {
 			d.batch.Delete(key(entryRecord, k))
 		}
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -111,7 +111,7 @@
 	require.NoError(t, s.Close())
 	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
-	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	d.close()
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "0123456789abcdef01234567", again.id)
 	assert.True(t, proto.Equal(state(2, 9, 2), again.kept.State))
-	assert.True(t, proto.Equal(snapAt(1), again.kept.Snap))
+	assert.True(t, proto.Equal(snapAt(1), again.kept.Snapshot))
 	require.Len(t, again.kept.Entries, 2)
 	assert.True(t, proto.Equal(entryAt(2, 1), again.kept.Entries[0]))
 	assert.True(t, proto.Equal(entryAt(3, 2), again.kept.Entries[1]))
@@ -136,7 +136,7 @@
 	require.NoError(t, err)
 	defer torn.close()
 	assert.NotEqual(t, "0123456789abcdef01234567", torn.id)
-	assert.Equal(t, consensus.Kept{}, torn.kept)
+	assert.Equal(t, consensus.PersistedState{}, torn.kept)
 }
 
 // ear hears what a seat sends over real sockets, and answers each lease with a golden reply.
@@ -193,7 +193,7 @@
 		s.FetchPlan(now, 300)
 		s.say("b", []byte("what a voter says"))
 	})
-	s.Propose(consensus.OrderMotion("zone z1", []byte(`{"y":2}`)))
+	s.Propose(consensus.OrderProposal("zone z1", []byte(`{"y":2}`)))
 	_, err = s.Record()
 	assert.Error(t, err, "the answer is empty")
 	s.ReleaseLease()
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -61,7 +61,7 @@
 	OnPlan          func(now float64, p AgreedPlan)
 	OnPlanConfirmed func(now float64, number uint64, at float64)
 
-	council *consensus.Council
+	council *consensus.Group
 	carrier *clusternet.Transport
 	view    *membership.View
 	disk    *disk // nil: it never votes
@@ -88,7 +88,7 @@
 	self := view.Self()
 	s := &Node{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
 		lines: map[string]chan []byte{}, stop: make(chan struct{}), OnEffect: func(float64, consensus.Effect) {}}
-	var kept consensus.Kept
+	var kept consensus.PersistedState
 	id := ""
 	if folder != nil {
 		d, err := openDisk(folder, s, log)
@@ -113,7 +113,7 @@
 	if st := s.council.Status(now); st.Leader != s.name {
 		return fmt.Errorf("this member does not lead the council; %s does", st.Leader)
 	}
-	s.step(now, consensus.Event{Kind: consensus.Moved, Name: from, To: to})
+	s.step(now, consensus.Event{Kind: consensus.VoterMoveRequested, Name: from, To: to})
 	return nil
 }
 
@@ -126,17 +126,17 @@
 		s.seeAt = now + seeMS
 		if l := s.view.Self().Life; l != s.life {
 			s.life = l
-			s.step(now, consensus.Event{Kind: consensus.Relived, Life: l})
+			s.step(now, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: l})
 			if s.OnIncarnation != nil {
 				s.OnIncarnation(l)
 			}
 		}
-		var list []consensus.Sight
+		var list []consensus.Observation
 		for _, m := range s.view.Members() {
-			list = append(list, consensus.Sight{Name: m.Name, Life: m.Life, Living: m.Phase.Living(), Left: m.Phase == membership.Left, Address: m.Address,
-				Zone: m.Zone, Elector: m.Marks&membership.Elector != 0, Doubled: m.Marks&membership.Doubled != 0})
+			list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Life, Alive: m.Phase.Living(), LeftGracefully: m.Phase == membership.Left, Address: m.Address,
+				Zone: m.Zone, CanVote: m.Marks&membership.Elector != 0, Duplicated: m.Marks&membership.Doubled != 0})
 		}
-		s.council.See(list)
+		s.council.Observe(list)
 		s.look(now)
 	}
 	s.step(now, consensus.Event{Kind: consensus.Ticked})
@@ -152,7 +152,7 @@
 	case voterSays:
 		if len(rest) > 0 && int(rest[0]) <= mostNameLen && len(rest) > int(rest[0]) {
 			n := int(rest[0])
-			s.step(now, consensus.Event{Kind: consensus.Heard, Name: string(rest[1 : 1+n]), Data: rest[1+n:]})
+			s.step(now, consensus.Event{Kind: consensus.MessageReceived, Name: string(rest[1 : 1+n]), Data: rest[1+n:]})
 		}
 		reply(nil, nil)
 	case asksLease:
@@ -163,10 +163,10 @@
 		}
 		s.tokens++
 		s.answers[s.tokens] = reply
-		s.step(now, consensus.Event{Kind: consensus.Asked, Token: s.tokens, Name: w.Name, Life: w.Life, Release: w.Release})
+		s.step(now, consensus.Event{Kind: consensus.LeaseRequested, Token: s.tokens, Name: w.Name, Incarnation: w.Life, Release: w.Release})
 	case asksRoll:
 		known, _ := binary.Uvarint(rest)
-		places, table := s.council.Roll()
+		places, table := s.council.Configuration()
 		if s.council.Status(now).Leader != s.name || table.Step <= known {
 			reply(nil, nil)
 			return
@@ -181,7 +181,7 @@
 		}
 		reply(json.Marshal(p))
 	case moves:
-		s.step(now, consensus.Event{Kind: consensus.Proposed, Data: rest})
+		s.step(now, consensus.Event{Kind: consensus.ProposalReceived, Data: rest})
 		reply(nil, nil)
 	case saysHello:
 		data, err := json.Marshal(s.council.Hello())
@@ -235,7 +235,7 @@
 			close(done)
 			return
 		}
-		s.step(now, consensus.Event{Kind: consensus.GivenBack}) // before the council hears of it
+		s.step(now, consensus.Event{Kind: consensus.LeaseReturned}) // before the council hears of it
 		s.ask(now, to, append([]byte{asksLease}, data...), func(float64, []byte, error) { close(done) })
 	})
 	select {
@@ -269,43 +269,43 @@
 	effects := s.council.Step(now, &ev)
 	for _, e := range append([]consensus.Effect(nil), effects...) {
 		switch e.Kind {
-		case consensus.Keep:
+		case consensus.Persist:
 			if s.disk != nil {
 				s.disk.keep(&e)
 			}
-		case consensus.Say:
+		case consensus.SendMessage:
 			s.say(e.To, e.Data)
-		case consensus.Ask:
-			data, err := json.Marshal(wish{Name: e.Name, Life: e.Life})
+		case consensus.RequestLease:
+			data, err := json.Marshal(wish{Name: e.Name, Life: e.Incarnation})
 			if err != nil {
 				continue
 			}
 			s.ask(now, e.To, append([]byte{asksLease}, data...), func(now float64, reply []byte, err error) {
-				got := consensus.Event{Kind: consensus.Replied, Token: e.Token}
+				got := consensus.Event{Kind: consensus.LeaseReplied, Token: e.Token}
 				got.Failed = err != nil || json.Unmarshal(reply, &got.Reply) != nil
 				s.step(now, got)
 			})
-		case consensus.Answer:
+		case consensus.ReplyLease:
 			if reply := s.answers[e.Token]; reply != nil {
 				delete(s.answers, e.Token)
 				reply(json.Marshal(e.Reply))
 			}
-		case consensus.Greet:
+		case consensus.SendHello:
 			s.ask(now, e.To, []byte{saysHello}, func(now float64, reply []byte, err error) {
 				var h consensus.Hello
 				if err == nil && json.Unmarshal(reply, &h) == nil {
-					s.step(now, consensus.Event{Kind: consensus.Met, Hello: h})
+					s.step(now, consensus.Event{Kind: consensus.HelloReceived, Hello: h})
 				}
 			})
-		case consensus.Reseated:
-			if places, table := s.council.Roll(); table.Step > s.rolled {
+		case consensus.PlacementChanged:
+			if places, table := s.council.Configuration(); table.Step > s.rolled {
 				s.roll(Configuration{Members: places, Table: table})
 			}
-		case consensus.Replanned:
+		case consensus.PlanChanged:
 			if s.OnPlan != nil {
 				s.OnPlan(now, s.plan(now))
 			}
-		case consensus.Confirmed:
+		case consensus.PlanConfirmed:
 			if s.OnPlanConfirmed != nil {
 				s.OnPlanConfirmed(now, e.Number, e.At)
 			}
@@ -313,7 +313,7 @@
 			s.OnEffect(now, e)
 		}
 	}
-	until := s.council.Until()
+	until := s.council.LeaseUntil()
 	s.until.Store(math.Float64bits(until))
 	s.wakeAt = min(s.council.Next(), s.seeAt)
 }
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -25,7 +25,7 @@
 	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
 	for seed, loss := range []vfs.Loss{vfs.All, vfs.Nought} {
@@ -37,13 +37,13 @@
 		assert.Equal(t, uint64(2), again.kept.Entries[1].GetTerm())
 		again.close()
 	}
-	write(t, d, consensus.Effect{Snap: snapAt(3)})
+	write(t, d, consensus.Effect{Snapshot: snapAt(3)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
 	d.close()
 	again, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	defer again.close()
-	assert.Equal(t, uint64(3), again.kept.Snap.GetMetadata().GetIndex())
+	assert.Equal(t, uint64(3), again.kept.Snapshot.GetMetadata().GetIndex())
 	require.Len(t, again.kept.Entries, 1)
 	assert.Equal(t, uint64(4), again.kept.Entries[0].GetIndex())
 }
@@ -54,7 +54,7 @@
 	d, err := openDisk(fs, &Node{}, silent())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, consensus.Effect{Snap: snapAt(1), State: state(1, 7, 1)})
+	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
 	d.close()
 	names, err := fs.List()
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	defer again.close()
 	assert.NotEqual(t, id, again.id)
-	assert.Nil(t, again.kept.Snap)
+	assert.Nil(t, again.kept.Snapshot)
 	assert.Empty(t, again.kept.Entries)
 }
 
@@ -108,7 +108,7 @@
 		require.NoError(t, err)
 		if name == "b" {
 			s.OnEffect = func(_ float64, e consensus.Effect) {
-				if e.Kind == consensus.Broken {
+				if e.Kind == consensus.VoterFailed {
 					broken.Store(true)
 				}
 			}
@@ -124,7 +124,7 @@
 	full.Store(true)
 	s := seats[lead()] // something to be kept by all
 	require.True(t, s.carrier.Do(func(now float64, _ *membership.View) {
-		s.step(now, consensus.Event{Kind: consensus.Asked, Name: "c", Life: 1, Release: true})
+		s.step(now, consensus.Event{Kind: consensus.LeaseRequested, Name: "c", Incarnation: 1, Release: true})
 	}))
 	require.Eventually(t, broken.Load, 10*time.Second, 20*time.Millisecond)
 	require.Eventually(t, func() bool { leader = ""; return lead() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
--- a/internal/raftnode/roll.go
+++ b/internal/raftnode/roll.go
@@ -36,7 +36,7 @@
 	}
 	s.rollAt = now + rollMS
 	if s.view.Hash() != s.viewed && s.rolled > 0 { // somebody may be elsewhere
-		if places, table := s.council.Roll(); table.Step >= s.rolled {
+		if places, table := s.council.Configuration(); table.Step >= s.rolled {
 			s.roll(Configuration{Members: places, Table: table})
 		} else {
 			s.rolled = 0
@@ -67,7 +67,7 @@
 		switch to := s.council.Status(now).Leader; to {
 		case "":
 		case s.name:
-			s.step(now, consensus.Event{Kind: consensus.Proposed, Data: motion})
+			s.step(now, consensus.Event{Kind: consensus.ProposalReceived, Data: motion})
 		default:
 			s.ask(now, to, append([]byte{moves}, motion...), func(float64, []byte, error) {})
 		}
@@ -83,7 +83,7 @@
 
 func (s *Node) plan(now float64) AgreedPlan {
 	r := s.council.Status(now).Record
-	return AgreedPlan{r.Number, r.Plan, maps.Clone(r.Orders)}
+	return AgreedPlan{r.PlanNumber, r.Plan, maps.Clone(r.Orders)}
 }
 
 // FetchPlan has the plan brought from the member that leads, if it is later than the one that is known. It is for the carrier's goroutine.
