--- a/cmd/liftshift-full/serve.go
+++ b/cmd/liftshift-full/serve.go
@@ -28,7 +28,7 @@
 }
 
 func serve(cmd *cobra.Command, reload <-chan os.Signal) error {
-	node, err := service.ReadNode()
+	node, err := service.ReadConfig()
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 			looked := false
 			if path := os.Getenv("RELAY_CONFIG"); path != "" {
 				looked = true
-				if _, err := service.ReadNode(); err != nil {
+				if _, err := service.ReadConfig(); err != nil {
 					wrong = append(wrong, err)
 				} else {
 					fmt.Fprintln(cmd.OutOrStdout(), path+": good")
--- a/cmd/liftshift/main.go
+++ b/cmd/liftshift/main.go
@@ -47,7 +47,7 @@
 }
 
 func serve(reload <-chan os.Signal) error {
-	node, err := service.ReadNode()
+	node, err := service.ReadConfig()
 	if err != nil {
 		return err
 	}
@@ -55,5 +55,5 @@
 	defer stop()
 	log, flush := service.NewLog(os.Stderr)
 	defer flush()
-	return service.Run(ctx, node, service.Nothing{}, reload, log)
+	return service.Run(ctx, node, service.NoExtensions{}, reload, log)
 }
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -21,10 +21,10 @@
 	"liftshift/scheduler"
 )
 
-// Installation is what an operators' file makes of a controller.
-type Installation struct {
+// Extensions is what an operators' file makes of a controller.
+type Extensions struct {
 	file  *operatorconfig.File
-	desk  *dispatch.Desk
+	desk  *dispatch.Loop
 	keep  *ledgerstore.Keeper // nil: no store
 	team  *teams              // nil: no budgets
 	door  *adminapi.Server
@@ -36,20 +36,20 @@
 }
 
 // New reads the operators' file at a path; without one there is nothing besides the platform's side.
-func New(path string) (service.Beside, error) {
+func New(path string) (service.Extensions, error) {
 	if path == "" {
-		return service.Nothing{}, nil
+		return service.NoExtensions{}, nil
 	}
 	file, err := operatorconfig.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	return &Installation{file: file}, nil
+	return &Extensions{file: file}, nil
 }
 
 // Open opens the store, if there is to be one, and gives the desk its parts: first the one that asks others, then the budgets, then the
 // memory.
-func (i *Installation) Open(name string, d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
+func (i *Extensions) Open(name string, d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
 	i.desk, i.log = d, log
 	if i.file.Budgets != nil {
 		t, err := newTeams(clock.Now(), i.file.Budgets, given)
@@ -65,17 +65,17 @@
 		return err
 	}
 	if i.heirs != nil {
-		d.Join(i.heirs.trustee)
-		d.Gate = i.heirs.trustee.Held
+		d.Register(i.heirs.trustee)
+		d.LeaseHeld = i.heirs.trustee.LeaseHeld
 	}
 	if i.team != nil {
-		d.Join(dispatch.Budgeting(i.team))
+		d.Register(dispatch.QuotaExtension(i.team))
 	}
 	if i.lookout != nil {
-		d.Join(i.lookout.scout)
+		d.Register(i.lookout.scout)
 	}
 	if i.keep != nil {
-		d.Join(dispatch.Remembering(i.keep))
+		d.Register(dispatch.LedgerExtension(i.keep))
 		i.recallLimits()
 	}
 	return i.openDoor()
@@ -85,7 +85,7 @@
 // and what is ready to run would wait for the disk meanwhile. It is no more processor time: a sync takes none.
 const syncSlots = 2
 
-func (i *Installation) openStore(d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock) error {
+func (i *Extensions) openStore(d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock) error {
 	s, log := i.file.Store, i.log
 	if s == nil {
 		return nil
@@ -98,7 +98,7 @@
 	var found store.Found
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
 		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
-			func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, log)
+			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
 	if err != nil {
@@ -125,35 +125,35 @@
 	return g
 }
 
-// Begin tells the module what it needs from before, ahead of all else.
-func (i *Installation) Begin() {
+// Start tells the module what it needs from before, ahead of all else.
+func (i *Extensions) Start() {
 	if i.keep != nil {
 		for _, ev := range i.keep.First() {
-			i.desk.Put(dispatch.Item{Event: ev})
+			i.desk.Put(dispatch.QueueItem{Event: ev})
 		}
 	}
 	i.fleet.begin()
 }
 
-// Reread reads the file again.
-func (i *Installation) Reread(given scheduler.Given) (func() []string, error) {
+// Reload reads the file again.
+func (i *Extensions) Reload(given scheduler.Given) (func() []string, error) {
 	next, err := operatorconfig.Read(i.file.Path)
 	if err != nil {
 		return nil, err
 	}
 	return func() []string {
 		if i.keep != nil && next.Store != nil {
-			i.desk.Put(dispatch.Item{Note: &ledger.Event{Kind: ledger.Heeded, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
+			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.Heeded, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
 		}
 		if i.team != nil && next.Budgets != nil && i.file.Budgets.SameTree(next.Budgets) {
-			i.desk.Put(dispatch.Item{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
+			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
 		}
 		return i.file.Differs(next)
 	}, nil
 }
 
-// Count logs the counters.
-func (i *Installation) Count() {
+// LogCounters logs the counters.
+func (i *Extensions) LogCounters() {
 	if i.keep != nil {
 		i.log.WithFields(i.keep.Fields()).Info("store")
 	}
@@ -162,11 +162,11 @@
 	i.lookout.count()
 }
 
-// Stopping tells the fleet that this controller is on its way out.
-func (i *Installation) Stopping() { i.fleet.stopping() }
+// ShutdownStarted tells the fleet that this controller is on its way out.
+func (i *Extensions) ShutdownStarted() { i.fleet.stopping() }
 
 // Close ends the store and shuts the door.
-func (i *Installation) Close() {
+func (i *Extensions) Close() {
 	if i.door != nil {
 		i.door.Close()
 	}
--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -48,18 +48,18 @@
 		asked: map[string]struct{}{}}, err
 }
 
-// Whose tells the team of a search.
-func (t *teams) Whose(s *dispatch.Request) string {
-	t.seen = s.Waits
-	team := t.file.Whose.TeamOf(s.Team, s.From, s.Offering, s.Schema)
+// TeamOf tells the team of a search.
+func (t *teams) TeamOf(s *dispatch.Request) string {
+	t.seen = s.WantsWaitEstimate
+	team := t.file.Whose.TeamOf(s.Team, s.ClientAddr, s.Class, s.Schema)
 	if team == "" {
 		team = t.file.Default
 	}
 	return team
 }
 
-// Listed counts the cores that there are.
-func (t *teams) Listed(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect {
+// EndpointsUpdated counts the cores that there are.
+func (t *teams) EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect {
 	if list != scheduler.Changes {
 		clear(t.cores)
 	}
@@ -117,19 +117,19 @@
 	return t.book.Tell(now, w.team, w.offering, waitestimate.Line{AheadMS: ahead, Threads: threads, RunMS: run})
 }
 
-// Tell looks at the ceilings and gives what other controllers are to hear.
-func (t *teams) Tell(now float64) []quotashare.Message {
+// PeerMessages looks at the ceilings and gives what other controllers are to hear.
+func (t *teams) PeerMessages(now float64) []quotashare.Message {
 	used, waits := t.tree.Ceilings()
 	return t.parts.Look(now, used, waits)
 }
 
-// Heard takes what another controller tells of ceilings.
-func (t *teams) Heard(now float64, from int, data []byte) []quotashare.Message {
+// HandlePeerMessage takes what another controller tells of ceilings.
+func (t *teams) HandlePeerMessage(now float64, from int, data []byte) []quotashare.Message {
 	return t.parts.Heard(now, from, data)
 }
 
-// Wait gives how long a search waits from now on.
-func (t *teams) Wait(now float64, id string) (startMS, endMS float64) {
+// WaitEstimate gives how long a search waits from now on.
+func (t *teams) WaitEstimate(now float64, id string) (startMS, endMS float64) {
 	w := t.open[id]
 	if w == nil {
 		return -1, -1
@@ -140,8 +140,8 @@
 	return -1, -1
 }
 
-// Changed gives the figures that have changed much, of those whose clients asked.
-func (t *teams) Changed(now float64, each func(id string, startMS, endMS float64)) {
+// ChangedEstimates gives the figures that have changed much, of those whose clients asked.
+func (t *teams) ChangedEstimates(now float64, each func(id string, startMS, endMS float64)) {
 	for _, id := range slices.Sorted(maps.Keys(t.asked)) {
 		w := t.open[id]
 		told := t.tell(now, id, w)
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -21,7 +21,7 @@
 const limitNote = "limit "
 
 // openDoor opens the control socket, where the file names one.
-func (i *Installation) openDoor() (err error) {
+func (i *Extensions) openDoor() (err error) {
 	if i.file.Control == "" {
 		return nil
 	}
@@ -32,7 +32,7 @@
 }
 
 // answer answers a question of the operators' tools.
-func (i *Installation) answer(_ context.Context, question string, fields map[string]any) (map[string]any, error) {
+func (i *Extensions) answer(_ context.Context, question string, fields map[string]any) (map[string]any, error) {
 	if ours, out, err := i.fleet.answer(question, fields); ours {
 		return out, err
 	}
@@ -47,7 +47,7 @@
 	}
 	var out map[string]any
 	var err error
-	done := i.desk.Do(func(now float64) {
+	done := i.desk.Call(func(now float64) {
 		switch question {
 		case "budgets":
 			out = i.team.show()
@@ -113,7 +113,7 @@
 }
 
 // set changes a team's limits, and has that last where there is a store.
-func (i *Installation) set(now float64, fields map[string]any) (map[string]any, error) {
+func (i *Extensions) set(now float64, fields map[string]any) (map[string]any, error) {
 	name, _ := fields["team"].(string)
 	who, _ := fields["who"].(string)
 	var team *quota.Team
@@ -144,7 +144,7 @@
 		}
 		f.set(n)
 	}
-	i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: *team})))
+	i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: *team})))
 	i.log.WithField("team", name).WithField("who", who).Warn("budgets: a team's limits were changed")
 	if i.keep == nil {
 		return map[string]any{"lasts": false}, nil
@@ -158,7 +158,7 @@
 }
 
 // recallLimits takes over limits that were set before the start. A team that is no more is left out, and said.
-func (i *Installation) recallLimits() {
+func (i *Extensions) recallLimits() {
 	if i.team == nil {
 		return
 	}
@@ -177,14 +177,14 @@
 		}
 		t := teams[k]
 		t.Weight, t.Ceiling, t.Threads, t.MemoryMB, t.Searches, t.Queue = l.Weight, l.Ceiling, l.Threads, l.MemoryMB, l.Searches, l.Queue
-		i.desk.Follow(dispatch.Offers(nil, i.team.tree.Step(0, &quota.Event{Kind: quota.Changed, Set: t})))
+		i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(0, &quota.Event{Kind: quota.Changed, Set: t})))
 		log.Info("budgets: limits set at run time hold")
 	}
 }
 
 // reset takes over the figures of a file that was read again.
-func (t *teams) reset(d *dispatch.Desk, now float64, next *operatorconfig.Budgets) {
+func (t *teams) reset(d *dispatch.Loop, now float64, next *operatorconfig.Budgets) {
 	for _, team := range next.Teams {
-		d.Follow(dispatch.Offers(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
+		d.Execute(dispatch.AppendQuotaCommands(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
 	}
 }
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -36,7 +36,7 @@
 
 // fleet joins the view of the fleet to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type fleet struct {
-	inst    *Installation
+	inst    *Extensions
 	file    *operatorconfig.Fleet
 	carrier *clusternet.Transport
 	view    *membership.View // the carrier's goroutine owns it
@@ -56,7 +56,7 @@
 }
 
 // openFleet makes the view and begins to listen, where the file has a block fleet.
-func (i *Installation) openFleet(name string, given scheduler.Given, clock dispatch.Clock) error {
+func (i *Extensions) openFleet(name string, given scheduler.Given, clock dispatch.Clock) error {
 	file := i.file.Fleet
 	if file == nil {
 		return nil
@@ -194,9 +194,9 @@
 		for {
 			select {
 			case n := <-f.changes:
-				f.inst.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Counted, Value: n}})
+				f.inst.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Counted, Value: n}})
 				if t := f.inst.team; t != nil {
-					f.inst.desk.Put(dispatch.Item{Call: func(float64) { t.parts.Owners(int(n)) }})
+					f.inst.desk.Put(dispatch.QueueItem{Call: func(float64) { t.parts.Owners(int(n)) }})
 				}
 			case <-f.ended:
 				return
@@ -239,7 +239,7 @@
 		f.log.WithField("life", m.Life).Warn("fleet: the others knew a later life of this name; this one goes on under a later still")
 		if f.inst.keep != nil {
 			life := m.Life
-			go f.inst.desk.Put(dispatch.Item{Call: func(float64) { f.keepLife(life) }})
+			go f.inst.desk.Put(dispatch.QueueItem{Call: func(float64) { f.keepLife(life) }})
 		}
 	case membership.Twins:
 		f.log.WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "life": m.Life, "why": e.Why}).Error("fleet: a name borne twice")
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -19,12 +19,12 @@
 
 // heirs joins a trustee to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type heirs struct {
-	inst    *Installation
-	trustee *handoffnet.Trustee
+	inst    *Extensions
+	trustee *handoffnet.Agent
 }
 
 // openHeirs makes the trustee, where the file has a block estate; the carriage does not listen yet.
-func (i *Installation) openHeirs(f *fleet, seed uint32, given scheduler.Given) error {
+func (i *Extensions) openHeirs(f *fleet, seed uint32, given scheduler.Given) error {
 	g := maps.Clone(given)
 	maps.Copy(g, i.file.Store.Given)
 	maps.Copy(g, i.file.Estate.Given)
@@ -40,11 +40,11 @@
 		if err != nil {
 			return fmt.Errorf("estate: %w", err)
 		}
-		if err := t.Keep(vfs.Beneath(dir), func(note any) { i.desk.Put(dispatch.Item{Note: note}) }); err != nil {
+		if err := t.PersistCopies(vfs.Beneath(dir), func(note any) { i.desk.Put(dispatch.QueueItem{Message: note}) }); err != nil {
 			return err
 		}
 	}
-	t.Begin(f.seat)
+	t.Start(f.seat)
 	i.heirs = &heirs{inst: i, trustee: t}
 	return nil
 }
@@ -62,7 +62,7 @@
 
 func (h *heirs) count() {
 	if h != nil {
-		h.inst.log.WithFields(h.trustee.Count()).Info("estate")
+		h.inst.log.WithFields(h.trustee.Counters()).Info("estate")
 	}
 }
 
@@ -81,8 +81,8 @@
 		return true, nil, adminapi.RequestErrorf("there is no estate: the operators' file has no block estate")
 	}
 	name, _ := fields["name"].(string)
-	done := h.inst.desk.Do(func(now float64) {
-		switch e := h.trustee.Estate(); question {
+	done := h.inst.desk.Call(func(now float64) {
+		switch e := h.trustee.Manager(); question {
 		case "estate":
 			out = h.show(e)
 		case "estate explain":
@@ -110,7 +110,7 @@
 // show gives what is kept here, who sits where and what is claimed.
 func (h *heirs) show(e *handoff.Estate) map[string]any {
 	out := map[string]any{}
-	for name, v := range h.trustee.Count() {
+	for name, v := range h.trustee.Counters() {
 		switch n := v.(type) {
 		case uint64:
 			out[name] = float64(n)
@@ -118,7 +118,7 @@
 			out[name] = float64(n)
 		}
 	}
-	out["held"] = h.trustee.Held()
+	out["held"] = h.trustee.LeaseHeld()
 	var orphans, claims, seats []any
 	for name, n := range e.Orphans() {
 		orphans = append(orphans, map[string]any{"member": name, "copies": float64(n)})
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -22,13 +22,13 @@
 
 // lookout joins a scout to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type lookout struct {
-	inst  *Installation
+	inst  *Extensions
 	fleet *fleet
-	scout *localityagent.Scout
+	scout *localityagent.Agent
 }
 
 // openLookout makes the scout, where the file has a block zones; the carriage does not listen yet.
-func (i *Installation) openLookout(f *fleet, given scheduler.Given) {
+func (i *Extensions) openLookout(f *fleet, given scheduler.Given) {
 	g := maps.Clone(given)
 	maps.Copy(g, i.file.Fleet.Given)
 	maps.Copy(g, i.file.Zones.Given)
@@ -41,12 +41,12 @@
 		b.WayMS[[2]string{self.Region, name}], b.Price[[2]string{self.Region, name}] = r.WayMS, r.Price
 	}
 	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
-	i.lookout.scout.Begin()
+	i.lookout.scout.Start()
 }
 
 func (l *lookout) count() {
 	if l != nil {
-		l.inst.log.WithFields(l.scout.Count()).Info("zones")
+		l.inst.log.WithFields(l.scout.Counters()).Info("zones")
 	}
 }
 
@@ -84,7 +84,7 @@
 
 // show gives the plan, this controller's part in it, the orders, and why, where it leads.
 func (l *lookout) show(now float64) map[string]any {
-	w := l.scout.Watch
+	w := l.scout.Monitor
 	p := w.Plan()
 	var list, pairs, orders, reaches, reports, lines []any
 	for _, z := range p.Zones {
@@ -122,7 +122,7 @@
 func (l *lookout) order(now float64, fields map[string]any) (map[string]any, error) {
 	text := func(name string) string { s, _ := fields[name].(string); return s }
 	o := locality.Order{Kind: locality.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Why: text("why")}
-	if !slices.ContainsFunc(l.scout.Watch.Plan().Zones, func(z locality.Zone) bool { return z.Name == o.Zone }) {
+	if !slices.ContainsFunc(l.scout.Monitor.Plan().Zones, func(z locality.Zone) bool { return z.Name == o.Zone }) {
 		return nil, adminapi.RequestErrorf("no zone %q; see: liftshift zones show", o.Zone)
 	}
 	if l.fleet.seat.Leader(now) == "" {
@@ -141,12 +141,12 @@
 		o.Until, o.SpanMS = time.Now().Add(time.Minute).UnixMilli(), float64(time.Minute.Milliseconds()) // it takes the place of the order before, and lapses
 	}
 	l.inst.log.WithFields(logrus.Fields{"zone": o.Zone, "order": string(o.Kind), "who": o.Author, "until": until(o.Until)}).Warn("zones: an operator's order")
-	return map[string]any{"asked": true, "until": until(o.Until)}, l.scout.Order(o, false)
+	return map[string]any{"asked": true, "until": until(o.Until)}, l.scout.SubmitOrder(o, false)
 }
 
 // whatIf tells what would follow if a zone or a region were lost now, from what is seen at the one who leads.
 func (l *lookout) whatIf(now float64, fields map[string]any) (map[string]any, error) {
-	w := l.scout.Watch
+	w := l.scout.Monitor
 	if len(w.Reports()) == 0 {
 		return nil, adminapi.RequestErrorf("what controllers want is summed up at the one who leads the council; ask %s", cmp.Or(l.fleet.seat.Leader(now), "it, once somebody does"))
 	}
--- a/internal/dispatch/await_test.go
+++ b/internal/dispatch/await_test.go
@@ -14,45 +14,45 @@
 )
 
 // asker is a desk whose first part has request a wait, and which then hears what follows.
-func asker(f *side, at map[HappeningKind][]Follow) (d *Desk, one *script, heard *[]HappeningKind) {
+func asker(f *side, at map[EventKind][]Command) (d *Loop, one *script, heard *[]EventKind) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	one = &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
 	d = New(NewClock(), one, log)
-	d.Executors, d.ProbeMS = f, 250
-	heard = &[]HappeningKind{}
-	d.Join(part(func(h *Happening, out []Follow) []Follow {
+	d.Executors, d.HealthCheckTimeoutMS = f, 250
+	heard = &[]EventKind{}
+	d.Register(part(func(h *Event, out []Command) []Command {
 		*heard = append(*heard, h.Kind)
 		return append(out, at[h.Kind]...)
 	}))
 	d.open.Add(1)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	return d, one, heard
 }
 
-var awaits = []Follow{{Kind: Await}}
+var awaits = []Command{{Kind: Suspend}}
 
 func TestARequestAwaitsWhatOthersSay(t *testing.T) {
 	for name, c := range map[string]struct {
-		follow Follow
+		follow Command
 		did    []string
 		prior  float64
 	}{
-		"goes on":     {Follow{Kind: Resume, ID: "a", Prior: scheduler.Prior{At: 7}}, nil, 7},
-		"told":        {Follow{Kind: Settle, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}, []string{"handled"}, 0},
-		"denied":      {Follow{Kind: Settle, ID: "a", Outcome: ledger.Denied}, []string{"denied"}, 0},
-		"written off": {Follow{Kind: Settle, ID: "a", Outcome: ledger.Handled}, []string{"written off"}, 0},
+		"goes on":     {Command{Kind: Resume, ID: "a", Prior: scheduler.Prior{At: 7}}, nil, 7},
+		"told":        {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}, []string{"handled"}, 0},
+		"denied":      {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Denied}, []string{"denied"}, 0},
+		"written off": {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Handled}, []string{"written off"}, 0},
 	} {
 		for _, atOnce := range []bool{false, true} { // in the same step, or later
-			f, at := &side{}, map[HappeningKind][]Follow{Arriving: awaits}
+			f, at := &side{}, map[EventKind][]Command{RequestArriving: awaits}
 			if atOnce {
-				at[Arriving] = append(awaits[:1:1], c.follow)
+				at[RequestArriving] = append(awaits[:1:1], c.follow)
 			}
 			d, one, heard := asker(f, at)
 			if !atOnce {
 				assert.Nil(t, one.last(scheduler.Taken), "the module does not have it yet")
-				assert.Equal(t, 1, d.Open())
-				d.Follow([]Follow{c.follow})
+				assert.Equal(t, 1, d.OpenRequests())
+				d.Execute([]Command{c.follow})
 				d.rest()
 			}
 			assert.Empty(t, d.awaiting, name)
@@ -60,10 +60,10 @@
 			if c.prior != 0 {
 				require.NotNil(t, one.last(scheduler.Taken), name)
 				assert.Equal(t, c.prior, one.last(scheduler.Taken).Prior.At)
-				assert.Contains(t, *heard, Came)
+				assert.Contains(t, *heard, RequestReceived)
 			} else {
 				assert.Nil(t, one.last(scheduler.Taken))
-				assert.Zero(t, d.Open())
+				assert.Zero(t, d.OpenRequests())
 			}
 		}
 	}
@@ -71,90 +71,90 @@
 
 func TestAClientLeavesWhileItsRequestAwaits(t *testing.T) {
 	f := &side{}
-	d, one, heard := asker(f, map[HappeningKind][]Follow{Arriving: awaits})
+	d, one, heard := asker(f, map[EventKind][]Command{RequestArriving: awaits})
 	d.open.Add(1)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	assert.Equal(t, []string{"written off"}, f.did, "its id came twice")
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
-	assert.Equal(t, Departed, (*heard)[len(*heard)-1])
-	assert.Zero(t, d.Open())
-	d.Follow([]Follow{{Kind: Resume, ID: "a"}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	assert.Equal(t, SuspendedClientLeft, (*heard)[len(*heard)-1])
+	assert.Zero(t, d.OpenRequests())
+	d.Execute([]Command{{Kind: Resume, ID: "a"}})
 	d.rest()
 	assert.Nil(t, one.last(scheduler.Taken))
 }
 
 func TestAnAttemptLeavesOnceAllPartsLetItGo(t *testing.T) {
 	f := &side{}
-	d, _, _ := asker(f, map[HappeningKind][]Follow{Firing: {{Kind: Hold}, {Kind: Hold}}})
+	d, _, _ := asker(f, map[EventKind][]Command{AttemptStarting: {{Kind: HoldAttempt}, {Kind: HoldAttempt}}})
 	require.Len(t, f.sent, 1)
 	assert.True(t, f.sent[0].Held)
-	d.Follow([]Follow{{Kind: Release, ID: "a"}})
+	d.Execute([]Command{{Kind: ReleaseAttempt, ID: "a"}})
 	assert.Empty(t, f.did)
-	d.Follow([]Follow{{Kind: Release, ID: "a"}})
+	d.Execute([]Command{{Kind: ReleaseAttempt, ID: "a"}})
 	assert.Equal(t, []string{"release"}, f.did)
 }
 
 func TestAnAnswerIsKeptBackUntilItIsLetGo(t *testing.T) {
 	f := &side{}
-	d, _, heard := asker(f, map[HappeningKind][]Follow{Ending: {{Kind: KeepBack}}})
+	d, _, heard := asker(f, map[EventKind][]Command{RequestEnding: {{Kind: WithholdAnswer}}})
 	d.play(end(scheduler.Handled))
 	assert.Empty(t, f.did)
-	assert.Equal(t, 1, d.Open(), "a planned stop waits for it")
-	assert.Contains(t, *heard, Closed)
-	d.Follow([]Follow{{Kind: LetGo, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}})
+	assert.Equal(t, 1, d.OpenRequests(), "a planned stop waits for it")
+	assert.Contains(t, *heard, RequestClosed)
+	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}})
 	assert.Equal(t, []string{"handled"}, f.did)
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 	assert.Empty(t, d.requests)
-	d.Follow([]Follow{{Kind: LetGo, ID: "a", Outcome: ledger.Denied}})
+	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Denied}})
 	assert.Len(t, f.did, 1, "once")
 }
 
 func TestARequestIsAdoptedAndDismissed(t *testing.T) {
-	f := &side{stopped: Halted}
-	d, one, heard := asker(f, map[HappeningKind][]Follow{Arriving: {{Kind: Await}, {Kind: Settle, ID: "a", Outcome: ledger.Denied}}})
+	f := &side{stopped: CancelSent}
+	d, one, heard := asker(f, map[EventKind][]Command{RequestArriving: {{Kind: Suspend}, {Kind: AnswerSuspended, ID: "a", Outcome: ledger.Denied}}})
 	*heard = nil
-	d.Follow([]Follow{{Kind: Adopt, New: search0(d, f), Prior: scheduler.Prior{At: 9}}})
+	d.Execute([]Command{{Kind: Adopt, Request: search0(d, f), Prior: scheduler.Prior{At: 9}}})
 	d.rest()
-	assert.NotContains(t, *heard, Arriving, "its own part has it already")
+	assert.NotContains(t, *heard, RequestArriving, "its own part has it already")
 	assert.Equal(t, 9.0, one.last(scheduler.Taken).Prior.At)
-	d.Follow([]Follow{{Kind: Dismiss, ID: "a"}})
+	d.Execute([]Command{{Kind: Discard, ID: "a"}})
 	d.rest()
 	assert.NotNil(t, one.last(scheduler.Left))
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 }
 
 // A client that has ended its writing side alone gets its answer wherever its request stands: with others, in line, or stopped at the
 // last step before its attempt left.
 func TestAHalfClosedClientIsAnsweredWhereverItsRequestStands(t *testing.T) {
-	half := func(d *Desk, c Client) {
-		d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a", HalfClosed: true}, Client: c, Token: 5})
+	half := func(d *Loop, c Client) {
+		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a", HalfClosed: true}, Client: c, Token: 5})
 	}
 	f := &side{}
-	d, one, _ := asker(f, map[HappeningKind][]Follow{Arriving: awaits})
+	d, one, _ := asker(f, map[EventKind][]Command{RequestArriving: awaits})
 	half(d, f)
 	assert.Equal(t, []string{"written off"}, f.did, "what others know of it is not known here")
 	assert.Nil(t, one.last(scheduler.Taken))
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 
 	f = &side{}
-	d, one, _ = asker(f, map[HappeningKind][]Follow{Entered: {{Kind: Detain}}})
+	d, one, _ = asker(f, map[EventKind][]Command{RequestEntered: {{Kind: HoldRequest}}})
 	one.on = map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Deny, Request: "a"}}}
 	half(d, f)
 	assert.True(t, one.last(scheduler.Taken).Barred, "the module gets it to turn it away")
 	assert.Equal(t, []string{"denied"}, f.did)
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 
 	f = &side{}
 	d, one = sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Ended: {{Kind: scheduler.Deny, Request: "a"}}})
 	s := d.requests["a"]
-	s.Gone, s.Half = &atomic.Bool{}, &atomic.Bool{}
-	s.Half.Store(true)
-	s.Gone.Store(true)
+	s.ClientGone, s.HalfClosed = &atomic.Bool{}, &atomic.Bool{}
+	s.HalfClosed.Store(true)
+	s.ClientGone.Store(true)
 	d.play(end(scheduler.Superseded))
 	assert.Equal(t, []bool{true, false}, []bool{one.last(scheduler.Ended).Barred, one.last(scheduler.Ended).Over})
 	assert.Equal(t, []string{"denied"}, f.did)
 	half(d, f)
 	assert.Nil(t, one.last(scheduler.Left), "told once")
-	assert.Zero(t, d.Open())
-	assert.Equal(t, []uint64{1, 0}, []uint64{d.tally.Left, d.tally.Denied}, "most likely it has gone")
+	assert.Zero(t, d.OpenRequests())
+	assert.Equal(t, []uint64{1, 0}, []uint64{d.tally.ClientLeft, d.tally.Rejected}, "most likely it has gone")
 }
--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -7,75 +7,75 @@
 	"liftshift/scheduler"
 )
 
-// Budgets decide who is offered to the module next. Their methods are called by the desk's goroutine alone and never wait.
-type Budgets interface {
+// QuotaManager decide who is offered to the module next. Their methods are called by the desk's goroutine alone and never wait.
+type QuotaManager interface {
 	Step(now float64, ev *quota.Event) []quota.Effect
-	Whose(s *Request) string // the team of a request
-	Listed(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect
-	Wait(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
-	Tell(now float64) []quotashare.Message                // what other controllers are to hear
-	Heard(now float64, from int, data []byte) []quotashare.Message
-	Changed(now float64, each func(id string, startMS, endMS float64)) // figures that changed much, of those that asked
+	TeamOf(s *Request) string // the team of a request
+	EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect
+	WaitEstimate(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
+	PeerMessages(now float64) []quotashare.Message                // what other controllers are to hear
+	HandlePeerMessage(now float64, from int, data []byte) []quotashare.Message
+	ChangedEstimates(now float64, each func(id string, startMS, endMS float64)) // figures that changed much, of those that asked
 }
 
-// Waiter is a client that can be told how long its requests will wait. Below 0: not known.
-type Waiter interface {
-	Waits(tag uint64, startMS, endMS float64)
+// WaitListener is a client that can be told how long its requests will wait. Below 0: not known.
+type WaitListener interface {
+	WaitEstimated(tag uint64, startMS, endMS float64)
 }
 
-// Budgeting puts budgets beside the module.
-func Budgeting(b Budgets) Part { return budgeting{b} }
+// QuotaExtension puts budgets beside the module.
+func QuotaExtension(b QuotaManager) Extension { return budgeting{b} }
 
-type budgeting struct{ Budgets }
+type budgeting struct{ QuotaManager }
 
-// Hear tells the budgets, in their own words.
-func (b budgeting) Hear(now float64, h *Happening, out []Follow) []Follow {
+// Handle tells the budgets, in their own words.
+func (b budgeting) Handle(now float64, h *Event, out []Command) []Command {
 	switch s := h.Request; h.Kind {
-	case Entered:
-		out = append(out, Follow{Kind: Detain})
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Asked, ID: s.ID, Team: b.Whose(s), Offering: s.Offering, WorkMS: s.WorkMS,
-			NeedMB: s.NeedMB, Until: s.Until, Ordered: s.Key != ""}))
-		if s.Waits {
-			start, end := b.Wait(now, s.ID)
-			out = append(out, Follow{Kind: Foretell, ID: s.ID, StartMS: start, EndMS: end})
+	case RequestEntered:
+		out = append(out, Command{Kind: HoldRequest})
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Asked, ID: s.ID, Team: b.TeamOf(s), Offering: s.Class, WorkMS: s.WorkMS,
+			NeedMB: s.MemoryMB, Until: s.Deadline, Ordered: s.OrderKey != ""}))
+		if s.WantsWaitEstimate {
+			start, end := b.WaitEstimate(now, s.ID)
+			out = append(out, Command{Kind: ReportWait, ID: s.ID, StartMS: start, EndMS: end})
 		}
-	case Fired:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Sent, ID: s.ID, GrantMB: h.GrantMB}))
-	case ShotOver:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.ShotEnded, ID: s.ID}))
-	case GivenBack:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Back, ID: s.ID}))
-	case Closed:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.SpentMS, Handled: h.Outcome == ledger.Handled}))
-	case Denying:
+	case AttemptStarted:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Sent, ID: s.ID, GrantMB: h.GrantMB}))
+	case AttemptEnded:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.ShotEnded, ID: s.ID}))
+	case RequestReturned:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Back, ID: s.ID}))
+	case RequestClosed:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.CostMS, Handled: h.Outcome == ledger.Handled}))
+	case RequestRejecting:
 		// When its request would have begun, where that is known and no longer than may be told.
-		if start, _ := b.Wait(now, s.ID); h.AfterMS > 0 && start > 0 {
-			out = append(out, Follow{Kind: ComeBack, AfterMS: min(start, 2*h.AfterMS)})
+		if start, _ := b.WaitEstimate(now, s.ID); h.AfterMS > 0 && start > 0 {
+			out = append(out, Command{Kind: SetRetryAfter, AfterMS: min(start, 2*h.AfterMS)})
 		}
-	case ListNews:
-		out = Offers(out, b.Listed(now, h.List.List, h.List.Entries))
-	case Stopping:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Closing}))
-	case Ticks:
-		out = Offers(out, b.Step(now, &quota.Event{Kind: quota.Ticked}))
-		b.Changed(now, func(id string, start, end float64) {
-			out = append(out, Follow{Kind: Foretell, ID: id, StartMS: start, EndMS: end})
+	case EndpointsUpdated:
+		out = AppendQuotaCommands(out, b.EndpointsUpdated(now, h.List.List, h.List.Entries))
+	case ShutdownStarted:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closing}))
+	case Ticked:
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Ticked}))
+		b.ChangedEstimates(now, func(id string, start, end float64) {
+			out = append(out, Command{Kind: ReportWait, ID: id, StartMS: start, EndMS: end})
 		})
-		out = posts(out, b.Tell(now))
-	case Letter:
-		if len(h.Data) > 0 && h.Data[0] == quotashare.Tag {
-			out = posts(append(out, Follow{Kind: Mine}), b.Heard(now, h.Peer, h.Data))
+		out = posts(out, b.PeerMessages(now))
+	case PeerMessage:
+		if len(h.Payload) > 0 && h.Payload[0] == quotashare.Tag {
+			out = posts(append(out, Command{Kind: Consume}), b.HandlePeerMessage(now, h.Peer, h.Payload))
 		}
 	}
 	return out
 }
 
-// Offers appends what budgets want.
-func Offers(out []Follow, effects []quota.Effect) []Follow {
+// AppendQuotaCommands appends what budgets want.
+func AppendQuotaCommands(out []Command, effects []quota.Effect) []Command {
 	for _, e := range effects {
-		f := Follow{Kind: Press, ID: e.ID, Start: e.Start, Part: e.Grant, Barred: e.Full, Now: e.Now}
+		f := Command{Kind: CapPriority, ID: e.ID, PriorityCap: e.Start, MemoryShare: e.Grant, Blocked: e.Full, Immediate: e.Now}
 		if e.Kind == quota.Offer {
-			f.Kind = Offer
+			f.Kind = OfferRequest
 		}
 		out = append(out, f)
 	}
@@ -83,9 +83,9 @@
 }
 
 // posts appends what other controllers are to hear of ceilings.
-func posts(out []Follow, list []quotashare.Message) []Follow {
+func posts(out []Command, list []quotashare.Message) []Command {
 	for _, m := range list {
-		out = append(out, Follow{Kind: Post, Peer: m.To, Data: m.Data})
+		out = append(out, Command{Kind: SendPeer, Peer: m.To, Payload: m.Data})
 	}
 	return out
 }
--- a/internal/dispatch/budgets_test.go
+++ b/internal/dispatch/budgets_test.go
@@ -22,14 +22,14 @@
 	p.told = append(p.told, *ev)
 	return p.wants[ev.Kind]
 }
-func (p *purse) Whose(s *Request) string { return "team of " + s.Team }
-func (p *purse) Listed(float64, scheduler.ListKind, []scheduler.Entry) []quota.Effect {
+func (p *purse) TeamOf(s *Request) string { return "team of " + s.Team }
+func (p *purse) EndpointsUpdated(float64, scheduler.ListKind, []scheduler.Entry) []quota.Effect {
 	return p.wants[quota.Sized]
 }
-func (p *purse) Wait(float64, string) (float64, float64)                { return p.wait, p.wait + 10 }
-func (p *purse) Tell(float64) []quotashare.Message                      { return nil }
-func (p *purse) Changed(_ float64, each func(string, float64, float64)) { each("a", 77, 88) }
-func (p *purse) Heard(_ float64, _ int, data []byte) []quotashare.Message {
+func (p *purse) WaitEstimate(float64, string) (float64, float64)                 { return p.wait, p.wait + 10 }
+func (p *purse) PeerMessages(float64) []quotashare.Message                       { return nil }
+func (p *purse) ChangedEstimates(_ float64, each func(string, float64, float64)) { each("a", 77, 88) }
+func (p *purse) HandlePeerMessage(_ float64, _ int, data []byte) []quotashare.Message {
 	p.heard = data
 	return []quotashare.Message{{To: 1, Data: []byte{9}}}
 }
@@ -48,21 +48,21 @@
 	waits []float64
 }
 
-func (t *told) Tell(_ int, data []byte)            { t.data = data }
-func (t *told) Waits(_ uint64, start, end float64) { t.waits = append(t.waits, start, end) }
+func (t *told) SendPeer(_ int, data []byte)                { t.data = data }
+func (t *told) WaitEstimated(_ uint64, start, end float64) { t.waits = append(t.waits, start, end) }
 
 // lined is a desk with budgets where request a stands in line.
-func lined(p *purse, f *told, on map[scheduler.EventKind][]scheduler.Action) (*Desk, *script) {
+func lined(p *purse, f *told, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *script) {
 	d, one := sent(&f.side, on)
 	d.play(end(scheduler.Handled)) // the request that is there already
 	f.side.did, f.side.sent, one.told = nil, nil, nil
 	d.spent = map[string]struct{}{}
 	d.Peers = f
-	d.Join(Budgeting(p))
+	d.Register(QuotaExtension(p))
 	d.open.Add(1)
 	s := search0(d, &f.side)
-	s.Client, s.Team, s.Waits, s.Key = f, "x", true, "k"
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+	s.Client, s.Team, s.WantsWaitEstimate, s.OrderKey = f, "x", true, "k"
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 	return d, one
 }
 
@@ -86,7 +86,7 @@
 	assert.Equal(t, []quota.EventKind{quota.Asked, quota.Ticked, quota.Sent, quota.ShotEnded, quota.Closed}, p.kinds())
 	assert.True(t, p.told[4].Handled)
 	assert.Empty(t, d.requests)
-	d.offer(&Follow{Kind: Press, ID: "a", Start: 500}) // it crosses the answer
+	d.offer(&Command{Kind: CapPriority, ID: "a", PriorityCap: 500}) // it crosses the answer
 	assert.Equal(t, []string{"handled"}, f.did)
 }
 
@@ -106,29 +106,29 @@
 	assert.Equal(t, []string{"denied"}, f.did)
 	assert.Empty(t, d.requests)
 	d, _ = lined(p, f, nil)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
 	assert.Equal(t, quota.Closed, p.told[len(p.told)-1].Kind)
 	assert.Empty(t, d.requests)
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 }
 
 func TestLoansGoToTheBudgetsAndCallsAreMadeHere(t *testing.T) {
 	p, f := &purse{}, &told{}
 	d, one := lined(p, f, nil)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{quotashare.Tag, 0}}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{quotashare.Tag, 0}}})
 	assert.Equal(t, []byte{quotashare.Tag, 0}, p.heard)
 	assert.Equal(t, []byte{9}, f.data)
 	assert.Nil(t, one.last(scheduler.Heard))
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{0}}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{0}}})
 	assert.NotNil(t, one.last(scheduler.Heard))
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Closing}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Closing}})
 	assert.Equal(t, quota.Closing, p.told[len(p.told)-1].Kind)
 	go d.Run()
 	called := false
-	assert.True(t, d.Do(func(float64) { called = true }))
+	assert.True(t, d.Call(func(float64) { called = true }))
 	assert.True(t, called)
 	d.Stop()
-	assert.False(t, d.Do(func(float64) {}))
+	assert.False(t, d.Call(func(float64) {}))
 }
 
 // lender is an attempt whose memory can be changed.
@@ -137,15 +137,15 @@
 	mb []float64
 }
 
-func (l *lender) Regrant(mb float64) { l.mb = append(l.mb, mb) }
+func (l *lender) SetMemory(mb float64) { l.mb = append(l.mb, mb) }
 
 func TestTheMemoryOfAnAttemptThatRunsIsChangedWhereThatCanBe(t *testing.T) {
 	f := &side{}
 	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Pressed: {{Kind: scheduler.Terms, Request: "a", GrantMB: 32, Level: 3}}})
 	l := &lender{}
 	d.requests["a"].attempts[0].run = l
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Pressed, Request: "a"}})
 	assert.Equal(t, []float64{32}, l.mb, "once, and its level stays")
 	assert.Empty(t, l.did)
 }
@@ -153,21 +153,21 @@
 // Parts hear in the order in which they joined, and say together what is about to happen; without parts nothing is even built.
 func TestPartsHearInOrder(t *testing.T) {
 	d, _ := sent(&side{}, nil)
-	assert.Zero(t, testing.AllocsPerRun(100, func() { d.happen(Happening{Kind: Ticks}) }))
+	assert.Zero(t, testing.AllocsPerRun(100, func() { d.happen(Event{Kind: Ticked}) }))
 	var heard []string
-	d.Join(part(func(h *Happening, out []Follow) []Follow {
+	d.Register(part(func(h *Event, out []Command) []Command {
 		heard = append(heard, "first")
-		return append(out, Follow{Kind: Admit, Barred: true}, Follow{Kind: Hold})
+		return append(out, Command{Kind: Admit, Blocked: true}, Command{Kind: HoldAttempt})
 	}))
-	d.Join(part(func(h *Happening, out []Follow) []Follow {
+	d.Register(part(func(h *Event, out []Command) []Command {
 		heard = append(heard, "second")
-		return append(out, Follow{Kind: Admit, Prior: scheduler.Prior{At: 7}}, Follow{Kind: ComeBack, AfterMS: 3})
+		return append(out, Command{Kind: Admit, Prior: scheduler.Prior{At: 7}}, Command{Kind: SetRetryAfter, AfterMS: 3})
 	}))
-	v := d.happen(Happening{Kind: Came, AfterMS: 9})
+	v := d.happen(Event{Kind: RequestReceived, AfterMS: 9})
 	assert.Equal(t, []string{"first", "second"}, heard)
 	assert.Equal(t, verdict{barred: true, prior: scheduler.Prior{At: 7}, holds: 1, afterMS: 3}, v)
 }
 
-type part func(h *Happening, out []Follow) []Follow
+type part func(h *Event, out []Command) []Command
 
-func (p part) Hear(_ float64, h *Happening, out []Follow) []Follow { return p(h, out) }
+func (p part) Handle(_ float64, h *Event, out []Command) []Command { return p(h, out) }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -17,85 +17,85 @@
 
 // Client is who gets the answer of a request. Tag is the client's own name for it.
 type Client interface {
-	Handled(tag uint64, body []byte)
-	Denied(tag uint64, afterMS float64)
+	Succeeded(tag uint64, body []byte)
+	Rejected(tag uint64, afterMS float64)
 	Failed(tag uint64)
 }
 
 // Request is what a front hands over.
 type Request struct {
-	ID       string
-	Offering string
-	Key      string // of order
-	Mark     string // against repeats
-	Group    uint64
-	NeedMB   float64
-	WorkMS   float64
-	Until    float64 // clock at which the client gives up
-	Team     string  // whose it is, as the client says
-	From     netip.Addr
-	Schema   string
-	Waits    bool // the client wants to be told how long it will wait
-	Repeat   bool
-	Body     []byte // goes on as it came
-	Client   Client
-	Tag      uint64
-	Gone     *atomic.Bool // set as soon as its client is known to wait no more, before the word of it comes through the queue; nil: nobody may
-	Half     *atomic.Bool // set before Gone where the client has only ended its writing side and may still read its answer
-}
-
-// Forsaken tells whether its client is known to wait no more.
-func (s *Request) Forsaken() bool { return s.Gone != nil && s.Gone.Load() }
+	ID                string
+	Class             string
+	OrderKey          string // of order
+	IdempotencyKey    string // against repeats
+	TableGroup        uint64
+	MemoryMB          float64
+	WorkMS            float64
+	Deadline          float64 // clock at which the client gives up
+	Team              string  // whose it is, as the client says
+	ClientAddr        netip.Addr
+	Schema            string
+	WantsWaitEstimate bool // the client wants to be told how long it will wait
+	Retried           bool
+	Body              []byte // goes on as it came
+	Client            Client
+	Tag               uint64
+	ClientGone        *atomic.Bool // set as soon as its client is known to wait no more, before the word of it comes through the queue; nil: nobody may
+	HalfClosed        *atomic.Bool // set before Gone where the client has only ended its writing side and may still read its answer
+}
+
+// Abandoned tells whether its client is known to wait no more.
+func (s *Request) Abandoned() bool { return s.ClientGone != nil && s.ClientGone.Load() }
 
 // halfClosed tells whether its client, which has ended its writing side, still gets an answer.
-func (s *Request) halfClosed() bool { return s.Half != nil && s.Half.Load() }
+func (s *Request) halfClosed() bool { return s.HalfClosed != nil && s.HalfClosed.Load() }
 
 // Attempt is one attempt as the executors' side gets it.
 type Attempt struct {
-	Request  *Request
-	N        int
-	Executor uint32
-	GrantMB  float64
-	Level    int
-	MaxMS    float64
-	By       float64 // clock until which it may leave; 0: any time
-	Held     bool    // it leaves only at Release
+	Request     *Request
+	Number      int
+	Executor    uint32
+	GrantMB     float64
+	Level       int
+	TimeoutMS   float64
+	LatestStart float64 // clock until which it may leave; 0: any time
+	Held        bool    // it leaves only at Release
 }
 
-// Stopped tells what calling off an attempt came to.
-type Stopped uint8
+// CancelResult tells what calling off an attempt came to.
+type CancelResult uint8
 
 // What calling off comes to.
 const (
-	Halted  Stopped = iota // it may have run
-	Unsent                 // it never left
-	Decided                // its end is in the queue already
+	CancelSent      CancelResult = iota // it may have run
+	CancelledUnsent                     // it never left
+	AlreadyEnded                        // its end is in the queue already
 )
 
-// Run is an attempt under way. Its methods never wait. One that was held back goes out at Release.
-type Run interface {
+// RunningAttempt is an attempt under way. Its methods never wait. One that was held back goes out at Release.
+type RunningAttempt interface {
 	Release()
-	CallOff() Stopped
-	Relevel(level int)
+	Cancel() CancelResult
+	SetLevel(level int)
 }
 
-// Regranter is a Run whose memory can be changed while it is under way; not every protocol can.
-type Regranter interface{ Regrant(mb float64) }
+// MemorySetter is a Run whose memory can be changed while it is under way; not every protocol can.
+type MemorySetter interface{ SetMemory(mb float64) }
 
-// Executors carries attempts and probes. Its methods never wait; ends come back through Put. A nil Run
+// ExecutorTransport carries attempts and probes. Its methods never wait; ends come back through Put. A nil Run
 // means that there was no way to send; one held back is to be released so many ms later.
-type Executors interface {
-	Send(shot Attempt) (run Run, heldMS float64)
-	Probe(executor uint32, token uint64) bool
-	Unanswered(executor uint32, token uint64) // a probe that nobody waits for any more
-	Holds(executor uint32) Holding
+type ExecutorTransport interface {
+	Send(shot Attempt) (run RunningAttempt, heldMS float64)
+	HealthCheck(executor uint32, token uint64) bool
+	ForgetHealthCheck(executor uint32, token uint64) // a probe that nobody waits for any more
+	ConnectionState(executor uint32) ConnectionState
 }
 
-// Holding is what the sockets have of one executor, to compare with what the module believes.
-type Holding struct {
+// ConnectionState is what the sockets have of one executor, to compare with what the module believes.
+type ConnectionState struct {
 	Name                  string // empty: not listed
 	Attempts, Connections int
-	QuietMS               float64 // since anything was written or read; below 0: no connection
+	IdleMS                float64 // since anything was written or read; below 0: no connection
 }
 
 // believer is a module that tells what it holds of executors.
@@ -105,21 +105,21 @@
 
 // The other sides of a desk.
 type (
-	// Peers carries messages to other controllers.
-	Peers interface{ Tell(peer int, data []byte) }
-	// List asks for news of the list of executors.
-	List interface{ Ask() }
+	// PeerSender carries messages to other controllers.
+	PeerSender interface{ SendPeer(peer int, data []byte) }
+	// ListWatcher asks for news of the list of executors.
+	ListWatcher interface{ Refresh() }
 )
 
-// Item is one thing in the queue: an event for the module, and what belongs to it.
-type Item struct {
+// QueueItem is one thing in the queue: an event for the module, and what belongs to it.
+type QueueItem struct {
 	Event   scheduler.Event
 	Request *Request // Taken
 	Body    []byte   // Ended: the answer
 	Client  Client   // Left: who left
 	Token   uint64   // Probed: which probe; Left: the tag of the request
-	Note    any      // for the part whose it is
-	Ask     *Question
+	Message any      // for the part whose it is
+	Query   *OutcomeQuery
 	Call    func(now float64) // for the operators' tools: looks at what the desk's goroutine owns, and must not wait
 	at      float64
 
@@ -137,7 +137,7 @@
 const mostAttempts = 8
 
 type attempt struct {
-	run      Run
+	run      RunningAttempt
 	executor uint32
 	sent     float64
 	due      float64 // when it may leave, as far as the sockets go
@@ -159,18 +159,18 @@
 	ending   bool // a part keeps its answer back
 }
 
-// Desk is the owner of the module.
-type Desk struct {
-	Executors Executors
-	Peers     Peers
-	List      List
-	ProbeMS   float64     // how long a probe is waited for
-	Gate      func() bool // asked at the last step before an attempt that was held leaves; nil: it may
+// Loop is the owner of the module.
+type Loop struct {
+	Executors            ExecutorTransport
+	Peers                PeerSender
+	List                 ListWatcher
+	HealthCheckTimeoutMS float64     // how long a probe is waited for
+	LeaseHeld            func() bool // asked at the last step before an attempt that was held leaves; nil: it may
 
 	clock    Clock
 	one      scheduler.Instance
 	log      logrus.FieldLogger
-	queue    chan Item
+	queue    chan QueueItem
 	stop     chan struct{}
 	done     chan struct{}
 	requests map[string]*request
@@ -180,12 +180,12 @@
 	timers   timers
 	probes   map[uint32]uint64 // the probe out at each executor
 	token    uint64
-	later    []Item // ends that came of the module's own actions
+	later    []QueueItem // ends that came of the module's own actions
 	actions  []scheduler.Action
-	tally    Tally
-	offers   []Follow // what parts offer, in order
-	parts    []Part   // beside the module; none: it gets every request as it comes, and a crash forgets all
-	follows  []Follow
+	tally    Counters
+	offers   []Command   // what parts offer, in order
+	parts    []Extension // beside the module; none: it gets every request as it comes, and a crash forgets all
+	follows  []Command
 	beliefs  []scheduler.Belief
 	figures  []scheduler.Figure
 	open     atomic.Int64
@@ -193,13 +193,13 @@
 }
 
 // New returns a Desk for one instance of the module.
-func New(clock Clock, one scheduler.Instance, log logrus.FieldLogger) *Desk {
-	return &Desk{clock: clock, one: one, log: log, queue: make(chan Item, queueRoom), stop: make(chan struct{}),
+func New(clock Clock, one scheduler.Instance, log logrus.FieldLogger) *Loop {
+	return &Loop{clock: clock, one: one, log: log, queue: make(chan QueueItem, queueRoom), stop: make(chan struct{}),
 		done: make(chan struct{}), requests: map[string]*request{}, awaiting: map[string]*Request{}, spent: map[string]struct{}{}, probes: map[uint32]uint64{}}
 }
 
 // Put lines up an item; it waits while the queue is full.
-func (d *Desk) Put(it Item) {
+func (d *Loop) Put(it QueueItem) {
 	it.at = d.clock.Now()
 	select {
 	case d.queue <- it:
@@ -208,7 +208,7 @@
 }
 
 // TryPut lines up an item, or tells that the queue is full: for who must not wait, and will be asked again.
-func (d *Desk) TryPut(it Item) bool {
+func (d *Loop) TryPut(it QueueItem) bool {
 	it.at = d.clock.Now()
 	select {
 	case d.queue <- it:
@@ -218,27 +218,27 @@
 	}
 }
 
-// Open tells how many requests have been taken and not answered, those still in the queue included.
-func (d *Desk) Open() int { return int(d.open.Load()) }
+// OpenRequests tells how many requests have been taken and not answered, those still in the queue included.
+func (d *Loop) OpenRequests() int { return int(d.open.Load()) }
 
-// Take lines up a request.
-func (d *Desk) Take(s *Request) {
+// Submit lines up a request.
+func (d *Loop) Submit(s *Request) {
 	d.open.Add(1)
-	d.Put(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 }
 
-// Close tells the module that this controller stops: all that has been taken must be answered by then.
-func (d *Desk) Close(by float64) {
-	d.Put(Item{Event: scheduler.Event{Kind: scheduler.Closing, Until: by}})
+// BeginShutdown tells the module that this controller stops: all that has been taken must be answered by then.
+func (d *Loop) BeginShutdown(by float64) {
+	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Closing, Until: by}})
 }
 
 // Arrival gives the earliest clock at which what is read now may have come; it may be called from anywhere.
-func (d *Desk) Arrival(now float64) float64 { return d.pulse.arrival(now) }
+func (d *Loop) Arrival(now float64) float64 { return d.pulse.arrival(now) }
 
-// Do has a call made on the desk's goroutine and waits for it; false if the desk has ended.
-func (d *Desk) Do(call func(now float64)) bool {
+// Call has a call made on the desk's goroutine and waits for it; false if the desk has ended.
+func (d *Loop) Call(call func(now float64)) bool {
 	made := make(chan struct{})
-	d.Put(Item{Call: func(now float64) { call(now); close(made) }})
+	d.Put(QueueItem{Call: func(now float64) { call(now); close(made) }})
 	select {
 	case <-made:
 		return true
@@ -248,18 +248,18 @@
 }
 
 // Stop ends Run and waits for it.
-func (d *Desk) Stop() {
+func (d *Loop) Stop() {
 	close(d.stop)
 	<-d.done
 }
 
 // Run plays all that comes to the module, until Stop. What has come goes before what is due: signs of work
 // that wait in the queue must not be overtaken by a look at who showed none.
-func (d *Desk) Run() {
+func (d *Loop) Run() {
 	defer close(d.done)
 	alarm, armed := time.NewTimer(time.Hour), 0.0
 	defer alarm.Stop()
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Began}, at: d.clock.Now()})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Began}, at: d.clock.Now()})
 	d.timers.push(timer{at: d.clock.Now() + tallyMS, what: tallies})
 	if len(d.parts) > 0 {
 		d.timers.push(timer{at: d.clock.Now() + tickMS, what: ticks})
@@ -288,11 +288,11 @@
 }
 
 // due plays the timers whose time has come.
-func (d *Desk) due() {
+func (d *Loop) due() {
 	for now := d.clock.Now(); d.timers[0].at <= now; {
 		switch t := d.timers.pop(); t.what {
 		case wakes:
-			d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang, Token: t.token}, at: t.at})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang, Token: t.token}, at: t.at})
 		case limits:
 			d.expire(t.request)
 		case releases:
@@ -306,9 +306,9 @@
 				t.at = now + stoodMS
 				d.timers.push(t)
 			} else {
-				d.Executors.Unanswered(t.executor, t.token)
-				d.play(Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: t.executor, Outcome: scheduler.TimedOut,
-					TookMS: d.ProbeMS}, Token: t.token, at: t.at})
+				d.Executors.ForgetHealthCheck(t.executor, t.token)
+				d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: t.executor, Outcome: scheduler.TimedOut,
+					TookMS: d.HealthCheckTimeoutMS}, Token: t.token, at: t.at})
 			}
 		case ticks:
 			d.timers.push(timer{at: now + tickMS, what: ticks})
@@ -325,16 +325,16 @@
 }
 
 // play hands an item to the module, then all that comes of it.
-func (d *Desk) play(it Item) {
+func (d *Loop) play(it QueueItem) {
 	d.tally.waited(d.clock.Now() - it.at)
 	switch {
-	case it.Note != nil:
-		d.happen(Happening{Kind: Told, Note: it.Note})
-	case it.Ask != nil:
-		d.ask(it.Ask)
+	case it.Message != nil:
+		d.happen(Event{Kind: MessagePosted, Message: it.Message})
+	case it.Query != nil:
+		d.ask(it.Query)
 	case it.Call != nil:
 		it.Call(d.clock.Now())
-	case it.Event.Kind == scheduler.Heard && d.happen(Happening{Kind: Letter, Peer: it.Event.FromPeer, Data: it.Event.Data}).mine:
+	case it.Event.Kind == scheduler.Heard && d.happen(Event{Kind: PeerMessage, Peer: it.Event.FromPeer, Payload: it.Event.Data}).mine:
 	default:
 		d.hand(it)
 	}
@@ -342,7 +342,7 @@
 }
 
 // rest hands over the ends that came of the module's own actions.
-func (d *Desk) rest() {
+func (d *Loop) rest() {
 	for {
 		switch {
 		case len(d.later) > 0:
@@ -359,7 +359,7 @@
 	}
 }
 
-func (d *Desk) hand(it Item) {
+func (d *Loop) hand(it QueueItem) {
 	ev := &it.Event
 	var s *request
 	switch ev.Kind {
@@ -367,7 +367,7 @@
 		if s = d.take(it.Request, ev, it.resumed); s == nil {
 			return
 		}
-		if d.happen(Happening{Kind: Entered, Request: &s.Request}).detain {
+		if d.happen(Event{Kind: RequestEntered, Request: &s.Request}).detain {
 			s.inLine = true
 			return
 		}
@@ -375,8 +375,8 @@
 		if in := d.awaiting[ev.Request]; in != nil && in.Client == it.Client && in.Tag == it.Token {
 			delete(d.awaiting, ev.Request)
 			d.open.Add(-1)
-			d.tally.Left++
-			d.happen(Happening{Kind: Departed, Request: in})
+			d.tally.ClientLeft++
+			d.happen(Event{Kind: SuspendedClientLeft, Request: in})
 			if ev.HalfClosed {
 				in.Client.Failed(in.Tag)
 			}
@@ -386,27 +386,27 @@
 			return
 		}
 		if ev.HalfClosed && s.inLine { // the module does not have it yet: it gets it to be turned away
-			d.offer(&Follow{Kind: Offer, ID: s.ID, Barred: true})
+			d.offer(&Command{Kind: OfferRequest, ID: s.ID, Blocked: true})
 			return
 		}
 		if !ev.HalfClosed { // else the module gives it its answer
 			d.answered(s, ledger.Left, nil, 0)
-			d.tally.Left++
+			d.tally.ClientLeft++
 		}
 	case scheduler.Ended:
 		if s = d.settle(ev); s == nil {
 			d.tally.Stray++
 			return
 		}
-		if ev.Outcome == scheduler.Superseded && !s.answered && s.Forsaken() { // the word of it still stands in the queue
+		if ev.Outcome == scheduler.Superseded && !s.answered && s.Abandoned() { // the word of it still stands in the queue
 			if ev.Barred = ev.Barred || s.halfClosed(); !s.halfClosed() {
 				d.answered(s, ledger.Left, nil, 0)
-				d.tally.Left++
+				d.tally.ClientLeft++
 			}
 		}
 		if ev.Outcome == scheduler.Handled && !s.answered {
 			d.conclude(s, ledger.Handled, it.Body, 0, ev.SpentMS)
-			d.tally.Handled++
+			d.tally.Succeeded++
 		}
 		ev.Over = s.answered
 	case scheduler.Probed:
@@ -426,16 +426,16 @@
 		d.release(s)
 	}
 	if ev.Kind == scheduler.Listed && ev.List != scheduler.NoList {
-		d.happen(Happening{Kind: ListNews, List: ev})
+		d.happen(Event{Kind: EndpointsUpdated, List: ev})
 	} else if ev.Kind == scheduler.Listed {
-		d.happen(Happening{Kind: ListLost})
+		d.happen(Event{Kind: ListUnavailable})
 	} else if ev.Kind == scheduler.Closing {
-		d.happen(Happening{Kind: Stopping})
+		d.happen(Event{Kind: ShutdownStarted})
 	}
 }
 
 // step plays an event to the module and does what it asks for.
-func (d *Desk) step(ev *scheduler.Event) {
+func (d *Loop) step(ev *scheduler.Event) {
 	now := d.clock.Now()
 	d.actions = d.one.Step(now, ev, d.actions[:0])
 	d.tally.stepped(d.clock.Now() - now)
@@ -446,20 +446,20 @@
 
 // take enters a request. One whose id is still known gets a failure: the first of that id goes on. That holds for an
 // id given back or answered, too, up to its hard limit: run anew, each copy would count as a further attempt.
-func (d *Desk) take(in *Request, ev *scheduler.Event, resumed bool) *request {
+func (d *Loop) take(in *Request, ev *scheduler.Event, resumed bool) *request {
 	_, spent := d.spent[in.ID]
 	if !resumed {
-		d.tally.Taken++
+		d.tally.Received++
 		if len(d.parts) > 0 && d.requests[in.ID] == nil && d.awaiting[in.ID] == nil && !spent && d.awaits(in) {
 			return nil
 		}
 	}
 	if d.requests[in.ID] == nil && d.awaiting[in.ID] == nil {
-		v := d.happen(Happening{Kind: Came, Request: in, Prior: ev.Prior})
+		v := d.happen(Event{Kind: RequestReceived, Request: in, Prior: ev.Prior})
 		if v.answer != nil {
 			d.told(in, v.answer)
 			if resumed {
-				d.happen(Happening{Kind: Closed, Request: in, Outcome: v.answer.Outcome, Body: v.answer.Body})
+				d.happen(Event{Kind: RequestClosed, Request: in, Outcome: v.answer.Outcome, Body: v.answer.Body})
 			}
 			return nil
 		}
@@ -471,9 +471,9 @@
 	if spent || d.requests[in.ID] != nil || d.awaiting[in.ID] != nil {
 		in.Client.Failed(in.Tag)
 		d.open.Add(-1)
-		d.tally.Twice++
+		d.tally.DuplicateIDs++
 		if resumed {
-			d.happen(Happening{Kind: Closed, Request: in, Outcome: ledger.WrittenOff})
+			d.happen(Event{Kind: RequestClosed, Request: in, Outcome: ledger.WrittenOff})
 		}
 		return nil
 	}
@@ -486,16 +486,16 @@
 	*s = request{Request: *in}
 	d.requests[in.ID] = s
 	s.prior, s.barred = ev.Prior, ev.Barred
-	ev.Request, ev.Offering, ev.Group, ev.Key, ev.NeedMB = in.ID, in.Offering, in.Group, in.Key, in.NeedMB
-	ev.WorkMS, ev.Until, ev.Repeat = in.WorkMS, in.Until, in.Repeat
-	d.timers.push(timer{at: in.Until, what: limits, request: in.ID})
+	ev.Request, ev.Offering, ev.Group, ev.Key, ev.NeedMB = in.ID, in.Class, in.TableGroup, in.OrderKey, in.MemoryMB
+	ev.WorkMS, ev.Until, ev.Repeat = in.WorkMS, in.Deadline, in.Retried
+	d.timers.push(timer{at: in.Deadline, what: limits, request: in.ID})
 	return s
 }
 
 // awaits tells whether a request waits for what others say, or has been answered by that already.
-func (d *Desk) awaits(in *Request) bool {
+func (d *Loop) awaits(in *Request) bool {
 	d.awaiting[in.ID] = in // what follows may be said at once
-	if d.happen(Happening{Kind: Arriving, Request: in}).await || d.awaiting[in.ID] == nil {
+	if d.happen(Event{Kind: RequestArriving, Request: in}).await || d.awaiting[in.ID] == nil {
 		return true
 	}
 	delete(d.awaiting, in.ID)
@@ -503,7 +503,7 @@
 }
 
 // settle books the end of an attempt; nil if that has ended before.
-func (d *Desk) settle(ev *scheduler.Event) *request {
+func (d *Loop) settle(ev *scheduler.Event) *request {
 	s := d.requests[ev.Request]
 	if s == nil || ev.Attempt >= s.fired || !s.attempts[ev.Attempt].out {
 		return nil
@@ -511,24 +511,24 @@
 	h := &s.attempts[ev.Attempt]
 	h.out, s.out, h.run = false, s.out-1, nil
 	ev.Executor, ev.TookMS = h.executor, d.clock.Now()-h.sent
-	d.tally.Ends[ev.Outcome]++
-	d.happen(Happening{Kind: ShotOver, Request: &s.Request, Attempt: ev.Attempt, Unrun: ev.Outcome.NeverRan()})
+	d.tally.AttemptEnds[ev.Outcome]++
+	d.happen(Event{Kind: AttemptEnded, Request: &s.Request, Attempt: ev.Attempt, NeverRan: ev.Outcome.NeverRan()})
 	return s
 }
 
-func (d *Desk) answered(s *request, as ledger.Outcome, body []byte, spentMS float64) {
+func (d *Loop) answered(s *request, as ledger.Outcome, body []byte, spentMS float64) {
 	if invariant.That(!s.answered, "a search is answered once") {
 		s.answered = true
 		d.open.Add(-1)
-		d.happen(Happening{Kind: Closed, Request: &s.Request, Outcome: as, Body: body, SpentMS: spentMS})
+		d.happen(Event{Kind: RequestClosed, Request: &s.Request, Outcome: as, Body: body, CostMS: spentMS})
 	}
 }
 
 // release forgets a request that is answered and has no attempt out.
-func (d *Desk) release(s *request) {
+func (d *Loop) release(s *request) {
 	if s.answered && !s.ending && s.out == 0 && d.requests[s.ID] == s {
 		delete(d.requests, s.ID)
-		if d.clock.Now() < s.Until { // its timer is still to come
+		if d.clock.Now() < s.Deadline { // its timer is still to come
 			d.spent[s.ID] = struct{}{}
 		}
 		*s = request{}
@@ -537,26 +537,26 @@
 }
 
 // act does what the module asks for.
-func (d *Desk) act(now float64, a *scheduler.Action) {
+func (d *Loop) act(now float64, a *scheduler.Action) {
 	switch a.Kind {
 	case scheduler.Wake:
 		d.timers.push(timer{at: now + a.AfterMS, what: wakes, token: a.Token})
 		return
 	case scheduler.Probe:
 		d.token++
-		d.tally.Probes++
+		d.tally.HealthChecks++
 		d.probes[a.Executor] = d.token
-		if !d.Executors.Probe(a.Executor, d.token) {
-			d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: a.Executor,
+		if !d.Executors.HealthCheck(a.Executor, d.token) {
+			d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: a.Executor,
 				Outcome: scheduler.Unsent}, Token: d.token})
 		}
-		d.timers.push(timer{at: now + d.ProbeMS, what: probes, token: d.token, executor: a.Executor})
+		d.timers.push(timer{at: now + d.HealthCheckTimeoutMS, what: probes, token: d.token, executor: a.Executor})
 		return
 	case scheduler.Listen:
-		d.List.Ask()
+		d.List.Refresh()
 		return
 	case scheduler.Tell:
-		d.Peers.Tell(a.Peer, a.Data)
+		d.Peers.SendPeer(a.Peer, a.Data)
 		return
 	case scheduler.Log:
 		d.log.WithField("says", a.Text).Info("module")
@@ -571,13 +571,13 @@
 		d.send(now, s, a)
 	case scheduler.Back:
 		s.inLine = true
-		d.happen(Happening{Kind: GivenBack, Request: &s.Request})
+		d.happen(Event{Kind: RequestReturned, Request: &s.Request})
 	case scheduler.Terms:
 		if s.grant != a.GrantMB {
 			s.grant = a.GrantMB
 			for k := range s.fired {
-				if r, ok := s.attempts[k].run.(Regranter); ok {
-					r.Regrant(a.GrantMB)
+				if r, ok := s.attempts[k].run.(MemorySetter); ok {
+					r.SetMemory(a.GrantMB)
 				}
 			}
 		}
@@ -585,7 +585,7 @@
 			s.level = a.Level
 			for k := range s.fired {
 				if s.attempts[k].run != nil {
-					s.attempts[k].run.Relevel(a.Level)
+					s.attempts[k].run.SetLevel(a.Level)
 				}
 			}
 		}
@@ -599,25 +599,25 @@
 		}
 		d.tally.turnedAway(a.Kind, s.halfClosed())
 		if a.Kind == scheduler.Deny {
-			d.conclude(s, ledger.Denied, nil, d.happen(Happening{Kind: Denying, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
+			d.conclude(s, ledger.Denied, nil, d.happen(Event{Kind: RequestRejecting, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
 		} else {
 			d.conclude(s, ledger.WrittenOff, nil, 0, 0)
 		}
 	}
 }
 
-func (d *Desk) send(now float64, s *request, a *scheduler.Action) {
+func (d *Loop) send(now float64, s *request, a *scheduler.Action) {
 	if !invariant.That(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
 		return
 	}
 	n := s.fired
-	v := d.happen(Happening{Kind: Firing, Request: &s.Request, Attempt: n, Executor: a.Executor})
+	v := d.happen(Event{Kind: AttemptStarting, Request: &s.Request, Attempt: n, Executor: a.Executor})
 	kept := v.holds > 0
-	run, held := d.Executors.Send(Attempt{Request: &s.Request, N: n, Executor: a.Executor, GrantMB: s.grant,
-		Level: s.level, MaxMS: s.Until - now, By: a.By, Held: kept})
+	run, held := d.Executors.Send(Attempt{Request: &s.Request, Number: n, Executor: a.Executor, GrantMB: s.grant,
+		Level: s.level, TimeoutMS: s.Deadline - now, LatestStart: a.By, Held: kept})
 	s.attempts[n] = attempt{run: run, executor: a.Executor, sent: now, due: now + held, holds: v.holds, out: true}
 	s.fired, s.out = n+1, s.out+1
-	d.happen(Happening{Kind: Fired, Request: &s.Request, Attempt: n, Executor: a.Executor, GrantMB: s.grant})
+	d.happen(Event{Kind: AttemptStarted, Request: &s.Request, Attempt: n, Executor: a.Executor, GrantMB: s.grant})
 	if run == nil {
 		d.end(s, n, scheduler.Unsent)
 	} else if v.forbid {
@@ -630,32 +630,32 @@
 }
 
 // halt calls an attempt off and lines up its end, unless that is on its way.
-func (d *Desk) halt(s *request, n int, as scheduler.Outcome) {
+func (d *Loop) halt(s *request, n int, as scheduler.Outcome) {
 	if s.attempts[n].run == nil {
 		return // its end stands in line
 	}
-	switch s.attempts[n].run.CallOff() {
-	case Halted:
+	switch s.attempts[n].run.Cancel() {
+	case CancelSent:
 		d.end(s, n, as)
-	case Unsent:
+	case CancelledUnsent:
 		d.end(s, n, scheduler.Superseded)
 	}
 }
 
-func (d *Desk) end(s *request, n int, as scheduler.Outcome) {
+func (d *Loop) end(s *request, n int, as scheduler.Outcome) {
 	s.attempts[n].run = nil
-	d.later = append(d.later, Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Attempt: n, Outcome: as}})
+	d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Attempt: n, Outcome: as}})
 }
 
 // expire ends the attempts of a request whose hard limit has come: silence shows by then at the latest.
-func (d *Desk) expire(id string) {
+func (d *Loop) expire(id string) {
 	delete(d.spent, id)
 	s := d.requests[id]
-	if s == nil || d.clock.Now() < s.Until {
+	if s == nil || d.clock.Now() < s.Deadline {
 		return
 	}
 	if !s.answered {
-		d.tally.Late++
+		d.tally.Overdue++
 	}
 	for n := range s.fired {
 		if s.attempts[n].out {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -41,7 +41,7 @@
 
 // side plays executors and client: it keeps what it was asked for.
 type side struct {
-	stopped Stopped
+	stopped CancelResult
 	held    float64
 	refuse  bool
 	sent    []Attempt
@@ -49,25 +49,27 @@
 	body    string
 }
 
-func (f *side) Send(s Attempt) (Run, float64) {
+func (f *side) Send(s Attempt) (RunningAttempt, float64) {
 	f.sent = append(f.sent, s)
 	if f.refuse {
 		return nil, 0
 	}
 	return f, f.held
 }
-func (f *side) Release()                   { f.did = append(f.did, "release") }
-func (f *side) Probe(uint32, uint64) bool  { f.did = append(f.did, "probe"); return !f.refuse }
-func (f *side) Unanswered(uint32, uint64)  { f.did = append(f.did, "unanswered") }
-func (f *side) Holds(uint32) Holding       { return Holding{Name: "s-7", Attempts: 2} }
-func (f *side) CallOff() Stopped           { f.did = append(f.did, "off"); return f.stopped }
-func (f *side) Relevel(int)                { f.did = append(f.did, "level") }
-func (f *side) Handled(_ uint64, b []byte) { f.did, f.body = append(f.did, "handled"), string(b) }
-func (f *side) Denied(uint64, float64)     { f.did = append(f.did, "denied") }
-func (f *side) Failed(uint64)              { f.did = append(f.did, "written off") }
+func (f *side) Release()                         { f.did = append(f.did, "release") }
+func (f *side) HealthCheck(uint32, uint64) bool  { f.did = append(f.did, "probe"); return !f.refuse }
+func (f *side) ForgetHealthCheck(uint32, uint64) { f.did = append(f.did, "unanswered") }
+func (f *side) ConnectionState(uint32) ConnectionState {
+	return ConnectionState{Name: "s-7", Attempts: 2}
+}
+func (f *side) Cancel() CancelResult         { f.did = append(f.did, "off"); return f.stopped }
+func (f *side) SetLevel(int)                 { f.did = append(f.did, "level") }
+func (f *side) Succeeded(_ uint64, b []byte) { f.did, f.body = append(f.did, "handled"), string(b) }
+func (f *side) Rejected(uint64, float64)     { f.did = append(f.did, "denied") }
+func (f *side) Failed(uint64)                { f.did = append(f.did, "written off") }
 
 // sent is a desk whose module has sent request a to executor 7 at level 3.
-func sent(f *side, on map[scheduler.EventKind][]scheduler.Action) (*Desk, *script) {
+func sent(f *side, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *script) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	one := &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {
@@ -76,31 +78,31 @@
 		one.on[k] = v
 	}
 	d := New(NewClock(), one, log)
-	d.Executors, d.ProbeMS = f, 250
+	d.Executors, d.HealthCheckTimeoutMS = f, 250
 	d.open.Add(1)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
 	return d, one
 }
 
-func search0(d *Desk, f *side) *Request {
-	return &Request{ID: "a", Offering: "look", Until: d.clock.Now() + 1000, Client: f, Tag: 5}
+func search0(d *Loop, f *side) *Request {
+	return &Request{ID: "a", Class: "look", Deadline: d.clock.Now() + 1000, Client: f, Tag: 5}
 }
 
-func end(o scheduler.Outcome) Item {
-	return Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: "a", Outcome: o}, Body: []byte("rows")}
+func end(o scheduler.Outcome) QueueItem {
+	return QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: "a", Outcome: o}, Body: []byte("rows")}
 }
 
 func TestARequestIsSentHandledAndForgotten(t *testing.T) {
 	f := &side{}
 	d, one := sent(f, nil)
-	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{f.sent[0].Executor, f.sent[0].GrantMB, f.sent[0].Level, f.sent[0].N})
-	assert.InDelta(t, 1000, f.sent[0].MaxMS, 900)
+	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{f.sent[0].Executor, f.sent[0].GrantMB, f.sent[0].Level, f.sent[0].Number})
+	assert.InDelta(t, 1000, f.sent[0].TimeoutMS, 900)
 	d.play(end(scheduler.Handled))
 	assert.Equal(t, "rows", f.body)
 	ev := one.last(scheduler.Ended)
 	assert.True(t, ev.Over)
 	assert.Equal(t, uint32(7), ev.Executor)
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 	assert.Empty(t, d.requests)
 	d.play(end(scheduler.Handled)) // nothing is answered twice
 	assert.Equal(t, []string{"handled"}, f.did)
@@ -122,20 +124,20 @@
 
 // An answer that is in the queue when its attempt is called off counts, as long as nothing was answered.
 func TestAnAnswerOnItsWayGoesBeforeACallOff(t *testing.T) {
-	f := &side{stopped: Decided}
+	f := &side{stopped: AlreadyEnded}
 	d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"}}})
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
 	assert.Nil(t, one.last(scheduler.Ended), "its end comes by itself")
 	d.play(end(scheduler.Handled))
 	assert.Equal(t, []string{"off", "handled"}, f.did)
 }
 
 func TestWhatACallOffComesTo(t *testing.T) {
-	for stopped, want := range map[Stopped]scheduler.Outcome{Halted: scheduler.Recalled, Unsent: scheduler.Superseded} {
+	for stopped, want := range map[CancelResult]scheduler.Outcome{CancelSent: scheduler.Recalled, CancelledUnsent: scheduler.Superseded} {
 		f := &side{stopped: stopped}
 		d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"},
 			{Kind: scheduler.Terms, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
-		d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
 		assert.Equal(t, want, one.last(scheduler.Ended).Outcome)
 		assert.Equal(t, []string{"off"}, f.did)
 	}
@@ -152,31 +154,31 @@
 	d, one := sent(f, nil)
 	d.expire("a")
 	assert.Nil(t, one.last(scheduler.Ended), "not before it")
-	d.requests["a"].Until = d.clock.Now() - 1
+	d.requests["a"].Deadline = d.clock.Now() - 1
 	d.expire("a")
 	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Ended).Outcome)
-	assert.Equal(t, uint64(1), d.tally.Late)
+	assert.Equal(t, uint64(1), d.tally.Overdue)
 }
 
 func TestDeniedOnceAndNothingAfter(t *testing.T) {
 	f := &side{}
 	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.Deny, Request: "a"},
 		{Kind: scheduler.CallOff, Request: "a"}}})
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
 	d.play(end(scheduler.Handled))
 	assert.Equal(t, []string{"denied", "off"}, f.did)
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 }
 
 func TestAClientEndsItsOwnRequestsAlone(t *testing.T) {
 	f := &side{}
 	d, one := sent(f, nil)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: &side{}, Token: 5})
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 4})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: &side{}, Token: 5})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 4})
 	assert.Nil(t, one.last(scheduler.Left))
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
 	assert.NotNil(t, one.last(scheduler.Left))
-	assert.Zero(t, d.Open())
+	assert.Zero(t, d.OpenRequests())
 }
 
 func TestAnIDThatIsOpenIsFailedTheSecondTime(t *testing.T) {
@@ -184,13 +186,13 @@
 	d, _ := sent(f, nil)
 	s := search0(d, other)
 	d.open.Add(1)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 	assert.Equal(t, []string{"written off"}, other.did)
-	assert.Equal(t, 1, d.Open())
+	assert.Equal(t, 1, d.OpenRequests())
 	assert.Len(t, f.sent, 1)
 	d.play(end(scheduler.Handled))
 	d.open.Add(1)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, other)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, other)})
 	assert.Len(t, f.sent, 1, "nor once the first is over: its shot would be a further one")
 	assert.Len(t, d.spent, 1)
 	d.expire("a")
@@ -201,10 +203,10 @@
 	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.Rang: {{Kind: scheduler.Probe, Executor: 7}}}
 	f := &side{}
 	d, one := sent(f, probe)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang}})
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: 7}, Token: 9})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: 7}, Token: 9})
 	assert.Nil(t, one.last(scheduler.Probed), "an older probe's answer")
-	d.ProbeMS = 0
+	d.HealthCheckTimeoutMS = 0
 	for d.timers[0].what != probes {
 		d.timers.pop()
 	}
@@ -219,7 +221,7 @@
 	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Probed).Outcome)
 	assert.Equal(t, []string{"probe", "unanswered"}, f.did)
 	d, one = sent(&side{refuse: true}, probe)
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Rang}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang}})
 	assert.Equal(t, scheduler.Unsent, one.last(scheduler.Probed).Outcome)
 }
 
@@ -237,13 +239,13 @@
 	d, one := sent(&side{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Began: {{Kind: scheduler.Wake, AfterMS: 1, Token: 3}}})
 	go d.Run()
 	for range 2 * queueRoom {
-		d.Put(Item{Event: scheduler.Event{Kind: scheduler.Heard}})
+		d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Heard}})
 	}
 	assert.Eventually(t, func() bool { return len(d.queue) == 0 }, 5e9, 1e6)
 	d.Stop()
 	assert.Equal(t, uint64(3), one.last(scheduler.Rang).Token)
 	for range 2 * queueRoom {
-		d.Put(Item{})
+		d.Put(QueueItem{})
 	}
 }
 
@@ -268,22 +270,22 @@
 
 // Ids are always new: nothing is kept of a request past its hard limit, however it ended.
 func TestNothingIsKeptOfRequestsThatAreOver(t *testing.T) {
-	f := &side{stopped: Halted}
+	f := &side{stopped: CancelSent}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := New(NewClock(), &script{}, log)
 	d.Executors = f
 	for n := range 300 {
 		s := search0(d, f)
-		s.ID, s.Until = fmt.Sprint("a", n), d.clock.Now()+200
+		s.ID, s.Deadline = fmt.Sprint("a", n), d.clock.Now()+200
 		d.open.Add(1)
-		d.play(Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
 		d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
 		switch n % 3 {
 		case 0:
-			d.play(Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Outcome: scheduler.Handled}})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Outcome: scheduler.Handled}})
 		case 1:
-			d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: s.ID}, Client: f, Token: s.Tag})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: s.ID}, Client: f, Token: s.Tag})
 			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.CallOff, Request: s.ID})
 			d.rest()
 		default:
@@ -293,7 +295,7 @@
 	time.Sleep(250 * time.Millisecond) // all hard limits go by
 	d.timers.push(timer{at: d.clock.Now() + 1e6, what: tallies})
 	d.due()
-	assert.Equal(t, []int{0, 0, 1, 0}, []int{len(d.requests), len(d.spent), len(d.timers), d.Open()})
+	assert.Equal(t, []int{0, 0, 1, 0}, []int{len(d.requests), len(d.spent), len(d.timers), d.OpenRequests()})
 }
 
 // An attempt that was stopped at the last step, as its client had gone: the module is told that the request is over, before the
@@ -302,14 +304,14 @@
 	f := &side{}
 	d, one := sent(f, nil)
 	s := d.requests["a"]
-	s.Gone = &atomic.Bool{}
-	s.Gone.Store(true)
+	s.ClientGone = &atomic.Bool{}
+	s.ClientGone.Store(true)
 	d.play(end(scheduler.Superseded))
 	assert.True(t, one.last(scheduler.Ended).Over)
-	assert.Zero(t, d.Open())
-	d.play(Item{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
+	assert.Zero(t, d.OpenRequests())
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
 	assert.Nil(t, one.last(scheduler.Left), "told once")
-	assert.Equal(t, uint64(1), d.tally.Left)
+	assert.Equal(t, uint64(1), d.tally.ClientLeft)
 	assert.Empty(t, f.did)
 	assert.Len(t, f.sent, 1)
 }
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -6,16 +6,16 @@
 	"liftshift/scheduler"
 )
 
-// Memory remembers through crashes. Its methods are called by the desk's goroutine alone and never wait.
-type Memory interface {
+// RequestLedger remembers through crashes. Its methods are called by the desk's goroutine alone and never wait.
+type RequestLedger interface {
 	Step(now float64, ev *ledger.Event) []ledger.Effect
-	WantsBeliefs(now float64) bool
+	WantsExecutorViews(now float64) bool
 }
 
-// Question asks what became of a request, by its id or its mark. Reply is called by the desk's goroutine and must not wait.
-type Question struct {
-	ID, Mark string
-	Reply    func(ledger.Effect)
+// OutcomeQuery asks what became of a request, by its id or its mark. Reply is called by the desk's goroutine and must not wait.
+type OutcomeQuery struct {
+	ID, IdempotencyKey string
+	Reply              func(ledger.Effect)
 }
 
 // learner is a module that tells what it has learnt.
@@ -23,44 +23,44 @@
 	Learnt(out []scheduler.Figure) []scheduler.Figure
 }
 
-// Remembering puts a memory beside the module.
-func Remembering(m Memory) Part { return remembering{m} }
+// LedgerExtension puts a memory beside the module.
+func LedgerExtension(m RequestLedger) Extension { return remembering{m} }
 
-type remembering struct{ Memory }
+type remembering struct{ RequestLedger }
 
-// Hear tells the memory, in its own words.
-func (r remembering) Hear(now float64, h *Happening, out []Follow) []Follow {
+// Handle tells the memory, in its own words.
+func (r remembering) Handle(now float64, h *Event, out []Command) []Command {
 	var ev ledger.Event
 	switch s := h.Request; h.Kind {
-	case Came:
-		ev = ledger.Event{Kind: ledger.Taken, ID: s.ID, Mark: s.Mark, Offering: s.Offering, Until: s.Until, Prior: h.Prior}
-	case Firing:
+	case RequestReceived:
+		ev = ledger.Event{Kind: ledger.Taken, ID: s.ID, Mark: s.IdempotencyKey, Offering: s.Class, Until: s.Deadline, Prior: h.Prior}
+	case AttemptStarting:
 		ev = ledger.Event{Kind: ledger.Fired, ID: s.ID, Shot: h.Attempt, Executor: h.Executor}
-	case ShotOver:
-		ev = ledger.Event{Kind: ledger.ShotEnded, ID: s.ID, Shot: h.Attempt, Unrun: h.Unrun}
-	case Closed:
+	case AttemptEnded:
+		ev = ledger.Event{Kind: ledger.ShotEnded, ID: s.ID, Shot: h.Attempt, Unrun: h.NeverRan}
+	case RequestClosed:
 		ev = ledger.Event{Kind: ledger.Closed, ID: s.ID, Outcome: h.Outcome, Body: h.Body}
-	case ListNews:
+	case EndpointsUpdated:
 		l := h.List
 		ev = ledger.Event{Kind: ledger.Listed, Index: l.Index, Restored: l.List == scheduler.Restored, Whole: l.List != scheduler.Changes, Entries: l.Entries}
-	case Ticks:
+	case Ticked:
 		ev = ledger.Event{Kind: ledger.Ticked}
-		if r.WantsBeliefs(now) {
-			ev.Beliefs, ev.Figures = h.Beliefs()
+		if r.WantsExecutorViews(now) {
+			ev.Beliefs, ev.Figures = h.SchedulerState()
 		}
-	case Told:
-		note, ours := h.Note.(*ledger.Event)
+	case MessagePosted:
+		note, ours := h.Message.(*ledger.Event)
 		if !ours {
 			return out
 		}
 		ev = *note
-	case Inquiry:
-		for _, e := range r.Step(now, &ledger.Event{Kind: ledger.Asked, ID: h.Ask.ID, Mark: h.Ask.Mark}) {
+	case OutcomeQueried:
+		for _, e := range r.Step(now, &ledger.Event{Kind: ledger.Asked, ID: h.Query.ID, Mark: h.Query.IdempotencyKey}) {
 			if e.Kind == ledger.Tell {
-				h.Ask.Reply(e)
+				h.Query.Reply(e)
 			}
 		}
-		return append(out, Follow{Kind: Mine})
+		return append(out, Command{Kind: Consume})
 	default:
 		return out
 	}
@@ -68,28 +68,28 @@
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
 		case ledger.Hold:
-			out = append(out, Follow{Kind: Hold})
+			out = append(out, Command{Kind: HoldAttempt})
 		case ledger.Release:
-			out = append(out, Follow{Kind: Release, ID: e.ID, Attempt: e.Shot})
+			out = append(out, Command{Kind: ReleaseAttempt, ID: e.ID, Attempt: e.Shot})
 		case ledger.Refuse:
-			f := Follow{Kind: Withhold, ID: e.ID, Attempt: e.Shot}
-			if h.Kind == Firing { // its record could not even be lined up
-				f.Kind = Forbid
+			f := Command{Kind: FailAttempt, ID: e.ID, Attempt: e.Shot}
+			if h.Kind == AttemptStarting { // its record could not even be lined up
+				f.Kind = BlockAttempt
 			}
 			out = append(out, f)
 		case ledger.Admit, ledger.Bar:
-			out = append(out, Follow{Kind: Admit, Prior: e.Prior, Barred: e.Kind == ledger.Bar})
+			out = append(out, Command{Kind: Admit, Prior: e.Prior, Blocked: e.Kind == ledger.Bar})
 		case ledger.Tell:
-			out = append(out, Follow{Kind: Answer, Outcome: e.Outcome, Body: e.Body, AfterMS: e.AfterMS})
+			out = append(out, Command{Kind: AnswerFromRecord, Outcome: e.Outcome, Body: e.Body, AfterMS: e.AfterMS})
 		case ledger.Recall:
-			out = append(out, Follow{Kind: Recall, Event: e.Module})
+			out = append(out, Command{Kind: RestoreState, Event: e.Module})
 		}
 	}
 	return out
 }
 
-// Remembers tells whether a part can say what became of requests.
-func (d *Desk) Remembers() bool {
+// HasLedger tells whether a part can say what became of requests.
+func (d *Loop) HasLedger() bool {
 	for _, p := range d.parts {
 		if _, ok := p.(remembering); ok {
 			return true
@@ -99,14 +99,14 @@
 }
 
 // told answers a request by what is on record.
-func (d *Desk) told(in *Request, f *Follow) {
+func (d *Loop) told(in *Request, f *Command) {
 	reply(in, f.Outcome, f.Body, f.AfterMS)
 	d.open.Add(-1)
-	d.tally.Told++
+	d.tally.FromRecord++
 }
 
 // withhold ends an attempt whose record can't be made to last. It never left, and no other may leave now.
-func (d *Desk) withhold(id string, n int) {
+func (d *Loop) withhold(id string, n int) {
 	s := d.requests[id]
 	if s == nil || n >= s.fired || s.attempts[n].run == nil {
 		return
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -11,15 +11,15 @@
 	"liftshift/scheduler"
 )
 
-// Tally counts what went by. Times are milliseconds.
-type Tally struct {
-	Taken, Handled, Denied, Failed, Left uint64
-	Late                                 uint64 // not answered by their hard limit
-	Twice                                uint64 // requests under an id that was still open
-	Told                                 uint64 // answered by what is on record
-	Stray                                uint64 // ends and notes of attempts that had ended
-	Probes                               uint64
-	Ends                                 [scheduler.Unsent + 1]uint64
+// Counters counts what went by. Times are milliseconds.
+type Counters struct {
+	Received, Succeeded, Rejected, Failed, ClientLeft uint64
+	Overdue                                           uint64 // not answered by their hard limit
+	DuplicateIDs                                      uint64 // requests under an id that was still open
+	FromRecord                                        uint64 // answered by what is on record
+	Stray                                             uint64 // ends and notes of attempts that had ended
+	HealthChecks                                      uint64
+	AttemptEnds                                       [scheduler.Unsent + 1]uint64
 
 	items, steps        uint64
 	waitSum, waitMost   float64
@@ -32,7 +32,7 @@
 // longMS is what counts as a long wait in the queue or a long step: a quarter of the module's beat.
 const longMS = 5
 
-func (t *Tally) waited(ms float64) {
+func (t *Counters) waited(ms float64) {
 	t.items++
 	t.waitSum, t.waitMost = t.waitSum+ms, max(t.waitMost, ms)
 	if ms > longMS {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (t *Tally) stepped(ms float64) {
+func (t *Counters) stepped(ms float64) {
 	t.steps++
 	t.stepSum, t.stepMost = t.stepSum+ms, max(t.stepMost, ms)
 	if ms > longMS {
@@ -49,12 +49,12 @@
 }
 
 // turnedAway counts a request that the module denies or fails; one whose client has most likely gone counts as left.
-func (t *Tally) turnedAway(as scheduler.ActionKind, left bool) {
+func (t *Counters) turnedAway(as scheduler.ActionKind, left bool) {
 	switch {
 	case left:
-		t.Left++
+		t.ClientLeft++
 	case as == scheduler.Deny:
-		t.Denied++
+		t.Rejected++
 	default:
 		t.Failed++
 	}
@@ -65,17 +65,17 @@
 	scheduler.Superseded: "superseded", scheduler.Unsent: "unsent"}
 
 // tell logs the counters; the times start anew with each line.
-func (d *Desk) tell(line string) {
+func (d *Loop) tell(line string) {
 	t := &d.tally
-	f := logrus.Fields{"taken": t.Taken, "handled": t.Handled, "denied": t.Denied, "written_off": t.Failed,
-		"left": t.Left, "late": t.Late, "twice": t.Twice, "told": t.Told, "stray": t.Stray, "probes": t.Probes, "open": d.Open(), "spent": len(d.spent), "queue": len(d.queue),
+	f := logrus.Fields{"taken": t.Received, "handled": t.Succeeded, "denied": t.Rejected, "written_off": t.Failed,
+		"left": t.ClientLeft, "late": t.Overdue, "twice": t.DuplicateIDs, "told": t.FromRecord, "stray": t.Stray, "probes": t.HealthChecks, "open": d.OpenRequests(), "spent": len(d.spent), "queue": len(d.queue),
 		"wait_ms": t.waitSum / float64(max(1, t.items)), "wait_most_ms": t.waitMost, "waits_long": t.waitsLong,
 		"step_ms": t.stepSum / float64(max(1, t.steps)), "step_most_ms": t.stepMost, "steps_long": t.stepLong,
 		"steps": t.steps}
 	if t.holds > 0 {
 		f["holds"], f["hold_ms"] = t.holds, t.holdSum/float64(t.holds)
 	}
-	for k, n := range t.Ends {
+	for k, n := range t.AttemptEnds {
 		if n > 0 {
 			f["shots_"+endNames[k]] = n
 		}
@@ -93,14 +93,14 @@
 
 // compare logs what the module believes of each executor of which something is held, beside what the sockets have. Attempts may differ by ends that
 // stand in the queue, no further.
-func (d *Desk) compare() {
+func (d *Loop) compare() {
 	one, ok := d.one.(believer)
 	if !ok {
 		return
 	}
 	lines := 0
 	for _, b := range one.Beliefs(d.clock.Now(), nil) {
-		has := d.Executors.Holds(b.Executor)
+		has := d.Executors.ConnectionState(b.Executor)
 		if b.Out == 0 && has.Attempts == 0 && has.Connections == 0 && b.Bad == 0 && !b.Aside && !b.Cold {
 			continue // nothing is held of it
 		}
@@ -109,7 +109,7 @@
 			return
 		}
 		d.log.WithFields(logrus.Fields{"executor": has.Name, "id": b.Executor, "out": b.Out, "open": has.Attempts,
-			"connections": has.Connections, "quiet_ms": math.Round(has.QuietMS), "threads": b.Threads, "bad": b.Bad, "standing": b.Standing,
+			"connections": has.Connections, "quiet_ms": math.Round(has.IdleMS), "threads": b.Threads, "bad": b.Bad, "standing": b.Standing,
 			"aside": b.Aside, "cold": b.Cold, "heard_ms": math.Round(b.HeardMS), "report_ms": math.Round(b.ReportMS)}).Info("belief")
 	}
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -35,7 +35,7 @@
 	token    uint64
 	request  string
 	executor uint32
-	run      Run
+	run      RunningAttempt
 }
 
 // timers is a heap, the earliest first.
--- a/internal/handoffnet/copies.go
+++ b/internal/handoffnet/copies.go
@@ -20,8 +20,8 @@
 	back  func(stored)
 }
 
-// Keep has copies kept in a folder, and gives the estate those that are there. It is called before the desk runs.
-func (t *Trustee) Keep(folder vfs.FS, put func(note any)) error {
+// PersistCopies has copies kept in a folder, and gives the estate those that are there. It is called before the desk runs.
+func (t *Agent) PersistCopies(folder vfs.FS, put func(note any)) error {
 	c := &copies{wait: map[uint64]func(error){}, back: func(s stored) { put(s) }}
 	now := t.clock.Now()
 	found := map[store.Key][]byte{}
@@ -77,7 +77,7 @@
 func (c *copies) Stored(token uint64, err error) { c.back(stored{token, err}) }
 
 // stored lets answers go that waited.
-func (c *copies) stored(s stored, _ *Trustee) {
+func (c *copies) stored(s stored, _ *Agent) {
 	if tell := c.wait[s.token]; tell != nil {
 		delete(c.wait, s.token)
 		tell(s.err)
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -47,7 +47,7 @@
 		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: n%2 == 0, Sure: true}
 }
 
-func goldenTrustee() *Trustee {
+func goldenTrustee() *Agent {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
@@ -59,7 +59,7 @@
 func TestGolden_TrusteeFolder(t *testing.T) {
 	disk, wrote := vfs.NewMemory(), make(chan any, 8)
 	a := goldenTrustee()
-	require.NoError(t, a.Keep(disk, func(note any) { wrote <- note }))
+	require.NoError(t, a.PersistCopies(disk, func(note any) { wrote <- note }))
 	var effects []handoff.Effect
 	for n := range 7 {
 		c := goldenCopy(n)
@@ -114,8 +114,8 @@
 	}
 
 	b := goldenTrustee()
-	require.NoError(t, b.Keep(fs, func(any) {}))
-	assert.Equal(t, 6, b.Estate().Counts().Copies)
+	require.NoError(t, b.PersistCopies(fs, func(any) {}))
+	assert.Equal(t, 6, b.Manager().Counts().Copies)
 	b.Close()
 }
 
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -31,10 +31,10 @@
 	patience  = 900 * time.Millisecond // of one who waits for an answer here: less than a caller's
 )
 
-// Trustee joins an estate to a desk, to the fleet's carriage and to the council.
-type Trustee struct {
+// Agent joins an estate to a desk, to the fleet's carriage and to the council.
+type Agent struct {
 	estate  *handoff.Estate
-	desk    *dispatch.Desk
+	desk    *dispatch.Loop
 	clock   dispatch.Clock
 	carrier *clusternet.Transport
 	seat    *raftnode.Node
@@ -47,7 +47,7 @@
 	tokens    uint64
 	refreshed float64
 	replies   map[uint64]func([]byte, error)
-	questions map[uint64]*dispatch.Question
+	questions map[uint64]*dispatch.OutcomeQuery
 	copies    *copies // nil: copies are kept in memory alone
 
 	addresses atomic.Pointer[map[string]string]
@@ -58,8 +58,8 @@
 	number    atomic.Uint64
 	replied   chan reply
 
-	Dropped, Calls, Failed, Datagrams, Silent atomic.Uint64
-	counts                                    atomic.Pointer[handoff.Counts]
+	Dropped, Calls, Failed, Datagrams, Unanswered atomic.Uint64
+	counts                                        atomic.Pointer[handoff.Counts]
 }
 
 // What reaches the estate by the desk's queue.
@@ -81,35 +81,35 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Desk, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Trustee {
-	return &Trustee{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
-		where: map[uint32]scheduler.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.Question{},
+func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Loop, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Agent {
+	return &Agent{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
+		where: map[uint32]scheduler.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.OutcomeQuery{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
 
-// Begin has the trustee hear of the council and of others, once they are there.
-func (t *Trustee) Begin(s *raftnode.Node) {
+// Start has the trustee hear of the council and of others, once they are there.
+func (t *Agent) Start(s *raftnode.Node) {
 	t.seat, t.held = s, s.LeaseHeld
 	s.OnConfiguration = func(r raftnode.Configuration) {
 		t.addresses.Store(&r.Addresses)
-		go t.desk.Put(dispatch.Item{Note: rolled{r}})
+		go t.desk.Put(dispatch.QueueItem{Message: rolled{r}})
 	}
-	s.OnIncarnation = func(life uint64) { go t.desk.Put(dispatch.Item{Note: relived{life}}) }
+	s.OnIncarnation = func(life uint64) { go t.desk.Put(dispatch.QueueItem{Message: relived{life}}) }
 	t.listen()
 }
 
 // listen has it hear what others say.
-func (t *Trustee) listen() {
+func (t *Agent) listen() {
 	t.carrier.HandoffCall, t.carrier.HandoffDatagram = t.heard, t.heardWord
 	t.number.Store(uint64(t.clock.Now()) << 20) // no answer to an earlier life is taken for one to this
 	go t.answerWords()
 }
 
-// Held tells whether this controller may act on its lease at this moment. It may be called from any goroutine.
-func (t *Trustee) Held() bool { return t.held != nil && (lawless || t.held()) }
+// LeaseHeld tells whether this controller may act on its lease at this moment. It may be called from any goroutine.
+func (t *Agent) LeaseHeld() bool { return t.held != nil && (lawless || t.held()) }
 
 // heard takes what another member says; any goroutine calls it.
-func (t *Trustee) heard(ctx context.Context, data []byte) ([]byte, error) {
+func (t *Agent) heard(ctx context.Context, data []byte) ([]byte, error) {
 	b, err := handoff.ReadBatch(data, t.clock.Now())
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 		err  error
 	}
 	back := make(chan got, 1)
-	go t.desk.Put(dispatch.Item{Note: words{b, func(data []byte, err error) { back <- got{data, err} }}})
+	go t.desk.Put(dispatch.QueueItem{Message: words{b, func(data []byte, err error) { back <- got{data, err} }}})
 	late := time.NewTimer(patience)
 	defer late.Stop()
 	select {
@@ -135,15 +135,15 @@
 }
 
 // Close ends the lines. The desk has ended.
-func (t *Trustee) Close() {
+func (t *Agent) Close() {
 	close(t.stop)
 	if t.copies != nil {
 		t.copies.close(t.log)
 	}
 }
 
-// Count gives the counters for the log.
-func (t *Trustee) Count() logrus.Fields {
+// Counters gives the counters for the log.
+func (t *Agent) Counters() logrus.Fields {
 	c := handoff.Counts{}
 	if p := t.counts.Load(); p != nil {
 		c = *p
@@ -153,7 +153,7 @@
 		"told": c.Told, "refused": c.Refused, "withheld": c.Withheld, "alone": c.Alone, "claims": c.Claims, "taken": c.Taken,
 		"taken_done": c.TakenDone, "late": c.Late, "words": c.Words, "lost": c.Lost, "pulled": c.Pulled, "calls": t.Calls.Load(),
 		"calls_failed": t.Failed.Load(), "lined_up_too_long": t.Dropped.Load(),
-		"datagrams": t.Datagrams.Load(), "datagrams_unanswered": t.Silent.Load()}
+		"datagrams": t.Datagrams.Load(), "datagrams_unanswered": t.Unanswered.Load()}
 }
 
 // ---- as a part of the desk
@@ -164,38 +164,38 @@
 var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Handled: ledger.Handled, handoff.Denied: ledger.Denied,
 	handoff.WrittenOff: ledger.WrittenOff, handoff.Left: ledger.Left, handoff.Unknown: ledger.Unknown}
 
-// Hear tells the estate, in its own words.
-func (t *Trustee) Hear(now float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
+// Handle tells the estate, in its own words.
+func (t *Agent) Handle(now float64, h *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	var ev handoff.Event
 	switch s := h.Request; h.Kind {
-	case dispatch.Arriving:
-		ev = handoff.Event{Kind: handoff.Arrives, ID: s.ID, Copy: &handoff.Copy{Until: s.Until, Work: handoff.Work{ID: s.ID, Mark: s.Mark,
-			Offering: s.Offering, Order: s.Key, Team: s.Team, Schema: s.Schema, Group: s.Group, NeedMB: s.NeedMB, WorkMS: s.WorkMS, Body: s.Body}}}
-	case dispatch.Departed:
+	case dispatch.RequestArriving:
+		ev = handoff.Event{Kind: handoff.Arrives, ID: s.ID, Copy: &handoff.Copy{Until: s.Deadline, Work: handoff.Work{ID: s.ID, Mark: s.IdempotencyKey,
+			Offering: s.Class, Order: s.OrderKey, Team: s.Team, Schema: s.Schema, Group: s.TableGroup, NeedMB: s.MemoryMB, WorkMS: s.WorkMS, Body: s.Body}}}
+	case dispatch.SuspendedClientLeft:
 		ev = handoff.Event{Kind: handoff.Gone, ID: s.ID}
-	case dispatch.Firing:
+	case dispatch.AttemptStarting:
 		at := t.where[h.Executor]
 		ev = handoff.Event{Kind: handoff.Firing, ID: s.ID, Shot: h.Attempt, Place: at.Place, Cell: at.Cell}
-	case dispatch.ShotOver:
-		ev = handoff.Event{Kind: handoff.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.Unrun}
-	case dispatch.Ending:
+	case dispatch.AttemptEnded:
+		ev = handoff.Event{Kind: handoff.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.NeverRan}
+	case dispatch.RequestEnding:
 		ev = handoff.Event{Kind: handoff.Ending, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
-	case dispatch.Closed:
+	case dispatch.RequestClosed:
 		ev = handoff.Event{Kind: handoff.Closed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
-	case dispatch.ListNews:
+	case dispatch.EndpointsUpdated:
 		t.list(h.List)
 		return out
-	case dispatch.Stopping:
+	case dispatch.ShutdownStarted:
 		ev = handoff.Event{Kind: handoff.Leaving}
-	case dispatch.Ticks:
+	case dispatch.Ticked:
 		ev = handoff.Event{Kind: handoff.Ticked}
-	case dispatch.Inquiry:
+	case dispatch.OutcomeQueried:
 		t.tokens++
-		t.questions[t.tokens] = h.Ask
-		out = append(out, dispatch.Follow{Kind: dispatch.Mine})
-		ev = handoff.Event{Kind: handoff.Asked, ID: h.Ask.ID, Mark: h.Ask.Mark, Token: t.tokens}
-	case dispatch.Told:
-		switch n := h.Note.(type) {
+		t.questions[t.tokens] = h.Query
+		out = append(out, dispatch.Command{Kind: dispatch.Consume})
+		ev = handoff.Event{Kind: handoff.Asked, ID: h.Query.ID, Mark: h.Query.IdempotencyKey, Token: t.tokens}
+	case dispatch.MessagePosted:
+		switch n := h.Message.(type) {
 		case words:
 			t.tokens++
 			t.replies[t.tokens] = n.reply
@@ -216,7 +216,7 @@
 		return out
 	}
 	out = t.step(now, &ev, out)
-	if h.Kind == dispatch.Ticks {
+	if h.Kind == dispatch.Ticked {
 		c := t.estate.Counts()
 		t.counts.Store(&c)
 		if t.copies != nil {
@@ -227,7 +227,7 @@
 }
 
 // list keeps where executors are.
-func (t *Trustee) list(l *scheduler.Event) {
+func (t *Agent) list(l *scheduler.Event) {
 	if l.List != scheduler.Changes {
 		clear(t.where)
 	}
@@ -239,13 +239,13 @@
 }
 
 // Step plays an event from outside of a happening; it is for a call on the desk's goroutine.
-func (t *Trustee) Step(now float64, ev *handoff.Event) { t.desk.Follow(t.step(now, ev, nil)) }
+func (t *Agent) Step(now float64, ev *handoff.Event) { t.desk.Execute(t.step(now, ev, nil)) }
 
-// Estate is for a call on the desk's goroutine.
-func (t *Trustee) Estate() *handoff.Estate { return t.estate }
+// Manager is for a call on the desk's goroutine.
+func (t *Agent) Manager() *handoff.Estate { return t.estate }
 
-func (t *Trustee) step(now float64, ev *handoff.Event, out []dispatch.Follow) []dispatch.Follow {
-	ev.Held = t.Held()
+func (t *Agent) step(now float64, ev *handoff.Event, out []dispatch.Command) []dispatch.Command {
+	ev.Held = t.LeaseHeld()
 	lasts := t.copies != nil && (ev.Kind == handoff.Words)
 	effects := t.estate.Step(now, ev)
 	token := uint64(0)
@@ -255,30 +255,30 @@
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
 		case handoff.Await:
-			out = append(out, dispatch.Follow{Kind: dispatch.Await})
+			out = append(out, dispatch.Command{Kind: dispatch.Suspend})
 		case handoff.Resume:
-			out = append(out, dispatch.Follow{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Barred: e.Barred})
+			out = append(out, dispatch.Command{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Blocked: e.Barred})
 		case handoff.Settle:
-			out = append(out, dispatch.Follow{Kind: dispatch.Settle, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
+			out = append(out, dispatch.Command{Kind: dispatch.AnswerSuspended, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
 		case handoff.Hold:
-			out = append(out, dispatch.Follow{Kind: dispatch.Hold})
+			out = append(out, dispatch.Command{Kind: dispatch.HoldAttempt})
 		case handoff.Forbid:
-			out = append(out, dispatch.Follow{Kind: dispatch.Hold}, dispatch.Follow{Kind: dispatch.Forbid})
+			out = append(out, dispatch.Command{Kind: dispatch.HoldAttempt}, dispatch.Command{Kind: dispatch.BlockAttempt})
 		case handoff.Release:
-			out = append(out, dispatch.Follow{Kind: dispatch.Release, ID: e.ID, Attempt: e.Shot})
+			out = append(out, dispatch.Command{Kind: dispatch.ReleaseAttempt, ID: e.ID, Attempt: e.Shot})
 		case handoff.Withhold:
-			out = append(out, dispatch.Follow{Kind: dispatch.Withhold, ID: e.ID, Attempt: e.Shot})
+			out = append(out, dispatch.Command{Kind: dispatch.FailAttempt, ID: e.ID, Attempt: e.Shot})
 		case handoff.KeepBack:
-			out = append(out, dispatch.Follow{Kind: dispatch.KeepBack})
+			out = append(out, dispatch.Command{Kind: dispatch.WithholdAnswer})
 		case handoff.LetGo:
-			out = append(out, dispatch.Follow{Kind: dispatch.LetGo, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
+			out = append(out, dispatch.Command{Kind: dispatch.DeliverAnswer, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
 		case handoff.Recall:
-			out = append(out, dispatch.Follow{Kind: dispatch.Dismiss, ID: e.ID})
+			out = append(out, dispatch.Command{Kind: dispatch.Discard, ID: e.ID})
 		case handoff.Adopt:
 			c := e.Copy
-			out = append(out, dispatch.Follow{Kind: dispatch.Adopt, Prior: e.Prior, New: &dispatch.Request{ID: c.ID, Offering: c.Offering, Key: c.Order,
-				Mark: c.Mark, Group: c.Group, NeedMB: c.NeedMB, WorkMS: c.WorkMS, Until: c.Until, Team: c.Team, Schema: c.Schema,
-				Repeat: true, Body: c.Body, Client: nobody{}}})
+			out = append(out, dispatch.Command{Kind: dispatch.Adopt, Prior: e.Prior, Request: &dispatch.Request{ID: c.ID, Class: c.Offering, OrderKey: c.Order,
+				IdempotencyKey: c.Mark, TableGroup: c.Group, MemoryMB: c.NeedMB, WorkMS: c.WorkMS, Deadline: c.Until, Team: c.Team, Schema: c.Schema,
+				Retried: true, Body: c.Body, Client: nopClient{}}})
 		case handoff.Say:
 			t.say(e.To, e.Batch, now)
 		case handoff.Answer:
@@ -301,7 +301,7 @@
 }
 
 // answer answers another member, once what it asked to be kept lasts, where that is wanted.
-func (t *Trustee) answer(e *handoff.Effect, now float64, token uint64) {
+func (t *Agent) answer(e *handoff.Effect, now float64, token uint64) {
 	reply := t.replies[e.Token]
 	delete(t.replies, e.Token)
 	if reply == nil {
@@ -316,22 +316,22 @@
 }
 
 // reply tells what became of a search; where the others know nothing, the parts behind are asked.
-func (t *Trustee) reply(e *handoff.Effect, out []dispatch.Follow) []dispatch.Follow {
+func (t *Agent) reply(e *handoff.Effect, out []dispatch.Command) []dispatch.Command {
 	q := t.questions[e.Token]
 	delete(t.questions, e.Token)
 	switch {
 	case q == nil:
 	case e.Outcome == handoff.Unknown:
-		out = append(out, dispatch.Follow{Kind: dispatch.AskOn, Ask: q})
+		out = append(out, dispatch.Command{Kind: dispatch.ForwardQuery, Query: q})
 	default:
 		q.Reply(ledger.Effect{Kind: ledger.Tell, Outcome: ledgers[e.Outcome], Body: e.Answer, AgeMS: e.AfterMS})
 	}
 	return out
 }
 
-// nobody is the client of a search whose own client went with its controller.
-type nobody struct{}
+// nopClient is the client of a search whose own client went with its controller.
+type nopClient struct{}
 
-func (nobody) Handled(uint64, []byte) {}
-func (nobody) Denied(uint64, float64) {}
-func (nobody) Failed(uint64)          {}
+func (nopClient) Succeeded(uint64, []byte) {}
+func (nopClient) Rejected(uint64, float64) {}
+func (nopClient) Failed(uint64)            {}
--- a/internal/handoffnet/handoffnet_test.go
+++ b/internal/handoffnet/handoffnet_test.go
@@ -76,7 +76,7 @@
 		heard.waits(t, k+1)
 		assert.Less(t, time.Since(began), 400*time.Millisecond)
 	}
-	assert.EqualValues(t, silences, a.trustee.Silent.Load())
+	assert.EqualValues(t, silences, a.trustee.Unanswered.Load())
 	assert.EqualValues(t, silences+2, a.trustee.Calls.Load())
 	for _, x := range heard.answers() {
 		assert.NotNil(t, x.back, "all are answered")
@@ -105,7 +105,7 @@
 	assert.EqualValues(t, 1, a.trustee.Calls.Load())
 	assert.Zero(t, a.trustee.Datagrams.Load())
 	key := handoff.KeyOf("long", "")
-	b.desk.Do(func(now float64) {
+	b.desk.Call(func(now float64) {
 		who := handoff.Member{Name: "c", Life: 1}
 		c := handoff.Copy{Work: handoff.Work{ID: "x", Mark: "long", Offering: "mark"}, Owner: who, Number: 1, Until: now + 5000, Whole: true}
 		b.trustee.estate.Step(now, &handoff.Event{Kind: handoff.Words, Held: true, Batch: &handoff.Batch{From: who, Version: 1, Items: []handoff.Item{
@@ -120,7 +120,7 @@
 	require.NotNil(t, got.back.Items[0].Copy)
 	assert.Len(t, got.back.Items[0].Copy.Answer, 3000)
 	assert.EqualValues(t, 2, a.trustee.Calls.Load())
-	assert.Zero(t, a.trustee.Silent.Load(), "that was no silence")
+	assert.Zero(t, a.trustee.Unanswered.Load(), "that was no silence")
 }
 
 // A member that is not there holds nobody up: words to it line up to a bound, and each comes back as not answered or is dropped.
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -33,8 +33,8 @@
 	came []answers
 }
 
-func (e *ear) Hear(_ float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
-	if a, is := h.Note.(answers); is && h.Kind == dispatch.Told {
+func (e *ear) Handle(_ float64, h *dispatch.Event, out []dispatch.Command) []dispatch.Command {
+	if a, is := h.Message.(answers); is && h.Kind == dispatch.MessagePosted {
 		e.mu.Lock()
 		e.came = append(e.came, a)
 		e.mu.Unlock()
@@ -50,9 +50,9 @@
 
 // end is a trustee on a carriage of its own.
 type end struct {
-	trustee *Trustee
+	trustee *Agent
 	carrier *clusternet.Transport
-	desk    *dispatch.Desk
+	desk    *dispatch.Loop
 	at      string
 	deaf    atomic.Bool // to datagrams
 	stops   sync.Once
@@ -63,7 +63,7 @@
 var names = []string{"a", "b", "c"}
 
 // open starts one; its desk's part is given, or is the trustee itself, which sits everywhere and holds its lease.
-func open(t *testing.T, name string, part dispatch.Part) *end {
+func open(t *testing.T, name string, part dispatch.Extension) *end {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := testservers.Spot()
@@ -83,7 +83,7 @@
 	if part == nil {
 		part = e.trustee
 	}
-	e.desk.Join(part)
+	e.desk.Register(part)
 	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Life: 1, Address: at}, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, e.carrier.Start(view, nil))
 	go e.desk.Run()
@@ -100,7 +100,7 @@
 		var table placement.Table
 		table.Reseat(places, 1)
 		table.Step = 1
-		e.desk.Do(func(now float64) {
+		e.desk.Call(func(now float64) {
 			e.trustee.Step(now, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
 		})
 	}
--- a/internal/handoffnet/line.go
+++ b/internal/handoffnet/line.go
@@ -59,7 +59,7 @@
 }
 
 // say lines up a batch for a member; it never waits.
-func (t *Trustee) say(to string, b *handoff.Batch, now float64) {
+func (t *Agent) say(to string, b *handoff.Batch, now float64) {
 	s := said{b, b.Append(nil, now), now}
 	select {
 	case t.line(to).in <- s:
@@ -68,7 +68,7 @@
 	}
 }
 
-func (t *Trustee) line(to string) *line {
+func (t *Agent) line(to string) *line {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.lines[to]
@@ -88,7 +88,7 @@
 }
 
 // run carries a line.
-func (l *line) run(t *Trustee) {
+func (l *line) run(t *Agent) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
@@ -120,7 +120,7 @@
 }
 
 // carry sends a batch, and what waits with it.
-func (l *line) carry(t *Trustee, first said) {
+func (l *line) carry(t *Agent, first said) {
 	l.mu.Lock()
 	fits := len(first.data) <= mostSmall && l.lane.takes(t.clock.Now(), len(l.under))
 	l.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // gather puts together what waits, up to so many bytes.
-func (l *line) gather(t *Trustee, first said, room int) said {
+func (l *line) gather(t *Agent, first said, room int) said {
 	sent := *first.batch
 	sent.Items = slices.Clone(sent.Items)
 	all := said{&sent, first.data, first.at}
@@ -165,7 +165,7 @@
 }
 
 // fly sends a batch as a datagram.
-func (l *line) fly(t *Trustee, s said) bool {
+func (l *line) fly(t *Agent, s said) bool {
 	if l.resolve(t); !l.at.IsValid() {
 		return false
 	}
@@ -190,7 +190,7 @@
 
 // overdue has words go again by a call whose datagrams were not answered in time, and gives when it is to be looked again; 0: nothing
 // is under way.
-func (l *line) overdue(t *Trustee, end bool) float64 {
+func (l *line) overdue(t *Agent, end bool) float64 {
 	for {
 		now := t.clock.Now()
 		l.mu.Lock()
@@ -208,7 +208,7 @@
 		t.flights.Delete(l.under[0])
 		if l.under = append(l.under[:0], l.under[1:]...); f != nil && f.over > 0 {
 			l.lane.play(now, silent)
-			t.Silent.Add(1)
+			t.Unanswered.Add(1)
 		}
 		l.mu.Unlock()
 		switch {
@@ -222,7 +222,7 @@
 }
 
 // landed books an answer. A batch of nil: it is too long for a datagram.
-func (l *line) landed(t *Trustee, n uint64, back *handoff.Batch) {
+func (l *line) landed(t *Agent, n uint64, back *handoff.Batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v, _ := t.flights.Load(n)
@@ -234,7 +234,7 @@
 	if back == nil {
 		f.over = 0
 		l.under = slices.Insert(slices.DeleteFunc(l.under, func(u uint64) bool { return u == n }), 0, n)
-	} else if t.desk.TryPut(dispatch.Item{Note: answers{l.to, f.batch, back}}) {
+	} else if t.desk.TryPut(dispatch.QueueItem{Message: answers{l.to, f.batch, back}}) {
 		t.flights.Delete(n)
 		l.under = slices.DeleteFunc(l.under, func(u uint64) bool { return u == n })
 		return
@@ -246,18 +246,18 @@
 }
 
 // call has a batch carried by a call, and brings what comes back.
-func (l *line) call(t *Trustee, s said) {
+func (l *line) call(t *Agent, s said) {
 	t.Calls.Add(1)
 	back := l.ask(t, s.data)
 	select {
 	case <-t.stop:
 	default:
-		t.desk.Put(dispatch.Item{Note: answers{l.to, s.batch, back}})
+		t.desk.Put(dispatch.QueueItem{Message: answers{l.to, s.batch, back}})
 	}
 }
 
 // resolve finds where the member is.
-func (l *line) resolve(t *Trustee) {
+func (l *line) resolve(t *Agent) {
 	at := ""
 	if all := t.addresses.Load(); all != nil {
 		at = (*all)[l.to]
@@ -268,7 +268,7 @@
 	}
 }
 
-func (l *line) ask(t *Trustee, data []byte) *handoff.Batch {
+func (l *line) ask(t *Agent, data []byte) *handoff.Batch {
 	if l.resolve(t); l.address == "" {
 		t.Failed.Add(1)
 		time.Sleep(20 * time.Millisecond)
@@ -286,7 +286,7 @@
 }
 
 // heardWord takes a datagram; the carriage's goroutine calls it, and it does not wait.
-func (t *Trustee) heardWord(from netip.AddrPort, data []byte) {
+func (t *Agent) heardWord(from netip.AddrPort, data []byte) {
 	if len(data) < headBytes {
 		return
 	}
@@ -311,7 +311,7 @@
 				t.Dropped.Add(1)
 			}
 		}
-		if !t.desk.TryPut(dispatch.Item{Note: words{b, back}}) {
+		if !t.desk.TryPut(dispatch.QueueItem{Message: words{b, back}}) {
 			t.Dropped.Add(1)
 		}
 	case answerKind, callKind:
@@ -332,7 +332,7 @@
 }
 
 // answerWords sends the answers to datagrams.
-func (t *Trustee) answerWords() {
+func (t *Agent) answerWords() {
 	for {
 		select {
 		case r := <-t.replied:
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -441,7 +441,7 @@
 func (l *Ledger) LogTime(now float64) int64 { return int64(now + l.offset) }
 
 // WantsBeliefs tells whether it is time to be told what the module believes and has learnt.
-func (l *Ledger) WantsBeliefs(now float64) bool {
+func (l *Ledger) WantsExecutorViews(now float64) bool {
 	due := now+l.offset >= l.bookAt
 	if due {
 		l.bookAt = now + l.offset + bookMS
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -179,9 +179,9 @@
 	defer b.mu.Unlock()
 	b.answers[tag] += what
 }
-func (b *box) Handled(tag uint64, _ []byte) { b.put(tag, "handled") }
-func (b *box) Denied(tag uint64, _ float64) { b.put(tag, "denied") }
-func (b *box) Failed(tag uint64)            { b.put(tag, "written off") }
+func (b *box) Succeeded(tag uint64, _ []byte) { b.put(tag, "handled") }
+func (b *box) Rejected(tag uint64, _ float64) { b.put(tag, "denied") }
+func (b *box) Failed(tag uint64)              { b.put(tag, "written off") }
 func (b *box) get(tag uint64) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -71,7 +71,7 @@
 func (k *Keeper) Notes() []ledger.Effect { return k.notes }
 
 // WantsBeliefs tells whether the ledger wants to hear what the module believes.
-func (k *Keeper) WantsBeliefs(now float64) bool { return k.ledger.WantsBeliefs(now) }
+func (k *Keeper) WantsExecutorViews(now float64) bool { return k.ledger.WantsExecutorViews(now) }
 
 // Step tells the ledger of an event, lines up what it wants kept, and gives the other effects.
 func (k *Keeper) Step(now float64, ev *ledger.Event) []ledger.Effect {
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -101,7 +101,7 @@
 
 // fleet is executors that answer at once, and count.
 type fleet struct {
-	desk *dispatch.Desk
+	desk *dispatch.Loop
 	sent atomic.Int64
 }
 
@@ -111,7 +111,7 @@
 	gone atomic.Bool
 }
 
-func (f *fleet) Send(s dispatch.Attempt) (dispatch.Run, float64) {
+func (f *fleet) Send(s dispatch.Attempt) (dispatch.RunningAttempt, float64) {
 	r := &flight{f: f, shot: s}
 	if !s.Held {
 		r.Release()
@@ -122,37 +122,37 @@
 func (r *flight) Release() {
 	if r.gone.CompareAndSwap(false, true) {
 		r.f.sent.Add(1)
-		go r.f.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Ended, Request: r.shot.Request.ID, Attempt: r.shot.N}, Body: []byte("rows")})
+		go r.f.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: r.shot.Request.ID, Attempt: r.shot.Number}, Body: []byte("rows")})
 	}
 }
 
-func (r *flight) CallOff() dispatch.Stopped {
+func (r *flight) Cancel() dispatch.CancelResult {
 	if r.gone.CompareAndSwap(false, true) {
-		return dispatch.Unsent
+		return dispatch.CancelledUnsent
 	}
-	return dispatch.Decided
+	return dispatch.AlreadyEnded
 }
-func (r *flight) Relevel(int)                  { _ = r }
-func (f *fleet) Probe(uint32, uint64) bool     { return false }
-func (f *fleet) Unanswered(uint32, uint64)     {}
-func (f *fleet) Holds(uint32) dispatch.Holding { return dispatch.Holding{} }
-func (f *fleet) Tell(peer int, data []byte)    {}
-func (f *fleet) Ask()                          {}
+func (r *flight) SetLevel(int)                                   { _ = r }
+func (f *fleet) HealthCheck(uint32, uint64) bool                 { return false }
+func (f *fleet) ForgetHealthCheck(uint32, uint64)                {}
+func (f *fleet) ConnectionState(uint32) dispatch.ConnectionState { return dispatch.ConnectionState{} }
+func (f *fleet) SendPeer(peer int, data []byte)                  {}
+func (f *fleet) Refresh()                                        {}
 
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
-func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Desk, *fleet, *Keeper) {
+func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Loop, *fleet, *Keeper) {
 	clock := dispatch.NewClock()
 	d := dispatch.New(clock, scheduler.New(7, given()), silent())
-	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.Item{Note: &ev}) }, silent())
+	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
 	require.NoError(t, err)
 	f := &fleet{desk: d}
-	d.Executors, d.Peers, d.List, d.ProbeMS = f, f, f, 250
-	d.Join(dispatch.Remembering(k))
+	d.Executors, d.Peers, d.List, d.HealthCheckTimeoutMS = f, f, f, 250
+	d.Register(dispatch.LedgerExtension(k))
 	go d.Run()
 	for _, ev := range k.First() {
-		d.Put(dispatch.Item{Event: ev})
+		d.Put(dispatch.QueueItem{Event: ev})
 	}
-	d.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Restored,
+	d.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Restored,
 		Entries: []scheduler.Entry{{Executor: 1, Place: "here", Kind: "big"}, {Executor: 2, Place: "here", Kind: "big"}}}})
 	return d, f, k
 }
@@ -174,12 +174,12 @@
 		ask := func(offering string) string {
 			tag++
 			at := tag
-			s := &dispatch.Request{ID: fmt.Sprint("s", at), Offering: offering, WorkMS: 1, NeedMB: 1, Until: float64(time.Now().UnixMilli()) + 5000,
+			s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: offering, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
 				Client: b, Tag: at}
 			if offering == "mark" {
-				s.Mark = fmt.Sprint("m", at)
+				s.IdempotencyKey = fmt.Sprint("m", at)
 			}
-			d.Take(s)
+			d.Submit(s)
 			require.Eventually(t, func() bool { return b.get(at) != "" }, 5*time.Second, 200*time.Microsecond, call)
 			return b.get(at)
 		}
@@ -219,11 +219,11 @@
 	d, f, k := desks(t, disk)
 	b := &box{answers: map[uint64]string{}}
 	until := float64(time.Now().UnixMilli()) + 5000
-	d.Take(&dispatch.Request{ID: "w", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 1})
+	d.Submit(&dispatch.Request{ID: "w", Class: "look", WorkMS: 1, Deadline: until, Client: b, Tag: 1})
 	require.Eventually(t, func() bool { return b.get(1) == "handled" }, 5*time.Second, time.Millisecond)
 	closed.Store(true)
-	d.Take(&dispatch.Request{ID: "a", Offering: "mark", Mark: "m", WorkMS: 1, Until: until, Client: b, Tag: 2})
-	d.Take(&dispatch.Request{ID: "b", Offering: "look", WorkMS: 1, Until: until, Client: b, Tag: 3})
+	d.Submit(&dispatch.Request{ID: "a", Class: "mark", IdempotencyKey: "m", WorkMS: 1, Deadline: until, Client: b, Tag: 2})
+	d.Submit(&dispatch.Request{ID: "b", Class: "look", WorkMS: 1, Deadline: until, Client: b, Tag: 3})
 	require.Eventually(t, func() bool { return b.get(3) == "handled" }, 5*time.Second, time.Millisecond)
 	assert.NotEqual(t, "handled", b.get(2))
 	assert.EqualValues(t, 2, f.sent.Load())
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -100,24 +100,24 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := membership.New(0, "test", self, nil, scheduler.Given{}, 1)
-	watch := func(name string) *Scout {
+	watch := func(name string) *Agent {
 		return New(locality.New(name, "z0", "r", locality.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
 	}
-	step := func(s *Scout, ev locality.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
+	step := func(s *Agent, ev locality.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
 	read := func(name string) []byte {
 		data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
 		require.NoError(t, err)
 		return data
 	}
-	counts := func(s *Scout) locality.Counts {
+	counts := func(s *Agent) locality.Counts {
 		got := make(chan locality.Counts, 1)
 		carrier.Post(func(float64) {
 			s.step(1000, &locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
-			got <- s.Watch.Counts
+			got <- s.Monitor.Counts
 		})
 		return <-got
 	}
-	begin := func(s *Scout) {
+	begin := func(s *Agent) {
 		step(s, locality.Event{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
 		step(s, locality.Event{Kind: locality.Planned, Plan: goldenPlan})
 		step(s, locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -39,13 +39,13 @@
 	givesLoan = 'l' // the number, the threads, the zone
 )
 
-// Scout joins a watch to a desk, to the carriage and to the council.
-type Scout struct {
-	Watch   *locality.Watch // of the carriage's goroutine
+// Agent joins a watch to a desk, to the carriage and to the council.
+type Agent struct {
+	Monitor *locality.Watch // of the carriage's goroutine
 	carrier *clusternet.Transport
 	view    *membership.View
 	seat    *raftnode.Node
-	desk    *dispatch.Desk
+	desk    *dispatch.Loop
 	log     logrus.FieldLogger
 	name    string
 	stop    chan struct{}
@@ -75,8 +75,8 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Desk, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Scout {
-	t := &Scout{Watch: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
+func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
+	t := &Agent{Monitor: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
 		at := "kind." + strconv.Itoa(k) + "."
@@ -96,8 +96,8 @@
 	}
 }
 
-// Begin has it hear the council and the others; it is called before the carriage listens.
-func (t *Scout) Begin() {
+// Start has it hear the council and the others; it is called before the carriage listens.
+func (t *Agent) Start() {
 	t.seat.OnPlan = t.planned
 	t.seat.OnPlanConfirmed = func(now float64, number uint64, at float64) {
 		t.step(now, &locality.Event{Kind: locality.Confirmed, Number: number, At: at})
@@ -119,13 +119,13 @@
 }
 
 // open tells the module how far searches may go, the latest word alone.
-func (t *Scout) open() {
+func (t *Agent) open() {
 	for {
 		select {
 		case <-t.opened:
 			r := t.reaches.Load()
-			t.desk.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Opened, Reaches: r.list}})
-			t.desk.Put(dispatch.Item{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
+			t.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Opened, Reaches: r.list}})
+			t.desk.Put(dispatch.QueueItem{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
 		case <-t.stop:
 			return
 		}
@@ -133,10 +133,10 @@
 }
 
 // Close ends it.
-func (t *Scout) Close() { close(t.stop) }
+func (t *Agent) Close() { close(t.stop) }
 
-// Count gives the counters for the log.
-func (t *Scout) Count() logrus.Fields {
+// Counters gives the counters for the log.
+func (t *Agent) Counters() logrus.Fields {
 	c, p := locality.Counts{}, locality.Plan{}
 	if x := t.counts.Load(); x != nil {
 		c = *x
@@ -153,7 +153,7 @@
 }
 
 // tick gives the watch its time, and what the view has.
-func (t *Scout) tick(now float64) {
+func (t *Agent) tick(now float64) {
 	if now >= t.last+presentMS {
 		t.last = now
 		var list []locality.Member
@@ -164,12 +164,12 @@
 		t.step(now, &locality.Event{Kind: locality.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.LeaseHeld()})
 	}
 	t.step(now, &locality.Event{Kind: locality.Ticked, Unix: time.Now().UnixMilli()})
-	c := t.Watch.Counts
+	c := t.Monitor.Counts
 	t.counts.Store(&c)
 }
 
 // planned takes what is agreed.
-func (t *Scout) planned(now float64, p raftnode.AgreedPlan) {
+func (t *Agent) planned(now float64, p raftnode.AgreedPlan) {
 	ev := locality.Event{Kind: locality.Planned}
 	if len(p.Plan) > 0 {
 		plan := &locality.Plan{}
@@ -195,8 +195,8 @@
 }
 
 // tell logs what the zones are now, once a change.
-func (t *Scout) tell() {
-	p := t.Watch.Plan()
+func (t *Agent) tell() {
+	p := t.Monitor.Plan()
 	was := t.plan.Load()
 	if was != nil && was.Number == p.Number {
 		return
@@ -219,8 +219,8 @@
 }
 
 // step plays an event to the watch and carries what follows.
-func (t *Scout) step(now float64, ev *locality.Event) {
-	for _, e := range slices.Clone(t.Watch.Step(now, ev)) {
+func (t *Agent) step(now float64, ev *locality.Event) {
+	for _, e := range slices.Clone(t.Monitor.Step(now, ev)) {
 		switch e.Kind {
 		case locality.Tell:
 			t.send(now, e.To, reports, e.Data)
@@ -231,7 +231,7 @@
 		case locality.GiveLoan:
 			t.send(now, e.To, givesLoan, append(binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint64(nil, e.Number), uint16(e.Threads)), e.Zone...))
 		case locality.Fetch:
-			t.seat.FetchPlan(now, t.Watch.Plan().Number)
+			t.seat.FetchPlan(now, t.Monitor.Plan().Number)
 		case locality.Propose:
 			if data, err := json.Marshal(e.Plan); err == nil {
 				t.seat.Propose(consensus.PlanProposal(e.Plan.Number, data))
@@ -248,7 +248,7 @@
 	}
 }
 
-func (t *Scout) send(now float64, to string, kind byte, data []byte) {
+func (t *Agent) send(now float64, to string, kind byte, data []byte) {
 	m, known := t.view.Find(to)
 	at, err := netip.ParseAddrPort(m.Address)
 	if !known || err != nil {
@@ -258,7 +258,7 @@
 }
 
 // heard takes a datagram; the carriage's listening goroutine calls it.
-func (t *Scout) heard(_ netip.AddrPort, data []byte) {
+func (t *Agent) heard(_ netip.AddrPort, data []byte) {
 	if len(data) < 2 || data[1] > mostName || len(data) < 2+int(data[1]) {
 		return
 	}
@@ -281,8 +281,8 @@
 	t.carrier.TryPost(func(now float64) { t.step(now, &ev) })
 }
 
-// Order has the council take in an operator's order, or take one back.
-func (t *Scout) Order(o locality.Order, back bool) error {
+// SubmitOrder has the council take in an operator's order, or take one back.
+func (t *Agent) SubmitOrder(o locality.Order, back bool) error {
 	var data []byte
 	if !back {
 		var err error
@@ -296,31 +296,31 @@
 
 // ---- as a part of the desk
 
-// Hear hands over what the module holds, and counts what searches in hand want.
-func (t *Scout) Hear(now float64, h *dispatch.Happening, out []dispatch.Follow) []dispatch.Follow {
+// Handle hands over what the module holds, and counts what searches in hand want.
+func (t *Agent) Handle(now float64, h *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	switch h.Kind {
-	case dispatch.Entered:
-		t.wants += t.threads[h.Request.Offering]
-	case dispatch.Closed:
-		t.wants = max(0, t.wants-t.threads[h.Request.Offering])
-	case dispatch.ListNews:
+	case dispatch.RequestEntered:
+		t.wants += t.threads[h.Request.Class]
+	case dispatch.RequestClosed:
+		t.wants = max(0, t.wants-t.threads[h.Request.Class])
+	case dispatch.EndpointsUpdated:
 		t.deaf = false
 		t.list(h.List)
-	case dispatch.ListLost:
+	case dispatch.ListUnavailable:
 		t.deaf = true
-	case dispatch.Ticks:
+	case dispatch.Ticked:
 		if now < t.seenAt+seenMS {
 			break
 		}
 		t.seenAt = now
-		beliefs, _ := h.Beliefs()
+		beliefs, _ := h.SchedulerState()
 		ev := &locality.Event{Kind: locality.Seen, Wants: t.wants, Deaf: t.deaf, Applied: t.applied, Executors: t.executors(beliefs)}
 		go t.carrier.Post(func(now float64) { t.step(now, ev) }) // this goroutine must not wait
 	}
 	return out
 }
 
-func (t *Scout) executors(beliefs []scheduler.Belief) (list []locality.Executor) {
+func (t *Agent) executors(beliefs []scheduler.Belief) (list []locality.Executor) {
 	for k := range beliefs {
 		b := &beliefs[k]
 		at, known := t.where[b.Executor]
@@ -336,7 +336,7 @@
 }
 
 // list keeps where executors are.
-func (t *Scout) list(l *scheduler.Event) {
+func (t *Agent) list(l *scheduler.Event) {
 	if l.List != scheduler.Changes {
 		clear(t.where)
 	}
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -20,24 +20,24 @@
 	log.SetOutput(io.Discard)
 	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", scheduler.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
 		"offering.0.threads": 4.0}, nil, nil, nil, nil, log)
-	hear := func(h dispatch.Happening) { assert.Empty(t, s.Hear(1, &h, nil)) }
-	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
-	hear(dispatch.Happening{Kind: dispatch.Entered, Request: &dispatch.Request{Offering: "look"}})
-	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
+	hear := func(h dispatch.Event) { assert.Empty(t, s.Handle(1, &h, nil)) }
+	hear(dispatch.Event{Kind: dispatch.RequestEntered, Request: &dispatch.Request{Class: "look"}})
+	hear(dispatch.Event{Kind: dispatch.RequestEntered, Request: &dispatch.Request{Class: "look"}})
+	hear(dispatch.Event{Kind: dispatch.RequestClosed, Request: &dispatch.Request{Class: "look"}})
 	assert.Equal(t, 4.0, s.wants)
-	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
-	hear(dispatch.Happening{Kind: dispatch.Closed, Request: &dispatch.Request{Offering: "look"}})
+	hear(dispatch.Event{Kind: dispatch.RequestClosed, Request: &dispatch.Request{Class: "look"}})
+	hear(dispatch.Event{Kind: dispatch.RequestClosed, Request: &dispatch.Request{Class: "look"}})
 	assert.Zero(t, s.wants, "never below")
-	hear(dispatch.Happening{Kind: dispatch.ListLost})
+	hear(dispatch.Event{Kind: dispatch.ListUnavailable})
 	assert.True(t, s.deaf)
-	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &scheduler.Event{List: scheduler.Whole, Entries: []scheduler.Entry{{Executor: 1, Place: "z0", Kind: "big"},
+	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.Whole, Entries: []scheduler.Entry{{Executor: 1, Place: "z0", Kind: "big"},
 		{Executor: 2, Place: "z1", Kind: "big"}, {Executor: 3, Place: "z1", Kind: "odd"}}}})
 	assert.False(t, s.deaf)
 	list := s.executors([]scheduler.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
 		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: scheduler.Leaving}, {Executor: 9}})
 	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
 		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Aside: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
-	hear(dispatch.Happening{Kind: dispatch.ListNews, List: &scheduler.Event{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: 2, Standing: scheduler.Gone}}}})
+	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: 2, Standing: scheduler.Gone}}}})
 	assert.Len(t, s.executors([]scheduler.Belief{{Executor: 1}, {Executor: 2}}), 1)
 	for _, data := range []string{"", "r", "r\xff", "r\x05ab", "?\x01a", "x\x01a"} {
 		s.heard(netip.AddrPort{}, []byte(data)) // nothing of it reaches the watch, which is not there
--- a/internal/service/beside.go
+++ b/internal/service/beside.go
@@ -7,44 +7,44 @@
 	"liftshift/scheduler"
 )
 
-// Beside is what an installation has besides the platform's side. Package service knows nothing of it, so that where it is
+// Extensions is what an installation has besides the platform's side. Package service knows nothing of it, so that where it is
 // not wanted it is not even in the program.
-type Beside interface {
+type Extensions interface {
 	// Open is called before the desk runs, with this controller's name, and may give it a memory.
-	Open(name string, d *dispatch.Desk, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error
-	// Begin is called when the desk runs and has been told nothing yet.
-	Begin()
-	// Reread reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
-	Reread(given scheduler.Given) (take func() []string, err error)
-	// Count logs its counters.
-	Count()
-	// Stopping is called when a planned stop begins.
-	Stopping()
+	Open(name string, d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error
+	// Start is called when the desk runs and has been told nothing yet.
+	Start()
+	// Reload reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
+	Reload(given scheduler.Given) (take func() []string, err error)
+	// LogCounters logs its counters.
+	LogCounters()
+	// ShutdownStarted is called when a planned stop begins.
+	ShutdownStarted()
 	// Close is called at the end, when the desk has ended.
 	Close()
 }
 
-// Nothing is an installation that has nothing besides the platform's side.
-type Nothing struct{}
+// NoExtensions is an installation that has nothing besides the platform's side.
+type NoExtensions struct{}
 
 // Open does nothing, as all of these.
-func (Nothing) Open(string, *dispatch.Desk, scheduler.Given, dispatch.Clock, logrus.FieldLogger) error {
+func (NoExtensions) Open(string, *dispatch.Loop, scheduler.Given, dispatch.Clock, logrus.FieldLogger) error {
 	return nil
 }
 
-// Begin does nothing.
-func (Nothing) Begin() {}
+// Start does nothing.
+func (NoExtensions) Start() {}
 
-// Reread finds nothing.
-func (Nothing) Reread(scheduler.Given) (func() []string, error) {
+// Reload finds nothing.
+func (NoExtensions) Reload(scheduler.Given) (func() []string, error) {
 	return func() []string { return nil }, nil
 }
 
-// Count does nothing.
-func (Nothing) Count() {}
+// LogCounters does nothing.
+func (NoExtensions) LogCounters() {}
 
-// Stopping does nothing.
-func (Nothing) Stopping() {}
+// ShutdownStarted does nothing.
+func (NoExtensions) ShutdownStarted() {}
 
 // Close does nothing.
-func (Nothing) Close() {}
+func (NoExtensions) Close() {}
--- a/internal/service/node.go
+++ b/internal/service/node.go
@@ -24,8 +24,8 @@
 // readPatience is for how long a configuration is read again that can't be read for a moment.
 const readPatience = time.Second
 
-// Node is what a controller is told at its start.
-type Node struct {
+// Config is what a controller is told at its start.
+type Config struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -36,8 +36,8 @@
 	} `json:"limits"`
 	PeerListen string          `json:"peer_listen"`
 	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	ChangeLog  string          `json:"changelog"`
+	AllPeers   string          `json:"peers_all"`
+	Discovery  string          `json:"changelog"`
 	Known      json.RawMessage `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
@@ -45,8 +45,8 @@
 	given scheduler.Given
 }
 
-// ReadNode reads the configuration file whose path the environment names.
-func ReadNode() (*Node, error) {
+// ReadConfig reads the configuration file whose path the environment names.
+func ReadConfig() (*Config, error) {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG names no configuration file")
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	n := &Node{}
+	n := &Config{}
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -78,10 +78,10 @@
 }
 
 // Given gives the settings in our names.
-func (n *Node) Given() scheduler.Given { return n.given }
+func (n *Config) Given() scheduler.Given { return n.given }
 
-func (n *Node) check() (err error) {
-	for _, at := range []struct{ name, address string }{{"listen", n.Listen}, {"changelog", n.ChangeLog}} {
+func (n *Config) check() (err error) {
+	for _, at := range []struct{ name, address string }{{"listen", n.Listen}, {"changelog", n.Discovery}} {
 		if _, err := netip.ParseAddrPort(at.address); err != nil {
 			return fmt.Errorf("%s is missing or no address: %q", at.name, at.address)
 		}
@@ -112,27 +112,27 @@
 
 // reload reads the configuration again, gives the one in force from then on, and whether that is what was read. It is taken
 // whole or not at all. What moves is the change log; the rest is fixed at the start, and the log names what would need a restart.
-func (n *Node) reload(feed *wire.Feed, beside Beside, log logrus.FieldLogger) (*Node, bool) {
-	next, err := ReadNode()
+func (n *Config) reload(feed *wire.DiscoveryClient, beside Extensions, log logrus.FieldLogger) (*Config, bool) {
+	next, err := ReadConfig()
 	var take func() []string
 	if err == nil {
-		take, err = beside.Reread(next.given)
+		take, err = beside.Reload(next.given)
 	}
 	if err != nil {
 		log.WithField("why", err).Error("reload: not read, the old configuration stays in force")
 		return n, false
 	}
-	feed.Follow(next.ChangeLog)
-	log.WithFields(logrus.Fields{"changelog": next.ChangeLog, "needs_restart": append(n.differs(next), take()...)}).Info("reload: done")
+	feed.Follow(next.Discovery)
+	log.WithFields(logrus.Fields{"changelog": next.Discovery, "needs_restart": append(n.differs(next), take()...)}).Info("reload: done")
 	return next, true
 }
 
 // differs names the fields that another configuration has otherwise and that only a restart heeds. The events known
 // at the start and the seed are new in each file.
-func (n *Node) differs(next *Node) []string {
+func (n *Config) differs(next *Config) []string {
 	var names []string
 	for name, same := range map[string]bool{"name": n.Name == next.Name, "listen": n.Listen == next.Listen,
-		"limits": n.Limits == next.Limits, "peer_listen": n.PeerListen == next.PeerListen, "peers_all": n.PeersAll == next.PeersAll,
+		"limits": n.Limits == next.Limits, "peer_listen": n.PeerListen == next.PeerListen, "peers_all": n.AllPeers == next.AllPeers,
 		"peers": slices.Equal(n.Peers, next.Peers), "settings": reflect.DeepEqual(n.given, next.given)} {
 		if !same {
 			names = append(names, name)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -39,7 +39,7 @@
 )
 
 // Run serves until ctx ends, then stops as planned. At each reload it reads the configuration again.
-func Run(ctx context.Context, n *Node, beside Beside, reload <-chan os.Signal, log *logrus.Logger) error {
+func Run(ctx context.Context, n *Config, beside Extensions, reload <-chan os.Signal, log *logrus.Logger) error {
 	debug.SetMemoryLimit(int64(n.Limits.MemoryMB * heapShare * (1 << 20)))
 	debug.SetGCPercent(heapGrowth)
 	if n.Limits.Cores > 0 {
@@ -47,52 +47,52 @@
 	}
 	g, clock := n.given, dispatch.NewClock()
 	held := int64(n.Limits.MemoryMB * heldShare * (1 << 20))
-	bodies, out := wire.NewBudget(held), wire.NewBudget(held)
+	bodies, out := wire.NewByteBudget(held), wire.NewByteBudget(held)
 	d := dispatch.New(clock, scheduler.New(n.seed, g), log)
 	if err := beside.Open(n.Name, d, g, clock, log); err != nil {
 		return err
 	}
 	defer beside.Close()
 	offerings, longest := offeringsOf(g)
-	front, err := wire.NewFront(n.Listen, offerings, d, clock, wire.Doors{
-		Clients: share(n.Limits.Sockets, clientsShare), MostHeld: int(g.Num("most_held", 0)), Bodies: bodies,
-		Answers: out, AwayMS: awayOf(g), Outcomes: d.Remembers(), Arrival: d.Arrival}, log)
+	front, err := wire.NewClientServer(n.Listen, offerings, d, clock, wire.ServerLimits{
+		Clients: share(n.Limits.Sockets, clientsShare), MaxHeld: int(g.Num("most_held", 0)), BodyBudget: bodies,
+		AnswerBudget: out, RetryAfterMS: awayOf(g), ServeOutcomes: d.HasLedger(), Arrival: d.Arrival}, log)
 	if err != nil {
 		return err
 	}
 	connect := g.Num("connect_ms", 250)
-	fleet := wire.NewFleet(d, clock, out, wire.Reach{ConnectMS: connect, IdleMS: g.Num("idle_close_ms", 15000),
-		PerLink: int(g.Num("shots_per_connection", 100)), Links: share(n.Limits.Sockets, linksShare),
-		Reports: g.Names("report"), Seed: n.seed}, log)
-	fleet.Gate = d.Gate
-	peers, err := wire.NewPeers(n.PeerListen, n.Peers, n.PeersAll, d, log)
+	fleet := wire.NewExecutorClient(d, clock, out, wire.ExecutorLimits{ConnectMS: connect, IdleMS: g.Num("idle_close_ms", 15000),
+		MaxPerConn: int(g.Num("shots_per_connection", 100)), MaxConns: share(n.Limits.Sockets, linksShare),
+		ReportNames: g.Names("report"), Seed: n.seed}, log)
+	fleet.LeaseHeld = d.LeaseHeld
+	peers, err := wire.NewPeerNetwork(n.PeerListen, n.Peers, n.AllPeers, d, log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	d.Executors, d.Peers, d.ProbeMS = fleet, peers, connect
-	feed, err := wire.NewFeed(n.ChangeLog, n.Known, fleet, d, log)
+	d.Executors, d.Peers, d.HealthCheckTimeoutMS = fleet, peers, connect
+	feed, err := wire.NewDiscoveryClient(n.Discovery, n.Known, fleet, d, log)
 	if err != nil {
 		return err
 	}
 	d.List = feed
 	go d.Run()
-	beside.Begin()
-	feed.Begin()
+	beside.Start()
+	feed.Start()
 	go peers.Run()
 	go feed.Run()
 	go front.Run()
-	front.Fit(ctx.Err() == nil)
+	front.SetReady(ctx.Err() == nil)
 	log.WithFields(logrus.Fields{"name": n.Name, "listen": n.Listen, "memory_mb": n.Limits.MemoryMB,
 		"sockets": n.Limits.Sockets, "procs": runtime.GOMAXPROCS(0)}).Info("start: serving")
 	count := func(line string) {
 		log.WithFields(logrus.Fields{"accepted": front.Accepted.Load(), "bad": front.Bad.Load(),
-			"framing_lost": front.LostFraming.Load(), "pauses": front.Pauses.Load(), "too_many": front.Full.Load(), "silent": front.Silent.Load(), "gave_way": front.GaveWay.Load(),
-			"dials": fleet.Dials.Load(), "dials_failed": fleet.Failed.Load(), "dials_unsent": fleet.Unsent.Load(), "strays": fleet.Strays.Load(), "moved": fleet.Moved.Load(), "barred": fleet.Barred.Load(),
+			"framing_lost": front.LostFraming.Load(), "pauses": front.Pauses.Load(), "too_many": front.Refused.Load(), "silent": front.TimedOut.Load(), "gave_way": front.Evicted.Load(),
+			"dials": fleet.Dials.Load(), "dials_failed": fleet.DialFailures.Load(), "dials_unsent": fleet.LocalFailures.Load(), "strays": fleet.Strays.Load(), "moved": fleet.Resumed.Load(), "barred": fleet.Blocked.Load(),
 			"malformed": fleet.Malformed.Load(), "polls": feed.Calls.Load(), "polls_lost": feed.Lost.Load(),
 			"polls_malformed": feed.Malformed.Load(), "told": peers.Sent.Load(), "heard": peers.Heard.Load(),
 			"told_dropped": peers.Dropped.Load(), "foreign": peers.Foreign.Load(), "bodies": bodies.Held(),
 			"unwritten": out.Held(), "goroutines": runtime.NumGoroutine()}).Info(line)
-		beside.Count()
+		beside.LogCounters()
 	}
 	var again <-chan time.Time // when a file that could not be read is looked at once more: it may not have been whole yet
 	tries := 0
@@ -120,10 +120,10 @@
 
 	began := time.Now()
 	limit := frontLeaves + min(longestStop, longest)
-	front.Fit(false)
-	beside.Stopping()
-	d.Close(clock.Now() + float64(limit-stopSpare)/float64(time.Millisecond))
-	log.WithFields(logrus.Fields{"open": d.Open(), "within": limit}).Info("stop: begun")
+	front.SetReady(false)
+	beside.ShutdownStarted()
+	d.BeginShutdown(clock.Now() + float64(limit-stopSpare)/float64(time.Millisecond))
+	log.WithFields(logrus.Fields{"open": d.OpenRequests(), "within": limit}).Info("stop: begun")
 	for time.Since(began) < limit-stopSpare/2 {
 		select {
 		case <-time.After(stopLook):
@@ -133,7 +133,7 @@
 		if time.Since(began) < frontLeaves {
 			continue
 		}
-		if front.Leave(); d.Open() == 0 && front.Done() {
+		if front.Drain(); d.OpenRequests() == 0 && front.Done() {
 			break
 		}
 	}
@@ -143,7 +143,7 @@
 	count("sockets: end")
 	fleet.Stop()
 	peers.Stop()
-	log.WithFields(logrus.Fields{"open": d.Open(), "took": time.Since(began)}).Info("stop: done")
+	log.WithFields(logrus.Fields{"open": d.OpenRequests(), "took": time.Since(began)}).Info("stop: done")
 	return nil
 }
 
@@ -156,8 +156,8 @@
 }
 
 // offeringsOf gives what a front needs to know of each offering, and the longest hard limit.
-func offeringsOf(g scheduler.Given) (map[string]wire.Offering, time.Duration) {
-	offerings, longest := map[string]wire.Offering{}, 0.0
+func offeringsOf(g scheduler.Given) (map[string]wire.ClassLimits, time.Duration) {
+	offerings, longest := map[string]wire.ClassLimits{}, 0.0
 	for i := 0; ; i++ {
 		at := "offering." + strconv.Itoa(i) + "."
 		name := g.Text(at + "name")
@@ -165,7 +165,7 @@
 			return offerings, time.Duration(longest * float64(time.Millisecond))
 		}
 		limit := g.Num(at+"limit_ms", 0)
-		offerings[name] = wire.Offering{Keyed: g.Text(at+"effect") == "labelled", LimitMS: limit}
+		offerings[name] = wire.ClassLimits{Keyed: g.Text(at+"effect") == "labelled", LimitMS: limit}
 		longest = max(longest, limit)
 	}
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -35,14 +35,14 @@
 	return at
 }
 
-func node(t *testing.T, listen, changelog, executor string) *Node {
+func node(t *testing.T, listen, changelog, executor string) *Config {
 	path := filepath.Join(t.TempDir(), "node.json")
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n0","listen":"%s","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"changelog":"%s","settings":%s,"known":{"seq":1,"results":[
 		{"seq":1,"fleet":{"snapshot":true,"endpoints":[{"name":"s-1","address":"%s","type":"big","status":"Ready"}]}}]}}`,
 		listen, changelog, testSettings, executor), 0o600))
 	t.Setenv("RELAY_CONFIG", path)
-	n, err := ReadNode()
+	n, err := ReadConfig()
 	require.NoError(t, err)
 	return n
 }
@@ -72,12 +72,12 @@
 }
 
 // serve runs a controller until stop; done tells how it ended.
-func serve(t *testing.T, n *Node) (reload chan os.Signal, stop func(), done chan error) {
+func serve(t *testing.T, n *Config) (reload chan os.Signal, stop func(), done chan error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	reload, done = make(chan os.Signal), make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { done <- Run(ctx, n, Nothing{}, reload, log) }()
+	go func() { done <- Run(ctx, n, NoExtensions{}, reload, log) }()
 	return reload, stop, done
 }
 
@@ -147,7 +147,7 @@
 	reload := make(chan os.Signal)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, n, Nothing{}, reload, log) }()
+	go func() { done <- Run(ctx, n, NoExtensions{}, reload, log) }()
 	assert.Contains(t, <-firstHeard, "since=1")
 	path := os.Getenv("RELAY_CONFIG")
 	good, err := os.ReadFile(path)
@@ -228,7 +228,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	began := time.Now()
-	assert.NoError(t, Run(ctx, n, Nothing{}, nil, log))
+	assert.NoError(t, Run(ctx, n, NoExtensions{}, nil, log))
 	assert.InDelta(t, frontLeaves.Seconds()+1, time.Since(began).Seconds(), 1)
 }
 
@@ -244,18 +244,18 @@
 		path := filepath.Join(t.TempDir(), "bad.json")
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(good), from, to, 1)), 0o600))
 		t.Setenv("RELAY_CONFIG", path)
-		_, err := ReadNode()
+		_, err := ReadConfig()
 		assert.ErrorContains(t, err, want, change)
 	}
 	t.Setenv("RELAY_CONFIG", "/nowhere")
-	_, err = ReadNode()
+	_, err = ReadConfig()
 	assert.ErrorContains(t, err, "/nowhere")
 	n.Listen = "192.0.2.1:1"
-	assert.Error(t, Run(t.Context(), n, Nothing{}, nil, logrus.New()), "an address that can't be bound")
+	assert.Error(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "an address that can't be bound")
 	n.Listen, n.PeerListen = free(t), "192.0.2.1:1"
-	assert.ErrorContains(t, Run(t.Context(), n, Nothing{}, nil, logrus.New()), "peers")
+	assert.ErrorContains(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "peers")
 	n.PeerListen, n.Listen, n.Known = "", free(t), []byte(`{"seq":0,"results":[{"seq":1}]}`)
-	assert.ErrorContains(t, Run(t.Context(), n, Nothing{}, nil, logrus.New()), "known")
+	assert.ErrorContains(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "known")
 }
 
 // Who logs must never wait for the reader of the log.
@@ -334,7 +334,7 @@
 	require.NoError(t, err)
 	more := strings.Replace(string(text), `"name":"n0"`, `"name":"n0","peers":["127.0.0.1:5","127.0.0.1:6","127.0.0.1:7"]`, 1)
 	require.NoError(t, os.WriteFile(os.Getenv("RELAY_CONFIG"), []byte(more), 0o600))
-	n, err = ReadNode()
+	n, err = ReadConfig()
 	require.NoError(t, err)
 	assert.Equal(t, 3.0, n.given.Num("controllers", 0))
 }
--- a/internal/wire/changelog.go
+++ b/internal/wire/changelog.go
@@ -107,10 +107,10 @@
 	return *page.Seq, changes, nil
 }
 
-// Feed follows the change log.
-type Feed struct {
-	fleet   *Fleet
-	queue   Queue
+// DiscoveryClient follows the change log.
+type DiscoveryClient struct {
+	fleet   *ExecutorClient
+	queue   EventQueue
 	log     logrus.FieldLogger
 	last    uint64
 	knownTo uint64
@@ -134,9 +134,9 @@
 	Calls, Lost, Malformed atomic.Uint64
 }
 
-// NewFeed returns a Feed that begins after the events of known.
-func NewFeed(address string, known []byte, fleet *Fleet, queue Queue, log logrus.FieldLogger) (*Feed, error) {
-	f := &Feed{address: address, fleet: fleet, queue: queue, log: log, ask: make(chan struct{}, 1), leave: func() {}, names: map[uint32]string{}, ids: map[string]uint32{}}
+// NewDiscoveryClient returns a Feed that begins after the events of known.
+func NewDiscoveryClient(address string, known []byte, fleet *ExecutorClient, queue EventQueue, log logrus.FieldLogger) (*DiscoveryClient, error) {
+	f := &DiscoveryClient{address: address, fleet: fleet, queue: queue, log: log, ask: make(chan struct{}, 1), leave: func() {}, names: map[uint32]string{}, ids: map[string]uint32{}}
 	f.done, f.stop = context.WithCancel(context.Background())
 	last, changes, err := readChanges(known)
 	if err != nil {
@@ -146,15 +146,15 @@
 	return f, nil
 }
 
-// Begin hands on the events known at the start.
-func (f *Feed) Begin() {
+// Start hands on the events known at the start.
+func (f *DiscoveryClient) Start() {
 	f.heard = f.fleet.clock.Now()
 	f.apply(f.knownTo, f.known, scheduler.Restored)
 	f.known = nil
 }
 
 // apply hands on events that come after the last.
-func (f *Feed) apply(last uint64, changes []change, whole scheduler.ListKind) {
+func (f *DiscoveryClient) apply(last uint64, changes []change, whole scheduler.ListKind) {
 	for _, c := range changes {
 		if c.seq <= f.last {
 			continue
@@ -174,7 +174,7 @@
 			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "since": e.entry.UpSince,
 				"standing": e.entry.Standing, "event": c.seq}).Debug("list")
 		}
-		f.queue.Put(dispatch.Item{Event: ev})
+		f.queue.Put(dispatch.QueueItem{Event: ev})
 		f.log.WithFields(logrus.Fields{"event": c.seq, "entries": len(c.list), "whole": c.whole}).Info("list: changed")
 	}
 	f.last = max(f.last, last)
@@ -182,7 +182,7 @@
 
 // number gives each entry the number of its executor: that of its name, or, where another that is listed has that one, the next
 // that is free. All controllers have the same numbers but for those few.
-func (f *Feed) number(whole bool, list []listed) {
+func (f *DiscoveryClient) number(whole bool, list []listed) {
 	if whole {
 		named := map[string]bool{}
 		for _, e := range list {
@@ -208,8 +208,8 @@
 	}
 }
 
-// Ask cuts the wait after a failed call short.
-func (f *Feed) Ask() {
+// Refresh cuts the wait after a failed call short.
+func (f *DiscoveryClient) Refresh() {
 	select {
 	case f.ask <- struct{}{}:
 	default:
@@ -218,7 +218,7 @@
 
 // Follow goes on with the log at another address, from the last number, without waiting for a call under way.
 // The same address begins a new connection: the old one may tell nothing more.
-func (f *Feed) Follow(address string) {
+func (f *DiscoveryClient) Follow(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.address, f.moved = address, f.fleet.clock.Now()
@@ -226,7 +226,7 @@
 }
 
 // Run polls until Stop.
-func (f *Feed) Run() {
+func (f *DiscoveryClient) Run() {
 	for f.done.Err() == nil {
 		f.mu.Lock()
 		address, here := f.address, context.Context(nil)
@@ -258,7 +258,7 @@
 }
 
 // lose tells that the list is out of reach, and when what it owes counts as told, where that is known.
-func (f *Feed) lose(why error) {
+func (f *DiscoveryClient) lose(why error) {
 	f.mu.Lock()
 	deemed := f.deemed
 	if f.moved > 0 && (deemed == 0 || f.moved+movedMS < deemed) {
@@ -273,14 +273,14 @@
 		f.log.WithField("why", why).Warn("list: out of reach")
 	}
 	f.down = true
-	f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.NoList, Until: f.heard, Deemed: deemed}})
+	f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.NoList, Until: f.heard, Deemed: deemed}})
 }
 
 // Stop ends Run.
-func (f *Feed) Stop() { f.stop() }
+func (f *DiscoveryClient) Stop() { f.stop() }
 
 // follow calls over one connection until that fails, serves no more calls, or is to be left.
-func (f *Feed) follow(here context.Context, address string) error {
+func (f *DiscoveryClient) follow(here context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: pollGrace}).DialContext(here, "tcp", address)
 	if err != nil {
 		return err
@@ -328,7 +328,7 @@
 			f.heard += pollMS // it was held for as long as was asked: there was nothing until then
 		}
 		if f.down && len(changes) == 0 { // nothing has changed: that is news too
-			f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes}})
+			f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes}})
 		}
 		f.apply(last, changes, scheduler.Whole)
 		if f.down {
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -21,7 +21,7 @@
 )
 
 // lateFleet has one executor whose connections come up only once the test lets them.
-func lateFleet(t *testing.T) (*Fleet, mailbox, *executor, chan struct{}) {
+func lateFleet(t *testing.T) (*ExecutorClient, mailbox, *executor, chan struct{}) {
 	e := standIn(t, "127.0.0.1:0")
 	f, m := fleetOf(t, e.listener.Addr().String(), 15000)
 	up := make(chan struct{}, 10)
@@ -34,22 +34,22 @@
 
 // What happens between the decision and the socket is seen at the last step: nothing leaves, and it is told as never sent.
 func TestAnAttemptThatMayNotBeginAnyMoreNeverLeaves(t *testing.T) {
-	for name, cross := range map[string]func(*Fleet, *dispatch.Attempt){
-		"its client has gone": func(_ *Fleet, s *dispatch.Attempt) { s.Request.Gone.Store(true) },
-		"its executor drains": func(f *Fleet, _ *dispatch.Attempt) {
+	for name, cross := range map[string]func(*ExecutorClient, *dispatch.Attempt){
+		"its client has gone": func(_ *ExecutorClient, s *dispatch.Attempt) { s.Request.ClientGone.Store(true) },
+		"its executor drains": func(f *ExecutorClient, _ *dispatch.Attempt) {
 			f.update(false, []listed{{scheduler.Entry{Executor: 1, Standing: scheduler.Leaving}, "s-1", f.machines[1].address}})
 		},
-		"its executor is gone": func(f *Fleet, _ *dispatch.Attempt) { f.update(true, nil) },
-		"a new executor has the address": func(f *Fleet, _ *dispatch.Attempt) {
+		"its executor is gone": func(f *ExecutorClient, _ *dispatch.Attempt) { f.update(true, nil) },
+		"a new executor has the address": func(f *ExecutorClient, _ *dispatch.Attempt) {
 			f.update(false, []listed{{scheduler.Entry{Executor: 2}, "s-2", f.machines[1].address}})
 		},
-		"its time is over": func(*Fleet, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
+		"its time is over": func(*ExecutorClient, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
 	} {
 		f, m, e, up := lateFleet(t)
 		shot := shotOf("a")
-		shot.Request.Gone = &atomic.Bool{}
+		shot.Request.ClientGone = &atomic.Bool{}
 		if name == "its time is over" {
-			shot.By = f.clock.Now() + 50
+			shot.LatestStart = f.clock.Now() + 50
 		}
 		run, _ := f.Send(shot)
 		require.NotNil(t, run)
@@ -58,7 +58,7 @@
 		it := m.next(t)
 		assert.Equal(t, []any{scheduler.Ended, scheduler.Superseded, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Barred}, name)
 		assert.True(t, it.Event.Outcome.NeverRan())
-		assert.Equal(t, dispatch.Decided, run.CallOff(), name)
+		assert.Equal(t, dispatch.AlreadyEnded, run.Cancel(), name)
 		f.Stop()
 		e.hears(t, "closed") // and nothing before it
 		assert.Empty(t, m, name)
@@ -76,7 +76,7 @@
 		say(first, "a", word, "-", "")
 		m.next(t)
 		shot := shotOf("a")
-		shot.N = 1
+		shot.Number = 1
 		f.Send(shot)
 		e.hears(t, "fetch a .*")
 		second := e.conn(t) // not over the first
@@ -110,7 +110,7 @@
 		return link.up && !link.written() && link.open["big"].left
 	}, 3*time.Second, time.Millisecond)
 	second, _ := f.Send(shotOf("b"))
-	assert.Equal(t, dispatch.Unsent, second.CallOff())
+	assert.Equal(t, dispatch.CancelledUnsent, second.Cancel())
 	third, _ := f.Send(shotOf("c"))
 	require.NotNil(t, third)
 	c.Close()
@@ -124,20 +124,20 @@
 
 // A client that reads nothing is still heard: what it gives up is given up at once, though its answers are stuck.
 func TestAClientThatReadsNothingIsHeard(t *testing.T) {
-	_, m, c, _ := door(t, Doors{})
+	_, m, c, _ := door(t, ServerLimits{})
 	ask(c, look(1, "a"))
 	first := m.next(t).Request
 	ask(c, look(2, "b"))
 	second := m.next(t).Request
 	pipe := first.Client.(*client)
 	pipe.patient = time.Minute // nothing but the word itself may end it
-	first.Client.Handled(first.Tag, make([]byte, 24<<20))
+	first.Client.Succeeded(first.Tag, make([]byte, 24<<20))
 	require.Eventually(t, func() bool { return !pipe.written() }, 3*time.Second, time.Millisecond)
 	time.Sleep(2 * writeTurn) // into the stuck write
 	ask(c, `{"jsonrpc":"2.0","method":"giveUp","params":{"req":"b"}}`)
 	it := m.next(t)
 	assert.Equal(t, []any{scheduler.Left, "b"}, []any{it.Event.Kind, it.Event.Request})
-	assert.True(t, second.Forsaken())
+	assert.True(t, second.Abandoned())
 	assert.False(t, pipe.written(), "it was stuck throughout")
 }
 
@@ -147,11 +147,11 @@
 	room chan struct{}
 }
 
-func (q fullQueue) Put(it dispatch.Item) { <-q.room; q.mailbox.Put(it) }
+func (q fullQueue) Put(it dispatch.QueueItem) { <-q.room; q.mailbox.Put(it) }
 
 // All that is open on a connection that ends is marked at once, however long the words of it stand in line.
 func TestTheMarkOfAClientThatLeftWaitsForNoQueue(t *testing.T) {
-	f, m, c, _ := door(t, Doors{})
+	f, m, c, _ := door(t, ServerLimits{})
 	f.queue = fullQueue{m, make(chan struct{})}
 	var open []*dispatch.Request
 	for id := range 3 {
@@ -159,7 +159,7 @@
 		open = append(open, m.next(t).Request)
 	}
 	c.Close()
-	assert.Eventually(t, func() bool { return open[0].Forsaken() && open[1].Forsaken() && open[2].Forsaken() }, 3*time.Second,
+	assert.Eventually(t, func() bool { return open[0].Abandoned() && open[1].Abandoned() && open[2].Abandoned() }, 3*time.Second,
 		time.Millisecond)
 	assert.Empty(t, m)
 	close(f.queue.(fullQueue).room)
@@ -168,13 +168,13 @@
 // At a planned stop the last answers come whole, also to who has sent something that is not read any more; what comes on an open
 // connection is refused, and a resting one ends without a reset.
 func TestLeavingLosesNoAnswer(t *testing.T) {
-	f, m, c, r := door(t, Doors{})
+	f, m, c, r := door(t, ServerLimits{})
 	rest, rr := dial(t, f)
 	ask(rest, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
 	answered(t, rr, `{"jsonrpc":"2.0","id":1,"result":{"fit":false}}`)
 	ask(c, look(1, "a"))
 	s := m.next(t).Request
-	f.Leave()
+	f.Drain()
 	assert.False(t, f.Done())
 	_, err := rr.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -183,7 +183,7 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(got), `"id":2,"error":{"code":-32008,"message":"this connection takes no more"`)
 	body := bytes.Repeat([]byte("x\ty\tz\n"), 7000)
-	s.Client.Handled(s.Tag, body)
+	s.Client.Succeeded(s.Tag, body)
 	ask(c, look(3, "c")) // crosses the end
 	fmt.Fprint(c, "Content-Length: 60000\r\n\r\n")
 	got, err = readMessage(r, nil)
@@ -205,12 +205,12 @@
 
 // A request is no longer open only once its answer stands in the output: who stops looks at both and must not find neither.
 func TestAnAnswerIsAlwaysSeenByWhoStops(t *testing.T) {
-	f, m, c, r := door(t, Doors{})
+	f, m, c, r := door(t, ServerLimits{})
 	for n := range 200 {
 		ask(c, look(n+1, fmt.Sprint("a", n)))
 		s := m.next(t).Request
 		require.False(t, f.Done())
-		go s.Client.Denied(s.Tag, 5)
+		go s.Client.Rejected(s.Tag, 5)
 		for !f.Done() {
 		}
 		_, err := readMessage(r, nil)
@@ -231,7 +231,7 @@
 	require.NoError(t, err)
 	defer here.Close()
 	idle := errors.New("idle")
-	p := &pipe{conn: here, budget: NewBudget(1), until: func() time.Time { return past }, quiet: func() error { return idle }}
+	p := &pipe{conn: here, budget: NewByteBudget(1), until: func() time.Time { return past }, quiet: func() error { return idle }}
 	_, _ = there.Write([]byte("x"))
 	var b [1]byte
 	require.Eventually(t, func() bool { n, _ := p.Read(b[:]); return n == 1 }, 3*time.Second, time.Millisecond)
@@ -261,7 +261,7 @@
 	require.NoError(t, err)
 	time.AfterFunc(100*time.Millisecond, func() { l.Close() })
 	m := make(mailbox, 1)
-	f, err := NewFront(l.Addr().String(), nil, m, dispatch.NewClock(), Doors{Answers: NewBudget(1), Bodies: NewBudget(1)}, silentLog())
+	f, err := NewClientServer(l.Addr().String(), nil, m, dispatch.NewClock(), ServerLimits{AnswerBudget: NewByteBudget(1), BodyBudget: NewByteBudget(1)}, silentLog())
 	require.NoError(t, err)
 	f.Stop(0)
 }
@@ -296,7 +296,7 @@
 // been read by then or still stood in the system's buffer.
 func TestARequestThatMeetsTheEndOfItsConnectionIsRefused(t *testing.T) {
 	for name, unread := range map[string]bool{"read": false, "not yet read": true} {
-		f, m, c, r := door(t, Doors{})
+		f, m, c, r := door(t, ServerLimits{})
 		ask(c, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
 		answered(t, r, `{"jsonrpc":"2.0","id":1,"result":{"fit":false}}`)
 		f.mu.Lock()
@@ -335,7 +335,7 @@
 		}
 		f.Send(shotOf("a"))
 		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
-		assert.True(t, f.Probe(1, 7))
+		assert.True(t, f.HealthCheck(1, 7))
 		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
@@ -351,7 +351,7 @@
 // One client that reads nothing fills what may line up for all. The answers of others go out all the same, however many come at a
 // time: trouble with one client frees no other's request of its answer.
 func TestAClientThatReadsNothingCostsNoOtherItsAnswers(t *testing.T) {
-	f, m, c, _ := door(t, Doors{})
+	f, m, c, _ := door(t, ServerLimits{})
 	ask(c, look(1, "stuck"))
 	stuck := m.next(t).Request
 	good, r := dial(t, f)
@@ -360,7 +360,7 @@
 		ask(good, look(id+1, fmt.Sprint("g", id)))
 		open = append(open, m.next(t).Request)
 	}
-	stuck.Client.Handled(stuck.Tag, make([]byte, 24<<20)) // far more than the budget of all, and than the system holds
+	stuck.Client.Succeeded(stuck.Tag, make([]byte, 24<<20)) // far more than the budget of all, and than the system holds
 	pipe := stuck.Client.(*client)
 	require.Eventually(t, func() bool { return !pipe.written() }, 3*time.Second, time.Millisecond)
 	here := open[0].Client.(*client)
@@ -401,8 +401,8 @@
 	for errno, gone := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.EINTR: false, syscall.EPROTO: false, syscall.ENOBUFS: false,
 		syscall.ENOMEM: false, syscall.ENETDOWN: false, syscall.EHOSTUNREACH: false, syscall.EMFILE: true, syscall.ENFILE: true} {
 		m, errs := make(mailbox, 10), make(chan error, 10)
-		f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}}, m, dispatch.NewClock(),
-			Doors{Clients: 5, Answers: NewBudget(1 << 20), Bodies: NewBudget(1 << 20)}, silentLog())
+		f, err := NewClientServer("127.0.0.1:0", map[string]ClassLimits{"look": {}}, m, dispatch.NewClock(),
+			ServerLimits{Clients: 5, AnswerBudget: NewByteBudget(1 << 20), BodyBudget: NewByteBudget(1 << 20)}, silentLog())
 		require.NoError(t, err)
 		f.listener = faultyListener{f.listener, errs}
 		go f.Run()
@@ -416,7 +416,7 @@
 			ask(next, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
 			answered(t, rr, `{"jsonrpc":"2.0","id":1,"result":{"fit":false}}`)
 		}
-		assert.Equal(t, gone, f.GaveWay.Load() > 0, errno.Error())
+		assert.Equal(t, gone, f.Evicted.Load() > 0, errno.Error())
 	}
 }
 
@@ -448,7 +448,7 @@
 		f := &flaky{Conn: here, errno: errno}
 		f.reads.Store(3)
 		f.writes.Store(3)
-		p := &pipe{conn: f, budget: NewBudget(1 << 20), patient: time.Second, most: 1 << 20,
+		p := &pipe{conn: f, budget: NewByteBudget(1 << 20), patient: time.Second, most: 1 << 20,
 			until: func() time.Time { return time.Now().Add(time.Second) }, quiet: func() error { return errClosed }}
 		p.push(func(b []byte) []byte { return append(b, "what is written"...) })
 		got := make(chan string, 1)
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -41,14 +41,14 @@
 	apartMS = 5
 )
 
-// Fleet is the executors' side: connections to each of them, and the attempts and probes under way.
-type Fleet struct {
-	Gate func() bool // whether an attempt that was held may leave at this moment; nil: it may. Set before the first one
+// ExecutorClient is the executors' side: connections to each of them, and the attempts and probes under way.
+type ExecutorClient struct {
+	LeaseHeld func() bool // whether an attempt that was held may leave at this moment; nil: it may. Set before the first one
 
-	queue   Queue
+	queue   EventQueue
 	clock   dispatch.Clock
 	log     logrus.FieldLogger
-	budget  *Budget
+	budget  *ByteBudget
 	connect time.Duration // for dialing, and for a write to get through
 	idle    time.Duration // unused connections are closed by then
 	perLink int           // attempts on one connection
@@ -66,7 +66,7 @@
 	conns    []connpool.Conn // scratch of pick
 	retired  []int
 
-	Strays, Malformed, Dials, Failed, Unsent, Moved, Barred atomic.Uint64
+	Strays, Malformed, Dials, DialFailures, LocalFailures, Resumed, Blocked atomic.Uint64
 }
 
 // machine is one executor as listed. Its connections belong to it, not to its address.
@@ -83,7 +83,7 @@
 // link is one connection to an executor.
 type link struct {
 	pipe
-	fleet   *Fleet
+	fleet   *ExecutorClient
 	machine *machine
 	up      bool // connected; before, attempts and probes wait
 	leaving bool // gets nothing new, and ends once nothing is open on it
@@ -97,7 +97,7 @@
 
 // run is an attempt on a link.
 type run struct {
-	fleet   *Fleet
+	fleet   *ExecutorClient
 	link    *link
 	attempt dispatch.Attempt
 	seq     uint64
@@ -112,31 +112,31 @@
 	event   scheduler.Event
 }
 
-// Reach are the figures that a Fleet keeps to.
-type Reach struct {
-	ConnectMS, IdleMS float64
-	PerLink, Links    int
-	Reports           []string // the figures of load reports, where there are any
-	Seed              uint64   // of chance
+// ExecutorLimits are the figures that a Fleet keeps to.
+type ExecutorLimits struct {
+	ConnectMS, IdleMS    float64
+	MaxPerConn, MaxConns int
+	ReportNames          []string // the figures of load reports, where there are any
+	Seed                 uint64   // of chance
 }
 
-// NewFleet returns a Fleet without executors.
-func NewFleet(queue Queue, clock dispatch.Clock, budget *Budget, reach Reach, log logrus.FieldLogger) *Fleet {
+// NewExecutorClient returns a Fleet without executors.
+func NewExecutorClient(queue EventQueue, clock dispatch.Clock, budget *ByteBudget, reach ExecutorLimits, log logrus.FieldLogger) *ExecutorClient {
 	probe := "alive"
-	if len(reach.Reports) > 0 {
+	if len(reach.ReportNames) > 0 {
 		probe = "stats"
 	}
 	dialer := &net.Dialer{Timeout: millis(reach.ConnectMS), KeepAlive: -1}
-	return &Fleet{dial: dialer.Dial, seed: reach.Seed, probe: probe, reports: reach.Reports, queue: queue, clock: clock, budget: budget, log: log, machines: map[uint32]*machine{},
+	return &ExecutorClient{dial: dialer.Dial, seed: reach.Seed, probe: probe, reports: reach.ReportNames, queue: queue, clock: clock, budget: budget, log: log, machines: map[uint32]*machine{},
 		all: map[*link]struct{}{}, connect: millis(reach.ConnectMS), idle: millis(reach.IdleMS * idleShare),
-		perLink: max(1, reach.PerLink), links: max(1, reach.Links)}
+		perLink: max(1, reach.MaxPerConn), links: max(1, reach.MaxConns)}
 }
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // update takes over what the list says, and gives what follows from it beside: an executor whose address a new one has is
 // gone, though the list does not say so yet. It comes before the module gets it.
-func (f *Fleet) update(whole bool, list []listed) (displaced []listed) {
+func (f *ExecutorClient) update(whole bool, list []listed) (displaced []listed) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	kept := map[uint32]bool{}
@@ -186,12 +186,12 @@
 }
 
 // odds is a number below 256, of this controller's own and of n.
-func (f *Fleet) odds(n uint32) uint8 {
+func (f *ExecutorClient) odds(n uint32) uint8 {
 	return uint8(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, f.seed), n)))
 }
 
 // Stop ends all connections.
-func (f *Fleet) Stop() {
+func (f *ExecutorClient) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.links = 0
@@ -201,7 +201,7 @@
 	}
 }
 
-func (f *Fleet) retire(m *machine) {
+func (f *ExecutorClient) retire(m *machine) {
 	m.closed = true // also for what still waits for a connection to come up
 	for _, l := range m.links {
 		l.leave()
@@ -223,7 +223,7 @@
 
 // pick gives the connection that an attempt of id takes, by package pool, or makes one; nil if there can't be one more.
 // Where all there may be are out, the one that has been idle for longest, at another executor, gives way to a first one.
-func (f *Fleet) pick(m *machine, id string) *link {
+func (f *ExecutorClient) pick(m *machine, id string) *link {
 	now := time.Now()
 	f.conns = f.conns[:0]
 	for _, l := range m.links {
@@ -254,7 +254,7 @@
 }
 
 // giveWay ends the connection that has been idle for longest, if there is one. It counts until it has ended, which is at once.
-func (f *Fleet) giveWay() bool {
+func (f *ExecutorClient) giveWay() bool {
 	var oldest *link
 	for l := range f.all {
 		if l.up && !l.leaving && len(l.open)+len(l.probes) == 0 && (oldest == nil || l.used.Before(oldest.used)) {
@@ -281,7 +281,7 @@
 }
 
 // Send puts an attempt on a connection of its executor, or holds it back for a time.
-func (f *Fleet) Send(shot dispatch.Attempt) (dispatch.Run, float64) {
+func (f *ExecutorClient) Send(shot dispatch.Attempt) (dispatch.RunningAttempt, float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[shot.Executor]
@@ -298,7 +298,7 @@
 	}
 	f.seq++
 	r := &run{fleet: f, link: l, attempt: shot, seq: f.seq}
-	r.event = scheduler.Event{Kind: scheduler.Ended, Request: shot.Request.ID, Attempt: shot.N}
+	r.event = scheduler.Event{Kind: scheduler.Ended, Request: shot.Request.ID, Attempt: shot.Number}
 	if l.signs > 0 {
 		r.used = true
 	}
@@ -339,7 +339,7 @@
 		f.mu.Unlock()
 		return
 	}
-	var barred []dispatch.Item
+	var barred []dispatch.QueueItem
 	for _, r := range l.pending {
 		if l.open[r.attempt.Request.ID] != r {
 			continue // called off
@@ -348,14 +348,14 @@
 			l.more(r)
 			continue
 		}
-		last := connpool.FinalCheck{ClientGone: r.attempt.Request.Forsaken(), ExecutorClosed: l.machine.closed, NowMS: f.clock.Now(), LatestStartMS: r.attempt.By,
-			LeaseLost: r.attempt.Held && f.Gate != nil && !f.Gate()}
+		last := connpool.FinalCheck{ClientGone: r.attempt.Request.Abandoned(), ExecutorClosed: l.machine.closed, NowMS: f.clock.Now(), LatestStartMS: r.attempt.LatestStart,
+			LeaseLost: r.attempt.Held && f.LeaseHeld != nil && !f.LeaseHeld()}
 		if why := last.Reason(); why != 0 {
-			f.Barred.Add(1)
+			f.Blocked.Add(1)
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
 			ev.Outcome, ev.Barred = scheduler.Superseded, why == connpool.LeaseLost
-			barred = append(barred, dispatch.Item{Event: ev})
+			barred = append(barred, dispatch.QueueItem{Event: ev})
 			continue
 		}
 		l.fetch(r)
@@ -396,7 +396,7 @@
 		to.leave()
 		return false
 	}
-	f.Moved.Add(1)
+	f.Resumed.Add(1)
 	return true
 }
 
@@ -405,10 +405,10 @@
 	s := r.attempt.Request
 	l.used, r.signs = time.Now(), l.signs
 	list := make([]byte, 0, 128)
-	list = append(append(list, "profile="...), s.Offering...)
-	list = strconv.AppendInt(append(list, ",max="...), int64(max(1, s.Until-l.fleet.clock.Now())), 10)
-	if s.Mark != "" {
-		list = append(append(list, ",replay="...), s.Mark...)
+	list = append(append(list, "profile="...), s.Class...)
+	list = strconv.AppendInt(append(list, ",max="...), int64(max(1, s.Deadline-l.fleet.clock.Now())), 10)
+	if s.IdempotencyKey != "" {
+		list = append(append(list, ",replay="...), s.IdempotencyKey...)
 	}
 	if r.attempt.GrantMB > 0 {
 		list = strconv.AppendInt(append(list, ",mb="...), int64(math.Ceil(r.attempt.GrantMB)), 10)
@@ -422,19 +422,19 @@
 	return l.push(func(b []byte) []byte { return appendArray(b, words...) })
 }
 
-// CallOff gives an attempt up.
-func (r *run) CallOff() dispatch.Stopped {
+// Cancel gives an attempt up.
+func (r *run) Cancel() dispatch.CancelResult {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	l := r.link
 	id := r.attempt.Request.ID
 	if l.open[id] != r {
-		return dispatch.Decided
+		return dispatch.AlreadyEnded
 	}
 	delete(l.open, id)
 	defer l.settle()
 	if !r.left && r.pages == nil {
-		return dispatch.Unsent
+		return dispatch.CancelledUnsent
 	}
 	if r.pages != nil { // only pages are still under way
 		l.say("done", id)
@@ -453,7 +453,7 @@
 	if len(l.open) == 0 || l.signs == r.signs {
 		l.leaving = true
 	}
-	return dispatch.Halted
+	return dispatch.CancelSent
 }
 
 // ended keeps an id off this connection: what still comes for it here would pass for the next attempt's.
@@ -462,8 +462,8 @@
 	l.leaving = l.leaving || len(l.ends) >= mostRetired
 }
 
-// Relevel changes the level of an attempt that runs.
-func (r *run) Relevel(level int) {
+// SetLevel changes the level of an attempt that runs.
+func (r *run) SetLevel(level int) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	l := r.link
@@ -473,8 +473,8 @@
 	}
 }
 
-// Probe asks an executor for a sign of life, and for its load report where there are any.
-func (f *Fleet) Probe(executor uint32, token uint64) bool {
+// HealthCheck asks an executor for a sign of life, and for its load report where there are any.
+func (f *ExecutorClient) HealthCheck(executor uint32, token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[executor]
@@ -497,9 +497,9 @@
 
 func probeTag(token uint64) string { return "probe-" + strconv.FormatUint(token, 10) }
 
-// Unanswered forgets a probe. A connection that left one unanswered gets no new attempts: on a new one a dead
+// ForgetHealthCheck forgets a probe. A connection that left one unanswered gets no new attempts: on a new one a dead
 // executor shows by never coming up, which proves that nothing ran.
-func (f *Fleet) Unanswered(executor uint32, token uint64) {
+func (f *ExecutorClient) ForgetHealthCheck(executor uint32, token uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[executor]; m != nil {
@@ -512,19 +512,19 @@
 	}
 }
 
-// Holds tells what there is of an executor here.
-func (f *Fleet) Holds(executor uint32) dispatch.Holding {
+// ConnectionState tells what there is of an executor here.
+func (f *ExecutorClient) ConnectionState(executor uint32) dispatch.ConnectionState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[executor]
 	if m == nil {
-		return dispatch.Holding{}
+		return dispatch.ConnectionState{}
 	}
-	h, last := dispatch.Holding{Name: m.name, Connections: len(m.links), QuietMS: -1}, time.Time{}
+	h, last := dispatch.ConnectionState{Name: m.name, Connections: len(m.links), IdleMS: -1}, time.Time{}
 	for _, l := range m.links {
 		if h.Attempts += len(l.open); l.used.After(last) {
 			last = l.used
-			h.QuietMS = float64(time.Since(last)) / float64(time.Millisecond)
+			h.IdleMS = float64(time.Since(last)) / float64(time.Millisecond)
 		}
 	}
 	return h
@@ -536,10 +536,10 @@
 	f.Dials.Add(1)
 	conn, err := f.dial("tcp", l.machine.address)
 	if err != nil {
-		f.Failed.Add(1)
+		f.DialFailures.Add(1)
 		as := scheduler.Refused
 		if isLocal(err) {
-			f.Unsent.Add(1)
+			f.LocalFailures.Add(1)
 			as = scheduler.Unsent
 		}
 		l.finish(as)
@@ -608,10 +608,10 @@
 		} else if !r.left && as == scheduler.Severed {
 			r.event.Outcome = scheduler.Refused // no byte of it left
 		}
-		f.queue.Put(dispatch.Item{Event: r.event})
+		f.queue.Put(dispatch.QueueItem{Event: r.event})
 	}
 	for _, token := range tokens {
-		f.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
+		f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
 	}
 	return len(runs)
 }
@@ -645,7 +645,7 @@
 var notes = map[string]scheduler.NoteKind{"pct": scheduler.Progress, "overflow": scheduler.Spills, "queued": scheduler.Waits}
 
 // answer takes one answer and gives what is to be told of it, if anything.
-func (l *link) answer(id, word, list string, body []byte) (it dispatch.Item, ok bool, err error) {
+func (l *link) answer(id, word, list string, body []byte) (it dispatch.QueueItem, ok bool, err error) {
 	a, err := readAnswer(list, l.fleet.reports)
 	if err != nil {
 		return it, false, err
@@ -658,7 +658,7 @@
 	l.signs++
 	if token, ok := l.probes[id]; ok && (word == "well" || word == "ill") {
 		delete(l.probes, id)
-		it = dispatch.Item{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
+		it = dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
 		if word == "ill" {
 			it.Event.Outcome = scheduler.Erred
 		}
@@ -677,13 +677,13 @@
 		r.event.Outcome, r.event.Report = outcome, a.report
 		delete(l.open, id)
 		l.ended(id) // its second copy, some ms later, must not end the next attempt of this id
-		return dispatch.Item{Event: r.event}, true, nil
+		return dispatch.QueueItem{Event: r.event}, true, nil
 	case word == "news":
 		kind := notes[a.remark]
 		if kind == 0 {
 			return it, false, nil
 		}
-		return dispatch.Item{Event: scheduler.Event{Kind: scheduler.Noted, Request: id, Attempt: r.attempt.N, Executor: l.machine.id,
+		return dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: id, Attempt: r.attempt.Number, Executor: l.machine.id,
 			Note: kind, Value: a.value}}, true, nil
 	case word == "data" && r.pages == nil:
 		if a.pages < 1 || a.pages > mostPages {
@@ -721,7 +721,7 @@
 		body = slices.Concat(r.pages...)
 	}
 	delete(l.open, id)
-	return dispatch.Item{Event: r.event, Body: body}, true, nil
+	return dispatch.QueueItem{Event: r.event, Body: body}, true, nil
 }
 
 // wholeRows tells whether a page is what pages are: lines of three columns of text. Another length may fit by chance
--- a/internal/wire/executors_test.go
+++ b/internal/wire/executors_test.go
@@ -20,21 +20,21 @@
 )
 
 // mailbox is the queue of a test.
-type mailbox chan dispatch.Item
+type mailbox chan dispatch.QueueItem
 
-func (m mailbox) Put(it dispatch.Item) { m <- it }
-func (m mailbox) Take(s *dispatch.Request) {
-	m <- dispatch.Item{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s}
+func (m mailbox) Put(it dispatch.QueueItem) { m <- it }
+func (m mailbox) Submit(s *dispatch.Request) {
+	m <- dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s}
 }
-func (m mailbox) Open() int { return 0 }
-func (m mailbox) next(t *testing.T) dispatch.Item {
+func (m mailbox) OpenRequests() int { return 0 }
+func (m mailbox) next(t *testing.T) dispatch.QueueItem {
 	select {
 	case it := <-m:
 		return it
 	case <-time.After(3 * time.Second):
 		require.Fail(t, "nothing came")
 	}
-	return dispatch.Item{}
+	return dispatch.QueueItem{}
 }
 
 func silentLog() *logrus.Logger {
@@ -105,10 +105,10 @@
 func say(c net.Conn, words ...string) { _, _ = c.Write(appendArray(nil, words...)) }
 
 // fleetOf has one executor, numbered 1, at an address; its connections are closed when unused for idleMS.
-func fleetOf(t *testing.T, at string, idleMS float64, reports ...string) (*Fleet, mailbox) {
+func fleetOf(t *testing.T, at string, idleMS float64, reports ...string) (*ExecutorClient, mailbox) {
 	m := make(mailbox, 100)
-	f := NewFleet(m, dispatch.NewClock(), NewBudget(1<<20), Reach{ConnectMS: 200, IdleMS: idleMS, PerLink: 2, Links: 3,
-		Reports: reports},
+	f := NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1<<20), ExecutorLimits{ConnectMS: 200, IdleMS: idleMS, MaxPerConn: 2, MaxConns: 3,
+		ReportNames: reports},
 		silentLog())
 	f.update(true, []listed{{scheduler.Entry{Executor: 1}, "s-1", at}})
 	t.Cleanup(f.Stop)
@@ -116,7 +116,7 @@
 }
 
 func shotOf(id string) dispatch.Attempt {
-	s := &dispatch.Request{ID: id, Offering: "load", Mark: "k1", Body: []byte("SELECT 1"), Until: dispatch.NewClock().Now() + 5000}
+	s := &dispatch.Request{ID: id, Class: "load", IdempotencyKey: "k1", Body: []byte("SELECT 1"), Deadline: dispatch.NewClock().Now() + 5000}
 	return dispatch.Attempt{Request: s, Executor: 1, GrantMB: 63.2, Level: 3}
 }
 
@@ -129,7 +129,7 @@
 	say(c, "a", "news", "remark=queued,num=2", "")
 	it := m.next(t)
 	assert.Equal(t, []any{scheduler.Noted, scheduler.Waits, 2.0}, []any{it.Event.Kind, it.Event.Note, it.Event.Value})
-	run.Relevel(1)
+	run.SetLevel(1)
 	e.hears(t, "renice a 1")
 	say(c, "a", "data", "batches=3", "one\t1\tx\n")
 	e.hears(t, "more a 1")
@@ -143,7 +143,7 @@
 	it = m.next(t)
 	assert.Equal(t, scheduler.Handled, it.Event.Outcome)
 	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(it.Body))
-	assert.Equal(t, dispatch.Decided, run.CallOff())
+	assert.Equal(t, dispatch.AlreadyEnded, run.Cancel())
 	assert.Equal(t, uint64(3), f.Strays.Load())
 	f.Send(shotOf("b"))
 	e.hears(t, "fetch b .*")
@@ -168,10 +168,10 @@
 	assert.Equal(t, "a", m.next(t).Event.Request)
 	e.hears(t, "closed")
 	assert.Empty(t, m, "b goes on")
-	assert.Equal(t, dispatch.Halted, b.CallOff())
+	assert.Equal(t, dispatch.CancelSent, b.Cancel())
 	e.hears(t, "abort b")
 	e.hears(t, "closed")
-	f.Probe(1, 1)
+	f.HealthCheck(1, 1)
 	e.hears(t, "alive probe-1")
 	say(<-e.conns, "probe-1", "well", "-", "")
 	m.next(t)
@@ -204,7 +204,7 @@
 		say(c, "a", "page", "batch=1", "two\t1\tx\n")
 		e.hears(t, "done a")
 		assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(m.next(t).Body))
-		assert.Equal(t, uint64(1), f.Moved.Load())
+		assert.Equal(t, uint64(1), f.Resumed.Load())
 	}
 }
 
@@ -287,7 +287,7 @@
 	e.listener.Close()
 	f.Send(shotOf("b"))
 	assert.Equal(t, scheduler.Refused, m.next(t).Event.Outcome)
-	f.Probe(1, 4)
+	f.HealthCheck(1, 4)
 	it := m.next(t)
 	assert.Equal(t, []any{scheduler.Probed, scheduler.Refused, uint64(4)}, []any{it.Event.Kind, it.Event.Outcome, it.Token})
 	run, _ := f.Send(dispatch.Attempt{Request: &dispatch.Request{}, Executor: 9})
@@ -310,7 +310,7 @@
 	e.hears(t, "fetch heard .*")
 	say(first, "heard", "news", "remark=pct,num=0.5", "")
 	m.next(t)
-	assert.Equal(t, dispatch.Halted, run.CallOff())
+	assert.Equal(t, dispatch.CancelSent, run.Cancel())
 	e.hears(t, "abort a")
 	f.mu.Lock()
 	assert.InDelta(t, f.clock.Now(), f.machines[1].halted["a"], 2000)
@@ -319,7 +319,7 @@
 	run, held = f.Send(shotOf("a"))
 	assert.InDelta(t, 60000+apartMS, held, 5000)
 	second := <-e.conns
-	assert.Equal(t, dispatch.Unsent, run.CallOff(), "held back, it never ran")
+	assert.Equal(t, dispatch.CancelledUnsent, run.Cancel(), "held back, it never ran")
 	run.Release()
 	run, _ = f.Send(shotOf("a"))
 	run.Release()
@@ -341,7 +341,7 @@
 	r := &run{fleet: f, link: l, attempt: shotOf("a")}
 	l.open["a"] = r
 	f.mu.Unlock()
-	assert.Equal(t, dispatch.Unsent, r.CallOff())
+	assert.Equal(t, dispatch.CancelledUnsent, r.Cancel())
 	assert.Empty(t, l.open)
 }
 
@@ -386,19 +386,19 @@
 func TestProbes(t *testing.T) {
 	e := standIn(t, "127.0.0.1:0")
 	f, m := fleetOf(t, e.listener.Addr().String(), 15000, "queue", "x0")
-	assert.True(t, f.Probe(1, 7))
+	assert.True(t, f.HealthCheck(1, 7))
 	e.hears(t, "stats probe-7")
 	c := <-e.conns
 	say(c, "probe-7", "well", "report=backlog:1;x0:2", "")
 	it := m.next(t)
 	assert.Equal(t, []any{scheduler.Handled, uint64(7), []float64{1, 2}}, []any{it.Event.Outcome, it.Token, it.Event.Report})
-	f.Probe(1, 8)
+	f.HealthCheck(1, 8)
 	e.hears(t, "stats probe-8")
 	say(c, "probe-8", "ill", "-", "")
 	assert.Equal(t, scheduler.Erred, m.next(t).Event.Outcome)
-	f.Probe(1, 9)
+	f.HealthCheck(1, 9)
 	e.hears(t, "stats probe-9")
-	f.Unanswered(1, 9) // a connection that fell silent gets nothing new
+	f.ForgetHealthCheck(1, 9) // a connection that fell silent gets nothing new
 	f.Send(shotOf("a"))
 	<-e.conns
 }
@@ -447,11 +447,11 @@
 		shot := shotOf(fmt.Sprint("a", id))
 		shot.Executor = id
 		run, _ := f.Send(shot)
-		assert.True(t, f.Probe(id, uint64(id)))
+		assert.True(t, f.HealthCheck(id, uint64(id)))
 		e.hears(t, "fetch .*|alive .*")
 		e.hears(t, "fetch .*|alive .*")
 		if id%2 == 0 {
-			run.CallOff()
+			run.Cancel()
 		}
 		f.update(false, []listed{{scheduler.Entry{Executor: id, Standing: scheduler.Gone}, "s", at},
 			{scheduler.Entry{Executor: id + 1}, "s", at}})
@@ -486,7 +486,7 @@
 	shot.Held = true
 	run, _ := f.Send(shot)
 	e.conn(t)
-	f.Probe(1, 7) // its own connection, heard
+	f.HealthCheck(1, 7) // its own connection, heard
 	e.hears(t, "alive probe-7")
 	select {
 	case got := <-e.heard:
@@ -498,7 +498,7 @@
 	shot = shotOf("b")
 	shot.Held = true
 	run, _ = f.Send(shot)
-	assert.Equal(t, dispatch.Unsent, run.CallOff())
+	assert.Equal(t, dispatch.CancelledUnsent, run.Cancel())
 	run.Release()
 	assert.Empty(t, m)
 }
--- a/internal/wire/feed_test.go
+++ b/internal/wire/feed_test.go
@@ -68,11 +68,11 @@
 	at, calls := changeLog(t, "once", `{"seq":9,"results":[{"seq":3},{"seq":1}]}`, "",
 		event(2, "s-2", "Gone"), event(3, "s-2", "Terminating"), "", "", "")
 	m := make(mailbox, 100)
-	fleet := NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog())
-	f, err := NewFeed(at, []byte(strings.Replace(event(1, "s-1", "Ready"), `"endpoints"`, `"snapshot":true,"endpoints"`, 1)),
+	fleet := NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1), ExecutorLimits{}, silentLog())
+	f, err := NewDiscoveryClient(at, []byte(strings.Replace(event(1, "s-1", "Ready"), `"endpoints"`, `"snapshot":true,"endpoints"`, 1)),
 		fleet, m, silentLog())
 	require.NoError(t, err)
-	f.Begin()
+	f.Start()
 	go f.Run()
 	defer f.Stop()
 	want := []scheduler.Event{{List: scheduler.Restored, Entries: []scheduler.Entry{{Executor: executorID("s-1")}}},
@@ -92,7 +92,7 @@
 		assert.Equal(t, fmt.Sprintf("GET /changes?since=%d&timeout=%d HTTP/1.1", since, pollMS), <-calls)
 	}
 	assert.Equal(t, uint64(1), f.Malformed.Load())
-	_, err = NewFeed(at, []byte("{}"), fleet, m, silentLog())
+	_, err = NewDiscoveryClient(at, []byte("{}"), fleet, m, silentLog())
 	assert.ErrorContains(t, err, "known")
 }
 
@@ -100,9 +100,9 @@
 func TestAListThatIsBackUnchangedIsNews(t *testing.T) {
 	at, _ := changeLog(t, `{"seq":1,"results":[]}`, "", `{"seq":1,"results":[]}`, "silent")
 	m := make(mailbox, 100)
-	f, err := NewFeed(at, []byte(`{"seq":1,"results":[]}`), NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog()), m, silentLog())
+	f, err := NewDiscoveryClient(at, []byte(`{"seq":1,"results":[]}`), NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1), ExecutorLimits{}, silentLog()), m, silentLog())
 	require.NoError(t, err)
-	f.Begin()
+	f.Start()
 	go f.Run()
 	defer f.Stop()
 	for _, want := range []scheduler.ListKind{scheduler.NoList, scheduler.Changes} {
@@ -117,10 +117,10 @@
 	old, calls := changeLog(t, event(2, "s-2", "Ready"), "silent")
 	next, moved := changeLog(t, event(3, "s-2", "Gone"), "silent")
 	m := make(mailbox, 100)
-	f, err := NewFeed(old, []byte(`{"seq":1,"results":[]}`), NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog()), m,
+	f, err := NewDiscoveryClient(old, []byte(`{"seq":1,"results":[]}`), NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1), ExecutorLimits{}, silentLog()), m,
 		silentLog())
 	require.NoError(t, err)
-	f.Begin()
+	f.Start()
 	began := time.Now()
 	go f.Run()
 	defer f.Stop()
@@ -145,15 +145,15 @@
 	here := free.LocalAddr()
 	free.Close()
 	m := make(mailbox, 10)
-	p, err := NewPeers(here.String(), []string{here.String(), other.LocalAddr().String()}, other.LocalAddr().String(), m,
+	p, err := NewPeerNetwork(here.String(), []string{here.String(), other.LocalAddr().String()}, other.LocalAddr().String(), m,
 		silentLog())
 	require.NoError(t, err)
 	go p.Run()
 	defer p.Stop()
-	p.Tell(1, []byte("one"))
-	p.Tell(-1, []byte("all"))
-	p.Tell(7, []byte("nobody"))
-	p.Tell(1, make([]byte, mostDatagram+1))
+	p.SendPeer(1, []byte("one"))
+	p.SendPeer(-1, []byte("all"))
+	p.SendPeer(7, []byte("nobody"))
+	p.SendPeer(1, make([]byte, mostDatagram+1))
 	var b [300]byte
 	for _, want := range []string{"one", "all"} {
 		_ = other.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -171,9 +171,9 @@
 	it := m.next(t)
 	assert.Equal(t, []any{scheduler.Heard, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Data)})
 	assert.Equal(t, uint64(2), p.Foreign.Load())
-	quiet, err := NewPeers("", nil, "", m, silentLog())
+	quiet, err := NewPeerNetwork("", nil, "", m, silentLog())
 	assert.NoError(t, err)
-	quiet.Tell(-1, []byte("x"))
+	quiet.SendPeer(-1, []byte("x"))
 	assert.Equal(t, uint64(1), quiet.Dropped.Load())
 }
 
@@ -186,9 +186,9 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		m := make(mailbox, 100)
-		f, err := NewFeed(l.Addr().String(), []byte(`{"seq":1,"results":[]}`), NewFleet(m, clock, NewBudget(1), Reach{}, silentLog()), m, silentLog())
+		f, err := NewDiscoveryClient(l.Addr().String(), []byte(`{"seq":1,"results":[]}`), NewExecutorClient(m, clock, NewByteBudget(1), ExecutorLimits{}, silentLog()), m, silentLog())
 		require.NoError(t, err)
-		f.Begin()
+		f.Start()
 		go f.Run()
 		c, err := l.Accept()
 		require.NoError(t, err)
@@ -240,8 +240,8 @@
 		seen[executorID(name)] = name
 	}
 	m := make(mailbox, 100)
-	fleet := NewFleet(m, dispatch.NewClock(), NewBudget(1), Reach{}, silentLog())
-	f, err := NewFeed("127.0.0.1:9", []byte(`{"seq":1,"results":[]}`), fleet, m, silentLog())
+	fleet := NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1), ExecutorLimits{}, silentLog())
+	f, err := NewDiscoveryClient("127.0.0.1:9", []byte(`{"seq":1,"results":[]}`), fleet, m, silentLog())
 	require.NoError(t, err)
 	play := func(seq int, events ...string) (list []scheduler.Entry) {
 		text := strings.Join(events, ",")
@@ -255,10 +255,10 @@
 	}
 	list := play(2, entry(one, "a", "Ready"), entry(other, "b", "Ready"))
 	assert.NotEqual(t, list[0].Executor, list[1].Executor)
-	assert.Equal(t, []string{one, other}, []string{fleet.Holds(list[0].Executor).Name, fleet.Holds(list[1].Executor).Name})
+	assert.Equal(t, []string{one, other}, []string{fleet.ConnectionState(list[0].Executor).Name, fleet.ConnectionState(list[1].Executor).Name})
 	gone := play(3, entry(one, "a", "Gone"))
 	assert.Equal(t, list[0].Executor, gone[0].Executor)
-	assert.Equal(t, []string{"", other}, []string{fleet.Holds(list[0].Executor).Name, fleet.Holds(list[1].Executor).Name})
+	assert.Equal(t, []string{"", other}, []string{fleet.ConnectionState(list[0].Executor).Name, fleet.ConnectionState(list[1].Executor).Name})
 	assert.Equal(t, list[1].Executor, play(4, entry(other, "b", "Terminating"))[0].Executor, "the one that stays keeps its number")
 	assert.Equal(t, list[0].Executor, play(5, entry(one, "a", "Ready"))[0].Executor)
 	assert.Len(t, f.names, 1, "nobody is kept that a whole list leaves out")
@@ -269,7 +269,7 @@
 	held, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	time.AfterFunc(100*time.Millisecond, func() { held.Close() })
-	p, err := NewPeers(held.LocalAddr().String(), nil, "", make(mailbox, 1), silentLog())
+	p, err := NewPeerNetwork(held.LocalAddr().String(), nil, "", make(mailbox, 1), silentLog())
 	if assert.NoError(t, err) {
 		p.Stop()
 	}
