--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -42,20 +42,20 @@
 	clientKernel = 128 << 10 // bytes that the system holds for one that doesn't read
 )
 
-// Offering is what a front has to know of an offering.
-type Offering struct {
+// ClassLimits is what a front has to know of an offering.
+type ClassLimits struct {
 	Keyed   bool
 	LimitMS float64 // no client waits for longer; 0: unknown
 }
 
-// Front is the clients' side.
-type Front struct {
-	queue     Queue
+// ClientServer is the clients' side.
+type ClientServer struct {
+	queue     EventQueue
 	clock     dispatch.Clock
 	log       logrus.FieldLogger
-	bodies    *Budget // of requests that are open
-	answers   *Budget // lined up
-	offerings map[string]Offering
+	bodies    *ByteBudget // of requests that are open
+	answers   *ByteBudget // lined up
+	offerings map[string]ClassLimits
 	mostHeld  int
 	awayMS    float64
 	outcomes  bool
@@ -69,24 +69,24 @@
 	clients map[*client]struct{}
 	leaving bool // takes nothing more
 
-	Accepted, Bad, LostFraming, Pauses, Full, Silent, GaveWay atomic.Uint64
+	Accepted, Bad, LostFraming, Pauses, Refused, TimedOut, Evicted atomic.Uint64
 }
 
-// Doors are the figures that a Front keeps to.
-type Doors struct {
-	Clients, MostHeld int
-	AwayMS            float64 // told to clients that are denied here; 0: nothing may be told
-	Outcomes          bool    // the method outcome is served
-	Bodies, Answers   *Budget
+// ServerLimits are the figures that a Front keeps to.
+type ServerLimits struct {
+	Clients, MaxHeld         int
+	RetryAfterMS             float64 // told to clients that are denied here; 0: nothing may be told
+	ServeOutcomes            bool    // the method outcome is served
+	BodyBudget, AnswerBudget *ByteBudget
 
 	// Arrival gives the earliest clock at which what is read now may have come: earlier than now where this process stood
 	// still meanwhile. Nil: now.
 	Arrival func(now float64) float64
 }
 
-// NewFront listens where clients connect.
-func NewFront(listen string, offerings map[string]Offering, queue Queue, clock dispatch.Clock,
-	doors Doors, log logrus.FieldLogger) (*Front, error) {
+// NewClientServer listens where clients connect.
+func NewClientServer(listen string, offerings map[string]ClassLimits, queue EventQueue, clock dispatch.Clock,
+	doors ServerLimits, log logrus.FieldLogger) (*ClientServer, error) {
 	var l net.Listener
 	err := retry.Listening(func() (err error) {
 		l, err = net.Listen("tcp", listen)
@@ -95,12 +95,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Front{queue: queue, clock: clock, log: log, bodies: doors.Bodies, answers: doors.Answers, offerings: offerings,
-		mostHeld: doors.MostHeld, awayMS: doors.AwayMS, outcomes: doors.Outcomes, arrival: doors.Arrival, listener: l, stopped: make(chan struct{}), places: make(chan struct{}, max(1, doors.Clients)), clients: map[*client]struct{}{}}, nil
+	return &ClientServer{queue: queue, clock: clock, log: log, bodies: doors.BodyBudget, answers: doors.AnswerBudget, offerings: offerings,
+		mostHeld: doors.MaxHeld, awayMS: doors.RetryAfterMS, outcomes: doors.ServeOutcomes, arrival: doors.Arrival, listener: l, stopped: make(chan struct{}), places: make(chan struct{}, max(1, doors.Clients)), clients: map[*client]struct{}{}}, nil
 }
 
 // now is the clock at which what is read now may have come.
-func (f *Front) now() float64 {
+func (f *ClientServer) now() float64 {
 	now := f.clock.Now()
 	if f.arrival == nil {
 		return now
@@ -108,12 +108,12 @@
 	return f.arrival(now)
 }
 
-// Fit sets what the method probe answers.
-func (f *Front) Fit(fit bool) { f.fit.Store(fit) }
+// SetReady sets what the method probe answers.
+func (f *ClientServer) SetReady(fit bool) { f.fit.Store(fit) }
 
 // Run accepts until Stop. Where there is no place left, the longest idle client gives way; where none is idle or
 // no descriptor is left, accepting pauses.
-func (f *Front) Run() {
+func (f *ClientServer) Run() {
 	for {
 		conn, err := f.listener.Accept()
 		if err != nil {
@@ -158,7 +158,7 @@
 
 // place waits for a place among those there may be; false if there was none by the time that the front leaves. Whoever rests, or
 // comes to rest meanwhile, gives way.
-func (f *Front) place() bool {
+func (f *ClientServer) place() bool {
 	for waited := false; ; waited = true {
 		select {
 		case f.places <- struct{}{}:
@@ -180,7 +180,7 @@
 
 // giveWay ends the client that has been idle for longest, one that never said anything before all others, and
 // tells whether there was one. Silent connections by the hundred must not cost those who ask their places.
-func (f *Front) giveWay() bool {
+func (f *ClientServer) giveWay() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var oldest *client
@@ -193,14 +193,14 @@
 	if oldest == nil || !oldest.depart() {
 		return false
 	}
-	f.GaveWay.Add(1)
+	f.Evicted.Add(1)
 	oldest.end(false)
 	return true
 }
 
-// Leave takes nothing more: it accepts no connection but those that wait already, to refuse what they ask, and ends each that has nothing open, after what was written last; on
+// Drain takes nothing more: it accepts no connection but those that wait already, to refuse what they ask, and ends each that has nothing open, after what was written last; on
 // the others what still comes is refused, and they end with their last answer.
-func (f *Front) Leave() {
+func (f *ClientServer) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaving {
@@ -217,8 +217,8 @@
 }
 
 // Stop leaves, and waits until all connections have ended; after patience they are cut off.
-func (f *Front) Stop(patience time.Duration) {
-	f.Leave()
+func (f *ClientServer) Stop(patience time.Duration) {
+	f.Drain()
 	for began, cut := time.Now(), false; f.endAll(cut) > 0 && !cut; time.Sleep(stopLook) {
 		cut = time.Since(began) > patience
 	}
@@ -226,7 +226,7 @@
 }
 
 // endAll has every connection end, once all is written or at once, and tells how many there still were.
-func (f *Front) endAll(atOnce bool) int {
+func (f *ClientServer) endAll(atOnce bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.clients {
@@ -236,7 +236,7 @@
 }
 
 // Done tells whether nothing is open, and every answer has been written.
-func (f *Front) Done() bool {
+func (f *ClientServer) Done() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.clients {
@@ -258,7 +258,7 @@
 // client is one connection of a client.
 type client struct {
 	pipe
-	front  *Front
+	front  *ClientServer
 	from   netip.Addr
 	placed bool // it has one of the places
 	faults int
@@ -316,7 +316,7 @@
 	}
 	c.lock.Unlock()
 	for _, r := range waiting {
-		c.front.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
+		c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
 	}
 	var none [1]byte
 	for began := time.Now(); time.Since(began) < clientWrite; time.Sleep(stopLook) {
@@ -344,7 +344,7 @@
 	if r.half.Load() {
 		return // the word of it has been told
 	}
-	c.front.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req}, Client: c, Token: r.tag})
+	c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req}, Client: c, Token: r.tag})
 }
 
 // leave takes out what is open: nothing more is answered here.
@@ -416,7 +416,7 @@
 	defer c.lock.Unlock()
 	switch {
 	case !c.due.IsZero() && now.After(c.due):
-		c.front.Silent.Add(1)
+		c.front.TimedOut.Add(1)
 		return malformed("no whole message within %v", clientWhole)
 	case c.due.IsZero() && len(c.open) == 0 && now.After(c.seen.Add(clientQuiet)):
 		c.left = true
@@ -518,7 +518,7 @@
 		return &fault{codeParams, "either req or opkey is needed"}
 	}
 	id := slices.Clone(m.id)
-	c.front.queue.Put(dispatch.Item{Ask: &dispatch.Question{ID: req, Mark: mark, Reply: func(e ledger.Effect) {
+	c.front.queue.Put(dispatch.QueueItem{Query: &dispatch.OutcomeQuery{ID: req, IdempotencyKey: mark, Reply: func(e ledger.Effect) {
 		c.push(func(b []byte) []byte { return appendOutcome(b, id, e) })
 	}}})
 	return nil
@@ -568,9 +568,9 @@
 		a.timeout = min(a.timeout, offering.LimitMS)
 	}
 	group, schema, _ := tablesOf(a.body)
-	f.queue.Take(&dispatch.Request{ID: a.req, Offering: m.method, Key: a.key, Mark: a.mark, Group: group, NeedMB: a.ram,
-		WorkMS: a.work, Until: now + a.timeout, Repeat: a.repeat, Body: a.body, Client: c, Tag: r.tag, Gone: r.gone, Half: r.half,
-		Team: a.team, From: c.from, Schema: schema, Waits: a.waits})
+	f.queue.Submit(&dispatch.Request{ID: a.req, Class: m.method, OrderKey: a.key, IdempotencyKey: a.mark, TableGroup: group, MemoryMB: a.ram,
+		WorkMS: a.work, Deadline: now + a.timeout, Retried: a.repeat, Body: a.body, Client: c, Tag: r.tag, ClientGone: r.gone, HalfClosed: r.half,
+		Team: a.team, ClientAddr: c.from, Schema: schema, WantsWaitEstimate: a.waits})
 	return nil
 }
 
@@ -584,8 +584,8 @@
 		return &fault{codeRequest, "id is open"}
 	case c.left:
 		return &fault{codeDenied, "this connection takes no more"}
-	case len(c.open) >= mostOpen, f.mostHeld > 0 && f.queue.Open() >= f.mostHeld, !f.bodies.take(r.held):
-		f.Full.Add(1)
+	case len(c.open) >= mostOpen, f.mostHeld > 0 && f.queue.OpenRequests() >= f.mostHeld, !f.bodies.take(r.held):
+		f.Refused.Add(1)
 		return &fault{codeDenied, "too much is open here"}
 	}
 	c.tag++
@@ -642,8 +642,8 @@
 	}
 }
 
-// Waits tells how long an open request will wait.
-func (c *client) Waits(tag uint64, startMS, endMS float64) {
+// WaitEstimated tells how long an open request will wait.
+func (c *client) WaitEstimated(tag uint64, startMS, endMS float64) {
 	c.lock.Lock()
 	k, ok := slices.BinarySearchFunc(c.open, tag, func(r pending, tag uint64) int { return cmp.Compare(r.tag, tag) })
 	var id []byte
@@ -656,12 +656,12 @@
 	}
 }
 
-// Handled, Denied and WrittenOff answer a request.
-func (c *client) Handled(tag uint64, body []byte) {
+// Succeeded, Denied and WrittenOff answer a request.
+func (c *client) Succeeded(tag uint64, body []byte) {
 	c.answer(tag, func(b, id []byte) []byte { return appendResult(b, id, body) })
 }
 
-func (c *client) Denied(tag uint64, afterMS float64) {
+func (c *client) Rejected(tag uint64, afterMS float64) {
 	c.answer(tag, func(b, id []byte) []byte { return appendError(b, id, fault{codeDenied, "denied"}, afterMS) })
 }
 
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -18,16 +18,16 @@
 )
 
 // door is a front with an offering of each kind, and one client.
-func door(t *testing.T, doors Doors) (*Front, mailbox, net.Conn, *bufio.Reader) {
+func door(t *testing.T, doors ServerLimits) (*ClientServer, mailbox, net.Conn, *bufio.Reader) {
 	m := make(mailbox, 100)
 	if doors.Clients == 0 {
 		doors.Clients = 5
 	}
-	doors.Answers = NewBudget(1 << 20)
-	if doors.Bodies == nil {
-		doors.Bodies = NewBudget(1 << 20)
+	doors.AnswerBudget = NewByteBudget(1 << 20)
+	if doors.BodyBudget == nil {
+		doors.BodyBudget = NewByteBudget(1 << 20)
 	}
-	f, err := NewFront("127.0.0.1:0", map[string]Offering{"look": {}, "load": {Keyed: true}}, m, dispatch.NewClock(),
+	f, err := NewClientServer("127.0.0.1:0", map[string]ClassLimits{"look": {}, "load": {Keyed: true}}, m, dispatch.NewClock(),
 		doors, silentLog())
 	require.NoError(t, err)
 	go f.Run()
@@ -36,7 +36,7 @@
 	return f, m, c, r
 }
 
-func dial(t *testing.T, f *Front) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, f *ClientServer) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", f.listener.Addr().String())
 	require.NoError(t, err)
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
@@ -59,16 +59,16 @@
 }
 
 func TestARequestComesInAndIsAnsweredOnce(t *testing.T) {
-	f, m, c, r := door(t, Doors{})
+	f, m, c, r := door(t, ServerLimits{})
 	ask(c, look(7, "a1"))
 	s := m.next(t).Request
 	assert.Equal(t, []any{"a1", "look", uint64(17), 96.0, 82.0, "SELECT 1 FROM sales_17.t"},
-		[]any{s.ID, s.Offering, s.Group, s.NeedMB, s.WorkMS, string(s.Body)})
-	assert.InDelta(t, f.clock.Now()+1500, s.Until, 1400)
-	s.Client.Handled(s.Tag, []byte("x\n"))
-	s.Client.Denied(s.Tag, 5)
+		[]any{s.ID, s.Class, s.TableGroup, s.MemoryMB, s.WorkMS, string(s.Body)})
+	assert.InDelta(t, f.clock.Now()+1500, s.Deadline, 1400)
+	s.Client.Succeeded(s.Tag, []byte("x\n"))
+	s.Client.Rejected(s.Tag, 5)
 	answered(t, r, `{"jsonrpc":"2.0","id":7,"result":{"data":"eAo="}}`)
-	for id, give := range map[int]func(*dispatch.Request){8: func(s *dispatch.Request) { s.Client.Denied(s.Tag, 200) },
+	for id, give := range map[int]func(*dispatch.Request){8: func(s *dispatch.Request) { s.Client.Rejected(s.Tag, 200) },
 		9: func(s *dispatch.Request) { s.Client.Failed(s.Tag) }} {
 		ask(c, look(id, "b"))
 		give(m.next(t).Request)
@@ -81,7 +81,7 @@
 
 // A bad request gets an error and costs no other on its connection.
 func TestBadRequestsCostNoOther(t *testing.T) {
-	_, m, c, r := door(t, Doors{})
+	_, m, c, r := door(t, ServerLimits{})
 	ask(c, look(1, "a"))
 	s := m.next(t).Request
 	for _, bad := range []string{`{`, `[]`, `{"jsonrpc":"2.0","id":4,"method":"none"}`, look(1, "again"), look(5, "no good"),
@@ -94,7 +94,7 @@
 	}
 	ask(c, `{"jsonrpc":"2.0","id":"p","method":"probe"}`)
 	answered(t, r, `{"jsonrpc":"2.0","id":"p","result":{"fit":false}}`)
-	s.Client.Handled(s.Tag, nil)
+	s.Client.Succeeded(s.Tag, nil)
 	answered(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
 	assert.Empty(t, m)
 }
@@ -102,7 +102,7 @@
 // Who sends what can't be read is told at once, and nobody waits for what is open there: an answer that came later
 // would pass for a good one, and the connection would be kept for as long as the longest request.
 func TestLostFramingFailsWhatIsOpenAndEndsTheConnection(t *testing.T) {
-	f, m, c, r := door(t, Doors{})
+	f, m, c, r := door(t, ServerLimits{})
 	for _, bad := range []string{"no head\r\n\r\n", "Content-Length: 60000000\r\n\r\n", "Content-Length: -1\r\n\r\n"} {
 		ask(c, look(1, "a"))
 		s := m.next(t).Request
@@ -110,7 +110,7 @@
 		answered(t, r, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"framing lost"}}`)
 		answered(t, r, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
 		assert.Equal(t, scheduler.Left, m.next(t).Event.Kind, "its shots are called off")
-		s.Client.Handled(s.Tag, nil)
+		s.Client.Succeeded(s.Tag, nil)
 		_, err := r.ReadByte()
 		assert.Error(t, err)
 		c, r = dial(t, f)
@@ -126,7 +126,7 @@
 
 // Silent and half-open connections cost usual clients nothing: they end soon, and give way before that.
 func TestSilentConnectionsEndAndGiveWay(t *testing.T) {
-	f, m, c, r := door(t, Doors{Clients: 3})
+	f, m, c, r := door(t, ServerLimits{Clients: 3})
 	ask(c, look(1, "a"))
 	s := m.next(t).Request
 	began := time.Now()
@@ -139,11 +139,11 @@
 	assert.Less(t, time.Since(began), clientWhole/2)
 	_, err := silent.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Equal(t, []uint64{1, 0}, []uint64{f.GaveWay.Load(), f.Pauses.Load()})
+	assert.Equal(t, []uint64{1, 0}, []uint64{f.Evicted.Load(), f.Pauses.Load()})
 	got, _ := readMessage(bufio.NewReader(half), nil)
 	assert.Contains(t, string(got), "error")
 	assert.Less(t, time.Since(began), 3*time.Second)
-	s.Client.Handled(s.Tag, nil)
+	s.Client.Succeeded(s.Tag, nil)
 	answered(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
 	old := &client{front: f, seen: time.Now().Add(-clientQuiet)}
 	assert.NoError(t, (&client{front: f, seen: time.Now()}).stale())
@@ -153,7 +153,7 @@
 }
 
 func TestGivingUpAndClosingEndRequests(t *testing.T) {
-	_, m, c, r := door(t, Doors{})
+	_, m, c, r := door(t, ServerLimits{})
 	var open []*dispatch.Request
 	for id := 1; id < 5; id++ {
 		ask(c, look(id, fmt.Sprint("a", id)))
@@ -164,7 +164,7 @@
 		ask(c, give)
 		it := m.next(t)
 		assert.Equal(t, []any{scheduler.Left, open[0].ID, open[0].Tag}, []any{it.Event.Kind, it.Event.Request, it.Token})
-		open[0].Client.Handled(open[0].Tag, nil) // too late: no answer is owed
+		open[0].Client.Succeeded(open[0].Tag, nil) // too late: no answer is owed
 		open = open[1:]
 	}
 	answered(t, r, `{"jsonrpc":"2.0","id":77,"result":{}}`)
@@ -173,7 +173,7 @@
 }
 
 func TestPlacesAreBounded(t *testing.T) {
-	f, m, c, r := door(t, Doors{Clients: 2, Bodies: NewBudget(60), AwayMS: 300})
+	f, m, c, r := door(t, ServerLimits{Clients: 2, BodyBudget: NewByteBudget(60), RetryAfterMS: 300})
 	ask(c, look(1, "a"))
 	s := m.next(t).Request
 	ask(c, strings.Replace(look(2, "b"), "U0VM", strings.Repeat("U0VM", 20), 1)) // more bytes than may be open
@@ -193,12 +193,12 @@
 	c.Close()
 	assert.Equal(t, scheduler.Left, m.next(t).Event.Kind)
 	s = m.next(t).Request
-	s.Client.Handled(s.Tag, nil)
+	s.Client.Succeeded(s.Tag, nil)
 	answered(t, rw, `{"jsonrpc":"2.0","id":3,"result":{"data":""}}`)
 }
 
 func TestAConnectionCarriesSoManyRequests(t *testing.T) {
-	_, m, c, r := door(t, Doors{})
+	_, m, c, r := door(t, ServerLimits{})
 	for id := 1; id <= mostOpen+1; id++ {
 		ask(c, look(id, fmt.Sprint("a", id)))
 	}
@@ -209,7 +209,7 @@
 
 // Who doesn't read must not fill the memory: past its room it is cut off, and what it holds is given back.
 func TestASlowReaderIsCutOff(t *testing.T) {
-	f, m, c, _ := door(t, Doors{})
+	f, m, c, _ := door(t, ServerLimits{})
 	page := make([]byte, 48000)
 	cut := false
 	for id := 1; id < 500 && !cut; id++ {
@@ -218,7 +218,7 @@
 		case it := <-m:
 			cut = it.Event.Kind == scheduler.Left
 			if !cut {
-				it.Request.Client.Handled(it.Request.Tag, page)
+				it.Request.Client.Succeeded(it.Request.Tag, page)
 			}
 		case <-time.After(2500 * time.Millisecond):
 			cut = true
@@ -231,14 +231,14 @@
 
 // Clients and connections are always new: what was kept for them ends with them.
 func TestNothingIsKeptOfClientsThatAreGone(t *testing.T) {
-	f, m, first, _ := door(t, Doors{Clients: 10})
+	f, m, first, _ := door(t, ServerLimits{Clients: 10})
 	first.Close()
 	for n := range 100 {
 		c, r := dial(t, f)
 		ask(c, look(1, fmt.Sprint("a", n)))
 		s := m.next(t).Request
 		if n%2 == 0 {
-			s.Client.Handled(s.Tag, nil)
+			s.Client.Succeeded(s.Tag, nil)
 			_, _ = readMessage(r, nil)
 		}
 		c.Close()
@@ -257,19 +257,19 @@
 // A client learns what became of a request by its id or its mark, where outcomes are kept; a call that can't be used gets an
 // error, and nothing is opened by any of them.
 func TestAClientAsksForAnOutcome(t *testing.T) {
-	f, m, c, r := door(t, Doors{Outcomes: true})
+	f, m, c, r := door(t, ServerLimits{ServeOutcomes: true})
 	call := func(params string) string {
 		return `{"jsonrpc":"2.0","id":4,"method":"outcome","params":` + params + `}`
 	}
 	ask(c, call(`{"req":"a1"}`))
 	it := m.next(t)
-	assert.Equal(t, []string{"a1", ""}, []string{it.Ask.ID, it.Ask.Mark})
-	it.Ask.Reply(ledger.Effect{Outcome: ledger.Handled, AgeMS: 1520.7, Body: []byte("x\n")})
+	assert.Equal(t, []string{"a1", ""}, []string{it.Query.ID, it.Query.IdempotencyKey})
+	it.Query.Reply(ledger.Effect{Outcome: ledger.Handled, AgeMS: 1520.7, Body: []byte("x\n")})
 	answered(t, r, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"handled","age":1520,"data":"eAo="}}`)
 	ask(c, call(`{"opkey":"k9"}`))
 	it = m.next(t)
-	assert.Equal(t, []string{"", "k9"}, []string{it.Ask.ID, it.Ask.Mark})
-	it.Ask.Reply(ledger.Effect{})
+	assert.Equal(t, []string{"", "k9"}, []string{it.Query.ID, it.Query.IdempotencyKey})
+	it.Query.Reply(ledger.Effect{})
 	answered(t, r, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"unknown"}}`)
 	for _, params := range []string{`{}`, `{"req":"a","opkey":"b"}`, `{"req":3}`, `[]`, `{"req":"a b"}`} {
 		ask(c, call(params))
@@ -278,7 +278,7 @@
 		assert.Contains(t, string(got), `"code":-32602`, params)
 	}
 	assert.Empty(t, m)
-	_, _, c, r = door(t, Doors{})
+	_, _, c, r = door(t, ServerLimits{})
 	ask(c, call(`{"req":"a1"}`))
 	got, err := readMessage(r, nil)
 	require.NoError(t, err)
@@ -289,16 +289,16 @@
 // What is read after a stand-still of this process may have come as that began: its time counts from there, so that nobody is
 // told a later deadline than the client has.
 func TestADeadlineCountsFromBeforeAStandStill(t *testing.T) {
-	f, m, c, _ := door(t, Doors{Arrival: func(now float64) float64 { return now - 700 }})
+	f, m, c, _ := door(t, ServerLimits{Arrival: func(now float64) float64 { return now - 700 }})
 	now := f.clock.Now()
 	ask(c, look(1, "a"))
-	assert.InDelta(t, now+1500-700, m.next(t).Request.Until, 200)
+	assert.InDelta(t, now+1500-700, m.next(t).Request.Deadline, 200)
 }
 
 // A request may stand in the system for long before its connection is accepted, or before anybody has time to read it: its time counts
 // from when it came there.
 func TestARequestThatWaitedToBeAcceptedLosesThatTime(t *testing.T) {
-	f, m, busy, _ := door(t, Doors{Clients: 1})
+	f, m, busy, _ := door(t, ServerLimits{Clients: 1})
 	ask(busy, look(1, "a"))
 	m.next(t)
 	waits, _ := dial(t, f)
@@ -310,18 +310,18 @@
 	for it.Request == nil {
 		it = m.next(t)
 	}
-	assert.InDelta(t, came+1500, it.Request.Until, 100)
+	assert.InDelta(t, came+1500, it.Request.Deadline, 100)
 }
 
 // Where all places are taken by clients that wait for answers, the next one waits only until one of them has its answer and rests.
 func TestAClientThatWaitsForAPlaceGetsThatOfOneThatComesToRest(t *testing.T) {
-	f, m, busy, r := door(t, Doors{Clients: 1})
+	f, m, busy, r := door(t, ServerLimits{Clients: 1})
 	ask(busy, look(1, "a"))
 	first := m.next(t).Request
 	waits, _ := dial(t, f)
 	ask(waits, look(2, "b"))
 	require.Eventually(t, func() bool { return f.Pauses.Load() > 0 }, 3*time.Second, time.Millisecond)
-	first.Client.Handled(first.Tag, nil)
+	first.Client.Succeeded(first.Tag, nil)
 	answered(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
 	go func() { // as clients do that find their connection ended
 		_, _ = r.ReadByte()
@@ -335,7 +335,7 @@
 // A request on a connection that waits for a place, or that the system has accepted and nobody else, is refused at a planned stop: it has
 // been taken, and is not closed with no answer.
 func TestWhatWaitsForAPlaceIsRefusedAtTheStop(t *testing.T) {
-	f, m, busy, _ := door(t, Doors{Clients: 1})
+	f, m, busy, _ := door(t, ServerLimits{Clients: 1})
 	ask(busy, look(1, "a"))
 	m.next(t)
 	var readers []*bufio.Reader
@@ -345,7 +345,7 @@
 		readers = append(readers, r)
 	}
 	require.Eventually(t, func() bool { return f.Pauses.Load() > 0 }, 3*time.Second, time.Millisecond)
-	f.Leave()
+	f.Drain()
 	for k, r := range readers {
 		got, err := readMessage(r, nil)
 		if assert.NoError(t, err, "%d", k) {
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -26,10 +26,10 @@
 	data [mostDatagram]byte
 }
 
-// Peers sends and gets datagrams. Without an address to listen at, it drops what it is to send.
-type Peers struct {
+// PeerNetwork sends and gets datagrams. Without an address to listen at, it drops what it is to send.
+type PeerNetwork struct {
 	conn  *net.UDPConn
-	queue Queue
+	queue EventQueue
 	log   logrus.FieldLogger
 	peers []netip.AddrPort
 	all   netip.AddrPort
@@ -38,9 +38,9 @@
 	Sent, Heard, Dropped, Foreign atomic.Uint64
 }
 
-// NewPeers listens where the others send to.
-func NewPeers(listen string, peers []string, all string, queue Queue, log logrus.FieldLogger) (*Peers, error) {
-	p := &Peers{queue: queue, log: log, out: make(chan datagram, mostTold)}
+// NewPeerNetwork listens where the others send to.
+func NewPeerNetwork(listen string, peers []string, all string, queue EventQueue, log logrus.FieldLogger) (*PeerNetwork, error) {
+	p := &PeerNetwork{queue: queue, log: log, out: make(chan datagram, mostTold)}
 	if listen == "" {
 		return p, nil
 	}
@@ -67,8 +67,8 @@
 	return p, err
 }
 
-// Tell lines a message up for the controller numbered peer, or for all below 0.
-func (p *Peers) Tell(peer int, data []byte) {
+// SendPeer lines a message up for the controller numbered peer, or for all below 0.
+func (p *PeerNetwork) SendPeer(peer int, data []byte) {
 	l := datagram{to: p.all, size: len(data)}
 	if peer >= 0 && peer < len(p.peers) {
 		l.to = p.peers[peer]
@@ -88,7 +88,7 @@
 }
 
 // Run sends what lines up, until Stop.
-func (p *Peers) Run() {
+func (p *PeerNetwork) Run() {
 	if p.conn == nil {
 		return
 	}
@@ -103,14 +103,14 @@
 }
 
 // Stop ends Run; nothing is told after it.
-func (p *Peers) Stop() {
+func (p *PeerNetwork) Stop() {
 	close(p.out)
 	if p.conn != nil {
 		_ = p.conn.Close()
 	}
 }
 
-func (p *Peers) listen() {
+func (p *PeerNetwork) listen() {
 	var b [mostDatagram + 1]byte
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b[:])
@@ -129,12 +129,12 @@
 			continue
 		}
 		p.Heard.Add(1)
-		p.queue.Put(dispatch.Item{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
+		p.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
 	}
 }
 
 // number tells which controller an address is of, or -1.
-func (p *Peers) number(from netip.AddrPort) int {
+func (p *PeerNetwork) number(from netip.AddrPort) int {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	for k, peer := range p.peers {
 		if peer == from {
--- a/internal/wire/pipe.go
+++ b/internal/wire/pipe.go
@@ -16,27 +16,27 @@
 	"liftshift/internal/dispatch"
 )
 
-// Queue is the one way to who decides.
-type Queue interface {
-	Put(dispatch.Item)
-	Take(*dispatch.Request)
-	Open() int // requests taken and not answered
+// EventQueue is the one way to who decides.
+type EventQueue interface {
+	Put(dispatch.QueueItem)
+	Submit(*dispatch.Request)
+	OpenRequests() int // requests taken and not answered
 }
 
 // errClosed is what a pipe reads once it was told to end.
 var errClosed = errors.New("closed on this side")
 
-// Budget bounds the bytes that all connections together hold back.
-type Budget struct {
+// ByteBudget bounds the bytes that all connections together hold back.
+type ByteBudget struct {
 	most int64
 	held atomic.Int64
 }
 
-// NewBudget returns a Budget of so many bytes.
-func NewBudget(most int64) *Budget { return &Budget{most: most} }
+// NewByteBudget returns a Budget of so many bytes.
+func NewByteBudget(most int64) *ByteBudget { return &ByteBudget{most: most} }
 
 // take books n bytes and tells whether they still fit; where they don't, they are not booked.
-func (b *Budget) take(n int) bool {
+func (b *ByteBudget) take(n int) bool {
 	if b.held.Add(int64(n)) > b.most {
 		b.held.Add(int64(-n))
 		return false
@@ -45,16 +45,16 @@
 }
 
 // Held tells how many bytes are booked.
-func (b *Budget) Held() int64 { return b.held.Load() }
+func (b *ByteBudget) Held() int64 { return b.held.Load() }
 
-func (b *Budget) give(n int) { b.held.Add(int64(-n)) }
+func (b *ByteBudget) give(n int) { b.held.Add(int64(-n)) }
 
 // pipe is a connection whose one goroutine reads and writes: Read first writes what has lined up, and is woken
 // out of its wait when more does. While the other side takes nothing, it goes on reading in between, so that a word of
 // that side is heard however little it reads itself. A write on which nothing gets through in time ends the pipe.
 type pipe struct {
 	conn    net.Conn
-	budget  *Budget
+	budget  *ByteBudget
 	patient time.Duration    // for a write
 	quiet   func() error     // asked when nothing came until then: why to end, if so
 	until   func() time.Time // how long to wait for something to come
