--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -34,7 +34,7 @@
 		}
 	}
 	self := f.view.Self()
-	t := handoffnet.New(handoff.Member{Name: self.Name, Life: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
+	t := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
 	if i.file.Estate.OnDisks {
 		dir, err := vfs.OpenDir(filepath.Join(i.file.Store.Directory, "estate"), true)
 		if err != nil {
@@ -91,11 +91,11 @@
 			}
 		case "estate release":
 			h.inst.log.WithField("search", name).WithField("who", fields["who"]).Warn("estate: a search is given up by an operator")
-			h.trustee.Step(now, &handoff.Event{Kind: handoff.Released, ID: name})
+			h.trustee.Step(now, &handoff.Event{Kind: handoff.ReleaseRequested, ID: name})
 			out = map[string]any{"asked": true}
 		case "estate adopt":
 			h.inst.log.WithField("member", name).WithField("who", fields["who"]).Warn("estate: an operator wants this controller to take over")
-			h.trustee.Step(now, &handoff.Event{Kind: handoff.Wanted, ID: name})
+			h.trustee.Step(now, &handoff.Event{Kind: handoff.AdoptionRequested, ID: name})
 			out = map[string]any{"asked": true}
 		default:
 			err = adminapi.RequestErrorf("no question %q", question)
@@ -108,7 +108,7 @@
 }
 
 // show gives what is kept here, who sits where and what is claimed.
-func (h *heirs) show(e *handoff.Estate) map[string]any {
+func (h *heirs) show(e *handoff.Manager) map[string]any {
 	out := map[string]any{}
 	for name, v := range h.trustee.Counters() {
 		switch n := v.(type) {
@@ -120,7 +120,7 @@
 	}
 	out["held"] = h.trustee.LeaseHeld()
 	var orphans, claims, seats []any
-	for name, n := range e.Orphans() {
+	for name, n := range e.OrphanedRequests() {
 		orphans = append(orphans, map[string]any{"member": name, "copies": float64(n)})
 	}
 	if t := e.Table(); t != nil {
@@ -155,14 +155,14 @@
 }
 
 // explainCopy gives what is known here of a search or mark.
-func explainCopy(now float64, e *handoff.Estate, name string) map[string]any {
+func explainCopy(now float64, e *handoff.Manager, name string) map[string]any {
 	var list []any
 	for _, s := range e.Explain(name) {
 		c := &s.Copy
-		ran := [...]string{"no shot of it can have run", "a shot of it may have run", "it ran"}[c.Standing]
-		list = append(list, map[string]any{"id": c.ID, "mark": c.Mark, "offering": c.Offering, "state": s.State, "owner": c.Owner.Name,
-			"life": fmt.Sprint(c.Owner.Life), "number": float64(c.Number), "outcome": c.Outcome.String(), "ran": ran, "place": c.Place,
-			"left_ms": math.Round(c.Until - now), "answer": c.Answer != nil, "in_hand_here": s.Mine})
+		ran := [...]string{"no shot of it can have run", "a shot of it may have run", "it ran"}[c.RunState]
+		list = append(list, map[string]any{"id": c.ID, "mark": c.IdempotencyKey, "offering": c.Class, "state": s.State, "owner": c.Owner.Name,
+			"life": fmt.Sprint(c.Owner.Incarnation), "number": float64(c.Sequence), "outcome": c.Outcome.String(), "ran": ran, "place": c.Zone,
+			"left_ms": math.Round(c.Deadline - now), "answer": c.Answer != nil, "in_hand_here": s.InFlightHere})
 	}
 	if list == nil {
 		return nil
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -43,10 +43,10 @@
 func joinLeaver(f *chaostest.Fleet, k int) (*leaver, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Life: uint64(time.Now().UnixMilli())}}
+	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
 	l.carrier = clusternet.New(f.Relay.Listen(k), log)
 	given := scheduler.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
-	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Life: l.self.Life, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
+	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Life: l.self.Incarnation, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
 	var err error
 	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
@@ -79,16 +79,16 @@
 			for from := 0; from < n; from += orphanBatch {
 				b := &handoff.Batch{From: l.self, Version: r.Table.Version}
 				for k := from; k < min(n, from+orphanBatch); k++ {
-					w := handoff.Work{ID: fmt.Sprintf("orphan-%d", k), Mark: fmt.Sprintf("o%d", k), Offering: "mark", Group: uint64(k % 97), NeedMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
-					b.Items = append(b.Items, handoff.Item{Op: handoff.Register, Key: handoff.KeyOf(w.Mark, ""), Number: 1, From: l.self,
-						Copy: &handoff.Copy{Work: w, Owner: l.self, Number: 1, Until: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Whole: true}})
+					w := handoff.RequestData{ID: fmt.Sprintf("orphan-%d", k), IdempotencyKey: fmt.Sprintf("o%d", k), Class: "mark", TableGroup: uint64(k % 97), MemoryMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
+					b.Items = append(b.Items, handoff.Item{Op: handoff.OpRegister, Key: handoff.KeyOf(w.IdempotencyKey, ""), Sequence: 1, From: l.self,
+						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
 				}
 				data, err := l.carrier.CallNow(f.Relay.Known(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
 				}
-				if err == nil && (back.Behind || len(back.Items) != len(b.Items) || back.Items[0].Op != handoff.Kept) {
+				if err == nil && (back.StalePlacement || len(back.Items) != len(b.Items) || back.Items[0].Op != handoff.OpStored) {
 					err = fmt.Errorf("c%d does not keep them: %+v", to, back)
 				}
 				if err != nil {
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -264,13 +264,13 @@
 	t.Reseat(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
-		e := handoff.New(handoff.Member{Name: "a", Life: 1}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
-		e.Step(1000, &handoff.Event{Kind: handoff.Seated, Held: true, Places: places, Table: &t})
+		e := handoff.New(handoff.Member{Name: "a", Incarnation: 1}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
+		e.Step(1000, &handoff.Event{Kind: handoff.PlacementChanged, LeaseHeld: true, Members: places, Table: &t})
 		for k := range keptCopies {
 			key := handoff.KeyOf(fmt.Sprint("m", k), "")
-			e.Step(1000, &handoff.Event{Kind: handoff.Words, Held: true, Token: 1, Batch: &handoff.Batch{From: handoff.Member{Name: "b", Life: 1}, Version: t.Version,
-				Items: []handoff.Item{{Op: handoff.Register, Key: key, Number: 1, Copy: &handoff.Copy{Work: handoff.Work{ID: fmt.Sprint(k), Mark: fmt.Sprint("m", k), Offering: "mark"},
-					Until: 6000, Whole: true, Number: 1}}}}})
+			e.Step(1000, &handoff.Event{Kind: handoff.BatchReceived, LeaseHeld: true, Token: 1, Batch: &handoff.Batch{From: handoff.Member{Name: "b", Incarnation: 1}, Version: t.Version,
+				Items: []handoff.Item{{Op: handoff.OpRegister, Key: key, Sequence: 1, Copy: &handoff.Copy{RequestData: handoff.RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "mark"},
+					Deadline: 6000, Complete: true, Sequence: 1}}}}})
 		}
 		return e
 	})
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -43,7 +43,7 @@
 
 // End is a node's estate, and a stand-in for its module and sockets.
 type End struct {
-	Estate  *handoff.Estate
+	Estate  *handoff.Manager
 	run     int
 	life    uint64
 	step    uint64
@@ -84,7 +84,7 @@
 	s.Open(k)
 	s.Ends[k] = &End{run: s.Nodes[k].run, life: s.Seats[k].life, open: map[string]*search{}, waiting: map[string]*search{},
 		replies: map[uint64]func(*handoff.Batch){}}
-	s.Ends[k].Estate = handoff.New(handoff.Member{Name: s.Nodes[k].Name, Life: s.Seats[k].life}, s.given, s.chance.Uint32())
+	s.Ends[k].Estate = handoff.New(handoff.Member{Name: s.Nodes[k].Name, Incarnation: s.Seats[k].life}, s.given, s.chance.Uint32())
 	s.Ends[k].tokens = uint64(k) << 32
 	s.beat(k, s.Nodes[k].run)
 }
@@ -130,9 +130,9 @@
 	s.Asked = append(s.Asked, x)
 	s.at(k, func() {
 		x.Cut = false // it has arrived
-		c := &handoff.Copy{Work: handoff.Work{ID: x.ID, Mark: x.Mark, Offering: x.Offering, Body: []byte("select")}, Until: s.Local(k) + 5000}
-		s.Ends[k].waiting[x.ID] = &search{id: x.ID, mark: x.Mark, offering: x.Offering, until: c.Until, asked: x}
-		s.play(k, &handoff.Event{Kind: handoff.Arrives, ID: x.ID, Copy: c})
+		c := &handoff.Copy{RequestData: handoff.RequestData{ID: x.ID, IdempotencyKey: x.Mark, Class: x.Offering, Body: []byte("select")}, Deadline: s.Local(k) + 5000}
+		s.Ends[k].waiting[x.ID] = &search{id: x.ID, mark: x.Mark, offering: x.Offering, until: c.Deadline, asked: x}
+		s.play(k, &handoff.Event{Kind: handoff.RequestArriving, ID: x.ID, Copy: c})
 	})
 	if a.impatient && a.tries == 1 {
 		for range 2 {
@@ -176,15 +176,15 @@
 	}
 	if l := s.Seats[k].life; l != end.life {
 		end.life = l
-		s.play(k, &handoff.Event{Kind: handoff.Relived, Life: l})
+		s.play(k, &handoff.Event{Kind: handoff.IncarnationChanged, Incarnation: l})
 	}
 	s.look(k)
 	s.play(k, &handoff.Event{Kind: handoff.Ticked})
 	for _, id := range sorted(end.open) {
 		if x := end.open[id]; x != nil && s.Local(k) >= x.until-20 {
-			out := handoff.WrittenOff
+			out := handoff.Failed
 			if x.fired == 0 && !x.prior {
-				out = handoff.Denied
+				out = handoff.Rejected
 			}
 			s.conclude(k, x, out)
 		}
@@ -224,25 +224,25 @@
 func (s *Estates) seat(k int, places []placement.Place, table placement.Table) {
 	if table.Step > s.Ends[k].step {
 		s.Ends[k].step = table.Step
-		s.play(k, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
+		s.play(k, &handoff.Event{Kind: handoff.PlacementChanged, Members: places, Table: &table})
 	}
 }
 
 // play plays an event to a node's estate and carries what follows.
 func (s *Estates) play(k int, ev *handoff.Event) (verdict handoff.EffectKind) {
-	ev.Held = s.held(k)
+	ev.LeaseHeld = s.held(k)
 	end, now := s.Ends[k], s.Local(k)
 	verdict = handoff.Admit
 	effects := slices.Clone(end.Estate.Step(now, ev))
 	said := make([][]byte, len(effects)) // as it is at the end of the step, as the carriage does it
 	for n, e := range effects {
-		if e.Kind == handoff.Say {
+		if e.Kind == handoff.SendBatch {
 			said[n] = e.Batch.Append(nil, now)
 		}
 	}
 	for n, e := range effects {
 		switch e.Kind {
-		case handoff.Hold, handoff.Forbid, handoff.KeepBack:
+		case handoff.HoldAttempt, handoff.BlockAttempt, handoff.WithholdAnswer:
 			verdict = e.Kind
 		case handoff.Admit:
 			if x := end.waiting[ev.ID]; x != nil {
@@ -252,47 +252,47 @@
 			if x := end.waiting[e.ID]; x != nil {
 				s.begin(k, x, e.Prior.At != 0)
 			}
-		case handoff.Settle:
+		case handoff.AnswerSuspended:
 			if x := end.waiting[e.ID]; x != nil {
 				delete(end.waiting, e.ID)
 				s.answer(k, x, e.Outcome)
 			}
-		case handoff.LetGo:
+		case handoff.DeliverAnswer:
 			if x := end.open[e.ID]; x != nil {
 				delete(end.open, e.ID)
 				s.answer(k, x, e.Outcome)
 			}
-		case handoff.Release:
+		case handoff.ReleaseAttempt:
 			if x := end.open[e.ID]; x != nil {
 				s.fire(k, x)
 			}
-		case handoff.Withhold:
+		case handoff.FailAttempt:
 			if x := end.open[e.ID]; x != nil && x.out && !x.prepared {
 				x.out = false
-				s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: e.Shot, Unrun: true})
+				s.play(k, &handoff.Event{Kind: handoff.AttemptEnded, ID: x.id, Attempt: e.Attempt, NeverRan: true})
 				s.conclude(k, x, s.unsent(x))
 			}
 		case handoff.Adopt:
-			x := &search{id: e.Copy.ID, mark: e.Copy.Mark, offering: e.Copy.Offering, until: e.Copy.Until}
+			x := &search{id: e.Copy.ID, mark: e.Copy.IdempotencyKey, offering: e.Copy.Class, until: e.Copy.Deadline}
 			if end.open[x.id] == nil {
 				end.waiting[x.id] = x
 				s.begin(k, x, e.Prior.At != 0)
 			}
-		case handoff.Recall:
+		case handoff.CancelLocal:
 			delete(end.open, e.ID)
-		case handoff.Say:
+		case handoff.SendBatch:
 			s.say(k, e, said[n])
-		case handoff.Answer:
+		case handoff.ReplyBatch:
 			if reply := end.replies[e.Token]; reply != nil {
 				delete(end.replies, e.Token)
 				reply(e.Batch)
 			}
-		case handoff.Move:
-			data := consensus.Proposal(e.Motion, e.Claim, e.Version)
+		case handoff.Propose:
+			data := consensus.Proposal(e.Proposal, e.Claim, e.Version)
 			for to := range s.Nodes { // whoever leads takes it up
 				s.later(k, to, func() { s.step(to, consensus.Event{Kind: consensus.ProposalReceived, Data: data}) }, nil)
 			}
-		case handoff.Refresh:
+		case handoff.RefreshPlacement:
 			s.look(k)
 		}
 	}
@@ -306,7 +306,7 @@
 	failed := func() {
 		s.at(k, func() {
 			if s.Nodes[k].run == run {
-				s.play(k, &handoff.Event{Kind: handoff.Answers, To: e.To, Sent: sent})
+				s.play(k, &handoff.Event{Kind: handoff.BatchAnswered, To: e.To, Sent: sent})
 			}
 		})
 	}
@@ -334,10 +334,10 @@
 					s.Broken = append(s.Broken, err.Error())
 					return
 				}
-				s.play(k, &handoff.Event{Kind: handoff.Answers, To: e.To, Sent: sent, Batch: got})
+				s.play(k, &handoff.Event{Kind: handoff.BatchAnswered, To: e.To, Sent: sent, Batch: got})
 			}, nil)
 		}
-		s.play(to, &handoff.Event{Kind: handoff.Words, Batch: b, Token: end.tokens})
+		s.play(to, &handoff.Event{Kind: handoff.BatchReceived, Batch: b, Token: end.tokens})
 	}
 	s.later(k, to, deliver, failed)
 	if s.chance.Float64() < doubled { // what went as a datagram comes again, or goes again by a call
@@ -357,7 +357,7 @@
 	delete(end.waiting, x.id)
 	end.open[x.id] = x
 	if x.prior = prior; prior && (x.offering == "once" || s.Window == 0) {
-		s.conclude(k, x, handoff.WrittenOff) // it may have run, and nobody would drop it
+		s.conclude(k, x, handoff.Failed) // it may have run, and nobody would drop it
 		return
 	}
 	run := s.Nodes[k].run
@@ -373,9 +373,9 @@
 func (s *Estates) shoot(k int, x *search) {
 	x.out, x.prepared = true, false
 	x.fired++
-	switch s.play(k, &handoff.Event{Kind: handoff.Firing, ID: x.id, Shot: x.fired - 1, Place: "z"}) {
-	case handoff.Hold:
-	case handoff.Forbid:
+	switch s.play(k, &handoff.Event{Kind: handoff.AttemptStarting, ID: x.id, Attempt: x.fired - 1, Zone: "z"}) {
+	case handoff.HoldAttempt:
+	case handoff.BlockAttempt:
 		x.out = false
 		x.fired--
 		s.conclude(k, x, s.unsent(x))
@@ -387,9 +387,9 @@
 // unsent is what becomes of a search whose shot must not leave.
 func (s *Estates) unsent(x *search) handoff.Outcome {
 	if x.prior {
-		return handoff.WrittenOff
+		return handoff.Failed
 	}
-	return handoff.Denied
+	return handoff.Rejected
 }
 
 // fire has a shot leave; one in three waits for its connection to come up.
@@ -415,7 +415,7 @@
 	}
 	if x.prepared = true; !s.held(k) {
 		x.out = false
-		s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: x.fired - 1, Unrun: true})
+		s.play(k, &handoff.Event{Kind: handoff.AttemptEnded, ID: x.id, Attempt: x.fired - 1, NeverRan: true})
 		s.conclude(k, x, s.unsent(x))
 		return
 	}
@@ -429,8 +429,8 @@
 		s.at(k, func() {
 			if s.Nodes[k].run == run && s.Ends[k].open[x.id] == x && !x.over {
 				x.out = false
-				s.play(k, &handoff.Event{Kind: handoff.ShotOver, ID: x.id, Shot: x.fired - 1})
-				s.conclude(k, x, handoff.Handled)
+				s.play(k, &handoff.Event{Kind: handoff.AttemptEnded, ID: x.id, Attempt: x.fired - 1})
+				s.conclude(k, x, handoff.Succeeded)
 			}
 		})
 	})
@@ -457,12 +457,12 @@
 		return
 	}
 	x.over = true
-	kept := s.play(k, &handoff.Event{Kind: handoff.Ending, ID: x.id, Outcome: out, Answer: []byte("rows")}) == handoff.KeepBack
+	kept := s.play(k, &handoff.Event{Kind: handoff.RequestEnding, ID: x.id, Outcome: out, Answer: []byte("rows")}) == handoff.WithholdAnswer
 	if !kept {
 		delete(s.Ends[k].open, x.id)
 		s.answer(k, x, out)
 	}
-	s.play(k, &handoff.Event{Kind: handoff.Closed, ID: x.id, Outcome: out, Answer: []byte("rows")})
+	s.play(k, &handoff.Event{Kind: handoff.RequestClosed, ID: x.id, Outcome: out, Answer: []byte("rows")})
 }
 
 func (s *Estates) answer(_ int, x *search, out handoff.Outcome) {
@@ -470,9 +470,9 @@
 		return
 	}
 	x.asked.Answers = append(x.asked.Answers, out.String())
-	if out == handoff.Handled {
+	if out == handoff.Succeeded {
 		x.asked.ask.done = true
-	} else if out == handoff.Denied {
+	} else if out == handoff.Rejected {
 		s.return_(x.asked.ask)
 	}
 }
@@ -571,11 +571,11 @@
 	}
 	for k, end := range s.Ends {
 		c := end.Estate.Counts()
-		o.Adopted, o.Claims = o.Adopted+int(c.Taken), o.Claims+int(c.Claims)
-		if c.Held != c.Settled+c.Adopted+c.Failed+c.Dropped+c.Open {
+		o.Adopted, o.Claims = o.Adopted+int(c.AdoptionsStarted), o.Claims+int(c.AdoptionClaims)
+		if c.CopiesReceived != c.Settled+c.Adopted+c.Failed+c.Dropped+c.Open {
 			wrong("the counts of %d do not add up: %+v", k, c)
 		}
-		for name, n := range end.Estate.Orphans() {
+		for name, n := range end.Estate.OrphanedRequests() {
 			wrong("%d copies of %s are open at %d, and nobody has gone on with them", n, name, k)
 		}
 	}
--- a/internal/handoff/golden_test.go
+++ b/internal/handoff/golden_test.go
@@ -31,28 +31,28 @@
 
 // goldenCopy has all fields set, and a standing and an outcome by its number.
 func goldenCopy(n int) Copy {
-	return Copy{Work: Work{ID: fmt.Sprint("id-", n), Mark: fmt.Sprint("mark-", n), Offering: "once", Order: "key", Team: "model", Schema: "s1",
-		Group: 12, NeedMB: 1.5, WorkMS: 2.25, Body: []byte("body")}, Owner: Member{"a", 3}, Number: 17, Outcome: Outcome(n % 7), Standing: Standing(n % 3),
-		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: true, Sure: true}
+	return Copy{RequestData: RequestData{ID: fmt.Sprint("id-", n), IdempotencyKey: fmt.Sprint("mark-", n), Class: "once", OrderKey: "key", Team: "model", Schema: "s1",
+		TableGroup: 12, MemoryMB: 1.5, WorkMS: 2.25, Body: []byte("body")}, Owner: Member{"a", 3}, Sequence: 17, Outcome: Outcome(n % 7), RunState: RunState(n % 3),
+		FirstAttemptAt: 40000, Zone: "here", Cell: -5, Deadline: 52000, Answer: []byte("answer"), Complete: true, Idempotent: true, Confirmed: true}
 }
 
 var goldenOps = []string{"register", "shoot", "close", "withdraw", "take", "ask", "pull", "mind", "kept", "known", "none", "lacking", "higher", "refused", "page"}
 
 // goldenBatches is one batch for each op with all fields set, one that has all outcomes and standings, and small ones.
 func goldenBatches() map[string]Batch {
-	all := map[string]Batch{"bare": {From: Member{"a", 3}, Items: []Item{{Op: Ask}}}, "behind": {From: Member{"b", 4}, Version: 9, Behind: true},
-		"empty-answer": {From: Member{"a", 3}, Items: []Item{{Op: Close, Answer: []byte{}}}}}
+	all := map[string]Batch{"bare": {From: Member{"a", 3}, Items: []Item{{Op: OpQuery}}}, "behind": {From: Member{"b", 4}, Version: 9, StalePlacement: true},
+		"empty-answer": {From: Member{"a", 3}, Items: []Item{{Op: OpClose, Answer: []byte{}}}}}
 	for k, name := range goldenOps {
 		c := goldenCopy(k)
-		all[fmt.Sprintf("op-%02d-%s", k+1, name)] = Batch{From: Member{"a", 3}, Version: 9, Step: 8, Behind: true, Items: []Item{{Op: Op(k + 1),
-			Key: KeyOf("mark-1", ""), Number: 18, Copy: &c, Standing: Standing(k % 3), First: 41000, Place: "there", Cell: -6, Outcome: Outcome(k % 7),
-			Answer: []byte("told"), From: Member{"c", 5}, Part: 33, After: KeyOf("", "id-1"), More: true, Why: "busy",
+		all[fmt.Sprintf("op-%02d-%s", k+1, name)] = Batch{From: Member{"a", 3}, Version: 9, PlacementStep: 8, StalePlacement: true, Items: []Item{{Op: Op(k + 1),
+			Key: KeyOf("mark-1", ""), Sequence: 18, Copy: &c, RunState: RunState(k % 3), FirstAttemptAt: 41000, Zone: "there", Cell: -6, Outcome: Outcome(k % 7),
+			Answer: []byte("told"), From: Member{"c", 5}, Partition: 33, After: KeyOf("", "id-1"), More: true, Reason: "busy",
 			Copies: []Copy{goldenCopy(k + 1), goldenCopy(k + 2)}}}}
 	}
 	var items []Item
 	for o := range Unknown + 1 {
 		for s := range Ran + 1 {
-			items = append(items, Item{Op: Kept, Outcome: o, Standing: s})
+			items = append(items, Item{Op: OpStored, Outcome: o, RunState: s})
 		}
 	}
 	all["outcomes"] = Batch{From: Member{"a", 3}, Items: items}
@@ -61,7 +61,7 @@
 
 // later is what a copy is read as: its first shot may have been made earlier by as long as its word may have taken.
 func later(c Copy) Copy {
-	c.First -= sureMS
+	c.FirstAttemptAt -= sureMS
 	return c
 }
 
@@ -73,8 +73,8 @@
 		require.NoError(t, err, name)
 		for k := range b.Items {
 			it := &b.Items[k]
-			if it.First != 0 {
-				it.First -= sureMS
+			if it.FirstAttemptAt != 0 {
+				it.FirstAttemptAt -= sureMS
 			}
 			if it.Copy != nil {
 				c := later(*it.Copy)
@@ -100,8 +100,8 @@
 
 // The names of ops and their numbers on the wire.
 func TestGolden_EstateOps(t *testing.T) {
-	assert.Equal(t, []Op{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, []Op{Register, Shoot, Close, Withdraw, Take, Ask, Pull, Mind, Kept, Known,
-		None, Lacking, Higher, Refused, Page})
-	assert.Equal(t, []Outcome{0, 1, 2, 3, 4, 5, 6}, []Outcome{Open, Handled, Denied, WrittenOff, Left, Withdrawn, Unknown})
-	assert.Equal(t, []Standing{0, 1, 2}, []Standing{Clear, Doubt, Ran})
+	assert.Equal(t, []Op{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, []Op{OpRegister, OpAttempt, OpClose, OpWithdraw, OpAdopt, OpQuery, OpFetch, OpMapID, OpStored, OpKnown,
+		OpUnknown, OpNeedCopy, OpNeedHigher, OpRefused, OpPage})
+	assert.Equal(t, []Outcome{0, 1, 2, 3, 4, 5, 6}, []Outcome{Open, Succeeded, Rejected, Failed, Abandoned, Withdrawn, Unknown})
+	assert.Equal(t, []RunState{0, 1, 2}, []RunState{NotRun, MayHaveRun, Ran})
 }
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -20,8 +20,8 @@
 
 func (o *offering) recorded() bool { return o.effect != "redoable" }
 
-// Estate is one controller's part in keeping open work.
-type Estate struct {
+// Manager is one controller's part in keeping open work.
+type Manager struct {
 	self      Member
 	offerings []offering
 	longest   float64 // for which a mark may have to be known after its shot
@@ -91,8 +91,8 @@
 // New gives the estate of a controller. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer,
 // most_kept, lag_ms, alone, adopt_at_once, adopts.NAME, ration_span_ms, ration_floor, ration_share, tells_come_back,
 // longest_come_back_ms, doubt_ms.
-func New(self Member, given scheduler.Given, seed uint32) *Estate {
-	e := &Estate{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
+func New(self Member, given scheduler.Given, seed uint32) *Manager {
+	e := &Manager{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
 		most: int(given.Num("most_kept", usualKept)), lag: given.Num("lag_ms", lagMS), alone: given.Is("alone"),
 		pace: pace{most: given.Num("adopt_at_once", adoptAtOnce), began: map[string]begun{}}, share: given.Num("ration_share", 0.1), floor: given.Num("ration_floor", 3),
 		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Place{},
@@ -119,12 +119,12 @@
 }
 
 // chance draws from [0, 1), the same for the same seed.
-func (e *Estate) chance() float64 {
+func (e *Manager) chance() float64 {
 	e.drawn++
 	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", e.seed, e.drawn))) / (1 << 32)
 }
 
-func (e *Estate) offering(name string) *offering {
+func (e *Manager) offering(name string) *offering {
 	for k := range e.offerings {
 		if e.offerings[k].name == name {
 			return &e.offerings[k]
@@ -134,52 +134,52 @@
 }
 
 // numbered gives an offering's place among the settings'; below 0: it is none.
-func (e *Estate) numbered(name string) int {
+func (e *Manager) numbered(name string) int {
 	return slices.IndexFunc(e.offerings, func(o offering) bool { return o.name == name })
 }
 
-func (e *Estate) do(f Effect) {
-	if f.Kind == Settle || f.Kind == Recall {
+func (e *Manager) do(f Effect) {
+	if f.Kind == AnswerSuspended || f.Kind == CancelLocal {
 		delete(e.pace.began, f.ID)
 	}
 	e.effects = append(e.effects, f)
 }
 
 // Step takes one event at the caller's clock in ms. The effects hold until the next call.
-func (e *Estate) Step(now float64, ev *Event) []Effect {
-	e.effects, e.now, e.held = e.effects[:0], max(e.now, now), ev.Held
+func (e *Manager) Step(now float64, ev *Event) []Effect {
+	e.effects, e.now, e.held = e.effects[:0], max(e.now, now), ev.LeaseHeld
 	switch ev.Kind {
-	case Seated:
+	case PlacementChanged:
 		e.seated(ev)
-	case Arrives:
+	case RequestArriving:
 		e.arrives(ev)
-	case Gone:
+	case ClientLeft:
 		e.gone(ev.ID)
-	case Firing:
+	case AttemptStarting:
 		e.firing(ev)
-	case ShotOver:
+	case AttemptEnded:
 		e.shotOver(ev)
-	case Ending:
+	case RequestEnding:
 		e.ending(ev)
-	case Closed:
+	case RequestClosed:
 		e.closed(ev)
-	case Words:
+	case BatchReceived:
 		e.words(ev)
-	case Answers:
+	case BatchAnswered:
 		e.answers(ev)
-	case Asked:
+	case OutcomeQueried:
 		e.ask(ev)
-	case Read:
+	case CopyRestored:
 		e.read(ev.Copy)
 	case Ticked:
 		e.tick()
-	case Leaving:
+	case ShutdownStarted:
 		e.leaving, e.leftAt = true, e.now
-	case Relived:
-		e.self.Life = ev.Life
-	case Released:
+	case IncarnationChanged:
+		e.self.Incarnation = ev.Incarnation
+	case ReleaseRequested:
 		e.release(ev.ID)
-	case Wanted:
+	case AdoptionRequested:
 		e.claim(ev.ID)
 	}
 	if len(e.queue) > 0 && e.inHand < int(e.pace.room) {
@@ -190,7 +190,7 @@
 }
 
 // flush sends what is to go out, and plays what was said to this controller's own chair.
-func (e *Estate) flush() {
+func (e *Manager) flush() {
 	for len(e.local) > 0 {
 		x := e.local[0]
 		e.local = e.local[1:]
@@ -202,14 +202,14 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		e.do(Effect{Kind: Say, To: name, Batch: e.out[name]})
-		e.counts.Words += uint64(len(e.out[name].Items))
+		e.do(Effect{Kind: SendBatch, To: name, Batch: e.out[name]})
+		e.counts.MessagesSent += uint64(len(e.out[name].Items))
 		delete(e.out, name)
 	}
 }
 
 // tell says an item to a member; to itself, too.
-func (e *Estate) tell(name string, it Item) {
+func (e *Manager) tell(name string, it Item) {
 	if name == e.self.Name {
 		e.local = append(e.local, exchange{it, e.word(e.self, &it)})
 		return
@@ -217,25 +217,25 @@
 	b := e.out[name]
 	if b == nil {
 		b = &Batch{From: e.self, Version: e.table.Version}
-		if it.Op == Take || it.Op == Pull { // who hears it must know who is lost, and who claimed what
-			b.Step = e.table.Step
+		if it.Op == OpAdopt || it.Op == OpFetch { // who hears it must know who is lost, and who claimed what
+			b.PlacementStep = e.table.Step
 		}
 		e.out[name] = b
-	} else if it.Op == Take || it.Op == Pull {
-		b.Step = e.table.Step
+	} else if it.Op == OpAdopt || it.Op == OpFetch {
+		b.PlacementStep = e.table.Step
 	}
 	b.Items = append(b.Items, it)
 }
 
 // spread says an item to all that sit in a part.
-func (e *Estate) spread(it Item) {
-	for _, name := range e.sitting(it.Key.Part()) {
+func (e *Manager) spread(it Item) {
+	for _, name := range e.sitting(it.Key.Partition()) {
 		e.tell(name, it)
 	}
 }
 
 // sitting gives who sits in a part now, and who sat before as long as that counts.
-func (e *Estate) sitting(part int) (names []string) {
+func (e *Manager) sitting(part int) (names []string) {
 	p := &e.table.Parts[part]
 	for _, list := range [][]placement.Chair{p.Now, p.Was} {
 		for _, c := range list {
@@ -247,22 +247,22 @@
 	return names
 }
 
-func (e *Estate) sits(c placement.Chair) bool {
+func (e *Manager) sits(c placement.Chair) bool {
 	p := e.places[c.Name]
 	return p != nil && !p.Lost && p.Life == c.Life
 }
 
 // lost tells whether a life is over, as agreed.
-func (e *Estate) lost(m Member) bool {
+func (e *Manager) lost(m Member) bool {
 	p := e.places[m.Name]
-	return p != nil && (p.Life > m.Life || p.Life == m.Life && p.Lost)
+	return p != nil && (p.Life > m.Incarnation || p.Life == m.Incarnation && p.Lost)
 }
 
 // chaired tells whether there is anybody to keep copies at all.
-func (e *Estate) chaired() bool { return e.table != nil && len(e.table.Parts) == placement.Parts }
+func (e *Manager) chaired() bool { return e.table != nil && len(e.table.Parts) == placement.Parts }
 
 // quorum tells whether these make a word for a part.
-func (e *Estate) quorum(part int, who []Member) bool {
+func (e *Manager) quorum(part int, who []Member) bool {
 	p := &e.table.Parts[part]
 	return most(p.Now, who) && (p.Was == nil || most(p.Was, who))
 }
@@ -278,7 +278,7 @@
 }
 
 // barredBy tells whether these who said no leave no quorum.
-func (e *Estate) barredBy(part int, nays []Member) bool {
+func (e *Manager) barredBy(part int, nays []Member) bool {
 	p := &e.table.Parts[part]
 	return blocked(p.Now, nays) || p.Was != nil && blocked(p.Was, nays)
 }
@@ -294,7 +294,7 @@
 }
 
 // reachable tells whether enough sit in a part for any word.
-func (e *Estate) reachable(part int) bool {
+func (e *Manager) reachable(part int) bool {
 	p := &e.table.Parts[part]
 	enough := func(list []placement.Chair) bool {
 		n := 0
@@ -309,9 +309,9 @@
 }
 
 // chair gives this controller's own in a part.
-func (e *Estate) chair(part int) *placement.Chair {
+func (e *Manager) chair(part int) *placement.Chair {
 	for k := range e.table.Parts[part].Now {
-		if c := &e.table.Parts[part].Now[k]; c.Name == e.self.Name && c.Life == e.self.Life {
+		if c := &e.table.Parts[part].Now[k]; c.Name == e.self.Name && c.Life == e.self.Incarnation {
 			return c
 		}
 	}
@@ -319,22 +319,22 @@
 }
 
 // sat tells whether this controller sits in a part, or sat in it and counts still.
-func (e *Estate) sat(part int) bool {
+func (e *Manager) sat(part int) bool {
 	p := &e.table.Parts[part]
-	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Life }
+	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Incarnation }
 	return slices.ContainsFunc(p.Now, is) || slices.ContainsFunc(p.Was, is)
 }
 
 // seated takes what is agreed now.
-func (e *Estate) seated(ev *Event) {
+func (e *Manager) seated(ev *Event) {
 	if e.table != nil && ev.Table.Step <= e.table.Step {
 		return
 	}
 	moved := e.table == nil || ev.Table.Version != e.table.Version
 	e.table = ev.Table
 	clear(e.places)
-	for k := range ev.Places {
-		e.places[ev.Places[k].Name] = &ev.Places[k]
+	for k := range ev.Members {
+		e.places[ev.Members[k].Name] = &ev.Members[k]
 	}
 	if !e.chaired() {
 		return
@@ -353,7 +353,7 @@
 }
 
 // tick does what is due.
-func (e *Estate) tick() {
+func (e *Manager) tick() {
 	e.sweep()
 	e.pace.tick(e.now, len(e.queue) > 0 || e.inHand > 0)
 	if !e.chaired() {
@@ -369,7 +369,7 @@
 }
 
 // keepUp does what follows from who sits where: learning, claims, adoption.
-func (e *Estate) keepUp() {
+func (e *Manager) keepUp() {
 	e.learn()
 	e.claimAll()
 	e.inherit()
@@ -378,7 +378,7 @@
 }
 
 // move has the council agree on something, and again while it has not.
-func (e *Estate) move(motion string, c placement.Claim, version uint64) {
+func (e *Manager) move(motion string, c placement.Claim, version uint64) {
 	key := fmt.Sprint(motion, c.Name, c.Life, c.Mask)
 	if at, made := e.moves[key]; !e.held || made && e.now < at+claimMS {
 		return
@@ -387,13 +387,13 @@
 		clear(e.moves)
 	}
 	e.moves[key] = e.now
-	e.do(Effect{Kind: Move, Motion: motion, Claim: c, Version: version})
+	e.do(Effect{Kind: Propose, Proposal: motion, Claim: c, Version: version})
 }
 
 // Counts gives the counters.
-func (e *Estate) Counts() Counts {
+func (e *Manager) Counts() Counts {
 	c := e.counts
-	c.Copies, c.Mine, c.Waiting = len(e.copies), len(e.mine), len(e.line)
+	c.CopiesStored, c.OwnedRequests, c.SuspendedRequests = len(e.copies), len(e.mine), len(e.line)
 	for _, set := range e.owners {
 		c.Open += uint64(set.n)
 	}
@@ -403,5 +403,5 @@
 // better tells whether a copy says more than another of the same key: one that may have run beats one that can't have; else the later
 // word counts, and of the same, the one that knows that it ran.
 func better(a, b *Copy) bool {
-	return cmp.Or(cmp.Compare(min(a.Standing, Doubt), min(b.Standing, Doubt)), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Standing, b.Standing)) > 0
+	return cmp.Or(cmp.Compare(min(a.RunState, MayHaveRun), min(b.RunState, MayHaveRun)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.RunState, b.RunState)) > 0
 }
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -20,14 +20,14 @@
 	w.arrive(0, "mark", "d", "m")
 	w.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
-		assert.Empty(t, append(w.said(k, Resume, id), w.said(k, Settle, id)...), id)
+		assert.Empty(t, append(w.said(k, Resume, id), w.said(k, AnswerSuspended, id)...), id)
 	}
 	assert.True(t, w.shoot(0, "a"))
-	assert.False(t, w.end(0, "a", Handled, "rows"), "it is told at once")
+	assert.False(t, w.end(0, "a", Succeeded, "rows"), "it is told at once")
 	w.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
-		require.Len(t, w.said(k, Settle, id), 1, id)
-		assert.Equal(t, []any{Handled, "rows"}, []any{w.said(k, Settle, id)[0].Outcome, string(w.said(k, Settle, id)[0].Answer)})
+		require.Len(t, w.said(k, AnswerSuspended, id), 1, id)
+		assert.Equal(t, []any{Succeeded, "rows"}, []any{w.said(k, AnswerSuspended, id)[0].Outcome, string(w.said(k, AnswerSuspended, id)[0].Answer)})
 	}
 	w.balance()
 }
@@ -37,22 +37,22 @@
 	w := newWorld(t, 5, 2, nil)
 	w.arrive(0, "mark", "a", "m")
 	heard := map[int]bool{}
-	w.mute = func(_, to int, it *Item) bool { return it.Op == Shoot && !heard[to] }
+	w.mute = func(_, to int, it *Item) bool { return it.Op == OpAttempt && !heard[to] }
 	assert.False(t, w.shoot(0, "a"), "one of five is none")
 	heard[1] = true
 	w.tick(200)
-	assert.Empty(t, w.said(0, Release, "a"), "two are none")
+	assert.Empty(t, w.said(0, ReleaseAttempt, "a"), "two are none")
 	heard[2] = true
 	w.tick(100)
-	assert.Len(t, w.said(0, Release, "a"), 1)
+	assert.Len(t, w.said(0, ReleaseAttempt, "a"), 1)
 	w.arrive(0, "mark", "b", "m2")
-	w.mute = func(_, _ int, it *Item) bool { return it.Op == Shoot }
+	w.mute = func(_, _ int, it *Item) bool { return it.Op == OpAttempt }
 	assert.False(t, w.shoot(0, "b"))
 	w.tick(500)
-	assert.Len(t, w.said(0, Withhold, "b"), 1)
-	w.step(0, &Event{Kind: ShotOver, ID: "b", Unrun: true})
+	assert.Len(t, w.said(0, FailAttempt, "b"), 1)
+	w.step(0, &Event{Kind: AttemptEnded, ID: "b", NeverRan: true})
 	w.mute = nil
-	w.end(0, "b", Denied, "")
+	w.end(0, "b", Rejected, "")
 	w.tick(1000)
 	w.arrive(3, "mark", "c", "m2")
 	require.Len(t, w.said(3, Resume, "c"), 1)
@@ -89,17 +89,17 @@
 		if c.doubt {
 			assert.Equal(t, "here", f[0].Prior.Place)
 		}
-		w.end(heirs[0], "a", Handled, "rows")
+		w.end(heirs[0], "a", Succeeded, "rows")
 		w.tick(1000)
 		if c.mark != "" {
 			w.arrive(5, c.offering, "b", c.mark)
 			w.tick(500)
-			require.Len(t, w.said(5, Settle, "b"), 1)
-			assert.Equal(t, Handled, w.said(5, Settle, "b")[0].Outcome)
+			require.Len(t, w.said(5, AnswerSuspended, "b"), 1)
+			assert.Equal(t, Succeeded, w.said(5, AnswerSuspended, "b")[0].Outcome)
 		}
 		w.balance()
 		for k := 1; k < 6; k++ {
-			assert.Empty(t, w.ends[k].Orphans())
+			assert.Empty(t, w.ends[k].OrphanedRequests())
 		}
 		assert.Empty(t, w.table.Claims, "the claim is given back")
 	}
@@ -153,24 +153,24 @@
 			require.Len(t, w.adopter("a"), 1)
 		}
 		w.down[0] = false
-		w.step(0, &Event{Kind: Relived, Life: 2})
+		w.step(0, &Event{Kind: IncarnationChanged, Incarnation: 2})
 		table := w.table.Clone()
-		w.step(0, &Event{Kind: Seated, Places: w.places, Table: &table})
+		w.step(0, &Event{Kind: PlacementChanged, Members: w.places, Table: &table})
 		assert.False(t, w.shoot(0, "unsent"))
-		assert.Len(t, w.said(0, Forbid, "unsent"), 1)
-		assert.True(t, w.end(0, "a", Handled, "rows"), "it must be asked for first")
+		assert.Len(t, w.said(0, BlockAttempt, "unsent"), 1)
+		assert.True(t, w.end(0, "a", Succeeded, "rows"), "it must be asked for first")
 		if !adopted {
-			require.Len(t, w.said(0, LetGo, "a"), 1)
-			assert.Equal(t, Handled, w.said(0, LetGo, "a")[0].Outcome)
+			require.Len(t, w.said(0, DeliverAnswer, "a"), 1)
+			assert.Equal(t, Succeeded, w.said(0, DeliverAnswer, "a")[0].Outcome)
 			w.tick(2000)
 			assert.Empty(t, w.adopter("a"), "it has ended")
 			continue
 		}
-		assert.Empty(t, w.said(0, LetGo, "a"))
-		w.end(w.adopter("a")[0], "a", Handled, "other")
+		assert.Empty(t, w.said(0, DeliverAnswer, "a"))
+		w.end(w.adopter("a")[0], "a", Succeeded, "other")
 		w.tick(1500)
-		require.Len(t, w.said(0, LetGo, "a"), 1)
-		assert.Equal(t, "other", string(w.said(0, LetGo, "a")[0].Answer), "what was said first is said by all")
+		require.Len(t, w.said(0, DeliverAnswer, "a"), 1)
+		assert.Equal(t, "other", string(w.said(0, DeliverAnswer, "a")[0].Answer), "what was said first is said by all")
 	}
 }
 
@@ -180,31 +180,31 @@
 	w.arrive(0, "once", "a", "")
 	require.True(t, w.shoot(0, "a"))
 	w.mute = func(from, to int, _ *Item) bool { return from == 0 || to == 0 }
-	assert.False(t, w.end(0, "a", Handled, "rows"), "it holds its lease: its client is told")
+	assert.False(t, w.end(0, "a", Succeeded, "rows"), "it holds its lease: its client is told")
 	w.lose(0)
 	w.tick(1500)
 	heirs := w.adopter("a")
 	require.Len(t, heirs, 1)
-	w.end(heirs[0], "a", WrittenOff, "")
+	w.end(heirs[0], "a", Failed, "")
 	w.tick(500)
 	w.down[0] = false
 	heard := 0
 	w.mute = func(from, _ int, it *Item) bool { // three of five hear of it
-		if from == 0 && it.Op == Close {
+		if from == 0 && it.Op == OpClose {
 			heard++
 		}
-		return from == 0 && it.Op == Close && heard > 3
+		return from == 0 && it.Op == OpClose && heard > 3
 	}
-	w.step(0, &Event{Kind: Relived, Life: 2})
+	w.step(0, &Event{Kind: IncarnationChanged, Incarnation: 2})
 	table := w.table.Clone()
-	w.step(0, &Event{Kind: Seated, Places: w.places, Table: &table})
+	w.step(0, &Event{Kind: PlacementChanged, Members: w.places, Table: &table})
 	w.tick(500)
 	for k := 1; k < 6; k++ {
-		w.got[k][Reply] = nil
-		w.step(k, &Event{Kind: Asked, ID: "a", Token: 3})
+		w.got[k][ReplyOutcome] = nil
+		w.step(k, &Event{Kind: OutcomeQueried, ID: "a", Token: 3})
 		w.tick(200)
-		require.Len(t, w.got[k][Reply], 1)
-		assert.Equal(t, Handled, w.got[k][Reply][0].Outcome, "asked at n%d", k)
+		require.Len(t, w.got[k][ReplyOutcome], 1)
+		assert.Equal(t, Succeeded, w.got[k][ReplyOutcome][0].Outcome, "asked at n%d", k)
 	}
 }
 
@@ -213,15 +213,15 @@
 	w := newWorld(t, 6, 2, nil)
 	w.arrive(0, "once", "a", "")
 	deaf := true
-	w.mute = func(_, _ int, it *Item) bool { return deaf && it.Op == Close }
-	assert.True(t, w.end(0, "a", Denied, ""))
-	assert.Empty(t, w.said(0, LetGo, "a"))
+	w.mute = func(_, _ int, it *Item) bool { return deaf && it.Op == OpClose }
+	assert.True(t, w.end(0, "a", Rejected, ""))
+	assert.Empty(t, w.said(0, DeliverAnswer, "a"))
 	deaf = false
 	w.tick(200)
-	require.Len(t, w.said(0, LetGo, "a"), 1)
-	assert.Equal(t, Denied, w.said(0, LetGo, "a")[0].Outcome)
+	require.Len(t, w.said(0, DeliverAnswer, "a"), 1)
+	assert.Equal(t, Rejected, w.said(0, DeliverAnswer, "a")[0].Outcome)
 	// One is registered by a quorum, and its owner never hears of that: it denies, and is lost.
-	w.mute = func(_, _ int, it *Item) bool { return it.Op == Shoot || it.Op == Withdraw }
+	w.mute = func(_, _ int, it *Item) bool { return it.Op == OpAttempt || it.Op == OpWithdraw }
 	w.arrive(0, "once", "b", "")
 	w.ends[0].mine[KeyOf("", "b")].phase = finished
 	w.mute = nil
@@ -235,8 +235,8 @@
 	const n = 20_000
 	w := newWorld(t, 5, 2, scheduler.Given{"adopt_at_once": 50.0})
 	for k := range n {
-		w.step(0, &Event{Kind: Arrives, ID: fmt.Sprint(k), Copy: &Copy{Work: Work{ID: fmt.Sprint(k), Mark: fmt.Sprint("m", k), Offering: "mark"},
-			Until: w.now + 60e3 + float64(k%1000)}})
+		w.step(0, &Event{Kind: RequestArriving, ID: fmt.Sprint(k), Copy: &Copy{RequestData: RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "mark"},
+			Deadline: w.now + 60e3 + float64(k%1000)}})
 	}
 	w.lose(0)
 	done, last := 0, make([]float64, 5)
@@ -247,9 +247,9 @@
 			w.got[k] = map[EffectKind][]Effect{}
 			require.LessOrEqual(t, w.ends[k].inHand, 50)
 			for _, f := range list {
-				assert.GreaterOrEqual(t, f.Copy.Until+1, last[k], "the nearest hard limit first")
-				last[k] = max(last[k], f.Copy.Until)
-				w.end(k, f.Copy.ID, Handled, "r")
+				assert.GreaterOrEqual(t, f.Copy.Deadline+1, last[k], "the nearest hard limit first")
+				last[k] = max(last[k], f.Copy.Deadline)
+				w.end(k, f.Copy.ID, Succeeded, "r")
 				done++
 			}
 		}
@@ -270,9 +270,9 @@
 	for k := range 6 {
 		w.arrive(0, "look", fmt.Sprint("s", k), "")
 	}
-	w.step(0, &Event{Kind: Closed, ID: "s0", Outcome: Handled})
+	w.step(0, &Event{Kind: RequestClosed, ID: "s0", Outcome: Succeeded})
 	for k := 1; k < 5; k++ {
-		assert.Zero(t, w.ends[k].Counts().Copies, "nothing yet")
+		assert.Zero(t, w.ends[k].Counts().CopiesStored, "nothing yet")
 	}
 	w.tick(200)
 	w.lose(0)
@@ -293,18 +293,18 @@
 func TestHoldersFullAndBehind(t *testing.T) {
 	w := newWorld(t, 5, 2, nil)
 	w.ends[3].most = 1
-	w.mute = func(_, to int, it *Item) bool { return to == 4 && it.Op == Register }
+	w.mute = func(_, to int, it *Item) bool { return to == 4 && it.Op == OpRegister }
 	for k := range 5 {
 		id := fmt.Sprint(k)
 		w.arrive(0, "mark", id, "m"+id)
 		require.Len(t, w.said(0, Resume, id), 1, id)
 	}
-	assert.LessOrEqual(t, w.ends[3].Counts().Copies, 3, "its own pointers besides")
+	assert.LessOrEqual(t, w.ends[3].Counts().CopiesStored, 3, "its own pointers besides")
 	w.mute = nil
 	require.True(t, w.shoot(0, "1"))
 	w.tick(300)
-	assert.Equal(t, Doubt, w.ends[4].copies[KeyOf("m1", "1")].Standing)
-	assert.True(t, w.ends[4].copies[KeyOf("m1", "1")].Whole)
+	assert.Equal(t, MayHaveRun, w.ends[4].copies[KeyOf("m1", "1")].RunState)
+	assert.True(t, w.ends[4].copies[KeyOf("m1", "1")].Complete)
 }
 
 // What is asked for by id or mark is told wherever it is asked; what nobody knows is said to be unknown.
@@ -312,19 +312,19 @@
 	w := newWorld(t, 6, 2, nil)
 	w.arrive(0, "mark", "a", "m")
 	asked := func(k int, id, mark string) Effect {
-		w.got[k][Reply] = nil
-		w.step(k, &Event{Kind: Asked, ID: id, Mark: mark, Token: 7})
+		w.got[k][ReplyOutcome] = nil
+		w.step(k, &Event{Kind: OutcomeQueried, ID: id, IdempotencyKey: mark, Token: 7})
 		w.tick(1000)
-		require.Len(t, w.got[k][Reply], 1)
-		return w.got[k][Reply][0]
+		require.Len(t, w.got[k][ReplyOutcome], 1)
+		return w.got[k][ReplyOutcome][0]
 	}
 	assert.Equal(t, Open, asked(5, "", "m").Outcome)
 	assert.Equal(t, "n0", asked(5, "a", "").Owner, "by its id, too")
 	require.True(t, w.shoot(0, "a"))
-	w.end(0, "a", Handled, "rows")
+	w.end(0, "a", Succeeded, "rows")
 	for k := range 6 {
 		f := asked(k, "a", "")
-		assert.Equal(t, []any{Handled, "rows"}, []any{f.Outcome, string(f.Answer)})
+		assert.Equal(t, []any{Succeeded, "rows"}, []any{f.Outcome, string(f.Answer)})
 		assert.Equal(t, Unknown, asked(k, "b", "").Outcome)
 	}
 }
@@ -334,16 +334,16 @@
 	w := newWorld(t, 5, 2, nil)
 	w.arrive(0, "mark", "a", "m")
 	require.True(t, w.shoot(0, "a"))
-	w.end(0, "a", WrittenOff, "")
+	w.end(0, "a", Failed, "")
 	w.tick(500)
 	w.arrive(2, "mark", "b", "m")
 	require.Len(t, w.said(2, Resume, "b"), 1)
 	assert.NotZero(t, w.said(2, Resume, "b")[0].Prior.At)
-	w.end(2, "b", WrittenOff, "")
+	w.end(2, "b", Failed, "")
 	w.tick(19_000)
 	w.arrive(3, "mark", "c", "m")
-	require.Len(t, w.said(3, Settle, "c"), 1)
-	assert.Equal(t, WrittenOff, w.said(3, Settle, "c")[0].Outcome)
+	require.Len(t, w.said(3, AnswerSuspended, "c"), 1)
+	assert.Equal(t, Failed, w.said(3, AnswerSuspended, "c")[0].Outcome)
 }
 
 // Copies move to whoever takes the place of a lost one, and a mark is known there.
@@ -353,7 +353,7 @@
 		id := fmt.Sprint(k)
 		w.arrive(0, "mark", id, "m"+id)
 		require.True(t, w.shoot(0, id))
-		w.end(0, id, WrittenOff, "")
+		w.end(0, id, Failed, "")
 	}
 	for _, k := range []int{3, 5, 7} {
 		w.lose(k)
@@ -379,8 +379,8 @@
 		w.lose(k)
 	}
 	w.arrive(4, "mark", "a", "m")
-	require.Len(t, w.said(4, Settle, "a"), 1)
-	assert.Equal(t, Denied, w.said(4, Settle, "a")[0].Outcome)
+	require.Len(t, w.said(4, AnswerSuspended, "a"), 1)
+	assert.Equal(t, Rejected, w.said(4, AnswerSuspended, "a")[0].Outcome)
 	for k := range 3 { // they come back, and know nothing
 		w.down[k] = false
 		w.places[k].Lost, w.places[k].Life = false, 2
@@ -390,7 +390,7 @@
 	w.seat()
 	w.tick(15_000)
 	w.arrive(4, "mark", "b", "m")
-	assert.Len(t, w.said(4, Settle, "b"), 1)
+	assert.Len(t, w.said(4, AnswerSuspended, "b"), 1)
 	w.tick(10_000)
 	w.arrive(4, "mark", "c", "m")
 	assert.Len(t, w.said(4, Resume, "c"), 1)
@@ -399,12 +399,12 @@
 // What a holder reads from its disk proves what ran, and is no reason to send anything.
 func TestCopiesFromADisk(t *testing.T) {
 	w := newWorld(t, 5, 2, nil)
-	c := Copy{Work: Work{ID: "a", Mark: "m", Offering: "mark"}, Owner: Member{"n9", 1}, Number: 3, Standing: Doubt, First: w.now, Until: w.now + 5000, Whole: true}
+	c := Copy{RequestData: RequestData{ID: "a", IdempotencyKey: "m", Class: "mark"}, Owner: Member{"n9", 1}, Sequence: 3, RunState: MayHaveRun, FirstAttemptAt: w.now, Deadline: w.now + 5000, Complete: true}
 	data := AppendCopy(nil, &c, w.now)
 	for k := range w.ends {
 		one, err := ReadCopy(data, w.now)
 		require.NoError(t, err)
-		w.step(k, &Event{Kind: Read, Copy: &one})
+		w.step(k, &Event{Kind: CopyRestored, Copy: &one})
 	}
 	w.places = append(w.places, w.places[0])
 	w.places[5].Name, w.places[5].Lost = "n9", true
@@ -414,8 +414,8 @@
 	assert.Empty(t, w.adopter("a"))
 	w.arrive(1, "mark", "b", "m")
 	w.tick(500)
-	require.Len(t, w.said(1, Settle, "b"), 1)
-	assert.Equal(t, WrittenOff, w.said(1, Settle, "b")[0].Outcome)
+	require.Len(t, w.said(1, AnswerSuspended, "b"), 1)
+	assert.Equal(t, Failed, w.said(1, AnswerSuspended, "b")[0].Outcome)
 }
 
 // An operator gives a search up: it is written off, and whoever asks is told so.
@@ -425,12 +425,12 @@
 	w.lose(0)
 	w.tick(1000)
 	for k := 1; k < 5; k++ {
-		w.step(k, &Event{Kind: Released, ID: "a"})
+		w.step(k, &Event{Kind: ReleaseRequested, ID: "a"})
 	}
-	w.got[2][Reply] = nil
-	w.step(2, &Event{Kind: Asked, Mark: "m", Token: 1})
+	w.got[2][ReplyOutcome] = nil
+	w.step(2, &Event{Kind: OutcomeQueried, IdempotencyKey: "m", Token: 1})
 	w.tick(900)
-	assert.Equal(t, WrittenOff, w.got[2][Reply][0].Outcome)
+	assert.Equal(t, Failed, w.got[2][ReplyOutcome][0].Outcome)
 	w.balance()
 }
 
@@ -450,15 +450,15 @@
 
 // Batches that are cut or spoilt are refused, or read as something; none ends the process.
 func TestBatchesCutAndSpoilt(t *testing.T) {
-	b := &Batch{From: Member{"n1", 7}, Version: 3, Step: 9, Items: []Item{{Op: Register, Key: KeyOf("m", ""), Number: 2, Copy: &Copy{
-		Work: Work{ID: "a", Mark: "m", Offering: "mark", Group: 5, NeedMB: 1.5, Body: []byte("select")}, First: 900, Until: 4000, Cell: -3, Whole: true, Sure: true}},
-		{Op: Close, Outcome: Handled, Answer: []byte{}, From: Member{"n2", 1}}, {Op: Page, Part: 4, More: true, Copies: []Copy{{Light: true, Until: 1}}}}}
+	b := &Batch{From: Member{"n1", 7}, Version: 3, PlacementStep: 9, Items: []Item{{Op: OpRegister, Key: KeyOf("m", ""), Sequence: 2, Copy: &Copy{
+		RequestData: RequestData{ID: "a", IdempotencyKey: "m", Class: "mark", TableGroup: 5, MemoryMB: 1.5, Body: []byte("select")}, FirstAttemptAt: 900, Deadline: 4000, Cell: -3, Complete: true, Confirmed: true}},
+		{Op: OpClose, Outcome: Succeeded, Answer: []byte{}, From: Member{"n2", 1}}, {Op: OpPage, Partition: 4, More: true, Copies: []Copy{{Idempotent: true, Deadline: 1}}}}}
 	data := b.Append(nil, 1000)
 	whole, err := ReadBatch(data, 1000)
 	require.NoError(t, err)
 	got := whole.Items[0].Copy
-	assert.Equal(t, []any{"a", 5.0 - 5, int64(-3), 4000.0, true}, []any{got.ID, float64(got.Group) - 5, got.Cell, got.Until, got.Sure})
-	assert.LessOrEqual(t, got.First, 900.0, "never younger than it is")
+	assert.Equal(t, []any{"a", 5.0 - 5, int64(-3), 4000.0, true}, []any{got.ID, float64(got.TableGroup) - 5, got.Cell, got.Deadline, got.Confirmed})
+	assert.LessOrEqual(t, got.FirstAttemptAt, 900.0, "never younger than it is")
 	assert.NotNil(t, whole.Items[1].Answer)
 	assert.Nil(t, whole.Items[0].Answer)
 	for n := range data {
@@ -467,18 +467,18 @@
 		spoilt[n] ^= 0x41
 		if read, err := ReadBatch(spoilt, 1000); err == nil {
 			w := New(Member{"n0", 1}, nil, 1)
-			w.Step(1000, &Event{Kind: Words, Batch: read})
+			w.Step(1000, &Event{Kind: BatchReceived, Batch: read})
 		}
 	}
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add((&Batch{From: Member{"n1", 7}, Items: []Item{{Op: Pull, Part: 3}}}).Append(nil, 0))
+	f.Add((&Batch{From: Member{"n1", 7}, Items: []Item{{Op: OpFetch, Partition: 3}}}).Append(nil, 0))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if b, err := ReadBatch(data, 1000); err == nil {
 			w := newWorld(t, 5, 1, nil)
-			b.Version, b.Step, b.From = w.table.Version, 0, Member{"n1", 1}
-			w.step(0, &Event{Kind: Words, Batch: b})
+			b.Version, b.PlacementStep, b.From = w.table.Version, 0, Member{"n1", 1}
+			w.step(0, &Event{Kind: BatchReceived, Batch: b})
 			w.tick(300)
 		}
 	})
@@ -488,11 +488,11 @@
 // still learning, hear of it later: whoever comes again with its mark is not held up by one that nobody has.
 func TestWhatIsTakenBackIsTakenBackEverywhere(t *testing.T) {
 	w := newWorld(t, 6, 2, nil)
-	w.mute = func(_, to int, it *Item) bool { return to != 1 && it.Op == Register || it.Op == Withdraw } // no quorum, and nobody hears
+	w.mute = func(_, to int, it *Item) bool { return to != 1 && it.Op == OpRegister || it.Op == OpWithdraw } // no quorum, and nobody hears
 	w.arrive(0, "mark", "a", "m")
 	w.tick(1500)
-	require.Len(t, w.said(0, Settle, "a"), 1)
-	assert.Equal(t, Denied, w.said(0, Settle, "a")[0].Outcome)
+	require.Len(t, w.said(0, AnswerSuspended, "a"), 1)
+	assert.Equal(t, Rejected, w.said(0, AnswerSuspended, "a")[0].Outcome)
 	w.mute = nil
 	w.tick(3000)
 	for k := range w.ends {
@@ -512,20 +512,20 @@
 	w.arrive(0, "once", "a", "")
 	require.True(t, w.shoot(0, "a"))
 	w.mute = func(from, to int, _ *Item) bool { return from == 0 || to == 0 }
-	assert.False(t, w.end(0, "a", Handled, "rows"), "its client is told")
+	assert.False(t, w.end(0, "a", Succeeded, "rows"), "its client is told")
 	w.lose(0)
 	w.tick(1500)
 	heirs := w.adopter("a")
 	require.Len(t, heirs, 1)
-	w.end(heirs[0], "a", WrittenOff, "")
+	w.end(heirs[0], "a", Failed, "")
 	w.tick(500)
 	w.down[0], w.mute = false, nil // it hears who sits where by now, and not yet that it goes on under another life
 	table := w.table.Clone()
-	w.step(0, &Event{Kind: Seated, Places: w.places, Table: &table})
+	w.step(0, &Event{Kind: PlacementChanged, Members: w.places, Table: &table})
 	w.tick(2000)
 	for k := 1; k < 6; k++ {
 		if c := w.ends[k].copies[KeyOf("", "a")]; c != nil {
-			assert.Equal(t, Handled, c.Outcome, "n%d", k)
+			assert.Equal(t, Succeeded, c.Outcome, "n%d", k)
 		}
 	}
 }
@@ -537,7 +537,7 @@
 	played := 0
 	for n := range 40 {
 		mark := fmt.Sprint("m", n)
-		part, owner, asker := KeyOf(mark, "").Part(), -1, -1
+		part, owner, asker := KeyOf(mark, "").Partition(), -1, -1
 		for k := range w.ends {
 			if w.ends[k].sat(part) {
 				owner = k
@@ -548,7 +548,7 @@
 		id := "a" + mark
 		w.arrive(owner, "mark", id, mark)
 		require.True(t, w.shoot(owner, id))
-		w.end(owner, id, WrittenOff, "")
+		w.end(owner, id, Failed, "")
 		w.tick(300)
 		w.deaf = true
 		w.arrive(asker, "mark", "b"+mark, mark)
--- a/internal/handoff/heir.go
+++ b/internal/handoff/heir.go
@@ -40,7 +40,7 @@
 }
 
 // mourn has copies know what became of their owners, and of their owners' heirs.
-func (e *Estate) mourn() {
+func (e *Manager) mourn() {
 	for owner, set := range e.owners {
 		if !e.lost(owner) {
 			continue
@@ -49,7 +49,7 @@
 			e.noted[owner] = e.now
 		}
 		for part := range set.parts {
-			_, _, claim := e.table.HeirOf(owner.Name, owner.Life, part)
+			_, _, claim := e.table.HeirOf(owner.Name, owner.Incarnation, part)
 			if set.told[part] == told(claim) {
 				continue // all that are there have heard it
 			}
@@ -70,12 +70,12 @@
 		}
 	}
 	e.inherits = slices.DeleteFunc(e.inherits, func(i *inheritance) bool {
-		heir, life, claim := e.table.HeirOf(i.owner.Name, i.owner.Life, i.part)
-		return !claim || heir != e.self.Name || life != e.self.Life
+		heir, life, claim := e.table.HeirOf(i.owner.Name, i.owner.Incarnation, i.part)
+		return !claim || heir != e.self.Name || life != e.self.Incarnation
 	})
 	for k := range e.table.Claims {
 		c := &e.table.Claims[k]
-		if c.Heir != e.self.Name || c.HeirLife != e.self.Life {
+		if c.Heir != e.self.Name || c.HeirLife != e.self.Incarnation {
 			continue
 		}
 		owner := Member{c.Name, c.Life}
@@ -83,7 +83,7 @@
 			has := func(i *inheritance) bool { return i.owner == owner && i.part == part }
 			if c.Mask&(1<<part) != 0 && !slices.ContainsFunc(e.inherits, has) {
 				e.inherits = append(e.inherits, &inheritance{owner: owner, part: part, since: e.now})
-				e.counts.Claims++
+				e.counts.AdoptionClaims++
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 // ---- as a chair
 
 // learn has a chair that is new to a part take over what those before it know.
-func (e *Estate) learn() {
+func (e *Manager) learn() {
 	var mask uint32
 	under := 0
 	for part := range placement.Parts {
@@ -129,12 +129,12 @@
 		}
 	}
 	if mask != 0 {
-		e.move("ready", placement.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
+		e.move("ready", placement.Claim{Name: e.self.Name, Life: e.self.Incarnation, Mask: mask}, e.table.Version)
 	}
 }
 
 // pull asks all that sit in a part for what they keep, a page at a time.
-func (e *Estate) pull(list []*pulling, part int, of Member) []*pulling {
+func (e *Manager) pull(list []*pulling, part int, of Member) []*pulling {
 	for _, name := range e.sitting(part) {
 		i := slices.IndexFunc(list, func(p *pulling) bool { return p.name == name })
 		if i < 0 {
@@ -143,26 +143,26 @@
 		}
 		if p := list[i]; !p.done && e.now >= p.at+2*againMS {
 			p.at = e.now
-			e.tell(name, Item{Op: Pull, Part: part, After: p.next, From: of})
+			e.tell(name, Item{Op: OpFetch, Partition: part, After: p.next, From: of})
 		}
 	}
 	return list
 }
 
 // paged takes a page.
-func (e *Estate) paged(by Member, word, back *Item) {
-	if back.Op != Page {
+func (e *Manager) paged(by Member, word, back *Item) {
+	if back.Op != OpPage {
 		return
 	}
 	var list []*pulling
 	if word.From.Name == "" {
-		if l := e.learns[word.Part]; l != nil {
+		if l := e.learns[word.Partition]; l != nil {
 			list = l.pulls
 		}
-	} else if i := e.inheriting(word.From, word.Part); i != nil {
+	} else if i := e.inheriting(word.From, word.Partition); i != nil {
 		list = i.pulls
 	}
-	i := slices.IndexFunc(list, func(p *pulling) bool { return p.name == by.Name && p.life == by.Life })
+	i := slices.IndexFunc(list, func(p *pulling) bool { return p.name == by.Name && p.life == by.Incarnation })
 	if i < 0 || list[i].next != word.After || list[i].done {
 		return // it came twice
 	}
@@ -170,7 +170,7 @@
 		e.absorb(&back.Copies[k])
 	}
 	p := list[i]
-	if back.Why == newHere {
+	if back.Reason == newHere {
 		return // it is asked again once it knows all
 	}
 	if p.done, p.at = !back.More, -1e9; back.More {
@@ -185,7 +185,7 @@
 }
 
 // renew has parts begin anew whose chairs were lost beyond a quorum, once no mark of theirs can be asked for any more.
-func (e *Estate) renew() {
+func (e *Manager) renew() {
 	var mask uint32
 	found := 0
 	for part := range placement.Parts {
@@ -204,19 +204,19 @@
 		}
 	}
 	if found > 0 {
-		e.do(Effect{Kind: Note, Text: "parts have lost their chairs beyond a quorum: their searches are denied until their marks are past", Count: found})
+		e.do(Effect{Kind: LogMessage, Text: "parts have lost their chairs beyond a quorum: their searches are denied until their marks are past", Count: found})
 	}
 	if mask != 0 {
-		e.move("anew", placement.Claim{Name: e.self.Name, Life: e.self.Life, Mask: mask}, e.table.Version)
+		e.move("anew", placement.Claim{Name: e.self.Name, Life: e.self.Incarnation, Mask: mask}, e.table.Version)
 	}
 }
 
 // doubtAll holds all that is open in a part that began anew for what may have run: those that knew better are lost.
-func (e *Estate) doubtAll(part int) {
+func (e *Manager) doubtAll(part int) {
 	for _, set := range e.owners {
 		for _, k := range set.parts[part] {
-			if k.Standing == Clear {
-				k.Standing, k.First = Doubt, longAgo
+			if k.RunState == NotRun {
+				k.RunState, k.FirstAttemptAt = MayHaveRun, longAgo
 				e.save(k)
 			}
 		}
@@ -225,7 +225,7 @@
 
 // ---- as an heir
 
-func (e *Estate) inheriting(owner Member, part int) *inheritance {
+func (e *Manager) inheriting(owner Member, part int) *inheritance {
 	for _, i := range e.inherits {
 		if i.owner == owner && i.part == part {
 			return i
@@ -235,7 +235,7 @@
 }
 
 // orphans gives the parts in which copies of a lost one's open work are kept here, by owner, in order.
-func (e *Estate) orphans() (owners []Member, masks map[Member]uint32) {
+func (e *Manager) orphans() (owners []Member, masks map[Member]uint32) {
 	masks = map[Member]uint32{}
 	for owner, set := range e.owners {
 		if !e.lost(owner) {
@@ -244,13 +244,15 @@
 		masks[owner] = set.mask()
 		owners = append(owners, owner)
 	}
-	slices.SortFunc(owners, func(a, b Member) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life)) })
+	slices.SortFunc(owners, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
+	})
 	return owners, masks
 }
 
 // claimAll claims what lost ones left in parts in which this controller is the first to know all; the next ones do so later, should
 // that one not.
-func (e *Estate) claimAll() {
+func (e *Manager) claimAll() {
 	if !e.held || e.leaving {
 		return
 	}
@@ -261,7 +263,7 @@
 			if masks[owner]&(1<<part) == 0 {
 				continue
 			}
-			if _, _, claim := e.table.HeirOf(owner.Name, owner.Life, part); claim {
+			if _, _, claim := e.table.HeirOf(owner.Name, owner.Incarnation, part); claim {
 				continue
 			}
 			if n := e.turn(part); n >= 0 && e.now >= e.noted[owner]+float64(n)*claimMS {
@@ -269,26 +271,26 @@
 			}
 		}
 		if mask != 0 {
-			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: mask}, 0)
+			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Incarnation, Heir: e.self.Name, HeirLife: e.self.Incarnation, Mask: mask}, 0)
 		}
 	}
 }
 
 // claim claims all that a lost one left and nobody has claimed, as an operator wants it.
-func (e *Estate) claim(name string) {
+func (e *Manager) claim(name string) {
 	owners, masks := e.orphans()
 	n := 0
 	for _, owner := range owners {
 		if owner.Name == name && e.chaired() {
 			n++
-			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Life, Heir: e.self.Name, HeirLife: e.self.Life, Mask: masks[owner]}, 0)
+			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Incarnation, Heir: e.self.Name, HeirLife: e.self.Incarnation, Mask: masks[owner]}, 0)
 		}
 	}
-	e.do(Effect{Kind: Note, Text: "claimed as an operator wants it", ID: name, Count: n})
+	e.do(Effect{Kind: LogMessage, Text: "claimed as an operator wants it", ID: name, Count: n})
 }
 
 // turn is which of those that sit in a part and know all this controller is; below 0: none.
-func (e *Estate) turn(part int) int {
+func (e *Manager) turn(part int) int {
 	n := 0
 	for _, c := range e.table.Parts[part].Now {
 		if !c.Ready || !e.sits(c) {
@@ -303,7 +305,7 @@
 }
 
 // inherit finds out all that a lost one left in claimed parts: what it sent under may stand with any quorum.
-func (e *Estate) inherit() {
+func (e *Manager) inherit() {
 	under := 0
 	for _, i := range e.inherits {
 		if !i.whole {
@@ -330,7 +332,7 @@
 }
 
 // enqueue lines up all that a lost one left in a part, the nearest hard limit first.
-func (e *Estate) enqueue(i *inheritance) {
+func (e *Manager) enqueue(i *inheritance) {
 	before := len(e.queue)
 	for key, k := range e.owners[i.owner].of(i.part) {
 		_, lined := e.lined[key]
@@ -340,17 +342,17 @@
 		}
 	}
 	if n := len(e.queue) - before; n > 0 {
-		e.do(Effect{Kind: Note, Text: "taking over", ID: i.owner.Name, Count: n})
+		e.do(Effect{Kind: LogMessage, Text: "taking over", ID: i.owner.Name, Count: n})
 	} else {
 		return
 	}
 	slices.SortFunc(e.queue, func(a, b *orphan) int {
-		return cmp.Or(cmp.Compare(a.copy.Until, b.copy.Until), bytes.Compare(a.key[:], b.key[:]))
+		return cmp.Or(cmp.Compare(a.copy.Deadline, b.copy.Deadline), bytes.Compare(a.key[:], b.key[:]))
 	})
 }
 
 // adopt goes on with what is lined up, as far as there is room.
-func (e *Estate) adopt() {
+func (e *Manager) adopt() {
 	unknown := func(i *inheritance) bool { return !i.whole && e.now < i.since+gatherMS }
 	if !e.held || e.leaving || slices.ContainsFunc(e.inherits, unknown) {
 		return // what is most urgent may be among what is not known yet
@@ -360,22 +362,22 @@
 		e.queue = e.queue[1:]
 		delete(e.lined, o.key)
 		k := e.copies[o.key]
-		if e.inheriting(o.from, o.key.Part()) == nil || k == nil || k.Owner != o.from || !k.state.open() {
+		if e.inheriting(o.from, o.key.Partition()) == nil || k == nil || k.Owner != o.from || !k.state.open() {
 			continue
 		}
 		switch m := e.mine[o.key]; {
 		case m == nil:
 		case m.phase == asking:
 			e.conflict(m) // a client came again here: it waits for what becomes of this
-		case m.phase == finishing && m.back == nil && (m.Owner != e.self || m.Number < k.Number || e.quorum(o.key.Part(), m.acks)):
+		case m.phase == finishing && m.back == nil && (m.Owner != e.self || m.Sequence < k.Sequence || e.quorum(o.key.Partition(), m.acks)):
 			e.forget(m) // the end of an earlier one
 		default:
 			continue // it is looked at again
 		}
 		m := &mine{Copy: k.Copy, key: o.key, phase: taking, from: o.from, adopted: true, began: e.now}
-		m.Owner, m.Number, m.unsure = e.self, k.Number+1+k.tries, 0
+		m.Owner, m.Sequence, m.unsure = e.self, k.Sequence+1+k.tries, 0
 		k.tries++ // what is taken back of an earlier try must not be taken for a word on this one
-		if m.Standing != Clear {
+		if m.RunState != NotRun {
 			m.unsure = 1
 		}
 		e.mine[o.key] = m
@@ -385,52 +387,52 @@
 }
 
 // yield has it that a search is not to be adopted: it has ended, or another has it.
-func (e *Estate) yield(m *mine) {
+func (e *Manager) yield(m *mine) {
 	e.finish(m)
 	k, c := e.copies[m.key], m.known
 	if k == nil || c == nil || k.Owner != m.from || !k.state.open() {
 		return
 	}
 	if c.Outcome != Open {
-		e.end(k, &Item{Number: c.Number, Outcome: c.Outcome, Answer: c.Answer, Standing: c.Standing, First: c.First, Place: c.Place, Cell: c.Cell})
+		e.end(k, &Item{Sequence: c.Sequence, Outcome: c.Outcome, Answer: c.Answer, RunState: c.RunState, FirstAttemptAt: c.FirstAttemptAt, Zone: c.Zone, Cell: c.Cell})
 	} else if c.Owner != m.from {
 		e.play(k, retires) // what is kept here is out of date; its owner tells the whole again
 	}
 }
 
 // adoptedIs has it that the others know who goes on with a search. What can't be gone on with is ended.
-func (e *Estate) adoptedIs(m *mine) {
-	e.counts.Taken++
+func (e *Manager) adoptedIs(m *mine) {
+	e.counts.AdoptionsStarted++
 	m.phase = having
-	o := e.offering(m.Offering)
+	o := e.offering(m.Class)
 	out := Open
 	switch {
-	case o == nil || !m.Whole || !o.adopts || !o.recorded() && !e.mayRunAgain():
-		out = WrittenOff
-	case e.now >= m.Until-lastMS:
-		out = WrittenOff
+	case o == nil || !m.Complete || !o.adopts || !o.recorded() && !e.mayRunAgain():
+		out = Failed
+	case e.now >= m.Deadline-lastMS:
+		out = Failed
 	}
-	if out == Open && o.recorded() && o.effect != "labelled" && !m.Sure {
-		out = WrittenOff
+	if out == Open && o.recorded() && o.effect != "labelled" && !m.Confirmed {
+		out = Failed
 	}
-	if out == WrittenOff && m.Standing == Clear && o != nil && o.recorded() {
-		out = Denied // no shot of it has left
+	if out == Failed && m.RunState == NotRun && o != nil && o.recorded() {
+		out = Rejected // no shot of it has left
 	}
 	if out != Open {
 		e.finishAs(m, out, nil)
 		return
 	}
 	e.byID[m.ID] = m
-	e.pace.opens(e.now, m.ID, e.numbered(m.Offering), true)
+	e.pace.opens(e.now, m.ID, e.numbered(m.Class), true)
 	f := Effect{Kind: Adopt, Copy: &m.Copy}
-	if m.Standing != Clear && o.recorded() {
+	if m.RunState != NotRun && o.recorded() {
 		f.Prior = priorOf(&m.Copy)
 	}
 	e.do(f)
 }
 
 // mayRunAgain tells whether one more redoable search may be run again, and counts it.
-func (e *Estate) mayRunAgain() bool {
+func (e *Manager) mayRunAgain() bool {
 	e.again = e.again[behind(e.again, e.now-e.spanMS):]
 	if float64(len(e.again)+1) > e.floor+e.share*float64(len(e.takes)) {
 		return false
@@ -440,9 +442,9 @@
 }
 
 // settleClaims gives claims back of which nothing is left.
-func (e *Estate) settleClaims() {
+func (e *Manager) settleClaims() {
 	for _, c := range e.table.Claims {
-		if c.Heir != e.self.Name || c.HeirLife != e.self.Life {
+		if c.Heir != e.self.Name || c.HeirLife != e.self.Incarnation {
 			continue
 		}
 		owner := Member{c.Name, c.Life}
@@ -454,9 +456,9 @@
 		}
 		mask &^= e.owners[owner].mask()
 		for _, m := range e.pending { // all that sit are to know who has taken what, as long as they answer
-			if m.adopted && m.from == owner && m.phase != finished && len(m.acks) < len(e.sitting(m.key.Part())) &&
+			if m.adopted && m.from == owner && m.phase != finished && len(m.acks) < len(e.sitting(m.key.Partition())) &&
 				(m.phase == taking || e.now < m.began+tellsMS) {
-				mask &^= 1 << m.key.Part()
+				mask &^= 1 << m.key.Partition()
 			}
 		}
 		if mask != 0 {
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -15,7 +15,7 @@
 type world struct {
 	t      *testing.T
 	now    float64
-	ends   []*Estate
+	ends   []*Manager
 	places []placement.Place
 	table  placement.Table
 	down   map[int]bool
@@ -51,7 +51,7 @@
 	for k := range w.ends {
 		table := w.table.Clone()
 		places := append([]placement.Place(nil), w.places...)
-		w.step(k, &Event{Kind: Seated, Places: places, Table: &table})
+		w.step(k, &Event{Kind: PlacementChanged, Members: places, Table: &table})
 	}
 }
 
@@ -79,7 +79,7 @@
 		m := w.moves[0]
 		w.moves = w.moves[1:]
 		changed := false
-		switch m.Motion {
+		switch m.Proposal {
 		case "ready":
 			changed = w.table.Ready(w.places, m.Claim.Name, m.Claim.Life, m.Claim.Mask, m.Version)
 		case "claim":
@@ -99,19 +99,19 @@
 	if w.down[k] {
 		return nil
 	}
-	ev.Held = true
+	ev.LeaseHeld = true
 	effects := append([]Effect(nil), w.ends[k].Step(w.now, ev)...)
 	said := make([][]byte, len(effects)) // as it is at the end of the step: what is said goes on changing
 	for n, e := range effects {
-		if e.Kind == Say {
+		if e.Kind == SendBatch {
 			said[n] = e.Batch.Append(nil, w.now)
 		}
 	}
 	for n, e := range effects {
 		switch e.Kind {
-		case Say:
+		case SendBatch:
 			w.carry(k, e, said[n])
-		case Move:
+		case Propose:
 			w.moves = append(w.moves, e)
 		default:
 			w.got[k][e.Kind] = append(w.got[k][e.Kind], e)
@@ -123,7 +123,7 @@
 // carry brings a batch to its member and the answer back, both as they go over the wire.
 func (w *world) carry(k int, e Effect, data []byte) {
 	sent := e.Batch
-	back := func(b *Batch) { w.step(k, &Event{Kind: Answers, To: e.To, Sent: sent, Batch: b}) }
+	back := func(b *Batch) { w.step(k, &Event{Kind: BatchAnswered, To: e.To, Sent: sent, Batch: b}) }
 	to := -1
 	for n := range w.ends {
 		if w.places[n].Name == e.To {
@@ -141,13 +141,13 @@
 	b, err := ReadBatch(data, w.now)
 	require.NoError(w.t, err)
 	for n := range b.Items {
-		if it := &b.Items[n]; it.Op == Register && it.Copy != nil {
-			require.Equal(w.t, it.Number, it.Copy.Number, "a word does not bear the number of a later one")
+		if it := &b.Items[n]; it.Op == OpRegister && it.Copy != nil {
+			require.Equal(w.t, it.Sequence, it.Copy.Sequence, "a word does not bear the number of a later one")
 		}
 	}
-	for _, f := range w.step(to, &Event{Kind: Words, Batch: b, Token: 1}) {
-		lost := w.deaf && f.Kind == Answer && slices.ContainsFunc(f.Batch.Items, func(it Item) bool { return it.Op == Kept })
-		if f.Kind == Answer && !lost {
+	for _, f := range w.step(to, &Event{Kind: BatchReceived, Batch: b, Token: 1}) {
+		lost := w.deaf && f.Kind == ReplyBatch && slices.ContainsFunc(f.Batch.Items, func(it Item) bool { return it.Op == OpStored })
+		if f.Kind == ReplyBatch && !lost {
 			answer, err := ReadBatch(f.Batch.Append(nil, w.now), w.now)
 			require.NoError(w.t, err)
 			back(answer)
@@ -157,7 +157,7 @@
 
 // arrive has a search come in at a member.
 func (w *world) arrive(k int, offering, id, mark string) []Effect {
-	return w.step(k, &Event{Kind: Arrives, ID: id, Copy: &Copy{Work: Work{ID: id, Mark: mark, Offering: offering, Body: []byte("select")}, Until: w.now + 5000}})
+	return w.step(k, &Event{Kind: RequestArriving, ID: id, Copy: &Copy{RequestData: RequestData{ID: id, IdempotencyKey: mark, Class: offering, Body: []byte("select")}, Deadline: w.now + 5000}})
 }
 
 // said gives what a member was told to do of a kind with a search, so far.
@@ -172,15 +172,15 @@
 
 // shoot has a shot of a search made, and tells whether it leaves.
 func (w *world) shoot(k int, id string) bool {
-	w.step(k, &Event{Kind: Firing, ID: id, Place: "here"})
-	return len(w.said(k, Release, id)) > 0
+	w.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
+	return len(w.said(k, ReleaseAttempt, id)) > 0
 }
 
 func (w *world) end(k int, id string, out Outcome, answer string) (keptBack bool) {
-	for _, e := range w.step(k, &Event{Kind: Ending, ID: id, Outcome: out, Answer: []byte(answer)}) {
-		keptBack = keptBack || e.Kind == KeepBack
+	for _, e := range w.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: out, Answer: []byte(answer)}) {
+		keptBack = keptBack || e.Kind == WithholdAnswer
 	}
-	w.step(k, &Event{Kind: Closed, ID: id, Outcome: out, Answer: []byte(answer)})
+	w.step(k, &Event{Kind: RequestClosed, ID: id, Outcome: out, Answer: []byte(answer)})
 	return keptBack
 }
 
@@ -188,7 +188,7 @@
 func (w *world) balance() {
 	for k, e := range w.ends {
 		c := e.Counts()
-		require.Equal(w.t, c.Held, c.Settled+c.Adopted+c.Failed+c.Dropped+c.Open, "n%d: %+v", k, c)
+		require.Equal(w.t, c.CopiesReceived, c.Settled+c.Adopted+c.Failed+c.Dropped+c.Open, "n%d: %+v", k, c)
 	}
 }
 
--- a/internal/handoff/owner.go
+++ b/internal/handoff/owner.go
@@ -62,11 +62,11 @@
 	copy Copy
 }
 
-func (e *Estate) drawSpread() float64 { return spreadMS * e.chance() }
+func (e *Manager) drawSpread() float64 { return spreadMS * e.chance() }
 
 // arrives says what becomes of a search that comes in: it goes on as it is, or waits until the others were asked.
-func (e *Estate) arrives(ev *Event) {
-	c, of := ev.Copy, e.numbered(ev.Copy.Offering)
+func (e *Manager) arrives(ev *Event) {
+	c, of := ev.Copy, e.numbered(ev.Copy.Class)
 	if of < 0 {
 		e.do(Effect{Kind: Admit})
 		return
@@ -82,30 +82,30 @@
 		e.do(Effect{Kind: Admit})
 		return
 	}
-	key := KeyOf(c.Mark, c.ID)
-	e.do(Effect{Kind: Await, ID: c.ID})
+	key := KeyOf(c.IdempotencyKey, c.ID)
+	e.do(Effect{Kind: Suspend, ID: c.ID})
 	w := &caller{Copy: *c, key: key, began: e.now}
-	w.Owner, w.Whole = e.self, true
+	w.Owner, w.Complete = e.self, true
 	e.enterWith(w)
 }
 
 // enterWith asks the others for a search, or has it wait for the one of its key that is in hand here.
-func (e *Estate) enterWith(w *caller) {
+func (e *Manager) enterWith(w *caller) {
 	switch {
 	case e.mine[w.key] != nil:
 		e.wait(w)
-	case !e.held, !e.chaired(), !e.reachable(w.key.Part()), len(e.mine) >= e.most:
+	case !e.held, !e.chaired(), !e.reachable(w.key.Partition()), len(e.mine) >= e.most:
 		e.noWord(w)
 	default:
 		m := &mine{Copy: w.Copy, key: w.key, began: w.began}
-		m.Number = max(1, m.Number)
+		m.Sequence = max(1, m.Sequence)
 		e.mine[w.key], e.byID[w.ID] = m, m
 		e.say(m)
 	}
 }
 
 // noWord has a search go on alone, or be denied: the others can't be asked.
-func (e *Estate) noWord(w *caller) {
+func (e *Manager) noWord(w *caller) {
 	if e.alone && e.held {
 		m := &mine{Copy: w.Copy, key: w.key, began: e.now, phase: having, alone: true}
 		e.mine[w.key], e.byID[w.ID] = m, m
@@ -113,25 +113,25 @@
 		return
 	}
 	e.counts.Refused++
-	e.do(Effect{Kind: Settle, ID: w.ID, Outcome: Denied, AfterMS: min(registerMS, e.away)})
+	e.do(Effect{Kind: AnswerSuspended, ID: w.ID, Outcome: Rejected, AfterMS: min(registerMS, e.away)})
 }
 
 // item is the last word of a search, as it stands.
-func (e *Estate) item(m *mine) Item {
-	it := Item{Key: m.key, Number: m.Number, Standing: m.Standing, First: m.First, Place: m.Place, Cell: m.Cell, From: m.Owner}
+func (e *Manager) item(m *mine) Item {
+	it := Item{Key: m.key, Sequence: m.Sequence, RunState: m.RunState, FirstAttemptAt: m.FirstAttemptAt, Zone: m.Zone, Cell: m.Cell, From: m.Owner}
 	as := func() *Copy { c := m.Copy; return &c } // as it is now: a word must not bear the number of a later one in the same step
 	switch m.phase {
 	case asking:
-		it.Op, it.Copy = Register, as()
+		it.Op, it.Copy = OpRegister, as()
 	case taking:
-		it.Op, it.Copy, it.From = Take, as(), m.from
+		it.Op, it.Copy, it.From = OpAdopt, as(), m.from
 	case having:
-		it.Op = Shoot
+		it.Op = OpAttempt
 		if m.light && m.tries == 0 {
-			it.Op, it.Copy = Register, as()
+			it.Op, it.Copy = OpRegister, as()
 		}
 	default:
-		it.Op, it.Outcome, it.Answer = Close, m.Outcome, m.Answer
+		it.Op, it.Outcome, it.Answer = OpClose, m.Outcome, m.Answer
 		if m.Owner != e.self {
 			it.Copy = as() // another may have ended it meanwhile as what it had to hold it for
 		}
@@ -140,7 +140,7 @@
 }
 
 // say tells the others where a search stands now.
-func (e *Estate) say(m *mine) {
+func (e *Manager) say(m *mine) {
 	m.acks, m.nays, m.known, m.saidAt = m.acks[:0], m.nays[:0], nil, e.now
 	m.tries++
 	if !m.listed {
@@ -150,8 +150,8 @@
 	e.sayTo(m, e.item(m))
 }
 
-func (e *Estate) sayTo(m *mine, it Item) {
-	names := e.sitting(m.key.Part())
+func (e *Manager) sayTo(m *mine, it Item) {
+	names := e.sitting(m.key.Partition())
 	if m.light { // so many others are enough: nothing rests on it
 		names = slices.DeleteFunc(names, func(n string) bool { return n == e.self.Name })
 		names = names[:min(len(names), max(1, e.table.Copies))]
@@ -162,14 +162,14 @@
 }
 
 // answers takes what came back of what was said to another member.
-func (e *Estate) answers(ev *Event) {
+func (e *Manager) answers(ev *Event) {
 	if ev.Batch == nil || !e.chaired() {
-		e.counts.Lost++
+		e.counts.MessagesLost++
 		return
 	}
-	if b := ev.Batch; b.Behind || b.Version != e.table.Version {
-		if b.Version > e.table.Version || b.Step > e.table.Step {
-			e.do(Effect{Kind: Refresh})
+	if b := ev.Batch; b.StalePlacement || b.Version != e.table.Version {
+		if b.Version > e.table.Version || b.PlacementStep > e.table.Step {
+			e.do(Effect{Kind: RefreshPlacement})
 		}
 		return
 	}
@@ -182,38 +182,38 @@
 }
 
 // answered takes what a chair said to one word.
-func (e *Estate) answered(by Member, word, back *Item) {
+func (e *Manager) answered(by Member, word, back *Item) {
 	switch word.Op {
-	case Ask:
+	case OpQuery:
 		e.heard(by, word, back)
 		return
-	case Pull:
+	case OpFetch:
 		e.paged(by, word, back)
 		return
-	case Withdraw:
+	case OpWithdraw:
 		e.tookBack(by, word, back)
 		return
-	case Mind:
+	case OpMapID:
 		return
 	}
 	m := e.mine[word.Key]
-	if m == nil || word.Number != m.Number || m.phase == finished {
+	if m == nil || word.Sequence != m.Sequence || m.phase == finished {
 		return
 	}
 	switch back.Op {
-	case Kept:
-		if back.Why == newHere {
+	case OpStored:
+		if back.Reason == newHere {
 			return
 		}
-		if back.Standing > m.prior.Standing || back.Standing == m.prior.Standing && back.Standing != Clear && back.First < m.prior.First {
+		if back.RunState > m.prior.RunState || back.RunState == m.prior.RunState && back.RunState != NotRun && back.FirstAttemptAt < m.prior.FirstAttemptAt {
 			m.prior = *back
 		}
 		if !slices.Contains(m.acks, by) {
 			m.acks = append(m.acks, by)
 		}
-	case Lacking:
-		whole := Item{Op: Register, Key: m.key, Number: m.Number, Copy: &m.Copy, From: m.Owner}
-		if m.Whole && m.phase == having {
+	case OpNeedCopy:
+		whole := Item{Op: OpRegister, Key: m.key, Sequence: m.Sequence, Copy: &m.Copy, From: m.Owner}
+		if m.Complete && m.phase == having {
 			e.tell(by.Name, whole)
 		} else if m.phase == finishing {
 			last := e.item(m)
@@ -221,29 +221,29 @@
 			e.tell(by.Name, last)
 		}
 		return
-	case Higher:
+	case OpNeedHigher:
 		if m.phase == asking {
-			m.Number = max(m.Number, back.Number) + 1
+			m.Sequence = max(m.Sequence, back.Sequence) + 1
 			e.say(m)
 		}
 		return
-	case Known:
+	case OpKnown:
 		if c := back.Copy; c != nil && (m.known == nil || better(c, m.known)) {
 			m.known = c
 		}
 		if c := back.Copy; c != nil && c.Outcome == Open && m.adopted && c.Owner == m.from && m.phase != taking { // it missed who has taken it
 			over := m.Copy
-			over.Number, over.Outcome, over.Whole = m.Number-1, Open, m.phase == having
-			e.tell(by.Name, Item{Op: Take, Key: m.key, Number: over.Number, Copy: &over, From: m.from, More: true})
+			over.Sequence, over.Outcome, over.Complete = m.Sequence-1, Open, m.phase == having
+			e.tell(by.Name, Item{Op: OpAdopt, Key: m.key, Sequence: over.Sequence, Copy: &over, From: m.from, More: true})
 			return // the last word is said again after it
 		}
-		if c := back.Copy; c != nil && c.Outcome == Open && m.phase == finishing && word.Copy == nil && e.lost(c.Owner) && c.Number < m.Number {
+		if c := back.Copy; c != nil && c.Outcome == Open && m.phase == finishing && word.Copy == nil && e.lost(c.Owner) && c.Sequence < m.Sequence {
 			last := e.item(m) // it missed that this one came after
 			last.Copy = &m.Copy
 			e.tell(by.Name, last)
 			return
 		}
-		if c := back.Copy; c != nil && c.Outcome == WrittenOff && c.ID == m.ID && m.phase == finishing && m.Outcome == Handled && word.Copy == nil {
+		if c := back.Copy; c != nil && c.Outcome == Failed && c.ID == m.ID && m.phase == finishing && m.Outcome == Succeeded && word.Copy == nil {
 			last := e.item(m) // its heir could not know that it was handled under the lease that it had then
 			last.Copy = &m.Copy
 			e.tell(by.Name, last)
@@ -251,7 +251,7 @@
 		}
 		m.nays = append(m.nays, by)
 	default:
-		if back.Why != noLease { // it may have one in a moment
+		if back.Reason != noLease { // it may have one in a moment
 			m.nays = append(m.nays, by)
 		}
 	}
@@ -259,8 +259,8 @@
 }
 
 // weigh does what follows from who has answered so far.
-func (e *Estate) weigh(m *mine) {
-	part := m.key.Part()
+func (e *Manager) weigh(m *mine) {
+	part := m.key.Partition()
 	switch {
 	case m.phase == asking && e.quorum(part, m.acks):
 		e.registered(m)
@@ -278,14 +278,14 @@
 }
 
 // inside tells whether the group of a mark surely drops repeats of it still.
-func (e *Estate) inside(c *Copy) bool {
-	o := e.offering(c.Offering)
-	return o != nil && e.now+leavesMS <= c.First+o.window
+func (e *Manager) inside(c *Copy) bool {
+	o := e.offering(c.Class)
+	return o != nil && e.now+leavesMS <= c.FirstAttemptAt+o.window
 }
 
 // prior is what the module is told of what may have run.
 func priorOf(c *Copy) scheduler.Prior {
-	p := scheduler.Prior{At: c.First, Place: c.Place, Cell: c.Cell}
+	p := scheduler.Prior{At: c.FirstAttemptAt, Place: c.Zone, Cell: c.Cell}
 	if p.At == 0 || math.IsInf(p.At, 0) {
 		p.At = -math.MaxFloat64
 	}
@@ -293,51 +293,51 @@
 }
 
 // registered has it that the others keep a search: it goes to the module, with what was before, or is told what became of that.
-func (e *Estate) registered(m *mine) {
-	if p := &m.prior; p.Standing != Clear {
-		m.Standing, m.First, m.Place, m.Cell = p.Standing, p.First, p.Place, p.Cell
+func (e *Manager) registered(m *mine) {
+	if p := &m.prior; p.RunState != NotRun {
+		m.RunState, m.FirstAttemptAt, m.Zone, m.Cell = p.RunState, p.FirstAttemptAt, p.Zone, p.Cell
 		m.unsure = 1
 		if !e.inside(&m.Copy) {
-			out := WrittenOff
-			if p.Standing == Ran {
-				out = Handled // its answer is gone
+			out := Failed
+			if p.RunState == Ran {
+				out = Succeeded // its answer is gone
 			}
 			m.Outcome = out
-			e.counts.Told++
-			e.do(Effect{Kind: Settle, ID: m.ID, Outcome: out})
+			e.counts.AnsweredFromCopy++
+			e.do(Effect{Kind: AnswerSuspended, ID: m.ID, Outcome: out})
 			e.finishAs(m, out, nil)
 			return
 		}
 	}
 	e.counts.Registered++
 	m.phase = having
-	if m.Mark != "" { // so that a question by its id finds it
+	if m.IdempotencyKey != "" { // so that a question by its id finds it
 		id := KeyOf("", m.ID)
-		it := Item{Op: Mind, Key: id, Copy: &Copy{Work: Work{ID: m.ID, Mark: m.Mark, Offering: m.Offering}, Until: m.Until, Light: true}}
-		for n, name := range e.sitting(id.Part()) {
+		it := Item{Op: OpMapID, Key: id, Copy: &Copy{RequestData: RequestData{ID: m.ID, IdempotencyKey: m.IdempotencyKey, Class: m.Class}, Deadline: m.Deadline, Idempotent: true}}
+		for n, name := range e.sitting(id.Partition()) {
 			if n < 2 {
 				e.tell(name, it)
 			}
 		}
 	}
-	if o := e.offering(m.Offering); o != nil && o.effect != "labelled" {
-		m.Sure = true // what was never more than asked for must not be sent by an heir: its client was told that it would not be
-		m.Number++
+	if o := e.offering(m.Class); o != nil && o.effect != "labelled" {
+		m.Confirmed = true // what was never more than asked for must not be sent by an heir: its client was told that it would not be
+		m.Sequence++
 		e.say(m)
 	}
 	f := Effect{Kind: Resume, ID: m.ID}
-	if m.Standing != Clear {
+	if m.RunState != NotRun {
 		f.Prior = priorOf(&m.Copy)
 	}
 	e.do(f)
 }
 
 // conflict has it that another has the search: what was asked for is taken back, and it waits, or is told what is known.
-func (e *Estate) conflict(m *mine) {
+func (e *Manager) conflict(m *mine) {
 	e.takeBack(m)
 	e.forget(m)
 	w := &caller{Copy: m.Copy, key: m.key, began: m.began, known: m.known}
-	w.Number = m.Number + 1 // what was said under the one before may still be on its way
+	w.Sequence = m.Sequence + 1 // what was said under the one before may still be on its way
 	if e.tells(w, m.known) {
 		return
 	}
@@ -346,12 +346,12 @@
 
 // takeBack has a search that was never more than asked for known to nobody any more: it is said until all that sit have heard, or those
 // that come again with its mark would wait for one that nobody has.
-func (e *Estate) takeBack(m *mine) {
+func (e *Manager) takeBack(m *mine) {
 	if len(e.back) >= mostBack {
 		delete(e.backBy, e.back[0].word())
 		e.back = append(e.back[:0], e.back[1:]...)
 	}
-	t := &taken{key: m.key, number: m.Number, from: m.Owner}
+	t := &taken{key: m.key, number: m.Sequence, from: m.Owner}
 	e.back = append(e.back, t)
 	e.backBy[t.word()] = t
 	e.sayBack(t)
@@ -374,30 +374,30 @@
 
 func (t *taken) word() takenWord { return takenWord{t.key, t.number} }
 
-func (e *Estate) sayBack(t *taken) {
+func (e *Manager) sayBack(t *taken) {
 	t.saidAt = e.now
 	t.tries++
-	for _, name := range e.sitting(t.key.Part()) {
+	for _, name := range e.sitting(t.key.Partition()) {
 		if !slices.Contains(t.acks, name) {
-			e.tell(name, Item{Op: Withdraw, Key: t.key, Number: t.number, From: t.from})
+			e.tell(name, Item{Op: OpWithdraw, Key: t.key, Sequence: t.number, From: t.from})
 		}
 	}
 }
 
 // tookBack books who has heard of one. A chair that may not answer now, or is still learning from those that have not heard, has not.
-func (e *Estate) tookBack(by Member, word, back *Item) {
-	t := e.backBy[takenWord{word.Key, word.Number}]
-	if t != nil && back.Why != newHere && back.Why != noLease && !slices.Contains(t.acks, by.Name) {
+func (e *Manager) tookBack(by Member, word, back *Item) {
+	t := e.backBy[takenWord{word.Key, word.Sequence}]
+	if t != nil && back.Reason != newHere && back.Reason != noLease && !slices.Contains(t.acks, by.Name) {
 		t.acks = append(t.acks, by.Name)
 	}
 }
 
 // repeatBack says again what was not heard by all.
-func (e *Estate) repeatBack() {
+func (e *Manager) repeatBack() {
 	rest := e.back[:0]
 	for _, t := range e.back {
-		heard := !slices.ContainsFunc(e.sitting(t.key.Part()), func(name string) bool { return !slices.Contains(t.acks, name) })
-		if heard && e.reachable(t.key.Part()) || t.tries > closeTries {
+		heard := !slices.ContainsFunc(e.sitting(t.key.Partition()), func(name string) bool { return !slices.Contains(t.acks, name) })
+		if heard && e.reachable(t.key.Partition()) || t.tries > closeTries {
 			delete(e.backBy, t.word())
 			continue
 		}
@@ -411,7 +411,7 @@
 }
 
 // forget has a search no longer in hand here.
-func (e *Estate) forget(m *mine) {
+func (e *Manager) forget(m *mine) {
 	m.phase = finished
 	if e.mine[m.key] == m {
 		delete(e.mine, m.key)
@@ -422,21 +422,21 @@
 }
 
 // finish ends what this controller does for a search that is another's, or over.
-func (e *Estate) finish(m *mine) {
+func (e *Manager) finish(m *mine) {
 	if m.phase == taking && e.chaired() {
 		e.takeBack(m) // those that let it be taken are not to hold it for this one's
 	}
 	if m.adopted {
 		e.inHand--
 		if m.phase == having {
-			e.do(Effect{Kind: Recall, ID: m.ID})
+			e.do(Effect{Kind: CancelLocal, ID: m.ID})
 		}
 	}
 	e.forget(m)
 }
 
 // gone has it that the client of a search left before that was with the module.
-func (e *Estate) gone(id string) {
+func (e *Manager) gone(id string) {
 	delete(e.pace.began, id)
 	e.line = slices.DeleteFunc(e.line, func(w *caller) bool { return w.ID == id })
 	if m := e.byID[id]; m != nil && m.phase == asking {
@@ -446,91 +446,91 @@
 }
 
 // firing puts a shot on record with the others before it leaves.
-func (e *Estate) firing(ev *Event) {
+func (e *Manager) firing(ev *Event) {
 	m := e.byID[ev.ID]
 	switch {
 	case m == nil || m.light:
 		return // it may simply run again
 	case !e.held || m.Owner != e.self:
 		e.counts.Withheld++
-		e.do(Effect{Kind: Forbid, ID: m.ID, Shot: ev.Shot})
+		e.do(Effect{Kind: BlockAttempt, ID: m.ID, Attempt: ev.Attempt})
 		return
 	case m.alone:
-		e.counts.Alone++
+		e.counts.AttemptsUnreplicated++
 		return
-	case m.Standing != Clear && !e.inside(&m.Copy):
+	case m.RunState != NotRun && !e.inside(&m.Copy):
 		e.counts.Withheld++ // nobody would surely drop it any more
-		e.do(Effect{Kind: Forbid, ID: m.ID, Shot: ev.Shot})
+		e.do(Effect{Kind: BlockAttempt, ID: m.ID, Attempt: ev.Attempt})
 		return
 	}
-	if m.Standing == Clear {
-		m.First, m.Place, m.Cell, m.Standing = e.now, ev.Place, ev.Cell, Doubt
+	if m.RunState == NotRun {
+		m.FirstAttemptAt, m.Zone, m.Cell, m.RunState = e.now, ev.Zone, ev.Cell, MayHaveRun
 	}
 	m.unsure++
-	m.out |= 1 << ev.Shot
-	m.Number++
-	m.holds = append(m.holds, hold{ev.Shot, m.Number, e.now})
-	e.do(Effect{Kind: Hold, ID: m.ID, Shot: ev.Shot})
+	m.out |= 1 << ev.Attempt
+	m.Sequence++
+	m.holds = append(m.holds, hold{ev.Attempt, m.Sequence, e.now})
+	e.do(Effect{Kind: HoldAttempt, ID: m.ID, Attempt: ev.Attempt})
 	e.say(m)
 }
 
 // letGo lets shots leave that the others know of.
-func (e *Estate) letGo(m *mine) {
+func (e *Manager) letGo(m *mine) {
 	for _, h := range m.holds {
 		if e.held {
-			e.do(Effect{Kind: Release, ID: m.ID, Shot: h.shot})
+			e.do(Effect{Kind: ReleaseAttempt, ID: m.ID, Attempt: h.shot})
 		} else {
 			e.counts.Withheld++
-			e.do(Effect{Kind: Withhold, ID: m.ID, Shot: h.shot})
+			e.do(Effect{Kind: FailAttempt, ID: m.ID, Attempt: h.shot})
 		}
 	}
 	m.holds = m.holds[:0]
 }
 
 // shotOver books a shot's outcome. One that never ran clears the search of it.
-func (e *Estate) shotOver(ev *Event) {
+func (e *Manager) shotOver(ev *Event) {
 	m := e.byID[ev.ID]
-	if m == nil || ev.Shot >= 8 || m.out&(1<<ev.Shot) == 0 {
+	if m == nil || ev.Attempt >= 8 || m.out&(1<<ev.Attempt) == 0 {
 		return
 	}
-	m.out &^= 1 << ev.Shot
-	m.holds = slices.DeleteFunc(m.holds, func(h hold) bool { return h.shot == ev.Shot })
-	if !ev.Unrun || m.phase != having {
+	m.out &^= 1 << ev.Attempt
+	m.holds = slices.DeleteFunc(m.holds, func(h hold) bool { return h.shot == ev.Attempt })
+	if !ev.NeverRan || m.phase != having {
 		return
 	}
 	if m.unsure--; m.unsure == 0 {
-		m.Standing, m.First, m.Place, m.Cell = Clear, 0, "", 0
-		m.Number++
+		m.RunState, m.FirstAttemptAt, m.Zone, m.Cell = NotRun, 0, "", 0
+		m.Sequence++
 		e.say(m)
 	}
 }
 
 // ending says whether an answer must wait until the others know of it: where this controller's lease is over, or the life under which
 // it took the search, another may be going on with it; and a denial of what may not run twice must not be followed by an heir's shot.
-func (e *Estate) ending(ev *Event) {
+func (e *Manager) ending(ev *Event) {
 	m := e.byID[ev.ID]
-	if m == nil || m.alone || m.light || m.adopted || m.phase != having || ev.Outcome == Left {
+	if m == nil || m.alone || m.light || m.adopted || m.phase != having || ev.Outcome == Abandoned {
 		return
 	}
-	o := e.offering(m.Offering)
+	o := e.offering(m.Class)
 	mineStill := e.held && m.Owner == e.self
-	if mineStill && !(ev.Outcome == Denied && o != nil && o.effect != "labelled") {
+	if mineStill && !(ev.Outcome == Rejected && o != nil && o.effect != "labelled") {
 		return
 	}
 	m.back = &ending{outcome: ev.Outcome, answer: ev.Answer, since: e.now, late: !mineStill}
-	e.do(Effect{Kind: KeepBack, ID: m.ID})
+	e.do(Effect{Kind: WithholdAnswer, ID: m.ID})
 }
 
 // closed books the final answer of a search, and tells the others.
-func (e *Estate) closed(ev *Event) {
-	e.pace.ended(e.now, ev.ID, ev.Outcome == Handled)
+func (e *Manager) closed(ev *Event) {
+	e.pace.ended(e.now, ev.ID, ev.Outcome == Succeeded)
 	if m := e.byID[ev.ID]; m != nil && m.phase == having {
 		if m.alone {
 			e.forget(m)
 			return
 		}
 		out := ev.Outcome
-		if e.leaving && out == WrittenOff && m.adopted || e.leaving && out == WrittenOff && m.Standing == Doubt && m.Mark != "" {
+		if e.leaving && out == Failed && m.adopted || e.leaving && out == Failed && m.RunState == MayHaveRun && m.IdempotencyKey != "" {
 			e.finish(m) // it stays open with the others: an heir has more time
 			return
 		}
@@ -540,31 +540,31 @@
 }
 
 // finishAs ends a search with an outcome, and has the others know of it.
-func (e *Estate) finishAs(m *mine, out Outcome, answer []byte) {
+func (e *Manager) finishAs(m *mine, out Outcome, answer []byte) {
 	if m.adopted && m.phase != finishing {
 		e.inHand--
-		e.counts.TakenDone++
+		e.counts.AdoptionsDone++
 	}
-	m.phase, m.Outcome, m.Number, m.tries = finishing, out, m.Number+1, 0
-	if out == Handled {
-		m.Standing = Ran
-		if m.First == 0 {
-			m.First = e.now
+	m.phase, m.Outcome, m.Sequence, m.tries = finishing, out, m.Sequence+1, 0
+	if out == Succeeded {
+		m.RunState = Ran
+		if m.FirstAttemptAt == 0 {
+			m.FirstAttemptAt = e.now
 		}
 		if len(answer) <= e.answer {
 			m.Answer = append([]byte{}, answer...)
 		}
 	}
-	if out == Denied && m.unsure == 0 {
-		m.Standing = Clear
+	if out == Rejected && m.unsure == 0 {
+		m.RunState = NotRun
 	}
 	m.Body = nil
 	e.say(m)
 }
 
 // settling looks at an end that the others are being told of.
-func (e *Estate) settling(m *mine) {
-	part := m.key.Part()
+func (e *Manager) settling(m *mine) {
+	part := m.key.Partition()
 	enough := e.quorum(part, m.acks)
 	if k := e.copies[m.key]; enough && k != nil && k.Owner == m.Owner && k.state.open() {
 		it := e.item(m) // its own chair did not take the word of a life that is over; the others had
@@ -574,19 +574,19 @@
 		switch {
 		case enough:
 			m.back = nil
-			e.do(Effect{Kind: LetGo, ID: m.ID, Outcome: b.outcome, Answer: b.answer})
+			e.do(Effect{Kind: DeliverAnswer, ID: m.ID, Outcome: b.outcome, Answer: b.answer})
 		case m.known != nil && m.known.Outcome != Open && m.known.Outcome != Withdrawn:
 			m.back = nil // it is said elsewhere what became of it
-			e.do(Effect{Kind: LetGo, ID: m.ID, Outcome: m.known.Outcome, Answer: m.known.Answer})
-		case b.late && e.now < m.Until-lastMS, !b.late && e.now < b.since+holdMS:
+			e.do(Effect{Kind: DeliverAnswer, ID: m.ID, Outcome: m.known.Outcome, Answer: m.known.Answer})
+		case b.late && e.now < m.Deadline-lastMS, !b.late && e.now < b.since+holdMS:
 			return
 		default:
 			m.back = nil
-			e.do(Effect{Kind: LetGo, ID: m.ID, Outcome: WrittenOff})
+			e.do(Effect{Kind: DeliverAnswer, ID: m.ID, Outcome: Failed})
 		}
 	}
-	stale := m.Owner != e.self && (m.Outcome != Handled || m.known != nil && m.known.Outcome == Handled || m.tries > 2*closeTries)
-	if m.back == nil && e.barredBy(part, m.nays) && (stale || m.known != nil && m.known.Number > m.Number) {
+	stale := m.Owner != e.self && (m.Outcome != Succeeded || m.known != nil && m.known.Outcome == Succeeded || m.tries > 2*closeTries)
+	if m.back == nil && e.barredBy(part, m.nays) && (stale || m.known != nil && m.known.Sequence > m.Sequence) {
 		e.forget(m) // it is another's by now, or a later search of its mark is known
 		return
 	}
@@ -596,14 +596,14 @@
 }
 
 // heardByAll tells whether all that sit have the last word of a search. Others may have answered, that sat before.
-func (e *Estate) heardByAll(m *mine) bool {
-	return !slices.ContainsFunc(e.sitting(m.key.Part()), func(name string) bool {
+func (e *Manager) heardByAll(m *mine) bool {
+	return !slices.ContainsFunc(e.sitting(m.key.Partition()), func(name string) bool {
 		return !slices.Contains(m.acks, Member{name, e.places[name].Life})
 	})
 }
 
 // repeat says again what was not answered, and gives up shots that have waited for too long.
-func (e *Estate) repeat() {
+func (e *Manager) repeat() {
 	rest := e.pending[:0]
 	for _, m := range e.pending {
 		m.listed = false // unless it stays
@@ -619,21 +619,21 @@
 		for _, h := range m.holds {
 			if e.now > h.since+holdMS {
 				e.counts.Withheld++
-				e.do(Effect{Kind: Withhold, ID: m.ID, Shot: h.shot})
+				e.do(Effect{Kind: FailAttempt, ID: m.ID, Attempt: h.shot})
 				continue
 			}
 			late = append(late, h)
 		}
 		m.holds = late
-		if m.phase == asking && e.now > m.began+registerMS || m.phase == asking && e.now > m.Until-lastMS {
+		if m.phase == asking && e.now > m.began+registerMS || m.phase == asking && e.now > m.Deadline-lastMS {
 			e.giveUp(m)
 			continue
 		}
-		if m.phase == taking && e.inheriting(m.from, m.key.Part()) == nil {
+		if m.phase == taking && e.inheriting(m.from, m.key.Partition()) == nil {
 			e.finish(m) // it is another's by now
 			continue
 		}
-		if m.phase == having && (m.light || m.tries > 3 && e.quorum(m.key.Part(), m.acks)) {
+		if m.phase == having && (m.light || m.tries > 3 && e.quorum(m.key.Partition(), m.acks)) {
 			continue
 		}
 		if m.light && m.tries > 2 {
@@ -646,7 +646,7 @@
 			m.tries++
 			m.nays = m.nays[:0]
 			it := e.item(m)
-			for _, name := range e.sitting(m.key.Part()) {
+			for _, name := range e.sitting(m.key.Partition()) {
 				if !slices.Contains(m.acks, Member{name, e.places[name].Life}) && !m.light {
 					e.tell(name, it)
 				}
@@ -660,12 +660,12 @@
 }
 
 // giveUp has it that nobody could be asked in time.
-func (e *Estate) giveUp(m *mine) {
+func (e *Manager) giveUp(m *mine) {
 	e.takeBack(m)
 	e.forget(m)
-	if m.known != nil && m.known.Outcome == Open && e.now < m.Until-lastMS {
+	if m.known != nil && m.known.Outcome == Open && e.now < m.Deadline-lastMS {
 		w := &caller{Copy: m.Copy, key: m.key, began: e.now, known: m.known}
-		w.Number = m.Number + 1
+		w.Sequence = m.Sequence + 1
 		e.wait(w)
 		return
 	}
@@ -673,7 +673,7 @@
 }
 
 // age copies redoable searches that take long.
-func (e *Estate) age() {
+func (e *Manager) age() {
 	n := 0
 	for ; n < len(e.young) && e.now >= e.young[n].at+e.lag; n++ {
 		c := e.young[n].copy
@@ -683,7 +683,7 @@
 		}
 		delete(e.fresh, c.ID)
 		m := &mine{Copy: c, key: key, phase: having, light: true, began: e.now}
-		m.Owner, m.Number, m.Whole, m.Light = e.self, 1, true, true
+		m.Owner, m.Sequence, m.Complete, m.Idempotent = e.self, 1, true, true
 		e.mine[key], e.byID[c.ID] = m, m
 		m.saidAt = e.now
 		e.sayTo(m, e.item(m))
--- a/internal/handoff/pace_test.go
+++ b/internal/handoff/pace_test.go
@@ -91,11 +91,11 @@
 	w := newWorld(t, 6, 2, nil)
 	w.arrive(0, "mark", "a", "m")
 	w.arrive(1, "mark", "b", "m") // it waits, and its client leaves
-	w.step(1, &Event{Kind: Gone, ID: "b"})
+	w.step(1, &Event{Kind: ClientLeft, ID: "b"})
 	w.arrive(0, "mark", "c", "n")
 	w.shoot(0, "c")
-	w.end(0, "a", Handled, "rows")
-	w.end(0, "c", WrittenOff, "")
+	w.end(0, "a", Succeeded, "rows")
+	w.end(0, "c", Failed, "")
 	w.tick(3000)
 	for k := range w.ends {
 		assert.Empty(t, w.ends[k].pace.began, k)
--- a/internal/handoff/table.go
+++ b/internal/handoff/table.go
@@ -35,28 +35,28 @@
 	state  state
 	input  input
 	next   state
-	effect func(*Estate, *kept)
+	effect func(*Manager, *kept)
 }{
 	{held, loses, orphaned, nil},
 	{adopted, loses, orphaned, nil},
 	{orphaned, claims, claimed, nil},
 	{claimed, lapses, orphaned, nil},
-	{claimed, takes, adopted, (*Estate).countTaken},
-	{orphaned, takes, adopted, (*Estate).countTaken}, // the claim was heard of only now
-	{held, ends, settled, (*Estate).countEnd},
-	{adopted, ends, settled, (*Estate).countEnd},
-	{orphaned, ends, settled, (*Estate).countEnd}, // a late answer, before anybody went on with it
-	{claimed, ends, settled, (*Estate).countEnd},
-	{held, retires, dropped, (*Estate).drop},
-	{orphaned, retires, dropped, (*Estate).drop},
-	{claimed, retires, dropped, (*Estate).drop},
-	{adopted, retires, dropped, (*Estate).drop},
-	{settled, retires, dropped, (*Estate).drop},
-	{settled, returns, held, (*Estate).begin},
+	{claimed, takes, adopted, (*Manager).countTaken},
+	{orphaned, takes, adopted, (*Manager).countTaken}, // the claim was heard of only now
+	{held, ends, settled, (*Manager).countEnd},
+	{adopted, ends, settled, (*Manager).countEnd},
+	{orphaned, ends, settled, (*Manager).countEnd}, // a late answer, before anybody went on with it
+	{claimed, ends, settled, (*Manager).countEnd},
+	{held, retires, dropped, (*Manager).drop},
+	{orphaned, retires, dropped, (*Manager).drop},
+	{claimed, retires, dropped, (*Manager).drop},
+	{adopted, retires, dropped, (*Manager).drop},
+	{settled, retires, dropped, (*Manager).drop},
+	{settled, returns, held, (*Manager).begin},
 }
 
 // play plays an input to a copy and tells whether that changed it.
-func (e *Estate) play(k *kept, in input) bool {
+func (e *Manager) play(k *kept, in input) bool {
 	for i := range table {
 		if r := &table[i]; r.state == k.state && r.input == in {
 			k.state = r.next
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -56,13 +56,13 @@
 	return k
 }
 
-// Part is which part of all work it belongs to.
-func (k Key) Part() int { return int(k[0]) % placement.Parts }
+// Partition is which part of all work it belongs to.
+func (k Key) Partition() int { return int(k[0]) % placement.Parts }
 
 // Member is one life of a controller.
 type Member struct {
-	Name string
-	Life uint64
+	Name        string
+	Incarnation uint64
 }
 
 // Outcome is what became of a search.
@@ -70,13 +70,13 @@
 
 // The outcomes. Their numbers go to disks and over the wire: they do not change.
 const (
-	Open       Outcome = 0
-	Handled    Outcome = 1
-	Denied     Outcome = 2
-	WrittenOff Outcome = 3
-	Left       Outcome = 4
-	Withdrawn  Outcome = 5 // it was never more than asked for
-	Unknown    Outcome = 6
+	Open      Outcome = 0
+	Succeeded Outcome = 1
+	Rejected  Outcome = 2
+	Failed    Outcome = 3
+	Abandoned Outcome = 4
+	Withdrawn Outcome = 5 // it was never more than asked for
+	Unknown   Outcome = 6
 )
 
 var outcomeNames = [...]string{"open", "handled", "denied", "written_off", "left", "withdrawn", "unknown"}
@@ -84,39 +84,39 @@
 // String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Standing is whether a search may have run.
-type Standing uint8
+// RunState is whether a search may have run.
+type RunState uint8
 
 // The standings. Their numbers go to disks and over the wire: they do not change.
 const (
-	Clear Standing = 0 // no shot of it can have run
-	Doubt Standing = 1 // one may have
-	Ran   Standing = 2 // it was handled
+	NotRun     RunState = 0 // no shot of it can have run
+	MayHaveRun RunState = 1 // one may have
+	Ran        RunState = 2 // it was handled
 )
 
-// Work is what somebody needs to go on with a search.
-type Work struct {
-	ID, Mark, Offering, Order, Team, Schema string
-	Group                                   uint64
-	NeedMB, WorkMS                          float64
-	Body                                    []byte
+// RequestData is what somebody needs to go on with a search.
+type RequestData struct {
+	ID, IdempotencyKey, Class, OrderKey, Team, Schema string
+	TableGroup                                        uint64
+	MemoryMB, WorkMS                                  float64
+	Body                                              []byte
 }
 
 // Copy is what is known of a search. Times are by the clock of the one that holds it.
 type Copy struct {
-	Work
-	Owner    Member
-	Number   uint64 // of the owner's word; grows from owner to owner, too
-	Outcome  Outcome
-	Standing Standing
-	First    float64 // of the first shot that may have run
-	Place    string  // where that went
-	Cell     int64
-	Until    float64 // its hard limit
-	Answer   []byte  // nil: it was not kept
-	Whole    bool    // Work is there
-	Sure     bool    // its owner has gone on with it
-	Light    bool    // it may simply run again: nobody waits for its copies
+	RequestData
+	Owner          Member
+	Sequence       uint64 // of the owner's word; grows from owner to owner, too
+	Outcome        Outcome
+	RunState       RunState
+	FirstAttemptAt float64 // of the first shot that may have run
+	Zone           string  // where that went
+	Cell           int64
+	Deadline       float64 // its hard limit
+	Answer         []byte  // nil: it was not kept
+	Complete       bool    // Work is there
+	Confirmed      bool    // its owner has gone on with it
+	Idempotent     bool    // it may simply run again: nobody waits for its copies
 }
 
 // EventKind tells what an Event reports.
@@ -124,44 +124,44 @@
 
 // The events.
 const (
-	Seated   EventKind = iota // Places and Table are what is agreed now
-	Arrives                   // a search came in: Copy has its Work and Until
-	Gone                      // the client of one that arrived and is not yet with the module has left
-	Firing                    // a shot of it is about to be made: Shot, Place, Cell
-	ShotOver                  // a shot has its outcome; Unrun: it never ran
-	Ending                    // it is about to be answered: Outcome, Answer
-	Closed                    // it has its final answer
-	Words                     // Batch came from another member; Token goes back with the answer
-	Answers                   // Batch came back from the member To; nil: that did not answer
-	Asked                     // what became of an id (ID) or a mark (Mark); Token goes back
-	Read                      // Copy was on this holder's disk; its First and Until are as they were written
-	Ticked                    // each 100 ms
-	Leaving                   // a planned stop has begun
-	Relived                   // this controller goes on under another Life
-	Released                  // an operator gives ID up
-	Wanted                    // an operator wants this controller to take over what is unclaimed of ID, a member
+	PlacementChanged   EventKind = iota // Places and Table are what is agreed now
+	RequestArriving                     // a search came in: Copy has its Work and Until
+	ClientLeft                          // the client of one that arrived and is not yet with the module has left
+	AttemptStarting                     // a shot of it is about to be made: Shot, Place, Cell
+	AttemptEnded                        // a shot has its outcome; Unrun: it never ran
+	RequestEnding                       // it is about to be answered: Outcome, Answer
+	RequestClosed                       // it has its final answer
+	BatchReceived                       // Batch came from another member; Token goes back with the answer
+	BatchAnswered                       // Batch came back from the member To; nil: that did not answer
+	OutcomeQueried                      // what became of an id (ID) or a mark (Mark); Token goes back
+	CopyRestored                        // Copy was on this holder's disk; its First and Until are as they were written
+	Ticked                              // each 100 ms
+	ShutdownStarted                     // a planned stop has begun
+	IncarnationChanged                  // this controller goes on under another Life
+	ReleaseRequested                    // an operator gives ID up
+	AdoptionRequested                   // an operator wants this controller to take over what is unclaimed of ID, a member
 )
 
 // Event is one thing that the estate hears. Only the fields of its kind are set.
 type Event struct {
-	Kind    EventKind
-	Held    bool // this controller holds its lease at this moment
-	ID      string
-	Mark    string
-	Copy    *Copy
-	Shot    int
-	Place   string
-	Cell    int64
-	Unrun   bool
-	Outcome Outcome
-	Answer  []byte
-	Batch   *Batch
-	Sent    *Batch // Answers: to what
-	To      string
-	Token   uint64
-	Life    uint64
-	Places  []placement.Place
-	Table   *placement.Table
+	Kind           EventKind
+	LeaseHeld      bool // this controller holds its lease at this moment
+	ID             string
+	IdempotencyKey string
+	Copy           *Copy
+	Attempt        int
+	Zone           string
+	Cell           int64
+	NeverRan       bool
+	Outcome        Outcome
+	Answer         []byte
+	Batch          *Batch
+	Sent           *Batch // BatchAnswered: to what
+	To             string
+	Token          uint64
+	Incarnation    uint64
+	Members        []placement.Place
+	Table          *placement.Table
 }
 
 // EffectKind tells what an Effect asks for.
@@ -169,48 +169,48 @@
 
 // The effects.
 const (
-	Await    EffectKind = iota // Arrives: it stays out of the module until Resume or Settle
-	Admit                      // Arrives: it goes on as it is
-	Resume                     // ID goes on, with Prior; Barred: nothing may be sent for it
-	Settle                     // ID is answered: Outcome, Answer, AfterMS
-	Hold                       // Firing: the shot leaves only at Release
-	Forbid                     // Firing: it must not leave
-	Release                    // Shot of ID leaves, as far as this goes
-	Withhold                   // Shot of ID must not leave
-	KeepBack                   // Ending: the answer waits for LetGo
-	LetGo                      // ID is answered: Outcome, Answer
-	Adopt                      // Copy goes to the module, with Prior
-	Recall                     // ID has been settled elsewhere: whoever works on it here stops
-	Say                        // Batch goes to the member To; Answers brings what comes back
-	Answer                     // Batch goes back under Token
-	Reply                      // Asked: Outcome, Answer, Owner of what was asked for under Token
-	Move                       // the council is to agree: Kind of motion, Claim, Version
-	Refresh                    // the table has changed: it is to be asked for
-	Keep                       // Key's Copy is to last, on a holder that keeps copies on disk; nil: it goes
-	Note                       // Text is for the operators
+	Suspend          EffectKind = iota // RequestArriving: it stays out of the module until Resume or Settle
+	Admit                              // RequestArriving: it goes on as it is
+	Resume                             // ID goes on, with Prior; Barred: nothing may be sent for it
+	AnswerSuspended                    // ID is answered: Outcome, Answer, AfterMS
+	HoldAttempt                        // AttemptStarting: the shot leaves only at Release
+	BlockAttempt                       // AttemptStarting: it must not leave
+	ReleaseAttempt                     // Shot of ID leaves, as far as this goes
+	FailAttempt                        // Shot of ID must not leave
+	WithholdAnswer                     // RequestEnding: the answer waits for LetGo
+	DeliverAnswer                      // ID is answered: Outcome, Answer
+	Adopt                              // Copy goes to the module, with Prior
+	CancelLocal                        // ID has been settled elsewhere: whoever works on it here stops
+	SendBatch                          // Batch goes to the member To; Answers brings what comes back
+	ReplyBatch                         // Batch goes back under Token
+	ReplyOutcome                       // OutcomeQueried: Outcome, Answer, Owner of what was asked for under Token
+	Propose                            // the council is to agree: Kind of motion, Claim, Version
+	RefreshPlacement                   // the table has changed: it is to be asked for
+	PersistCopy                        // Key's Copy is to last, on a holder that keeps copies on disk; nil: it goes
+	LogMessage                         // Text is for the operators
 )
 
 // Effect is one thing that the estate wants done, in the order given.
 type Effect struct {
-	Kind    EffectKind
-	ID      string
-	Shot    int
-	Prior   scheduler.Prior
-	Barred  bool
-	Outcome Outcome
-	Answer  []byte
-	AfterMS float64
-	Copy    *Copy
-	Key     Key
-	To      string
-	Batch   *Batch
-	Token   uint64
-	Motion  string
-	Claim   placement.Claim
-	Version uint64
-	Owner   string
-	Text    string
-	Count   int
+	Kind     EffectKind
+	ID       string
+	Attempt  int
+	Prior    scheduler.Prior
+	Blocked  bool
+	Outcome  Outcome
+	Answer   []byte
+	AfterMS  float64
+	Copy     *Copy
+	Key      Key
+	To       string
+	Batch    *Batch
+	Token    uint64
+	Proposal string
+	Claim    placement.Claim
+	Version  uint64
+	Owner    string
+	Text     string
+	Count    int
 }
 
 // Op is what an item says.
@@ -218,59 +218,59 @@
 
 // The ops. The first eight are words to a chair, the rest its answers. Their numbers go over the wire: they do not change.
 const (
-	Register Op = 1 // Copy is open, its owner says
-	Shoot    Op = 2 // a shot may have run, or none can have
-	Close    Op = 3 // it has ended
-	Withdraw Op = 4 // it was asked for and not had
-	Take     Op = 5 // Copy is adopted by the sender from From; More: a quorum knows of it already
-	Ask      Op = 6 // what is known of Key
-	Pull     Op = 7 // what is kept of Part behind After; From: only what that one owns, and open
-	Mind     Op = 8 // ID stands for Key, whose mark this is; nobody waits for it
+	OpRegister Op = 1 // Copy is open, its owner says
+	OpAttempt  Op = 2 // a shot may have run, or none can have
+	OpClose    Op = 3 // it has ended
+	OpWithdraw Op = 4 // it was asked for and not had
+	OpAdopt    Op = 5 // Copy is adopted by the sender from From; More: a quorum knows of it already
+	OpQuery    Op = 6 // what is known of Key
+	OpFetch    Op = 7 // what is kept of Part behind After; From: only what that one owns, and open
+	OpMapID    Op = 8 // ID stands for Key, whose mark this is; nobody waits for it
 
-	Kept    Op = 9  // it is kept; of what was before: Standing, First, Place, Cell, Number
-	Known   Op = 10 // another has it, or it has ended: Copy, without its work
-	None    Op = 11 // nothing is known
-	Lacking Op = 12 // the whole copy is needed
-	Higher  Op = 13 // its Number must be above this one
-	Refused Op = 14 // not here, not now, or not by this sender: Why
-	Page    Op = 15 // copies of Part, in Item.Copies; More: there are more behind After
+	OpStored     Op = 9  // it is kept; of what was before: Standing, First, Place, Cell, Number
+	OpKnown      Op = 10 // another has it, or it has ended: Copy, without its work
+	OpUnknown    Op = 11 // nothing is known
+	OpNeedCopy   Op = 12 // the whole copy is needed
+	OpNeedHigher Op = 13 // its Number must be above this one
+	OpRefused    Op = 14 // not here, not now, or not by this sender: Why
+	OpPage       Op = 15 // copies of Part, in Item.Copies; More: there are more behind After
 )
 
 // Item is one thing that is said.
 type Item struct {
-	Op       Op
-	Key      Key
-	Number   uint64
-	Copy     *Copy
-	Standing Standing
-	First    float64
-	Place    string
-	Cell     int64
-	Outcome  Outcome
-	Answer   []byte
-	From     Member
-	Part     int
-	After    Key
-	More     bool
-	Why      string
-	Copies   []Copy
+	Op             Op
+	Key            Key
+	Sequence       uint64
+	Copy           *Copy
+	RunState       RunState
+	FirstAttemptAt float64
+	Zone           string
+	Cell           int64
+	Outcome        Outcome
+	Answer         []byte
+	From           Member
+	Partition      int
+	After          Key
+	More           bool
+	Reason         string
+	Copies         []Copy
 }
 
 // Batch is what goes from one member to another, or back.
 type Batch struct {
-	From    Member
-	Version uint64 // of the table that it rests on
-	Step    uint64 // the least that the other must know
-	Behind  bool   // back: the table here is older or newer; nothing was done
-	Items   []Item
+	From           Member
+	Version        uint64 // of the table that it rests on
+	PlacementStep  uint64 // the least that the other must know
+	StalePlacement bool   // back: the table here is older or newer; nothing was done
+	Items          []Item
 }
 
 // Counts are what the estate counts. Held = Settled + Adopted + WrittenOff + Dropped + Open.
 type Counts struct {
-	Held, Settled, Adopted, Failed, Dropped, Open uint64 // copies here, by what became of them
-	Registered, Waited, Told, Refused, Withheld   uint64 // searches of one's own clients
-	Claims, Taken, TakenDone, Late                uint64 // what this one inherited
-	Alone                                         uint64 // shots that left without the others
-	Words, Lost, Pulled                           uint64
-	Copies, Mine, Waiting                         int
+	CopiesReceived, Settled, Adopted, Failed, Dropped, Open        uint64 // copies here, by what became of them
+	Registered, Waited, AnsweredFromCopy, Refused, Withheld        uint64 // searches of one's own clients
+	AdoptionClaims, AdoptionsStarted, AdoptionsDone, AdoptionsLate uint64 // what this one inherited
+	AttemptsUnreplicated                                           uint64 // shots that left without the others
+	MessagesSent, MessagesLost, CopiesFetched                      uint64
+	CopiesStored, OwnedRequests, SuspendedRequests                 int
 }
--- a/internal/handoff/wire.go
+++ b/internal/handoff/wire.go
@@ -101,28 +101,28 @@
 
 func (c *Copy) append(w *writer, now float64) {
 	w.text(1, c.ID)
-	w.text(2, c.Mark)
-	w.text(3, c.Offering)
-	w.text(4, c.Order)
+	w.text(2, c.IdempotencyKey)
+	w.text(3, c.Class)
+	w.text(4, c.OrderKey)
 	w.text(5, c.Team)
 	w.text(6, c.Schema)
-	w.number(7, c.Group)
-	w.float(8, c.NeedMB)
+	w.number(7, c.TableGroup)
+	w.float(8, c.MemoryMB)
 	w.float(9, c.WorkMS)
 	w.bytes(10, c.Body)
 	w.text(11, c.Owner.Name)
-	w.number(12, c.Owner.Life)
-	w.number(13, c.Number)
+	w.number(12, c.Owner.Incarnation)
+	w.number(13, c.Sequence)
 	w.number(14, uint64(c.Outcome))
-	w.number(15, uint64(c.Standing))
-	w.float(16, ago(now, c.First))
-	w.text(17, c.Place)
+	w.number(15, uint64(c.RunState))
+	w.float(16, ago(now, c.FirstAttemptAt))
+	w.text(17, c.Zone)
 	w.number(18, protowire.EncodeZigZag(c.Cell))
-	w.float(19, c.Until-now)
+	w.float(19, c.Deadline-now)
 	w.bytes(20, c.Answer)
-	w.flag(21, c.Whole)
-	w.flag(22, c.Light)
-	w.flag(23, c.Sure)
+	w.flag(21, c.Complete)
+	w.flag(22, c.Idempotent)
+	w.flag(23, c.Confirmed)
 }
 
 func readCopy(b []byte, now float64) (c Copy, err error) {
@@ -131,19 +131,19 @@
 		case 1:
 			c.ID = string(v.bytes)
 		case 2:
-			c.Mark = string(v.bytes)
+			c.IdempotencyKey = string(v.bytes)
 		case 3:
-			c.Offering = string(v.bytes)
+			c.Class = string(v.bytes)
 		case 4:
-			c.Order = string(v.bytes)
+			c.OrderKey = string(v.bytes)
 		case 5:
 			c.Team = string(v.bytes)
 		case 6:
 			c.Schema = string(v.bytes)
 		case 7:
-			c.Group = v.number
+			c.TableGroup = v.number
 		case 8:
-			c.NeedMB = v.float()
+			c.MemoryMB = v.float()
 		case 9:
 			c.WorkMS = v.float()
 		case 10:
@@ -151,33 +151,33 @@
 		case 11:
 			c.Owner.Name = string(v.bytes)
 		case 12:
-			c.Owner.Life = v.number
+			c.Owner.Incarnation = v.number
 		case 13:
-			c.Number = v.number
+			c.Sequence = v.number
 		case 14:
 			c.Outcome = Outcome(min(v.number, uint64(Unknown)))
 		case 15:
-			c.Standing = Standing(min(v.number, uint64(Ran)))
+			c.RunState = RunState(min(v.number, uint64(Ran)))
 		case 16:
-			c.First = back(now, v.float())
+			c.FirstAttemptAt = back(now, v.float())
 		case 17:
-			c.Place = string(v.bytes)
+			c.Zone = string(v.bytes)
 		case 18:
 			c.Cell = protowire.DecodeZigZag(v.number)
 		case 19:
-			c.Until = now + v.float()
+			c.Deadline = now + v.float()
 		case 20:
 			c.Answer = clone(v.bytes)
 		case 21:
-			c.Whole = v.number != 0
+			c.Complete = v.number != 0
 		case 22:
-			c.Light = v.number != 0
+			c.Idempotent = v.number != 0
 		case 23:
-			c.Sure = v.number != 0
+			c.Confirmed = v.number != 0
 		}
 		return nil
 	})
-	if !(c.Until >= now-1e12 && c.Until <= now+1e12) || math.IsNaN(c.First) || math.IsNaN(c.NeedMB+c.WorkMS) {
+	if !(c.Deadline >= now-1e12 && c.Deadline <= now+1e12) || math.IsNaN(c.FirstAttemptAt) || math.IsNaN(c.MemoryMB+c.WorkMS) {
 		return c, errMalformed
 	}
 	return c, err
@@ -188,26 +188,26 @@
 	if it.Key != (Key{}) {
 		w.bytes(2, it.Key[:])
 	}
-	w.number(3, it.Number)
+	w.number(3, it.Sequence)
 	if it.Copy != nil {
 		var c writer
 		it.Copy.append(&c, now)
 		w.bytes(4, c)
 	}
-	w.number(5, uint64(it.Standing))
-	w.float(6, ago(now, it.First))
-	w.text(7, it.Place)
+	w.number(5, uint64(it.RunState))
+	w.float(6, ago(now, it.FirstAttemptAt))
+	w.text(7, it.Zone)
 	w.number(8, protowire.EncodeZigZag(it.Cell))
 	w.number(9, uint64(it.Outcome))
 	w.bytes(10, it.Answer)
 	w.text(11, it.From.Name)
-	w.number(12, it.From.Life)
-	w.number(13, uint64(it.Part))
+	w.number(12, it.From.Incarnation)
+	w.number(13, uint64(it.Partition))
 	if it.After != (Key{}) {
 		w.bytes(14, it.After[:])
 	}
 	w.flag(15, it.More)
-	w.text(16, it.Why)
+	w.text(16, it.Reason)
 	for k := range it.Copies {
 		var c writer
 		it.Copies[k].append(&c, now)
@@ -223,17 +223,17 @@
 		case 2:
 			copy(it.Key[:], v.bytes)
 		case 3:
-			it.Number = v.number
+			it.Sequence = v.number
 		case 4:
 			c, err := readCopy(v.bytes, now)
 			it.Copy = &c
 			return err
 		case 5:
-			it.Standing = Standing(min(v.number, uint64(Ran)))
+			it.RunState = RunState(min(v.number, uint64(Ran)))
 		case 6:
-			it.First = back(now, v.float())
+			it.FirstAttemptAt = back(now, v.float())
 		case 7:
-			it.Place = string(v.bytes)
+			it.Zone = string(v.bytes)
 		case 8:
 			it.Cell = protowire.DecodeZigZag(v.number)
 		case 9:
@@ -243,15 +243,15 @@
 		case 11:
 			it.From.Name = string(v.bytes)
 		case 12:
-			it.From.Life = v.number
+			it.From.Incarnation = v.number
 		case 13:
-			it.Part = int(min(v.number, 1<<16))
+			it.Partition = int(min(v.number, 1<<16))
 		case 14:
 			copy(it.After[:], v.bytes)
 		case 15:
 			it.More = v.number != 0
 		case 16:
-			it.Why = string(v.bytes)
+			it.Reason = string(v.bytes)
 		case 17:
 			c, err := readCopy(v.bytes, now)
 			it.Copies = append(it.Copies, c)
@@ -259,7 +259,7 @@
 		}
 		return nil
 	})
-	if math.IsNaN(it.First) {
+	if math.IsNaN(it.FirstAttemptAt) {
 		return it, errMalformed
 	}
 	return it, err
@@ -269,10 +269,10 @@
 func (b *Batch) Append(out []byte, now float64) []byte {
 	w := writer(out)
 	w.text(1, b.From.Name)
-	w.number(2, b.From.Life)
+	w.number(2, b.From.Incarnation)
 	w.number(3, b.Version)
-	w.number(4, b.Step)
-	w.flag(5, b.Behind)
+	w.number(4, b.PlacementStep)
+	w.flag(5, b.StalePlacement)
 	for k := range b.Items {
 		var it writer
 		b.Items[k].append(&it, now)
@@ -289,13 +289,13 @@
 		case 1:
 			b.From.Name = string(v.bytes)
 		case 2:
-			b.From.Life = v.number
+			b.From.Incarnation = v.number
 		case 3:
 			b.Version = v.number
 		case 4:
-			b.Step = v.number
+			b.PlacementStep = v.number
 		case 5:
-			b.Behind = v.number != 0
+			b.StalePlacement = v.number != 0
 		case 6:
 			it, err := readItem(v.bytes, now)
 			b.Items = append(b.Items, it)
--- a/internal/handoffnet/copies.go
+++ b/internal/handoffnet/copies.go
@@ -34,8 +34,8 @@
 		return fmt.Errorf("estate: %w", err)
 	}
 	for k, value := range found {
-		if one, err := handoff.ReadCopy(value, now); err == nil && handoff.KeyOf(one.Mark, one.ID) == handoff.Key(k) {
-			t.estate.Step(now, &handoff.Event{Kind: handoff.Read, Copy: &one})
+		if one, err := handoff.ReadCopy(value, now); err == nil && handoff.KeyOf(one.IdempotencyKey, one.ID) == handoff.Key(k) {
+			t.estate.Step(now, &handoff.Event{Kind: handoff.CopyRestored, Copy: &one})
 		}
 	}
 	c.store = s
@@ -49,7 +49,7 @@
 	c.batch.Reset()
 	for i := range effects {
 		e := &effects[i]
-		if e.Kind != handoff.Keep {
+		if e.Kind != handoff.PersistCopy {
 			continue
 		}
 		if e.Copy == nil {
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -42,16 +42,16 @@
 
 func goldenCopy(n int) handoff.Copy {
 	id, mark := fmt.Sprint("id-", n), fmt.Sprint("mark-", n)
-	return handoff.Copy{Work: handoff.Work{ID: id, Mark: mark, Offering: "mark", Order: "key", Team: "model", Schema: "s1", Group: 12, NeedMB: 1.5, WorkMS: 2.25,
-		Body: []byte("body")}, Owner: handoff.Member{Name: "a", Life: 3}, Number: 17, Outcome: handoff.Outcome(n % 7), Standing: handoff.Standing(n % 3),
-		First: 40000, Place: "here", Cell: -5, Until: 52000, Answer: []byte("answer"), Whole: true, Light: n%2 == 0, Sure: true}
+	return handoff.Copy{RequestData: handoff.RequestData{ID: id, IdempotencyKey: mark, Class: "mark", OrderKey: "key", Team: "model", Schema: "s1", TableGroup: 12, MemoryMB: 1.5, WorkMS: 2.25,
+		Body: []byte("body")}, Owner: handoff.Member{Name: "a", Incarnation: 3}, Sequence: 17, Outcome: handoff.Outcome(n % 7), RunState: handoff.RunState(n % 3),
+		FirstAttemptAt: 40000, Zone: "here", Cell: -5, Deadline: 52000, Answer: []byte("answer"), Complete: true, Idempotent: n%2 == 0, Confirmed: true}
 }
 
 func goldenTrustee() *Agent {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	return New(handoff.Member{Name: "b", Life: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
+	return New(handoff.Member{Name: "b", Incarnation: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
 }
 
 // A holder's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A log file stands here
@@ -63,9 +63,9 @@
 	var effects []handoff.Effect
 	for n := range 7 {
 		c := goldenCopy(n)
-		effects = append(effects, handoff.Effect{Kind: handoff.Keep, Key: handoff.KeyOf(c.Mark, c.ID), Copy: &c, Version: uint64(70000 + n)})
+		effects = append(effects, handoff.Effect{Kind: handoff.PersistCopy, Key: handoff.KeyOf(c.IdempotencyKey, c.ID), Copy: &c, Version: uint64(70000 + n)})
 	}
-	gone := handoff.Effect{Kind: handoff.Keep, Key: handoff.KeyOf("mark-6", "")}
+	gone := handoff.Effect{Kind: handoff.PersistCopy, Key: handoff.KeyOf("mark-6", "")}
 	require.Equal(t, uint64(1), a.copies.keep(goldenNow, effects[:3], true))
 	require.Equal(t, stored{token: 1}, <-wrote)
 	require.Equal(t, uint64(0), a.copies.keep(goldenNow, effects[3:], false))
@@ -101,21 +101,21 @@
 		}
 		c, err := handoff.ReadCopy(value, goldenNow)
 		assert.NoError(t, err)
-		assert.Equal(t, handoff.KeyOf(c.Mark, c.ID), handoff.Key(k))
+		assert.Equal(t, handoff.KeyOf(c.IdempotencyKey, c.ID), handoff.Key(k))
 		got[c.ID], expires[c.ID] = c, until
 	})
 	require.NoError(t, err)
 	assert.Len(t, got, 6)
 	for n := range 6 {
 		c := goldenCopy(n)
-		c.First -= 1000 // it may have been made earlier by as long as a word may take
+		c.FirstAttemptAt -= 1000 // it may have been made earlier by as long as a word may take
 		assert.Equal(t, c, got[c.ID])
 		assert.Equal(t, int64(70000+n), expires[c.ID])
 	}
 
 	b := goldenTrustee()
 	require.NoError(t, b.PersistCopies(fs, func(any) {}))
-	assert.Equal(t, 6, b.Manager().Counts().Copies)
+	assert.Equal(t, 6, b.Manager().Counts().CopiesStored)
 	b.Close()
 }
 
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -33,7 +33,7 @@
 
 // Agent joins an estate to a desk, to the fleet's carriage and to the council.
 type Agent struct {
-	estate  *handoff.Estate
+	estate  *handoff.Manager
 	desk    *dispatch.Loop
 	clock   dispatch.Clock
 	carrier *clusternet.Transport
@@ -148,64 +148,64 @@
 	if p := t.counts.Load(); p != nil {
 		c = *p
 	}
-	return logrus.Fields{"copies": c.Copies, "open": c.Open, "held_copies": c.Held, "settled": c.Settled, "adopted": c.Adopted,
-		"written_off": c.Failed, "dropped": c.Dropped, "mine": c.Mine, "waiting": c.Waiting, "registered": c.Registered, "waited": c.Waited,
-		"told": c.Told, "refused": c.Refused, "withheld": c.Withheld, "alone": c.Alone, "claims": c.Claims, "taken": c.Taken,
-		"taken_done": c.TakenDone, "late": c.Late, "words": c.Words, "lost": c.Lost, "pulled": c.Pulled, "calls": t.Calls.Load(),
+	return logrus.Fields{"copies": c.CopiesStored, "open": c.Open, "held_copies": c.CopiesReceived, "settled": c.Settled, "adopted": c.Adopted,
+		"written_off": c.Failed, "dropped": c.Dropped, "mine": c.OwnedRequests, "waiting": c.SuspendedRequests, "registered": c.Registered, "waited": c.Waited,
+		"told": c.AnsweredFromCopy, "refused": c.Refused, "withheld": c.Withheld, "alone": c.AttemptsUnreplicated, "claims": c.AdoptionClaims, "taken": c.AdoptionsStarted,
+		"taken_done": c.AdoptionsDone, "late": c.AdoptionsLate, "words": c.MessagesSent, "lost": c.MessagesLost, "pulled": c.CopiesFetched, "calls": t.Calls.Load(),
 		"calls_failed": t.Failed.Load(), "lined_up_too_long": t.Dropped.Load(),
 		"datagrams": t.Datagrams.Load(), "datagrams_unanswered": t.Unanswered.Load()}
 }
 
 // ---- as a part of the desk
 
-var outcomes = map[ledger.Outcome]handoff.Outcome{ledger.Handled: handoff.Handled, ledger.Denied: handoff.Denied,
-	ledger.WrittenOff: handoff.WrittenOff, ledger.Left: handoff.Left}
+var outcomes = map[ledger.Outcome]handoff.Outcome{ledger.Handled: handoff.Succeeded, ledger.Denied: handoff.Rejected,
+	ledger.WrittenOff: handoff.Failed, ledger.Left: handoff.Abandoned}
 
-var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Handled: ledger.Handled, handoff.Denied: ledger.Denied,
-	handoff.WrittenOff: ledger.WrittenOff, handoff.Left: ledger.Left, handoff.Unknown: ledger.Unknown}
+var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Succeeded: ledger.Handled, handoff.Rejected: ledger.Denied,
+	handoff.Failed: ledger.WrittenOff, handoff.Abandoned: ledger.Left, handoff.Unknown: ledger.Unknown}
 
 // Handle tells the estate, in its own words.
 func (t *Agent) Handle(now float64, h *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	var ev handoff.Event
 	switch s := h.Request; h.Kind {
 	case dispatch.RequestArriving:
-		ev = handoff.Event{Kind: handoff.Arrives, ID: s.ID, Copy: &handoff.Copy{Until: s.Deadline, Work: handoff.Work{ID: s.ID, Mark: s.IdempotencyKey,
-			Offering: s.Class, Order: s.OrderKey, Team: s.Team, Schema: s.Schema, Group: s.TableGroup, NeedMB: s.MemoryMB, WorkMS: s.WorkMS, Body: s.Body}}}
+		ev = handoff.Event{Kind: handoff.RequestArriving, ID: s.ID, Copy: &handoff.Copy{Deadline: s.Deadline, RequestData: handoff.RequestData{ID: s.ID, IdempotencyKey: s.IdempotencyKey,
+			Class: s.Class, OrderKey: s.OrderKey, Team: s.Team, Schema: s.Schema, TableGroup: s.TableGroup, MemoryMB: s.MemoryMB, WorkMS: s.WorkMS, Body: s.Body}}}
 	case dispatch.SuspendedClientLeft:
-		ev = handoff.Event{Kind: handoff.Gone, ID: s.ID}
+		ev = handoff.Event{Kind: handoff.ClientLeft, ID: s.ID}
 	case dispatch.AttemptStarting:
 		at := t.where[h.Executor]
-		ev = handoff.Event{Kind: handoff.Firing, ID: s.ID, Shot: h.Attempt, Place: at.Place, Cell: at.Cell}
+		ev = handoff.Event{Kind: handoff.AttemptStarting, ID: s.ID, Attempt: h.Attempt, Zone: at.Place, Cell: at.Cell}
 	case dispatch.AttemptEnded:
-		ev = handoff.Event{Kind: handoff.ShotOver, ID: s.ID, Shot: h.Attempt, Unrun: h.NeverRan}
+		ev = handoff.Event{Kind: handoff.AttemptEnded, ID: s.ID, Attempt: h.Attempt, NeverRan: h.NeverRan}
 	case dispatch.RequestEnding:
-		ev = handoff.Event{Kind: handoff.Ending, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
+		ev = handoff.Event{Kind: handoff.RequestEnding, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
 	case dispatch.RequestClosed:
-		ev = handoff.Event{Kind: handoff.Closed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
+		ev = handoff.Event{Kind: handoff.RequestClosed, ID: s.ID, Outcome: outcomes[h.Outcome], Answer: h.Body}
 	case dispatch.EndpointsUpdated:
 		t.list(h.List)
 		return out
 	case dispatch.ShutdownStarted:
-		ev = handoff.Event{Kind: handoff.Leaving}
+		ev = handoff.Event{Kind: handoff.ShutdownStarted}
 	case dispatch.Ticked:
 		ev = handoff.Event{Kind: handoff.Ticked}
 	case dispatch.OutcomeQueried:
 		t.tokens++
 		t.questions[t.tokens] = h.Query
 		out = append(out, dispatch.Command{Kind: dispatch.Consume})
-		ev = handoff.Event{Kind: handoff.Asked, ID: h.Query.ID, Mark: h.Query.IdempotencyKey, Token: t.tokens}
+		ev = handoff.Event{Kind: handoff.OutcomeQueried, ID: h.Query.ID, IdempotencyKey: h.Query.IdempotencyKey, Token: t.tokens}
 	case dispatch.MessagePosted:
 		switch n := h.Message.(type) {
 		case words:
 			t.tokens++
 			t.replies[t.tokens] = n.reply
-			ev = handoff.Event{Kind: handoff.Words, Batch: n.batch, Token: t.tokens}
+			ev = handoff.Event{Kind: handoff.BatchReceived, Batch: n.batch, Token: t.tokens}
 		case answers:
-			ev = handoff.Event{Kind: handoff.Answers, To: n.to, Sent: n.sent, Batch: n.back}
+			ev = handoff.Event{Kind: handoff.BatchAnswered, To: n.to, Sent: n.sent, Batch: n.back}
 		case rolled:
-			ev = handoff.Event{Kind: handoff.Seated, Places: n.roll.Members, Table: &n.roll.Table}
+			ev = handoff.Event{Kind: handoff.PlacementChanged, Members: n.roll.Members, Table: &n.roll.Table}
 		case relived:
-			ev = handoff.Event{Kind: handoff.Relived, Life: n.life}
+			ev = handoff.Event{Kind: handoff.IncarnationChanged, Incarnation: n.life}
 		case stored:
 			t.copies.stored(n, t)
 			return out
@@ -242,11 +242,11 @@
 func (t *Agent) Step(now float64, ev *handoff.Event) { t.desk.Execute(t.step(now, ev, nil)) }
 
 // Manager is for a call on the desk's goroutine.
-func (t *Agent) Manager() *handoff.Estate { return t.estate }
+func (t *Agent) Manager() *handoff.Manager { return t.estate }
 
 func (t *Agent) step(now float64, ev *handoff.Event, out []dispatch.Command) []dispatch.Command {
-	ev.Held = t.LeaseHeld()
-	lasts := t.copies != nil && (ev.Kind == handoff.Words)
+	ev.LeaseHeld = t.LeaseHeld()
+	lasts := t.copies != nil && (ev.Kind == handoff.BatchReceived)
 	effects := t.estate.Step(now, ev)
 	token := uint64(0)
 	if t.copies != nil {
@@ -254,46 +254,46 @@
 	}
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case handoff.Await:
+		case handoff.Suspend:
 			out = append(out, dispatch.Command{Kind: dispatch.Suspend})
 		case handoff.Resume:
-			out = append(out, dispatch.Command{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Blocked: e.Barred})
-		case handoff.Settle:
+			out = append(out, dispatch.Command{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Blocked: e.Blocked})
+		case handoff.AnswerSuspended:
 			out = append(out, dispatch.Command{Kind: dispatch.AnswerSuspended, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
-		case handoff.Hold:
+		case handoff.HoldAttempt:
 			out = append(out, dispatch.Command{Kind: dispatch.HoldAttempt})
-		case handoff.Forbid:
+		case handoff.BlockAttempt:
 			out = append(out, dispatch.Command{Kind: dispatch.HoldAttempt}, dispatch.Command{Kind: dispatch.BlockAttempt})
-		case handoff.Release:
-			out = append(out, dispatch.Command{Kind: dispatch.ReleaseAttempt, ID: e.ID, Attempt: e.Shot})
-		case handoff.Withhold:
-			out = append(out, dispatch.Command{Kind: dispatch.FailAttempt, ID: e.ID, Attempt: e.Shot})
-		case handoff.KeepBack:
+		case handoff.ReleaseAttempt:
+			out = append(out, dispatch.Command{Kind: dispatch.ReleaseAttempt, ID: e.ID, Attempt: e.Attempt})
+		case handoff.FailAttempt:
+			out = append(out, dispatch.Command{Kind: dispatch.FailAttempt, ID: e.ID, Attempt: e.Attempt})
+		case handoff.WithholdAnswer:
 			out = append(out, dispatch.Command{Kind: dispatch.WithholdAnswer})
-		case handoff.LetGo:
+		case handoff.DeliverAnswer:
 			out = append(out, dispatch.Command{Kind: dispatch.DeliverAnswer, ID: e.ID, Outcome: ledgers[e.Outcome], Body: e.Answer})
-		case handoff.Recall:
+		case handoff.CancelLocal:
 			out = append(out, dispatch.Command{Kind: dispatch.Discard, ID: e.ID})
 		case handoff.Adopt:
 			c := e.Copy
-			out = append(out, dispatch.Command{Kind: dispatch.Adopt, Prior: e.Prior, Request: &dispatch.Request{ID: c.ID, Class: c.Offering, OrderKey: c.Order,
-				IdempotencyKey: c.Mark, TableGroup: c.Group, MemoryMB: c.NeedMB, WorkMS: c.WorkMS, Deadline: c.Until, Team: c.Team, Schema: c.Schema,
+			out = append(out, dispatch.Command{Kind: dispatch.Adopt, Prior: e.Prior, Request: &dispatch.Request{ID: c.ID, Class: c.Class, OrderKey: c.OrderKey,
+				IdempotencyKey: c.IdempotencyKey, TableGroup: c.TableGroup, MemoryMB: c.MemoryMB, WorkMS: c.WorkMS, Deadline: c.Deadline, Team: c.Team, Schema: c.Schema,
 				Retried: true, Body: c.Body, Client: nopClient{}}})
-		case handoff.Say:
+		case handoff.SendBatch:
 			t.say(e.To, e.Batch, now)
-		case handoff.Answer:
+		case handoff.ReplyBatch:
 			t.answer(e, now, token)
-		case handoff.Reply:
+		case handoff.ReplyOutcome:
 			out = t.reply(e, out)
-		case handoff.Move:
-			t.log.WithFields(logrus.Fields{"motion": e.Motion, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
-			t.seat.Propose(consensus.Proposal(e.Motion, e.Claim, e.Version))
-		case handoff.Refresh:
+		case handoff.Propose:
+			t.log.WithFields(logrus.Fields{"motion": e.Proposal, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
+			t.seat.Propose(consensus.Proposal(e.Proposal, e.Claim, e.Version))
+		case handoff.RefreshPlacement:
 			if now > t.refreshed+refreshMS {
 				t.refreshed = now
 				t.seat.RefreshConfiguration()
 			}
-		case handoff.Note:
+		case handoff.LogMessage:
 			t.log.WithFields(logrus.Fields{"of": e.ID, "count": e.Count}).Warn("estate: " + e.Text)
 		}
 	}
--- a/internal/handoffnet/handoffnet_test.go
+++ b/internal/handoffnet/handoffnet_test.go
@@ -58,7 +58,7 @@
 	assert.NotZero(t, a.trustee.Datagrams.Load())
 	for _, x := range heard.answers() {
 		require.Len(t, x.back.Items, len(x.sent.Items))
-		assert.Equal(t, handoff.None, x.back.Items[0].Op)
+		assert.Equal(t, handoff.OpUnknown, x.back.Items[0].Op)
 		assert.Equal(t, "b", x.to)
 	}
 	nothing := true
@@ -106,11 +106,11 @@
 	assert.Zero(t, a.trustee.Datagrams.Load())
 	key := handoff.KeyOf("long", "")
 	b.desk.Call(func(now float64) {
-		who := handoff.Member{Name: "c", Life: 1}
-		c := handoff.Copy{Work: handoff.Work{ID: "x", Mark: "long", Offering: "mark"}, Owner: who, Number: 1, Until: now + 5000, Whole: true}
-		b.trustee.estate.Step(now, &handoff.Event{Kind: handoff.Words, Held: true, Batch: &handoff.Batch{From: who, Version: 1, Items: []handoff.Item{
-			{Op: handoff.Register, Key: key, Number: 1, From: who, Copy: &c},
-			{Op: handoff.Close, Key: key, Number: 2, From: who, Outcome: handoff.Handled, Standing: handoff.Ran, First: now, Answer: make([]byte, 3000)}}}})
+		who := handoff.Member{Name: "c", Incarnation: 1}
+		c := handoff.Copy{RequestData: handoff.RequestData{ID: "x", IdempotencyKey: "long", Class: "mark"}, Owner: who, Sequence: 1, Deadline: now + 5000, Complete: true}
+		b.trustee.estate.Step(now, &handoff.Event{Kind: handoff.BatchReceived, LeaseHeld: true, Batch: &handoff.Batch{From: who, Version: 1, Items: []handoff.Item{
+			{Op: handoff.OpRegister, Key: key, Sequence: 1, From: who, Copy: &c},
+			{Op: handoff.OpClose, Key: key, Sequence: 2, From: who, Outcome: handoff.Succeeded, RunState: handoff.Ran, FirstAttemptAt: now, Answer: make([]byte, 3000)}}}})
 	})
 	began := time.Now()
 	a.ask("long")
@@ -148,7 +148,7 @@
 		a.carrier.SendHandoff(to, data)
 		a.trustee.heardWord(from, data)
 	}
-	pull := &handoff.Batch{From: handoff.Member{Name: "a", Life: 1}, Version: 1, Items: []handoff.Item{{Op: handoff.Pull}}}
+	pull := &handoff.Batch{From: handoff.Member{Name: "a", Incarnation: 1}, Version: 1, Items: []handoff.Item{{Op: handoff.OpFetch}}}
 	a.carrier.SendHandoff(to, frame(wordsKind, 8, pull.Append(nil, 0)))
 	a.ask("k")
 	heard.waits(t, 1)
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -71,7 +71,7 @@
 	clock := dispatch.NewClock()
 	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
 	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	e.trustee = New(handoff.Member{Name: name, Life: 1}, given, 1, e.desk, clock, e.carrier, log)
+	e.trustee = New(handoff.Member{Name: name, Incarnation: 1}, given, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
 	e.trustee.listen()
 	hear := e.carrier.HandoffDatagram
@@ -101,7 +101,7 @@
 		table.Reseat(places, 1)
 		table.Step = 1
 		e.desk.Call(func(now float64) {
-			e.trustee.Step(now, &handoff.Event{Kind: handoff.Seated, Places: places, Table: &table})
+			e.trustee.Step(now, &handoff.Event{Kind: handoff.PlacementChanged, Members: places, Table: &table})
 		})
 	}
 	return e
@@ -118,9 +118,9 @@
 
 // ask says words that ask for so many keys.
 func (e *end) ask(keys ...string) {
-	b := &handoff.Batch{From: handoff.Member{Name: "a", Life: 1}, Version: 1}
+	b := &handoff.Batch{From: handoff.Member{Name: "a", Incarnation: 1}, Version: 1}
 	for _, k := range keys {
-		b.Items = append(b.Items, handoff.Item{Op: handoff.Ask, Key: handoff.KeyOf(k, "")})
+		b.Items = append(b.Items, handoff.Item{Op: handoff.OpQuery, Key: handoff.KeyOf(k, "")})
 	}
 	e.trustee.say("b", b, e.trustee.clock.Now())
 }
--- a/internal/handoffnet/line.go
+++ b/internal/handoffnet/line.go
@@ -136,7 +136,7 @@
 
 // short tells whether a batch's answers are short, and nothing in it depends on the whole of what was agreed.
 func short(b *handoff.Batch) bool {
-	return !slices.ContainsFunc(b.Items, func(it handoff.Item) bool { return it.Op == handoff.Pull || it.Op == handoff.Take })
+	return !slices.ContainsFunc(b.Items, func(it handoff.Item) bool { return it.Op == handoff.OpFetch || it.Op == handoff.OpAdopt })
 }
 
 // gather puts together what waits, up to so many bytes.
