--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -517,7 +517,7 @@
 }
 
 func (d *Loop) answered(s *request, as ledger.Outcome, body []byte, spentMS float64) {
-	if invariant.That(!s.answered, "a search is answered once") {
+	if invariant.Check(!s.answered, "a search is answered once") {
 		s.answered = true
 		d.open.Add(-1)
 		d.happen(Event{Kind: RequestClosed, Request: &s.Request, Outcome: as, Body: body, CostMS: spentMS})
@@ -563,7 +563,7 @@
 		return
 	}
 	s := d.requests[a.Request]
-	if !invariant.That(s != nil, "the module names open searches") {
+	if !invariant.Check(s != nil, "the module names open searches") {
 		return
 	}
 	switch a.Kind {
@@ -607,7 +607,7 @@
 }
 
 func (d *Loop) send(now float64, s *request, a *scheduler.Action) {
-	if !invariant.That(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
+	if !invariant.Check(s.fired < mostAttempts && !s.answered, "shots go out for open searches alone") {
 		return
 	}
 	n := s.fired
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -114,7 +114,7 @@
 	before := len(d.later)
 	d.halt(s, n, scheduler.Superseded)
 	for k := before; k < len(d.later); k++ {
-		invariant.That(d.later[k].Event.Outcome == scheduler.Superseded, "a shot that is held has not left")
+		invariant.Check(d.later[k].Event.Outcome == scheduler.Superseded, "a shot that is held has not left")
 		d.later[k].Event.Barred = true
 	}
 }
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -80,7 +80,7 @@
 			f["shots_"+endNames[k]] = n
 		}
 	}
-	broken := invariant.Broken()
+	broken := invariant.Violations()
 	for _, claim := range slices.Sorted(maps.Keys(broken)) {
 		f["broken: "+claim] = broken[claim]
 	}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -12,16 +12,16 @@
 	broken = map[string]uint64{}
 )
 
-// That tells whether a claim holds, and sees to it if it does not.
-func That(holds bool, claim string) bool {
+// Check tells whether a claim holds, and sees to it if it does not.
+func Check(holds bool, claim string) bool {
 	if !holds {
 		fail(claim)
 	}
 	return holds
 }
 
-// Broken gives the claims that did not hold, with how often.
-func Broken() map[string]uint64 {
+// Violations gives the claims that did not hold, with how often.
+func Violations() map[string]uint64 {
 	mu.Lock()
 	defer mu.Unlock()
 	return maps.Clone(broken)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestABrokenClaimStopsADebugBuildAndIsCountedInARelease(t *testing.T) {
-	assert.True(t, That(true, "fine"))
+	assert.True(t, Check(true, "fine"))
 	if Debug {
-		assert.Panics(t, func() { That(false, "odd") })
+		assert.Panics(t, func() { Check(false, "odd") })
 	} else {
-		assert.False(t, That(false, "odd"))
+		assert.False(t, Check(false, "odd"))
 	}
-	assert.Equal(t, map[string]uint64{"odd": 1}, Broken())
+	assert.Equal(t, map[string]uint64{"odd": 1}, Violations())
 }
