--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -69,7 +69,7 @@
 			return
 		}
 		r := row{Key: fmt.Sprintf("%x", k[:]), Kind: "?", Expires: expires, Bytes: len(value)}
-		if kind, fields, ok := ledger.Show(value); ok {
+		if kind, fields, ok := ledger.DescribeRecord(value); ok {
 			r.Kind, r.Fields = kind, fields
 		}
 		live[k] = r
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -143,7 +143,7 @@
 	}
 	return func() []string {
 		if i.keep != nil && next.Store != nil {
-			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.Heeded, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
+			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
 		}
 		if i.team != nil && next.Budgets != nil && i.file.Budgets.SameTree(next.Budgets) {
 			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, err
 	}
-	i.keep.Step(now, &ledger.Event{Kind: ledger.Noted, ID: limitNote + name, Mark: who, Body: text})
+	i.keep.Step(now, &ledger.Event{Kind: ledger.OperatorNoteSet, ID: limitNote + name, IdempotencyKey: who, Body: text})
 	return map[string]any{"lasts": true}, nil
 }
 
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -181,7 +181,7 @@
 }
 
 func (f *fleet) keepLife(life uint64) {
-	f.inst.keep.Step(f.clock.Now(), &ledger.Event{Kind: ledger.Noted, ID: lifeNote, Body: []byte(strconv.FormatUint(life, 10))})
+	f.inst.keep.Step(f.clock.Now(), &ledger.Event{Kind: ledger.OperatorNoteSet, ID: lifeNote, Body: []byte(strconv.FormatUint(life, 10))})
 }
 
 // begin tells the others that this controller serves, and the module how many there are whenever that changes.
--- a/internal/benchmark/store.go
+++ b/internal/benchmark/store.go
@@ -339,7 +339,7 @@
 	g := scheduler.Given{"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.limit_ms": 5000.0,
 		"ration_span_ms": 10000.0}
 	l := ledger.New(g)
-	l.Step(0, &ledger.Event{Kind: ledger.Began})
+	l.Step(0, &ledger.Event{Kind: ledger.RecoveryDone})
 	now, ids := 0.0, make([]string, 200_000)
 	for k := range ids {
 		ids[k] = fmt.Sprintf("%016x", k)
@@ -349,10 +349,10 @@
 		now++
 		id := ids[n%len(ids)]
 		n++
-		l.Step(now, &ledger.Event{Kind: ledger.Taken, ID: id, Offering: "look", Until: now + 5000})
-		l.Step(now, &ledger.Event{Kind: ledger.Fired, ID: id, Executor: 1})
-		l.Step(now, &ledger.Event{Kind: ledger.ShotEnded, ID: id})
-		l.Step(now, &ledger.Event{Kind: ledger.Closed, ID: id, Outcome: ledger.Handled})
+		l.Step(now, &ledger.Event{Kind: ledger.RequestReceived, ID: id, Class: "look", Deadline: now + 5000})
+		l.Step(now, &ledger.Event{Kind: ledger.AttemptStarting, ID: id, Executor: 1})
+		l.Step(now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id})
+		l.Step(now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Succeeded})
 		if n%100 == 0 {
 			l.Step(now, &ledger.Event{Kind: ledger.Ticked})
 		}
--- a/internal/dispatch/await_test.go
+++ b/internal/dispatch/await_test.go
@@ -39,9 +39,9 @@
 		prior  float64
 	}{
 		"goes on":     {Command{Kind: Resume, ID: "a", Prior: scheduler.Prior{At: 7}}, nil, 7},
-		"told":        {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}, []string{"handled"}, 0},
-		"denied":      {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Denied}, []string{"denied"}, 0},
-		"written off": {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Handled}, []string{"written off"}, 0},
+		"told":        {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Succeeded, Body: []byte("rows")}, []string{"handled"}, 0},
+		"denied":      {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Rejected}, []string{"denied"}, 0},
+		"written off": {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Succeeded}, []string{"written off"}, 0},
 	} {
 		for _, atOnce := range []bool{false, true} { // in the same step, or later
 			f, at := &side{}, map[EventKind][]Command{RequestArriving: awaits}
@@ -101,17 +101,17 @@
 	assert.Empty(t, f.did)
 	assert.Equal(t, 1, d.OpenRequests(), "a planned stop waits for it")
 	assert.Contains(t, *heard, RequestClosed)
-	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Handled, Body: []byte("rows")}})
+	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Succeeded, Body: []byte("rows")}})
 	assert.Equal(t, []string{"handled"}, f.did)
 	assert.Zero(t, d.OpenRequests())
 	assert.Empty(t, d.requests)
-	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Denied}})
+	d.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Rejected}})
 	assert.Len(t, f.did, 1, "once")
 }
 
 func TestARequestIsAdoptedAndDismissed(t *testing.T) {
 	f := &side{stopped: CancelSent}
-	d, one, heard := asker(f, map[EventKind][]Command{RequestArriving: {{Kind: Suspend}, {Kind: AnswerSuspended, ID: "a", Outcome: ledger.Denied}}})
+	d, one, heard := asker(f, map[EventKind][]Command{RequestArriving: {{Kind: Suspend}, {Kind: AnswerSuspended, ID: "a", Outcome: ledger.Rejected}}})
 	*heard = nil
 	d.Execute([]Command{{Kind: Adopt, Request: search0(d, f), Prior: scheduler.Prior{At: 9}}})
 	d.rest()
--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -46,7 +46,7 @@
 	case RequestReturned:
 		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Back, ID: s.ID}))
 	case RequestClosed:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.CostMS, Handled: h.Outcome == ledger.Handled}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.CostMS, Handled: h.Outcome == ledger.Succeeded}))
 	case RequestRejecting:
 		// When its request would have begun, where that is known and no longer than may be told.
 		if start, _ := b.WaitEstimate(now, s.ID); h.AfterMS > 0 && start > 0 {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -390,7 +390,7 @@
 			return
 		}
 		if !ev.HalfClosed { // else the module gives it its answer
-			d.answered(s, ledger.Left, nil, 0)
+			d.answered(s, ledger.Abandoned, nil, 0)
 			d.tally.ClientLeft++
 		}
 	case scheduler.Ended:
@@ -400,12 +400,12 @@
 		}
 		if ev.Outcome == scheduler.Superseded && !s.answered && s.Abandoned() { // the word of it still stands in the queue
 			if ev.Barred = ev.Barred || s.halfClosed(); !s.halfClosed() {
-				d.answered(s, ledger.Left, nil, 0)
+				d.answered(s, ledger.Abandoned, nil, 0)
 				d.tally.ClientLeft++
 			}
 		}
 		if ev.Outcome == scheduler.Handled && !s.answered {
-			d.conclude(s, ledger.Handled, it.Body, 0, ev.SpentMS)
+			d.conclude(s, ledger.Succeeded, it.Body, 0, ev.SpentMS)
 			d.tally.Succeeded++
 		}
 		ev.Over = s.answered
@@ -473,7 +473,7 @@
 		d.open.Add(-1)
 		d.tally.DuplicateIDs++
 		if resumed {
-			d.happen(Event{Kind: RequestClosed, Request: in, Outcome: ledger.WrittenOff})
+			d.happen(Event{Kind: RequestClosed, Request: in, Outcome: ledger.Failed})
 		}
 		return nil
 	}
@@ -599,9 +599,9 @@
 		}
 		d.tally.turnedAway(a.Kind, s.halfClosed())
 		if a.Kind == scheduler.Deny {
-			d.conclude(s, ledger.Denied, nil, d.happen(Event{Kind: RequestRejecting, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
+			d.conclude(s, ledger.Rejected, nil, d.happen(Event{Kind: RequestRejecting, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
 		} else {
-			d.conclude(s, ledger.WrittenOff, nil, 0, 0)
+			d.conclude(s, ledger.Failed, nil, 0, 0)
 		}
 	}
 }
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -33,20 +33,20 @@
 	var ev ledger.Event
 	switch s := h.Request; h.Kind {
 	case RequestReceived:
-		ev = ledger.Event{Kind: ledger.Taken, ID: s.ID, Mark: s.IdempotencyKey, Offering: s.Class, Until: s.Deadline, Prior: h.Prior}
+		ev = ledger.Event{Kind: ledger.RequestReceived, ID: s.ID, IdempotencyKey: s.IdempotencyKey, Class: s.Class, Deadline: s.Deadline, Prior: h.Prior}
 	case AttemptStarting:
-		ev = ledger.Event{Kind: ledger.Fired, ID: s.ID, Shot: h.Attempt, Executor: h.Executor}
+		ev = ledger.Event{Kind: ledger.AttemptStarting, ID: s.ID, Attempt: h.Attempt, Executor: h.Executor}
 	case AttemptEnded:
-		ev = ledger.Event{Kind: ledger.ShotEnded, ID: s.ID, Shot: h.Attempt, Unrun: h.NeverRan}
+		ev = ledger.Event{Kind: ledger.AttemptEnded, ID: s.ID, Attempt: h.Attempt, NeverRan: h.NeverRan}
 	case RequestClosed:
-		ev = ledger.Event{Kind: ledger.Closed, ID: s.ID, Outcome: h.Outcome, Body: h.Body}
+		ev = ledger.Event{Kind: ledger.RequestClosed, ID: s.ID, Outcome: h.Outcome, Body: h.Body}
 	case EndpointsUpdated:
 		l := h.List
-		ev = ledger.Event{Kind: ledger.Listed, Index: l.Index, Restored: l.List == scheduler.Restored, Whole: l.List != scheduler.Changes, Entries: l.Entries}
+		ev = ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: l.Index, Restored: l.List == scheduler.Restored, Complete: l.List != scheduler.Changes, Endpoints: l.Entries}
 	case Ticked:
 		ev = ledger.Event{Kind: ledger.Ticked}
 		if r.WantsExecutorViews(now) {
-			ev.Beliefs, ev.Figures = h.SchedulerState()
+			ev.ExecutorViews, ev.Estimates = h.SchedulerState()
 		}
 	case MessagePosted:
 		note, ours := h.Message.(*ledger.Event)
@@ -55,8 +55,8 @@
 		}
 		ev = *note
 	case OutcomeQueried:
-		for _, e := range r.Step(now, &ledger.Event{Kind: ledger.Asked, ID: h.Query.ID, Mark: h.Query.IdempotencyKey}) {
-			if e.Kind == ledger.Tell {
+		for _, e := range r.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: h.Query.ID, IdempotencyKey: h.Query.IdempotencyKey}) {
+			if e.Kind == ledger.AnswerFromRecord {
 				h.Query.Reply(e)
 			}
 		}
@@ -67,22 +67,22 @@
 	effects := r.Step(now, &ev)
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case ledger.Hold:
+		case ledger.HoldAttempt:
 			out = append(out, Command{Kind: HoldAttempt})
-		case ledger.Release:
-			out = append(out, Command{Kind: ReleaseAttempt, ID: e.ID, Attempt: e.Shot})
-		case ledger.Refuse:
-			f := Command{Kind: FailAttempt, ID: e.ID, Attempt: e.Shot}
+		case ledger.ReleaseAttempt:
+			out = append(out, Command{Kind: ReleaseAttempt, ID: e.ID, Attempt: e.Attempt})
+		case ledger.FailAttempt:
+			f := Command{Kind: FailAttempt, ID: e.ID, Attempt: e.Attempt}
 			if h.Kind == AttemptStarting { // its record could not even be lined up
 				f.Kind = BlockAttempt
 			}
 			out = append(out, f)
-		case ledger.Admit, ledger.Bar:
-			out = append(out, Command{Kind: Admit, Prior: e.Prior, Blocked: e.Kind == ledger.Bar})
-		case ledger.Tell:
+		case ledger.Admit, ledger.AdmitBlocked:
+			out = append(out, Command{Kind: Admit, Prior: e.Prior, Blocked: e.Kind == ledger.AdmitBlocked})
+		case ledger.AnswerFromRecord:
 			out = append(out, Command{Kind: AnswerFromRecord, Outcome: e.Outcome, Body: e.Body, AfterMS: e.AfterMS})
-		case ledger.Recall:
-			out = append(out, Command{Kind: RestoreState, Event: e.Module})
+		case ledger.RestoreState:
+			out = append(out, Command{Kind: RestoreState, Event: e.SchedulerEvent})
 		}
 	}
 	return out
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/seam.go
@@ -304,7 +304,7 @@
 	if d.happen(Event{Kind: RequestEnding, Request: &s.Request, Outcome: as, Body: body}).keep {
 		s.ending = true
 		d.open.Add(1) // until it is let go
-	} else if as == ledger.Handled {
+	} else if as == ledger.Succeeded {
 		s.Client.Succeeded(s.Tag, body)
 	} else {
 		reply(&s.Request, as, body, afterMS)
@@ -327,9 +327,9 @@
 // reply tells a client how its request ended.
 func reply(s *Request, as ledger.Outcome, body []byte, afterMS float64) {
 	switch {
-	case as == ledger.Handled && body != nil:
+	case as == ledger.Succeeded && body != nil:
 		s.Client.Succeeded(s.Tag, body)
-	case as == ledger.Denied:
+	case as == ledger.Rejected:
 		s.Client.Rejected(s.Tag, afterMS)
 	default:
 		s.Client.Failed(s.Tag)
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -158,11 +158,11 @@
 
 // ---- as a part of the desk
 
-var outcomes = map[ledger.Outcome]handoff.Outcome{ledger.Handled: handoff.Succeeded, ledger.Denied: handoff.Rejected,
-	ledger.WrittenOff: handoff.Failed, ledger.Left: handoff.Abandoned}
+var outcomes = map[ledger.Outcome]handoff.Outcome{ledger.Succeeded: handoff.Succeeded, ledger.Rejected: handoff.Rejected,
+	ledger.Failed: handoff.Failed, ledger.Abandoned: handoff.Abandoned}
 
-var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Succeeded: ledger.Handled, handoff.Rejected: ledger.Denied,
-	handoff.Failed: ledger.WrittenOff, handoff.Abandoned: ledger.Left, handoff.Unknown: ledger.Unknown}
+var ledgers = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Succeeded: ledger.Succeeded, handoff.Rejected: ledger.Rejected,
+	handoff.Failed: ledger.Failed, handoff.Abandoned: ledger.Abandoned, handoff.Unknown: ledger.Unknown}
 
 // Handle tells the estate, in its own words.
 func (t *Agent) Handle(now float64, h *dispatch.Event, out []dispatch.Command) []dispatch.Command {
@@ -324,7 +324,7 @@
 	case e.Outcome == handoff.Unknown:
 		out = append(out, dispatch.Command{Kind: dispatch.ForwardQuery, Query: q})
 	default:
-		q.Reply(ledger.Effect{Kind: ledger.Tell, Outcome: ledgers[e.Outcome], Body: e.Answer, AgeMS: e.AfterMS})
+		q.Reply(ledger.Effect{Kind: ledger.AnswerFromRecord, Outcome: ledgers[e.Outcome], Body: e.Answer, AgeMS: e.AfterMS})
 	}
 	return out
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -58,7 +58,7 @@
 	}
 	slots := []slot{{1200, 300, 2}, {1233, 1, 0}, {1234, 0, 7}}
 	executor := trust{id: 9, place: "here", cell: -4, coldUntil: 130000.5, aside: true, strikes: 3, drain: 77, upSince: 1000.5, told: goldenNow}
-	this := life{at: 100.5, moment: Moment{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"}, told: goldenNow, clean: true}
+	this := life{at: 100.5, moment: Clocks{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"}, told: goldenNow, clean: true}
 	figures := []scheduler.Figure{{Name: "ran", Value: 1.5}, {Name: "threads.look", Value: -0.25}, {Name: "zero", Value: 0}}
 	set := note{key: noteKey("limit model"), name: "limit model", who: "ann", text: []byte("{}"), at: goldenNow}
 	return append(all,
@@ -67,7 +67,7 @@
 		goldenRecord{"life", lifeKey, func(l *Ledger) { l.life, l.doubtUntil = this, 140000.5; l.keepLife() },
 			func(l *Ledger) any { return []any{l.life, l.doubtUntil} }, []any{this, 140000.5}},
 		goldenRecord{"learnt", learntKey, func(l *Ledger) { l.learnt = figures; l.keepLearnt() }, func(l *Ledger) any { return l.learnt }, figures},
-		goldenRecord{"note", set.key, func(l *Ledger) { l.keepNote(&Event{ID: set.name, Mark: set.who, Body: set.text}) },
+		goldenRecord{"note", set.key, func(l *Ledger) { l.keepNote(&Event{ID: set.name, IdempotencyKey: set.who, Body: set.text}) },
 			func(l *Ledger) any { return l.notes[0] }, set})
 }
 
@@ -78,14 +78,14 @@
 		l.now = goldenNow
 		r.write(l)
 		e := l.out[0]
-		require.Equal(t, Keep, e.Kind, r.name)
+		require.Equal(t, Persist, e.Kind, r.name)
 		assert.Equal(t, r.key, e.Key, r.name)
 		text := golden(t, r.name+".txt", fmt.Appendf(nil, "key %x\nexpires %d\nvalue %x\n", e.Key[:], e.Expires, e.Value))
 		var key, value string
 		var expires int64
 		_, err := fmt.Sscanf(string(text), "key %s\nexpires %d\nvalue %s\n", &key, &expires, &value)
 		require.NoError(t, err, r.name)
-		ev := Event{Kind: Read, Expires: expires}
+		ev := Event{Kind: RecordRead, Expires: expires}
 		_, err = hex.Decode(ev.Key[:], []byte(key))
 		require.NoError(t, err, r.name)
 		ev.Value, err = hex.DecodeString(value)
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -33,32 +33,32 @@
 }
 
 // born is a ledger that begins at a clock with what the disk holds.
-func born(d *disk, now float64, m Moment, doubt bool) *lives {
+func born(d *disk, now float64, m Clocks, doubt bool) *lives {
 	l := &lives{Ledger: New(given()), disk: d}
 	for k, e := range d.kept {
-		l.Step(0, &Event{Kind: Read, Key: k, Expires: e.Expires, Value: e.Value})
+		l.Step(0, &Event{Kind: RecordRead, Key: k, Expires: e.Expires, Value: e.Value})
 	}
-	l.do(now, Event{Kind: Began, Moment: m, Doubt: doubt})
+	l.do(now, Event{Kind: RecoveryDone, Clocks: m, TailInDoubt: doubt})
 	return l
 }
 
 func firstLife(now float64) *lives { return born(&disk{kept: map[Key]Effect{}}, now, up(now), false) }
 
 // up is a moment of a machine that has run since 0.
-func up(ms float64) Moment { return Moment{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
+func up(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
 
 // do plays an event, keeps what is to be kept, and gives the rest.
 func (l *lives) do(now float64, ev Event) (rest []Effect) {
 	for _, e := range l.Step(now, &ev) {
 		switch e.Kind {
-		case Keep:
+		case Persist:
 			e.Value = append([]byte(nil), e.Value...)
 			l.disk.kept[e.Key] = e
-		case Forget:
+		case Delete:
 			delete(l.disk.kept, e.Key)
-		case Recall:
-			l.recall = append(l.recall, e.Module)
-		case Say:
+		case RestoreState:
+			l.recall = append(l.recall, e.SchedulerEvent)
+		case LogMessage:
 			l.said = append(l.said, e.Text)
 		case Sync:
 		default:
@@ -69,15 +69,15 @@
 }
 
 func (l *lives) take(now float64, offering, id, label string) Effect {
-	return l.do(now, Event{Kind: Taken, ID: id, Mark: label, Offering: offering, Until: now + 5000})[0]
+	return l.do(now, Event{Kind: RequestReceived, ID: id, IdempotencyKey: label, Class: offering, Deadline: now + 5000})[0]
 }
 
 // send puts a shot on record and has that last; it tells whether the shot left.
 func (l *lives) send(now float64, id string, n int, executor uint32) bool {
-	for _, e := range l.do(now, Event{Kind: Fired, ID: id, Shot: n, Executor: executor}) {
-		if e.Kind == Hold {
-			r := l.do(now, Event{Kind: Stored, Token: e.Token, OK: true})
-			return len(r) == 1 && r[0].Kind == Release && r[0].ID == id && r[0].Shot == n
+	for _, e := range l.do(now, Event{Kind: AttemptStarting, ID: id, Attempt: n, Executor: executor}) {
+		if e.Kind == HoldAttempt {
+			r := l.do(now, Event{Kind: RecordsStored, Token: e.Token, OK: true})
+			return len(r) == 1 && r[0].Kind == ReleaseAttempt && r[0].ID == id && r[0].Attempt == n
 		}
 	}
 	return true
@@ -85,8 +85,8 @@
 
 // outcome is what is told of an id, then of a mark.
 func (l *lives) outcome(now float64, id, label string) (a, b Outcome) {
-	a = l.do(now, Event{Kind: Asked, ID: id})[0].Outcome
-	return a, l.do(now, Event{Kind: Asked, Mark: label})[0].Outcome
+	a = l.do(now, Event{Kind: OutcomeQueried, ID: id})[0].Outcome
+	return a, l.do(now, Event{Kind: OutcomeQueried, IdempotencyKey: label})[0].Outcome
 }
 
 // listed tells of executors 1 and 2 here and 3 there.
@@ -104,7 +104,7 @@
 		}
 		list = append(list, e)
 	}
-	l.do(now, Event{Kind: Listed, Index: index, Restored: true, Whole: true, Entries: list})
+	l.do(now, Event{Kind: EndpointsUpdated, ListVersion: index, Restored: true, Complete: true, Endpoints: list})
 }
 
 // The same cases in every run, and no files left behind; the command line may say otherwise.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -22,19 +22,19 @@
 
 // The events.
 const (
-	Read      EventKind = iota // a record from before, at the start
-	Began                      // all has been read
-	Taken                      // a search came in
-	Fired                      // a shot is about to leave
-	ShotEnded                  // a shot has its outcome
-	Closed                     // a search has its final answer, or its client left
-	Stored                     // what became of what was to be kept
-	Listed                     // news of the list of executors
-	Ticked                     // time went by: each 100 ms
-	Asked                      // what became of an id or a mark
-	Stopped                    // the end of a planned stop
-	Heeded                     // other settings hold from now on
-	Noted                      // an operator has set something that is to last: ID names it, Body says it, Mark is who
+	RecordRead       EventKind = iota // a record from before, at the start
+	RecoveryDone                      // all has been read
+	RequestReceived                   // a search came in
+	AttemptStarting                   // a shot is about to leave
+	AttemptEnded                      // a shot has its outcome
+	RequestClosed                     // a search has its final answer, or its client left
+	RecordsStored                     // what became of what was to be kept
+	EndpointsUpdated                  // news of the list of executors
+	Ticked                            // time went by: each 100 ms
+	OutcomeQueried                    // what became of an id or a mark
+	ShutdownFinished                  // the end of a planned stop
+	SettingsChanged                   // other settings hold from now on
+	OperatorNoteSet                   // an operator has set something that is to last: ID names it, Body says it, Mark is who
 )
 
 // Outcome is what became of a search.
@@ -44,10 +44,10 @@
 const (
 	Unknown Outcome = iota
 	Open
-	Handled
-	Denied
-	WrittenOff
-	Left
+	Succeeded
+	Rejected
+	Failed
+	Abandoned
 )
 
 var outcomeNames = [...]string{"unknown", "open", "handled", "denied", "written_off", "left"}
@@ -57,36 +57,36 @@
 
 // Event is one thing that the ledger is told. Only the fields of its kind are set.
 type Event struct {
-	Kind     EventKind
-	ID, Mark string // Taken, Fired, ShotEnded, Closed, Asked
-	Offering string // Taken
-	Until    float64
-	Prior    scheduler.Prior // Taken: what may have run elsewhere under the mark
-	Shot     int
-	Executor uint32 // Fired
-	Unrun    bool   // ShotEnded: it is known not to have run
-	Outcome  Outcome
-	Body     []byte // Closed: the answer
-
-	Key     Key // Read
+	Kind               EventKind
+	ID, IdempotencyKey string // RequestReceived, AttemptStarting, AttemptEnded, RequestClosed, OutcomeQueried
+	Class              string // RequestReceived
+	Deadline           float64
+	Prior              scheduler.Prior // RequestReceived: what may have run elsewhere under the mark
+	Attempt            int
+	Executor           uint32 // AttemptStarting
+	NeverRan           bool   // AttemptEnded: it is known not to have run
+	Outcome            Outcome
+	Body               []byte // RequestClosed: the answer
+
+	Key     Key // RecordRead
 	Expires int64
 	Value   []byte // nil: the record before has ended
 
-	Moment Moment // Began
-	Doubt  bool   // Began: the last records may be missing
+	Clocks      Clocks // RecoveryDone
+	TailInDoubt bool   // RecoveryDone: the last records may be missing
 
-	Token uint64 // Stored
+	Token uint64 // RecordsStored
 	OK    bool
 
-	Given scheduler.Given // Heeded: remember_ms, keep_answer and most_kept
+	Given scheduler.Given // SettingsChanged: remember_ms, keep_answer and most_kept
 
-	Index    uint64 // Listed: the version of the list; 0 where it tells none
-	Restored bool   // Listed: as known at the start
-	Whole    bool
-	Entries  []scheduler.Entry
+	ListVersion uint64 // EndpointsUpdated: the version of the list; 0 where it tells none
+	Restored    bool   // EndpointsUpdated: as known at the start
+	Complete    bool
+	Endpoints   []scheduler.Entry
 
-	Beliefs []scheduler.Belief // Ticked, where it is time for them
-	Figures []scheduler.Figure
+	ExecutorViews []scheduler.Belief // Ticked, where it is time for them
+	Estimates     []scheduler.Figure
 }
 
 // EffectKind tells what an Effect asks for.
@@ -94,36 +94,36 @@
 
 // The effects.
 const (
-	Keep    EffectKind = iota // remember Value under Key until Expires
-	Forget                    // end what is under Key
-	Sync                      // what this step keeps must last, and Token is to be told
-	Hold                      // this shot leaves only at Release
-	Release                   // Shot of ID leaves
-	Refuse                    // Shot of ID must not leave, and no other may now
-	Admit                     // the search may go on; Prior: what may have run under its mark
-	Bar                       // the same, but nothing may be sent for it
-	Tell                      // the search is answered by what is on record
-	Recall                    // Module is for the decision module
-	Say                       // Text is for the operators
-	Note                      // what an operator had set: ID, Body, Text is who, AgeMS
+	Persist          EffectKind = iota // remember Value under Key until Expires
+	Delete                             // end what is under Key
+	Sync                               // what this step keeps must last, and Token is to be told
+	HoldAttempt                        // this shot leaves only at Release
+	ReleaseAttempt                     // Shot of ID leaves
+	FailAttempt                        // Shot of ID must not leave, and no other may now
+	Admit                              // the search may go on; Prior: what may have run under its mark
+	AdmitBlocked                       // the same, but nothing may be sent for it
+	AnswerFromRecord                   // the search is answered by what is on record
+	RestoreState                       // Module is for the decision module
+	LogMessage                         // Text is for the operators
+	OperatorNote                       // what an operator had set: ID, Body, Text is who, AgeMS
 )
 
 // Effect is one thing that the ledger wants done, in the order given. Values hold until the next Step.
 type Effect struct {
-	Kind    EffectKind
-	Key     Key
-	Value   []byte
-	Expires int64
-	Token   uint64
-	ID      string
-	Shot    int
-	Prior   scheduler.Prior
-	Outcome Outcome
-	Body    []byte // of an answer on record; nil: it was not kept
-	AfterMS float64
-	AgeMS   float64 // since the outcome
-	Module  scheduler.Event
-	Text    string
+	Kind           EffectKind
+	Key            Key
+	Value          []byte
+	Expires        int64
+	Token          uint64
+	ID             string
+	Attempt        int
+	Prior          scheduler.Prior
+	Outcome        Outcome
+	Body           []byte // of an answer on record; nil: it was not kept
+	AfterMS        float64
+	AgeMS          float64 // since the outcome
+	SchedulerEvent scheduler.Event
+	Text           string
 }
 
 const (
@@ -206,10 +206,10 @@
 
 // Counts are what the ledger counts, since its start.
 type Counts struct {
-	HeldNow, Held, Refused, Barred, Told, Again, Closed uint64
-	HeldMS                                              float64
-	Searches, Marks                                     int
-	Sick, Doubt                                         bool
+	HeldNow, Held, Refused, Blocked, AnsweredFromRecord, Again, Closed uint64
+	HeldMS                                                             float64
+	Requests, Keys                                                     int
+	DiskFailing, TailInDoubt                                           bool
 }
 
 // New gives an empty ledger. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer
@@ -248,31 +248,31 @@
 		l.now = l.desk + l.offset
 	}
 	switch ev.Kind {
-	case Read:
+	case RecordRead:
 		l.read(ev)
-	case Began:
+	case RecoveryDone:
 		l.begin(now, ev)
-	case Taken:
+	case RequestReceived:
 		l.take(ev)
-	case Fired:
+	case AttemptStarting:
 		l.fire(ev)
-	case ShotEnded:
+	case AttemptEnded:
 		l.shotEnded(ev)
-	case Closed:
+	case RequestClosed:
 		l.close(ev)
-	case Stored:
+	case RecordsStored:
 		l.stored(ev)
-	case Listed:
+	case EndpointsUpdated:
 		l.list(ev)
 	case Ticked:
 		l.tick(ev)
-	case Asked:
+	case OutcomeQueried:
 		l.ask(ev)
-	case Heeded:
+	case SettingsChanged:
 		l.heed(ev.Given)
-	case Noted:
+	case OperatorNoteSet:
 		l.keepNote(ev)
-	case Stopped:
+	case ShutdownFinished:
 		l.life.clean = true
 		l.keepLife()
 		l.keepRation()
@@ -296,8 +296,8 @@
 // Counts gives the counters.
 func (l *Ledger) Counts() Counts {
 	c := l.counts
-	c.HeldNow, c.Searches, c.Marks = uint64(len(l.held)), l.searches.Len(), l.marks.Len()
-	c.Sick, c.Doubt = l.health == sick, l.now < l.doubtUntil
+	c.HeldNow, c.Requests, c.Keys = uint64(len(l.held)), l.searches.Len(), l.marks.Len()
+	c.DiskFailing, c.TailInDoubt = l.health == sick, l.now < l.doubtUntil
 	return c
 }
 
@@ -344,33 +344,33 @@
 
 // begin ends what the crash left open and hands the module what it needs from before.
 func (l *Ledger) begin(now float64, ev *Event) {
-	gone := l.life.since(l.now, ev.Moment)
+	gone := l.life.since(l.now, ev.Clocks)
 	last := l.now
 	if l.life.at == 0 { // the first life: log time begins as the caller's clock
-		last, gone = now, Gap{}
+		last, gone = now, Interval{}
 	}
-	l.begun, l.desk, l.now = true, now, last+gone.Least
+	l.begun, l.desk, l.now = true, now, last+gone.Min
 	l.offset = l.now - now
 	l.lapse()
-	if ev.Doubt {
+	if ev.TailInDoubt {
 		l.doubtUntil = max(l.doubtUntil, l.now+l.longest)
 	}
 	if l.now < l.doubtUntil {
-		l.do(Effect{Kind: Say, Text: "the end of the log is in doubt: marks that are not known are denied for " +
+		l.do(Effect{Kind: LogMessage, Text: "the end of the log is in doubt: marks that are not known are denied for " +
 			strconv.Itoa(int((l.doubtUntil-l.now)/1000+1)) + " s"})
 	}
-	closed := l.crashed(ev.Doubt)
+	closed := l.crashed(ev.TailInDoubt)
 	l.ageMarks(gone)
 	recall := scheduler.Event{Kind: scheduler.Kept, Figures: l.learnt}
 	l.ration.recall(l, &recall, gone, !l.life.clean)
 	clean := l.life.clean || l.life.at == 0
-	l.life = life{at: l.now, moment: ev.Moment}
+	l.life = life{at: l.now, moment: ev.Clocks}
 	l.keepLife()
 	l.sync()
-	l.do(Effect{Kind: Recall, Module: recall})
+	l.do(Effect{Kind: RestoreState, SchedulerEvent: recall})
 	l.recallNotes()
 	if !clean || closed > 0 {
-		l.do(Effect{Kind: Say, Text: "ended without a planned stop; " + strconv.Itoa(closed) + " searches were open and are closed"})
+		l.do(Effect{Kind: LogMessage, Text: "ended without a planned stop; " + strconv.Itoa(closed) + " searches were open and are closed"})
 	}
 }
 
@@ -389,7 +389,7 @@
 		case ev.OK:
 			l.counts.Held++
 			l.counts.HeldMS += l.now - h.since
-			l.do(Effect{Kind: Release, ID: h.id, Shot: h.shot})
+			l.do(Effect{Kind: ReleaseAttempt, ID: h.id, Attempt: h.shot})
 		default:
 			l.refuse(h)
 		}
@@ -399,7 +399,7 @@
 
 func (l *Ledger) refuse(h held) {
 	l.counts.Refused++
-	l.do(Effect{Kind: Refuse, ID: h.id, Shot: h.shot})
+	l.do(Effect{Kind: FailAttempt, ID: h.id, Attempt: h.shot})
 }
 
 // tick looks at what waits for the disk, writes what is due and lets go what has lapsed.
@@ -421,11 +421,11 @@
 	if l.ration.dirty {
 		l.keepRation()
 	}
-	if ev.Beliefs != nil {
-		l.believe(ev.Beliefs)
+	if ev.ExecutorViews != nil {
+		l.believe(ev.ExecutorViews)
 	}
-	if len(ev.Figures) > 0 && l.now >= l.learntAt+learntMS {
-		l.learntAt, l.learnt = l.now, append(l.learnt[:0], ev.Figures...)
+	if len(ev.Estimates) > 0 && l.now >= l.learntAt+learntMS {
+		l.learntAt, l.learnt = l.now, append(l.learnt[:0], ev.Estimates...)
 		l.keepLearnt()
 	}
 	l.lapse()
@@ -440,7 +440,7 @@
 // LogTime is the time that records bear, at the caller's clock.
 func (l *Ledger) LogTime(now float64) int64 { return int64(now + l.offset) }
 
-// WantsBeliefs tells whether it is time to be told what the module believes and has learnt.
+// WantsExecutorViews tells whether it is time to be told what the module believes and has learnt.
 func (l *Ledger) WantsExecutorViews(now float64) bool {
 	due := now+l.offset >= l.bookAt
 	if due {
@@ -451,8 +451,8 @@
 
 // ask tells what became of an id or, without one, of a mark.
 func (l *Ledger) ask(ev *Event) {
-	e := l.do(Effect{Kind: Tell, ID: ev.ID})
-	k := markKey(ev.Mark)
+	e := l.do(Effect{Kind: AnswerFromRecord, ID: ev.ID})
+	k := markKey(ev.IdempotencyKey)
 	if ev.ID != "" {
 		s := l.searches.Get(searchKey(ev.ID))
 		if s == nil {
@@ -460,10 +460,10 @@
 			return
 		}
 		e.Outcome, e.AgeMS, k = s.state.outcome(), l.now-s.at, s.mark
-		if e.Outcome != Handled {
+		if e.Outcome != Succeeded {
 			return
 		}
-	} else if ev.Mark == "" {
+	} else if ev.IdempotencyKey == "" {
 		return
 	}
 	if m := l.marks.Get(k); m != nil {
@@ -483,7 +483,7 @@
 // off, which promises nothing.
 func (l *Ledger) unknown() Outcome {
 	if l.doubtUntil > 0 && l.now < l.doubtUntil+l.remember {
-		return WrittenOff
+		return Failed
 	}
 	return Unknown
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,12 +19,12 @@
 		steps    string // s: a shot leaves, n: it never ran, f: it failed, h d w l: its end
 		id, mark Outcome
 	}{
-		{"mark", "", Denied, Unknown}, {"mark", "s", WrittenOff, WrittenOff}, {"mark", "sn", Denied, Denied},
-		{"mark", "sf", WrittenOff, WrittenOff}, {"mark", "snsf", WrittenOff, WrittenOff}, {"mark", "sfsn", WrittenOff, WrittenOff},
-		{"mark", "sh", Handled, Handled}, {"mark", "sd", Denied, WrittenOff}, {"mark", "snd", Denied, Denied},
-		{"mark", "sl", Left, WrittenOff}, {"mark", "sw", WrittenOff, WrittenOff}, {"once", "", Denied, Unknown},
-		{"once", "s", WrittenOff, Unknown}, {"once", "sn", Denied, Unknown}, {"look", "", WrittenOff, Unknown},
-		{"look", "s", WrittenOff, Unknown}, {"look", "sh", Handled, Unknown}, {"look", "d", Denied, Unknown},
+		{"mark", "", Rejected, Unknown}, {"mark", "s", Failed, Failed}, {"mark", "sn", Rejected, Rejected},
+		{"mark", "sf", Failed, Failed}, {"mark", "snsf", Failed, Failed}, {"mark", "sfsn", Failed, Failed},
+		{"mark", "sh", Succeeded, Succeeded}, {"mark", "sd", Rejected, Failed}, {"mark", "snd", Rejected, Rejected},
+		{"mark", "sl", Abandoned, Failed}, {"mark", "sw", Failed, Failed}, {"once", "", Rejected, Unknown},
+		{"once", "s", Failed, Unknown}, {"once", "sn", Rejected, Unknown}, {"look", "", Failed, Unknown},
+		{"look", "s", Failed, Unknown}, {"look", "sh", Succeeded, Unknown}, {"look", "d", Rejected, Unknown},
 	} {
 		l := firstLife(1000)
 		label := map[bool]string{true: "m"}[c.offering == "mark"]
@@ -36,10 +36,10 @@
 				shot++
 				require.True(t, l.send(1010, "a", shot, 1))
 			case 'n', 'f':
-				l.do(1020, Event{Kind: ShotEnded, ID: "a", Shot: shot, Unrun: step == 'n'})
+				l.do(1020, Event{Kind: AttemptEnded, ID: "a", Attempt: shot, NeverRan: step == 'n'})
 			default:
-				as := map[rune]Outcome{'h': Handled, 'd': Denied, 'w': WrittenOff, 'l': Left}[step]
-				l.do(1030, Event{Kind: Closed, ID: "a", Outcome: as, Body: []byte("rows")})
+				as := map[rune]Outcome{'h': Succeeded, 'd': Rejected, 'w': Failed, 'l': Abandoned}[step]
+				l.do(1030, Event{Kind: RequestClosed, ID: "a", Outcome: as, Body: []byte("rows")})
 			}
 		}
 		after := born(l.disk, 2000, up(2000), false)
@@ -49,7 +49,7 @@
 		id2, _ := again.outcome(3000, "a", "m")
 		assert.Equal(t, id, id2, "%s %s", c.offering, c.steps)
 		if id != Unknown {
-			assert.Equal(t, Tell, again.take(3000, c.offering, "a", label).Kind, "an id never runs a second time")
+			assert.Equal(t, AnswerFromRecord, again.take(3000, c.offering, "a", label).Kind, "an id never runs a second time")
 		}
 	}
 }
@@ -64,7 +64,7 @@
 			l.send(1000, "a", 0, 3)
 		}
 		if steps > 1 {
-			l.do(1100, Event{Kind: Closed, ID: "a", Outcome: Handled, Body: []byte(body)})
+			l.do(1100, Event{Kind: RequestClosed, ID: "a", Outcome: Succeeded, Body: []byte(body)})
 		}
 		return l
 	}
@@ -79,11 +79,11 @@
 		{"never sent", at(0, ""), 2000, Admit, 0, false},
 		{"sent, no answer", at(1, ""), 2000, Admit, 0, true},
 		{"the last moment of the window", at(1, ""), 20999, Admit, 0, true},
-		{"past the window", at(1, ""), 21002, Tell, WrittenOff, false},
-		{"answered, and short enough", at(2, "rows"), 2000, Tell, Handled, false},
-		{"the same past the window", at(2, "rows"), 50000, Tell, Handled, false},
+		{"past the window", at(1, ""), 21002, AnswerFromRecord, Failed, false},
+		{"answered, and short enough", at(2, "rows"), 2000, AnswerFromRecord, Succeeded, false},
+		{"the same past the window", at(2, "rows"), 50000, AnswerFromRecord, Succeeded, false},
 		{"answered, too long to keep", at(2, "long enough"), 2000, Admit, 0, true},
-		{"the same past the window", at(2, "long enough"), 21002, Tell, Handled, false},
+		{"the same past the window", at(2, "long enough"), 21002, AnswerFromRecord, Succeeded, false},
 	} {
 		for _, crash := range []bool{false, true} {
 			l := &lives{Ledger: c.l.Ledger, disk: c.l.disk}
@@ -102,7 +102,7 @@
 				assert.Equal(t, "there", e.Prior.Place, c.what)
 				assert.InDelta(t, 1000, e.Prior.At, 1.5, c.what)
 			}
-			if c.want == Tell {
+			if c.want == AnswerFromRecord {
 				assert.Equal(t, c.out, e.Outcome, c.what)
 			}
 		}
@@ -113,7 +113,7 @@
 func TestNoClockShortensAWindow(t *testing.T) {
 	for _, c := range []struct {
 		what   string
-		moment Moment
+		moment Clocks
 		now    float64 // the caller's clock at the restart
 		again  bool    // whether the mark may still go to its group
 	}{
@@ -122,8 +122,8 @@
 		{"5 s later, the wall clock an hour back", up(6000), -3594000, true},
 		{"30 s later", up(31000), 31000, false},
 		{"30 s later, the wall clock set back to before", up(31000), 500, false},
-		{"the machine was started anew: nobody knows how long it took", Moment{WallMS: 1e12 + 2000, UpMS: 50, Boot: "c"}, 2000, false},
-		{"no clock of the machine", Moment{WallMS: 1e12 + 2000}, 2000, false},
+		{"the machine was started anew: nobody knows how long it took", Clocks{WallMS: 1e12 + 2000, UpMS: 50, Boot: "c"}, 2000, false},
+		{"no clock of the machine", Clocks{WallMS: 1e12 + 2000}, 2000, false},
 	} {
 		l := firstLife(1000)
 		l.listed(1000, 1)
@@ -134,12 +134,12 @@
 		e := after.take(c.now+1, "mark", "b", "m")
 		assert.Equal(t, c.again, e.Kind == Admit && e.Prior.At != 0, c.what)
 		if !c.again {
-			assert.Equal(t, Tell, e.Kind, c.what)
-			assert.Equal(t, WrittenOff, e.Outcome, c.what)
+			assert.Equal(t, AnswerFromRecord, e.Kind, c.what)
+			assert.Equal(t, Failed, e.Outcome, c.what)
 		}
 		for step := 1; step <= 3; step++ { // lived through more restarts, it is never taken for a new one within its time
-			after = born(l.disk, c.now+float64(step), Moment{}, false)
-			assert.Equal(t, Tell, after.take(c.now+float64(step), "mark", fmt.Sprint("c", step), "m").Kind, c.what)
+			after = born(l.disk, c.now+float64(step), Clocks{}, false)
+			assert.Equal(t, AnswerFromRecord, after.take(c.now+float64(step), "mark", fmt.Sprint("c", step), "m").Kind, c.what)
 		}
 	}
 }
@@ -151,11 +151,11 @@
 	l.take(1000, "mark", "a", "m")
 	l.send(1000, "a", 0, 1)
 	after := born(l.disk, 2000, up(2000), true)
-	assert.Equal(t, Bar, after.take(2000, "mark", "b", "other").Kind)
+	assert.Equal(t, AdmitBlocked, after.take(2000, "mark", "b", "other").Kind)
 	assert.Equal(t, Admit, after.take(2000, "mark", "c", "m").Kind, "to its group, as a repeat")
 	assert.Equal(t, Admit, after.take(2000, "look", "d", "").Kind)
 	twice := born(l.disk, 10000, up(10000), false)
-	assert.Equal(t, Bar, twice.take(21900, "mark", "e", "other").Kind)
+	assert.Equal(t, AdmitBlocked, twice.take(21900, "mark", "e", "other").Kind)
 	assert.Equal(t, Admit, twice.take(22100, "mark", "f", "other").Kind)
 	assert.NotEmpty(t, after.said)
 }
@@ -166,34 +166,34 @@
 	for _, slow := range []bool{false, true} {
 		l := firstLife(1000)
 		l.take(1000, "mark", "a", "m")
-		held := l.do(1000, Event{Kind: Fired, ID: "a", Executor: 1})
-		require.Equal(t, Hold, held[0].Kind)
+		held := l.do(1000, Event{Kind: AttemptStarting, ID: "a", Executor: 1})
+		require.Equal(t, HoldAttempt, held[0].Kind)
 		var e []Effect
 		if slow {
 			e = l.do(1000+sureHoldMS+1, Event{Kind: Ticked})
 		} else {
-			e = l.do(1010, Event{Kind: Stored, Token: held[0].Token})
+			e = l.do(1010, Event{Kind: RecordsStored, Token: held[0].Token})
 		}
 		require.Len(t, e, 1)
-		assert.Equal(t, []any{Refuse, "a", 0}, []any{e[0].Kind, e[0].ID, e[0].Shot})
-		l.do(1350, Event{Kind: ShotEnded, ID: "a", Unrun: true})
-		l.do(1350, Event{Kind: Closed, ID: "a", Outcome: Denied})
-		assert.Equal(t, Bar, l.take(1350, "mark", "b", "m2").Kind)
-		assert.Equal(t, Bar, l.take(1350, "once", "c", "").Kind)
+		assert.Equal(t, []any{FailAttempt, "a", 0}, []any{e[0].Kind, e[0].ID, e[0].Attempt})
+		l.do(1350, Event{Kind: AttemptEnded, ID: "a", NeverRan: true})
+		l.do(1350, Event{Kind: RequestClosed, ID: "a", Outcome: Rejected})
+		assert.Equal(t, AdmitBlocked, l.take(1350, "mark", "b", "m2").Kind)
+		assert.Equal(t, AdmitBlocked, l.take(1350, "once", "c", "").Kind)
 		assert.Equal(t, Admit, l.take(1350, "look", "d", "").Kind)
-		assert.True(t, l.Counts().Sick)
+		assert.True(t, l.Counts().DiskFailing)
 		if slow {
-			assert.Empty(t, l.do(1360, Event{Kind: Stored, Token: held[0].Token, OK: true}), "too late: the shot was refused")
+			assert.Empty(t, l.do(1360, Event{Kind: RecordsStored, Token: held[0].Token, OK: true}), "too late: the shot was refused")
 		} else {
 			token := l.token
 			l.do(1700, Event{Kind: Ticked})
 			require.Equal(t, token+1, l.token, "a trial")
-			l.do(1710, Event{Kind: Stored, Token: l.token})
-			assert.True(t, l.Counts().Sick)
+			l.do(1710, Event{Kind: RecordsStored, Token: l.token})
+			assert.True(t, l.Counts().DiskFailing)
 			l.do(2200, Event{Kind: Ticked})
-			l.do(2210, Event{Kind: Stored, Token: l.token, OK: true})
+			l.do(2210, Event{Kind: RecordsStored, Token: l.token, OK: true})
 		}
-		assert.False(t, l.Counts().Sick)
+		assert.False(t, l.Counts().DiskFailing)
 		e2 := l.take(2300, "mark", "e", "m")
 		assert.Equal(t, Admit, e2.Kind)
 		assert.Zero(t, e2.Prior.At, "it never ran")
@@ -254,7 +254,7 @@
 func TestExecutorsStayWhatTheyWere(t *testing.T) {
 	l := firstLife(1000)
 	l.listed(1000, 5, 2)
-	l.do(2000, Event{Kind: Ticked, Beliefs: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2},
+	l.do(2000, Event{Kind: Ticked, ExecutorViews: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2},
 		{Executor: 3, Cold: true, ColdTo: 9000}, {Executor: 77, Aside: true}}})
 	for _, c := range []struct {
 		index   uint64
@@ -285,16 +285,16 @@
 	l.mostKept = 10
 	for n := range 30 {
 		e := l.take(1000, "mark", fmt.Sprint("a", n), fmt.Sprint("m", n))
-		assert.Equal(t, n >= 10, e.Kind == Bar)
+		assert.Equal(t, n >= 10, e.Kind == AdmitBlocked)
 		l.send(1000, fmt.Sprint("a", n), 0, 1)
-		l.do(1000, Event{Kind: Closed, ID: fmt.Sprint("a", n), Outcome: Handled, Body: []byte("rows")})
+		l.do(1000, Event{Kind: RequestClosed, ID: fmt.Sprint("a", n), Outcome: Succeeded, Body: []byte("rows")})
 	}
-	assert.Equal(t, 10, l.Counts().Marks)
+	assert.Equal(t, 10, l.Counts().Keys)
 	assert.Equal(t, 40, l.bodies)
 	l.do(81_000+1000, Event{Kind: Ticked})
-	assert.Equal(t, []int{0, 0, 0}, []int{l.Counts().Marks, l.Counts().Searches, l.bodies})
+	assert.Equal(t, []int{0, 0, 0}, []int{l.Counts().Keys, l.Counts().Requests, l.bodies})
 	after := born(l.disk, 82_001, up(82_001), false)
-	assert.Zero(t, after.Counts().Marks, "nor does it come back")
+	assert.Zero(t, after.Counts().Keys, "nor does it come back")
 }
 
 // Against a plain model, over any sequence of calls and crashes: no mark runs twice where it is not known as a repeat, and
@@ -312,7 +312,7 @@
 			gap := rapid.SampledFrom([]float64{1, 50, 3000, 19000}).Draw(t, "gap")
 			if now += gap; gap > 1000 { // by their hard limit all have their answer
 				for _, id := range open {
-					l.do(now-gap+1000, Event{Kind: Closed, ID: id, Outcome: WrittenOff})
+					l.do(now-gap+1000, Event{Kind: RequestClosed, ID: id, Outcome: Failed})
 				}
 				open = nil
 			}
@@ -327,8 +327,8 @@
 				open = nil
 			case 1:
 				if len(open) > 0 {
-					l.do(now, Event{Kind: Closed, ID: open[0], Outcome: rapid.SampledFrom([]Outcome{Handled, Denied, WrittenOff,
-						Left}).Draw(t, "as"), Body: []byte(rapid.SampledFrom([]string{"", "rows", "too long to keep"}).Draw(t, "body"))})
+					l.do(now, Event{Kind: RequestClosed, ID: open[0], Outcome: rapid.SampledFrom([]Outcome{Succeeded, Rejected, Failed,
+						Abandoned}).Draw(t, "as"), Body: []byte(rapid.SampledFrom([]string{"", "rows", "too long to keep"}).Draw(t, "body"))})
 					open = open[1:]
 				}
 			default:
@@ -355,7 +355,7 @@
 					}
 				}
 				if rapid.Bool().Draw(t, "ends") {
-					l.do(now, Event{Kind: ShotEnded, ID: id, Unrun: unrun})
+					l.do(now, Event{Kind: AttemptEnded, ID: id, NeverRan: unrun})
 				}
 			}
 			for m := range ran { // the model forgets as slowly as the ledger must
@@ -372,14 +372,14 @@
 func TestRecordsOfOthersAreLeftAlone(t *testing.T) {
 	l := New(given())
 	for _, b := range [][]byte{nil, {}, {0xff, 0xff}, {1, 2, 3}, {9}} {
-		l.Step(0, &Event{Kind: Read, Key: Key{1}, Value: b})
+		l.Step(0, &Event{Kind: RecordRead, Key: Key{1}, Value: b})
 	}
-	assert.Zero(t, l.Counts().Searches)
-	_, _, ok := Show([]byte{1})
+	assert.Zero(t, l.Counts().Requests)
+	_, _, ok := DescribeRecord([]byte{1})
 	assert.False(t, ok)
 	l2 := firstLife(1000)
 	l2.take(1000, "mark", "a", "m")
-	kind, fields, ok := Show(l2.disk.kept[searchKey("a")].Value)
+	kind, fields, ok := DescribeRecord(l2.disk.kept[searchKey("a")].Value)
 	assert.True(t, ok)
 	assert.Equal(t, []any{"search", "a", "m"}, []any{kind, fields["id"], fields["mark"]})
 }
@@ -393,13 +393,13 @@
 		assert.Equal(t, []any{Admit, 0.0}, []any{e.Kind, e.Prior.At})
 	}
 	assert.True(t, l.send(1010, "a", 0, 1))
-	e := l.do(1020, Event{Kind: Fired, ID: "b", Executor: 3})
-	assert.Equal(t, []EffectKind{Hold, Refuse}, []EffectKind{e[0].Kind, e[1].Kind}, "executor 3 is elsewhere")
-	l.do(1020, Event{Kind: ShotEnded, ID: "b", Unrun: true})
+	e := l.do(1020, Event{Kind: AttemptStarting, ID: "b", Executor: 3})
+	assert.Equal(t, []EffectKind{HoldAttempt, FailAttempt}, []EffectKind{e[0].Kind, e[1].Kind}, "executor 3 is elsewhere")
+	l.do(1020, Event{Kind: AttemptEnded, ID: "b", NeverRan: true})
 	assert.True(t, l.send(1030, "c", 0, 2))
-	l.do(1040, Event{Kind: ShotEnded, ID: "a"})
-	l.do(1040, Event{Kind: ShotEnded, ID: "c", Unrun: true})
+	l.do(1040, Event{Kind: AttemptEnded, ID: "a"})
+	l.do(1040, Event{Kind: AttemptEnded, ID: "c", NeverRan: true})
 	after := born(l.disk, 2000, up(2000), false)
 	_, mark := after.outcome(2000, "a", "m")
-	assert.Equal(t, WrittenOff, mark, "the first may have run, whatever became of the others")
+	assert.Equal(t, Failed, mark, "the first may have run, whatever became of the others")
 }
--- a/internal/ledger/notes.go
+++ b/internal/ledger/notes.go
@@ -15,11 +15,11 @@
 func (l *Ledger) keepNote(ev *Event) {
 	k := noteKey(ev.ID)
 	if len(ev.Body) == 0 {
-		l.do(Effect{Kind: Forget, Key: k})
+		l.do(Effect{Kind: Delete, Key: k})
 	} else {
 		w := l.record(noteRecord)
 		w.text(fieldID, ev.ID)
-		w.text(fieldMark, ev.Mark)
+		w.text(fieldMark, ev.IdempotencyKey)
 		w.bytes(fieldBody, ev.Body)
 		w.keep(k, 0)
 	}
@@ -34,7 +34,7 @@
 			last = last && m.key != n.key
 		}
 		if last {
-			l.do(Effect{Kind: Note, ID: n.name, Body: n.text, Text: n.who, AgeMS: l.now - n.at})
+			l.do(Effect{Kind: OperatorNote, ID: n.name, Body: n.text, Text: n.who, AgeMS: l.now - n.at})
 		}
 	}
 	l.notes = nil
--- a/internal/ledger/ration.go
+++ b/internal/ledger/ration.go
@@ -54,7 +54,7 @@
 // recall tells the module what is used up of the ration. Further shots are dated as late as they can have been, searches
 // as early. After a crash, all counts as used that the ration on record had left for the time since: what was sent last may
 // not have reached the disk. Searches taken in that time, also lost, earned a share at most of what is counted here.
-func (r *ration) recall(l *Ledger, ev *scheduler.Event, gone Gap, crashed bool) {
+func (r *ration) recall(l *Ledger, ev *scheduler.Event, gone Interval, crashed bool) {
 	if r.span <= 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 			ev.Extras = append(ev.Extras, late)
 		}
 		for range s.takes {
-			if gone.Most == gone.Least {
+			if gone.Max == gone.Min {
 				ev.Takes = append(ev.Takes, early)
 			}
 		}
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -123,8 +123,8 @@
 	return f, f.kind >= searchRecord && f.kind <= noteRecord
 }
 
-// Show gives a record's kind, name and fields, for people.
-func Show(value []byte) (kind string, shown map[string]any, ok bool) {
+// DescribeRecord gives a record's kind, name and fields, for people.
+func DescribeRecord(value []byte) (kind string, shown map[string]any, ok bool) {
 	f, ok := readRecord(value)
 	if !ok {
 		return "", nil, false
@@ -193,7 +193,7 @@
 
 // keep asks for the record to be kept under a key, until a log time; 0: for good.
 func (w writer) keep(k Key, expires int64) {
-	w.l.do(Effect{Kind: Keep, Key: k, Value: w.l.buf[w.from:len(w.l.buf):len(w.l.buf)], Expires: expires})
+	w.l.do(Effect{Kind: Persist, Key: k, Value: w.l.buf[w.from:len(w.l.buf):len(w.l.buf)], Expires: expires})
 }
 
 func (l *Ledger) keepSearch(k Key, s *search) {
--- a/internal/ledger/searches.go
+++ b/internal/ledger/searches.go
@@ -52,7 +52,7 @@
 // take says what becomes of a search that comes in: it goes on, with what may have run under its mark, or it is
 // answered by what is on record, or nothing may be sent for it now.
 func (l *Ledger) take(ev *Event) {
-	n, o := l.offering(ev.Offering)
+	n, o := l.offering(ev.Class)
 	k := searchKey(ev.ID)
 	if s := l.searches.Get(k); s != nil {
 		l.tell(s)
@@ -63,24 +63,24 @@
 		return
 	}
 	verdict, m := fresh, (*mark)(nil)
-	if ev.Mark != "" && o.recorded() {
+	if ev.IdempotencyKey != "" && o.recorded() {
 		l.inherit(ev, n, o)
-		if m = l.marks.Get(markKey(ev.Mark)); m != nil {
+		if m = l.marks.Get(markKey(ev.IdempotencyKey)); m != nil {
 			verdict = judge(m.standing(), l.inside(m))
 		}
 	}
 	switch verdict {
 	case tellBody:
-		l.counts.Told++
-		l.do(Effect{Kind: Tell, Outcome: Handled, Body: m.body, AgeMS: l.now - m.last})
+		l.counts.AnsweredFromRecord++
+		l.do(Effect{Kind: AnswerFromRecord, Outcome: Succeeded, Body: m.body, AgeMS: l.now - m.last})
 		return
 	case tellRan:
-		l.counts.Told++
-		l.do(Effect{Kind: Tell, Outcome: Handled, AgeMS: l.now - m.last})
+		l.counts.AnsweredFromRecord++
+		l.do(Effect{Kind: AnswerFromRecord, Outcome: Succeeded, AgeMS: l.now - m.last})
 		return
 	case tellOff:
-		l.counts.Told++
-		l.do(Effect{Kind: Tell, Outcome: WrittenOff, AgeMS: l.now - m.last})
+		l.counts.AnsweredFromRecord++
+		l.do(Effect{Kind: AnswerFromRecord, Outcome: Failed, AgeMS: l.now - m.last})
 		return
 	}
 	e := Effect{Kind: Admit}
@@ -91,19 +91,19 @@
 			e.Prior.At = -math.MaxFloat64
 		}
 	}
-	if l.barred(o, ev.Mark, verdict) {
-		l.counts.Barred++
-		e.Kind = Bar
+	if l.barred(o, ev.IdempotencyKey, verdict) {
+		l.counts.Blocked++
+		e.Kind = AdmitBlocked
 	}
 	l.do(e)
 	l.ration.take(l.now)
-	if e.Kind == Bar || l.searches.Len() >= l.mostKept {
+	if e.Kind == AdmitBlocked || l.searches.Len() >= l.mostKept {
 		return // what is not remembered is told as unknown; nothing of it can be lost
 	}
-	s, _ := l.searches.Put(k, l.searchExpires(o, ev.Until+l.offset))
-	*s = search{id: ev.ID, label: ev.Mark, offering: n, at: l.now, until: ev.Until + l.offset}
+	s, _ := l.searches.Put(k, l.searchExpires(o, ev.Deadline+l.offset))
+	*s = search{id: ev.ID, label: ev.IdempotencyKey, offering: n, at: l.now, until: ev.Deadline + l.offset}
 	if o.recorded() {
-		s.mark = markKey(ev.Mark)
+		s.mark = markKey(ev.IdempotencyKey)
 	}
 	l.keepSearch(k, s) // nobody waits for it: until a shot leaves, nothing of it can be lost
 }
@@ -114,13 +114,13 @@
 	if p.At == 0 {
 		return
 	}
-	k := markKey(ev.Mark)
+	k := markKey(ev.IdempotencyKey)
 	if old := l.marks.Get(k); old != nil && old.standing() != clear && old.first <= p.At+l.offset {
 		return
 	}
 	m, _ := l.marks.Put(k, clampMS(l.now+o.window+l.remember))
 	l.bodies -= len(m.body)
-	*m = mark{label: ev.Mark, offering: n, first: p.At + l.offset, last: l.now, place: p.Place, cell: p.Cell, unsure: 1}
+	*m = mark{label: ev.IdempotencyKey, offering: n, first: p.At + l.offset, last: l.now, place: p.Place, cell: p.Cell, unsure: 1}
 	l.keepMark(k, m)
 }
 
@@ -133,12 +133,12 @@
 
 // tell answers a search whose id is on record.
 func (l *Ledger) tell(s *search) {
-	l.counts.Told++
-	e := l.do(Effect{Kind: Tell, Outcome: s.state.outcome(), AgeMS: l.now - s.at})
+	l.counts.AnsweredFromRecord++
+	e := l.do(Effect{Kind: AnswerFromRecord, Outcome: s.state.outcome(), AgeMS: l.now - s.at})
 	switch m := l.marks.Get(s.mark); {
-	case e.Outcome == Handled && m != nil:
+	case e.Outcome == Succeeded && m != nil:
 		e.Body = m.body
-	case e.Outcome == Denied && l.given.Is("tells_come_back"):
+	case e.Outcome == Rejected && l.given.Is("tells_come_back"):
 		e.AfterMS = l.given.Num("longest_come_back_ms", 0)
 	}
 }
@@ -155,25 +155,25 @@
 func (l *Ledger) fire(ev *Event) {
 	k := searchKey(ev.ID)
 	s := l.searches.Get(k)
-	if s == nil || ev.Shot >= 8 {
+	if s == nil || ev.Attempt >= 8 {
 		return
 	}
 	o := &l.offerings[s.offering]
-	if ev.Shot > 0 {
+	if ev.Attempt > 0 {
 		l.ration.extra(l.now)
 	}
 	l.play(k, s, fires)
-	s.out |= 1 << ev.Shot
+	s.out |= 1 << ev.Attempt
 	if !o.recorded() {
 		return
 	}
 	if s.mark != (Key{}) {
 		if m := l.marks.Get(s.mark); m != nil && !l.mayGo(o, m, ev.Executor) {
-			s.out &^= 1 << ev.Shot // another search of the mark went first, elsewhere or too long ago
+			s.out &^= 1 << ev.Attempt // another search of the mark went first, elsewhere or too long ago
 			l.play(k, s, clears)
 			l.counts.Refused++
-			l.do(Effect{Kind: Hold, ID: s.id, Shot: ev.Shot})
-			l.do(Effect{Kind: Refuse, ID: s.id, Shot: ev.Shot})
+			l.do(Effect{Kind: HoldAttempt, ID: s.id, Attempt: ev.Attempt})
+			l.do(Effect{Kind: FailAttempt, ID: s.id, Attempt: ev.Attempt})
 			return
 		}
 		m, _ := l.marks.Put(s.mark, clampMS(l.now+o.window+l.remember))
@@ -191,8 +191,8 @@
 	if l.atOnce {
 		return
 	}
-	h := held{token: l.sync(), id: s.id, shot: ev.Shot, since: l.now}
-	l.do(Effect{Kind: Hold, ID: s.id, Shot: ev.Shot, Token: h.token})
+	h := held{token: l.sync(), id: s.id, shot: ev.Attempt, since: l.now}
+	l.do(Effect{Kind: HoldAttempt, ID: s.id, Attempt: ev.Attempt, Token: h.token})
 	l.held = append(l.held, h)
 }
 
@@ -211,11 +211,11 @@
 func (l *Ledger) shotEnded(ev *Event) {
 	k := searchKey(ev.ID)
 	s := l.searches.Get(k)
-	if s == nil || ev.Shot >= 8 || s.out&(1<<ev.Shot) == 0 {
+	if s == nil || ev.Attempt >= 8 || s.out&(1<<ev.Attempt) == 0 {
 		return
 	}
-	s.out &^= 1 << ev.Shot
-	s.ran = s.ran || !ev.Unrun
+	s.out &^= 1 << ev.Attempt
+	s.ran = s.ran || !ev.NeverRan
 	if s.out == 0 {
 		in := clears
 		if s.ran {
@@ -226,7 +226,7 @@
 	if !l.offerings[s.offering].recorded() {
 		return
 	}
-	if m := l.marks.Get(s.mark); m != nil && ev.Unrun && m.unsure > 0 {
+	if m := l.marks.Get(s.mark); m != nil && ev.NeverRan && m.unsure > 0 {
 		m.unsure--
 		l.keepMark(s.mark, m)
 	}
@@ -235,14 +235,14 @@
 	}
 }
 
-var closings = map[Outcome]input{Handled: answers, Denied: denies, WrittenOff: writesOff, Left: leaves}
+var closings = map[Outcome]input{Succeeded: answers, Rejected: denies, Failed: writesOff, Abandoned: leaves}
 
 // close books the final answer of a search. It has gone out: nobody waits for the record.
 func (l *Ledger) close(ev *Event) {
 	k := searchKey(ev.ID)
 	s := l.searches.Get(k)
 	in, ok := closings[ev.Outcome]
-	if s == nil || !ok || !l.play(k, s, in) || ev.Outcome != Handled {
+	if s == nil || !ok || !l.play(k, s, in) || ev.Outcome != Succeeded {
 		return
 	}
 	m := l.marks.Get(s.mark)
@@ -279,7 +279,7 @@
 		n++
 		if s.out = 0; l.inherited { // its mark stays in doubt; what became of it, its heirs say
 			l.searches.Delete(k)
-			l.do(Effect{Kind: Forget, Key: k})
+			l.do(Effect{Kind: Delete, Key: k})
 			continue
 		}
 		l.play(k, s, in)
@@ -301,7 +301,7 @@
 }
 
 func (m *mark) outcome() Outcome {
-	return [...]Outcome{clear: Denied, inDoubt: WrittenOff, ran: Handled, ranBlank: Handled}[m.standing()]
+	return [...]Outcome{clear: Rejected, inDoubt: Failed, ran: Succeeded, ranBlank: Succeeded}[m.standing()]
 }
 
 // inside tells whether the group of a mark surely still drops repeats of it.
@@ -309,13 +309,13 @@
 
 // ageMarks makes marks as old as they can be after a restart: nobody knows just how long that took. What decides how
 // long they are kept is as young as it can be.
-func (l *Ledger) ageMarks(gone Gap) {
-	if gone.Most <= gone.Least {
+func (l *Ledger) ageMarks(gone Interval) {
+	if gone.Max <= gone.Min {
 		return
 	}
 	for p := range l.marks.Places() {
 		if k, _, m := l.marks.Next(p); m != nil && m.standing() != clear {
-			m.first -= gone.Most - gone.Least
+			m.first -= gone.Max - gone.Min
 			l.keepMark(k, m)
 		}
 	}
--- a/internal/ledger/tables.go
+++ b/internal/ledger/tables.go
@@ -14,8 +14,8 @@
 	stateEnd   state = 7
 )
 
-var outcomes = [stateEnd]Outcome{waiting: Open, out: Open, doubted: Open, handled: Handled, denied: Denied,
-	writtenOff: WrittenOff, left: Left}
+var outcomes = [stateEnd]Outcome{waiting: Open, out: Open, doubted: Open, handled: Succeeded, denied: Rejected,
+	writtenOff: Failed, left: Abandoned}
 
 func (s state) outcome() Outcome { return outcomes[s] }
 func (s state) open() bool       { return s <= doubted }
@@ -152,7 +152,7 @@
 	for _, r := range diskTable {
 		if r.health == l.health && r.input == in {
 			l.health, l.trialAt = r.next, l.now+trialMS
-			l.do(Effect{Kind: Say, Text: r.say})
+			l.do(Effect{Kind: LogMessage, Text: r.say})
 			return
 		}
 	}
--- a/internal/ledger/trusts.go
+++ b/internal/ledger/trusts.go
@@ -24,7 +24,7 @@
 // list takes over where executors stand, and drains.
 func (l *Ledger) list(ev *Event) {
 	seen := map[uint32]bool{}
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		t := l.trusts[e.Executor]
 		if e.Standing == scheduler.Gone {
 			l.gone(e.Executor)
@@ -37,10 +37,10 @@
 		seen[e.Executor] = true
 		leaving := e.Standing == scheduler.Leaving
 		// A list of the start that is older than a drain on record does not end that drain.
-		older := ev.Restored && t.drain > 0 && (ev.Index == 0 || ev.Index < t.drain) && e.UpSince <= t.upSince
+		older := ev.Restored && t.drain > 0 && (ev.ListVersion == 0 || ev.ListVersion < t.drain) && e.UpSince <= t.upSince
 		drain := t.drain
 		if leaving {
-			drain = max(1, ev.Index)
+			drain = max(1, ev.ListVersion)
 		} else if !older {
 			drain = 0
 		}
@@ -50,14 +50,14 @@
 			l.keepTrust(t)
 		}
 	}
-	if ev.Whole {
+	if ev.Complete {
 		for _, id := range l.trustIDs() {
 			if !seen[id] {
 				l.gone(id)
 			}
 		}
 	}
-	if ev.Restored && ev.Whole && !l.recalled {
+	if ev.Restored && ev.Complete && !l.recalled {
 		l.recalled = true
 		l.recallTrusts()
 	}
@@ -66,7 +66,7 @@
 func (l *Ledger) gone(id uint32) {
 	if t := l.trusts[id]; t != nil {
 		delete(l.trusts, id)
-		l.do(Effect{Kind: Forget, Key: t.key()})
+		l.do(Effect{Kind: Delete, Key: t.key()})
 	}
 }
 
@@ -109,7 +109,7 @@
 				Strikes: t.strikes, Leaving: t.drain > 0 && !t.drained})
 		}
 	}
-	l.do(Effect{Kind: Recall, Module: ev})
+	l.do(Effect{Kind: RestoreState, SchedulerEvent: ev})
 }
 
 func (l *Ledger) readTrust(r fields) {
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -50,7 +50,7 @@
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
 	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
 		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
-	step(ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []scheduler.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
+	step(ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
 	run := func(round string, ms float64) {
 		for _, s := range ends {
 			mark := s.mark
@@ -59,19 +59,19 @@
 			}
 			c.search(s.id+round, s.offering, mark, s.ends, 1)
 		}
-		step(ledger.Event{Kind: ledger.Closed, ID: "denied" + round, Outcome: ledger.Denied})
-		step(ledger.Event{Kind: ledger.Closed, ID: "left" + round, Outcome: ledger.Left})
-		step(ledger.Event{Kind: ledger.Closed, ID: "writtenoff" + round, Outcome: ledger.WrittenOff})
-		step(ledger.Event{Kind: ledger.Noted, ID: "limit " + round, Mark: "ann", Body: []byte("{}")})
+		step(ledger.Event{Kind: ledger.RequestClosed, ID: "denied" + round, Outcome: ledger.Rejected})
+		step(ledger.Event{Kind: ledger.RequestClosed, ID: "left" + round, Outcome: ledger.Abandoned})
+		step(ledger.Event{Kind: ledger.RequestClosed, ID: "writtenoff" + round, Outcome: ledger.Failed})
+		step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit " + round, IdempotencyKey: "ann", Body: []byte("{}")})
 		c.now += ms
-		step(ledger.Event{Kind: ledger.Listed, Index: 7, Entries: []scheduler.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: scheduler.Leaving, UpSince: 5}}})
-		step(ledger.Event{Kind: ledger.Ticked, Beliefs: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
-			Figures: []scheduler.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
+		step(ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: 7, Endpoints: []scheduler.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: scheduler.Leaving, UpSince: 5}}})
+		step(ledger.Event{Kind: ledger.Ticked, ExecutorViews: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
+			Estimates: []scheduler.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
 	}
 	run("-1", 2500) // nothing lapses before the snapshot: its order would hang on when that is seen
 	require.NoError(t, c.store.Snapshot())
 	run("-2", 6000)
-	step(ledger.Event{Kind: ledger.Noted, ID: "limit -1", Mark: "ann"}) // ends it
+	step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit -1", IdempotencyKey: "ann"}) // ends it
 	if stop {
 		require.NoError(t, c.Close())
 		return disk
@@ -125,7 +125,7 @@
 		kinds := map[string]bool{}
 		s, found, err := store.Open(goldenCopy(t, folder), bounds, func(k store.Key, expires int64, value []byte) {
 			fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
-			kind, _, _ := ledger.Show(value)
+			kind, _, _ := ledger.DescribeRecord(value)
 			kinds[kind] = true
 		})
 		require.NoError(t, err, folder)
@@ -145,7 +145,7 @@
 		var told strings.Builder
 		for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
 			for _, round := range []string{"-1", "-2"} {
-				e := k.Step(now, &ledger.Event{Kind: ledger.Asked, ID: id + round})[0]
+				e := k.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
 				fmt.Fprintf(&told, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
 			}
 		}
@@ -153,9 +153,9 @@
 			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
 		}
 		recalled := k.First()
-		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: []scheduler.Entry{{Executor: 1, Place: "here"},
+		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Entry{{Executor: 1, Place: "here"},
 			{Executor: 2, Place: "there"}}}) {
-			recalled = append(recalled, e.Module)
+			recalled = append(recalled, e.SchedulerEvent)
 		}
 		for _, ev := range recalled {
 			fmt.Fprintf(&told, "figures %v trusts %v\n", ev.Figures, ev.Trusts)
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -65,7 +65,7 @@
 	engine *engines
 }
 
-func up(ms float64) ledger.Moment { return ledger.Moment{WallMS: ms, UpMS: ms, Boot: "b"} }
+func up(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
 
 // begin opens a keeper; a store that is damaged is repaired first, as an operator would.
 func begin(disk *vfs.Memory, now float64, e *engines) (*controller, error) {
@@ -89,7 +89,7 @@
 	for id, place := range []string{"here", "there"} {
 		list = append(list, scheduler.Entry{Executor: uint32(id + 1), Place: place})
 	}
-	c.Step(now, &ledger.Event{Kind: ledger.Listed, Restored: true, Whole: true, Entries: list})
+	c.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: list})
 	return c, nil
 }
 
@@ -97,7 +97,7 @@
 // Ends: "" leaves it open; "unrun": the shot never ran; "handled"; "before": nothing is sent.
 func (c *controller) search(id, offering, mark, ends string, executor uint32) ledger.EffectKind {
 	c.now++
-	effects := c.Step(c.now, &ledger.Event{Kind: ledger.Taken, ID: id, Mark: mark, Offering: offering, Until: c.now + 5000})
+	effects := c.Step(c.now, &ledger.Event{Kind: ledger.RequestReceived, ID: id, IdempotencyKey: mark, Class: offering, Deadline: c.now + 5000})
 	first := effects[0]
 	if first.Kind != ledger.Admit || ends == "before" {
 		return first.Kind
@@ -113,29 +113,29 @@
 			executor = 1
 		}
 	}
-	effects = slices.Clone(c.Step(c.now, &ledger.Event{Kind: ledger.Fired, ID: id, Executor: executor}))
-	for len(effects) == 1 && effects[0].Kind == ledger.Hold {
+	effects = slices.Clone(c.Step(c.now, &ledger.Event{Kind: ledger.AttemptStarting, ID: id, Executor: executor}))
+	for len(effects) == 1 && effects[0].Kind == ledger.HoldAttempt {
 		ev := <-c.heard
 		effects = slices.Clone(c.Step(c.now, &ev))
 		if len(effects) == 0 {
-			effects = []ledger.Effect{{Kind: ledger.Hold}}
+			effects = []ledger.Effect{{Kind: ledger.HoldAttempt}}
 		}
 	}
-	if len(effects) > 0 && effects[len(effects)-1].Kind == ledger.Refuse {
-		c.Step(c.now, &ledger.Event{Kind: ledger.ShotEnded, ID: id, Unrun: true})
-		c.Step(c.now, &ledger.Event{Kind: ledger.Closed, ID: id, Outcome: ledger.Denied})
-		return ledger.Refuse
+	if len(effects) > 0 && effects[len(effects)-1].Kind == ledger.FailAttempt {
+		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: true})
+		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Rejected})
+		return ledger.FailAttempt
 	}
 	if ends != "unrun" && mark != "" {
 		c.engine.run(mark, place)
 	}
 	if ends != "" {
-		c.Step(c.now, &ledger.Event{Kind: ledger.ShotEnded, ID: id, Unrun: ends == "unrun"})
+		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: ends == "unrun"})
 	}
 	if ends == "handled" {
-		c.Step(c.now, &ledger.Event{Kind: ledger.Closed, ID: id, Outcome: ledger.Handled, Body: []byte("rows")})
+		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Succeeded, Body: []byte("rows")})
 	}
-	return ledger.Release
+	return ledger.ReleaseAttempt
 }
 
 var gaps = []string{"handled", "", "unrun", "before"}
@@ -144,7 +144,7 @@
 func (c *controller) workload(rounds int) (open []string) {
 	for n := range rounds {
 		id, m, ends := fmt.Sprint("a", n), fmt.Sprint("m", n), gaps[n%len(gaps)]
-		if c.search(id, "mark", m, ends, 1) == ledger.Release && ends == "" {
+		if c.search(id, "mark", m, ends, 1) == ledger.ReleaseAttempt && ends == "" {
 			open = append(open, id)
 		}
 		c.search(fmt.Sprint("l", n), "look", "", "handled", 1)
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -41,21 +41,21 @@
 }
 
 // OpenAt is Open at a moment of the machine's clocks.
-func OpenAt(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, moment ledger.Moment,
+func OpenAt(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, moment ledger.Clocks,
 	back func(ledger.Event), log logrus.FieldLogger) (*Keeper, store.Found, error) {
 	k := &Keeper{ledger: ledger.New(given), back: back, log: log, now: now}
 	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
-		k.ledger.Step(0, &ledger.Event{Kind: ledger.Read, Key: key, Expires: expires, Value: value})
+		k.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
 	})
 	if err != nil {
 		return nil, found, err
 	}
 	k.store = s
-	for _, e := range k.Step(now(), &ledger.Event{Kind: ledger.Began, Moment: moment, Doubt: found.Doubt}) {
+	for _, e := range k.Step(now(), &ledger.Event{Kind: ledger.RecoveryDone, Clocks: moment, TailInDoubt: found.Doubt}) {
 		switch e.Kind {
-		case ledger.Recall:
-			k.first = append(k.first, e.Module)
-		case ledger.Note:
+		case ledger.RestoreState:
+			k.first = append(k.first, e.SchedulerEvent)
+		case ledger.OperatorNote:
 			k.notes = append(k.notes, e)
 		}
 	}
@@ -90,13 +90,13 @@
 	k.batch.Reset()
 	for _, e := range k.ledger.Step(now, ev) {
 		switch e.Kind {
-		case ledger.Keep:
+		case ledger.Persist:
 			k.batch.Put(e.Key, e.Expires, e.Value)
-		case ledger.Forget:
+		case ledger.Delete:
 			k.batch.Delete(e.Key)
 		case ledger.Sync:
 			token = e.Token
-		case ledger.Say:
+		case ledger.LogMessage:
 			k.log.WithField("says", e.Text).Warn("ledger")
 		default:
 			k.out = append(k.out, e)
@@ -117,18 +117,18 @@
 			k.log.WithField("why", err).Warn("store: a record could not be lined up; further ones are counted")
 		}
 	default: // told at once; what follows from that keeps nothing that must last
-		k.step(now, &ledger.Event{Kind: ledger.Stored, Token: token})
+		k.step(now, &ledger.Event{Kind: ledger.RecordsStored, Token: token})
 	}
 }
 
 // Stored hears from the store what became of a batch.
 func (k *Keeper) Stored(token uint64, err error) {
-	k.back(ledger.Event{Kind: ledger.Stored, Token: token, OK: err == nil})
+	k.back(ledger.Event{Kind: ledger.RecordsStored, Token: token, OK: err == nil})
 }
 
 // Close writes the end of a planned stop and closes the store. The desk must have ended.
 func (k *Keeper) Close() error {
-	k.Step(k.now(), &ledger.Event{Kind: ledger.Stopped})
+	k.Step(k.now(), &ledger.Event{Kind: ledger.ShutdownFinished})
 	return k.store.Close()
 }
 
@@ -145,14 +145,14 @@
 	return logrus.Fields{"records": f.Records, "commits": f.Commits, "syncs": f.Syncs, "failed": f.Failed, "lost": k.lost.Load(),
 		"rotations": f.Rotations, "snapshots": f.Snapshots, "snapshots_failed": f.SnapshotsFailed, "live": f.Live,
 		"live_bytes": f.LiveBytes, "disk_bytes": f.DiskBytes, "waiting": f.Waiting, "held": c.Held, "held_ms": mean,
-		"held_now": c.HeldNow, "refused": c.Refused, "barred": c.Barred, "told": c.Told, "again": c.Again, "closed_at_start": c.Closed,
-		"searches": c.Searches, "marks": c.Marks, "sick": c.Sick, "doubt": c.Doubt}
+		"held_now": c.HeldNow, "refused": c.Refused, "barred": c.Blocked, "told": c.AnsweredFromRecord, "again": c.Again, "closed_at_start": c.Closed,
+		"searches": c.Requests, "marks": c.Keys, "sick": c.DiskFailing, "doubt": c.TailInDoubt}
 }
 
 // Now reads the clocks of the machine. Where the time since its start can't be read, that is left out, and windows are
 // reckoned on the safe side.
-func Now() ledger.Moment {
-	m := ledger.Moment{WallMS: float64(time.Now().UnixMicro()) / 1000}
+func Now() ledger.Clocks {
+	m := ledger.Clocks{WallMS: float64(time.Now().UnixMicro()) / 1000}
 	up, err := os.ReadFile("/proc/uptime")
 	boot, err2 := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err == nil && err2 == nil {
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -25,8 +25,8 @@
 	c, err := begin(disk, now, e)
 	require.NoError(t, err, what)
 	for _, id := range open {
-		got := c.Step(c.now, &ledger.Event{Kind: ledger.Asked, ID: id})[0].Outcome
-		require.NotContains(t, []ledger.Outcome{ledger.Unknown, ledger.Open, ledger.Denied}, got, what)
+		got := c.Step(c.now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id})[0].Outcome
+		require.NotContains(t, []ledger.Outcome{ledger.Unknown, ledger.Open, ledger.Rejected}, got, what)
 	}
 	c.retries(rounds)
 	require.Empty(t, e.twice(), what)
@@ -201,7 +201,7 @@
 		require.NoError(t, k.Close())
 		again, _, err := Open(disk, bounds, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
 		require.NoError(t, err)
-		assert.Equal(t, ledger.Handled, again.Step(1, &ledger.Event{Kind: ledger.Asked, Mark: "m1"})[0].Outcome)
+		assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
 		require.NoError(t, again.store.Close())
 	}
 }
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -264,7 +264,7 @@
 	ask(c, call(`{"req":"a1"}`))
 	it := m.next(t)
 	assert.Equal(t, []string{"a1", ""}, []string{it.Query.ID, it.Query.IdempotencyKey})
-	it.Query.Reply(ledger.Effect{Outcome: ledger.Handled, AgeMS: 1520.7, Body: []byte("x\n")})
+	it.Query.Reply(ledger.Effect{Outcome: ledger.Succeeded, AgeMS: 1520.7, Body: []byte("x\n")})
 	answered(t, r, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"handled","age":1520,"data":"eAo="}}`)
 	ask(c, call(`{"opkey":"k9"}`))
 	it = m.next(t)
