--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -25,8 +25,8 @@
 type Extensions struct {
 	file  *operatorconfig.File
 	desk  *dispatch.Loop
-	keep  *ledgerstore.Keeper // nil: no store
-	team  *teams              // nil: no budgets
+	keep  *ledgerstore.Store // nil: no store
+	team  *teams             // nil: no budgets
 	door  *adminapi.Server
 	fleet *fleet // nil: none
 	heirs *heirs // nil: nobody keeps copies
@@ -94,7 +94,7 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	var k *ledgerstore.Keeper
+	var k *ledgerstore.Store
 	var found store.Found
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
 		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
@@ -128,7 +128,7 @@
 // Start tells the module what it needs from before, ahead of all else.
 func (i *Extensions) Start() {
 	if i.keep != nil {
-		for _, ev := range i.keep.First() {
+		for _, ev := range i.keep.RestoredEvents() {
 			i.desk.Put(dispatch.QueueItem{Event: ev})
 		}
 	}
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -163,7 +163,7 @@
 		return
 	}
 	teams := i.team.tree.Teams()
-	for _, n := range i.keep.Notes() {
+	for _, n := range i.keep.OperatorNotes() {
 		name, ok := strings.CutPrefix(n.ID, limitNote)
 		k := slices.IndexFunc(teams, func(t quota.Team) bool { return t.Name == name })
 		var l limit
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -168,7 +168,7 @@
 	if f.inst.keep == nil {
 		return life
 	}
-	for _, n := range f.inst.keep.Notes() {
+	for _, n := range f.inst.keep.OperatorNotes() {
 		if n.ID != lifeNote {
 			continue
 		}
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -45,7 +45,7 @@
 	disk := vfs.NewMemory()
 	c := &controller{now: 10000, heard: make(chan ledger.Event, 1000), engine: &engines{ran: map[string][]string{}}}
 	var err error
-	c.Keeper, _, err = OpenAt(disk, bounds, goldenGiven(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
+	c.Store, _, err = OpenAt(disk, bounds, goldenGiven(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
 	require.NoError(t, err)
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
 	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
@@ -149,10 +149,10 @@
 				fmt.Fprintf(&told, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
 			}
 		}
-		for _, n := range k.Notes() {
+		for _, n := range k.OperatorNotes() {
 			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
 		}
-		recalled := k.First()
+		recalled := k.RestoredEvents()
 		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Entry{{Executor: 1, Place: "here"},
 			{Executor: 2, Place: "there"}}}) {
 			recalled = append(recalled, e.SchedulerEvent)
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -59,7 +59,7 @@
 
 // controller does what a desk does with a keeper, one search after the other.
 type controller struct {
-	*Keeper
+	*Store
 	now    float64
 	heard  chan ledger.Event
 	engine *engines
@@ -71,7 +71,7 @@
 func begin(disk *vfs.Memory, now float64, e *engines) (*controller, error) {
 	c := &controller{now: now, heard: make(chan ledger.Event, 1000), engine: e}
 	open := func() (err error) {
-		c.Keeper, _, err = OpenAt(disk, bounds, given(), func() float64 { return now }, up(now),
+		c.Store, _, err = OpenAt(disk, bounds, given(), func() float64 { return now }, up(now),
 			func(ev ledger.Event) { c.heard <- ev }, silent())
 		return err
 	}
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -17,8 +17,8 @@
 	"liftshift/scheduler"
 )
 
-// Keeper is a ledger with a store beneath. Step and WantsBeliefs belong to the desk's goroutine.
-type Keeper struct {
+// Store is a ledger with a store beneath. Step and WantsBeliefs belong to the desk's goroutine.
+type Store struct {
 	store  *store.Store
 	ledger *ledger.Ledger
 	back   func(ledger.Event)
@@ -36,14 +36,14 @@
 // Open opens the store, ends what was open at the last crash, and gives what was found. Back gets what is heard of the
 // disk, from another goroutine; it must lead to Step.
 func Open(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, back func(ledger.Event),
-	log logrus.FieldLogger) (*Keeper, store.Found, error) {
-	return OpenAt(fs, bounds, given, now, Now(), back, log)
+	log logrus.FieldLogger) (*Store, store.Found, error) {
+	return OpenAt(fs, bounds, given, now, ReadClocks(), back, log)
 }
 
 // OpenAt is Open at a moment of the machine's clocks.
 func OpenAt(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, moment ledger.Clocks,
-	back func(ledger.Event), log logrus.FieldLogger) (*Keeper, store.Found, error) {
-	k := &Keeper{ledger: ledger.New(given), back: back, log: log, now: now}
+	back func(ledger.Event), log logrus.FieldLogger) (*Store, store.Found, error) {
+	k := &Store{ledger: ledger.New(given), back: back, log: log, now: now}
 	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
 		k.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
 	})
@@ -64,17 +64,17 @@
 	return k, found, nil
 }
 
-// First gives what the module is to be told before anything else.
-func (k *Keeper) First() []scheduler.Event { return k.first }
+// RestoredEvents gives what the module is to be told before anything else.
+func (k *Store) RestoredEvents() []scheduler.Event { return k.first }
 
-// Notes gives what operators had set before the start.
-func (k *Keeper) Notes() []ledger.Effect { return k.notes }
+// OperatorNotes gives what operators had set before the start.
+func (k *Store) OperatorNotes() []ledger.Effect { return k.notes }
 
-// WantsBeliefs tells whether the ledger wants to hear what the module believes.
-func (k *Keeper) WantsExecutorViews(now float64) bool { return k.ledger.WantsExecutorViews(now) }
+// WantsExecutorViews tells whether the ledger wants to hear what the module believes.
+func (k *Store) WantsExecutorViews(now float64) bool { return k.ledger.WantsExecutorViews(now) }
 
 // Step tells the ledger of an event, lines up what it wants kept, and gives the other effects.
-func (k *Keeper) Step(now float64, ev *ledger.Event) []ledger.Effect {
+func (k *Store) Step(now float64, ev *ledger.Event) []ledger.Effect {
 	k.out = k.out[:0]
 	k.step(now, ev)
 	if ev.Kind == ledger.Ticked {
@@ -85,7 +85,7 @@
 	return k.out
 }
 
-func (k *Keeper) step(now float64, ev *ledger.Event) {
+func (k *Store) step(now float64, ev *ledger.Event) {
 	token := uint64(0)
 	k.batch.Reset()
 	for _, e := range k.ledger.Step(now, ev) {
@@ -122,18 +122,18 @@
 }
 
 // Stored hears from the store what became of a batch.
-func (k *Keeper) Stored(token uint64, err error) {
+func (k *Store) Stored(token uint64, err error) {
 	k.back(ledger.Event{Kind: ledger.RecordsStored, Token: token, OK: err == nil})
 }
 
 // Close writes the end of a planned stop and closes the store. The desk must have ended.
-func (k *Keeper) Close() error {
+func (k *Store) Close() error {
 	k.Step(k.now(), &ledger.Event{Kind: ledger.ShutdownFinished})
 	return k.store.Close()
 }
 
 // Fields are the counters for the log.
-func (k *Keeper) Fields() logrus.Fields {
+func (k *Store) Fields() logrus.Fields {
 	f, c := k.store.Figures(), ledger.Counts{}
 	if p := k.count.Load(); p != nil {
 		c = *p
@@ -149,9 +149,9 @@
 		"searches": c.Requests, "marks": c.Keys, "sick": c.DiskFailing, "doubt": c.TailInDoubt}
 }
 
-// Now reads the clocks of the machine. Where the time since its start can't be read, that is left out, and windows are
+// ReadClocks reads the clocks of the machine. Where the time since its start can't be read, that is left out, and windows are
 // reckoned on the safe side.
-func Now() ledger.Clocks {
+func ReadClocks() ledger.Clocks {
 	m := ledger.Clocks{WallMS: float64(time.Now().UnixMicro()) / 1000}
 	up, err := os.ReadFile("/proc/uptime")
 	boot, err2 := os.ReadFile("/proc/sys/kernel/random/boot_id")
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -140,7 +140,7 @@
 func (f *fleet) Refresh()                                        {}
 
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
-func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Loop, *fleet, *Keeper) {
+func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Loop, *fleet, *Store) {
 	clock := dispatch.NewClock()
 	d := dispatch.New(clock, scheduler.New(7, given()), silent())
 	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
@@ -149,7 +149,7 @@
 	d.Executors, d.Peers, d.List, d.HealthCheckTimeoutMS = f, f, f, 250
 	d.Register(dispatch.LedgerExtension(k))
 	go d.Run()
-	for _, ev := range k.First() {
+	for _, ev := range k.RestoredEvents() {
 		d.Put(dispatch.QueueItem{Event: ev})
 	}
 	d.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Restored,
@@ -235,7 +235,7 @@
 }
 
 func TestTheMomentIsReadWhereThereIsOne(t *testing.T) {
-	m := Now()
+	m := ReadClocks()
 	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
 	assert.Equal(t, m.UpMS > 0, m.Boot != "")
 	_, _, err := Open(vfs.NewMemory(), store.Bounds{}, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
