--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -38,7 +38,7 @@
 	b := locality.BoundsOf(g)
 	self := f.view.Self()
 	for name, r := range i.file.Zones.Regions {
-		b.WayMS[[2]string{self.Region, name}], b.Price[[2]string{self.Region, name}] = r.WayMS, r.Price
+		b.LatencyMS[[2]string{self.Region, name}], b.MinDensity[[2]string{self.Region, name}] = r.WayMS, r.Price
 	}
 	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
 	i.lookout.scout.Start()
@@ -89,22 +89,22 @@
 	var list, pairs, orders, reaches, reports, lines []any
 	for _, z := range p.Zones {
 		list = append(list, map[string]any{"zone": z.Name, "region": z.Region, "state": z.State.String(), "stage": float64(z.Stage), "flaps": float64(z.Flaps),
-			"cores": z.Cores, "controllers": float64(z.Members), "why": z.Why})
+			"cores": z.Cores, "controllers": float64(z.Members), "why": z.Reason})
 	}
 	for _, x := range p.Pairs {
-		pairs = append(pairs, map[string]any{"from": x.From, "to": x.To, "cap": x.Cap, "parts": float64(len(x.Parts))})
+		pairs = append(pairs, map[string]any{"from": x.From, "to": x.To, "cap": x.Cap, "parts": float64(len(x.Shares))})
 	}
 	for _, o := range w.Orders() {
-		orders = append(orders, map[string]any{"kind": string(o.Kind), "zone": o.Zone, "author": o.Author, "why": o.Why, "until": until(o.Until)})
+		orders = append(orders, map[string]any{"kind": string(o.Kind), "zone": o.Zone, "author": o.Author, "why": o.Reason, "until": until(o.Until)})
 	}
 	for _, r := range w.Reaches() {
 		reaches = append(reaches, map[string]any{"zone": r.Place, "tier": float64(r.Tier), "threads": r.Room, "way_ms": r.WayMS, "least": r.Least})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(w.Reports())) {
 		r := w.Reports()[zone]
-		reports = append(reports, map[string]any{"zone": zone, "voices": float64(r.Voices), "wants": math.Round(10*r.Wants) / 10})
+		reports = append(reports, map[string]any{"zone": zone, "voices": float64(r.Observers), "wants": math.Round(10*r.DemandThreads) / 10})
 	}
-	for _, line := range w.Lines() {
+	for _, line := range w.Explanations() {
 		lines = append(lines, line)
 	}
 	return map[string]any{"plan": float64(p.Number), "leader": l.fleet.seat.Leader(now), "held": l.fleet.seat.LeaseHeld(), "zones": list, "pairs": pairs,
@@ -121,7 +121,7 @@
 // order has the council take in an operator's order.
 func (l *lookout) order(now float64, fields map[string]any) (map[string]any, error) {
 	text := func(name string) string { s, _ := fields[name].(string); return s }
-	o := locality.Order{Kind: locality.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Why: text("why")}
+	o := locality.Order{Kind: locality.OrderKind(text("kind")), Zone: text("zone"), Author: text("who"), Reason: text("why")}
 	if !slices.ContainsFunc(l.scout.Monitor.Plan().Zones, func(z locality.Zone) bool { return z.Name == o.Zone }) {
 		return nil, adminapi.RequestErrorf("no zone %q; see: liftshift zones show", o.Zone)
 	}
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -114,7 +114,7 @@
 	chance  *rand.Rand
 	engines []*engine
 	gates   []*scheduler.Gateway
-	watches []*locality.Watch
+	watches []*locality.Monitor
 	wants   []float64
 	open    []map[string]*asked
 	plan    locality.Plan
@@ -431,14 +431,14 @@
 	leader := 1
 	for k := range p.watches {
 		if look%10 == 0 && look%50 != 0 {
-			p.watchStep(k, &locality.Event{Kind: locality.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]})
+			p.watchStep(k, &locality.Event{Kind: locality.Observed, Executors: p.sees(k), DemandThreads: p.wants[k], Applied: p.applied[k]})
 		}
 		if look%25 == 0 {
-			present := &locality.Event{Kind: locality.Present, Members: list, Leader: fmt.Sprintf("c%03d", leader), Leads: k == leader}
-			seen := &locality.Event{Kind: locality.Seen, Executors: p.sees(k), Wants: p.wants[k], Applied: p.applied[k]}
+			present := &locality.Event{Kind: locality.MembersChanged, Members: list, Leader: fmt.Sprintf("c%03d", leader), Leads: k == leader}
+			seen := &locality.Event{Kind: locality.Observed, Executors: p.sees(k), DemandThreads: p.wants[k], Applied: p.applied[k]}
 			if p.Manner == Alone {
 				present.Leader, present.Leads = fmt.Sprintf("c%03d", k), true
-				seen.Wants *= float64(p.Controllers) / float64(p.Zones)
+				seen.DemandThreads *= float64(p.Controllers) / float64(p.Zones)
 			}
 			p.watchStep(k, present)
 			p.watchStep(k, seen)
@@ -448,9 +448,9 @@
 			if p.Manner == Alone {
 				number = p.watches[k].Plan().Number
 			}
-			p.watchStep(k, &locality.Event{Kind: locality.Confirmed, Number: number, At: p.now})
+			p.watchStep(k, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: number, At: p.now})
 		}
-		p.watchStep(k, &locality.Event{Kind: locality.Ticked, Unix: int64(p.now)})
+		p.watchStep(k, &locality.Event{Kind: locality.Ticked, UnixMS: int64(p.now)})
 	}
 }
 
@@ -458,8 +458,8 @@
 	beliefs := p.gates[k].Beliefs(p.now+simWarm, nil)
 	for _, b := range beliefs {
 		e := p.engines[b.Executor-1]
-		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == scheduler.Active, Aside: b.Aside, Cold: b.Cold,
-			Out: float64(b.Threads), Known: b.Aside || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < 10_000 || b.ReportMS >= 0 && b.ReportMS < 10_000})
+		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == scheduler.Active, Ejected: b.Aside, WarmingUp: b.Cold,
+			InFlight: float64(b.Threads), Known: b.Aside || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < 10_000 || b.ReportMS >= 0 && b.ReportMS < 10_000})
 	}
 	return list
 }
@@ -474,25 +474,25 @@
 			}
 		}
 		switch e.Kind {
-		case locality.Tell:
+		case locality.SendReport:
 			carry(func() {
-				p.watchStep(to, &locality.Event{Kind: locality.Heard, From: fmt.Sprintf("c%03d", k), Data: e.Data})
+				p.watchStep(to, &locality.Event{Kind: locality.ReportReceived, From: fmt.Sprintf("c%03d", k), Data: e.Data})
 			})
-		case locality.Announce:
+		case locality.AnnouncePlan:
 			carry(func() {
-				p.watchStep(to, &locality.Event{Kind: locality.Announced, From: fmt.Sprintf("c%03d", k), Number: e.Number})
+				p.watchStep(to, &locality.Event{Kind: locality.PlanAnnounced, From: fmt.Sprintf("c%03d", k), PlanNumber: e.Number})
 			})
-		case locality.AskLoan:
+		case locality.RequestLoan:
 			carry(func() {
-				p.watchStep(to, &locality.Event{Kind: locality.LoanAsked, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number})
+				p.watchStep(to, &locality.Event{Kind: locality.LoanRequested, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, PlanNumber: e.Number})
 			})
-		case locality.GiveLoan:
+		case locality.GrantLoan:
 			carry(func() {
-				p.watchStep(to, &locality.Event{Kind: locality.LoanGiven, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, Number: e.Number, Threads: e.Threads})
+				p.watchStep(to, &locality.Event{Kind: locality.LoanGranted, From: fmt.Sprintf("c%03d", k), Zone: e.Zone, PlanNumber: e.Number, Threads: e.Threads})
 			})
-		case locality.Fetch:
+		case locality.FetchPlan:
 			carry(func() { p.planned(k, p.plan) })
-		case locality.Propose:
+		case locality.ProposePlan:
 			plan := *e.Plan
 			if p.Manner == Alone {
 				p.planned(k, plan)
@@ -505,7 +505,7 @@
 					p.planned(1, plan)
 				}
 			})
-		case locality.Reach:
+		case locality.SetReach:
 			p.reaches[k], p.applied[k] = e.Reaches, e.Number
 			p.step(k, &scheduler.Event{Kind: scheduler.Opened, Reaches: e.Reaches})
 		}
@@ -513,7 +513,7 @@
 }
 
 func (p *betweenPlay) planned(k int, plan locality.Plan) {
-	p.watchStep(k, &locality.Event{Kind: locality.Planned, Plan: &plan})
+	p.watchStep(k, &locality.Event{Kind: locality.PlanAgreed, Plan: &plan})
 }
 
 // look counts what is out from each zone in each other, and holds it against what the caps allow.
--- a/internal/locality/golden_test.go
+++ b/internal/locality/golden_test.go
@@ -39,21 +39,21 @@
 
 // Reports, plans and orders are written as they always were, with all fields and with none, and read from that again.
 func TestGolden_ZonesWords(t *testing.T) {
-	goldenJSON(t, "report", letter{N: 7, Report: Report{Zone: "z0", Voices: 5, Deaf: 1, Wants: 12.5, Sights: []Sight{
-		{Zone: "z0", Fine: 3, Thin: 1, Gone: 1, Out: 4.5}, {Zone: "z1", Fine: 1, Thin: 2, Gone: 2, Out: 0.25}}}})
+	goldenJSON(t, "report", letter{N: 7, Report: Report{Zone: "z0", Observers: 5, WithoutList: 1, DemandThreads: 12.5, Observations: []Observation{
+		{Zone: "z0", Healthy: 3, Degraded: 1, Unreachable: 1, InFlight: 4.5}, {Zone: "z1", Healthy: 1, Degraded: 2, Unreachable: 2, InFlight: 0.25}}}})
 	goldenJSON(t, "report-empty", letter{})
-	plan := Plan{Number: 9, Pairs: []Pair{{From: "z0", To: "z1", Cap: 3.5, Parts: []Part{{Name: "a", Threads: 1.5}, {Name: "b", Threads: 2}}}, {From: "z1", To: "z0"}},
-		Held: []Held{{From: "z0", To: "z1", Name: "c", Threads: 2.5, LeftMS: 1500}}}
+	plan := Plan{Number: 9, Pairs: []Pair{{From: "z0", To: "z1", Cap: 3.5, Shares: []Share{{Name: "a", Threads: 1.5}, {Name: "b", Threads: 2}}}, {From: "z1", To: "z0"}},
+		Revoked: []RevokedShare{{From: "z0", To: "z1", Name: "c", Threads: 2.5, LeftMS: 1500}}}
 	for s, name := range []string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"} {
 		plan.Zones = append(plan.Zones, Zone{Name: "z-" + name, Region: "r", State: State(s), Stage: 2, Flaps: 3, Cores: 100.5, Kinds: []string{"big", "small"},
-			Why: "seen", ForMS: 250.5, Members: 5})
+			Reason: "seen", InStateMS: 250.5, Members: 5})
 	}
-	assert.Equal(t, []State{0, 1, 2, 3, 4, 5}, []State{Whole, Thinned, Doubtful, Lost, Evacuated, Returning})
+	assert.Equal(t, []State{0, 1, 2, 3, 4, 5}, []State{Healthy, Degraded, Suspected, Lost, Evacuated, Recovering})
 	goldenJSON(t, "plan", plan)
 	goldenJSON(t, "plan-empty", Plan{})
-	goldenJSON(t, "plan-bare", Plan{Number: 1, Zones: []Zone{{}}, Pairs: []Pair{{}}, Held: []Held{{}}})
+	goldenJSON(t, "plan-bare", Plan{Number: 1, Zones: []Zone{{}}, Pairs: []Pair{{}}, Revoked: []RevokedShare{{}}})
 	for _, kind := range []OrderKind{Evacuate, Hold, Return} {
-		goldenJSON(t, "order-"+string(kind), Order{Kind: kind, Zone: "z0", Author: "ann", Why: "work on the net", Until: 1700000000123, SpanMS: 60000.5})
+		goldenJSON(t, "order-"+string(kind), Order{Kind: kind, Zone: "z0", Author: "ann", Reason: "work on the net", Until: 1700000000123, SpanMS: 60000.5})
 	}
 	goldenJSON(t, "order-empty", Order{})
 }
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -29,7 +29,7 @@
 	now     float64
 	unix    int64
 	sites   []*site
-	watches []*Watch
+	watches []*Monitor
 	zoneOf  []int
 	down    map[int]bool
 	away    map[int]bool // cut off from all others
@@ -54,7 +54,7 @@
 	plan Plan
 }
 
-func newWorld(t *testing.T, zones, each int, b Bounds) *world {
+func newWorld(t *testing.T, zones, each int, b Settings) *world {
 	w := &world{t: t, now: 1000, unix: 1, applied: map[int]uint64{}, outs: map[int]map[string]float64{}, down: map[int]bool{}, away: map[int]bool{}, chance: rand.New(rand.NewPCG(uint64(zones), uint64(each)))}
 	for range zones {
 		w.sites = append(w.sites, &site{cores: 100, up: 1, listed: 1, region: "r", kinds: []string{"big"}, hidden: map[int]bool{}})
@@ -70,7 +70,7 @@
 
 func (w *world) name(k int) string { return fmt.Sprintf("c%03d", k) }
 
-func testBounds() Bounds {
+func testBounds() Settings {
 	b := BoundsOf(scheduler.Given{"lease_ms": 3000.0, "stage_ms": 1000.0, "return_wait_ms": 1000.0})
 	return b
 }
@@ -83,7 +83,7 @@
 }
 
 func (w *world) index(name string) int {
-	return slices.IndexFunc(w.watches, func(x *Watch) bool { return x.name == name })
+	return slices.IndexFunc(w.watches, func(x *Monitor) bool { return x.name == name })
 }
 
 func (w *world) step(k int, ev *Event) {
@@ -92,18 +92,18 @@
 	}
 	for _, e := range slices.Clone(w.watches[k].Step(w.now, ev)) {
 		switch e.Kind {
-		case Tell:
+		case SendReport:
 			w.bytes += len(e.Data)
 			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: Heard, From: w.name(k), Data: e.Data}) })
+				w.send(k, to, func() { w.step(to, &Event{Kind: ReportReceived, From: w.name(k), Data: e.Data}) })
 			}
-		case Announce:
+		case AnnouncePlan:
 			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: Announced, From: w.name(k), Number: e.Number}) })
+				w.send(k, to, func() { w.step(to, &Event{Kind: PlanAnnounced, From: w.name(k), PlanNumber: e.Number}) })
 			}
-		case Fetch:
+		case FetchPlan:
 			w.send(k, w.leader, func() { w.send(w.leader, k, func() { w.planned(k) }) })
-		case Propose:
+		case ProposePlan:
 			plan := *e.Plan
 			w.send(k, w.leader, func() {
 				if w.agreed() && plan.Number == w.plan.Number+1 {
@@ -112,17 +112,17 @@
 					w.planned(w.leader)
 				}
 			})
-		case AskLoan:
+		case RequestLoan:
 			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: LoanAsked, From: w.name(k), Zone: e.Zone, Number: e.Number}) })
+				w.send(k, to, func() { w.step(to, &Event{Kind: LoanRequested, From: w.name(k), Zone: e.Zone, PlanNumber: e.Number}) })
 			}
-		case GiveLoan:
+		case GrantLoan:
 			if to := w.index(e.To); to >= 0 {
 				w.send(k, to, func() {
-					w.step(to, &Event{Kind: LoanGiven, From: w.name(k), Zone: e.Zone, Number: e.Number, Threads: e.Threads})
+					w.step(to, &Event{Kind: LoanGranted, From: w.name(k), Zone: e.Zone, PlanNumber: e.Number, Threads: e.Threads})
 				})
 			}
-		case Reach:
+		case SetReach:
 			w.applied[k] = e.Number
 			w.reaches[k] = map[string]scheduler.Reach{}
 			for _, r := range e.Reaches {
@@ -134,7 +134,7 @@
 
 func (w *world) planned(k int) {
 	plan := w.plan
-	w.step(k, &Event{Kind: Planned, Plan: &plan, Orders: w.orders})
+	w.step(k, &Event{Kind: PlanAgreed, Plan: &plan, Orders: w.orders})
 }
 
 // agreed tells whether the council has a majority of its three.
@@ -186,14 +186,16 @@
 				list = append(list, Member{Name: w.name(o), Zone: fmt.Sprint("z", w.zoneOf[o]), Region: w.sites[w.zoneOf[o]].region,
 					Living: !w.down[o] && (w.away[o] == w.away[k] && !w.away[k] || o == k)})
 			}
-			w.step(k, &Event{Kind: Present, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.agreed()})
-			w.step(k, &Event{Kind: Seen, Executors: w.sees(k), Wants: w.wants(k), Deaf: w.deaf, Applied: w.applied[k]})
+			w.step(k, &Event{Kind: MembersChanged, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.agreed()})
+			w.step(k, &Event{Kind: Observed, Executors: w.sees(k), DemandThreads: w.wants(k), WithoutList: w.deaf, Applied: w.applied[k]})
 		}
 		if int(w.now)%1000 == k%20*50 && w.agreed() { // a lease is asked for, and granted by one who leads
 			asked, number := w.now, w.plan.Number
-			w.send(k, w.leader, func() { w.send(w.leader, k, func() { w.step(k, &Event{Kind: Confirmed, Number: number, At: asked}) }) })
+			w.send(k, w.leader, func() {
+				w.send(w.leader, k, func() { w.step(k, &Event{Kind: PlanConfirmed, PlanNumber: number, At: asked}) })
+			})
 		}
-		w.step(k, &Event{Kind: Ticked, Unix: w.unix})
+		w.step(k, &Event{Kind: Ticked, UnixMS: w.unix})
 		_ = x
 	}
 }
@@ -205,11 +207,11 @@
 		for n := range 10 {
 			x := Executor{Zone: fmt.Sprint("z", z), Kind: s.kinds[n%len(s.kinds)], Cores: s.cores / 10, Listed: float64(n) < 10*s.listed}
 			reach := float64(n) < 10*s.up && !(z == w.zoneOf[k] && s.hidden[k]) && !(z != w.zoneOf[k] && s.foreign)
-			if z == w.zoneOf[k] || w.state(w.zoneOf[k]) != Whole && w.reaches[k] != nil && w.reaches[k][x.Zone].Room > 0 {
-				x.Known, x.Aside = true, !reach
+			if z == w.zoneOf[k] || w.state(w.zoneOf[k]) != Healthy && w.reaches[k] != nil && w.reaches[k][x.Zone].Room > 0 {
+				x.Known, x.Ejected = true, !reach
 			}
 			if n == 0 {
-				x.Out = w.outs[k][x.Zone]
+				x.InFlight = w.outs[k][x.Zone]
 			}
 			list = append(list, x)
 		}
--- a/internal/locality/loans.go
+++ b/internal/locality/loans.go
@@ -59,15 +59,15 @@
 	return loans{spares: map[string]*spare{}, asked: map[uint64]question{}, out: map[string]float64{}}
 }
 
-func (w *Watch) loanMS() float64 { return min(loanMS, w.bounds.ValidMS/3) }
+func (w *Monitor) loanMS() float64 { return min(loanMS, w.bounds.LeaseMS/3) }
 
 // lendable is what of a part may be given on: as long as what confirms it outlives the loan.
-func (w *Watch) lendable() bool {
-	return w.bounds.ValidMS-(w.now-w.confirmedAt) > w.loanMS()+loanGrace && w.valid() == 1
+func (w *Monitor) lendable() bool {
+	return w.bounds.LeaseMS-(w.now-w.confirmedAt) > w.loanMS()+loanGrace && w.valid() == 1
 }
 
 // room is what this controller's module may have out in a place: its part, without what is lent or kept to be, with what it borrowed.
-func (w *Watch) room(place string, valid float64) float64 {
+func (w *Monitor) room(place string, valid float64) float64 {
 	own := w.plan.Pair(w.zone, place).part(w.name)
 	for _, l := range w.loans.lent {
 		if l.place == place {
@@ -87,7 +87,7 @@
 }
 
 // lapse ends loans whose time has come, and questions that can't be answered any more.
-func (w *Watch) lapse() {
+func (w *Monitor) lapse() {
 	over := func(l loan) bool { return w.now >= l.until }
 	w.loans.lent, w.loans.got = slices.DeleteFunc(w.loans.lent, over), slices.DeleteFunc(w.loans.got, over)
 	for nonce, q := range w.loans.asked {
@@ -99,16 +99,16 @@
 
 // weighLoans looks at what is out: what is kept to be lent ripens, is given up where it is wanted here, and is asked for where it is not
 // enough. Applied is what the module had been told when this was seen.
-func (w *Watch) weighLoans(ev *Event) {
+func (w *Monitor) weighLoans(ev *Event) {
 	l := &w.loans
 	clear(l.out)
 	all := 0.0
 	for k := range ev.Executors {
-		l.out[ev.Executors[k].Zone] += ev.Executors[k].Out
-		all += ev.Executors[k].Out
+		l.out[ev.Executors[k].Zone] += ev.Executors[k].InFlight
+		all += ev.Executors[k].InFlight
 	}
-	l.waits = max(0, ev.Wants-all)
-	unit := max(1, w.bounds.Unit)
+	l.waits = max(0, ev.DemandThreads-all)
+	unit := max(1, w.bounds.MinShare)
 	for _, pair := range w.plan.Pairs {
 		if pair.From != w.zone {
 			continue
@@ -142,17 +142,17 @@
 		if l.turn++; w.mates[l.turn%len(w.mates)] == w.name {
 			l.turn++
 		}
-		w.do(Effect{Kind: AskLoan, To: w.mates[l.turn%len(w.mates)], Zone: best, Number: nonce})
+		w.do(Effect{Kind: RequestLoan, To: w.mates[l.turn%len(w.mates)], Zone: best, Number: nonce})
 	}
 }
 
 // loanAsked answers a mate: with a loan of what is ripe; else it keeps something for the next time, if it has more than it uses.
-func (w *Watch) loanAsked(ev *Event) {
-	l, unit := &w.loans, max(1, w.bounds.Unit)
+func (w *Monitor) loanAsked(ev *Event) {
+	l, unit := &w.loans, max(1, w.bounds.MinShare)
 	if !slices.Contains(w.mates, ev.From) || ev.From == w.name || !w.lendable() || l.waits >= unit || len(l.lent) >= mostLoans {
 		return
 	}
-	if slices.ContainsFunc(l.lent, func(x loan) bool { return x.nonce == ev.Number }) {
+	if slices.ContainsFunc(l.lent, func(x loan) bool { return x.nonce == ev.PlanNumber }) {
 		return // it came twice
 	}
 	s := l.spares[ev.Zone]
@@ -167,9 +167,9 @@
 	if s.ripe && s.threads >= unit {
 		give := unit * math.Ceil(s.threads/unit/2)
 		s.threads -= give
-		l.lent = append(l.lent, loan{ev.Zone, ev.Number, give, w.now + w.loanMS() + loanGrace})
+		l.lent = append(l.lent, loan{ev.Zone, ev.PlanNumber, give, w.now + w.loanMS() + loanGrace})
 		l.Lent++
-		w.do(Effect{Kind: GiveLoan, To: ev.From, Zone: ev.Zone, Number: ev.Number, Threads: give})
+		w.do(Effect{Kind: GrantLoan, To: ev.From, Zone: ev.Zone, Number: ev.PlanNumber, Threads: give})
 	}
 	if idle := math.Floor((w.room(ev.Zone, 1)-l.out[ev.Zone])/unit) - 1; idle >= 1 { // one is left for what may come
 		own := w.plan.Pair(w.zone, ev.Zone).part(w.name)
@@ -183,14 +183,14 @@
 
 // loanGiven takes a loan in answer to a question, for what is left of its time since that was asked. Another's answer to the same one
 // comes beside it.
-func (w *Watch) loanGiven(ev *Event) {
+func (w *Monitor) loanGiven(ev *Event) {
 	l := &w.loans
-	q, known := l.asked[ev.Number]
+	q, known := l.asked[ev.PlanNumber]
 	if !known || q.place != ev.Zone || !(ev.Threads > 0) || ev.Threads > mostOf || !slices.Contains(w.mates, ev.From) ||
 		w.now >= q.at+w.loanMS() || len(l.got) >= mostLoans {
 		return
 	}
-	from := uint64(rank(ev.From, ""))<<32 | ev.Number&math.MaxUint32
+	from := uint64(rank(ev.From, ""))<<32 | ev.PlanNumber&math.MaxUint32
 	if slices.ContainsFunc(l.got, func(x loan) bool { return x.nonce == from }) {
 		return // it came twice
 	}
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -18,7 +18,7 @@
 	}
 	w.run(5000)
 	for z := range w.sites {
-		require.Equal(t, Whole, w.state(z))
+		require.Equal(t, Healthy, w.state(z))
 	}
 	return w
 }
@@ -57,7 +57,7 @@
 	last, seen := 0.0, map[float64]bool{}
 	for range 200 {
 		w.run(100)
-		if w.state(0) == Returning {
+		if w.state(0) == Recovering {
 			share := w.may(0, 0)
 			assert.LessOrEqual(t, share, 0.7*1.2*100)
 			assert.GreaterOrEqual(t, share, last, "good signs alone: it only grows")
@@ -66,7 +66,7 @@
 		}
 	}
 	assert.Len(t, seen, len(stages), "each stage")
-	assert.Equal(t, Whole, w.state(0))
+	assert.Equal(t, Healthy, w.state(0))
 	w.run(5000)
 	assert.Nil(t, w.plan.Pair("z0", "z0"), "near again without bound")
 	assert.LessOrEqual(t, w.may(0, 1), 0.5*left/2)
@@ -78,11 +78,11 @@
 		cause func(w *world)
 		want  State
 	}{
-		"lost for half of its controllers only": {func(w *world) { w.sites[0].hidden = map[int]bool{0: true, 3: true} }, Doubtful},
-		"cut off from others alone":             {func(w *world) { w.sites[0].foreign = true }, Whole},
-		"its list is gone, it is not":           {func(w *world) { w.deaf = true }, Whole},
-		"slow":                                  {func(w *world) { w.sites[0].wants *= 3 }, Whole},
-		"half of it gone":                       {func(w *world) { w.sites[0].up, w.sites[0].listed = 0.5, 0.5 }, Thinned},
+		"lost for half of its controllers only": {func(w *world) { w.sites[0].hidden = map[int]bool{0: true, 3: true} }, Suspected},
+		"cut off from others alone":             {func(w *world) { w.sites[0].foreign = true }, Healthy},
+		"its list is gone, it is not":           {func(w *world) { w.deaf = true }, Healthy},
+		"slow":                                  {func(w *world) { w.sites[0].wants *= 3 }, Healthy},
+		"half of it gone":                       {func(w *world) { w.sites[0].up, w.sites[0].listed = 0.5, 0.5 }, Degraded},
 		"gone, with its controllers": {func(w *world) {
 			w.sites[0].up, w.sites[0].listed = 0, 0
 			for k := range w.watches {
@@ -95,14 +95,14 @@
 				w.down[k] = w.zoneOf[k] == 0
 			}
 		}, Lost},
-		"gone for its own, the list out of reach": {func(w *world) { w.sites[0].up, w.deaf = 0, true }, Doubtful},
+		"gone for its own, the list out of reach": {func(w *world) { w.sites[0].up, w.deaf = 0, true }, Suspected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := calm(t, 4)
 			c.cause(w)
 			w.run(4000)
-			assert.Equal(t, c.want, w.state(0), "%v", w.plan.zone("z0").Why)
-			assert.Equal(t, Whole, w.state(1))
+			assert.Equal(t, c.want, w.state(0), "%v", w.plan.zone("z0").Reason)
+			assert.Equal(t, Healthy, w.state(1))
 			w.clean()
 		})
 	}
@@ -111,14 +111,14 @@
 // Back and lost again and again: each time it waits longer, up to a bound, and the others are not asked to swing with it.
 func TestAFlappingZone(t *testing.T) {
 	w := calm(t, 4)
-	returns, was := 0, Whole
+	returns, was := 0, Healthy
 	for range 6 {
 		for _, up := range []float64{0, 1} {
 			w.sites[0].up, w.sites[0].listed = up, up
 			for range 50 {
 				w.run(100)
 				if s := w.state(0); s != was {
-					if was = s; s == Returning {
+					if was = s; s == Recovering {
 						returns++
 					}
 				}
@@ -129,7 +129,7 @@
 	assert.GreaterOrEqual(t, w.plan.zone("z0").Flaps, 1)
 	w.clean()
 	z := Zone{Flaps: 40}
-	assert.Equal(t, float64(longWait), z.waits(&Bounds{WaitMS: 1000}))
+	assert.Equal(t, float64(longWait), z.waits(&Settings{RecoveryWaitMS: 1000}))
 }
 
 // A controller that is cut off goes on with its part for a while, and with less and less of it; what it had is nobody else's meanwhile.
@@ -173,7 +173,7 @@
 	assert.Zero(t, w.may(0, 1)+w.may(0, 2), "no part outlives what confirms it")
 	w.down[0], w.down[1] = false, false
 	w.run(20_000)
-	assert.Equal(t, Whole, w.state(0))
+	assert.Equal(t, Healthy, w.state(0))
 	w.clean()
 }
 
@@ -233,7 +233,7 @@
 	assert.Zero(t, w.may(0, 0))
 	assert.Greater(t, w.may(0, 1), 0.0)
 	w.run(2500)
-	assert.Equal(t, Returning, w.state(0))
+	assert.Equal(t, Recovering, w.state(0))
 	w.orders = append(w.orders, Order{Kind: Hold, Zone: "z0"})
 	w.planned(w.leader)
 	w.run(300)
@@ -270,27 +270,27 @@
 	w.sites[0].up, w.sites[0].listed = 0, 0
 	w.run(5000)
 	honest := w.may(0, 1) + w.may(0, 2)
-	w.watches[3].own.Wants *= 10
+	w.watches[3].own.DemandThreads *= 10
 	for range 40 {
 		w.run(100)
-		w.watches[9].own.Wants *= 10
+		w.watches[9].own.DemandThreads *= 10
 	}
 	assert.LessOrEqual(t, w.may(0, 1)+w.may(0, 2), 3*honest)
 	leader := w.watches[w.leader]
 	was := leader.Counts.Malformed
-	for _, r := range []Report{{Zone: "z0", Voices: 1000}, {Zone: "z0", Voices: 2, Wants: -1}, {Zone: "z0", Voices: 1, Sights: []Sight{{Zone: "z1", Gone: 5}}},
-		{Zone: "z0", Voices: 2, Deaf: 3}} {
+	for _, r := range []Report{{Zone: "z0", Observers: 1000}, {Zone: "z0", Observers: 2, DemandThreads: -1}, {Zone: "z0", Observers: 1, Observations: []Observation{{Zone: "z1", Unreachable: 5}}},
+		{Zone: "z0", Observers: 2, WithoutList: 3}} {
 		data, err := json.Marshal(letter{1 << 40, r})
 		require.NoError(t, err)
-		leader.Step(w.now, &Event{Kind: Heard, From: w.name(0), Data: data})
+		leader.Step(w.now, &Event{Kind: ReportReceived, From: w.name(0), Data: data})
 	}
-	leader.Step(w.now, &Event{Kind: Heard, From: "x", Data: []byte("{")})
+	leader.Step(w.now, &Event{Kind: ReportReceived, From: "x", Data: []byte("{")})
 	assert.Equal(t, was+5, leader.Counts.Malformed)
-	data, err := json.Marshal(letter{1, Report{Zone: "z2", Voices: 4, Wants: 9}})
+	data, err := json.Marshal(letter{1, Report{Zone: "z2", Observers: 4, DemandThreads: 9}})
 	require.NoError(t, err)
 	stale := leader.Counts.Stale
 	for range 2 {
-		leader.Step(w.now, &Event{Kind: Heard, From: w.name(2), Data: data})
+		leader.Step(w.now, &Event{Kind: ReportReceived, From: w.name(2), Data: data})
 	}
 	assert.Greater(t, leader.Counts.Stale, stale, "the second is none")
 	w.clean()
@@ -304,7 +304,7 @@
 		w.down[k] = w.zoneOf[k] == 2
 	}
 	w.run(3000)
-	assert.NotEqual(t, Whole, w.state(2), "it looks lost first")
+	assert.NotEqual(t, Healthy, w.state(2), "it looks lost first")
 	w.run(200_000)
 	assert.Equal(t, states, w.state(2), "and is forgotten in the end")
 }
@@ -350,9 +350,9 @@
 	x := New("c000", "zO", "r", testBounds())
 	for range 3 {
 		w.now += 300
-		for _, ev := range []*Event{{Kind: Seen, Executors: w.sees(0)}, {Kind: Ticked}} {
+		for _, ev := range []*Event{{Kind: Observed, Executors: w.sees(0)}, {Kind: Ticked}} {
 			for _, e := range x.Step(w.now, ev) {
-				if e.Kind == Warn {
+				if e.Kind == LogWarning {
 					warned++
 				}
 			}
@@ -413,7 +413,7 @@
 	require.NoError(t, err)
 	assert.NotEmpty(t, find(both, "z1 alone has executors of kind big"), "a region: nobody is left")
 	assert.Equal(t, before, w.plan.Number)
-	assert.Equal(t, Whole, w.state(0))
+	assert.Equal(t, Healthy, w.state(0))
 }
 
 // One controller of a zone wants more of another than its part, its mates less: it borrows, they do without, and all together stay within
@@ -475,8 +475,8 @@
 	w := calm(t, 4)
 	x := w.watches[3] // of z0
 	ask := func(from string, nonce uint64) (given float64) {
-		for _, e := range x.Step(w.now, &Event{Kind: LoanAsked, From: from, Zone: "z1", Number: nonce}) {
-			if e.Kind == GiveLoan {
+		for _, e := range x.Step(w.now, &Event{Kind: LoanRequested, From: from, Zone: "z1", PlanNumber: nonce}) {
+			if e.Kind == GrantLoan {
 				given += e.Threads
 			}
 		}
@@ -484,7 +484,7 @@
 	}
 	seen := func(out float64, applied uint64) {
 		w.outs[3] = map[string]float64{"wants": out, "z1": out}
-		x.Step(w.now, &Event{Kind: Seen, Executors: w.sees(3), Wants: out, Applied: applied})
+		x.Step(w.now, &Event{Kind: Observed, Executors: w.sees(3), DemandThreads: out, Applied: applied})
 	}
 	part := x.plan.Pair("z0", "z1").part("c003")
 	require.GreaterOrEqual(t, part, 3.0)
@@ -501,7 +501,7 @@
 	assert.Positive(t, given)
 	assert.Zero(t, ask("c000", 5), "it came twice")
 	assert.LessOrEqual(t, x.room("z1", 1)+given, part)
-	assert.Empty(t, x.Step(w.now, &Event{Kind: LoanGiven, From: "c000", Zone: "z1", Number: 77, Threads: 5}), "nobody asked")
+	assert.Empty(t, x.Step(w.now, &Event{Kind: LoanGranted, From: "c000", Zone: "z1", PlanNumber: 77, Threads: 5}), "nobody asked")
 	w.now += 10_000
 	seen(0, x.gen)
 	assert.Zero(t, ask("c000", 6), "its part is not confirmed any more")
@@ -520,7 +520,7 @@
 		w.run(2500)
 		assert.Equal(t, Evacuated, w.state(0), "stepped by %d ms: it holds", step)
 		w.run(2500)
-		assert.Equal(t, Returning, w.state(0), "stepped by %d ms: it has ended", step)
+		assert.Equal(t, Recovering, w.state(0), "stepped by %d ms: it has ended", step)
 		w.clean()
 	}
 }
--- a/internal/locality/plan.go
+++ b/internal/locality/plan.go
@@ -17,7 +17,7 @@
 	kinds   map[string][]string
 	members []Member
 	orders  []Order
-	bounds  *Bounds
+	bounds  *Settings
 }
 
 // planner makes plans, where this member leads.
@@ -30,15 +30,15 @@
 }
 
 type heldUntil struct {
-	Held
+	RevokedShare
 	until float64
 }
 
 // begin has a planner take up a plan that another made: all that it grants, or holds, may be in use for as long as a part is valid.
-func (p *planner) begin(now float64, plan *Plan, b *Bounds) {
+func (p *planner) begin(now float64, plan *Plan, b *Settings) {
 	p.memos, p.held = map[string]*memo{}, nil
-	for _, h := range plan.Held {
-		p.held = append(p.held, heldUntil{h, now + b.ValidMS})
+	for _, h := range plan.Revoked {
+		p.held = append(p.held, heldUntil{h, now + b.LeaseMS})
 	}
 	for k := range plan.Zones {
 		z := &plan.Zones[k]
@@ -62,19 +62,19 @@
 	}
 	changed = changed || len(plan.Zones) != len(prev.Zones)
 	p.grant(prev, &plan, in)
-	if !changed && samePairs(prev.Pairs, plan.Pairs) && len(prev.Held) == len(p.held) {
+	if !changed && samePairs(prev.Pairs, plan.Pairs) && len(prev.Revoked) == len(p.held) {
 		return plan, false
 	}
 	for _, h := range p.held {
-		one := h.Held
+		one := h.RevokedShare
 		one.LeftMS = math.Ceil(h.until - in.now)
-		plan.Held = append(plan.Held, one)
+		plan.Revoked = append(plan.Revoked, one)
 	}
 	return plan, true
 }
 
 func samePairs(a, b []Pair) bool {
-	return slices.EqualFunc(a, b, func(x, y Pair) bool { return x.From == y.From && x.To == y.To && slices.Equal(x.Parts, y.Parts) })
+	return slices.EqualFunc(a, b, func(x, y Pair) bool { return x.From == y.From && x.To == y.To && slices.Equal(x.Shares, y.Shares) })
 }
 
 // names gives all zones that are known, in order.
@@ -132,16 +132,16 @@
 		m.good = 0
 	}
 	p.advance(l, in, order)
-	if z.State == Whole && says == fine {
+	if z.State == Healthy && says == fine {
 		if c := in.cores[z.Name]; in.cores != nil && c > 0 {
 			z.Cores, z.Kinds = c, in.kinds[z.Name]
 		}
 	}
 	if z.State != before.State || z.Stage != before.Stage {
-		z.Why = why
+		z.Reason = why
 		p.line("zone %s: %s, stage %d (was %s, stage %d): %s", z.Name, z.State, z.Stage, before.State, before.Stage, why)
 	}
-	if in.cores != nil && in.cores[z.Name] == 0 && z.Members == 0 && (z.State == Whole && z.Cores == 0 || z.State == Lost && in.now > m.since+forgetMS) {
+	if in.cores != nil && in.cores[z.Name] == 0 && z.Members == 0 && (z.State == Healthy && z.Cores == 0 || z.State == Lost && in.now > m.since+forgetMS) {
 		delete(p.memos, z.Name)
 		z.Name = ""
 		return true
@@ -160,7 +160,7 @@
 	switch {
 	case z.State == Lost && (good >= z.waits(in.bounds) || order == Return):
 		l.play(due)
-	case z.State == Returning && good >= in.bounds.StageMS:
+	case z.State == Recovering && good >= in.bounds.StageMS:
 		if m.good = in.now; z.Stage+1 >= len(stages) {
 			l.play(done)
 		} else {
@@ -182,20 +182,20 @@
 // says weighs the signs of a zone. Its own controllers use its executors, and know; alone they may be those that are cut off. So it is
 // gone only if another place says so, too: others' voices, the list, or the view, which has no controller of it.
 func (p *planner) says(z *Zone, in *seen) (input, string) {
-	var own, far Sight
+	var own, far Observation
 	ownVoices, farVoices, deaf := 0, 0, 0
 	for _, zone := range slices.Sorted(maps.Keys(in.reports)) {
 		r := in.reports[zone]
-		deaf += r.Deaf
-		for _, s := range r.Sights {
+		deaf += r.WithoutList
+		for _, s := range r.Observations {
 			switch {
 			case s.Zone != z.Name:
 			case zone == z.Name:
-				own.Fine, own.Thin, own.Gone = own.Fine+s.Fine, own.Thin+s.Thin, own.Gone+s.Gone
-				ownVoices = s.Fine + s.Thin + s.Gone
+				own.Healthy, own.Degraded, own.Unreachable = own.Healthy+s.Healthy, own.Degraded+s.Degraded, own.Unreachable+s.Unreachable
+				ownVoices = s.Healthy + s.Degraded + s.Unreachable
 			default:
-				far.Fine, far.Thin, far.Gone = far.Fine+s.Fine, far.Thin+s.Thin, far.Gone+s.Gone
-				farVoices += s.Fine + s.Thin + s.Gone
+				far.Healthy, far.Degraded, far.Unreachable = far.Healthy+s.Healthy, far.Degraded+s.Degraded, far.Unreachable+s.Unreachable
+				farVoices += s.Healthy + s.Degraded + s.Unreachable
 			}
 		}
 	}
@@ -203,27 +203,27 @@
 	if in.cores != nil && z.Cores > 0 {
 		listed = in.cores[z.Name] / z.Cores
 	}
-	ownGone, farGone := ownVoices > 0 && 2*own.Gone > ownVoices, farVoices > 0 && 2*far.Gone > farVoices
+	ownGone, farGone := ownVoices > 0 && 2*own.Unreachable > ownVoices, farVoices > 0 && 2*far.Unreachable > farVoices
 	unseen := z.Members == 0
 	switch {
 	case listed >= 0 && listed < goneShare && (ownGone || ownVoices == 0 || unseen):
-		return gone, fmt.Sprintf("the list has %.0f%% of its cores, and %d of %d of its own controllers see it gone", 100*listed, own.Gone, ownVoices)
+		return gone, fmt.Sprintf("the list has %.0f%% of its cores, and %d of %d of its own controllers see it gone", 100*listed, own.Unreachable, ownVoices)
 	case ownGone && (farGone || unseen):
-		return gone, fmt.Sprintf("%d of %d of its own controllers and %d of %d others see it gone", own.Gone, ownVoices, far.Gone, farVoices)
+		return gone, fmt.Sprintf("%d of %d of its own controllers and %d of %d others see it gone", own.Unreachable, ownVoices, far.Unreachable, farVoices)
 	case ownGone && farVoices == 0 && deaf > 0:
-		return doubt, fmt.Sprintf("%d of %d of its own controllers see it gone; the list is out of reach", own.Gone, ownVoices)
-	case ownGone && 5*own.Gone > 4*ownVoices && farVoices == 0:
-		return gone, fmt.Sprintf("%d of %d of its own controllers see it gone, and nobody else sees it", own.Gone, ownVoices)
+		return doubt, fmt.Sprintf("%d of %d of its own controllers see it gone; the list is out of reach", own.Unreachable, ownVoices)
+	case ownGone && 5*own.Unreachable > 4*ownVoices && farVoices == 0:
+		return gone, fmt.Sprintf("%d of %d of its own controllers see it gone, and nobody else sees it", own.Unreachable, ownVoices)
 	case unseen && ownVoices == 0 && farGone:
-		return gone, fmt.Sprintf("no controller of it is there, and %d of %d others see it gone", far.Gone, farVoices)
+		return gone, fmt.Sprintf("no controller of it is there, and %d of %d others see it gone", far.Unreachable, farVoices)
 	case unseen && ownVoices == 0 && z.Cores > 0 && farVoices == 0:
 		return gone, "no controller of it is there, and nobody sees its executors"
-	case ownGone || farGone || own.Gone > 0 && 5*own.Gone > ownVoices:
-		return doubt, fmt.Sprintf("%d of %d of its own controllers and %d of %d others see it gone", own.Gone, ownVoices, far.Gone, farVoices)
-	case listed >= 0 && listed < thinShare || 2*(own.Thin+own.Gone) > ownVoices && ownVoices > 0:
-		return thin, fmt.Sprintf("the list has %.0f%% of its cores, %d of %d of its own controllers see much of it gone", 100*max(0, listed), own.Thin+own.Gone, ownVoices)
+	case ownGone || farGone || own.Unreachable > 0 && 5*own.Unreachable > ownVoices:
+		return doubt, fmt.Sprintf("%d of %d of its own controllers and %d of %d others see it gone", own.Unreachable, ownVoices, far.Unreachable, farVoices)
+	case listed >= 0 && listed < thinShare || 2*(own.Degraded+own.Unreachable) > ownVoices && ownVoices > 0:
+		return thin, fmt.Sprintf("the list has %.0f%% of its cores, %d of %d of its own controllers see much of it gone", 100*max(0, listed), own.Degraded+own.Unreachable, ownVoices)
 	}
-	return fine, fmt.Sprintf("%d of %d of its own controllers reach it", own.Fine, ownVoices)
+	return fine, fmt.Sprintf("%d of %d of its own controllers reach it", own.Healthy, ownVoices)
 }
 
 func (p *planner) line(format string, args ...any) {
@@ -255,11 +255,11 @@
 			m.wants += steady * (wantsOf(in, z) - m.wants)
 			m.note(in.now)
 		}
-		f.zone, f.room, f.wants = z, in.bounds.Room*z.Cores*p.reach(z, in), m.wants
+		f.zone, f.room, f.wants = z, in.bounds.ThreadsPerCore*z.Cores*p.reach(z, in), m.wants
 		near := f.room * share
 		f.need = max(0, f.wants-near)
 		if all {
-			f.left = in.bounds.Spill * max(0, f.room-f.wants)
+			f.left = in.bounds.SpillShare * max(0, f.room-f.wants)
 			left[z.Name] = f.left
 		} else {
 			left[z.Name] = near
@@ -285,9 +285,9 @@
 	if in.cores != nil && z.Cores > 0 {
 		share = min(1, in.cores[z.Name]/z.Cores)
 	}
-	for _, s := range in.reports[z.Name].Sights {
-		if n := s.Fine + s.Thin + s.Gone; s.Zone == z.Name && n > 0 {
-			share = min(share, (float64(s.Fine)+0.5*float64(s.Thin))/float64(n))
+	for _, s := range in.reports[z.Name].Observations {
+		if n := s.Healthy + s.Degraded + s.Unreachable; s.Zone == z.Name && n > 0 {
+			share = min(share, (float64(s.Healthy)+0.5*float64(s.Degraded))/float64(n))
 		}
 	}
 	return share
@@ -298,16 +298,16 @@
 func wantsOf(in *seen, z *Zone) float64 {
 	var each []float64
 	for _, r := range in.reports {
-		if r.Voices > 0 {
-			each = append(each, r.Wants/float64(r.Voices))
+		if r.Observers > 0 {
+			each = append(each, r.DemandThreads/float64(r.Observers))
 		}
 	}
 	r := in.reports[z.Name]
-	if r.Voices == 0 || len(each) == 0 {
+	if r.Observers == 0 || len(each) == 0 {
 		return 0
 	}
 	slices.Sort(each)
-	return min(r.Wants, float64(r.Voices)*max(1, wantsMost*each[(len(each)-1)/2]))
+	return min(r.DemandThreads, float64(r.Observers)*max(1, wantsMost*each[(len(each)-1)/2]))
 }
 
 // tierOf is how far a zone is from another: 1 in the same region, 2 in another.
@@ -393,7 +393,7 @@
 // share cuts caps into parts. Who has one keeps it as long as it is due to it; what is taken from one is another's only once nobody can
 // be using it any more. So all that may be in use of a cap is within it, or within the one before as long as that may be in use.
 func (p *planner) share(prev, plan *Plan, left map[string]float64, in *seen) {
-	unit := max(1, in.bounds.Unit)
+	unit := max(1, in.bounds.MinShare)
 	living := map[string][]string{}
 	for _, m := range in.members {
 		if m.Living && len(living[m.Zone]) < mostOf {
@@ -411,9 +411,9 @@
 	}
 	for _, old := range prev.Pairs { // what is taken away is held back
 		k := slices.IndexFunc(plan.Pairs, func(x Pair) bool { return x.From == old.From && x.To == old.To })
-		for _, x := range old.Parts {
+		for _, x := range old.Shares {
 			if k < 0 || wants[k][x.Name] < x.Threads {
-				p.held = append(p.held, heldUntil{Held{From: old.From, To: old.To, Name: x.Name, Threads: x.Threads}, in.now + in.bounds.ValidMS})
+				p.held = append(p.held, heldUntil{RevokedShare{From: old.From, To: old.To, Name: x.Name, Threads: x.Threads}, in.now + in.bounds.LeaseMS})
 			}
 		}
 	}
@@ -450,10 +450,10 @@
 				of[w], into[w.to], may = of[w]+extra, into[w.to]+extra, may+extra
 			}
 			if t := math.Floor(min(want, may)/unit) * unit; t > 0 {
-				pair.Parts = append(pair.Parts, Part{name, t})
+				pair.Shares = append(pair.Shares, Share{name, t})
 			}
 		}
-		slices.SortFunc(pair.Parts, func(a, b Part) int { return cmp.Compare(a.Name, b.Name) })
+		slices.SortFunc(pair.Shares, func(a, b Share) int { return cmp.Compare(a.Name, b.Name) })
 	}
 }
 
--- a/internal/locality/table.go
+++ b/internal/locality/table.go
@@ -23,27 +23,27 @@
 	next   State
 	effect func(*looked)
 }{
-	{Whole, thin, Thinned, nil},
-	{Whole, doubt, Doubtful, nil},
-	{Whole, gone, Lost, (*looked).lose},
-	{Thinned, fine, Whole, nil},
-	{Thinned, doubt, Doubtful, nil},
-	{Thinned, gone, Lost, (*looked).lose},
-	{Doubtful, fine, Whole, nil},
-	{Doubtful, thin, Thinned, nil},
-	{Doubtful, gone, Lost, (*looked).lose},
-	{Lost, due, Returning, (*looked).begin},
-	{Returning, thin, Returning, (*looked).fall},
-	{Returning, doubt, Returning, (*looked).fall},
-	{Returning, gone, Lost, (*looked).lose},
-	{Returning, due, Returning, (*looked).rise},
-	{Returning, done, Whole, (*looked).whole},
-	{Evacuated, open, Returning, (*looked).begin},
-	{Whole, ordered, Evacuated, (*looked).empty},
-	{Thinned, ordered, Evacuated, (*looked).empty},
-	{Doubtful, ordered, Evacuated, (*looked).empty},
+	{Healthy, thin, Degraded, nil},
+	{Healthy, doubt, Suspected, nil},
+	{Healthy, gone, Lost, (*looked).lose},
+	{Degraded, fine, Healthy, nil},
+	{Degraded, doubt, Suspected, nil},
+	{Degraded, gone, Lost, (*looked).lose},
+	{Suspected, fine, Healthy, nil},
+	{Suspected, thin, Degraded, nil},
+	{Suspected, gone, Lost, (*looked).lose},
+	{Lost, due, Recovering, (*looked).begin},
+	{Recovering, thin, Recovering, (*looked).fall},
+	{Recovering, doubt, Recovering, (*looked).fall},
+	{Recovering, gone, Lost, (*looked).lose},
+	{Recovering, due, Recovering, (*looked).rise},
+	{Recovering, done, Healthy, (*looked).whole},
+	{Evacuated, open, Recovering, (*looked).begin},
+	{Healthy, ordered, Evacuated, (*looked).empty},
+	{Degraded, ordered, Evacuated, (*looked).empty},
+	{Suspected, ordered, Evacuated, (*looked).empty},
 	{Lost, ordered, Evacuated, (*looked).empty},
-	{Returning, ordered, Evacuated, (*looked).empty},
+	{Recovering, ordered, Evacuated, (*looked).empty},
 }
 
 // looked is a zone under a look, with what the one who leads remembers of it.
@@ -113,8 +113,8 @@
 func (l *looked) fall() { l.zone.Stage, l.memo.good = max(0, l.zone.Stage-1), 0 }
 
 // waits is how long a lost zone must be in reach before its return begins.
-func (z *Zone) waits(b *Bounds) float64 {
-	wait := b.WaitMS
+func (z *Zone) waits(b *Settings) float64 {
+	wait := b.RecoveryWaitMS
 	for range min(z.Flaps, 16) {
 		wait = min(longWait, 2*wait)
 	}
@@ -126,7 +126,7 @@
 	switch z.State {
 	case Lost, Evacuated:
 		return 0, false
-	case Returning:
+	case Recovering:
 		return stages[min(z.Stage, len(stages)-1)], false
 	}
 	return 1, true
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -51,13 +51,13 @@
 
 // The states. Their numbers stand in plans that are agreed: they do not change.
 const (
-	Whole     State = 0
-	Thinned   State = 1 // much of it is gone
-	Doubtful  State = 2 // some see it gone, others don't
-	Lost      State = 3 // its executors are out of reach
-	Evacuated State = 4 // an operator wants nothing new to go there
-	Returning State = 5 // by stages
-	states    State = 6
+	Healthy    State = 0
+	Degraded   State = 1 // much of it is gone
+	Suspected  State = 2 // some see it gone, others don't
+	Lost       State = 3 // its executors are out of reach
+	Evacuated  State = 4 // an operator wants nothing new to go there
+	Recovering State = 5 // by stages
+	states     State = 6
 )
 
 var stateNames = [states]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
@@ -65,40 +65,40 @@
 // String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Sight is what one controller sees of a zone's executors, or what several together do.
-type Sight struct {
-	Zone string  `json:"Zone"`
-	Fine int     `json:"Fine"` // voices that see it so; one who has no evidence has none
-	Thin int     `json:"Thin"`
-	Gone int     `json:"Gone"`
-	Out  float64 `json:"Out"` // threads of their shots there
+// Observation is what one controller sees of a zone's executors, or what several together do.
+type Observation struct {
+	Zone        string  `json:"Zone"`
+	Healthy     int     `json:"Fine"` // voices that see it so; one who has no evidence has none
+	Degraded    int     `json:"Thin"`
+	Unreachable int     `json:"Gone"`
+	InFlight    float64 `json:"Out"` // threads of their shots there
 }
 
 // Report is what the controllers of one zone see, summed up.
 type Report struct {
-	Zone   string  `json:"Zone"` // theirs
-	Voices int     `json:"Voices"`
-	Deaf   int     `json:"Deaf"`  // of them, those to whom the list is out of reach
-	Wants  float64 `json:"Wants"` // threads that their searches in hand want, whether they run or wait
-	Sights []Sight `json:"Sights"`
+	Zone          string        `json:"Zone"` // theirs
+	Observers     int           `json:"Voices"`
+	WithoutList   int           `json:"Deaf"`  // of them, those to whom the list is out of reach
+	DemandThreads float64       `json:"Wants"` // threads that their searches in hand want, whether they run or wait
+	Observations  []Observation `json:"Sights"`
 }
 
-// Part is how many threads of one controller may be out at once.
-type Part struct {
+// Share is how many threads of one controller may be out at once.
+type Share struct {
 	Name    string  `json:"Name"`
 	Threads float64 `json:"Threads"`
 }
 
 // Pair is what may go from the controllers of a zone to the executors of one, that of their own while it is not whole too.
 type Pair struct {
-	From  string  `json:"From"`
-	To    string  `json:"To"`
-	Cap   float64 `json:"Cap"`
-	Parts []Part  `json:"Parts,omitempty"`
+	From   string  `json:"From"`
+	To     string  `json:"To"`
+	Cap    float64 `json:"Cap"`
+	Shares []Share `json:"Parts,omitempty"`
 }
 
-// Held is what was somebody's part, and may still be used by one that has not heard otherwise.
-type Held struct {
+// RevokedShare is what was somebody's part, and may still be used by one that has not heard otherwise.
+type RevokedShare struct {
 	From    string  `json:"From"`
 	To      string  `json:"To"`
 	Name    string  `json:"Name"`
@@ -108,24 +108,24 @@
 
 // Zone is how one stands.
 type Zone struct {
-	Name    string   `json:"Name"`
-	Region  string   `json:"Region,omitempty"`
-	State   State    `json:"State"`
-	Stage   int      `json:"Stage,omitempty"`
-	Flaps   int      `json:"Flaps,omitempty"`
-	Cores   float64  `json:"Cores"` // as it had them when it was whole
-	Kinds   []string `json:"Kinds,omitempty"`
-	Why     string   `json:"Why,omitempty"`
-	ForMS   float64  `json:"ForMS,omitempty"` // it has been so, as of the plan
-	Members int      `json:"Members,omitempty"`
+	Name      string   `json:"Name"`
+	Region    string   `json:"Region,omitempty"`
+	State     State    `json:"State"`
+	Stage     int      `json:"Stage,omitempty"`
+	Flaps     int      `json:"Flaps,omitempty"`
+	Cores     float64  `json:"Cores"` // as it had them when it was whole
+	Kinds     []string `json:"Kinds,omitempty"`
+	Reason    string   `json:"Why,omitempty"`
+	InStateMS float64  `json:"ForMS,omitempty"` // it has been so, as of the plan
+	Members   int      `json:"Members,omitempty"`
 }
 
 // Plan is what is agreed.
 type Plan struct {
-	Number uint64 `json:"Number"`
-	Zones  []Zone `json:"Zones"`
-	Pairs  []Pair `json:"Pairs,omitempty"`
-	Held   []Held `json:"Held,omitempty"`
+	Number  uint64         `json:"Number"`
+	Zones   []Zone         `json:"Zones"`
+	Pairs   []Pair         `json:"Pairs,omitempty"`
+	Revoked []RevokedShare `json:"Held,omitempty"`
 }
 
 // OrderKind is what an operator wants.
@@ -143,7 +143,7 @@
 	Kind   OrderKind `json:"Kind"`
 	Zone   string    `json:"Zone"`
 	Author string    `json:"Author"`
-	Why    string    `json:"Why,omitempty"`
+	Reason string    `json:"Why,omitempty"`
 	Until  int64     `json:"Until"`            // Unix ms, for people; 0: until it is taken back
 	SpanMS float64   `json:"SpanMS,omitempty"` // for which it lasts from when it was agreed; 0: until that time of all clocks
 }
@@ -160,9 +160,9 @@
 	Cores      float64
 	Listed     bool // active
 	Known      bool // something was heard of it lately, or it is set aside
-	Aside      bool
-	Cold       bool
-	Out        float64
+	Ejected    bool
+	WarmingUp  bool
+	InFlight   float64
 }
 
 // zone gives a zone of the plan, or nil.
@@ -190,28 +190,28 @@
 	if p == nil {
 		return 0
 	}
-	if k := slices.IndexFunc(p.Parts, func(x Part) bool { return x.Name == name }); k >= 0 {
-		return p.Parts[k].Threads
+	if k := slices.IndexFunc(p.Shares, func(x Share) bool { return x.Name == name }); k >= 0 {
+		return p.Shares[k].Threads
 	}
 	return 0
 }
 
-// Bounds are what the operators' file says.
-type Bounds struct {
-	Room    float64
-	Spill   float64
-	StageMS float64
-	WaitMS  float64
-	ValidMS float64 // the lease
-	Unit    float64 // threads of the largest search: no part is smaller
-	WayMS   map[[2]string]float64
-	Price   map[[2]string]float64 // gain for its work that a search must have to go from a region to another
+// Settings are what the operators' file says.
+type Settings struct {
+	ThreadsPerCore float64
+	SpillShare     float64
+	StageMS        float64
+	RecoveryWaitMS float64
+	LeaseMS        float64 // the lease
+	MinShare       float64 // threads of the largest search: no part is smaller
+	LatencyMS      map[[2]string]float64
+	MinDensity     map[[2]string]float64 // gain for its work that a search must have to go from a region to another
 }
 
 // BoundsOf reads them from plain names: zone_room, zone_spill, stage_ms, return_wait_ms, lease_ms, and the offerings' threads.
-func BoundsOf(g scheduler.Given) Bounds {
-	b := Bounds{Room: g.Num("zone_room", usualRoom), Spill: g.Num("zone_spill", usualSpill), StageMS: g.Num("stage_ms", usualStage),
-		WaitMS: g.Num("return_wait_ms", usualWait), ValidMS: g.Num("lease_ms", confirmMS), Unit: g.Num("zone_unit", 1),
-		WayMS: map[[2]string]float64{}, Price: map[[2]string]float64{}}
+func BoundsOf(g scheduler.Given) Settings {
+	b := Settings{ThreadsPerCore: g.Num("zone_room", usualRoom), SpillShare: g.Num("zone_spill", usualSpill), StageMS: g.Num("stage_ms", usualStage),
+		RecoveryWaitMS: g.Num("return_wait_ms", usualWait), LeaseMS: g.Num("lease_ms", confirmMS), MinShare: g.Num("zone_unit", 1),
+		LatencyMS: map[[2]string]float64{}, MinDensity: map[[2]string]float64{}}
 	return b
 }
--- a/internal/locality/watch.go
+++ b/internal/locality/watch.go
@@ -15,36 +15,36 @@
 
 // The events.
 const (
-	Seen      EventKind = iota // Executors, Wants and Deaf are as this controller has them
-	Present                    // Members are those of the view; Leader is who leads the council, Leads whether this one does
-	Heard                      // Data, a report, came from the member From
-	Planned                    // Plan is agreed, and Orders are
-	Confirmed                  // the plan numbered Number was in force after the time At, which is when that was asked
-	Announced                  // the member From says that the plan numbered Number is there
-	LoanAsked                  // the member From asks for a loan of its part of Zone; Number goes back with it
-	LoanGiven                  // the member From lends so many Threads
-	Ticked                     // each 50 ms or so
+	Observed       EventKind = iota // Executors, Wants and Deaf are as this controller has them
+	MembersChanged                  // Members are those of the view; Leader is who leads the council, Leads whether this one does
+	ReportReceived                  // Data, a report, came from the member From
+	PlanAgreed                      // Plan is agreed, and Orders are
+	PlanConfirmed                   // the plan numbered Number was in force after the time At, which is when that was asked
+	PlanAnnounced                   // the member From says that the plan numbered Number is there
+	LoanRequested                   // the member From asks for a loan of its part of Zone; Number goes back with it
+	LoanGranted                     // the member From lends so many Threads
+	Ticked                          // each 50 ms or so
 )
 
 // Event is one thing that a watch hears. Only the fields of its kind are set.
 type Event struct {
-	Kind      EventKind
-	Executors []Executor
-	Wants     float64
-	Deaf      bool
-	Members   []Member
-	Leader    string
-	Leads     bool
-	From      string
-	Data      []byte
-	Plan      *Plan
-	Orders    []Order
-	Number    uint64
-	At        float64
-	Applied   uint64 // Seen: of what the module had been told by then
-	Zone      string
-	Threads   float64
-	Unix      int64 // Ticked: the machine's clock, ms: orders without a span end by it
+	Kind          EventKind
+	Executors     []Executor
+	DemandThreads float64
+	WithoutList   bool
+	Members       []Member
+	Leader        string
+	Leads         bool
+	From          string
+	Data          []byte
+	Plan          *Plan
+	Orders        []Order
+	PlanNumber    uint64
+	At            float64
+	Applied       uint64 // Observed: of what the module had been told by then
+	Zone          string
+	Threads       float64
+	UnixMS        int64 // Ticked: the machine's clock, ms: orders without a span end by it
 }
 
 // EffectKind tells what an Effect asks for.
@@ -52,14 +52,14 @@
 
 // The effects.
 const (
-	Tell     EffectKind = iota // Data, a report, to the member To
-	Announce                   // Number, a plan's, to the member To
-	Fetch                      // a plan numbered Number is there, which is not known here
-	Propose                    // Plan is to be agreed
-	Reach                      // the decision module is to know Reaches; Number comes back as Applied once it does
-	Warn                       // Text, for the log
-	AskLoan                    // Zone and Number to the member To
-	GiveLoan                   // Zone, Number and Threads to the member To
+	SendReport   EffectKind = iota // Data, a report, to the member To
+	AnnouncePlan                   // Number, a plan's, to the member To
+	FetchPlan                      // a plan numbered Number is there, which is not known here
+	ProposePlan                    // Plan is to be agreed
+	SetReach                       // the decision module is to know Reaches; Number comes back as Applied once it does
+	LogWarning                     // Text, for the log
+	RequestLoan                    // Zone and Number to the member To
+	GrantLoan                      // Zone, Number and Threads to the member To
 )
 
 // Effect is one thing that a watch wants done.
@@ -89,10 +89,10 @@
 	Report Report `json:"Report"`
 }
 
-// Watch is one controller's part.
-type Watch struct {
+// Monitor is one controller's part.
+type Monitor struct {
 	name, zone, region string
-	bounds             Bounds
+	bounds             Settings
 	now                float64
 	unix               int64
 	effects            []Effect
@@ -133,52 +133,52 @@
 }
 
 // Counts are what a watch counts.
-type Counts struct{ Lent, Borrowed, Told, Heard, Stale, Malformed, Proposed, Plans, Bytes uint64 }
+type Counts struct{ Lent, Borrowed, ReportsSent, ReportsReceived, Stale, Malformed, Proposed, Plans, Bytes uint64 }
 
 // New gives the watch of a controller.
-func New(name, zone, region string, b Bounds) *Watch {
-	return &Watch{name: name, zone: zone, region: region, bounds: b, children: map[string]*told{}, zonesTold: map[string]*told{}, loans: newLoans(), lasts: map[Order]float64{}, confirmedAt: math.Inf(-1)}
+func New(name, zone, region string, b Settings) *Monitor {
+	return &Monitor{name: name, zone: zone, region: region, bounds: b, children: map[string]*told{}, zonesTold: map[string]*told{}, loans: newLoans(), lasts: map[Order]float64{}, confirmedAt: math.Inf(-1)}
 }
 
-func (w *Watch) do(e Effect) { w.effects = append(w.effects, e) }
+func (w *Monitor) do(e Effect) { w.effects = append(w.effects, e) }
 
 // Plan returns the plan that is agreed, as far as it is known here.
-func (w *Watch) Plan() *Plan { return &w.plan }
+func (w *Monitor) Plan() *Plan { return &w.plan }
 
-// Lines returns the reasons for the latest plan where this controller leads.
-func (w *Watch) Lines() []string { return w.planner.Lines }
+// Explanations returns the reasons for the latest plan where this controller leads.
+func (w *Monitor) Explanations() []string { return w.planner.Lines }
 
 // Orders are those that are agreed.
-func (w *Watch) Orders() []Order { return w.orders }
+func (w *Monitor) Orders() []Order { return w.orders }
 
 // Reaches is what the module was told last.
-func (w *Watch) Reaches() []scheduler.Reach { return w.reaches }
+func (w *Monitor) Reaches() []scheduler.Reach { return w.reaches }
 
 // Reports are those that count now, where this controller leads.
-func (w *Watch) Reports() map[string]Report { return w.reports() }
+func (w *Monitor) Reports() map[string]Report { return w.reports() }
 
 // Step takes one event at the caller's clock in ms. The effects hold until the next call.
-func (w *Watch) Step(now float64, ev *Event) []Effect {
+func (w *Monitor) Step(now float64, ev *Event) []Effect {
 	w.effects, w.now = w.effects[:0], max(w.now, now)
 	if w.began == 0 {
 		w.began = now
 	}
 	switch ev.Kind {
-	case Seen:
+	case Observed:
 		w.see(ev)
 		w.lapse()
 		w.weighLoans(ev)
-	case LoanAsked:
+	case LoanRequested:
 		w.lapse()
 		w.loanAsked(ev)
-	case LoanGiven:
+	case LoanGranted:
 		w.lapse()
 		w.loanGiven(ev)
-	case Present:
+	case MembersChanged:
 		w.present(ev)
-	case Heard:
+	case ReportReceived:
 		w.heard(ev)
-	case Planned:
+	case PlanAgreed:
 		if ev.Plan != nil && ev.Plan.Number >= w.plan.Number {
 			if ev.Plan.Number > w.plan.Number {
 				w.Counts.Plans++
@@ -192,19 +192,19 @@
 		}
 		w.announce(true)
 		w.open()
-	case Confirmed:
+	case PlanConfirmed:
 		// A part of a plan is another's only so long after a later one is there; and that one is later than what was in force here.
-		if w.confirmed, w.confirms = ev.Number, ev.At; ev.Number <= w.plan.Number {
+		if w.confirmed, w.confirms = ev.PlanNumber, ev.At; ev.PlanNumber <= w.plan.Number {
 			w.confirmedAt = max(w.confirmedAt, ev.At)
 		} else {
-			w.fetch(ev.Number)
+			w.fetch(ev.PlanNumber)
 		}
-	case Announced:
+	case PlanAnnounced:
 		if parent := w.parentOf(w.name); ev.From == parent || parent == "" && ev.From == w.leader {
-			w.fetch(ev.Number)
+			w.fetch(ev.PlanNumber)
 		}
 	case Ticked:
-		w.unix = ev.Unix
+		w.unix = ev.UnixMS
 		w.lapse()
 		w.report()
 		w.lead()
@@ -218,7 +218,7 @@
 
 // time notes until when orders hold here: for their span from when they are heard of. At the start they may have been there for
 // long, and the wall clock is all there is; it shortens them, and never lengthens them past their span.
-func (w *Watch) time(orders []Order) {
+func (w *Monitor) time(orders []Order) {
 	maps.DeleteFunc(w.lasts, func(o Order, _ float64) bool { return !slices.Contains(orders, o) })
 	for _, o := range orders {
 		if _, known := w.lasts[o]; known || o.SpanMS <= 0 {
@@ -233,7 +233,7 @@
 }
 
 // inForce gives the orders that hold now.
-func (w *Watch) inForce() (list []Order) {
+func (w *Monitor) inForce() (list []Order) {
 	for _, o := range w.orders {
 		if until, timed := w.lasts[o]; timed && w.now < until || !timed && (o.Until == 0 || w.unix < o.Until) {
 			list = append(list, o)
@@ -243,11 +243,11 @@
 }
 
 // see makes this controller's own report.
-func (w *Watch) see(ev *Event) {
-	w.executors, w.deaf, w.ownAt = ev.Executors, ev.Deaf, w.now
-	w.own = Report{Zone: w.zone, Voices: 1, Wants: ev.Wants}
-	if ev.Deaf {
-		w.own.Deaf = 1
+func (w *Monitor) see(ev *Event) {
+	w.executors, w.deaf, w.ownAt = ev.Executors, ev.WithoutList, w.now
+	w.own = Report{Zone: w.zone, Observers: 1, DemandThreads: ev.DemandThreads}
+	if ev.WithoutList {
+		w.own.WithoutList = 1
 	}
 	type sum struct{ known, up, listed float64 }
 	sums, order := map[string]*sum{}, []string{}
@@ -263,34 +263,34 @@
 			s.listed += x.Cores
 		}
 		if x.Known && x.Listed { // one that is leaving says nothing
-			if s.known += x.Cores; !x.Aside {
+			if s.known += x.Cores; !x.Ejected {
 				s.up += x.Cores
 			}
 		}
 	}
 	slices.Sort(order)
 	for _, zone := range order[:min(len(order), mostZones)] {
-		s, sight := sums[zone], Sight{Zone: zone}
+		s, sight := sums[zone], Observation{Zone: zone}
 		switch {
 		case s.known == 0: // no evidence, no voice
 		case s.up < goneShare*s.known:
-			sight.Gone = 1
+			sight.Unreachable = 1
 		case s.up < thinShare*s.known:
-			sight.Thin = 1
+			sight.Degraded = 1
 		default:
-			sight.Fine = 1
+			sight.Healthy = 1
 		}
 		for k := range ev.Executors {
 			if ev.Executors[k].Zone == zone {
-				sight.Out += ev.Executors[k].Out
+				sight.InFlight += ev.Executors[k].InFlight
 			}
 		}
-		w.own.Sights = append(w.own.Sights, sight)
+		w.own.Observations = append(w.own.Observations, sight)
 	}
 }
 
 // present takes who is there.
-func (w *Watch) present(ev *Event) {
+func (w *Monitor) present(ev *Event) {
 	w.members, w.leader, w.leads = ev.Members, ev.Leader, ev.Leads
 	w.mates = w.mates[:0]
 	for _, m := range ev.Members {
@@ -307,7 +307,7 @@
 }
 
 // parentOf gives who sums up a member's reports: in a tree of those of its zone, in the order of their names; "" for the first.
-func (w *Watch) parentOf(name string) string {
+func (w *Monitor) parentOf(name string) string {
 	k, found := slices.BinarySearch(w.mates, name)
 	if !found || k == 0 {
 		return ""
@@ -316,7 +316,7 @@
 }
 
 // report sums up what is known here and hands it on: to its parent, or the first of a zone to the one who leads.
-func (w *Watch) report() {
+func (w *Monitor) report() {
 	if w.now < w.sentAt+reportMS || w.ownAt == 0 {
 		return
 	}
@@ -341,21 +341,21 @@
 	case to == w.name:
 		w.zonesTold[w.zone] = &told{w.now, w.number, sum, w.zone}
 	case to != "" && err == nil:
-		w.Counts.Told++
+		w.Counts.ReportsSent++
 		w.Counts.Bytes += uint64(len(data))
-		w.do(Effect{Kind: Tell, To: to, Data: data})
+		w.do(Effect{Kind: SendReport, To: to, Data: data})
 	}
 }
 
 // announce tells those whose reports this one sums up which plan is there, and, where it leads, the first of each zone.
-func (w *Watch) announce(now bool) {
+func (w *Monitor) announce(now bool) {
 	if w.plan.Number == 0 || !now && w.now < w.announcedAt+2*reportMS {
 		return
 	}
 	w.announcedAt = w.now
 	for k, name := range w.mates {
 		if k > 0 && w.mates[(k-1)/fan] == w.name {
-			w.do(Effect{Kind: Announce, To: name, Number: w.plan.Number})
+			w.do(Effect{Kind: AnnouncePlan, To: name, Number: w.plan.Number})
 		}
 	}
 	if !w.leads {
@@ -369,55 +369,55 @@
 	}
 	for _, name := range first {
 		if name != w.name {
-			w.do(Effect{Kind: Announce, To: name, Number: w.plan.Number})
+			w.do(Effect{Kind: AnnouncePlan, To: name, Number: w.plan.Number})
 		}
 	}
 }
 
 // fetch has a plan brought that is not known here; again after a while if it does not come.
-func (w *Watch) fetch(number uint64) {
+func (w *Monitor) fetch(number uint64) {
 	if w.latest = max(w.latest, number); w.latest > w.plan.Number && w.now >= w.fetchedAt+reportMS {
 		w.fetchedAt = w.now
-		w.do(Effect{Kind: Fetch, Number: w.latest})
+		w.do(Effect{Kind: FetchPlan, Number: w.latest})
 	}
 }
 
 // add adds another's report to this one.
 func (r *Report) add(o *Report) {
-	r.Voices, r.Deaf, r.Wants = r.Voices+o.Voices, r.Deaf+o.Deaf, r.Wants+o.Wants
-	for _, s := range o.Sights {
-		k := slices.IndexFunc(r.Sights, func(x Sight) bool { return x.Zone == s.Zone })
+	r.Observers, r.WithoutList, r.DemandThreads = r.Observers+o.Observers, r.WithoutList+o.WithoutList, r.DemandThreads+o.DemandThreads
+	for _, s := range o.Observations {
+		k := slices.IndexFunc(r.Observations, func(x Observation) bool { return x.Zone == s.Zone })
 		if k < 0 {
-			if len(r.Sights) < mostZones {
-				r.Sights = append(r.Sights, s)
+			if len(r.Observations) < mostZones {
+				r.Observations = append(r.Observations, s)
 			}
 			continue
 		}
-		x := &r.Sights[k]
-		x.Fine, x.Thin, x.Gone, x.Out = x.Fine+s.Fine, x.Thin+s.Thin, x.Gone+s.Gone, x.Out+s.Out
+		x := &r.Observations[k]
+		x.Healthy, x.Degraded, x.Unreachable, x.InFlight = x.Healthy+s.Healthy, x.Degraded+s.Degraded, x.Unreachable+s.Unreachable, x.InFlight+s.InFlight
 	}
-	slices.SortFunc(r.Sights, func(a, b Sight) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(r.Observations, func(a, b Observation) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
 // sound tells whether a report can be believed at all: nobody has more voices than there are members, and no figure is absurd.
-func (w *Watch) sound(r *Report) bool {
-	if r.Voices < 0 || r.Voices > len(w.members) || r.Deaf < 0 || r.Deaf > r.Voices || !(r.Wants >= 0) || math.IsInf(r.Wants, 0) ||
-		len(r.Zone) > mostText || len(r.Sights) > mostZones {
+func (w *Monitor) sound(r *Report) bool {
+	if r.Observers < 0 || r.Observers > len(w.members) || r.WithoutList < 0 || r.WithoutList > r.Observers || !(r.DemandThreads >= 0) || math.IsInf(r.DemandThreads, 0) ||
+		len(r.Zone) > mostText || len(r.Observations) > mostZones {
 		return false
 	}
-	return !slices.ContainsFunc(r.Sights, func(s Sight) bool {
-		return s.Fine < 0 || s.Thin < 0 || s.Gone < 0 || s.Fine+s.Thin+s.Gone > r.Voices || !(s.Out >= 0) || len(s.Zone) > mostText
+	return !slices.ContainsFunc(r.Observations, func(s Observation) bool {
+		return s.Healthy < 0 || s.Degraded < 0 || s.Unreachable < 0 || s.Healthy+s.Degraded+s.Unreachable > r.Observers || !(s.InFlight >= 0) || len(s.Zone) > mostText
 	})
 }
 
 // heard files a report: of one whose reports this controller sums up, or, where it leads, of a whole zone. Of two the later counts.
-func (w *Watch) heard(ev *Event) {
+func (w *Monitor) heard(ev *Event) {
 	var l letter
 	if json.Unmarshal(ev.Data, &l) != nil || !w.sound(&l.Report) {
 		w.Counts.Malformed++
 		return
 	}
-	w.Counts.Heard++
+	w.Counts.ReportsReceived++
 	by, key := w.children, ev.From
 	if l.Report.Zone != w.zone || w.parentOf(ev.From) != w.name {
 		if by, key = w.zonesTold, l.Report.Zone; !w.leads || len(by) >= mostZones && by[key] == nil {
@@ -433,7 +433,7 @@
 }
 
 // reports gives those of zones that count now.
-func (w *Watch) reports() map[string]Report {
+func (w *Monitor) reports() map[string]Report {
 	list := map[string]Report{}
 	for zone, t := range w.zonesTold {
 		if w.now <= t.at+staleMS {
@@ -444,7 +444,7 @@
 }
 
 // lead makes the next plan, where this controller leads.
-func (w *Watch) lead() {
+func (w *Monitor) lead() {
 	if !w.leads {
 		w.led = false
 		clear(w.zonesTold)
@@ -474,24 +474,24 @@
 	if plan, changed := w.planner.next(&w.plan, in); changed {
 		w.proposed, w.proposedAt = plan.Number, w.now
 		w.Counts.Proposed++
-		w.do(Effect{Kind: Propose, Plan: &plan})
+		w.do(Effect{Kind: ProposePlan, Plan: &plan})
 	}
 }
 
 // valid is the part of a part that may be used still: all while what confirms it is fresh, then less and less, and nothing once the
 // lease that confirmed it is over. It never grows by itself.
-func (w *Watch) valid() float64 {
-	return max(0, min(1, 2*(w.bounds.ValidMS-(w.now-w.confirmedAt))/w.bounds.ValidMS))
+func (w *Monitor) valid() float64 {
+	return max(0, min(1, 2*(w.bounds.LeaseMS-(w.now-w.confirmedAt))/w.bounds.LeaseMS))
 }
 
 // open tells the module how far searches may go now.
-func (w *Watch) open() {
+func (w *Monitor) open() {
 	valid := w.valid()
 	var list []scheduler.Reach
 	names := w.places()
 	if strange := len(w.executors) > 0 && !slices.Contains(names, w.zone); strange != w.strange {
 		if w.strange = strange; strange {
-			w.do(Effect{Kind: Warn, Text: "no executor was ever listed in this controller's zone " + w.zone + ": all are taken for near"})
+			w.do(Effect{Kind: LogWarning, Text: "no executor was ever listed in this controller's zone " + w.zone + ": all are taken for near"})
 		}
 	}
 	if w.strange {
@@ -505,7 +505,7 @@
 			}
 			r := scheduler.Reach{Place: name, Room: w.room(name, valid)}
 			if z.State == Evacuated && orderOf(w.inForce(), name) != Evacuate && valid == 0 {
-				r.Room = w.bounds.Unit // the order has lapsed, and nobody can agree on what follows: one search at a time
+				r.Room = w.bounds.MinShare // the order has lapsed, and nobody can agree on what follows: one search at a time
 			}
 			list = append(list, r)
 			continue
@@ -517,11 +517,11 @@
 	}
 	w.reaches = list
 	w.gen++
-	w.do(Effect{Kind: Reach, Reaches: list, Number: w.gen})
+	w.do(Effect{Kind: SetReach, Reaches: list, Number: w.gen})
 }
 
 // places gives all zones that are known here, in order.
-func (w *Watch) places() (names []string) {
+func (w *Monitor) places() (names []string) {
 	for k := range w.plan.Zones {
 		names = append(names, w.plan.Zones[k].Name)
 	}
@@ -535,10 +535,10 @@
 }
 
 // far is how far another zone is. One that is in no plan yet is closed, but for kinds that there are nowhere near.
-func (w *Watch) far(name string, valid float64) scheduler.Reach {
+func (w *Monitor) far(name string, valid float64) scheduler.Reach {
 	self, z := w.plan.zone(w.zone), w.plan.zone(name)
 	r := scheduler.Reach{Place: name, Tier: 2}
-	if z == nil || z.State <= Doubtful {
+	if z == nil || z.State <= Suspected {
 		near, there := w.kinds(w.zone, self), w.kinds(name, z)
 		for _, kind := range there {
 			if !slices.Contains(near, kind) {
@@ -551,12 +551,12 @@
 	}
 	way := [2]string{self.Region, z.Region}
 	r.Tier, r.Room = tierOf(self, z), w.room(name, valid)
-	r.WayMS, r.Least = w.bounds.WayMS[way], w.bounds.Price[way]
+	r.WayMS, r.Least = w.bounds.LatencyMS[way], w.bounds.MinDensity[way]
 	return r
 }
 
 // kinds gives those of a zone's executors: as agreed when it was whole, else as the list has them.
-func (w *Watch) kinds(zone string, z *Zone) (kinds []string) {
+func (w *Monitor) kinds(zone string, z *Zone) (kinds []string) {
 	if z != nil && len(z.Kinds) > 0 {
 		return z.Kinds
 	}
--- a/internal/locality/whatif.go
+++ b/internal/locality/whatif.go
@@ -9,7 +9,7 @@
 // WhatIf tells what would follow if a zone, or all zones of a region, were lost now: who goes where, which zone fills first, and for how
 // many threads there would be no room. It is made by the same rules as a plan, of what is wanted now or, at the peak, of the most that each zone
 // wanted in the last hour; nothing comes of it.
-func (w *Watch) WhatIf(name string, peak bool) ([]string, error) {
+func (w *Monitor) WhatIf(name string, peak bool) ([]string, error) {
 	plan := Plan{}
 	lost := map[string]bool{}
 	for _, z := range w.plan.Zones {
@@ -41,7 +41,7 @@
 			}
 			carried += x.Cap
 			z := plan.zone(x.To)
-			room := in.bounds.Room * z.Cores
+			room := in.bounds.ThreadsPerCore * z.Cores
 			if s := (before[x.To] + x.Cap) / max(1, room); s > share {
 				fullest, share = x.To, s
 			}
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -50,10 +50,10 @@
 	return c, self
 }
 
-var goldenPlan = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80, Parts: []locality.Part{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
+var goldenPlan = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80, Shares: []locality.Share{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
 
 func goldenSeen(out float64) []locality.Executor {
-	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Out: out}}
+	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: out}}
 }
 
 // The datagrams between scouts are written as they always were.
@@ -66,15 +66,15 @@
 	view := membership.New(0, "test", b, nil, scheduler.Given{}, 1) // its own member is the one that is sent to
 	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
 	for _, ev := range []locality.Event{
-		{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
-		{Kind: locality.Planned, Plan: goldenPlan},
-		{Kind: locality.Confirmed, Number: 300, At: 1000},
-		{Kind: locality.Seen, Executors: goldenSeen(40), Wants: 50}, // asks for a loan
-		{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5},
-		{Kind: locality.LoanAsked, From: "b", Zone: "z1", Number: 7},
-		{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100},
-		{Kind: locality.LoanAsked, From: "b", Zone: "z1", Number: 0x0123456789abcdef}, // lends
-		{Kind: locality.Ticked, Unix: 1},                                              // reports
+		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
+		{Kind: locality.PlanAgreed, Plan: goldenPlan},
+		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
+		{Kind: locality.Observed, Executors: goldenSeen(40), DemandThreads: 50}, // asks for a loan
+		{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5},
+		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 7},
+		{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5, Applied: 100},
+		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // lends
+		{Kind: locality.Ticked, UnixMS: 1},                                                    // reports
 	} {
 		s.step(1000, &ev)
 	}
@@ -112,30 +112,30 @@
 	counts := func(s *Agent) locality.Counts {
 		got := make(chan locality.Counts, 1)
 		carrier.Post(func(float64) {
-			s.step(1000, &locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
+			s.step(1000, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
 			got <- s.Monitor.Counts
 		})
 		return <-got
 	}
 	begin := func(s *Agent) {
-		step(s, locality.Event{Kind: locality.Present, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
-		step(s, locality.Event{Kind: locality.Planned, Plan: goldenPlan})
-		step(s, locality.Event{Kind: locality.Confirmed, Number: 300, At: 1000})
+		step(s, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+		step(s, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
+		step(s, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
 	}
 	b := watch("b")
 	begin(b)
-	step(b, locality.Event{Kind: locality.Present, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
 	b.heard(netip.AddrPort{}, read("report"))
-	step(b, locality.Event{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5})
+	step(b, locality.Event{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5})
 	b.heard(netip.AddrPort{}, read("ask-loan"))
-	step(b, locality.Event{Kind: locality.Seen, Executors: goldenSeen(2.5), Wants: 2.5, Applied: 100})
+	step(b, locality.Event{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5, Applied: 100})
 	b.heard(netip.AddrPort{}, read("ask-loan"))
 	got := counts(b)
-	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.Heard, got.Malformed, got.Lent})
+	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.ReportsReceived, got.Malformed, got.Lent})
 
 	a := watch("a")
 	begin(a)
-	step(a, locality.Event{Kind: locality.Seen, Executors: goldenSeen(40), Wants: 50})
+	step(a, locality.Event{Kind: locality.Observed, Executors: goldenSeen(40), DemandThreads: 50})
 	loan := read("give-loan")
 	copy(loan[3:11], read("ask-loan")[3:11])
 	loan[2] = 'b'
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -41,7 +41,7 @@
 
 // Agent joins a watch to a desk, to the carriage and to the council.
 type Agent struct {
-	Monitor *locality.Watch // of the carriage's goroutine
+	Monitor *locality.Monitor // of the carriage's goroutine
 	carrier *clusternet.Transport
 	view    *membership.View
 	seat    *raftnode.Node
@@ -75,7 +75,7 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *locality.Watch, name string, given scheduler.Given, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
+func New(w *locality.Monitor, name string, given scheduler.Given, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
 	t := &Agent{Monitor: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
@@ -100,7 +100,7 @@
 func (t *Agent) Start() {
 	t.seat.OnPlan = t.planned
 	t.seat.OnPlanConfirmed = func(now float64, number uint64, at float64) {
-		t.step(now, &locality.Event{Kind: locality.Confirmed, Number: number, At: at})
+		t.step(now, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: number, At: at})
 	}
 	t.carrier.LocalityDatagram = t.heard
 	go t.open()
@@ -144,7 +144,7 @@
 	if x := t.plan.Load(); x != nil {
 		p = *x
 	}
-	f := logrus.Fields{"plan": p.Number, "told": c.Told, "heard": c.Heard, "stale": c.Stale, "malformed": c.Malformed, "proposed": c.Proposed,
+	f := logrus.Fields{"plan": p.Number, "told": c.ReportsSent, "heard": c.ReportsReceived, "stale": c.Stale, "malformed": c.Malformed, "proposed": c.Proposed,
 		"plans": c.Plans, "bytes": c.Bytes, "lent": c.Lent, "borrowed": c.Borrowed}
 	for _, z := range p.Zones {
 		f["zone."+z.Name] = z.State.String()
@@ -161,16 +161,16 @@
 			list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.Phase.Living()})
 		}
 		leader := t.seat.Leader(now)
-		t.step(now, &locality.Event{Kind: locality.Present, Members: list, Leader: leader, Leads: leader == t.name && t.seat.LeaseHeld()})
+		t.step(now, &locality.Event{Kind: locality.MembersChanged, Members: list, Leader: leader, Leads: leader == t.name && t.seat.LeaseHeld()})
 	}
-	t.step(now, &locality.Event{Kind: locality.Ticked, Unix: time.Now().UnixMilli()})
+	t.step(now, &locality.Event{Kind: locality.Ticked, UnixMS: time.Now().UnixMilli()})
 	c := t.Monitor.Counts
 	t.counts.Store(&c)
 }
 
 // planned takes what is agreed.
 func (t *Agent) planned(now float64, p raftnode.AgreedPlan) {
-	ev := locality.Event{Kind: locality.Planned}
+	ev := locality.Event{Kind: locality.PlanAgreed}
 	if len(p.Plan) > 0 {
 		plan := &locality.Plan{}
 		if json.Unmarshal(p.Plan, plan) != nil {
@@ -204,7 +204,7 @@
 	one := *p
 	t.plan.Store(&one)
 	for _, z := range p.Zones {
-		before, stage := locality.Whole, 0
+		before, stage := locality.Healthy, 0
 		if was != nil {
 			for _, o := range was.Zones {
 				if o.Name == z.Name {
@@ -213,7 +213,7 @@
 			}
 		}
 		if z.State != before || z.Stage != stage {
-			t.log.WithFields(logrus.Fields{"zone": z.Name, "was": before.String(), "stage": z.Stage, "plan": p.Number, "why": z.Why}).Warn("zones: " + z.State.String())
+			t.log.WithFields(logrus.Fields{"zone": z.Name, "was": before.String(), "stage": z.Stage, "plan": p.Number, "why": z.Reason}).Warn("zones: " + z.State.String())
 		}
 	}
 }
@@ -222,23 +222,23 @@
 func (t *Agent) step(now float64, ev *locality.Event) {
 	for _, e := range slices.Clone(t.Monitor.Step(now, ev)) {
 		switch e.Kind {
-		case locality.Tell:
+		case locality.SendReport:
 			t.send(now, e.To, reports, e.Data)
-		case locality.Announce:
+		case locality.AnnouncePlan:
 			t.send(now, e.To, announces, binary.AppendUvarint(nil, e.Number))
-		case locality.AskLoan:
+		case locality.RequestLoan:
 			t.send(now, e.To, asksLoan, append(binary.BigEndian.AppendUint64(nil, e.Number), e.Zone...))
-		case locality.GiveLoan:
+		case locality.GrantLoan:
 			t.send(now, e.To, givesLoan, append(binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint64(nil, e.Number), uint16(e.Threads)), e.Zone...))
-		case locality.Fetch:
+		case locality.FetchPlan:
 			t.seat.FetchPlan(now, t.Monitor.Plan().Number)
-		case locality.Propose:
+		case locality.ProposePlan:
 			if data, err := json.Marshal(e.Plan); err == nil {
 				t.seat.Propose(consensus.PlanProposal(e.Plan.Number, data))
 			}
-		case locality.Warn:
+		case locality.LogWarning:
 			t.log.Warn("zones: " + e.Text)
-		case locality.Reach:
+		case locality.SetReach:
 			t.reaches.Store(&reaching{e.Reaches, e.Number})
 			select {
 			case t.opened <- struct{}{}:
@@ -266,14 +266,14 @@
 	ev := locality.Event{From: from}
 	switch {
 	case kind == reports:
-		ev.Kind, ev.Data = locality.Heard, rest
+		ev.Kind, ev.Data = locality.ReportReceived, rest
 	case kind == announces:
-		ev.Kind = locality.Announced
-		ev.Number, _ = binary.Uvarint(rest)
+		ev.Kind = locality.PlanAnnounced
+		ev.PlanNumber, _ = binary.Uvarint(rest)
 	case kind == asksLoan && len(rest) > 8 && len(rest) <= 8+mostName:
-		ev.Kind, ev.Number, ev.Zone = locality.LoanAsked, binary.BigEndian.Uint64(rest), string(rest[8:])
+		ev.Kind, ev.PlanNumber, ev.Zone = locality.LoanRequested, binary.BigEndian.Uint64(rest), string(rest[8:])
 	case kind == givesLoan && len(rest) > 10 && len(rest) <= 10+mostName:
-		ev.Kind, ev.Number, ev.Threads = locality.LoanGiven, binary.BigEndian.Uint64(rest), float64(binary.BigEndian.Uint16(rest[8:]))
+		ev.Kind, ev.PlanNumber, ev.Threads = locality.LoanGranted, binary.BigEndian.Uint64(rest), float64(binary.BigEndian.Uint16(rest[8:]))
 		ev.Zone = string(rest[10:])
 	default:
 		return
@@ -314,7 +314,7 @@
 		}
 		t.seenAt = now
 		beliefs, _ := h.SchedulerState()
-		ev := &locality.Event{Kind: locality.Seen, Wants: t.wants, Deaf: t.deaf, Applied: t.applied, Executors: t.executors(beliefs)}
+		ev := &locality.Event{Kind: locality.Observed, DemandThreads: t.wants, WithoutList: t.deaf, Applied: t.applied, Executors: t.executors(beliefs)}
 		go t.carrier.Post(func(now float64) { t.step(now, ev) }) // this goroutine must not wait
 	}
 	return out
@@ -327,8 +327,8 @@
 		if !known {
 			continue
 		}
-		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == scheduler.Active, Aside: b.Aside, Cold: b.Cold,
-			Out: float64(b.Threads)}
+		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == scheduler.Active, Ejected: b.Aside, WarmingUp: b.Cold,
+			InFlight: float64(b.Threads)}
 		x.Known = b.Aside || b.Bad > 0 || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < knownMS || b.ReportMS >= 0 && b.ReportMS < knownMS
 		list = append(list, x)
 	}
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -35,8 +35,8 @@
 	assert.False(t, s.deaf)
 	list := s.executors([]scheduler.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
 		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: scheduler.Leaving}, {Executor: 9}})
-	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, Out: 8},
-		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Aside: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
+	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: 8},
+		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Ejected: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
 	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: 2, Standing: scheduler.Gone}}}})
 	assert.Len(t, s.executors([]scheduler.Belief{{Executor: 1}, {Executor: 2}}), 1)
 	for _, data := range []string{"", "r", "r\xff", "r\x05ab", "?\x01a", "x\x01a"} {
