--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -70,14 +70,14 @@
 	f := &fleet{inst: i, file: file, clock: clock, log: i.log, changes: make(chan float64, changedRoom), ended: make(chan struct{})}
 	f.carrier = clusternet.New(file.Listen, i.log)
 	f.carrier.OnEffect = f.said
-	self := membership.Member{Name: name, Life: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
-	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Life, 10)))
+	self := membership.Member{Name: name, Incarnation: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
+	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Incarnation, 10)))
 	f.view = membership.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Given, seed)
 	if err := f.openSeat(seed, given); err != nil {
 		return err
 	}
 	i.fleet = f
-	i.log.WithFields(logrus.Fields{"fleet": file.Name, "member": name, "life": self.Life, "address": file.Address}).Info("fleet: joining")
+	i.log.WithFields(logrus.Fields{"fleet": file.Name, "member": name, "life": self.Incarnation, "address": file.Address}).Info("fleet: joining")
 	return nil
 }
 
@@ -106,12 +106,12 @@
 }
 
 // marks are what this controller tells of itself.
-func (f *fleet) marks(m membership.Marks) membership.Marks {
+func (f *fleet) marks(m membership.Flags) membership.Flags {
 	if f.seat != nil {
-		m |= membership.Elector
+		m |= membership.CanVote
 	}
 	if f.sick.Load() {
-		m = m&^membership.Elector | membership.DiskSick
+		m = m&^membership.CanVote | membership.DiskFailing
 	}
 	return m
 }
@@ -151,7 +151,7 @@
 	var voters, places []any
 	for _, v := range record.Voters {
 		m, _ := f.view.Find(v.Name)
-		voters = append(voters, map[string]any{"name": v.Name, "zone": m.Zone, "phase": m.Phase.String(), "id": strconv.FormatUint(v.ID, 16)})
+		voters = append(voters, map[string]any{"name": v.Name, "zone": m.Zone, "phase": m.State.String(), "id": strconv.FormatUint(v.ID, 16)})
 	}
 	for _, name := range slices.Sorted(maps.Keys(record.Members)) {
 		p := record.Members[name]
@@ -226,26 +226,26 @@
 func (f *fleet) said(now float64, e membership.Effect) {
 	m := &e.Member
 	switch e.Kind {
-	case membership.Changed:
+	case membership.MemberChanged:
 		if m.Name != f.view.Self().Name {
-			line := f.line(now).WithFields(logrus.Fields{"member": m.Name, "life": m.Life, "was": e.From.String(), "zone": m.Zone, "why": e.Why})
-			if m.Phase == membership.Gone || m.Phase == membership.Suspect {
-				line.Warn("fleet: " + m.Phase.String())
-			} else if e.From != m.Phase {
-				line.Info("fleet: " + m.Phase.String())
+			line := f.line(now).WithFields(logrus.Fields{"member": m.Name, "life": m.Incarnation, "was": e.From.String(), "zone": m.Zone, "why": e.Reason})
+			if m.State == membership.Dead || m.State == membership.Suspect {
+				line.Warn("fleet: " + m.State.String())
+			} else if e.From != m.State {
+				line.Info("fleet: " + m.State.String())
 			}
 		}
-	case membership.Relived:
-		f.log.WithField("life", m.Life).Warn("fleet: the others knew a later life of this name; this one goes on under a later still")
+	case membership.SelfIncarnationRaised:
+		f.log.WithField("life", m.Incarnation).Warn("fleet: the others knew a later life of this name; this one goes on under a later still")
 		if f.inst.keep != nil {
-			life := m.Life
+			life := m.Incarnation
 			go f.inst.desk.Put(dispatch.QueueItem{Call: func(float64) { f.keepLife(life) }})
 		}
-	case membership.Twins:
-		f.log.WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "life": m.Life, "why": e.Why}).Error("fleet: a name borne twice")
-	case membership.Stood:
+	case membership.DuplicateName:
+		f.log.WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "life": m.Incarnation, "why": e.Reason}).Error("fleet: a name borne twice")
+	case membership.SelfStalled:
 		f.line(now).WithField("ms", math.Round(e.MS)).Warn("fleet: this controller stood still, and judges nobody by it")
-	case membership.Cut:
+	case membership.PartitionSuspected:
 		f.log.Warn("fleet: many went at once; it may be this controller that is cut off")
 	}
 	if n := f.view.Present(); n != f.present {
@@ -342,7 +342,7 @@
 	return true, out, err
 }
 
-func names(m membership.Marks) (list []any) {
+func names(m membership.Flags) (list []any) {
 	for _, n := range m.Names() {
 		list = append(list, n)
 	}
@@ -353,8 +353,8 @@
 func (f *fleet) show(now float64, v *membership.View) map[string]any {
 	var list []any
 	for _, m := range v.Members() {
-		list = append(list, map[string]any{"name": m.Name, "life": strconv.FormatUint(m.Life, 10), "incarnation": float64(m.Inc),
-			"phase": m.Phase.String(), "marks": names(m.Marks), "address": m.Address, "zone": m.Zone, "region": m.Region,
+		list = append(list, map[string]any{"name": m.Name, "life": strconv.FormatUint(m.Incarnation, 10), "incarnation": float64(m.Refutation),
+			"phase": m.State.String(), "marks": names(m.Flags), "address": m.Address, "zone": m.Zone, "region": m.Region,
 			"version": float64(m.Version), "for_ms": math.Round(now - m.Since)})
 	}
 	c := v.Counts()
@@ -371,8 +371,8 @@
 	}
 	var list []any
 	for _, e := range v.Explain(name) {
-		list = append(list, map[string]any{"ago_ms": math.Round(now - e.At), "what": e.What, "who": e.Who})
+		list = append(list, map[string]any{"ago_ms": math.Round(now - e.At), "what": e.Observation, "who": e.Reporter})
 	}
-	return map[string]any{"name": m.Name, "phase": m.Phase.String(), "for_ms": math.Round(now - m.Since), "address": m.Address,
-		"life": strconv.FormatUint(m.Life, 10), "incarnation": float64(m.Inc), "accused_by": m.By, "evidence": list}, nil
+	return map[string]any{"name": m.Name, "phase": m.State.String(), "for_ms": math.Round(now - m.Since), "address": m.Address,
+		"life": strconv.FormatUint(m.Incarnation, 10), "incarnation": float64(m.Refutation), "accused_by": m.AccusedBy, "evidence": list}, nil
 }
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -34,7 +34,7 @@
 		}
 	}
 	self := f.view.Self()
-	t := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Life}, g, seed, i.desk, f.clock, f.carrier, i.log)
+	t := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Incarnation}, g, seed, i.desk, f.clock, f.carrier, i.log)
 	if i.file.Estate.OnDisks {
 		dir, err := vfs.OpenDir(filepath.Join(i.file.Store.Directory, "estate"), true)
 		if err != nil {
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -74,7 +74,7 @@
 		k := (r*7 + 3) % n
 		name, began, known, firstAt, lastAt := f.Nodes[k].Name, f.Now, 0, 0.0, 0.0
 		f.Saw = func(by int, e *membership.Effect) {
-			if e.Kind == membership.Changed && e.Member.Name == name && e.Member.Phase == membership.Gone && by != k {
+			if e.Kind == membership.MemberChanged && e.Member.Name == name && e.Member.State == membership.Dead && by != k {
 				if known++; known == 1 {
 					firstAt = f.Now - began
 				}
@@ -106,7 +106,7 @@
 		f.Net.Loss = 0.1
 		last := map[string]float64{}
 		f.Saw = func(_ int, e *membership.Effect) {
-			if e.Kind == membership.Changed && e.Member.Phase == membership.Gone {
+			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead {
 				if at, before := last[e.Member.Name]; !before || f.Now-at > 10_000 { // all that hold it so: one mistake
 					counts[s]++
 				}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -46,7 +46,7 @@
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
 	l.carrier = clusternet.New(f.Relay.Listen(k), log)
 	given := scheduler.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
-	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Life: l.self.Incarnation, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
+	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
 	var err error
 	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
--- a/internal/clusternet/clusternet.go
+++ b/internal/clusternet/clusternet.go
@@ -157,23 +157,23 @@
 }
 
 // SetFlag sets this controller's own marks.
-func (c *Transport) SetFlag(m membership.Marks) {
-	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Marked, Marks: m}) })
+func (c *Transport) SetFlag(m membership.Flags) {
+	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.FlagsChanged, Flags: m}) })
 }
 
 // RaiseIncarnation has this controller go on under a later life. It is for the owner's goroutine alone.
 func (c *Transport) RaiseIncarnation(now float64) {
-	c.step(now, &membership.Event{Kind: membership.Renew})
+	c.step(now, &membership.Event{Kind: membership.IncarnationRaised})
 }
 
 // Leave says that a planned stop begins.
 func (c *Transport) Leave() {
-	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.Leave}) })
+	c.put(func(now float64) { c.step(now, &membership.Event{Kind: membership.LeaveStarted}) })
 }
 
 // Stop says good-bye and ends.
 func (c *Transport) Stop() {
-	c.Do(func(now float64, _ *membership.View) { c.step(now, &membership.Event{Kind: membership.Leaves}) })
+	c.Do(func(now float64, _ *membership.View) { c.step(now, &membership.Event{Kind: membership.LeaveFinished}) })
 	time.Sleep(farewell)
 	close(c.stop)
 	<-c.done
@@ -249,9 +249,9 @@
 	c.Call(to, exchangeMethod, data, func(reply []byte, err error) {
 		c.put(func(now float64) {
 			if err != nil {
-				c.step(now, &membership.Event{Kind: membership.Failed, From: to})
+				c.step(now, &membership.Event{Kind: membership.ExchangeFailed, From: to})
 			} else if len(reply) > 0 {
-				c.step(now, &membership.Event{Kind: membership.Answered, From: to, Data: reply})
+				c.step(now, &membership.Event{Kind: membership.ExchangeAnswered, From: to, Data: reply})
 			}
 		})
 	})
@@ -305,7 +305,9 @@
 			continue
 		}
 		select {
-		case c.calls <- func(now float64) { c.step(now, &membership.Event{Kind: membership.Heard, From: at, Data: data}) }:
+		case c.calls <- func(now float64) {
+			c.step(now, &membership.Event{Kind: membership.DatagramReceived, From: at, Data: data})
+		}:
 		case <-c.done:
 			return
 		default:
@@ -346,7 +348,7 @@
 var desc = grpc.ServiceDesc{ServiceName: service, HandlerType: (*fleetServer)(nil), Metadata: "liftshift/fleet", Methods: []grpc.MethodDesc{
 	handler("Exchange", func(c *Transport, ctx context.Context, data []byte) ([]byte, error) {
 		return c.ask(ctx, func(now float64, reply func([]byte, error)) {
-			reply(c.step(now, &membership.Event{Kind: membership.Asked, Data: data}), nil)
+			reply(c.step(now, &membership.Event{Kind: membership.ExchangeRequested, Data: data}), nil)
 		})
 	}),
 	handler("Council", func(c *Transport, ctx context.Context, data []byte) ([]byte, error) {
--- a/internal/clustersim/clustersim.go
+++ b/internal/clustersim/clustersim.go
@@ -102,8 +102,8 @@
 	f.life++
 	nd.Up, nd.until = true, 0
 	nd.run++
-	nd.View = membership.New(f.Local(k), "sim", membership.Member{Name: nd.Name, Life: f.life, Address: nd.Address, Zone: fmt.Sprintf("z%d", k%f.Zones),
-		Version: 1, Marks: membership.Ready}, f.Seeds, f.Given, f.chance.Uint32())
+	nd.View = membership.New(f.Local(k), "sim", membership.Member{Name: nd.Name, Incarnation: f.life, Address: nd.Address, Zone: fmt.Sprintf("z%d", k%f.Zones),
+		Version: 1, Flags: membership.Ready}, f.Seeds, f.Given, f.chance.Uint32())
 	nd.ticking = f.Now
 	f.put(event{at: f.Now, to: k, run: nd.run, ev: membership.Event{Kind: membership.Ticked}})
 }
@@ -171,7 +171,7 @@
 		case membership.Send:
 			f.Messages++
 			f.Bytes += uint64(len(e.Data))
-			f.carry(k, e.To, membership.Event{Kind: membership.Heard, Data: e.Data})
+			f.carry(k, e.To, membership.Event{Kind: membership.DatagramReceived, Data: e.Data})
 		case membership.Exchange:
 			f.exchange(k, e.To, e.Data)
 		case membership.Reply:
@@ -179,7 +179,7 @@
 				f.Messages++
 				f.Bytes += uint64(len(e.Data))
 				f.put(event{at: f.Now + f.delay(), to: from, run: f.Nodes[from].run, from: k,
-					ev: membership.Event{Kind: membership.Answered, From: nd.Address, Data: e.Data}})
+					ev: membership.Event{Kind: membership.ExchangeAnswered, From: nd.Address, Data: e.Data}})
 			}
 		default:
 			if f.Saw != nil {
@@ -231,7 +231,7 @@
 	f.Messages++
 	f.Bytes += uint64(len(data))
 	f.put(event{at: f.Now + 2*f.delay(), to: to, run: f.Nodes[to].run, from: from,
-		ev: membership.Event{Kind: membership.Asked, From: f.Nodes[from].Address, Data: data}})
+		ev: membership.Event{Kind: membership.ExchangeRequested, From: f.Nodes[from].Address, Data: data}})
 }
 
 // Settled tells whether each node that is up holds exactly those that are up for living, but suspects none.
@@ -250,7 +250,7 @@
 			continue
 		}
 		for _, other := range f.Nodes {
-			if m, known := nd.View.Find(other.Name); other.Up != (known && m.Phase == membership.Here) {
+			if m, known := nd.View.Find(other.Name); other.Up != (known && m.State == membership.Alive) {
 				return false
 			}
 		}
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -72,14 +72,14 @@
 	settles(t, f, 5000, "elsewhere")
 	m, _ := f.Nodes[0].View.Find("n2")
 	assert.Equal(t, "10.9.9.9:7", m.Address)
-	before := m.Life
+	before := m.Incarnation
 	f.Kill(2)
 	f.life = 10
 	f.Start(2)
 	f.Run(f.Now + 3000)
 	settles(t, f, 15_000, "with an old life")
 	m, _ = f.Nodes[0].View.Find("n2")
-	assert.Greater(t, m.Life, before, "it took on a later life than the fleet knew")
+	assert.Greater(t, m.Incarnation, before, "it took on a later life than the fleet knew")
 }
 
 // A member that stood still for 2 s stays; one that stood still for 30 s wakes up believing all alive, and is taken back.
@@ -96,7 +96,7 @@
 	f.Stall(3, 30_000)
 	f.Run(f.Now + 29_000)
 	m, _ := f.Nodes[0].View.Find("n3")
-	assert.Equal(t, membership.Gone, m.Phase)
+	assert.Equal(t, membership.Dead, m.State)
 	f.Run(f.Now + 1000)
 	*lost = 0
 	settles(t, f, 8000, "awake")
@@ -112,15 +112,15 @@
 	}
 	f.Run(8000)
 	for _, k := range []int{2, 8} {
-		assert.NotZero(t, f.Nodes[k].View.Self().Marks&membership.Doubled, "node %d", k)
+		assert.NotZero(t, f.Nodes[k].View.Self().Flags&membership.Duplicated, "node %d", k)
 	}
 	m, _ := f.Nodes[0].View.Find("n2")
-	assert.NotZero(t, m.Marks&membership.Doubled)
+	assert.NotZero(t, m.Flags&membership.Duplicated)
 	f.Kill(8)
 	f.Run(f.Now + 20_000)
-	assert.Zero(t, f.Nodes[2].View.Self().Marks&membership.Doubled)
+	assert.Zero(t, f.Nodes[2].View.Self().Flags&membership.Duplicated)
 	m, _ = f.Nodes[0].View.Find("n2")
-	assert.Equal(t, membership.Here, m.Phase)
+	assert.Equal(t, membership.Alive, m.State)
 	assert.Equal(t, f.Nodes[2].Address, m.Address, "the one that is left")
 }
 
@@ -154,15 +154,15 @@
 	f := started(t, 20, 10)
 	suspected := 0
 	f.Saw = func(_ int, e *membership.Effect) {
-		if e.Kind == membership.Changed && e.Member.Phase == membership.Suspect {
+		if e.Kind == membership.MemberChanged && e.Member.State == membership.Suspect {
 			suspected++
 		}
 	}
-	f.Tell(5, membership.Event{Kind: membership.Leave})
+	f.Tell(5, membership.Event{Kind: membership.LeaveStarted})
 	f.Run(f.Now + 1000)
 	m, _ := f.Nodes[1].View.Find("n5")
-	assert.Equal(t, membership.Leaving, m.Phase)
-	f.Tell(5, membership.Event{Kind: membership.Leaves})
+	assert.Equal(t, membership.Leaving, m.State)
+	f.Tell(5, membership.Event{Kind: membership.LeaveFinished})
 	f.Kill(5)
 	settles(t, f, 2000, "left")
 	assert.Zero(t, suspected)
@@ -180,10 +180,10 @@
 	f.Kill(3)
 	f.Run(f.Now + 3600e3)
 	for _, d := range old {
-		f.Tell(0, membership.Event{Kind: membership.Heard, From: "10.0.0.3:7", Data: d})
+		f.Tell(0, membership.Event{Kind: membership.DatagramReceived, From: "10.0.0.3:7", Data: d})
 	}
 	m, _ := f.Nodes[0].View.Find("n3")
-	assert.Equal(t, membership.Gone, m.Phase)
+	assert.Equal(t, membership.Dead, m.State)
 	assert.NotEmpty(t, old)
 }
 
@@ -196,10 +196,10 @@
 	}
 	settles(t, f, 10_000, "start")
 	for k := range 2000 { // each is heard by one node alone, as from a broken one
-		v := membership.New(f.Now, "sim", membership.Member{Name: fmt.Sprint("invented-", k), Life: 1, Address: fmt.Sprintf("10.99.%d.%d:1", k/250, k%250)},
+		v := membership.New(f.Now, "sim", membership.Member{Name: fmt.Sprint("invented-", k), Incarnation: 1, Address: fmt.Sprintf("10.99.%d.%d:1", k/250, k%250)},
 			[]string{"10.0.0.0:7"}, nil, uint32(k))
 		for _, e := range v.Step(f.Now, &membership.Event{Kind: membership.Ticked}) {
-			f.Tell(0, membership.Event{Kind: membership.Asked, From: v.Self().Address, Data: e.Data})
+			f.Tell(0, membership.Event{Kind: membership.ExchangeRequested, From: v.Self().Address, Data: e.Data})
 		}
 		if k%100 == 0 {
 			f.Run(f.Now + 100)
@@ -216,6 +216,6 @@
 	f.Run(f.Now + 60_000)
 	for _, nd := range f.Nodes {
 		m, known := nd.View.Find("n3")
-		assert.True(t, known && m.Phase == membership.Here && m.Life == f.life, "%v", m)
+		assert.True(t, known && m.State == membership.Alive && m.Incarnation == f.life, "%v", m)
 	}
 }
--- a/internal/clustersim/hall.go
+++ b/internal/clustersim/hall.go
@@ -79,14 +79,14 @@
 func (h *Hall) Open(k int) {
 	h.Start(k)
 	nd, s := h.Nodes[k], h.Seats[k]
-	h.Tell(k, membership.Event{Kind: membership.Marked, Marks: membership.Ready | membership.Elector})
+	h.Tell(k, membership.Event{Kind: membership.FlagsChanged, Flags: membership.Ready | membership.CanVote})
 	kept := consensus.PersistedState{State: s.Disk.State, Snapshot: s.Disk.Snap}
 	if s.Disk.Snap != nil {
 		for i := s.Disk.Snap.GetMetadata().GetIndex() + 1; s.Disk.Entries[i] != nil; i++ {
 			kept.Entries = append(kept.Entries, s.Disk.Entries[i])
 		}
 	}
-	s.life = nd.View.Self().Life
+	s.life = nd.View.Self().Incarnation
 	s.Council = consensus.New(h.Local(k), nd.Name, s.life, s.Disk.Folder, h.Founders, kept, h.Given, h.chance.Uint32())
 	s.sawAt = -1000
 	h.tick(k, nd.run)
@@ -102,7 +102,7 @@
 		h.At(nd.until, func() { h.tick(k, run) })
 		return
 	}
-	if l := nd.View.Self().Life; l != s.life {
+	if l := nd.View.Self().Incarnation; l != s.life {
 		s.life = l
 		h.step(k, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: l})
 	}
@@ -118,8 +118,8 @@
 // Sights is a view as the council gets it.
 func Sights(v *membership.View) (list []consensus.Observation) {
 	for _, m := range v.Members() {
-		list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Life, Alive: m.Phase.Living(), LeftGracefully: m.Phase == membership.Left, Address: m.Address,
-			Zone: m.Zone, CanVote: m.Marks&membership.Elector != 0, Duplicated: m.Marks&membership.Doubled != 0})
+		list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Incarnation, Alive: m.State.IsLive(), LeftGracefully: m.State == membership.Left, Address: m.Address,
+			Zone: m.Zone, CanVote: m.Flags&membership.CanVote != 0, Duplicated: m.Flags&membership.Duplicated != 0})
 	}
 	return list
 }
@@ -206,7 +206,7 @@
 		case consensus.MemberLost:
 			h.declared(&e)
 		case consensus.IncarnationRevoked:
-			h.Tell(k, membership.Event{Kind: membership.Renew})
+			h.Tell(k, membership.Event{Kind: membership.IncarnationRaised})
 		case consensus.VoterFailed:
 			if !s.Disk.Fails {
 				h.Broken = append(h.Broken, fmt.Sprintf("%.0f: voter %s: %s", h.Now, nd.Name, e.Reason))
--- a/internal/clustersim/helpers_test.go
+++ b/internal/clustersim/helpers_test.go
@@ -30,7 +30,7 @@
 	n := new(int)
 	f.Saw = func(_ int, e *membership.Effect) {
 		for _, nd := range f.Nodes {
-			if e.Kind == membership.Changed && e.Member.Phase == membership.Gone && nd.Name == e.Member.Name && nd.Up {
+			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead && nd.Name == e.Member.Name && nd.Up {
 				*n++
 			}
 		}
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -84,7 +84,7 @@
 		part = e.trustee
 	}
 	e.desk.Register(part)
-	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Life: 1, Address: at}, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Incarnation: 1, Address: at}, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, e.carrier.Start(view, nil))
 	go e.desk.Run()
 	t.Cleanup(func() {
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -42,7 +42,7 @@
 	log.SetOutput(io.Discard)
 	at, err := testservers.Spot()
 	require.NoError(t, err)
-	c, self := clusternet.New(at, log), membership.Member{Name: name, Life: 1, Address: at}
+	c, self := clusternet.New(at, log), membership.Member{Name: name, Incarnation: 1, Address: at}
 	c.LocalityDatagram = scout
 	view := membership.New(c.Now(), "test", self, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
 	require.NoError(t, c.Start(view, nil))
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -158,7 +158,7 @@
 		t.last = now
 		var list []locality.Member
 		for _, m := range t.view.Members() {
-			list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.Phase.Living()})
+			list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.State.IsLive()})
 		}
 		leader := t.seat.Leader(now)
 		t.step(now, &locality.Event{Kind: locality.MembersChanged, Members: list, Leader: leader, Leads: leader == t.name && t.seat.LeaseHeld()})
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -72,14 +72,14 @@
 func appendRecord(b []byte, m *Member) []byte {
 	var room [mostRecord]byte
 	r := appendText(room[:0], m.Name)
-	r = binary.AppendUvarint(r, m.Life)
-	r = binary.AppendUvarint(r, m.Inc)
-	r = append(r, byte(m.Phase), byte(m.Marks))
+	r = binary.AppendUvarint(r, m.Incarnation)
+	r = binary.AppendUvarint(r, m.Refutation)
+	r = append(r, byte(m.State), byte(m.Flags))
 	r = binary.AppendUvarint(r, uint64(m.Version))
 	r = appendText(r, m.Address)
 	r = appendText(r, m.Zone)
 	r = appendText(r, m.Region)
-	r = appendText(r, m.By)
+	r = appendText(r, m.AccusedBy)
 	return append(binary.AppendUvarint(b, uint64(len(r))), r...)
 }
 
@@ -130,11 +130,11 @@
 		r.err = errMalformed
 	}
 	in := reader{b: r.take(int(min(n, mostRecord))), err: r.err}
-	m.Name, m.Life, m.Inc = in.text(), in.number(), in.number()
-	m.Phase, m.Marks = Phase(in.byte()), Marks(in.byte())
+	m.Name, m.Incarnation, m.Refutation = in.text(), in.number(), in.number()
+	m.State, m.Flags = State(in.byte()), Flags(in.byte())
 	m.Version = uint32(in.number())
-	m.Address, m.Zone, m.Region, m.By = in.text(), in.text(), in.text(), in.text()
-	if r.err = in.err; r.err == nil && (m.Name == "" || m.Address == "" || m.Phase == Unknown || m.Phase >= anyPhase) {
+	m.Address, m.Zone, m.Region, m.AccusedBy = in.text(), in.text(), in.text(), in.text()
+	if r.err = in.err; r.err == nil && (m.Name == "" || m.Address == "" || m.State == Unknown || m.State >= anyPhase) {
 		r.err = errMalformed
 	}
 	return m
@@ -173,9 +173,9 @@
 func hashOf(m *Member) uint64 {
 	h := fnv.New64a()
 	var b [18]byte
-	binary.BigEndian.PutUint64(b[:], m.Life)
-	binary.BigEndian.PutUint64(b[8:], m.Inc)
-	b[16], b[17] = byte(m.Phase), byte(m.Marks)
+	binary.BigEndian.PutUint64(b[:], m.Incarnation)
+	binary.BigEndian.PutUint64(b[8:], m.Refutation)
+	b[16], b[17] = byte(m.State), byte(m.Flags)
 	_, _ = h.Write([]byte(m.Name))
 	_, _ = h.Write(b[:])
 	x := h.Sum64() // FNV's high bits are near for near texts: mixed once more, as hashes are joined by exclusive or
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -29,18 +29,18 @@
 // goldenMembers is one in each phase, with each mark.
 func goldenMembers() []Member {
 	return []Member{
-		{Name: "b", Life: 2, Inc: 3, Phase: Joining, Marks: Ready, Version: 4, Address: "127.0.0.1:7001", Zone: "z2", Region: "r2"},
-		{Name: "c", Life: 300, Inc: 1, Phase: Here, Marks: Draining, Address: "127.0.0.1:7002"},
-		{Name: "d", Life: 1, Inc: 1, Phase: Suspect, Marks: DiskSick, Address: "127.0.0.1:7003", By: "a"},
-		{Name: "e", Life: 1, Inc: 1, Phase: Gone, Marks: Full, Address: "127.0.0.1:7004"},
-		{Name: "g", Life: 1, Inc: 1, Phase: Leaving, Marks: Doubled, Address: "127.0.0.1:7005"},
-		{Name: "h", Life: 1, Inc: 1, Phase: Left, Marks: Stalled, Address: "127.0.0.1:7006"},
-		{Name: "i", Life: 1, Inc: 1, Phase: Here, Marks: Elector | Ready, Address: "127.0.0.1:7007"},
+		{Name: "b", Incarnation: 2, Refutation: 3, State: Joining, Flags: Ready, Version: 4, Address: "127.0.0.1:7001", Zone: "z2", Region: "r2"},
+		{Name: "c", Incarnation: 300, Refutation: 1, State: Alive, Flags: Draining, Address: "127.0.0.1:7002"},
+		{Name: "d", Incarnation: 1, Refutation: 1, State: Suspect, Flags: DiskFailing, Address: "127.0.0.1:7003", AccusedBy: "a"},
+		{Name: "e", Incarnation: 1, Refutation: 1, State: Dead, Flags: Overloaded, Address: "127.0.0.1:7004"},
+		{Name: "g", Incarnation: 1, Refutation: 1, State: Leaving, Flags: Duplicated, Address: "127.0.0.1:7005"},
+		{Name: "h", Incarnation: 1, Refutation: 1, State: Left, Flags: Stalled, Address: "127.0.0.1:7006"},
+		{Name: "i", Incarnation: 1, Refutation: 1, State: Alive, Flags: CanVote | Ready, Address: "127.0.0.1:7007"},
 	}
 }
 
 func goldenView() *View {
-	return New(0, "f", Member{Name: "a", Life: 1, Inc: 5, Marks: Ready | Elector, Version: 6, Address: "127.0.0.1:7000", Zone: "z1", Region: "r1"}, nil, nil, 1)
+	return New(0, "f", Member{Name: "a", Incarnation: 1, Refutation: 5, Flags: Ready | CanVote, Version: 6, Address: "127.0.0.1:7000", Zone: "z1", Region: "r1"}, nil, nil, 1)
 }
 
 // Every kind of datagram has the bytes that it had, and is read as it was.
@@ -67,13 +67,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, full, read.kind)
 	assert.Equal(t, v.Hash(), read.hash)
-	other := New(0, "f", Member{Name: "z", Life: 1, Address: "127.0.0.1:7100"}, nil, nil, 2)
-	other.Step(1, &Event{Kind: Answered, From: "127.0.0.1:7000", Data: must(os.ReadFile("testdata/golden/view.bin"))})
+	other := New(0, "f", Member{Name: "z", Incarnation: 1, Address: "127.0.0.1:7100"}, nil, nil, 2)
+	other.Step(1, &Event{Kind: ExchangeAnswered, From: "127.0.0.1:7000", Data: must(os.ReadFile("testdata/golden/view.bin"))})
 	for _, m := range v.Members() {
 		got, found := other.Find(m.Name)
 		require.True(t, found, m.Name)
-		assert.Equal(t, [...]any{m.Life, m.Inc, m.Phase, m.Marks, m.Version, m.Address, m.Zone, m.Region},
-			[...]any{got.Life, got.Inc, got.Phase, got.Marks, got.Version, got.Address, got.Zone, got.Region}, m.Name)
+		assert.Equal(t, [...]any{m.Incarnation, m.Refutation, m.State, m.Flags, m.Version, m.Address, m.Zone, m.Region},
+			[...]any{got.Incarnation, got.Refutation, got.State, got.Flags, got.Version, got.Address, got.Zone, got.Region}, m.Name)
 	}
 }
 
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -11,14 +11,14 @@
 
 // pair gives two views that have not met.
 func pair() (a, b *View) {
-	return New(0, "f", Member{Name: "a", Address: "1", Life: 2}, []string{"2"}, nil, 1),
-		New(0, "f", Member{Name: "b", Address: "2", Life: 3}, []string{"1"}, nil, 2)
+	return New(0, "f", Member{Name: "a", Address: "1", Incarnation: 2}, []string{"2"}, nil, 1),
+		New(0, "f", Member{Name: "b", Address: "2", Incarnation: 3}, []string{"1"}, nil, 2)
 }
 
 // meet lets two views hear of each other.
 func meet(a, b *View) {
-	a.Step(1, &Event{Kind: Heard, From: "2", Data: b.pack(&message{kind: gossip}, nil)})
-	b.Step(1, &Event{Kind: Heard, From: "1", Data: a.pack(&message{kind: gossip}, nil)})
+	a.Step(1, &Event{Kind: DatagramReceived, From: "2", Data: b.pack(&message{kind: gossip}, nil)})
+	b.Step(1, &Event{Kind: DatagramReceived, From: "1", Data: a.pack(&message{kind: gossip}, nil)})
 }
 
 // walked is a fleet of three whose messages wait until they are chosen.
@@ -46,7 +46,7 @@
 func (w *walked) start(k int) {
 	w.lives[k]++
 	given := scheduler.Given{"probe_ms": 100.0, "answer_ms": 40.0, "suspect_ms": 150.0}
-	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Life: w.lives[k]}, []string{"0", "1", "2"}, given, uint32(k))
+	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.lives[k]}, []string{"0", "1", "2"}, given, uint32(k))
 	w.play(k, -1, Event{Kind: Ticked})
 }
 
@@ -58,11 +58,11 @@
 		}
 		switch {
 		case e.Kind == Send && to >= 0:
-			w.links[k][to] = append(w.links[k][to], Event{Kind: Heard, From: fmt.Sprint(k), Data: e.Data})
+			w.links[k][to] = append(w.links[k][to], Event{Kind: DatagramReceived, From: fmt.Sprint(k), Data: e.Data})
 		case e.Kind == Exchange && to >= 0:
-			w.links[k][to] = append(w.links[k][to], Event{Kind: Asked, From: fmt.Sprint(k), Data: e.Data})
+			w.links[k][to] = append(w.links[k][to], Event{Kind: ExchangeRequested, From: fmt.Sprint(k), Data: e.Data})
 		case e.Kind == Reply:
-			w.links[k][from] = append(w.links[k][from], Event{Kind: Answered, From: fmt.Sprint(k), Data: e.Data})
+			w.links[k][from] = append(w.links[k][from], Event{Kind: ExchangeAnswered, From: fmt.Sprint(k), Data: e.Data})
 		}
 	}
 }
@@ -121,9 +121,9 @@
 			if !known {
 				continue
 			}
-			good := m.Life <= w.lives[o] && (m.Life < other.Self().Life || m.Inc <= other.Self().Inc)
+			good := m.Incarnation <= w.lives[o] && (m.Incarnation < other.Self().Incarnation || m.Refutation <= other.Self().Refutation)
 			if o == k {
-				good = m.Phase != Suspect && m.Phase != Gone
+				good = m.State != Suspect && m.State != Dead
 			}
 			assert.True(t, good, "path %v: %d holds of %d %+v, which says %+v", path, k, o, m, other.Self())
 		}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -21,7 +21,7 @@
 		if _, err := parse("f", data[:n]); err == nil {
 			assert.Len(t, m.news, 0, "cut at %d: only whole records were left out", n)
 		}
-		b.Step(1, &Event{Kind: Heard, From: "x", Data: data[:n]})
+		b.Step(1, &Event{Kind: DatagramReceived, From: "x", Data: data[:n]})
 	}
 	assert.Len(t, b.Members(), len(before))
 	chance := rand.New(rand.NewPCG(1, 2))
@@ -40,8 +40,8 @@
 	f.Add(a.pack(&message{kind: ping, number: 7, target: "b", life: 3}, nil))
 	f.Add(a.fullState())
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b.Step(1, &Event{Kind: Heard, From: "x", Data: data})
-		b.Step(1, &Event{Kind: Asked, From: "x", Data: data})
+		b.Step(1, &Event{Kind: DatagramReceived, From: "x", Data: data})
+		b.Step(1, &Event{Kind: ExchangeRequested, From: "x", Data: data})
 	})
 }
 
@@ -53,7 +53,7 @@
 	newer[2] = major + 1
 	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, nil, 1).pack(&message{kind: gossip}, nil)
 	for _, d := range [][]byte{newer, other, data[:len(data)-1], []byte("hello")} {
-		b.Step(1, &Event{Kind: Heard, Data: d})
+		b.Step(1, &Event{Kind: DatagramReceived, Data: d})
 	}
 	c := b.Counts()
 	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{c.Newer, c.Foreign, c.Malformed, c.Heard})
@@ -70,7 +70,7 @@
 	longer := binary.AppendUvarint(append([]byte(nil), head...), n+3)
 	longer = append(append(longer, own[size:]...), 1, 2, 3)
 	longer[3] = minor + 1
-	b.Step(1, &Event{Kind: Heard, Data: longer})
+	b.Step(1, &Event{Kind: DatagramReceived, Data: longer})
 	m, known := b.Find("a")
 	assert.True(t, known)
 	assert.Equal(t, a.self.Address, m.Address)
@@ -79,34 +79,34 @@
 // The table: what a member says of itself goes before what is said of it, and an old life never comes back.
 func TestTable(t *testing.T) {
 	for _, c := range []struct {
-		phase       Phase
+		phase       State
 		life, inc   uint64
-		news        Phase
+		news        State
 		nlife, ninc uint64
-		want        Phase
+		want        State
 	}{
-		{Here, 5, 3, Suspect, 5, 2, Here}, // it has said since that it is here
-		{Here, 5, 3, Suspect, 5, 3, Suspect},
-		{Here, 5, 3, Gone, 5, 3, Suspect}, // it may still speak
-		{Suspect, 5, 3, Gone, 5, 3, Gone},
-		{Suspect, 5, 3, Here, 5, 3, Suspect}, // nothing new
-		{Suspect, 5, 3, Here, 5, 4, Here},
-		{Gone, 5, 3, Here, 5, 3, Gone},
-		{Gone, 5, 3, Here, 5, 4, Here},
-		{Gone, 5, 3, Here, 4, 99, Gone},
-		{Left, 5, 3, Here, 5, 9, Left},
+		{Alive, 5, 3, Suspect, 5, 2, Alive}, // it has said since that it is here
+		{Alive, 5, 3, Suspect, 5, 3, Suspect},
+		{Alive, 5, 3, Dead, 5, 3, Suspect}, // it may still speak
+		{Suspect, 5, 3, Dead, 5, 3, Dead},
+		{Suspect, 5, 3, Alive, 5, 3, Suspect}, // nothing new
+		{Suspect, 5, 3, Alive, 5, 4, Alive},
+		{Dead, 5, 3, Alive, 5, 3, Dead},
+		{Dead, 5, 3, Alive, 5, 4, Alive},
+		{Dead, 5, 3, Alive, 4, 99, Dead},
+		{Left, 5, 3, Alive, 5, 9, Left},
 		{Left, 5, 3, Joining, 6, 1, Joining},
-		{Here, 5, 3, Leaving, 5, 4, Leaving},
+		{Alive, 5, 3, Leaving, 5, 4, Leaving},
 		{Leaving, 5, 4, Suspect, 5, 4, Leaving},
-		{Leaving, 5, 4, Gone, 5, 4, Left},
-		{Gone, 5, 3, Left, 5, 3, Left},
-		{Here, 5, 3, Gone, 4, 99, Here},
+		{Leaving, 5, 4, Dead, 5, 4, Left},
+		{Dead, 5, 3, Left, 5, 3, Left},
+		{Alive, 5, 3, Dead, 4, 99, Alive},
 	} {
 		v, _ := pair()
-		v.merge(&Member{Name: "x", Address: "9", Life: c.life, Inc: c.inc, Phase: c.phase}, "b")
-		v.merge(&Member{Name: "x", Address: "9", Life: c.nlife, Inc: c.ninc, Phase: c.news}, "b")
+		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.life, Refutation: c.inc, State: c.phase}, "b")
+		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.nlife, Refutation: c.ninc, State: c.news}, "b")
 		m, _ := v.Find("x")
-		assert.Equal(t, c.want, m.Phase, "%+v", c)
+		assert.Equal(t, c.want, m.State, "%+v", c)
 	}
 }
 
@@ -114,10 +114,10 @@
 func TestRefutes(t *testing.T) {
 	a, b := pair()
 	meet(a, b)
-	was := b.Self().Inc
-	b.Step(2, &Event{Kind: Heard, Data: a.pack(&message{kind: gossip, news: []Member{
-		{Name: "b", Address: "2", Life: 3, Inc: was, Phase: Gone}}}, nil)})
-	assert.Equal(t, was+1, b.Self().Inc)
+	was := b.Self().Refutation
+	b.Step(2, &Event{Kind: DatagramReceived, Data: a.pack(&message{kind: gossip, news: []Member{
+		{Name: "b", Address: "2", Incarnation: 3, Refutation: was, State: Dead}}}, nil)})
+	assert.Equal(t, was+1, b.Self().Refutation)
 	assert.Equal(t, uint64(1), b.Counts().Condemned)
 	require.NotEmpty(t, b.Explain("b"))
 }
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -18,28 +18,28 @@
 			return false
 		}
 	}
-	if m.Life < h.Life {
+	if m.Incarnation < h.Incarnation {
 		return false // an old life never comes back
 	}
-	if m.Life > h.Life {
-		if h.Phase.Living() && h.Address != m.Address && m.Phase.Living() && h.Phase != Suspect {
+	if m.Incarnation > h.Incarnation {
+		if h.State.IsLive() && h.Address != m.Address && m.State.IsLive() && h.State != Suspect {
 			v.note(h, "a later life of it, at "+m.Address, by)
 		}
 		v.reset(h, m)
-	} else if m.Inc < h.Inc || m.Inc == h.Inc && m.Address > h.Address {
+	} else if m.Refutation < h.Refutation || m.Refutation == h.Refutation && m.Address > h.Address {
 		return false
 	}
-	in := inputs[m.Phase]
-	if own := in <= saysHere; own && m.Inc == h.Inc && h.Phase != Unknown {
+	in := inputs[m.State]
+	if own := in <= saysHere; own && m.Refutation == h.Refutation && h.State != Unknown {
 		return false // known
 	}
-	if m.Phase == Suspect || m.Phase == Gone {
-		who := m.By
+	if m.State == Suspect || m.State == Dead {
+		who := m.AccusedBy
 		if who == "" {
 			who = by
 		}
-		if h.Phase != m.Phase {
-			v.note(h, "said to be "+m.Phase.String()+", by way of "+by, who)
+		if h.State != m.State {
+			v.note(h, "said to be "+m.State.String()+", by way of "+by, who)
 		}
 	}
 	return v.input(h, in, m)
@@ -47,48 +47,48 @@
 
 // input plays an input on a member, with the news that it comes from.
 func (v *View) input(h *member, in input, m *Member) bool {
-	r := find(h.Phase, in)
+	r := find(h.State, in)
 	if r == nil {
 		return false
 	}
-	was, marks, inc := h.Phase, h.Marks, h.Inc
-	h.Inc = max(h.Inc, m.Inc)
+	was, marks, inc := h.State, h.Flags, h.Refutation
+	h.Refutation = max(h.Refutation, m.Refutation)
 	if in <= saysLeft || was == Unknown {
-		h.Marks, h.Version, h.Address, h.Zone, h.Region = m.Marks, m.Version, m.Address, m.Zone, m.Region
+		h.Flags, h.Version, h.Address, h.Zone, h.Region = m.Flags, m.Version, m.Address, m.Zone, m.Region
 	}
-	if h.Phase = r.next; r.do != nil {
+	if h.State = r.next; r.do != nil {
 		r.do(v, h, m)
 	}
-	if h.Phase != was {
-		if h.Since = v.now; h.Phase == Suspect && !slices.Contains(v.accused, h) {
+	if h.State != was {
+		if h.Since = v.now; h.State == Suspect && !slices.Contains(v.accused, h) {
 			v.accused = append(v.accused, h)
 		}
-		v.living += count(h.Phase.Living()) - count(was.Living())
-		if h.Phase.Living() && !was.Living() {
+		v.living += count(h.State.IsLive()) - count(was.IsLive())
+		if h.State.IsLive() && !was.IsLive() {
 			v.seat(h)
 		}
 	}
-	if h.Phase != Suspect {
-		h.By, h.accusers, h.hurried = "", nil, false
+	if h.State != Suspect {
+		h.AccusedBy, h.accusers, h.hurried = "", nil, false
 	}
-	moved := h.Phase != was || h.Marks != marks
-	if moved || h.Inc != inc {
+	moved := h.State != was || h.Flags != marks
+	if moved || h.Refutation != inc {
 		v.rehash(h)
 		v.tellAll(h)
 	}
 	if moved {
-		v.effects = append(v.effects, Effect{Kind: Changed, Member: h.Member, From: was, Why: v.why(h)})
+		v.effects = append(v.effects, Effect{Kind: MemberChanged, Member: h.Member, From: was, Reason: v.why(h)})
 	}
 	return moved
 }
 
 // why is the newest evidence of a member that is accused or gone.
 func (v *View) why(h *member) string {
-	if len(h.evidence) == 0 || h.Phase != Suspect && h.Phase != Gone {
+	if len(h.evidence) == 0 || h.State != Suspect && h.State != Dead {
 		return ""
 	}
 	e := h.evidence[len(h.evidence)-1]
-	return e.What + " (" + e.Who + ")"
+	return e.Observation + " (" + e.Reporter + ")"
 }
 
 // note keeps evidence of a member that somebody complains of.
@@ -96,7 +96,7 @@
 	if len(h.evidence) >= keptEvidence {
 		h.evidence = append(h.evidence[:0], h.evidence[1:]...)
 	}
-	h.evidence = append(h.evidence, Evidence{At: v.now, What: what, Who: who})
+	h.evidence = append(h.evidence, Evidence{At: v.now, Observation: what, Reporter: who})
 }
 
 // enter makes room for one that was not known.
@@ -105,7 +105,7 @@
 		v.counts.Crowded++
 		return nil
 	}
-	h := &member{Member: Member{Name: m.Name, Life: m.Life, Address: m.Address}}
+	h := &member{Member: Member{Name: m.Name, Incarnation: m.Incarnation, Address: m.Address}}
 	v.byName[m.Name] = h
 	at, _ := slices.BinarySearch(v.names, m.Name)
 	v.names = slices.Insert(v.names, at, m.Name)
@@ -116,7 +116,7 @@
 func (v *View) makeRoom() bool {
 	var old *member
 	for _, h := range v.byName {
-		if !h.Phase.Living() && h != v.self && (old == nil || h.Since < old.Since || h.Since == old.Since && h.Name < old.Name) {
+		if !h.State.IsLive() && h != v.self && (old == nil || h.Since < old.Since || h.Since == old.Since && h.Name < old.Name) {
 			old = h
 		}
 	}
@@ -147,11 +147,11 @@
 
 // reset makes room for a later life of a name.
 func (v *View) reset(h *member, m *Member) {
-	v.living -= count(h.Phase.Living())
+	v.living -= count(h.State.IsLive())
 	v.ring = slices.DeleteFunc(v.ring, func(o *member) bool { return o == h })
 	v.hash ^= h.hash
 	h.hash = 0
-	h.Member = Member{Name: m.Name, Life: m.Life, Address: m.Address}
+	h.Member = Member{Name: m.Name, Incarnation: m.Incarnation, Address: m.Address}
 	h.accusers, h.hurried = nil, false
 	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return p.of == h })
 }
@@ -161,7 +161,7 @@
 func (v *View) rehash(h *member) {
 	v.hash ^= h.hash
 	h.hash = 0
-	if h.Phase.Living() {
+	if h.State.IsLive() {
 		h.hash = hashOf(&h.Member)
 	}
 	v.hash ^= h.hash
@@ -194,7 +194,7 @@
 	for k := range m.news {
 		put(&m.news[k])
 	}
-	if first != nil && first.Phase != Here && first.Phase != Joining && first.Phase != Unknown {
+	if first != nil && first.State != Alive && first.State != Joining && first.State != Unknown {
 		put(&first.Member)
 	}
 	told := 0
@@ -237,7 +237,7 @@
 // so: a view that missed the news of it would give them up alone.
 func (v *View) held() (list []Member) {
 	for _, h := range v.accused {
-		if h.Phase == Suspect && len(list) < mostHeld {
+		if h.State == Suspect && len(list) < mostHeld {
 			list = append(list, h.Member)
 		}
 	}
@@ -248,14 +248,14 @@
 func (v *View) inquire() {
 	var near []Member
 	for _, h := range v.accused {
-		if h.Phase == Suspect && h.until-v.now < inquireMS && len(near) < mostInquire {
+		if h.State == Suspect && h.until-v.now < inquireMS && len(near) < mostInquire {
 			near = append(near, h.Member)
 		}
 	}
 	for k := 0; k < inquireOf && len(near) > 0; k++ {
-		if m := v.anyone(func(m *member) bool { return m.Phase != Here }); m != nil {
+		if m := v.anyone(func(m *member) bool { return m.State != Alive }); m != nil {
 			v.numbers++
-			v.send(m, &message{kind: ping, number: v.numbers, target: m.Name, life: m.Life, news: near}, m)
+			v.send(m, &message{kind: ping, number: v.numbers, target: m.Name, life: m.Incarnation, news: near}, m)
 		}
 	}
 }
@@ -263,8 +263,8 @@
 // correct appends what is known here of one that another holds for suspect or gone by an older word of it.
 func (v *View) correct(list []Member, m *Member) []Member {
 	h := v.byName[m.Name]
-	if h == nil || m.Phase != Suspect && m.Phase != Gone || len(list) >= mostInquire || !h.Phase.Living() ||
-		h.Life < m.Life || h.Life == m.Life && h.Inc <= m.Inc {
+	if h == nil || m.State != Suspect && m.State != Dead || len(list) >= mostInquire || !h.State.IsLive() ||
+		h.Incarnation < m.Incarnation || h.Incarnation == m.Incarnation && h.Refutation <= m.Refutation {
 		return list
 	}
 	return append(list, h.Member)
@@ -283,20 +283,20 @@
 
 // ofMyself answers what others say of this controller.
 func (v *View) ofMyself(m *Member, by string) {
-	if m.Life != v.self.Life || m.Address != v.self.Address {
+	if m.Incarnation != v.self.Incarnation || m.Address != v.self.Address {
 		v.heardTwin(m, false)
 		return
 	}
-	if m.Phase != Suspect && m.Phase != Gone && m.Inc <= v.self.Inc || m.Inc < v.self.Inc || v.self.Phase == Left {
+	if m.State != Suspect && m.State != Dead && m.Refutation <= v.self.Refutation || m.Refutation < v.self.Refutation || v.self.State == Left {
 		return
 	}
 	v.counts.Refuted++
-	if m.Phase == Gone {
+	if m.State == Dead {
 		v.counts.Condemned++
 	}
-	v.note(v.self, "said to be "+m.Phase.String()+", refuted", by)
+	v.note(v.self, "said to be "+m.State.String()+", refuted", by)
 	v.trust(1)
-	v.self.Inc = m.Inc + 1
+	v.self.Refutation = m.Refutation + 1
 	v.rehash(v.self)
 	v.tellAll(v.self)
 }
@@ -311,7 +311,7 @@
 // suspects counts who is Suspect.
 func (v *View) suspects() (n int) {
 	for _, h := range v.accused {
-		n += count(h.Phase == Suspect)
+		n += count(h.State == Suspect)
 	}
 	return n
 }
@@ -327,21 +327,21 @@
 }
 
 func (v *View) accuse(h *member, m *Member) {
-	h.accusedAt, h.By = v.now, m.By
-	h.accusers = append(h.accusers[:0], m.By)
+	h.accusedAt, h.AccusedBy = v.now, m.AccusedBy
+	h.accusers = append(h.accusers[:0], m.AccusedBy)
 	h.until = v.now + v.span(h)
-	if m.By != v.self.Name && v.chance()*float64(v.living) < lookers {
+	if m.AccusedBy != v.self.Name && v.chance()*float64(v.living) < lookers {
 		v.probeOf(h)
 	}
 }
 
 // confirm adds one more who accuses; news of it is told on, as others wait for it, too.
 func (v *View) confirm(h *member, m *Member) {
-	if m.By == "" || len(h.accusers) >= accusers || slices.Contains(h.accusers, m.By) {
+	if m.AccusedBy == "" || len(h.accusers) >= accusers || slices.Contains(h.accusers, m.AccusedBy) {
 		return
 	}
-	h.accusers = append(h.accusers, m.By)
-	h.By = m.By
+	h.accusers = append(h.accusers, m.AccusedBy)
+	h.AccusedBy = m.AccusedBy
 	h.until = min(h.until, max(v.now, h.accusedAt+v.span(h)))
 	v.tellAll(h)
 }
@@ -358,13 +358,13 @@
 
 // welcome takes back one that was given up.
 func (v *View) welcome(h *member, m *Member) {
-	v.note(h, fmt.Sprintf("says that it is here, incarnation %d", m.Inc), h.Name)
+	v.note(h, fmt.Sprintf("says that it is here, incarnation %d", m.Refutation), h.Name)
 }
 
 // bury gives a member up. Where many go at once, it may be this controller that is cut off: it raises its incarnation, so that
 // what the others say of it meanwhile is refuted before they meet again.
 func (v *View) bury(h *member, m *Member) {
-	if m.By == "" {
+	if m.AccusedBy == "" {
 		v.note(h, "did not say in time that it is here", v.self.Name)
 	}
 	if v.now > v.cutAt+cutMS {
@@ -372,8 +372,8 @@
 	}
 	v.gones++
 	if v.gones == max(cutLeast, int(cutShare*float64(v.living))) {
-		v.effects = append(v.effects, Effect{Kind: Cut})
-		v.self.Inc++
+		v.effects = append(v.effects, Effect{Kind: PartitionSuspected})
+		v.self.Refutation++
 		v.rehash(v.self)
 		v.tellAll(v.self)
 	}
@@ -384,16 +384,16 @@
 	if v.now < v.trustAt {
 		return
 	}
-	if v.self.Marks&Stalled != 0 {
-		v.mark(v.self.Marks &^ Stalled)
+	if v.self.Flags&Stalled != 0 {
+		v.mark(v.self.Flags &^ Stalled)
 	}
 	kept := v.accused[:0]
 	for _, h := range v.accused {
 		h.until = min(h.until, h.accusedAt+v.span(h)) // where hardly anybody is left to accuse, fewer do
-		if h.Phase == Suspect && v.now >= h.until {
-			v.input(h, expired, &Member{Name: h.Name, Life: h.Life, Inc: h.Inc})
+		if h.State == Suspect && v.now >= h.until {
+			v.input(h, expired, &Member{Name: h.Name, Incarnation: h.Incarnation, Refutation: h.Refutation})
 		}
-		if h.Phase == Suspect {
+		if h.State == Suspect {
 			kept = append(kept, h)
 		}
 	}
@@ -413,7 +413,7 @@
 func (v *View) fullState() []byte {
 	b := v.header(&message{kind: full})
 	for _, m := range v.Members() {
-		if m.Name != v.self.Name && m.Phase != Unknown {
+		if m.Name != v.self.Name && m.State != Unknown {
 			b = appendRecord(b, &m)
 		}
 	}
@@ -443,8 +443,8 @@
 	if len(m.news) > 0 {
 		v.counts.Merged++
 	}
-	if v.self.Phase == Joining && !asked {
-		v.say(Here)
+	if v.self.State == Joining && !asked {
+		v.say(Alive)
 	}
 	switch {
 	case m.kind == digest && m.hash == v.hash:
@@ -486,7 +486,7 @@
 
 // compare begins an exchange with one whose view has been another for a while, though there is no news.
 func (v *View) compare(hash uint64, with *member) {
-	if hash != v.hash && with != nil && with.Phase.Living() && len(v.news) == 0 && v.now >= v.calmAt {
+	if hash != v.hash && with != nil && with.State.IsLive() && len(v.news) == 0 && v.now >= v.calmAt {
 		v.calmAt = v.now + calmMS*(0.5+v.chance())
 		v.exchange(with.Address)
 	}
@@ -495,16 +495,16 @@
 // seekLost tries a seed that nobody living is at, or one that is gone: halves that were parted meet again by it.
 func (v *View) seekLost() {
 	v.watchTwin()
-	if v.self.Phase == Leaving {
+	if v.self.State == Leaving {
 		return
 	}
 	var at []string
 	for _, s := range v.seeds {
-		if !slices.ContainsFunc(v.ring, func(h *member) bool { return h.Address == s && h.Phase.Living() }) {
+		if !slices.ContainsFunc(v.ring, func(h *member) bool { return h.Address == s && h.State.IsLive() }) {
 			at = append(at, s)
 		}
 	}
-	if v.self.Phase == Joining {
+	if v.self.State == Joining {
 		if m := v.anyone(nil); m != nil { // somebody found this one first: all seeds may be gone
 			v.exchange(m.Address)
 		} else if len(at) > 0 {
@@ -515,7 +515,7 @@
 	}
 	var gone []*member
 	for _, h := range v.ring {
-		if h.Phase == Gone {
+		if h.State == Dead {
 			gone = append(gone, h)
 		}
 	}
@@ -542,7 +542,7 @@
 	v.sweepAt = v.now + cutMS
 	var old []*member
 	for _, h := range v.byName {
-		if h != v.self && !h.Phase.Living() && v.now-h.Since > forgetMS {
+		if h != v.self && !h.State.IsLive() && v.now-h.Since > forgetMS {
 			old = append(old, h)
 		}
 	}
@@ -550,7 +550,7 @@
 		v.forget(h)
 	}
 	for k := len(v.ring) - 1; k >= 0; k-- {
-		if v.ring[k].Phase == Left {
+		if v.ring[k].State == Left {
 			v.ring = slices.Delete(v.ring, k, k+1)
 		}
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,36 +17,36 @@
 )
 
 type row struct {
-	phase Phase
+	phase State
 	input input
-	next  Phase
+	next  State
 	do    func(*View, *member, *Member)
 }
 
 // table has for each phase and input the next phase and what is done besides. What is not in it changes nothing.
 var table = []row{
 	{Unknown, saysJoining, Joining, nil},
-	{Unknown, saysHere, Here, nil},
+	{Unknown, saysHere, Alive, nil},
 	{Unknown, saysLeaving, Leaving, nil},
 	{Unknown, saysLeft, Left, nil},
 	{Unknown, accused, Suspect, (*View).accuse},
-	{Unknown, condemned, Gone, nil},
-	{Joining, saysHere, Here, nil},
+	{Unknown, condemned, Dead, nil},
+	{Joining, saysHere, Alive, nil},
 	{Joining, accused, Suspect, (*View).accuse},
 	{Joining, silent, Suspect, (*View).accuse},
 	{Joining, condemned, Suspect, (*View).hasten},
-	{Here, saysHere, Here, nil},
-	{Here, accused, Suspect, (*View).accuse},
-	{Here, silent, Suspect, (*View).accuse},
-	{Here, condemned, Suspect, (*View).hasten}, // it may say that it is here before this view, too, gives it up
+	{Alive, saysHere, Alive, nil},
+	{Alive, accused, Suspect, (*View).accuse},
+	{Alive, silent, Suspect, (*View).accuse},
+	{Alive, condemned, Suspect, (*View).hasten}, // it may say that it is here before this view, too, gives it up
 	{Suspect, saysJoining, Joining, (*View).acquit},
-	{Suspect, saysHere, Here, (*View).acquit},
+	{Suspect, saysHere, Alive, (*View).acquit},
 	{Suspect, accused, Suspect, (*View).confirm},
 	{Suspect, silent, Suspect, (*View).confirm},
-	{Suspect, condemned, Gone, (*View).bury},
-	{Suspect, expired, Gone, (*View).bury},
-	{Gone, saysJoining, Joining, (*View).welcome},
-	{Gone, saysHere, Here, (*View).welcome},
+	{Suspect, condemned, Dead, (*View).bury},
+	{Suspect, expired, Dead, (*View).bury},
+	{Dead, saysJoining, Joining, (*View).welcome},
+	{Dead, saysHere, Alive, (*View).welcome},
 	{Leaving, silent, Left, nil}, // it said that it would go
 	{Leaving, accused, Leaving, nil},
 	{Leaving, condemned, Left, nil},
@@ -56,7 +56,7 @@
 }
 
 // find gives the row for a phase and an input, or nil. A row for its own phase goes before one for any.
-func find(p Phase, in input) *row {
+func find(p State, in input) *row {
 	for k := range table {
 		if r := &table[k]; r.input == in && (r.phase == p || r.phase == anyPhase && p != Left) {
 			return r
@@ -66,4 +66,4 @@
 }
 
 // inputs gives the input that news of a member in some phase is.
-var inputs = [...]input{Joining: saysJoining, Here: saysHere, Suspect: accused, Gone: condemned, Leaving: saysLeaving, Left: saysLeft}
+var inputs = [...]input{Joining: saysJoining, Alive: saysHere, Suspect: accused, Dead: condemned, Leaving: saysLeaving, Left: saysLeft}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -122,8 +122,8 @@
 // New returns the view of a controller that has just started and knows its seeds alone. Given are the times, in ms: probe_ms,
 // answer_ms, suspect_ms, exchange_ms; how many are kept, most_members; and whether it takes its own slowness into account, self_aware.
 func New(now float64, fleet string, self Member, seeds []string, given scheduler.Given, seed uint32) *View {
-	self.Phase, self.Since = Joining, now
-	self.Inc = max(1, self.Inc)
+	self.State, self.Since = Joining, now
+	self.Refutation = max(1, self.Refutation)
 	v := &View{fleet: fleet, now: now, byName: map[string]*member{}, stead: map[uint64]asked{}, seed: seed,
 		probeMS: given.Num("probe_ms", probeMS), answerMS: given.Num("answer_ms", answerMS),
 		suspectMS: given.Num("suspect_ms", suspectMS), exchangeMS: given.Num("exchange_ms", exchangeMS), most: int(given.Num("most_members", mostMembers)), selfAware: true}
@@ -172,7 +172,7 @@
 func (v *View) Present() float64 {
 	known := 0
 	for _, m := range v.byName {
-		known += count(m.Phase != Left && m.Phase != Unknown)
+		known += count(m.State != Left && m.State != Unknown)
 	}
 	if here := v.living + 1; 2*here > known {
 		return float64(here)
@@ -223,20 +223,20 @@
 		v.stood(late)
 	}
 	switch ev.Kind {
-	case Heard:
+	case DatagramReceived:
 		v.heard(ev)
-	case Asked:
+	case ExchangeRequested:
 		v.exchanged(ev, true)
-	case Answered:
+	case ExchangeAnswered:
 		v.exchanged(ev, false)
-	case Failed:
-	case Marked:
-		v.mark(ev.Marks&^(Doubled|Stalled) | v.self.Marks&(Doubled|Stalled))
-	case Renew:
-		v.relive(v.self.Life + 1)
-	case Leave:
+	case ExchangeFailed:
+	case FlagsChanged:
+		v.mark(ev.Flags&^(Duplicated|Stalled) | v.self.Flags&(Duplicated|Stalled))
+	case IncarnationRaised:
+		v.relive(v.self.Incarnation + 1)
+	case LeaveStarted:
 		v.say(Leaving)
-	case Leaves:
+	case LeaveFinished:
 		v.say(Left)
 		v.farewell()
 	}
@@ -246,12 +246,12 @@
 
 // tick does what is due.
 func (v *View) tick() {
-	if v.self.Phase == Left {
+	if v.self.State == Left {
 		v.wakeAt = math.Inf(1)
 		return
 	}
-	if v.self.Phase == Joining && v.living == 0 && v.now >= v.joinedBy {
-		v.say(Here) // nobody is there: the first one
+	if v.self.State == Joining && v.living == 0 && v.now >= v.joinedBy {
+		v.say(Alive) // nobody is there: the first one
 	}
 	v.watchProbes()
 	if v.now >= v.probeAt {
@@ -291,7 +291,7 @@
 		}
 	}
 	for _, m := range v.accused {
-		if m.Phase == Suspect {
+		if m.State == Suspect {
 			v.wakeAt = min(v.wakeAt, max(m.until, v.trustAt))
 		}
 	}
@@ -333,7 +333,7 @@
 		}
 		m := v.ring[v.next]
 		v.next++
-		if m.Phase.Living() && v.probeOf(m) {
+		if m.State.IsLive() && v.probeOf(m) {
 			return
 		}
 	}
@@ -348,7 +348,7 @@
 	v.counts.Probes++
 	v.probes = append(v.probes, probe{of: m, number: v.numbers, indirAt: v.now + v.slower(v.answerMS),
 		endAt: v.now + v.slower(v.probeMS)})
-	v.send(m, &message{kind: ping, number: v.numbers, target: m.Name, life: m.Life, news: v.held()}, m)
+	v.send(m, &message{kind: ping, number: v.numbers, target: m.Name, life: m.Incarnation, news: v.held()}, m)
 	return true
 }
 
@@ -356,7 +356,7 @@
 func (v *View) watchProbes() {
 	for k := 0; k < len(v.probes); k++ {
 		p := v.probes[k]
-		if !p.answered && p.of.Phase.Living() && v.now < p.endAt {
+		if !p.answered && p.of.State.IsLive() && v.now < p.endAt {
 			if !p.indirect && v.now >= p.indirAt {
 				v.indirect(&v.probes[k])
 			}
@@ -364,7 +364,7 @@
 		}
 		v.probes = append(v.probes[:k], v.probes[k+1:]...)
 		k--
-		if p.answered || !p.of.Phase.Living() {
+		if p.answered || !p.of.State.IsLive() {
 			continue
 		}
 		v.counts.Unanswered++
@@ -372,7 +372,7 @@
 			v.trust(1)
 		}
 		v.note(p.of, "no answer to a probe, nor by way of others", v.self.Name)
-		v.input(p.of, silent, &Member{Name: p.of.Name, Life: p.of.Life, Inc: p.of.Inc, Phase: Suspect, By: v.self.Name})
+		v.input(p.of, silent, &Member{Name: p.of.Name, Incarnation: p.of.Incarnation, Refutation: p.of.Refutation, State: Suspect, AccusedBy: v.self.Name})
 	}
 }
 
@@ -382,9 +382,9 @@
 	v.counts.Indirect++
 	var with []*member
 	for range helpers {
-		if h := v.anyone(func(m *member) bool { return m == p.of || m.Phase != Here || slices.Contains(with, m) }); h != nil {
+		if h := v.anyone(func(m *member) bool { return m == p.of || m.State != Alive || slices.Contains(with, m) }); h != nil {
 			with = append(with, h)
-			v.send(h, &message{kind: request, number: p.number, target: p.of.Address, life: p.of.Life}, p.of)
+			v.send(h, &message{kind: request, number: p.number, target: p.of.Address, life: p.of.Incarnation}, p.of)
 		}
 	}
 }
@@ -404,7 +404,7 @@
 	at := int(v.chance() * float64(len(v.ring)))
 	for k := range v.ring {
 		m := v.ring[(at+k)%len(v.ring)]
-		if m.Phase.Living() && m.Phase != Suspect && (out == nil || !out(m)) {
+		if m.State.IsLive() && m.State != Suspect && (out == nil || !out(m)) {
 			return m
 		}
 		if k > 64 { // far past what is usual: most are gone
@@ -446,7 +446,7 @@
 		return
 	}
 	if m.own.Name == v.self.Name {
-		if m.own.Address != v.self.Address || m.own.Life != v.self.Life {
+		if m.own.Address != v.self.Address || m.own.Incarnation != v.self.Incarnation {
 			v.heardTwin(&m.own, true)
 		}
 		if m.kind == ping {
@@ -455,7 +455,7 @@
 		return
 	}
 	knew := v.byName[m.own.Name]
-	wasGone := knew != nil && knew.Phase == Gone
+	wasGone := knew != nil && knew.State == Dead
 	v.merge(&m.own, m.own.Name)
 	var known []Member
 	for k := range m.news {
@@ -467,17 +467,17 @@
 		v.quieten(m.hash)
 	}
 	from := v.byName[m.own.Name]
-	if wasGone && knew.Phase.Living() { // one was cut off from the other: what each holds of all is compared at once
+	if wasGone && knew.State.IsLive() { // one was cut off from the other: what each holds of all is compared at once
 		v.exchange(knew.Address)
 		v.warm()
 	}
 	switch m.kind {
 	case ping:
-		if m.target != "" && (m.target != v.self.Name || m.life > v.self.Life) {
+		if m.target != "" && (m.target != v.self.Name || m.life > v.self.Incarnation) {
 			v.counts.Stale++ // meant for another that had this address
 			return
 		}
-		v.sendTo(ev.From, &message{kind: ack, number: m.number, target: v.self.Name, life: v.self.Life, news: known}, from)
+		v.sendTo(ev.From, &message{kind: ack, number: m.number, target: v.self.Name, life: v.self.Incarnation, news: known}, from)
 		v.compare(m.hash, from)
 	case ack:
 		v.acked(&m, from)
@@ -519,7 +519,7 @@
 		v.sendTo(a.to, &message{kind: ack, number: a.number, news: []Member{from.Member}}, nil)
 		return
 	}
-	if from != nil && v.self.Phase == Joining {
+	if from != nil && v.self.State == Joining {
 		v.exchange(from.Address)
 	}
 	v.counts.Stale++
@@ -547,50 +547,50 @@
 // stood is called when this controller stood still: nobody is judged by what was not heard meanwhile.
 func (v *View) stood(ms float64) {
 	v.counts.Stalls++
-	v.effects = append(v.effects, Effect{Kind: Stood, MS: ms})
+	v.effects = append(v.effects, Effect{Kind: SelfStalled, MS: ms})
 	if !v.selfAware {
 		return
 	}
 	v.probes = v.probes[:0]
 	v.health = min(mostHealth, v.health+1+int(ms/v.probeMS))
 	for _, m := range v.accused {
-		if m.Phase == Suspect {
+		if m.State == Suspect {
 			m.until += ms
 			m.accusedAt += ms
 		}
 	}
 	v.trustAt = v.now + mistrustMS
-	if ms >= v.suspectMS/2 && v.self.Phase != Leaving { // it may have been given up meanwhile: said at once that it is here
-		v.self.Inc++
-		v.mark(v.self.Marks | Stalled)
+	if ms >= v.suspectMS/2 && v.self.State != Leaving { // it may have been given up meanwhile: said at once that it is here
+		v.self.Refutation++
+		v.mark(v.self.Flags | Stalled)
 		v.tellAll(v.self)
 		v.warm()
 	}
 }
 
 // mark sets this controller's own marks.
-func (v *View) mark(marks Marks) {
-	if marks == v.self.Marks {
+func (v *View) mark(marks Flags) {
+	if marks == v.self.Flags {
 		return
 	}
-	v.self.Marks = marks
-	v.self.Inc++
+	v.self.Flags = marks
+	v.self.Refutation++
 	v.rehash(v.self)
 	v.tellAll(v.self)
-	v.effects = append(v.effects, Effect{Kind: Changed, Member: v.self.Member, From: v.self.Phase, Why: "its own word"})
+	v.effects = append(v.effects, Effect{Kind: MemberChanged, Member: v.self.Member, From: v.self.State, Reason: "its own word"})
 }
 
 // say gives this controller's own phase out.
-func (v *View) say(p Phase) {
-	if v.self.Phase == p || v.self.Phase == Left || v.self.Phase == Leaving && p == Here {
+func (v *View) say(p State) {
+	if v.self.State == p || v.self.State == Left || v.self.State == Leaving && p == Alive {
 		return
 	}
-	was := v.self.Phase
-	v.self.Phase, v.self.Since = p, v.now
-	v.self.Inc++
+	was := v.self.State
+	v.self.State, v.self.Since = p, v.now
+	v.self.Refutation++
 	v.rehash(v.self)
 	v.tellAll(v.self)
-	v.effects = append(v.effects, Effect{Kind: Changed, Member: v.self.Member, From: was, Why: "its own word"})
+	v.effects = append(v.effects, Effect{Kind: MemberChanged, Member: v.self.Member, From: was, Reason: "its own word"})
 }
 
 // farewell tells some at once that this controller has left.
@@ -610,18 +610,18 @@
 // that bears its name. Directly heard, it is one that lives.
 func (v *View) heardTwin(m *Member, direct bool) {
 	if !direct {
-		if m.Life <= v.self.Life || m.Phase == Left {
+		if m.Incarnation <= v.self.Incarnation || m.State == Left {
 			return // a former one
 		}
 		if m.Address == v.self.Address {
-			v.relive(m.Life + 1) // it was here itself, while its clock was ahead
+			v.relive(m.Incarnation + 1) // it was here itself, while its clock was ahead
 			return
 		}
 		if v.now >= v.twinAt { // asked whether it lives, before anything is taken from it
 			v.twinAt = v.now + v.probeMS
 			v.numbers++
 			v.sendTo(m.Address, &message{kind: ping, number: v.numbers}, nil)
-			if v.twin.Life < m.Life {
+			if v.twin.Incarnation < m.Incarnation {
 				v.twin = *m
 				v.twin.Since = v.now
 			}
@@ -629,30 +629,30 @@
 		return
 	}
 	if m.Address == v.self.Address {
-		if m.Life > v.self.Life {
-			v.relive(m.Life + 1)
+		if m.Incarnation > v.self.Incarnation {
+			v.relive(m.Incarnation + 1)
 		}
 		return // an echo of a former life, or of itself
 	}
-	if v.twin = *m; v.self.Marks&Doubled == 0 {
-		v.counts.Twins++
-		v.effects = append(v.effects, Effect{Kind: Twins, Member: *m, Why: "another process bears this name"})
-		v.mark(v.self.Marks | Doubled)
+	if v.twin = *m; v.self.Flags&Duplicated == 0 {
+		v.counts.DuplicateNames++
+		v.effects = append(v.effects, Effect{Kind: DuplicateName, Member: *m, Reason: "another process bears this name"})
+		v.mark(v.self.Flags | Duplicated)
 	}
-	v.twin.Since, v.twin.Phase = v.now, Here
+	v.twin.Since, v.twin.State = v.now, Alive
 }
 
 // relive takes on a later life than the fleet has heard of.
 func (v *View) relive(life uint64) {
-	v.self.Life, v.self.Inc = life, v.self.Inc+1
+	v.self.Incarnation, v.self.Refutation = life, v.self.Refutation+1
 	v.rehash(v.self)
 	v.tellAll(v.self)
-	v.effects = append(v.effects, Effect{Kind: Relived, Member: v.self.Member})
+	v.effects = append(v.effects, Effect{Kind: SelfIncarnationRaised, Member: v.self.Member})
 }
 
 // watchTwin asks after a twin, and ends it once it is not heard of any more.
 func (v *View) watchTwin() {
-	if v.twin.Life == 0 && v.twin.Address == "" {
+	if v.twin.Incarnation == 0 && v.twin.Address == "" {
 		return
 	}
 	if v.now-v.twin.Since < twinMS {
@@ -662,11 +662,11 @@
 	}
 	was := v.twin
 	v.twin = Member{}
-	if was.Life >= v.self.Life { // others know the later life alone
-		v.relive(was.Life + 1)
+	if was.Incarnation >= v.self.Incarnation { // others know the later life alone
+		v.relive(was.Incarnation + 1)
 	}
-	if v.self.Marks&Doubled != 0 {
-		v.effects = append(v.effects, Effect{Kind: Twins, Member: was, Why: "it is not heard of any more"})
-		v.mark(v.self.Marks &^ Doubled)
+	if v.self.Flags&Duplicated != 0 {
+		v.effects = append(v.effects, Effect{Kind: DuplicateName, Member: was, Reason: "it is not heard of any more"})
+		v.mark(v.self.Flags &^ Duplicated)
 	}
 }
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -86,7 +86,7 @@
 func New(carrier *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string, given scheduler.Given, seed uint32,
 	log logrus.FieldLogger) (*Node, error) {
 	self := view.Self()
-	s := &Node{carrier: carrier, view: view, log: log, name: self.Name, life: self.Life, answers: map[uint64]func([]byte, error){},
+	s := &Node{carrier: carrier, view: view, log: log, name: self.Name, life: self.Incarnation, answers: map[uint64]func([]byte, error){},
 		lines: map[string]chan []byte{}, stop: make(chan struct{}), OnEffect: func(float64, consensus.Effect) {}}
 	var kept consensus.PersistedState
 	id := ""
@@ -97,7 +97,7 @@
 		}
 		s.disk, kept, id = d, d.kept, d.id
 	}
-	s.council = consensus.New(carrier.Now(), self.Name, self.Life, id, founders, kept, given, seed)
+	s.council = consensus.New(carrier.Now(), self.Name, self.Incarnation, id, founders, kept, given, seed)
 	return s, nil
 }
 
@@ -124,7 +124,7 @@
 func (s *Node) Tick(now float64) {
 	if now >= s.seeAt {
 		s.seeAt = now + seeMS
-		if l := s.view.Self().Life; l != s.life {
+		if l := s.view.Self().Incarnation; l != s.life {
 			s.life = l
 			s.step(now, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: l})
 			if s.OnIncarnation != nil {
@@ -133,8 +133,8 @@
 		}
 		var list []consensus.Observation
 		for _, m := range s.view.Members() {
-			list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Life, Alive: m.Phase.Living(), LeftGracefully: m.Phase == membership.Left, Address: m.Address,
-				Zone: m.Zone, CanVote: m.Marks&membership.Elector != 0, Duplicated: m.Marks&membership.Doubled != 0})
+			list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Incarnation, Alive: m.State.IsLive(), LeftGracefully: m.State == membership.Left, Address: m.Address,
+				Zone: m.Zone, CanVote: m.Flags&membership.CanVote != 0, Duplicated: m.Flags&membership.Duplicated != 0})
 		}
 		s.council.Observe(list)
 		s.look(now)
