--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -51,8 +51,8 @@
 // memory.
 func (i *Extensions) Open(name string, d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
 	i.desk, i.log = d, log
-	if i.file.Budgets != nil {
-		t, err := newTeams(clock.Now(), i.file.Budgets, given)
+	if i.file.Quotas != nil {
+		t, err := newTeams(clock.Now(), i.file.Quotas, given)
 		if err != nil {
 			return fmt.Errorf("budgets: %w", err)
 		}
@@ -97,7 +97,7 @@
 	var k *ledgerstore.Store
 	var found store.Found
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.Segment, Lag: s.Lag}, ledgerGiven(given, s, i.file.Estate), clock.Now,
+		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.SegmentBytes, Lag: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
 			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
@@ -116,11 +116,11 @@
 }
 
 // ledgerGiven is what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerGiven(given scheduler.Given, s *operatorconfig.Store, e *operatorconfig.Estate) scheduler.Given {
+func ledgerGiven(given scheduler.Given, s *operatorconfig.Store, e *operatorconfig.Handoff) scheduler.Given {
 	g := maps.Clone(given)
 	maps.Copy(g, s.Given)
 	if e != nil { // what was open at a crash is its heirs' to end
-		g["inherited"], g["leaves_at_once"] = true, !e.OwnDisk
+		g["inherited"], g["leaves_at_once"] = true, !e.WaitForOwnDisk
 	}
 	return g
 }
@@ -143,10 +143,10 @@
 	}
 	return func() []string {
 		if i.keep != nil && next.Store != nil {
-			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Given: ledgerGiven(given, next.Store, i.file.Estate)}})
+			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Given: ledgerGiven(given, next.Store, i.file.Handoff)}})
 		}
-		if i.team != nil && next.Budgets != nil && i.file.Budgets.SameTree(next.Budgets) {
-			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Budgets) }})
+		if i.team != nil && next.Quotas != nil && i.file.Quotas.SameTree(next.Quotas) {
+			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Quotas) }})
 		}
 		return i.file.Differs(next)
 	}, nil
--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -16,7 +16,7 @@
 // teams joins the tree of budgets, the rules of whose a search is and the book of waits to a desk. It decides nothing.
 type teams struct {
 	tree  *quota.Tree
-	file  *operatorconfig.Budgets
+	file  *operatorconfig.Quotas
 	book  *waitestimate.Book
 	given scheduler.Given
 	parts *quotashare.Parts
@@ -34,7 +34,7 @@
 	started        bool
 }
 
-func newTeams(now float64, file *operatorconfig.Budgets, given scheduler.Given) (*teams, error) {
+func newTeams(now float64, file *operatorconfig.Quotas, given scheduler.Given) (*teams, error) {
 	g := scheduler.Given{}
 	for k, v := range given {
 		g[k] = v
@@ -51,7 +51,7 @@
 // TeamOf tells the team of a search.
 func (t *teams) TeamOf(s *dispatch.Request) string {
 	t.seen = s.WantsWaitEstimate
-	team := t.file.Whose.TeamOf(s.Team, s.ClientAddr, s.Class, s.Schema)
+	team := t.file.Attribution.TeamOf(s.Team, s.ClientAddr, s.Class, s.Schema)
 	if team == "" {
 		team = t.file.Default
 	}
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -183,7 +183,7 @@
 }
 
 // reset takes over the figures of a file that was read again.
-func (t *teams) reset(d *dispatch.Loop, now float64, next *operatorconfig.Budgets) {
+func (t *teams) reset(d *dispatch.Loop, now float64, next *operatorconfig.Quotas) {
 	for _, team := range next.Teams {
 		d.Execute(dispatch.AppendQuotaCommands(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
 	}
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -37,7 +37,7 @@
 // fleet joins the view of the fleet to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
 type fleet struct {
 	inst    *Extensions
-	file    *operatorconfig.Fleet
+	file    *operatorconfig.Cluster
 	carrier *clusternet.Transport
 	view    *membership.View // the carrier's goroutine owns it
 	seat    *raftnode.Node   // nil: no council
@@ -57,7 +57,7 @@
 
 // openFleet makes the view and begins to listen, where the file has a block fleet.
 func (i *Extensions) openFleet(name string, given scheduler.Given, clock dispatch.Clock) error {
-	file := i.file.Fleet
+	file := i.file.Cluster
 	if file == nil {
 		return nil
 	}
@@ -94,12 +94,12 @@
 		return err
 	}
 	f.seat.OnEffect = f.agreed
-	if f.inst.file.Estate != nil {
+	if f.inst.file.Handoff != nil {
 		if err := f.inst.openHeirs(f, seed, given); err != nil {
 			return err
 		}
 	}
-	if f.inst.file.Zones != nil {
+	if f.inst.file.Locality != nil {
 		f.inst.openLookout(f, given)
 	}
 	return f.carrier.Start(f.view, f.seat)
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -27,15 +27,15 @@
 func (i *Extensions) openHeirs(f *fleet, seed uint32, given scheduler.Given) error {
 	g := maps.Clone(given)
 	maps.Copy(g, i.file.Store.Given)
-	maps.Copy(g, i.file.Estate.Given)
-	for _, name := range i.file.Estate.Adopting {
+	maps.Copy(g, i.file.Handoff.Given)
+	for _, name := range i.file.Handoff.AdoptClasses {
 		if !offers(given, name) {
 			return fmt.Errorf("estate: adopt names %q, which is no offering", name)
 		}
 	}
 	self := f.view.Self()
 	t := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Incarnation}, g, seed, i.desk, f.clock, f.carrier, i.log)
-	if i.file.Estate.OnDisks {
+	if i.file.Handoff.CopiesOnDisk {
 		dir, err := vfs.OpenDir(filepath.Join(i.file.Store.Directory, "estate"), true)
 		if err != nil {
 			return fmt.Errorf("estate: %w", err)
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -30,15 +30,15 @@
 // openLookout makes the scout, where the file has a block zones; the carriage does not listen yet.
 func (i *Extensions) openLookout(f *fleet, given scheduler.Given) {
 	g := maps.Clone(given)
-	maps.Copy(g, i.file.Fleet.Given)
-	maps.Copy(g, i.file.Zones.Given)
+	maps.Copy(g, i.file.Cluster.Given)
+	maps.Copy(g, i.file.Locality.Given)
 	for k := 0; given.Text(fmt.Sprint("offering.", k, ".name")) != ""; k++ {
 		g["zone_unit"] = max(g.Num("zone_unit", 1), given.Num(fmt.Sprint("offering.", k, ".threads"), 1))
 	}
 	b := locality.BoundsOf(g)
 	self := f.view.Self()
-	for name, r := range i.file.Zones.Regions {
-		b.LatencyMS[[2]string{self.Region, name}], b.MinDensity[[2]string{self.Region, name}] = r.WayMS, r.Price
+	for name, r := range i.file.Locality.Regions {
+		b.LatencyMS[[2]string{self.Region, name}], b.MinDensity[[2]string{self.Region, name}] = r.LatencyMS, r.MinDensity
 	}
 	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
 	i.lookout.scout.Start()
--- a/internal/operatorconfig/budgets.go
+++ b/internal/operatorconfig/budgets.go
@@ -11,13 +11,13 @@
 	"liftshift/scheduler"
 )
 
-// Budgets is the block budgets.
-type Budgets struct {
-	Teams   []quota.Team
-	Default string
-	Whose   attribution.Rules
-	Given   scheduler.Given // for the tree: age_ms
-	said    map[string]map[string]string
+// Quotas is the block budgets.
+type Quotas struct {
+	Teams       []quota.Team
+	Default     string
+	Attribution attribution.Rules
+	Given       scheduler.Given // for the tree: age_ms
+	said        map[string]map[string]string
 }
 
 var teamOnly = []field{{name: "team", kind: text, required: true, help: "whose it is"}}
@@ -48,41 +48,41 @@
 }
 
 // budgetsOf reads the block budgets and checks that its parts fit together.
-func budgetsOf(v values) (*Budgets, hcl.Diagnostics) {
+func budgetsOf(v values) (*Quotas, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	b := &Budgets{Default: v.texts["default"], Given: scheduler.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
-	b.Whose = attribution.Rules{Teams: map[string]bool{}, Classes: map[string]string{}, Schemas: map[string]string{}}
+	b := &Quotas{Default: v.texts["default"], Given: scheduler.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
+	b.Attribution = attribution.Rules{Teams: map[string]bool{}, Classes: map[string]string{}, Schemas: map[string]string{}}
 	order, given := v.lists["whose"]
 	if !given {
 		order = []string{"field", "address", "offering", "schema"}
 	}
 	var err error
-	if b.Whose.Order, err = attribution.ParseOrder(order); err != nil {
+	if b.Attribution.Order, err = attribution.ParseOrder(order); err != nil {
 		diags = append(diags, wrong(v.set["whose"], "whose: %v", err))
 	}
 	for _, t := range v.kids["team"] {
 		b.Teams = append(b.Teams, quota.Team{Name: t.label, Parent: t.texts["parent"], Weight: t.nums["weight"],
 			Guaranteed: t.nums["guaranteed"], Ceiling: t.nums["ceiling"], BurstMS: t.nums["burst"], Searches: int(t.nums["searches"]),
 			Threads: t.nums["threads"], MemoryMB: t.nums["memory"] / miB, Queue: int(t.nums["queue"])})
-		b.Whose.Teams[t.label] = true
+		b.Attribution.Teams[t.label] = true
 	}
 	puts := map[string]func(name, team string) error{
 		"address": func(name, team string) error {
 			p, err := netip.ParsePrefix(name)
 			if err == nil {
-				b.Whose.Addresses.Put(p, team)
+				b.Attribution.Addresses.Put(p, team)
 			}
 			return err
 		},
-		"offering": func(name, team string) error { b.Whose.Classes[name] = team; return nil },
-		"schema":   func(name, team string) error { b.Whose.Schemas[name] = team; return nil },
+		"offering": func(name, team string) error { b.Attribution.Classes[name] = team; return nil },
+		"schema":   func(name, team string) error { b.Attribution.Schemas[name] = team; return nil },
 	}
 	for _, kind := range []string{"address", "offering", "schema"} { // in an order, so that complaints have one
 		put := puts[kind]
 		b.said[kind] = map[string]string{}
 		for _, x := range v.kids[kind] {
 			team := x.texts["team"]
-			if !b.Whose.Teams[team] {
+			if !b.Attribution.Teams[team] {
 				diags = append(diags, wrong(x.set["team"], "there is no team %q", team))
 			}
 			if err := put(x.label, team); err != nil {
@@ -98,13 +98,13 @@
 }
 
 // SameTree tells whether two have the same teams in the same places, and tell in the same way whose a search is.
-func (b *Budgets) SameTree(o *Budgets) bool {
-	shape := func(b *Budgets) (list [][2]string) {
+func (b *Quotas) SameTree(o *Quotas) bool {
+	shape := func(b *Quotas) (list [][2]string) {
 		for _, t := range b.Teams {
 			list = append(list, [2]string{t.Name, t.Parent})
 		}
 		return list
 	}
 	return reflect.DeepEqual(shape(b), shape(o)) && b.Default == o.Default && reflect.DeepEqual(b.said, o.said) &&
-		reflect.DeepEqual(b.Whose.Order, o.Whose.Order) && reflect.DeepEqual(b.Given, o.Given)
+		reflect.DeepEqual(b.Attribution.Order, o.Attribution.Order) && reflect.DeepEqual(b.Given, o.Given)
 }
--- a/internal/operatorconfig/estate.go
+++ b/internal/operatorconfig/estate.go
@@ -8,13 +8,13 @@
 	"liftshift/scheduler"
 )
 
-// Estate is the block estate.
-type Estate struct {
-	Given    scheduler.Given // for the estate: copies, lag_ms, adopt_at_once, most_kept, keep_answer, alone, adopts.NAME
-	OwnDisk  bool            // a shot waits for this controller's own disk, too
-	OnDisks  bool            // holders answer once their copies last
-	Copies   int
-	Adopting []string
+// Handoff is the block estate.
+type Handoff struct {
+	Given          scheduler.Given // for the estate: copies, lag_ms, adopt_at_once, most_kept, keep_answer, alone, adopts.NAME
+	WaitForOwnDisk bool            // a shot waits for this controller's own disk, too
+	CopiesOnDisk   bool            // holders answer once their copies last
+	Copies         int
+	AdoptClasses   []string
 }
 
 // estateBlock is what may stand in the block estate.
@@ -34,19 +34,19 @@
 	"disk and holders' disks": {true, true}, "holders' disks": {false, true}}
 
 // estateOf reads the block estate and checks that its parts fit together.
-func estateOf(v values, founders, store bool) (*Estate, hcl.Diagnostics) {
+func estateOf(v values, founders, store bool) (*Handoff, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	e := &Estate{Copies: int(v.nums["copies"]), Adopting: v.lists["adopt"], Given: scheduler.Given{"lag_ms": v.nums["lag"],
+	e := &Handoff{Copies: int(v.nums["copies"]), AdoptClasses: v.lists["adopt"], Given: scheduler.Given{"lag_ms": v.nums["lag"],
 		"adopt_at_once": v.nums["adopt_at_once"], "keep_answer": v.nums["keep_answers"], "most_kept": v.nums["most_kept"],
 		"doubt_ms": v.nums["doubt"], "alone": v.texts["unreachable"] == "alone"}}
 	how, known := conditions[v.texts["condition"]]
-	if e.OwnDisk, e.OnDisks = how[0], how[1]; !known {
+	if e.WaitForOwnDisk, e.CopiesOnDisk = how[0], how[1]; !known {
 		diags = append(diags, wrong(v.set["condition"], "condition must be \"disk and holders\", \"holders\", \"disk and holders' disks\" or \"holders' disks\""))
 	}
 	if u := v.texts["unreachable"]; u != "" && u != "deny" && u != "alone" {
 		diags = append(diags, wrong(v.set["unreachable"], "unreachable must be \"deny\" or \"alone\""))
 	}
-	for _, name := range e.Adopting {
+	for _, name := range e.AdoptClasses {
 		e.Given["adopts."+name] = true
 	}
 	if !founders {
@@ -59,4 +59,4 @@
 }
 
 // Same tells whether two say the same.
-func (e *Estate) Same(o *Estate) bool { return reflect.DeepEqual(e, o) }
+func (e *Handoff) Same(o *Handoff) bool { return reflect.DeepEqual(e, o) }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -15,25 +15,25 @@
 
 // File is what the operators' file says. Without one, all is off.
 type File struct {
-	Path    string
-	Store   *Store
-	Budgets *Budgets
-	Fleet   *Fleet
-	Estate  *Estate
-	Zones   *Zones
-	Control string // path of the control socket; empty: none
+	Path     string
+	Store    *Store
+	Quotas   *Quotas
+	Cluster  *Cluster
+	Handoff  *Handoff
+	Locality *Locality
+	Control  string // path of the control socket; empty: none
 }
 
 // Store is the block store.
 type Store struct {
-	Directory string
-	Segment   int64
-	Lag       time.Duration
-	Given     scheduler.Given // for the ledger: remember_ms, keep_answer, most_kept
+	Directory    string
+	SegmentBytes int64
+	FlushDelay   time.Duration
+	Given        scheduler.Given // for the ledger: remember_ms, keep_answer, most_kept
 }
 
 // Default is where the file is looked for if nothing else is said: nowhere, unless this names a path.
-const Default = "LIFTSHIFT_FILE"
+const PathVariable = "LIFTSHIFT_FILE"
 
 const (
 	kiB = 1 << 10
@@ -75,31 +75,31 @@
 	}
 	f := &File{Path: path}
 	for _, s := range body.kids["store"] {
-		f.Store = &Store{Directory: s.texts["directory"], Segment: int64(s.nums["segment"]),
-			Lag: time.Duration(s.nums["lag"] * float64(time.Millisecond)), Given: scheduler.Given{
+		f.Store = &Store{Directory: s.texts["directory"], SegmentBytes: int64(s.nums["segment"]),
+			FlushDelay: time.Duration(s.nums["lag"] * float64(time.Millisecond)), Given: scheduler.Given{
 				"remember_ms": s.nums["remember"], "keep_answer": s.nums["keep_answers"], "most_kept": s.nums["most_kept"]}}
 	}
 	for _, c := range body.kids["control"] {
 		f.Control = c.texts["socket"]
 	}
 	for _, b := range body.kids["budgets"] {
-		if f.Budgets, diags = budgetsOf(b); diags.HasErrors() {
+		if f.Quotas, diags = budgetsOf(b); diags.HasErrors() {
 			return nil, complaint(diags)
 		}
 	}
 	for _, b := range body.kids["fleet"] {
-		if f.Fleet, diags = fleetOf(b, f.Store != nil); diags.HasErrors() {
+		if f.Cluster, diags = fleetOf(b, f.Store != nil); diags.HasErrors() {
 			return nil, complaint(diags)
 		}
 	}
 	for _, b := range body.kids["estate"] {
-		if f.Estate, diags = estateOf(b, f.Fleet != nil && len(f.Fleet.Founders) > 0, f.Store != nil); diags.HasErrors() {
+		if f.Handoff, diags = estateOf(b, f.Cluster != nil && len(f.Cluster.Founders) > 0, f.Store != nil); diags.HasErrors() {
 			return nil, complaint(diags)
 		}
-		f.Fleet.Given["copies"] = float64(f.Estate.Copies)
+		f.Cluster.Given["copies"] = float64(f.Handoff.Copies)
 	}
 	for _, b := range body.kids["zones"] {
-		if f.Zones, diags = zonesOf(b, f.Fleet); diags.HasErrors() {
+		if f.Locality, diags = zonesOf(b, f.Cluster); diags.HasErrors() {
 			return nil, complaint(diags)
 		}
 	}
@@ -111,22 +111,22 @@
 	switch a, b := f.Store, next.Store; {
 	case (a == nil) != (b == nil):
 		names = append(names, "store")
-	case a != nil && (a.Directory != b.Directory || a.Segment != b.Segment || a.Lag != b.Lag):
+	case a != nil && (a.Directory != b.Directory || a.SegmentBytes != b.SegmentBytes || a.FlushDelay != b.FlushDelay):
 		names = append(names, "store.directory, segment or lag")
 	}
 	if f.Control != next.Control {
 		names = append(names, "control.socket")
 	}
-	if (f.Budgets == nil) != (next.Budgets == nil) || f.Budgets != nil && !f.Budgets.SameTree(next.Budgets) {
+	if (f.Quotas == nil) != (next.Quotas == nil) || f.Quotas != nil && !f.Quotas.SameTree(next.Quotas) {
 		names = append(names, "budgets: which teams there are, or whose")
 	}
-	if (f.Fleet == nil) != (next.Fleet == nil) || f.Fleet != nil && !f.Fleet.Same(next.Fleet) {
+	if (f.Cluster == nil) != (next.Cluster == nil) || f.Cluster != nil && !f.Cluster.Same(next.Cluster) {
 		names = append(names, "fleet")
 	}
-	if (f.Estate == nil) != (next.Estate == nil) || f.Estate != nil && !f.Estate.Same(next.Estate) {
+	if (f.Handoff == nil) != (next.Handoff == nil) || f.Handoff != nil && !f.Handoff.Same(next.Handoff) {
 		names = append(names, "estate")
 	}
-	if (f.Zones == nil) != (next.Zones == nil) || f.Zones != nil && !f.Zones.Same(next.Zones) {
+	if (f.Locality == nil) != (next.Locality == nil) || f.Locality != nil && !f.Locality.Same(next.Locality) {
 		names = append(names, "zones")
 	}
 	return names
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -15,7 +15,7 @@
 	require.NoError(t, os.WriteFile(path, []byte("store {\n directory = \"/d\"\n segment = \"64KiB\"\n lag = \"20ms\"\n remember = \"1h\"\n}\n"), 0o600))
 	f, err := Read(path)
 	require.NoError(t, err)
-	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond}, []any{f.Store.Directory, f.Store.Segment, f.Store.Lag})
+	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond}, []any{f.Store.Directory, f.Store.SegmentBytes, f.Store.FlushDelay})
 	assert.Equal(t, []any{3600e3, 4096.0, 200e3},
 		[]any{f.Store.Given["remember_ms"], f.Store.Given["keep_answer"], f.Store.Given["most_kept"]})
 	none, err := Parse(nil, "x")
@@ -23,7 +23,7 @@
 	assert.Nil(t, none.Store)
 	assert.Equal(t, []string{"store"}, f.Differs(none))
 	other := *f.Store
-	other.Lag = 1
+	other.FlushDelay = 1
 	assert.Len(t, f.Differs(&File{Store: &other}), 1)
 	assert.Empty(t, f.Differs(f))
 	_, err = Read(path + "-not")
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -10,8 +10,8 @@
 	"liftshift/scheduler"
 )
 
-// Fleet is the block fleet.
-type Fleet struct {
+// Cluster is the block fleet.
+type Cluster struct {
 	Name    string
 	Member  string // empty: the platform's name of this controller
 	Address string
@@ -46,9 +46,9 @@
 }}
 
 // fleetOf reads the block fleet and checks that its parts fit together.
-func fleetOf(v values, store bool) (*Fleet, hcl.Diagnostics) {
+func fleetOf(v values, store bool) (*Cluster, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	f := &Fleet{Name: v.texts["name"], Member: v.texts["member"], Address: v.texts["address"], Listen: v.texts["listen"], Seeds: v.lists["seeds"],
+	f := &Cluster{Name: v.texts["name"], Member: v.texts["member"], Address: v.texts["address"], Listen: v.texts["listen"], Seeds: v.lists["seeds"],
 		Zone: v.texts["zone"], Region: v.texts["region"], Founders: v.lists["founders"], Given: scheduler.Given{"voters": v.nums["voters"]}}
 	for _, name := range []string{"probe", "answer", "suspect", "lease", "declare", "replace"} {
 		f.Given[name+"_ms"] = v.nums[name]
@@ -98,4 +98,4 @@
 }
 
 // Same tells whether two say the same.
-func (f *Fleet) Same(o *Fleet) bool { return reflect.DeepEqual(f, o) }
+func (f *Cluster) Same(o *Cluster) bool { return reflect.DeepEqual(f, o) }
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -8,14 +8,14 @@
 	"liftshift/scheduler"
 )
 
-// Zones is the block zones.
-type Zones struct {
+// Locality is the block zones.
+type Locality struct {
 	Given   scheduler.Given // zone_room, zone_spill, stage_ms, return_wait_ms
 	Regions map[string]Region
 }
 
 // Region is how far another one is from this controller's.
-type Region struct{ WayMS, Price float64 }
+type Region struct{ LatencyMS, MinDensity float64 }
 
 // zonesBlock is what may stand in the block zones.
 var zonesBlock = &block{fields: []field{
@@ -29,9 +29,9 @@
 }}}}
 
 // zonesOf reads the block zones and checks that its parts fit together.
-func zonesOf(v values, fleet *Fleet) (*Zones, hcl.Diagnostics) {
+func zonesOf(v values, fleet *Cluster) (*Locality, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	z := &Zones{Regions: map[string]Region{}, Given: scheduler.Given{"zone_room": v.nums["room"], "zone_spill": v.nums["spill"],
+	z := &Locality{Regions: map[string]Region{}, Given: scheduler.Given{"zone_room": v.nums["room"], "zone_spill": v.nums["spill"],
 		"stage_ms": v.nums["stage"], "return_wait_ms": v.nums["return_wait"]}}
 	switch {
 	case fleet == nil || len(fleet.Founders) == 0:
@@ -49,4 +49,4 @@
 }
 
 // Same tells whether two say the same.
-func (z *Zones) Same(o *Zones) bool { return reflect.DeepEqual(z, o) }
+func (z *Locality) Same(o *Locality) bool { return reflect.DeepEqual(z, o) }
