--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -126,19 +126,19 @@
 	if t := e.Table(); t != nil {
 		out["copies_wanted"], out["version"], out["step"] = float64(t.Copies), float64(t.Version), float64(t.Step)
 		for _, c := range t.Claims {
-			claims = append(claims, map[string]any{"member": c.Name, "life": fmt.Sprint(c.Life), "heir": c.Heir, "parts": float64(popcount(c.Mask))})
+			claims = append(claims, map[string]any{"member": c.Name, "life": fmt.Sprint(c.Incarnation), "heir": c.Successor, "parts": float64(popcount(c.Partitions))})
 		}
 		settled := 0
 		by := map[string]int{}
-		for _, p := range t.Parts {
-			if p.Was == nil {
+		for _, p := range t.Partitions {
+			if p.Previous == nil {
 				settled++
 			}
-			for _, c := range p.Now {
+			for _, c := range p.Current {
 				by[c.Name]++
 			}
 		}
-		out["parts"], out["parts_settled"] = float64(len(t.Parts)), float64(settled)
+		out["parts"], out["parts_settled"] = float64(len(t.Partitions)), float64(settled)
 		for _, name := range slices.Sorted(maps.Keys(by)) {
 			seats = append(seats, map[string]any{"member": name, "parts": float64(by[name])})
 		}
@@ -148,7 +148,7 @@
 }
 
 func popcount(mask uint32) (n int) {
-	for k := range placement.Parts {
+	for k := range placement.PartitionCount {
 		n += int(mask >> k & 1)
 	}
 	return n
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -58,7 +58,7 @@
 	}
 	l.carrier.SetFlag(membership.Ready)
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		if r := l.roll.Load(); r != nil && l.seat.LeaseHeld() && len(r.Table.Parts) > 0 {
+		if r := l.roll.Load(); r != nil && l.seat.LeaseHeld() && len(r.Table.Partitions) > 0 {
 			return l, nil
 		}
 		if time.Since(began) > 20*time.Second {
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -259,9 +259,9 @@
 
 // keeping gives the bytes that a copy costs its holder, without its body.
 func keeping() float64 {
-	places := []placement.Place{{Name: "a", Life: 1}, {Name: "b", Life: 1}, {Name: "c", Life: 1}}
+	places := []placement.Member{{Name: "a", Incarnation: 1}, {Name: "b", Incarnation: 1}, {Name: "c", Incarnation: 1}}
 	var t placement.Table
-	t.Reseat(places, 1)
+	t.Reassign(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
 		e := handoff.New(handoff.Member{Name: "a", Incarnation: 1}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -221,7 +221,7 @@
 	s.seat(k, places, table)
 }
 
-func (s *Estates) seat(k int, places []placement.Place, table placement.Table) {
+func (s *Estates) seat(k int, places []placement.Member, table placement.Table) {
 	if table.Step > s.Ends[k].step {
 		s.Ends[k].step = table.Step
 		s.play(k, &handoff.Event{Kind: handoff.PlacementChanged, Members: places, Table: &table})
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -540,12 +540,12 @@
 }
 
 // Configuration gives the places and a copy of the table of chairs, where anybody keeps copies.
-func (c *Group) Configuration() ([]placement.Place, placement.Table) {
+func (c *Group) Configuration() ([]placement.Member, placement.Table) {
 	return c.record.places(), c.record.Placement.Clone()
 }
 
 // Configuration gives the same of a record that came from elsewhere.
-func (r *Record) Configuration() ([]placement.Place, placement.Table) {
+func (r *Record) Configuration() ([]placement.Member, placement.Table) {
 	return r.places(), r.Placement.Clone()
 }
 
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -63,7 +63,7 @@
 
 // Every kind of entry of the replicated log has the bytes that it had, and does to the record what it did.
 func TestGolden_CouncilEntries(t *testing.T) {
-	claim := placement.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}
+	claim := placement.AdoptionClaim{Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 5}
 	c := &Group{record: Record{Members: map[string]Member{}}, doomed: map[string]uint64{}}
 	for k, e := range []struct {
 		file string
@@ -74,12 +74,12 @@
 		{"in-second", nil, entry{Kind: "in", Name: "b", Life: 2, Address: "127.0.0.1:7001", Zone: "z2"}},
 		{"in-third", nil, entry{Kind: "in", Name: "c", Life: 3, Address: "127.0.0.1:7002"}},
 		{"copies", nil, entry{Kind: "copies", Copies: 1}},
-		{"ready", Proposal("ready", placement.Claim{Name: "a", Life: 1, Mask: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
+		{"ready", Proposal("ready", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
 		{"lost", nil, entry{Kind: "lost", Name: "b", Life: 2}},
 		{"claim", Proposal("claim", claim, 0), entry{Kind: "claim", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}},
-		{"settled", Proposal("settled", placement.Claim{Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}, 0),
+		{"settled", Proposal("settled", placement.AdoptionClaim{Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 4}, 0),
 			entry{Kind: "settled", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}},
-		{"anew", Proposal("anew", placement.Claim{Name: "a", Life: 1, Mask: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
+		{"anew", Proposal("anew", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
 		{"left", nil, entry{Kind: "left", Name: "c", Life: 3}},
 		{"plan", PlanProposal(1, []byte(`{"x":1}`)), entry{Kind: "plan", Number: 1, Data: []byte(`{"x":1}`)}},
 		{"order", OrderProposal("zone z1", []byte(`{"y":2}`)), entry{Kind: "order", Name: "zone z1", Data: []byte(`{"y":2}`)}},
@@ -109,8 +109,8 @@
 	full := Record{
 		Members: map[string]Member{"a": {Incarnation: 1, Term: 2, Address: "127.0.0.1:7000", Zone: "z1"}, "b": {Incarnation: 3, Term: 4, Lost: true, LeftGracefully: true}},
 		Voters:  voters, Founders: voters[:1], DeclaredLost: 5,
-		Placement: placement.Table{Version: 6, Step: 7, Copies: 1, Parts: []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
-			Was: []placement.Chair{{Name: "b", Life: 3}}}, {}}, Claims: []placement.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}},
+		Placement: placement.Table{Version: 6, Step: 7, Copies: 1, Partitions: []placement.Partition{{Current: []placement.Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
+			Previous: []placement.Replica{{Name: "b", Incarnation: 3}}}, {}}, Claims: []placement.AdoptionClaim{{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}}},
 		Plan: []byte(`{"x":1}`), PlanNumber: 8, Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)},
 	}
 	for name, value := range map[string]any{
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -30,8 +30,8 @@
 }
 
 // Proposal makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
-func Proposal(kind string, c placement.Claim, version uint64) []byte {
-	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Life: c.Life, Heir: c.Heir, HeirLife: c.HeirLife, Mask: c.Mask, Version: version})
+func Proposal(kind string, c placement.AdoptionClaim, version uint64) []byte {
+	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Life: c.Incarnation, Heir: c.Successor, HeirLife: c.SuccessorIncarnation, Mask: c.Partitions, Version: version})
 	return data
 }
 
@@ -82,12 +82,12 @@
 }
 
 // places gives the record as the table of chairs wants it, in order.
-func (r *Record) places() []placement.Place {
-	list := make([]placement.Place, 0, len(r.Members))
+func (r *Record) places() []placement.Member {
+	list := make([]placement.Member, 0, len(r.Members))
 	for name, p := range r.Members {
-		list = append(list, placement.Place{Name: name, Life: p.Incarnation, Lost: p.Lost, Zone: p.Zone})
+		list = append(list, placement.Member{Name: name, Incarnation: p.Incarnation, Lost: p.Lost, Zone: p.Zone})
 	}
-	slices.SortFunc(list, func(a, b placement.Place) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b placement.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
@@ -97,21 +97,21 @@
 		return false // nobody has asked for chairs
 	}
 	places, t := r.places(), &r.Placement
-	claim := placement.Claim{Name: e.Name, Life: e.Life, Heir: e.Heir, HeirLife: e.HeirLife, Mask: e.Mask}
+	claim := placement.AdoptionClaim{Name: e.Name, Incarnation: e.Life, Successor: e.Heir, SuccessorIncarnation: e.HeirLife, Partitions: e.Mask}
 	switch e.Kind {
 	case "in", "lost", "left":
-		t.Reseat(places, 0)
+		t.Reassign(places, 0)
 		changed = true // who is lost counts, whoever sits
 	case "copies":
-		changed = t.Reseat(places, e.Copies)
+		changed = t.Reassign(places, e.Copies)
 	case "ready":
-		changed = t.Ready(places, e.Name, e.Life, e.Mask, e.Version)
+		changed = t.MarkReady(places, e.Name, e.Life, e.Mask, e.Version)
 	case "claim":
 		changed = t.Claim(places, claim)
 	case "settled":
-		changed = t.Settled(claim)
+		changed = t.Settle(claim)
 	case "anew":
-		changed = t.Anew(places, e.Mask)
+		changed = t.Reinitialize(places, e.Mask)
 	}
 	if changed {
 		t.Step++
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -47,7 +47,7 @@
 	local   []exchange        // words to this controller's own chair
 
 	// What is agreed.
-	places map[string]*placement.Place
+	places map[string]*placement.Member
 	table  *placement.Table
 
 	// As a chair.
@@ -95,7 +95,7 @@
 	e := &Manager{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
 		most: int(given.Num("most_kept", usualKept)), lag: given.Num("lag_ms", lagMS), alone: given.Is("alone"),
 		pace: pace{most: given.Num("adopt_at_once", adoptAtOnce), began: map[string]begun{}}, share: given.Num("ration_share", 0.1), floor: given.Num("ration_floor", 3),
-		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Place{},
+		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Member{},
 		copies: map[Key]*kept{}, owners: map[Member]*owned{}, wheel: map[int64][]Key{}, learns: map[int]*learning{},
 		noted: map[Member]float64{}, moves: map[string]float64{}, bereft: map[int]float64{}, mine: map[Key]*mine{}, byID: map[string]*mine{},
 		backBy: map[takenWord]*taken{}, fresh: map[string]struct{}{}, lined: map[Key]struct{}{}}
@@ -236,8 +236,8 @@
 
 // sitting gives who sits in a part now, and who sat before as long as that counts.
 func (e *Manager) sitting(part int) (names []string) {
-	p := &e.table.Parts[part]
-	for _, list := range [][]placement.Chair{p.Now, p.Was} {
+	p := &e.table.Partitions[part]
+	for _, list := range [][]placement.Replica{p.Current, p.Previous} {
 		for _, c := range list {
 			if e.sits(c) && !slices.Contains(names, c.Name) {
 				names = append(names, c.Name)
@@ -247,30 +247,32 @@
 	return names
 }
 
-func (e *Manager) sits(c placement.Chair) bool {
+func (e *Manager) sits(c placement.Replica) bool {
 	p := e.places[c.Name]
-	return p != nil && !p.Lost && p.Life == c.Life
+	return p != nil && !p.Lost && p.Incarnation == c.Incarnation
 }
 
 // lost tells whether a life is over, as agreed.
 func (e *Manager) lost(m Member) bool {
 	p := e.places[m.Name]
-	return p != nil && (p.Life > m.Incarnation || p.Life == m.Incarnation && p.Lost)
+	return p != nil && (p.Incarnation > m.Incarnation || p.Incarnation == m.Incarnation && p.Lost)
 }
 
 // chaired tells whether there is anybody to keep copies at all.
-func (e *Manager) chaired() bool { return e.table != nil && len(e.table.Parts) == placement.Parts }
+func (e *Manager) chaired() bool {
+	return e.table != nil && len(e.table.Partitions) == placement.PartitionCount
+}
 
 // quorum tells whether these make a word for a part.
 func (e *Manager) quorum(part int, who []Member) bool {
-	p := &e.table.Parts[part]
-	return most(p.Now, who) && (p.Was == nil || most(p.Was, who))
+	p := &e.table.Partitions[part]
+	return most(p.Current, who) && (p.Previous == nil || most(p.Previous, who))
 }
 
-func most(list []placement.Chair, who []Member) bool {
+func most(list []placement.Replica, who []Member) bool {
 	n := 0
 	for _, c := range list {
-		if slices.Contains(who, Member{c.Name, c.Life}) {
+		if slices.Contains(who, Member{c.Name, c.Incarnation}) {
 			n++
 		}
 	}
@@ -279,14 +281,14 @@
 
 // barredBy tells whether these who said no leave no quorum.
 func (e *Manager) barredBy(part int, nays []Member) bool {
-	p := &e.table.Parts[part]
-	return blocked(p.Now, nays) || p.Was != nil && blocked(p.Was, nays)
+	p := &e.table.Partitions[part]
+	return blocked(p.Current, nays) || p.Previous != nil && blocked(p.Previous, nays)
 }
 
-func blocked(list []placement.Chair, nays []Member) bool {
+func blocked(list []placement.Replica, nays []Member) bool {
 	n := 0
 	for _, c := range list {
-		if slices.Contains(nays, Member{c.Name, c.Life}) {
+		if slices.Contains(nays, Member{c.Name, c.Incarnation}) {
 			n++
 		}
 	}
@@ -295,8 +297,8 @@
 
 // reachable tells whether enough sit in a part for any word.
 func (e *Manager) reachable(part int) bool {
-	p := &e.table.Parts[part]
-	enough := func(list []placement.Chair) bool {
+	p := &e.table.Partitions[part]
+	enough := func(list []placement.Replica) bool {
 		n := 0
 		for _, c := range list {
 			if e.sits(c) {
@@ -305,13 +307,13 @@
 		}
 		return n >= placement.Quorum(len(list))
 	}
-	return enough(p.Now) && (p.Was == nil || enough(p.Was))
+	return enough(p.Current) && (p.Previous == nil || enough(p.Previous))
 }
 
 // chair gives this controller's own in a part.
-func (e *Manager) chair(part int) *placement.Chair {
-	for k := range e.table.Parts[part].Now {
-		if c := &e.table.Parts[part].Now[k]; c.Name == e.self.Name && c.Life == e.self.Incarnation {
+func (e *Manager) chair(part int) *placement.Replica {
+	for k := range e.table.Partitions[part].Current {
+		if c := &e.table.Partitions[part].Current[k]; c.Name == e.self.Name && c.Incarnation == e.self.Incarnation {
 			return c
 		}
 	}
@@ -320,9 +322,9 @@
 
 // sat tells whether this controller sits in a part, or sat in it and counts still.
 func (e *Manager) sat(part int) bool {
-	p := &e.table.Parts[part]
-	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Incarnation }
-	return slices.ContainsFunc(p.Now, is) || slices.ContainsFunc(p.Was, is)
+	p := &e.table.Partitions[part]
+	is := func(c placement.Replica) bool { return c.Name == e.self.Name && c.Incarnation == e.self.Incarnation }
+	return slices.ContainsFunc(p.Current, is) || slices.ContainsFunc(p.Previous, is)
 }
 
 // seated takes what is agreed now.
@@ -378,12 +380,12 @@
 }
 
 // move has the council agree on something, and again while it has not.
-func (e *Manager) move(motion string, c placement.Claim, version uint64) {
-	key := fmt.Sprint(motion, c.Name, c.Life, c.Mask)
+func (e *Manager) move(motion string, c placement.AdoptionClaim, version uint64) {
+	key := fmt.Sprint(motion, c.Name, c.Incarnation, c.Partitions)
 	if at, made := e.moves[key]; !e.held || made && e.now < at+claimMS {
 		return
 	}
-	if len(e.moves) > 4*placement.Parts {
+	if len(e.moves) > 4*placement.PartitionCount {
 		clear(e.moves)
 	}
 	e.moves[key] = e.now
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -120,7 +120,7 @@
 		} else { // it claims, and is lost before it hears that it may
 			require.NotEmpty(t, w.moves)
 			for k := range w.ends {
-				if w.places[k].Name == w.moves[0].Claim.Heir {
+				if w.places[k].Name == w.moves[0].Claim.Successor {
 					first = k
 				}
 			}
@@ -359,8 +359,8 @@
 		w.lose(k)
 		w.tick(3000)
 	}
-	for _, p := range w.table.Parts {
-		assert.Nil(t, p.Was, "all parts are settled")
+	for _, p := range w.table.Partitions {
+		assert.Nil(t, p.Previous, "all parts are settled")
 	}
 	for k := range 300 {
 		id := fmt.Sprint("x", k)
@@ -383,10 +383,10 @@
 	assert.Equal(t, Rejected, w.said(4, AnswerSuspended, "a")[0].Outcome)
 	for k := range 3 { // they come back, and know nothing
 		w.down[k] = false
-		w.places[k].Lost, w.places[k].Life = false, 2
+		w.places[k].Lost, w.places[k].Incarnation = false, 2
 		w.ends[k] = New(Member{w.places[k].Name, 2}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 9)
 	}
-	w.table.Reseat(w.places, 0)
+	w.table.Reassign(w.places, 0)
 	w.seat()
 	w.tick(15_000)
 	w.arrive(4, "mark", "b", "m")
@@ -408,7 +408,7 @@
 	}
 	w.places = append(w.places, w.places[0])
 	w.places[5].Name, w.places[5].Lost = "n9", true
-	w.table.Reseat(w.places, 0)
+	w.table.Reassign(w.places, 0)
 	w.seat()
 	w.tick(2000)
 	assert.Empty(t, w.adopter("a"))
--- a/internal/handoff/heir.go
+++ b/internal/handoff/heir.go
@@ -49,7 +49,7 @@
 			e.noted[owner] = e.now
 		}
 		for part := range set.parts {
-			_, _, claim := e.table.HeirOf(owner.Name, owner.Incarnation, part)
+			_, _, claim := e.table.SuccessorOf(owner.Name, owner.Incarnation, part)
 			if set.told[part] == told(claim) {
 				continue // all that are there have heard it
 			}
@@ -70,18 +70,18 @@
 		}
 	}
 	e.inherits = slices.DeleteFunc(e.inherits, func(i *inheritance) bool {
-		heir, life, claim := e.table.HeirOf(i.owner.Name, i.owner.Incarnation, i.part)
+		heir, life, claim := e.table.SuccessorOf(i.owner.Name, i.owner.Incarnation, i.part)
 		return !claim || heir != e.self.Name || life != e.self.Incarnation
 	})
 	for k := range e.table.Claims {
 		c := &e.table.Claims[k]
-		if c.Heir != e.self.Name || c.HeirLife != e.self.Incarnation {
+		if c.Successor != e.self.Name || c.SuccessorIncarnation != e.self.Incarnation {
 			continue
 		}
-		owner := Member{c.Name, c.Life}
-		for part := range placement.Parts {
+		owner := Member{c.Name, c.Incarnation}
+		for part := range placement.PartitionCount {
 			has := func(i *inheritance) bool { return i.owner == owner && i.part == part }
-			if c.Mask&(1<<part) != 0 && !slices.ContainsFunc(e.inherits, has) {
+			if c.Partitions&(1<<part) != 0 && !slices.ContainsFunc(e.inherits, has) {
 				e.inherits = append(e.inherits, &inheritance{owner: owner, part: part, since: e.now})
 				e.counts.AdoptionClaims++
 			}
@@ -101,9 +101,9 @@
 func (e *Manager) learn() {
 	var mask uint32
 	under := 0
-	for part := range placement.Parts {
+	for part := range placement.PartitionCount {
 		c := e.chair(part)
-		if c == nil || c.Ready || e.table.Parts[part].Was == nil {
+		if c == nil || c.Ready || e.table.Partitions[part].Previous == nil {
 			delete(e.learns, part)
 			continue
 		}
@@ -123,13 +123,13 @@
 				done = append(done, Member{p.name, p.life})
 			}
 		}
-		if most(e.table.Parts[part].Was, done) {
+		if most(e.table.Partitions[part].Previous, done) {
 			mask |= 1 << part
 			under--
 		}
 	}
 	if mask != 0 {
-		e.move("ready", placement.Claim{Name: e.self.Name, Life: e.self.Incarnation, Mask: mask}, e.table.Version)
+		e.move("ready", placement.AdoptionClaim{Name: e.self.Name, Incarnation: e.self.Incarnation, Partitions: mask}, e.table.Version)
 	}
 }
 
@@ -138,7 +138,7 @@
 	for _, name := range e.sitting(part) {
 		i := slices.IndexFunc(list, func(p *pulling) bool { return p.name == name })
 		if i < 0 {
-			list = append(list, &pulling{name: name, life: e.places[name].Life, at: -1e9})
+			list = append(list, &pulling{name: name, life: e.places[name].Incarnation, at: -1e9})
 			i = len(list) - 1
 		}
 		if p := list[i]; !p.done && e.now >= p.at+2*againMS {
@@ -188,7 +188,7 @@
 func (e *Manager) renew() {
 	var mask uint32
 	found := 0
-	for part := range placement.Parts {
+	for part := range placement.PartitionCount {
 		if e.reachable(part) || e.chair(part) == nil {
 			if _, was := e.bereft[part]; was {
 				delete(e.bereft, part)
@@ -207,7 +207,7 @@
 		e.do(Effect{Kind: LogMessage, Text: "parts have lost their chairs beyond a quorum: their searches are denied until their marks are past", Count: found})
 	}
 	if mask != 0 {
-		e.move("anew", placement.Claim{Name: e.self.Name, Life: e.self.Incarnation, Mask: mask}, e.table.Version)
+		e.move("anew", placement.AdoptionClaim{Name: e.self.Name, Incarnation: e.self.Incarnation, Partitions: mask}, e.table.Version)
 	}
 }
 
@@ -259,11 +259,11 @@
 	owners, masks := e.orphans()
 	for _, owner := range owners {
 		var mask uint32
-		for part := range placement.Parts {
+		for part := range placement.PartitionCount {
 			if masks[owner]&(1<<part) == 0 {
 				continue
 			}
-			if _, _, claim := e.table.HeirOf(owner.Name, owner.Incarnation, part); claim {
+			if _, _, claim := e.table.SuccessorOf(owner.Name, owner.Incarnation, part); claim {
 				continue
 			}
 			if n := e.turn(part); n >= 0 && e.now >= e.noted[owner]+float64(n)*claimMS {
@@ -271,7 +271,7 @@
 			}
 		}
 		if mask != 0 {
-			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Incarnation, Heir: e.self.Name, HeirLife: e.self.Incarnation, Mask: mask}, 0)
+			e.move("claim", placement.AdoptionClaim{Name: owner.Name, Incarnation: owner.Incarnation, Successor: e.self.Name, SuccessorIncarnation: e.self.Incarnation, Partitions: mask}, 0)
 		}
 	}
 }
@@ -283,7 +283,7 @@
 	for _, owner := range owners {
 		if owner.Name == name && e.chaired() {
 			n++
-			e.move("claim", placement.Claim{Name: owner.Name, Life: owner.Incarnation, Heir: e.self.Name, HeirLife: e.self.Incarnation, Mask: masks[owner]}, 0)
+			e.move("claim", placement.AdoptionClaim{Name: owner.Name, Incarnation: owner.Incarnation, Successor: e.self.Name, SuccessorIncarnation: e.self.Incarnation, Partitions: masks[owner]}, 0)
 		}
 	}
 	e.do(Effect{Kind: LogMessage, Text: "claimed as an operator wants it", ID: name, Count: n})
@@ -292,7 +292,7 @@
 // turn is which of those that sit in a part and know all this controller is; below 0: none.
 func (e *Manager) turn(part int) int {
 	n := 0
-	for _, c := range e.table.Parts[part].Now {
+	for _, c := range e.table.Partitions[part].Current {
 		if !c.Ready || !e.sits(c) {
 			continue
 		}
@@ -444,11 +444,11 @@
 // settleClaims gives claims back of which nothing is left.
 func (e *Manager) settleClaims() {
 	for _, c := range e.table.Claims {
-		if c.Heir != e.self.Name || c.HeirLife != e.self.Incarnation {
+		if c.Successor != e.self.Name || c.SuccessorIncarnation != e.self.Incarnation {
 			continue
 		}
-		owner := Member{c.Name, c.Life}
-		mask := c.Mask
+		owner := Member{c.Name, c.Incarnation}
+		mask := c.Partitions
 		for _, i := range e.inherits {
 			if i.owner == owner && i.lined == 0 {
 				mask &^= 1 << i.part
@@ -462,7 +462,7 @@
 			}
 		}
 		if mask != 0 {
-			c.Mask = mask
+			c.Partitions = mask
 			e.move("settled", c, 0)
 		}
 	}
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -16,7 +16,7 @@
 	t      *testing.T
 	now    float64
 	ends   []*Manager
-	places []placement.Place
+	places []placement.Member
 	table  placement.Table
 	down   map[int]bool
 	mute   func(from, to int, it *Item) bool // whether an item is lost on its way
@@ -35,12 +35,12 @@
 	}
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		w.places = append(w.places, placement.Place{Name: name, Life: 1})
+		w.places = append(w.places, placement.Member{Name: name, Incarnation: 1})
 		w.ends = append(w.ends, New(Member{name, 1}, given, uint32(k)))
 		w.got = append(w.got, map[EffectKind][]Effect{})
 	}
-	w.table.Reseat(w.places, copies)
-	require.NotEmpty(t, w.table.Parts)
+	w.table.Reassign(w.places, copies)
+	require.NotEmpty(t, w.table.Partitions)
 	w.seat()
 	return w
 }
@@ -50,7 +50,7 @@
 	w.table.Step++
 	for k := range w.ends {
 		table := w.table.Clone()
-		places := append([]placement.Place(nil), w.places...)
+		places := append([]placement.Member(nil), w.places...)
 		w.step(k, &Event{Kind: PlacementChanged, Members: places, Table: &table})
 	}
 }
@@ -59,7 +59,7 @@
 func (w *world) lose(k int) {
 	w.down[k] = true
 	w.places[k].Lost = true
-	w.table.Reseat(w.places, 0)
+	w.table.Reassign(w.places, 0)
 	w.seat()
 }
 
@@ -81,13 +81,13 @@
 		changed := false
 		switch m.Proposal {
 		case "ready":
-			changed = w.table.Ready(w.places, m.Claim.Name, m.Claim.Life, m.Claim.Mask, m.Version)
+			changed = w.table.MarkReady(w.places, m.Claim.Name, m.Claim.Incarnation, m.Claim.Partitions, m.Version)
 		case "claim":
 			changed = w.table.Claim(w.places, m.Claim)
 		case "settled":
-			changed = w.table.Settled(m.Claim)
+			changed = w.table.Settle(m.Claim)
 		case "anew":
-			changed = w.table.Anew(w.places, m.Claim.Mask)
+			changed = w.table.Reinitialize(w.places, m.Claim.Partitions)
 		}
 		if changed {
 			w.seat()
--- a/internal/handoff/holder.go
+++ b/internal/handoff/holder.go
@@ -74,9 +74,9 @@
 
 // knowing tells whether this controller's chair in a part knows all that was said there.
 func (e *Manager) knowing(part int) bool {
-	p := &e.table.Parts[part]
-	is := func(c placement.Chair) bool { return c.Name == e.self.Name && c.Life == e.self.Incarnation }
-	if slices.ContainsFunc(p.Was, is) {
+	p := &e.table.Partitions[part]
+	is := func(c placement.Replica) bool { return c.Name == e.self.Name && c.Incarnation == e.self.Incarnation }
+	if slices.ContainsFunc(p.Previous, is) {
 		return true
 	}
 	c := e.chair(part)
@@ -93,7 +93,7 @@
 	if it.Op == OpFetch {
 		part = it.Partition
 	}
-	if part < 0 || part >= placement.Parts || !e.sat(part) {
+	if part < 0 || part >= placement.PartitionCount || !e.sat(part) {
 		return refused("not here")
 	}
 	if !e.held {
@@ -261,9 +261,9 @@
 
 // owned are the open copies of one life, by part: what is done for a part does not go through all.
 type owned struct {
-	parts [placement.Parts]map[Key]*kept
+	parts [placement.PartitionCount]map[Key]*kept
 	n     int
-	told  [placement.Parts]heardOf // what all of a part have heard of the loss of their owner
+	told  [placement.PartitionCount]heardOf // what all of a part have heard of the loss of their owner
 }
 
 // heardOf is what copies have heard.
@@ -292,7 +292,7 @@
 
 // mask has the parts in which there are some.
 func (o *owned) mask() (mask uint32) {
-	for part := range placement.Parts {
+	for part := range placement.PartitionCount {
 		if len(o.of(part)) > 0 {
 			mask |= 1 << part
 		}
@@ -386,7 +386,7 @@
 	e.save(k)
 	if e.lost(k.Owner) {
 		e.play(k, loses)
-		if _, _, claim := e.table.HeirOf(k.Owner.Name, k.Owner.Incarnation, k.key.Partition()); claim {
+		if _, _, claim := e.table.SuccessorOf(k.Owner.Name, k.Owner.Incarnation, k.key.Partition()); claim {
 			e.play(k, claims)
 		}
 	}
@@ -407,7 +407,7 @@
 
 // handOver has it that an heir goes on with what it has claimed.
 func (e *Manager) handOver(k *kept, from Member, it *Item) Item {
-	heir, life, claim := e.table.HeirOf(it.From.Name, it.From.Incarnation, it.Key.Partition())
+	heir, life, claim := e.table.SuccessorOf(it.From.Name, it.From.Incarnation, it.Key.Partition())
 	if !claim || heir != from.Name || life != from.Incarnation || it.Copy == nil {
 		return refused("not claimed")
 	}
--- a/internal/handoff/owner.go
+++ b/internal/handoff/owner.go
@@ -598,7 +598,7 @@
 // heardByAll tells whether all that sit have the last word of a search. Others may have answered, that sat before.
 func (e *Manager) heardByAll(m *mine) bool {
 	return !slices.ContainsFunc(e.sitting(m.key.Partition()), func(name string) bool {
-		return !slices.Contains(m.acks, Member{name, e.places[name].Life})
+		return !slices.Contains(m.acks, Member{name, e.places[name].Incarnation})
 	})
 }
 
@@ -647,7 +647,7 @@
 			m.nays = m.nays[:0]
 			it := e.item(m)
 			for _, name := range e.sitting(m.key.Partition()) {
-				if !slices.Contains(m.acks, Member{name, e.places[name].Life}) && !m.light {
+				if !slices.Contains(m.acks, Member{name, e.places[name].Incarnation}) && !m.light {
 					e.tell(name, it)
 				}
 			}
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -57,7 +57,7 @@
 }
 
 // Partition is which part of all work it belongs to.
-func (k Key) Partition() int { return int(k[0]) % placement.Parts }
+func (k Key) Partition() int { return int(k[0]) % placement.PartitionCount }
 
 // Member is one life of a controller.
 type Member struct {
@@ -160,7 +160,7 @@
 	To             string
 	Token          uint64
 	Incarnation    uint64
-	Members        []placement.Place
+	Members        []placement.Member
 	Table          *placement.Table
 }
 
@@ -206,7 +206,7 @@
 	Batch    *Batch
 	Token    uint64
 	Proposal string
-	Claim    placement.Claim
+	Claim    placement.AdoptionClaim
 	Version  uint64
 	Owner    string
 	Text     string
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -286,7 +286,7 @@
 		case handoff.ReplyOutcome:
 			out = t.reply(e, out)
 		case handoff.Propose:
-			t.log.WithFields(logrus.Fields{"motion": e.Proposal, "member": e.Claim.Name, "life": e.Claim.Life, "parts": e.Claim.Mask}).Info("estate: proposed")
+			t.log.WithFields(logrus.Fields{"motion": e.Proposal, "member": e.Claim.Name, "life": e.Claim.Incarnation, "parts": e.Claim.Partitions}).Info("estate: proposed")
 			t.seat.Propose(consensus.Proposal(e.Proposal, e.Claim, e.Version))
 		case handoff.RefreshPlacement:
 			if now > t.refreshed+refreshMS {
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -93,12 +93,12 @@
 		e.trustee.Close()
 	})
 	if part == e.trustee {
-		var places []placement.Place
+		var places []placement.Member
 		for _, n := range names {
-			places = append(places, placement.Place{Name: n, Life: 1})
+			places = append(places, placement.Member{Name: n, Incarnation: 1})
 		}
 		var table placement.Table
-		table.Reseat(places, 1)
+		table.Reassign(places, 1)
 		table.Step = 1
 		e.desk.Call(func(now float64) {
 			e.trustee.Step(now, &handoff.Event{Kind: handoff.PlacementChanged, Members: places, Table: &table})
--- a/internal/placement/golden_test.go
+++ b/internal/placement/golden_test.go
@@ -59,19 +59,19 @@
 // The table and what it is made of have the bytes that they had; who sits where is chosen as it was.
 func TestGolden_Chairs(t *testing.T) {
 	seated := Table{}
-	var places []Place
+	var places []Member
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		places = append(places, Place{Name: name, Life: 1, Zone: "z" + name})
+		places = append(places, Member{Name: name, Incarnation: 1, Zone: "z" + name})
 	}
-	require.True(t, seated.Reseat(places, 1))
+	require.True(t, seated.Reassign(places, 1))
 	places[1].Lost = true
-	require.True(t, seated.Reseat(places, 0))
-	claim := Claim{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}
+	require.True(t, seated.Reassign(places, 0))
+	claim := AdoptionClaim{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}
 	for name, value := range map[string]any{
-		"table": &Table{Version: 6, Step: 7, Copies: 1, Parts: []Part{{Now: []Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}},
-			Was: []Chair{{Name: "b", Life: 3}}}, {}}, Claims: []Claim{claim}},
-		"table-empty": &Table{}, "table-seated": &seated, "claim": &claim, "claim-empty": &Claim{}, "chair-empty": &Chair{},
-		"place": &Place{Name: "a", Life: 1, Lost: true, Zone: "z1"}, "place-empty": &Place{},
+		"table": &Table{Version: 6, Step: 7, Copies: 1, Partitions: []Partition{{Current: []Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
+			Previous: []Replica{{Name: "b", Incarnation: 3}}}, {}}, Claims: []AdoptionClaim{claim}},
+		"table-empty": &Table{}, "table-seated": &seated, "claim": &claim, "claim-empty": &AdoptionClaim{}, "chair-empty": &Replica{},
+		"place": &Member{Name: "a", Incarnation: 1, Lost: true, Zone: "z1"}, "place-empty": &Member{},
 	} {
 		goldenJSON(t, name+".json", value)
 	}
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -70,9 +70,9 @@
 
 // What members ask and answer has the bytes that it had.
 func TestGolden_SeatValues(t *testing.T) {
-	roll := Configuration{Members: []placement.Place{{Name: "a", Life: 1, Zone: "z1"}, {Name: "b", Life: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
-		Parts:  []placement.Part{{Now: []placement.Chair{{Name: "a", Life: 1, Ready: true}, {Name: "b", Life: 3}}, Was: []placement.Chair{{Name: "b", Life: 3}}}, {}},
-		Claims: []placement.Claim{{Name: "b", Life: 3, Heir: "a", HeirLife: 1, Mask: 9}}}}
+	roll := Configuration{Members: []placement.Member{{Name: "a", Incarnation: 1, Zone: "z1"}, {Name: "b", Incarnation: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
+		Partitions: []placement.Partition{{Current: []placement.Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}}, Previous: []placement.Replica{{Name: "b", Incarnation: 3}}}, {}},
+		Claims:     []placement.AdoptionClaim{{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}}}}
 	for name, value := range map[string]any{
 		"wish": &wish{Name: "a", Life: 3}, "wish-release": &wish{Name: "a", Life: 3, Release: true}, "wish-empty": &wish{},
 		"roll": &roll, "roll-empty": &Configuration{}, "planned-empty": &AgreedPlan{},
--- a/internal/raftnode/roll.go
+++ b/internal/raftnode/roll.go
@@ -11,9 +11,9 @@
 
 // Configuration is who is in and who sits where, as agreed, and where all are, as heard.
 type Configuration struct {
-	Members   []placement.Place `json:"Places"`
-	Table     placement.Table   `json:"Table"`
-	Addresses map[string]string `json:"-"`
+	Members   []placement.Member `json:"Places"`
+	Table     placement.Table    `json:"Table"`
+	Addresses map[string]string  `json:"-"`
 }
 
 // roll tells of a change.
