--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -77,7 +77,7 @@
 	for _, n := range t.cores {
 		sum += n
 	}
-	return t.tree.Step(now, &quota.Event{Kind: quota.Sized, Cores: sum})
+	return t.tree.Step(now, &quota.Event{Kind: quota.CapacityChanged, Cores: sum})
 }
 
 // Step tells the tree, and the book of waits, of an event.
@@ -90,20 +90,20 @@
 	}
 	effects := t.tree.Step(now, ev)
 	switch w := t.open[ev.ID]; {
-	case ev.Kind == quota.Asked:
-		w = &waiting{team: ev.Team, offering: ev.Offering}
+	case ev.Kind == quota.RequestQueued:
+		w = &waiting{team: ev.Team, offering: ev.Class}
 		w.told = t.tell(now, ev.ID, w)
 		w.last = w.told
 		if t.open[ev.ID] = w; t.seen {
 			t.asked[ev.ID] = struct{}{}
 		}
 	case w == nil:
-	case ev.Kind == quota.Sent && !w.started:
+	case ev.Kind == quota.AttemptStarted && !w.started:
 		w.started = true
 		delete(t.asked, ev.ID)
 		t.book.Started(now, w.team, w.offering, w.told)
-	case ev.Kind == quota.Closed:
-		if ev.Handled {
+	case ev.Kind == quota.RequestClosed:
+		if ev.Succeeded {
 			t.book.Ended(now, w.team, w.offering, w.told)
 		}
 		delete(t.open, ev.ID)
@@ -113,7 +113,7 @@
 }
 
 func (t *teams) tell(now float64, id string, w *waiting) waitestimate.Told {
-	ahead, threads, run := t.tree.Line(id)
+	ahead, threads, run := t.tree.WaitQueue(id)
 	return t.book.Tell(now, w.team, w.offering, waitestimate.Line{AheadMS: ahead, Threads: threads, RunMS: run})
 }
 
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -76,14 +76,14 @@
 func (t *teams) show() map[string]any {
 	c := t.tree.Counts()
 	var list []any
-	for _, s := range t.tree.Standings() {
+	for _, s := range t.tree.Statuses() {
 		list = append(list, map[string]any{"team": s.Team.Name, "parent": s.Team.Parent, "weight": s.Team.Weight,
-			"queued": float64(s.Queued), "hand": float64(s.Hand), "threads": s.Threads, "due": s.Due, "memory_mb": s.Memory,
+			"queued": float64(s.Queued), "hand": float64(s.InFlight), "threads": s.Threads, "due": s.FairShare, "memory_mb": s.Memory,
 			"work_ms": math.Round(s.Work), "blocked": s.Blocked, "oldest_ms": s.OldestMS, "bound_ms": s.BoundMS, "borrows": s.Borrows,
-			"lends": s.Lends, "pressed": float64(s.Pressed), "ceiling": s.Team.Ceiling, "searches": float64(s.Team.Searches)})
+			"lends": s.Lends, "pressed": float64(s.Capped), "ceiling": s.Team.Ceiling, "searches": float64(s.Team.MaxInFlight)})
 	}
 	return map[string]any{"teams": list, "part": t.part, "offered": float64(c.Offered), "aged": float64(c.Aged),
-		"pressed": float64(c.Pressed), "eased": float64(c.Eased), "overdue": float64(c.Overdue), "overflow": float64(c.Overflow),
+		"pressed": float64(c.Capped), "eased": float64(c.Uncapped), "overdue": float64(c.Overdue), "overflow": float64(c.Overflow),
 		"unknown": float64(c.Unknown), "queued": float64(c.Queued), "longest_ms": c.LongestMS}
 }
 
@@ -132,7 +132,7 @@
 	}{
 		{"weight", 1e-3, 1e6, func(v float64) { team.Weight = v }}, {"ceiling", 0.001, 1, func(v float64) { team.Ceiling = v }},
 		{"threads", 0, 1e6, func(v float64) { team.Threads = v }}, {"memory_mb", 0, 1e9, func(v float64) { team.MemoryMB = v }},
-		{"searches", 0, 1e6, func(v float64) { team.Searches = int(v) }}, {"queue", 0, 1e7, func(v float64) { team.Queue = int(v) }},
+		{"searches", 0, 1e6, func(v float64) { team.MaxInFlight = int(v) }}, {"queue", 0, 1e7, func(v float64) { team.MaxQueued = int(v) }},
 	} {
 		v, given := fields[f.name]
 		if !given {
@@ -144,12 +144,12 @@
 		}
 		f.set(n)
 	}
-	i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: *team})))
+	i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(now, &quota.Event{Kind: quota.TeamChanged, NewLimits: *team})))
 	i.log.WithField("team", name).WithField("who", who).Warn("budgets: a team's limits were changed")
 	if i.keep == nil {
 		return map[string]any{"lasts": false}, nil
 	}
-	text, err := json.Marshal(limit{team.Weight, team.Ceiling, team.Threads, team.MemoryMB, team.Searches, team.Queue, time.Now().UTC()})
+	text, err := json.Marshal(limit{team.Weight, team.Ceiling, team.Threads, team.MemoryMB, team.MaxInFlight, team.MaxQueued, time.Now().UTC()})
 	if err != nil {
 		return nil, err
 	}
@@ -176,8 +176,8 @@
 			continue
 		}
 		t := teams[k]
-		t.Weight, t.Ceiling, t.Threads, t.MemoryMB, t.Searches, t.Queue = l.Weight, l.Ceiling, l.Threads, l.MemoryMB, l.Searches, l.Queue
-		i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(0, &quota.Event{Kind: quota.Changed, Set: t})))
+		t.Weight, t.Ceiling, t.Threads, t.MemoryMB, t.MaxInFlight, t.MaxQueued = l.Weight, l.Ceiling, l.Threads, l.MemoryMB, l.Searches, l.Queue
+		i.desk.Execute(dispatch.AppendQuotaCommands(nil, i.team.tree.Step(0, &quota.Event{Kind: quota.TeamChanged, NewLimits: t})))
 		log.Info("budgets: limits set at run time hold")
 	}
 }
@@ -185,6 +185,6 @@
 // reset takes over the figures of a file that was read again.
 func (t *teams) reset(d *dispatch.Loop, now float64, next *operatorconfig.Quotas) {
 	for _, team := range next.Teams {
-		d.Execute(dispatch.AppendQuotaCommands(nil, t.tree.Step(now, &quota.Event{Kind: quota.Changed, Set: team})))
+		d.Execute(dispatch.AppendQuotaCommands(nil, t.tree.Step(now, &quota.Event{Kind: quota.TeamChanged, NewLimits: team})))
 	}
 }
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -332,7 +332,7 @@
 	if err != nil {
 		return nil // of constants alone
 	}
-	t.Step(0, &quota.Event{Kind: quota.Sized, Cores: threads / 1.2})
+	t.Step(0, &quota.Event{Kind: quota.CapacityChanged, Cores: threads / 1.2})
 	return &fair{tree: t, items: map[string]item{}}
 }
 
@@ -341,8 +341,8 @@
 		if e.Kind != quota.Offer {
 			continue
 		}
-		if e.Now {
-			f.step(now, &quota.Event{Kind: quota.Back, ID: e.ID})
+		if e.Immediate {
+			f.step(now, &quota.Event{Kind: quota.RequestReturned, ID: e.ID})
 			continue
 		}
 		f.ready = append(f.ready, e.ID)
@@ -351,7 +351,7 @@
 
 func (f *fair) put(now float64, x item) {
 	f.items[x.id] = x
-	f.step(now, &quota.Event{Kind: quota.Asked, ID: x.id, Team: x.team, Offering: "look", WorkMS: x.work, Until: now + 1e7})
+	f.step(now, &quota.Event{Kind: quota.RequestQueued, ID: x.id, Team: x.team, Class: "look", WorkMS: x.work, Deadline: now + 1e7})
 }
 func (f *fair) take(now float64) (x item, ok bool) {
 	if len(f.ready) == 0 {
@@ -359,13 +359,13 @@
 	}
 	x = f.items[f.ready[0]]
 	f.ready = f.ready[1:]
-	f.step(now, &quota.Event{Kind: quota.Sent, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.AttemptStarted, ID: x.id})
 	return x, true
 }
 func (f *fair) ended(now float64, x item) {
 	delete(f.items, x.id)
-	f.step(now, &quota.Event{Kind: quota.ShotEnded, ID: x.id})
-	f.step(now, &quota.Event{Kind: quota.Closed, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.AttemptEnded, ID: x.id})
+	f.step(now, &quota.Event{Kind: quota.RequestClosed, ID: x.id})
 }
 func (f *fair) tick(now float64) { f.step(now, &quota.Event{Kind: quota.Ticked}) }
 
@@ -467,7 +467,7 @@
 	}
 	c := f.tree.Counts()
 	return append(all, Figure{"budgets.simulated_lookup_wait_p99_against_strict", p99["budgets"] / p99["strict"], "x", "<=", 1.5}, Figure{"budgets.longest_wait_against_bound", worst / slices.Max(bounds), "x", "<=", 1},
-		Figure{"budgets.pressed_and_eased_a_second", float64(c.Pressed+c.Eased) / 60, "1/s", "<=", 50}), nil
+		Figure{"budgets.pressed_and_eased_a_second", float64(c.Capped+c.Uncapped) / 60, "1/s", "<=", 50}), nil
 }
 
 // sorted is the plain structure: all that wait in one slice, in the order of their starts; heaped the same in one heap.
@@ -524,15 +524,15 @@
 			var ready []string
 			step := func(ev *quota.Event) {
 				for _, e := range tree.Step(now, ev) {
-					if e.Kind == quota.Offer && !e.Now {
+					if e.Kind == quota.Offer && !e.Immediate {
 						ready = append(ready, e.ID)
-					} else if e.Now {
+					} else if e.Immediate {
 						ready = append(ready, "?"+e.ID)
 					}
 				}
 			}
 			ask := func() {
-				step(&quota.Event{Kind: quota.Asked, ID: ids[n%len(ids)], Team: names[n*7919%teams], Offering: "look", WorkMS: 10, Until: 1e15})
+				step(&quota.Event{Kind: quota.RequestQueued, ID: ids[n%len(ids)], Team: names[n*7919%teams], Class: "look", WorkMS: 10, Deadline: 1e15})
 				n++
 			}
 			bytes, kept := heapBytes(func() any {
@@ -548,12 +548,12 @@
 					id := ready[0]
 					ready = ready[1:]
 					if id[0] == '?' {
-						step(&quota.Event{Kind: quota.Back, ID: id[1:]})
+						step(&quota.Event{Kind: quota.RequestReturned, ID: id[1:]})
 						continue
 					}
-					step(&quota.Event{Kind: quota.Sent, ID: id})
-					step(&quota.Event{Kind: quota.ShotEnded, ID: id})
-					step(&quota.Event{Kind: quota.Closed, ID: id})
+					step(&quota.Event{Kind: quota.AttemptStarted, ID: id})
+					step(&quota.Event{Kind: quota.AttemptEnded, ID: id})
+					step(&quota.Event{Kind: quota.RequestClosed, ID: id})
 					return
 				}
 			}
--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -33,20 +33,20 @@
 	switch s := h.Request; h.Kind {
 	case RequestEntered:
 		out = append(out, Command{Kind: HoldRequest})
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Asked, ID: s.ID, Team: b.TeamOf(s), Offering: s.Class, WorkMS: s.WorkMS,
-			NeedMB: s.MemoryMB, Until: s.Deadline, Ordered: s.OrderKey != ""}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.RequestQueued, ID: s.ID, Team: b.TeamOf(s), Class: s.Class, WorkMS: s.WorkMS,
+			MemoryMB: s.MemoryMB, Deadline: s.Deadline, Ordered: s.OrderKey != ""}))
 		if s.WantsWaitEstimate {
 			start, end := b.WaitEstimate(now, s.ID)
 			out = append(out, Command{Kind: ReportWait, ID: s.ID, StartMS: start, EndMS: end})
 		}
 	case AttemptStarted:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Sent, ID: s.ID, GrantMB: h.GrantMB}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.AttemptStarted, ID: s.ID, GrantMB: h.GrantMB}))
 	case AttemptEnded:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.ShotEnded, ID: s.ID}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.AttemptEnded, ID: s.ID}))
 	case RequestReturned:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Back, ID: s.ID}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.RequestReturned, ID: s.ID}))
 	case RequestClosed:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closed, ID: s.ID, SpentMS: h.CostMS, Handled: h.Outcome == ledger.Succeeded}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.RequestClosed, ID: s.ID, CostMS: h.CostMS, Succeeded: h.Outcome == ledger.Succeeded}))
 	case RequestRejecting:
 		// When its request would have begun, where that is known and no longer than may be told.
 		if start, _ := b.WaitEstimate(now, s.ID); h.AfterMS > 0 && start > 0 {
@@ -55,7 +55,7 @@
 	case EndpointsUpdated:
 		out = AppendQuotaCommands(out, b.EndpointsUpdated(now, h.List.List, h.List.Entries))
 	case ShutdownStarted:
-		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Closing}))
+		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.ShutdownStarted}))
 	case Ticked:
 		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.Ticked}))
 		b.ChangedEstimates(now, func(id string, start, end float64) {
@@ -73,7 +73,7 @@
 // AppendQuotaCommands appends what budgets want.
 func AppendQuotaCommands(out []Command, effects []quota.Effect) []Command {
 	for _, e := range effects {
-		f := Command{Kind: CapPriority, ID: e.ID, PriorityCap: e.Start, MemoryShare: e.Grant, Blocked: e.Full, Immediate: e.Now}
+		f := Command{Kind: CapPriority, ID: e.ID, PriorityCap: e.PriorityCap, MemoryShare: e.MemoryShare, Blocked: e.QueueFull, Immediate: e.Immediate}
 		if e.Kind == quota.Offer {
 			f.Kind = OfferRequest
 		}
--- a/internal/dispatch/budgets_test.go
+++ b/internal/dispatch/budgets_test.go
@@ -24,7 +24,7 @@
 }
 func (p *purse) TeamOf(s *Request) string { return "team of " + s.Team }
 func (p *purse) EndpointsUpdated(float64, scheduler.ListKind, []scheduler.Entry) []quota.Effect {
-	return p.wants[quota.Sized]
+	return p.wants[quota.CapacityChanged]
 }
 func (p *purse) WaitEstimate(float64, string) (float64, float64)                 { return p.wait, p.wait + 10 }
 func (p *purse) PeerMessages(float64) []quotashare.Message                       { return nil }
@@ -68,8 +68,8 @@
 
 // A request stands in line until it is offered; the module then gets it with what the budgets say, and they hear all of it.
 func TestARequestReachesTheModuleOnceItIsOffered(t *testing.T) {
-	p, f := &purse{wait: 50, wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Start: 500, Grant: 0.7}},
-		quota.Sent: {{Kind: quota.Press, ID: "a", Start: 500}, {Kind: quota.Offer, ID: "a"}, {Kind: quota.Offer, ID: "gone"}}}}, &told{}
+	p, f := &purse{wait: 50, wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", PriorityCap: 500, MemoryShare: 0.7}},
+		quota.AttemptStarted: {{Kind: quota.CapPriority, ID: "a", PriorityCap: 500}, {Kind: quota.Offer, ID: "a"}, {Kind: quota.Offer, ID: "gone"}}}}, &told{}
 	d, one := lined(p, f, nil)
 	assert.Nil(t, one.last(scheduler.Taken), "nothing yet")
 	assert.Equal(t, "team of x", p.told[0].Team)
@@ -83,8 +83,8 @@
 	assert.Equal(t, 500.0, one.last(scheduler.Pressed).Start)
 	p.wants = nil
 	d.play(end(scheduler.Handled))
-	assert.Equal(t, []quota.EventKind{quota.Asked, quota.Ticked, quota.Sent, quota.ShotEnded, quota.Closed}, p.kinds())
-	assert.True(t, p.told[4].Handled)
+	assert.Equal(t, []quota.EventKind{quota.RequestQueued, quota.Ticked, quota.AttemptStarted, quota.AttemptEnded, quota.RequestClosed}, p.kinds())
+	assert.True(t, p.told[4].Succeeded)
 	assert.Empty(t, d.requests)
 	d.offer(&Command{Kind: CapPriority, ID: "a", PriorityCap: 500}) // it crosses the answer
 	assert.Equal(t, []string{"handled"}, f.did)
@@ -93,13 +93,13 @@
 // What the module gives back stands in line again; a client that leaves meanwhile is forgotten, and a denial names the wait.
 func TestWhatIsGivenBackStandsInLine(t *testing.T) {
 	back := map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Back, Request: "a"}}}
-	p, f := &purse{wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Now: true}}}}, &told{}
+	p, f := &purse{wants: map[quota.EventKind][]quota.Effect{quota.Ticked: {{Kind: quota.Offer, ID: "a", Immediate: true}}}}, &told{}
 	d, one := lined(p, f, nil)
 	one.on = back
 	d.tick()
 	assert.True(t, one.last(scheduler.Taken).Now)
 	assert.True(t, d.requests["a"].inLine)
-	assert.Equal(t, quota.Back, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.RequestReturned, p.told[len(p.told)-1].Kind)
 	one.on = map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {{Kind: scheduler.Deny, Request: "a", AfterMS: 400}}}
 	p.wait = 300
 	d.tick()
@@ -107,7 +107,7 @@
 	assert.Empty(t, d.requests)
 	d, _ = lined(p, f, nil)
 	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
-	assert.Equal(t, quota.Closed, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.RequestClosed, p.told[len(p.told)-1].Kind)
 	assert.Empty(t, d.requests)
 	assert.Zero(t, d.OpenRequests())
 }
@@ -122,7 +122,7 @@
 	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: 1, Data: []byte{0}}})
 	assert.NotNil(t, one.last(scheduler.Heard))
 	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Closing}})
-	assert.Equal(t, quota.Closing, p.told[len(p.told)-1].Kind)
+	assert.Equal(t, quota.ShutdownStarted, p.told[len(p.told)-1].Kind)
 	go d.Run()
 	called := false
 	assert.True(t, d.Call(func(float64) { called = true }))
--- a/internal/operatorconfig/budgets.go
+++ b/internal/operatorconfig/budgets.go
@@ -62,8 +62,8 @@
 	}
 	for _, t := range v.kids["team"] {
 		b.Teams = append(b.Teams, quota.Team{Name: t.label, Parent: t.texts["parent"], Weight: t.nums["weight"],
-			Guaranteed: t.nums["guaranteed"], Ceiling: t.nums["ceiling"], BurstMS: t.nums["burst"], Searches: int(t.nums["searches"]),
-			Threads: t.nums["threads"], MemoryMB: t.nums["memory"] / miB, Queue: int(t.nums["queue"])})
+			GuaranteedShare: t.nums["guaranteed"], Ceiling: t.nums["ceiling"], BurstMS: t.nums["burst"], MaxInFlight: int(t.nums["searches"]),
+			Threads: t.nums["threads"], MemoryMB: t.nums["memory"] / miB, MaxQueued: int(t.nums["queue"])})
 		b.Attribution.Teams[t.label] = true
 	}
 	puts := map[string]func(name, team string) error{
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	w := &world{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
 		lost: map[string]int{}, pressed: map[string]int{}, info: map[string]ask{}, slow: 1}
-	w.play(&Event{Kind: Sized, Cores: threads / perCore})
+	w.play(&Event{Kind: CapacityChanged, Cores: threads / perCore})
 	return w
 }
 
@@ -77,10 +77,10 @@
 	for _, e := range w.Step(w.now, ev) {
 		switch e.Kind {
 		case Offer:
-			w.at = append(w.at, waiting{e.ID, e.Now})
-		case Press:
+			w.at = append(w.at, waiting{e.ID, e.Immediate})
+		case CapPriority:
 			w.pressed[e.ID]++
-		case Ease:
+		case UncapPriority:
 			w.pressed[e.ID]--
 		}
 	}
@@ -91,7 +91,7 @@
 	w.n++
 	id := fmt.Sprint(team, "-", w.n)
 	w.info[id] = ask{team, offering, work, w.now, until}
-	w.play(&Event{Kind: Asked, ID: id, Team: team, Offering: offering, WorkMS: estimate, NeedMB: 10, Until: until})
+	w.play(&Event{Kind: RequestQueued, ID: id, Team: team, Class: offering, WorkMS: estimate, MemoryMB: 10, Deadline: until})
 	w.place()
 	return id
 }
@@ -106,7 +106,7 @@
 		case w.now+a.work/need > a.until:
 			w.lost[a.team]++
 			w.at = append(w.at[:k], w.at[k+1:]...)
-			w.play(&Event{Kind: Closed, ID: id})
+			w.play(&Event{Kind: RequestClosed, ID: id})
 			k = -1
 		case w.threads >= need && (w.only == nil || w.only[a.offering] >= need):
 			w.threads -= need
@@ -116,11 +116,11 @@
 			w.waits[a.team] = append(w.waits[a.team], w.now-a.at)
 			w.runs = append(w.runs, run{id, w.now + a.work/need*w.slow})
 			w.at = append(w.at[:k], w.at[k+1:]...)
-			w.play(&Event{Kind: Sent, ID: id})
+			w.play(&Event{Kind: AttemptStarted, ID: id})
 			k = -1
 		case w.at[k].now:
 			w.at = append(w.at[:k], w.at[k+1:]...)
-			w.play(&Event{Kind: Back, ID: id})
+			w.play(&Event{Kind: RequestReturned, ID: id})
 			k--
 		}
 	}
@@ -142,8 +142,8 @@
 					w.only[a.offering] += threadsOf[a.offering]
 				}
 				w.runs = append(w.runs[:k], w.runs[k+1:]...)
-				w.play(&Event{Kind: ShotEnded, ID: r.id})
-				w.play(&Event{Kind: Closed, ID: r.id})
+				w.play(&Event{Kind: AttemptEnded, ID: r.id})
+				w.play(&Event{Kind: RequestClosed, ID: r.id})
 				k--
 			}
 		}
--- a/internal/quota/press.go
+++ b/internal/quota/press.go
@@ -24,8 +24,8 @@
 	next   pressing
 	effect EffectKind
 }{
-	{free, short, down, Press},
-	{down, calm, free, Ease},
+	{free, short, down, CapPriority},
+	{down, calm, free, UncapPriority},
 }
 
 // press looks whether a team that waits is short of what it is due, and then holds down what runs for those that use
@@ -84,15 +84,15 @@
 				break
 			}
 			s.press, s.changed, t.changedAt = r.next, t.now, max(t.changedAt+changesMS, t.now-200)
-			if over[s.leaf] -= o.threads; r.effect == Press {
-				t.counts.Pressed++
+			if over[s.leaf] -= o.threads; r.effect == CapPriority {
+				t.counts.Capped++
 				t.nodes[s.leaf].pressed++
 				t.pressed = true
-				t.do(Effect{Kind: Press, ID: s.id, Start: pressedTo, Grant: lendMemory})
+				t.do(Effect{Kind: CapPriority, ID: s.id, PriorityCap: pressedTo, MemoryShare: lendMemory})
 			} else {
-				t.counts.Eased++
+				t.counts.Uncapped++
 				t.nodes[s.leaf].pressed--
-				t.do(Effect{Kind: Ease, ID: s.id})
+				t.do(Effect{Kind: UncapPriority, ID: s.id})
 			}
 			break
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -40,16 +40,16 @@
 
 // Team is one budget as it is set. Zero means none for limits, the whole for a ceiling.
 type Team struct {
-	Name       string
-	Parent     string  // empty: the installation itself
-	Weight     float64 // against its siblings; 0: 1
-	Guaranteed float64 // share of its parent's, whatever the weights
-	Ceiling    float64 // share of the whole installation that it never passes in the long run
-	BurstMS    float64
-	Searches   int     // in hand, past the queue
-	Threads    float64 // on executors
-	MemoryMB   float64 // granted there
-	Queue      int     // that may wait; further ones go to the module at once, to be turned away
+	Name            string
+	Parent          string  // empty: the installation itself
+	Weight          float64 // against its siblings; 0: 1
+	GuaranteedShare float64 // share of its parent's, whatever the weights
+	Ceiling         float64 // share of the whole installation that it never passes in the long run
+	BurstMS         float64
+	MaxInFlight     int     // in hand, past the queue
+	Threads         float64 // on executors
+	MemoryMB        float64 // granted there
+	MaxQueued       int     // that may wait; further ones go to the module at once, to be turned away
 }
 
 // EventKind tells what an Event reports.
@@ -57,33 +57,33 @@
 
 // The events.
 const (
-	Asked     EventKind = iota // a search came in
-	Sent                       // a shot of it has left
-	ShotEnded                  // a shot has ended
-	Closed                     // it has its answer, or its client left
-	Sized                      // the installation has so many cores
-	Ticked                     // time went by
-	Closing                    // this controller stops: all that waits is offered
-	Changed                    // a team has other limits
-	Back                       // the module could not send at once what was offered for that
+	RequestQueued   EventKind = iota // a search came in
+	AttemptStarted                   // a shot of it has left
+	AttemptEnded                     // a shot has ended
+	RequestClosed                    // it has its answer, or its client left
+	CapacityChanged                  // the installation has so many cores
+	Ticked                           // time went by
+	ShutdownStarted                  // this controller stops: all that waits is offered
+	TeamChanged                      // a team has other limits
+	RequestReturned                  // the module could not send at once what was offered for that
 )
 
 // Event is one thing that the tree is told. Only the fields of its kind are set.
 type Event struct {
-	Kind     EventKind
-	ID       string
-	Team     string // Asked: an unknown one is the default
-	Offering string // Asked
-	WorkMS   float64
-	NeedMB   float64
-	Until    float64
-	Shot     int
-	GrantMB  float64 // Sent
-	SpentMS  float64 // Closed: what it took, where told
-	Handled  bool    // Closed: it was
-	Ordered  bool    // Asked: it has a key; where its offering keeps their order, it is not held back here, only charged
-	Cores    float64 // Sized
-	Set      Team    // Changed
+	Kind      EventKind
+	ID        string
+	Team      string // RequestQueued: an unknown one is the default
+	Class     string // RequestQueued
+	WorkMS    float64
+	MemoryMB  float64
+	Deadline  float64
+	Attempt   int
+	GrantMB   float64 // AttemptStarted
+	CostMS    float64 // RequestClosed: what it took, where told
+	Succeeded bool    // RequestClosed: it was
+	Ordered   bool    // RequestQueued: it has a key; where its offering keeps their order, it is not held back here, only charged
+	Cores     float64 // CapacityChanged
+	NewLimits Team    // TeamChanged
 }
 
 // EffectKind tells what an Effect asks for.
@@ -91,19 +91,19 @@
 
 // The effects.
 const (
-	Offer EffectKind = iota // hand the search to the module, to start at priority Start (0: the usual)
-	Press                   // hold the search's priority under Start
-	Ease                    // no longer
+	Offer         EffectKind = iota // hand the search to the module, to start at priority Start (0: the usual)
+	CapPriority                     // hold the search's priority under Start
+	UncapPriority                   // no longer
 )
 
 // Effect is one thing that the tree wants done, in the order given.
 type Effect struct {
-	Kind  EffectKind
-	ID    string
-	Start float64
-	Grant float64 // part of the memory asked for; 0: all
-	Full  bool    // Offer: its team's queue is full, so that the module is to turn it away
-	Now   bool    // Offer: only if it can be sent at once; else it goes on waiting here (Back)
+	Kind        EffectKind
+	ID          string
+	PriorityCap float64
+	MemoryShare float64 // part of the memory asked for; 0: all
+	QueueFull   bool    // Offer: its team's queue is full, so that the module is to turn it away
+	Immediate   bool    // Offer: only if it can be sent at once; else it goes on waiting here (Back)
 }
 
 // offering is what the settings say of one.
@@ -156,9 +156,9 @@
 
 // Counts are what the tree counts, since its start.
 type Counts struct {
-	Offered, Aged, Pressed, Eased, Overdue, Overflow, Unknown uint64
-	Queued                                                    int
-	LongestMS                                                 float64 // of all waits so far
+	Offered, Aged, Capped, Uncapped, Overdue, Overflow, Unknown uint64
+	Queued                                                      int
+	LongestMS                                                   float64 // of all waits so far
 }
 
 // New gives a tree. Of the settings it reads the offerings and age_ms; the team named by fallback takes what is nobody's.
@@ -227,14 +227,14 @@
 	for k := range t.nodes {
 		sure, weights := 0.0, 0.0
 		for _, c := range t.nodes[k].kids {
-			sure, weights = sure+t.nodes[c].team.Guaranteed, weights+t.nodes[c].weight()
+			sure, weights = sure+t.nodes[c].team.GuaranteedShare, weights+t.nodes[c].weight()
 		}
 		if sure > 1+1e-9 {
 			return fmt.Errorf("what is guaranteed under %q adds up to %g", t.nodes[k].team.Name, sure)
 		}
 		for _, c := range t.nodes[k].kids {
 			n := &t.nodes[c]
-			n.share = max(1e-6, n.team.Guaranteed+(1-sure)*n.weight()/weights)
+			n.share = max(1e-6, n.team.GuaranteedShare+(1-sure)*n.weight()/weights)
 		}
 	}
 	for k := 1; k < len(t.nodes); k++ { // parents stand before their children
@@ -250,30 +250,30 @@
 func (t *Tree) Step(now float64, ev *Event) []Effect {
 	t.now, t.out = max(t.now, now), t.out[:0]
 	switch ev.Kind {
-	case Asked:
+	case RequestQueued:
 		t.ask(ev)
-	case Sent:
+	case AttemptStarted:
 		t.sent(ev)
-	case ShotEnded:
+	case AttemptEnded:
 		t.shotEnded(ev)
-	case Closed:
+	case RequestClosed:
 		t.close(ev)
-	case Sized:
+	case CapacityChanged:
 		t.total = perCore * max(1, ev.Cores)
 	case Ticked:
 		t.tick()
-	case Closing:
+	case ShutdownStarted:
 		t.closing = true
 		for t.queue.first != none {
 			t.offer(t.queue.first, false)
 		}
-	case Back:
+	case RequestReturned:
 		if p := t.slab.find(ev.ID); p != none {
 			t.offerings[t.slab.at(p).offering].trying, t.slab.at(p).trying = false, false
 			return t.out // nothing has become free by it
 		}
-	case Changed:
-		t.change(ev.Set)
+	case TeamChanged:
+		t.change(ev.NewLimits)
 	}
 	t.serve()
 	return t.out
@@ -285,7 +285,7 @@
 func (t *Tree) ask(ev *Event) {
 	o := -1
 	for k := range t.offerings {
-		if t.offerings[k].name == ev.Offering {
+		if t.offerings[k].name == ev.Class {
 			o = k
 		}
 	}
@@ -296,17 +296,17 @@
 		}
 	}
 	n := &t.nodes[leaf]
-	full := n.team.Queue > 0 && n.queued >= n.team.Queue
+	full := n.team.MaxQueued > 0 && n.queued >= n.team.MaxQueued
 	if o < 0 || t.closing || full || t.slab.find(ev.ID) != none { // nothing that this tree could order: the module decides
 		if full {
 			t.counts.Overflow++
 		}
-		t.do(Effect{Kind: Offer, ID: ev.ID, Full: full})
+		t.do(Effect{Kind: Offer, ID: ev.ID, QueueFull: full})
 		return
 	}
 	p := t.slab.take(ev.ID)
 	s := t.slab.at(p)
-	s.leaf, s.offering, s.asked, s.until, s.need, s.estimate = leaf, int16(o), t.now, ev.Until, ev.NeedMB, ev.WorkMS
+	s.leaf, s.offering, s.asked, s.until, s.need, s.estimate = leaf, int16(o), t.now, ev.Deadline, ev.MemoryMB, ev.WorkMS
 	s.cost = t.expected(n, o, ev.WorkMS)
 	t.came(leaf)
 	s.mark = n.came
@@ -317,7 +317,7 @@
 		return
 	}
 	// Where it can't be done in time any more, it is offered whoever else waits, so that its answer comes at once.
-	t.due.push(ev.Until-closingMS-s.cost/t.offerings[o].threads, p, s.turn)
+	t.due.push(ev.Deadline-closingMS-s.cost/t.offerings[o].threads, p, s.turn)
 }
 
 // expected is what a search will take, in ms of one thread: its estimate, corrected by what estimates of this team came to.
@@ -351,7 +351,7 @@
 		}
 		if p := t.pick(o); p != none && (t.moving == 0 || !t.past(t.slab.at(p).leaf)) {
 			t.offerings[o].trying, t.slab.at(p).trying = true, true
-			t.do(Effect{Kind: Offer, ID: t.slab.at(p).id, Now: true})
+			t.do(Effect{Kind: Offer, ID: t.slab.at(p).id, Immediate: true})
 		}
 	}
 }
@@ -412,7 +412,7 @@
 		t.moving++
 	}
 	t.slab.append(&t.fresh, inFresh, p)
-	t.do(Effect{Kind: Offer, ID: s.id, Start: start, Grant: grant})
+	t.do(Effect{Kind: Offer, ID: s.id, PriorityCap: start, MemoryShare: grant})
 }
 
 // accept takes a search out of its line and charges it.
@@ -534,8 +534,8 @@
 		t.nodes[s.leaf].pressed--
 	}
 	took := s.used
-	if ev.SpentMS > 0 {
-		took = ev.SpentMS
+	if ev.CostMS > 0 {
+		took = ev.CostMS
 	}
 	t.charge(s.leaf, took-s.charged)
 	leaf, o := &t.nodes[s.leaf], int(s.offering)
@@ -642,26 +642,26 @@
 	return c
 }
 
-// Standing is how one team stands.
-type Standing struct {
-	Team                 Team
-	Queued, Hand         int
-	Threads, Due, Memory float64
-	Work                 float64 // done so far, ms of one thread
-	Blocked              string
-	OldestMS, BoundMS    float64
-	Borrows, Lends       float64 // threads
-	Pressed              int
+// TeamStatus is how one team stands.
+type TeamStatus struct {
+	Team                       Team
+	Queued, InFlight           int
+	Threads, FairShare, Memory float64
+	Work                       float64 // done so far, ms of one thread
+	Blocked                    string
+	OldestMS, BoundMS          float64
+	Borrows, Lends             float64 // threads
+	Capped                     int
 }
 
-// Standings gives how all teams stand, in their order.
-func (t *Tree) Standings() []Standing {
-	list := make([]Standing, 0, len(t.nodes))
+// Statuses gives how all teams stand, in their order.
+func (t *Tree) Statuses() []TeamStatus {
+	list := make([]TeamStatus, 0, len(t.nodes))
 	for k := 1; k < len(t.nodes); k++ {
 		n := &t.nodes[k]
 		due := t.dueThreads(n)
-		st := Standing{Team: n.team, Queued: n.queued, Hand: n.hand, Threads: n.threads, Due: due, Memory: n.memory, Work: n.work,
-			Blocked: blockedNames[n.blocked], Borrows: max(0, n.threads-due), Pressed: n.pressed}
+		st := TeamStatus{Team: n.team, Queued: n.queued, InFlight: n.hand, Threads: n.threads, FairShare: due, Memory: n.memory, Work: n.work,
+			Blocked: blockedNames[n.blocked], Borrows: max(0, n.threads-due), Capped: n.pressed}
 		if n.queued == 0 {
 			st.Lends = max(0, due-n.threads)
 		}
@@ -708,9 +708,9 @@
 	return list
 }
 
-// Line gives what is ahead of a search that waits: the work of its team, and the threads that do such work. Its own comes
+// WaitQueue gives what is ahead of a search that waits: the work of its team, and the threads that do such work. Its own comes
 // third.
-func (t *Tree) Line(id string) (aheadMS, threads, runMS float64) {
+func (t *Tree) WaitQueue(id string) (aheadMS, threads, runMS float64) {
 	p := t.slab.find(id)
 	if p == none {
 		return 0, 1, 0
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestAGuaranteeACeilingAndSubTeamsHold(t *testing.T) {
-	w := before(t, 20, []Team{{Name: "a", Weight: 1, Guaranteed: 0.5}, {Name: "b", Weight: 9}, {Name: "b1", Parent: "b", Weight: 1},
+	w := before(t, 20, []Team{{Name: "a", Weight: 1, GuaranteedShare: 0.5}, {Name: "b", Weight: 9}, {Name: "b1", Parent: "b", Weight: 1},
 		{Name: "b2", Parent: "b", Weight: 2, Ceiling: 0.1, BurstMS: 100}, {Name: "other"}}, nil)
 	w.until(61000, func() {
 		for _, team := range []string{"a", "b1", "b2"} {
@@ -63,14 +63,14 @@
 }
 
 func TestLimitsOfATeamHold(t *testing.T) {
-	w := before(t, 100, []Team{{Name: "s", Searches: 3}, {Name: "t", Threads: 5}, {Name: "m", MemoryMB: 40}, {Name: "q", Queue: 2, Searches: 1},
+	w := before(t, 100, []Team{{Name: "s", MaxInFlight: 3}, {Name: "t", Threads: 5}, {Name: "m", MemoryMB: 40}, {Name: "q", MaxQueued: 2, MaxInFlight: 1},
 		{Name: "other"}}, nil)
 	w.until(3000, func() {
 		for _, team := range []string{"s", "t", "m"} {
 			w.keep(team, "look", 20, 500, 500)
 		}
-		for _, st := range w.Standings() {
-			require.LessOrEqual(t, st.Hand, map[string]int{"s": 3, "t": 5, "m": 4, "q": 1}[st.Team.Name])
+		for _, st := range w.Statuses() {
+			require.LessOrEqual(t, st.InFlight, map[string]int{"s": 3, "t": 5, "m": 4, "q": 1}[st.Team.Name])
 		}
 	})
 	assert.Greater(t, w.done["s"], 0.9*3*1500)
@@ -138,9 +138,9 @@
 	assert.InDelta(t, at+700-300, w.now, 150)
 	assert.Equal(t, none, w.slab.find(id))
 	gone := w.ask("render", "look", 300, 300, w.now+10000)
-	w.play(&Event{Kind: Closed, ID: gone}) // its client left
+	w.play(&Event{Kind: RequestClosed, ID: gone}) // its client left
 	assert.Equal(t, none, w.slab.find(gone))
-	w.play(&Event{Kind: Closing})
+	w.play(&Event{Kind: ShutdownStarted})
 	assert.Zero(t, w.Counts().Queued, "a stop leaves nothing waiting here")
 	w.ask("render", "look", 300, 300, w.now+10000)
 	assert.Zero(t, w.Counts().Queued)
@@ -166,16 +166,16 @@
 	}
 	assert.Equal(t, 3, n, "14 threads of 8 that it is due: three reports make up for it")
 	for _, id := range append([]string(nil), keysOf(w)...) {
-		w.play(&Event{Kind: Closed, ID: id})
+		w.play(&Event{Kind: RequestClosed, ID: id})
 	}
 	w.at = nil
 	w.until(8000, nil)
 	for _, id := range ids {
 		assert.Zero(t, w.pressed[id], "eased")
 	}
-	assert.LessOrEqual(t, w.Counts().Pressed+w.Counts().Eased, uint64(6))
-	for _, st := range w.Standings() {
-		assert.Zero(t, st.Pressed)
+	assert.LessOrEqual(t, w.Counts().Capped+w.Counts().Uncapped, uint64(6))
+	for _, st := range w.Statuses() {
+		assert.Zero(t, st.Capped)
 	}
 }
 
@@ -191,12 +191,12 @@
 	w := before(t, 16, two, nil)
 	both := func() { w.keep("model", "look", 20, 100, 100); w.keep("render", "look", 20, 100, 100) }
 	w.until(11000, both)
-	w.play(&Event{Kind: Changed, Set: Team{Name: "model", Weight: 1}})
-	w.play(&Event{Kind: Changed, Set: Team{Name: "render", Weight: 1, Guaranteed: 7}}) // more than there is: left as it was
+	w.play(&Event{Kind: TeamChanged, NewLimits: Team{Name: "model", Weight: 1}})
+	w.play(&Event{Kind: TeamChanged, NewLimits: Team{Name: "render", Weight: 1, GuaranteedShare: 7}}) // more than there is: left as it was
 	w.done = map[string]float64{}
 	w.until(31000, both)
 	assert.InDelta(t, 0.5, w.share("model"), 0.03)
-	w.play(&Event{Kind: Changed, Set: Team{Name: "render", Searches: 1}})
+	w.play(&Event{Kind: TeamChanged, NewLimits: Team{Name: "render", MaxInFlight: 1}})
 	w.done = map[string]float64{}
 	w.until(41000, both)
 	assert.Less(t, w.share("render"), 0.15)
@@ -205,14 +205,14 @@
 func TestTreesThatCannotBe(t *testing.T) {
 	for _, teams := range [][]Team{{{Name: "a", Parent: "b"}, {Name: "other"}}, {{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}, {Name: "other"}},
 		{{Name: "a"}, {Name: "a"}, {Name: "other"}}, {{Name: "a"}}, {{Name: "other"}, {Name: "a", Parent: "other"}},
-		{{Name: "a", Guaranteed: 0.6}, {Name: "b", Guaranteed: 0.6}, {Name: "other"}}} {
+		{{Name: "a", GuaranteedShare: 0.6}, {Name: "b", GuaranteedShare: 0.6}, {Name: "other"}}} {
 		_, err := New(teams, "other", given(nil))
 		assert.Error(t, err)
 	}
 }
 
 func TestWhyASearchWaitsIsSaid(t *testing.T) {
-	w := before(t, 1, []Team{{Name: "s", Searches: 1}, {Name: "model"}, {Name: "other"}}, nil)
+	w := before(t, 1, []Team{{Name: "s", MaxInFlight: 1}, {Name: "model"}, {Name: "other"}}, nil)
 	w.ask("s", "look", 1000, 1000, 1e6)
 	id := w.ask("s", "look", 1000, 1000, 1e6)
 	assert.Contains(t, w.Explain(id), "the limit of searches in hand of s")
@@ -227,7 +227,7 @@
 // After any sequence of calls the counts of the tree are those of its searches, and nothing is left behind.
 func TestTheCountsAddUpAfterAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := before(t, 6, []Team{{Name: "p", Ceiling: 0.9}, {Name: "a", Parent: "p", Searches: 3}, {Name: "b", Parent: "p", Threads: 4},
+		w := before(t, 6, []Team{{Name: "p", Ceiling: 0.9}, {Name: "a", Parent: "p", MaxInFlight: 3}, {Name: "b", Parent: "p", Threads: 4},
 			{Name: "other", MemoryMB: 30}}, scheduler.Given{"age_ms": 300.0})
 		var ids []string
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -247,11 +247,11 @@
 						if w.runs[k].id == id {
 							w.threads += threadsOf[w.info[id].offering]
 							w.runs = append(w.runs[:k], w.runs[k+1:]...)
-							w.play(&Event{Kind: ShotEnded, ID: id})
+							w.play(&Event{Kind: AttemptEnded, ID: id})
 							break
 						}
 					}
-					w.play(&Event{Kind: Closed, ID: id})
+					w.play(&Event{Kind: RequestClosed, ID: id})
 				}
 			default:
 				ids = append(ids, w.ask(rapid.SampledFrom([]string{"a", "b", "other", "x"}).Draw(t, "team"),
@@ -269,9 +269,9 @@
 			}
 			assert.Equal(t, queued, w.Counts().Queued)
 			sumHand, sumThreads := 0, 0.0
-			for _, st := range w.Standings() {
+			for _, st := range w.Statuses() {
 				if st.Team.Parent == "" {
-					sumHand, sumThreads = sumHand+st.Hand, sumThreads+st.Threads
+					sumHand, sumThreads = sumHand+st.InFlight, sumThreads+st.Threads
 				}
 			}
 			assert.Equal(t, hand, sumHand)
@@ -308,10 +308,10 @@
 		now++
 		id := ids[n%64]
 		n++
-		tree.Step(now, &Event{Kind: Asked, ID: id, Team: two[n%2].Name, Offering: "look", WorkMS: 10, Until: now + 50})
-		tree.Step(now, &Event{Kind: Sent, ID: id})
-		tree.Step(now+1, &Event{Kind: ShotEnded, ID: id})
-		tree.Step(now+1, &Event{Kind: Closed, ID: id})
+		tree.Step(now, &Event{Kind: RequestQueued, ID: id, Team: two[n%2].Name, Class: "look", WorkMS: 10, Deadline: now + 50})
+		tree.Step(now, &Event{Kind: AttemptStarted, ID: id})
+		tree.Step(now+1, &Event{Kind: AttemptEnded, ID: id})
+		tree.Step(now+1, &Event{Kind: RequestClosed, ID: id})
 		if n%100 == 0 {
 			tree.Step(now, &Event{Kind: Ticked})
 		}
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -95,7 +95,7 @@
 	n := &t.nodes[k]
 	now := open
 	switch {
-	case n.team.Searches > 0 && n.hand >= n.team.Searches:
+	case n.team.MaxInFlight > 0 && n.hand >= n.team.MaxInFlight:
 		now = fullHand
 	case n.team.Threads > 0 && n.threads >= n.team.Threads:
 		now = fullThreads
