--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -19,7 +19,7 @@
 	file  *operatorconfig.Quotas
 	book  *waitestimate.Book
 	given scheduler.Given
-	parts *quotashare.Parts
+	parts *quotashare.Shares
 	part  float64
 	cores map[uint32]float64 // of listed executors that are not gone
 	open  map[string]*waiting
@@ -83,7 +83,7 @@
 // Step tells the tree, and the book of waits, of an event.
 func (t *teams) Step(now float64, ev *quota.Event) []quota.Effect {
 	if ev.Kind == quota.Ticked { // a change of the part counts from the tick on
-		if part := t.parts.Part(now); part != t.part {
+		if part := t.parts.Share(now); part != t.part {
 			t.part = part
 			t.tree.Part(part)
 		}
@@ -120,12 +120,12 @@
 // PeerMessages looks at the ceilings and gives what other controllers are to hear.
 func (t *teams) PeerMessages(now float64) []quotashare.Message {
 	used, waits := t.tree.Ceilings()
-	return t.parts.Look(now, used, waits)
+	return t.parts.Tick(now, used, waits)
 }
 
 // HandlePeerMessage takes what another controller tells of ceilings.
 func (t *teams) HandlePeerMessage(now float64, from int, data []byte) []quotashare.Message {
-	return t.parts.Heard(now, from, data)
+	return t.parts.HandleMessage(now, from, data)
 }
 
 // WaitEstimate gives how long a search waits from now on.
--- a/internal/quotashare/quotashare.go
+++ b/internal/quotashare/quotashare.go
@@ -51,8 +51,8 @@
 	nonce  uint64
 }
 
-// Parts is one controller's share of the ceilings.
-type Parts struct {
+// Shares is one controller's share of the ceilings.
+type Shares struct {
 	n, slot  int
 	may      bool // messages are allowed
 	seed     uint64
@@ -68,9 +68,9 @@
 
 // New gives the share of the controller numbered slot, of n, that starts now. What an earlier life of it may have lent is still
 // out, and counts as lent.
-func New(now float64, n, slot int, may bool, seed uint64) *Parts {
+func New(now float64, n, slot int, may bool, seed uint64) *Shares {
 	n = max(1, n)
-	p := &Parts{n: n, slot: slot, may: may && n > 1, seed: seed, home: whole / n, asked: map[uint64]float64{}, askedAt: now - askMS}
+	p := &Shares{n: n, slot: slot, may: may && n > 1, seed: seed, home: whole / n, asked: map[uint64]float64{}, askedAt: now - askMS}
 	if p.may {
 		p.lent = append(p.lent, loan{-1, p.home - int(spareMin*float64(p.home)), now + leaseMS + graceMS, 0})
 	}
@@ -79,14 +79,14 @@
 
 // Owners tells how many controllers own a part. More of them count at once; fewer never do, as one that is not heard may still use
 // its part.
-func (p *Parts) Owners(n int) {
+func (p *Shares) Owners(n int) {
 	if n > p.n {
 		p.n, p.home = n, whole/n
 	}
 }
 
-// Part is the part that may be used now, from 0 to 1.
-func (p *Parts) Part(now float64) float64 {
+// Share is the part that may be used now, from 0 to 1.
+func (p *Shares) Share(now float64) float64 {
 	p.forget(now)
 	sum := p.home
 	for _, l := range p.lent {
@@ -99,7 +99,7 @@
 }
 
 // forget ends loans whose time has come, and questions that can't be answered any more.
-func (p *Parts) forget(now float64) {
+func (p *Shares) forget(now float64) {
 	ends := func(list []loan) []loan {
 		keep := list[:0]
 		for _, l := range list {
@@ -117,9 +117,9 @@
 	}
 }
 
-// Look tells how this controller stands: the share of its part that its busiest team at a ceiling uses, and whether one waits
+// Tick tells how this controller stands: the share of its part that its busiest team at a ceiling uses, and whether one waits
 // at it. It gives what is to be sent.
-func (p *Parts) Look(now, used float64, waits bool) (out []Message) {
+func (p *Shares) Tick(now, used float64, waits bool) (out []Message) {
 	p.forget(now)
 	switch p.used = used; {
 	case waits:
@@ -140,8 +140,8 @@
 	return []Message{{-1, data}}
 }
 
-// Heard takes a message of another controller. What can't be read is left alone.
-func (p *Parts) Heard(now float64, from int, data []byte) (out []Message) {
+// HandleMessage takes a message of another controller. What can't be read is left alone.
+func (p *Shares) HandleMessage(now float64, from int, data []byte) (out []Message) {
 	p.forget(now)
 	if !p.may || from < 0 || from >= p.n || from == p.slot || len(data) < askLen || data[0] != Tag {
 		return nil
@@ -158,7 +158,7 @@
 
 // lend answers a question once, with a part of what is to spare. A loan to the same one that still runs is not used in two
 // ways: the new one comes beside it, and both are done without for their times.
-func (p *Parts) lend(now float64, to int, nonce uint64) []Message {
+func (p *Shares) lend(now float64, to int, nonce uint64) []Message {
 	if !needTable[p.state].lends {
 		return nil
 	}
@@ -182,7 +182,7 @@
 }
 
 // borrow takes a loan in answer to a question of this controller, for what is left of its time since that was asked.
-func (p *Parts) borrow(now float64, from int, nonce uint64, amount int) {
+func (p *Shares) borrow(now float64, from int, nonce uint64, amount int) {
 	at, ok := p.asked[nonce]
 	if !ok || amount > whole || now >= at+leaseMS {
 		return
--- a/internal/quotashare/quotashare_test.go
+++ b/internal/quotashare/quotashare_test.go
@@ -26,7 +26,7 @@
 func TestPartsAddUpToOneAtMostWhateverBecomesOfMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "controllers")
-		list := make([]*Parts, n)
+		list := make([]*Shares, n)
 		now := 1000.0
 		for k := range list {
 			list[k] = New(now, n, k, true, uint64(k)*977)
@@ -48,13 +48,13 @@
 			now += rapid.SampledFrom([]float64{1, 100, 250, 1500}).Draw(t, "gap")
 			k := rapid.IntRange(0, n-1).Draw(t, "who")
 			if list[k] != nil {
-				send(k, list[k].Look(now, rapid.Float64Range(0, 1.2).Draw(t, "used"), rapid.Bool().Draw(t, "waits")))
+				send(k, list[k].Tick(now, rapid.Float64Range(0, 1.2).Draw(t, "used"), rapid.Bool().Draw(t, "waits")))
 			}
 			slices.SortStableFunc(post, func(a, b letter) int { return int(a.at - b.at) })
 			for len(post) > 0 && post[0].at <= now {
 				l := post[0]
 				if post = post[1:]; list[l.to] != nil {
-					send(l.to, list[l.to].Heard(now, l.from, l.data))
+					send(l.to, list[l.to].HandleMessage(now, l.from, l.data))
 				}
 			}
 			switch {
@@ -66,7 +66,7 @@
 			sum := 0.0
 			for _, p := range list {
 				if p != nil {
-					sum += p.Part(now)
+					sum += p.Share(now)
 				}
 			}
 			assert.LessOrEqual(t, sum, 1+1e-9)
@@ -78,23 +78,23 @@
 func TestWhatIsToSpareIsLentAndComesBack(t *testing.T) {
 	a, b := New(-5000, 2, 0, true, 1), New(-5000, 2, 1, true, 2)
 	for now := 0.0; now < 10_000; now += 100 {
-		b.Look(now, 0.1, false)
-		for _, m := range a.Look(now, 1, true) {
-			for _, r := range b.Heard(now+1, 0, m.Data) {
-				a.Heard(now+2, 1, r.Data)
+		b.Tick(now, 0.1, false)
+		for _, m := range a.Tick(now, 1, true) {
+			for _, r := range b.HandleMessage(now+1, 0, m.Data) {
+				a.HandleMessage(now+2, 1, r.Data)
 			}
 		}
 		if now > 2000 {
-			assert.Greater(t, a.Part(now+5), 0.65)
+			assert.Greater(t, a.Share(now+5), 0.65)
 		}
 	}
-	b.Look(10_000, 1, false)
-	assert.Empty(t, b.Heard(10_000, 0, a.Look(10_500, 1, true)[0].Data), "it needs its own now")
-	assert.InDelta(t, 0.5, b.Part(12_500), 1e-9)
-	assert.InDelta(t, 0.5, a.Part(12_500), 1e-9)
+	b.Tick(10_000, 1, false)
+	assert.Empty(t, b.HandleMessage(10_000, 0, a.Tick(10_500, 1, true)[0].Data), "it needs its own now")
+	assert.InDelta(t, 0.5, b.Share(12_500), 1e-9)
+	assert.InDelta(t, 0.5, a.Share(12_500), 1e-9)
 	alone := New(0, 2, 0, false, 1)
-	assert.Empty(t, alone.Look(0, 1, true), "where messages are not allowed, parts are fixed")
-	assert.Equal(t, 0.5, alone.Part(0))
-	assert.Empty(t, a.Heard(0, 1, []byte{Tag}))
-	assert.Empty(t, a.Heard(0, 7, make([]byte, askLen)))
+	assert.Empty(t, alone.Tick(0, 1, true), "where messages are not allowed, parts are fixed")
+	assert.Equal(t, 0.5, alone.Share(0))
+	assert.Empty(t, a.HandleMessage(0, 1, []byte{Tag}))
+	assert.Empty(t, a.HandleMessage(0, 7, make([]byte, askLen)))
 }
