--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -134,10 +134,10 @@
 
 func parts(w io.Writer, report store.Report) {
 	fmt.Fprintln(w, "file\trecords\tbytes\tcount\tproblem")
-	for _, p := range report.Parts {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", p.Name, p.Records, p.Good, p.Counts, p.Problem)
+	for _, p := range report.Files {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", p.Name, p.Records, p.ValidBytes, p.Counts, p.Problem)
 	}
-	for _, name := range report.Left {
+	for _, name := range report.Leftover {
 		fmt.Fprintf(w, "%s\t\t\t\tleft over; removed at the next start\n", name)
 	}
 }
@@ -155,8 +155,8 @@
 	switch {
 	case report.Damage != "":
 		fmt.Fprintln(w, "damaged: "+report.Damage+"; a controller does not start on it; see: liftshift store repair")
-	case report.Doubt:
-		fmt.Fprintln(w, "in doubt: "+report.Why+"; a controller starts, and denies marks that it does not know for a window")
+	case report.InDoubt:
+		fmt.Fprintln(w, "in doubt: "+report.Reason+"; a controller starts, and denies marks that it does not know for a window")
 	default:
 		fmt.Fprintln(w, "good")
 	}
@@ -164,13 +164,13 @@
 }
 
 func compact(dir vfs.Dir, out io.Writer, asJSON bool) error {
-	s, _, err := store.Open(dir, store.Bounds{}, nil)
+	s, _, err := store.Open(dir, store.Options{}, nil)
 	if err != nil {
 		return err
 	}
-	before := s.Figures()
+	before := s.Stats()
 	err = s.Snapshot()
-	after := s.Figures()
+	after := s.Stats()
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 }
 
 func repair(dir vfs.Dir, out io.Writer, asJSON bool) error {
-	done, err := store.Repair(dir, store.Bounds{})
+	done, err := store.Repair(dir, store.Options{})
 	if err != nil {
 		return err
 	}
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -95,20 +95,20 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	var k *ledgerstore.Store
-	var found store.Found
+	var found store.Recovery
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Bounds{Segment: s.SegmentBytes, Lag: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
+		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
 			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
 	if err != nil {
 		return fmt.Errorf("%w (folder %s; see: liftshift store verify %s)", err, s.Directory, s.Directory)
 	}
-	if found.Doubt {
-		log.WithField("why", found.Why).Warn("store: the last records may be missing")
+	if found.InDoubt {
+		log.WithField("why", found.Reason).Warn("store: the last records may be missing")
 	}
-	if found.Sick != nil {
-		log.WithField("why", found.Sick).Error("store: the disk takes nothing; what needs a record is denied until it does")
+	if found.DiskError != nil {
+		log.WithField("why", found.DiskError).Error("store: the disk takes nothing; what needs a record is denied until it does")
 	}
 	i.keep = k
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + syncSlots)
--- a/internal/benchmark/store.go
+++ b/internal/benchmark/store.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, _, err := store.Open(fs, store.Bounds{}, nil)
+	s, _, err := store.Open(fs, store.Options{}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s, _, err := store.Open(unsynced{real}, store.Bounds{Ratio: 100}, nil)
+		s, _, err := store.Open(unsynced{real}, store.Options{SnapshotRatio: 100}, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -187,7 +187,7 @@
 		m := sides(func() float64 {
 			return seconds(func() {
 				read := 0
-				s, _, err := store.Open(unsynced{real}, store.Bounds{Ratio: 100}, func(store.Key, int64, []byte) { read++ })
+				s, _, err := store.Open(unsynced{real}, store.Options{SnapshotRatio: 100}, func(store.Key, int64, []byte) { read++ })
 				if err == nil {
 					err = s.Close()
 				}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, _, err := store.Open(unsynced{real}, store.Bounds{}, nil)
+	s, _, err := store.Open(unsynced{real}, store.Options{}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -231,17 +231,17 @@
 		if err := s.Write(now, b); err != nil {
 			return nil, err
 		}
-		f := s.Figures()
+		f := s.Stats()
 		// A second of the hour is some ms here: a snapshot that falls due gets its part of that second.
 		for waited := 0; float64(f.DiskBytes) > 1.8*float64(f.LiveBytes)+256<<10 && waited < 5000; waited++ {
 			time.Sleep(200 * time.Microsecond)
-			f = s.Figures()
+			f = s.Stats()
 		}
 		if now > keptMS {
 			peak = max(peak, float64(f.DiskBytes)/float64(f.LiveBytes))
 		}
 	}
-	f := s.Figures()
+	f := s.Stats()
 	return []Figure{{"store.bytes_for_a_live_byte_after_an_hour", float64(f.DiskBytes) / float64(f.LiveBytes), "x", "<=", 2},
 		{"store.bytes_for_a_live_byte_between_snapshots", peak, "x", "<=", 2}, {"store.snapshots_in_an_hour", float64(f.Snapshots), "", ">=", 1}}, nil
 }
--- a/internal/handoffnet/copies.go
+++ b/internal/handoffnet/copies.go
@@ -25,7 +25,7 @@
 	c := &copies{wait: map[uint64]func(error){}, back: func(s stored) { put(s) }}
 	now := t.clock.Now()
 	found := map[store.Key][]byte{}
-	s, at, err := store.Open(folder, store.Bounds{}, func(k store.Key, _ int64, value []byte) {
+	s, at, err := store.Open(folder, store.Options{}, func(k store.Key, _ int64, value []byte) {
 		if delete(found, k); value != nil {
 			found[k] = append([]byte(nil), value...)
 		}
@@ -40,7 +40,7 @@
 	}
 	c.store = s
 	t.copies = c
-	t.log.WithFields(logrus.Fields{"records": at.Records, "copies": len(found), "doubt": at.Why}).Info("estate: copies opened")
+	t.log.WithFields(logrus.Fields{"records": at.Records, "copies": len(found), "doubt": at.Reason}).Info("estate: copies opened")
 	return nil
 }
 
@@ -62,7 +62,7 @@
 	if c.batch.Len() == 0 {
 		return 0
 	}
-	teller, token := store.Teller(nil), uint64(0)
+	teller, token := store.Notifier(nil), uint64(0)
 	if lasts {
 		c.token++
 		teller, token = c, c.token
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -130,10 +130,10 @@
 		})
 		require.NoError(t, err, folder)
 		require.NoError(t, s.Close())
-		fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.Doubt,
-			found.Why, found.Removed, found.Began, found.Snapshot)
+		fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.InDoubt,
+			found.Reason, found.Removed, found.Began, found.Snapshot)
 		golden(t, folder+".txt", []byte(text.String()))
-		assert.Equal(t, folder == "torn", found.Doubt)
+		assert.Equal(t, folder == "torn", found.InDoubt)
 		for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
 			assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
 		}
@@ -164,7 +164,7 @@
 		require.NoError(t, k.store.Close())
 		next, err := again.Open("0000000000000003.log") // what this life wrote; its head tells of the doubt
 		require.NoError(t, err)
-		data := make([]byte, bounds.Segment)
+		data := make([]byte, bounds.SegmentBytes)
 		_, err = next.ReadAt(data, 0)
 		require.NoError(t, err)
 		require.NoError(t, next.Close())
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -35,7 +35,7 @@
 	return log
 }
 
-var bounds = store.Bounds{Segment: 4096, Lag: time.Millisecond}
+var bounds = store.Options{SegmentBytes: 4096, FlushDelay: time.Millisecond}
 
 // engines count the runs of marks; a place drops repeats, the others do not know of it.
 type engines struct{ ran map[string][]string }
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -35,14 +35,14 @@
 
 // Open opens the store, ends what was open at the last crash, and gives what was found. Back gets what is heard of the
 // disk, from another goroutine; it must lead to Step.
-func Open(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, back func(ledger.Event),
-	log logrus.FieldLogger) (*Store, store.Found, error) {
+func Open(fs vfs.FS, bounds store.Options, given scheduler.Given, now func() float64, back func(ledger.Event),
+	log logrus.FieldLogger) (*Store, store.Recovery, error) {
 	return OpenAt(fs, bounds, given, now, ReadClocks(), back, log)
 }
 
 // OpenAt is Open at a moment of the machine's clocks.
-func OpenAt(fs vfs.FS, bounds store.Bounds, given scheduler.Given, now func() float64, moment ledger.Clocks,
-	back func(ledger.Event), log logrus.FieldLogger) (*Store, store.Found, error) {
+func OpenAt(fs vfs.FS, bounds store.Options, given scheduler.Given, now func() float64, moment ledger.Clocks,
+	back func(ledger.Event), log logrus.FieldLogger) (*Store, store.Recovery, error) {
 	k := &Store{ledger: ledger.New(given), back: back, log: log, now: now}
 	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
 		k.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
@@ -51,7 +51,7 @@
 		return nil, found, err
 	}
 	k.store = s
-	for _, e := range k.Step(now(), &ledger.Event{Kind: ledger.RecoveryDone, Clocks: moment, TailInDoubt: found.Doubt}) {
+	for _, e := range k.Step(now(), &ledger.Event{Kind: ledger.RecoveryDone, Clocks: moment, TailInDoubt: found.InDoubt}) {
 		switch e.Kind {
 		case ledger.RestoreState:
 			k.first = append(k.first, e.SchedulerEvent)
@@ -60,7 +60,7 @@
 		}
 	}
 	log.WithFields(logrus.Fields{"records": found.Records, "bytes": found.Bytes, "files": found.Files, "took_ms": found.TookMS,
-		"doubt": found.Why}).Info("store: opened")
+		"doubt": found.Reason}).Info("store: opened")
 	return k, found, nil
 }
 
@@ -105,7 +105,7 @@
 	if k.batch.Len() == 0 {
 		return
 	}
-	teller := store.Teller(nil)
+	teller := store.Notifier(nil)
 	if token != 0 {
 		teller = k
 	}
@@ -134,7 +134,7 @@
 
 // Fields are the counters for the log.
 func (k *Store) Fields() logrus.Fields {
-	f, c := k.store.Figures(), ledger.Counts{}
+	f, c := k.store.Stats(), ledger.Counts{}
 	if p := k.count.Load(); p != nil {
 		c = *p
 	}
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -238,6 +238,6 @@
 	m := ReadClocks()
 	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
 	assert.Equal(t, m.UpMS > 0, m.Boot != "")
-	_, _, err := Open(vfs.NewMemory(), store.Bounds{}, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
+	_, _, err := Open(vfs.NewMemory(), store.Options{}, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
 	assert.NoError(t, err)
 }
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -56,7 +56,7 @@
 			raw[k] = append([]byte(nil), value...)
 		}
 	}
-	s, found, err := store.Open(folder, store.Bounds{Segment: segment}, read)
+	s, found, err := store.Open(folder, store.Options{SegmentBytes: segment}, read)
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
@@ -82,8 +82,8 @@
 			wrong = err
 		}
 	}
-	if found.Doubt || wrong != nil {
-		log.WithFields(logrus.Fields{"why": found.Why, "error": wrong}).Warn("council: what this voter promised may be missing: it comes as a newcomer")
+	if found.InDoubt || wrong != nil {
+		log.WithFields(logrus.Fields{"why": found.Reason, "error": wrong}).Warn("council: what this voter promised may be missing: it comes as a newcomer")
 		d.batch.Reset()
 		for k := range entries {
 			d.batch.Delete(key(entryRecord, k))
@@ -155,7 +155,7 @@
 		d.Stored(e.Token, nil)
 		return
 	}
-	teller := store.Teller(d)
+	teller := store.Notifier(d)
 	if e.Token == 0 {
 		teller = nil
 	}
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -103,7 +103,7 @@
 // A voter's folder has the bytes that it had, and is read as it was; where its end is torn, as another voter's.
 func TestGolden_SeatFolder(t *testing.T) {
 	fs := vfs.NewMemory()
-	s, _, err := store.Open(fs, store.Bounds{Segment: segment}, func(store.Key, int64, []byte) {})
+	s, _, err := store.Open(fs, store.Options{SegmentBytes: segment}, func(store.Key, int64, []byte) {})
 	require.NoError(t, err)
 	var named store.Batch
 	named.Put(key(folderRecord, 0), 0, []byte("f0123456789abcdef01234567"))
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -10,7 +10,7 @@
 // run is the committer: all that has lined up while it wrote goes out next, with one write and one sync.
 func (s *Store) run() {
 	defer close(s.done)
-	ticker := time.NewTicker(s.bounds.Lag) // what nobody waits for goes out with it
+	ticker := time.NewTicker(s.bounds.FlushDelay) // what nobody waits for goes out with it
 	stop := make(chan struct{})
 	go func() {
 		for {
@@ -54,7 +54,7 @@
 func (s *Store) commit(now int64) {
 	l := &s.out
 	for first, record, start := 0, 0, 0; first < len(l.batches); {
-		room := s.bounds.Segment - s.active.at
+		room := s.bounds.SegmentBytes - s.active.at
 		last := first
 		for last < len(l.batches) && int64(l.batches[last].bytes-start) <= room {
 			last++
@@ -153,7 +153,7 @@
 	s.next++
 	id, before := s.next, s.active
 	s.state.Unlock()
-	h := head{kind: logFile, doubt: s.doubts, id: id, before: before.id, trusted: before.trusted, length: s.bounds.Segment}
+	h := head{kind: logFile, doubt: s.doubts, id: id, before: before.id, trusted: before.trusted, length: s.bounds.SegmentBytes}
 	file, err := s.begin(fileName(id, logEnding), h)
 	if err != nil {
 		return fmt.Errorf("store: new file %x: %w", id, err)
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -28,8 +28,8 @@
 	logFile      = 1
 	snapshotFile = 2
 
-	// MostValue is the longest value: far above what is kept of a search, and far below a segment.
-	MostValue = 64 << 10
+	// MaxValue is the longest value: far above what is kept of a search, and far below a segment.
+	MaxValue = 64 << 10
 )
 
 // Kinds of records. A record that more of its batch follow has the bit more: they count together or not at all.
@@ -143,7 +143,7 @@
 		return r, false
 	}
 	n := binary.LittleEndian.Uint32(b[4:])
-	if n > MostValue || int(n) > len(b)-recordHead {
+	if n > MaxValue || int(n) > len(b)-recordHead {
 		return r, false
 	}
 	b = b[:recordHead+int(n)]
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -20,7 +20,7 @@
 }
 
 // content is what a store hands on at its opening.
-func content(fs vfs.FS, bounds Bounds) (*Store, Found, map[Key]string, error) {
+func content(fs vfs.FS, bounds Options) (*Store, Recovery, map[Key]string, error) {
 	held := map[Key]string{}
 	s, found, err := Open(fs, bounds, func(k Key, _ int64, v []byte) {
 		if v == nil {
@@ -33,7 +33,7 @@
 }
 
 // opened is an open store that must open.
-func opened(t require.TestingT, fs vfs.FS, bounds Bounds) (*Store, Found, map[Key]string) {
+func opened(t require.TestingT, fs vfs.FS, bounds Options) (*Store, Recovery, map[Key]string) {
 	s, found, held, err := content(fs, bounds)
 	require.NoError(t, err)
 	return s, found, held
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -9,26 +9,26 @@
 	"liftshift/internal/vfs"
 )
 
-// Part is one file of a store, as read.
-type Part struct {
-	Name     string
-	Snapshot bool
-	ID       uint64
-	Length   int64 // of the file
-	Good     int64 // bytes that can be read
-	Counts   int64 // bytes that count: the file after it says so, or all that are good in the last
-	Records  int
-	Doubt    bool   // made after an end that was not as it was left
-	Problem  string // empty: none
+// FileReport is one file of a store, as read.
+type FileReport struct {
+	Name       string
+	Snapshot   bool
+	ID         uint64
+	Length     int64 // of the file
+	ValidBytes int64 // bytes that can be read
+	Counts     int64 // bytes that count: the file after it says so, or all that are good in the last
+	Records    int
+	InDoubt    bool   // made after an end that was not as it was left
+	Problem    string // empty: none
 }
 
 // Report is what a look at a folder found.
 type Report struct {
-	Parts    []Part
-	Left     []string // names that are no part of the store: of an earlier state, or half made
+	Files    []FileReport
+	Leftover []string // names that are no part of the store: of an earlier state, or half made
 	Snapshot uint64
-	Doubt    bool
-	Why      string
+	InDoubt  bool
+	Reason   string
 	Damage   string // why it does not open; empty: it does
 }
 
@@ -73,7 +73,7 @@
 		} else if id, ok := parseName(name, snapshotEnding); ok {
 			snapshots = append(snapshots, id)
 		} else if name != lockName {
-			s.report.Left = append(s.report.Left, name)
+			s.report.Leftover = append(s.report.Leftover, name)
 			continue
 		}
 	}
@@ -83,11 +83,11 @@
 	if n := len(snapshots); n > 0 {
 		s.report.Snapshot = snapshots[n-1]
 		for _, id := range snapshots[:n-1] {
-			s.report.Left = append(s.report.Left, fileName(id, snapshotEnding))
+			s.report.Leftover = append(s.report.Leftover, fileName(id, snapshotEnding))
 		}
 		logs = slices.DeleteFunc(logs, func(id uint64) bool {
 			if id < s.report.Snapshot {
-				s.report.Left = append(s.report.Left, fileName(id, logEnding))
+				s.report.Leftover = append(s.report.Leftover, fileName(id, logEnding))
 			}
 			return id < s.report.Snapshot
 		})
@@ -114,7 +114,7 @@
 }
 
 // damage notes what is wrong with a file so that the store does not open.
-func (s *survey) damage(p *Part, err error) {
+func (s *survey) damage(p *FileReport, err error) {
 	p.Problem = err.Error()
 	if s.report.Damage == "" {
 		s.report.Damage, s.fatal = p.Name+": "+err.Error(), fmt.Errorf("%s: %w", p.Name, err)
@@ -122,7 +122,7 @@
 }
 
 // open opens a file and reads its head. The file is nil where the head is no good.
-func (s *survey) open(p *Part, kind byte) (vfs.File, head, error) {
+func (s *survey) open(p *FileReport, kind byte) (vfs.File, head, error) {
 	f, err := s.fs.Open(p.Name)
 	if err != nil {
 		return nil, head{}, err
@@ -139,23 +139,23 @@
 		s.damage(p, err)
 		return nil, h, f.Close()
 	}
-	p.Good, p.Counts, p.Doubt = headSize, headSize, h.doubt
+	p.ValidBytes, p.Counts, p.InDoubt = headSize, headSize, h.doubt
 	return f, h, nil
 }
 
 func (s *survey) snapshot(id uint64, each func(record, place)) error {
-	p := Part{Name: fileName(id, snapshotEnding), Snapshot: true, ID: id}
+	p := FileReport{Name: fileName(id, snapshotEnding), Snapshot: true, ID: id}
 	f, h, err := s.open(&p, snapshotFile)
 	if f != nil {
-		p.Good, p.Records, err = scan(f, uint64(uint32(id)|ofSnapshot), min(h.length, p.Length), each)
+		p.ValidBytes, p.Records, err = scan(f, uint64(uint32(id)|ofSnapshot), min(h.length, p.Length), each)
 		p.Counts = h.length
-		if err == nil && (p.Good != h.length || uint64(p.Records) != h.records) {
-			s.damage(&p, fmt.Errorf("%w: %d bytes and %d records are good of %d and %d", ErrDamaged, p.Good, p.Records,
+		if err == nil && (p.ValidBytes != h.length || uint64(p.Records) != h.records) {
+			s.damage(&p, fmt.Errorf("%w: %d bytes and %d records are good of %d and %d", ErrDamaged, p.ValidBytes, p.Records,
 				h.length, h.records))
 		}
 		err = errors.Join(err, f.Close())
 	}
-	s.report.Parts = append(s.report.Parts, p)
+	s.report.Files = append(s.report.Files, p)
 	return err
 }
 
@@ -164,7 +164,7 @@
 func (s *survey) heads(logs []uint64) error {
 	heads, chain := map[uint64]head{}, map[uint64]bool{}
 	for _, id := range logs {
-		p := Part{Name: fileName(id, logEnding), ID: id}
+		p := FileReport{Name: fileName(id, logEnding), ID: id}
 		f, h, err := s.open(&p, logFile)
 		if err != nil {
 			return err
@@ -175,10 +175,10 @@
 				return err
 			}
 		}
-		s.report.Parts = append(s.report.Parts, p)
+		s.report.Files = append(s.report.Files, p)
 	}
 	first := s.report.Snapshot
-	for id, after := lastOf(logs), (*Part)(nil); id != 0 && len(logs) > 0; {
+	for id, after := lastOf(logs), (*FileReport)(nil); id != 0 && len(logs) > 0; {
 		h, ok := heads[id]
 		if !ok {
 			if after != nil && after.Problem == "" {
@@ -195,7 +195,7 @@
 	}
 	slices.Reverse(s.logs)
 	if first != 0 && !chain[first] && s.report.Damage == "" {
-		s.damage(&s.report.Parts[0], fmt.Errorf("%w: the log file of the snapshot is missing", ErrDamaged))
+		s.damage(&s.report.Files[0], fmt.Errorf("%w: the log file of the snapshot is missing", ErrDamaged))
 	}
 	for _, id := range logs {
 		if _, ok := heads[id]; ok && !chain[id] {
@@ -208,12 +208,12 @@
 }
 
 // part gives the log file of a number.
-func (s *survey) part(id uint64) *Part {
-	return &s.report.Parts[slices.IndexFunc(s.report.Parts, func(p Part) bool { return !p.Snapshot && p.ID == id })]
+func (s *survey) part(id uint64) *FileReport {
+	return &s.report.Files[slices.IndexFunc(s.report.Files, func(p FileReport) bool { return !p.Snapshot && p.ID == id })]
 }
 
 // unwritten checks that a log file which none follows holds nothing, and leaves it out.
-func (s *survey) unwritten(p *Part) error {
+func (s *survey) unwritten(p *FileReport) error {
 	f, err := s.fs.Open(p.Name)
 	if err != nil {
 		return err
@@ -223,9 +223,9 @@
 	if err == nil && !clean {
 		s.damage(p, fmt.Errorf("%w: it holds records, and no file follows it", ErrDamaged))
 	} else if s.report.Damage == "" {
-		s.report.Left = append(s.report.Left, p.Name)
+		s.report.Leftover = append(s.report.Leftover, p.Name)
 		name := p.Name
-		s.report.Parts = slices.DeleteFunc(s.report.Parts, func(p Part) bool { return p.Name == name })
+		s.report.Files = slices.DeleteFunc(s.report.Files, func(p FileReport) bool { return p.Name == name })
 	}
 	return err
 }
@@ -241,33 +241,33 @@
 	if !last {
 		end = min(end, s.logs[k+1].trusted)
 	}
-	if p.Good, p.Records, err = scan(f, h.id, end, each); err != nil {
+	if p.ValidBytes, p.Records, err = scan(f, h.id, end, each); err != nil {
 		return err
 	}
-	p.Counts = p.Good
+	p.Counts = p.ValidBytes
 	if !last {
-		if p.Counts = s.logs[k+1].trusted; p.Good < p.Counts {
-			s.damage(p, fmt.Errorf("%w: %d bytes are good of the %d that count", ErrDamaged, p.Good, p.Counts))
+		if p.Counts = s.logs[k+1].trusted; p.ValidBytes < p.Counts {
+			s.damage(p, fmt.Errorf("%w: %d bytes are good of the %d that count", ErrDamaged, p.ValidBytes, p.Counts))
 		}
 		return nil
 	}
-	s.last = segment{id: h.id, at: p.Good, trusted: p.Good}
-	clean, err := zeros(f, p.Good, p.Length)
+	s.last = segment{id: h.id, at: p.ValidBytes, trusted: p.ValidBytes}
+	clean, err := zeros(f, p.ValidBytes, p.Length)
 	switch {
 	case err != nil:
 		return err
 	case p.Length != h.length:
 		s.doubt(p, fmt.Sprintf("the file has %d bytes of %d", p.Length, h.length))
 	case !clean:
-		s.doubt(p, fmt.Sprintf("what stands behind byte %d can't be read", p.Good))
+		s.doubt(p, fmt.Sprintf("what stands behind byte %d can't be read", p.ValidBytes))
 	case h.doubt && p.Records == 0:
 		s.doubt(p, "the end of the file before was not as it was left")
 	}
 	return nil
 }
 
-func (s *survey) doubt(p *Part, why string) {
-	s.report.Doubt, s.report.Why = true, p.Name+": "+why
+func (s *survey) doubt(p *FileReport, why string) {
+	s.report.InDoubt, s.report.Reason = true, p.Name+": "+why
 	p.Problem = why
 }
 
@@ -344,7 +344,7 @@
 }
 
 // recover reads the store into the index and opens its files. Nothing is changed but that leftovers are removed.
-func (s *Store) recover(keep func(Key, int64, []byte)) (Found, error) {
+func (s *Store) recover(keep func(Key, int64, []byte)) (Recovery, error) {
 	look := &survey{fs: s.fs}
 	err := look.look(func(r record, p place) {
 		s.apply(r, p)
@@ -357,15 +357,15 @@
 		}
 	})
 	rep := &look.report
-	found := Found{Records: s.table.Len(), Files: len(rep.Parts), Doubt: rep.Doubt, Why: rep.Why, Snapshot: rep.Snapshot,
-		Began: len(rep.Parts) == 0}
+	found := Recovery{Records: s.table.Len(), Files: len(rep.Files), InDoubt: rep.InDoubt, Reason: rep.Reason, Snapshot: rep.Snapshot,
+		Began: len(rep.Files) == 0}
 	if err == nil {
 		err = look.fatal
 	}
 	if err != nil {
 		return found, err
 	}
-	for _, p := range rep.Parts {
+	for _, p := range rep.Files {
 		id := uint32(p.ID)
 		if p.Snapshot {
 			id |= ofSnapshot
@@ -377,7 +377,7 @@
 		s.used[id] = p.Counts
 		found.Bytes += p.Counts
 	}
-	for _, name := range rep.Left {
+	for _, name := range rep.Leftover {
 		if err := s.fs.Remove(name); err != nil {
 			return found, err
 		}
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -24,7 +24,7 @@
 
 // Repair makes a store that is damaged open again: whatever can be read in any file goes into a snapshot, the old files
 // are set aside, and the new log says that something may be lost. A store that opens is left as it is.
-func Repair(fs vfs.FS, bounds Bounds) (done Repaired, err error) {
+func Repair(fs vfs.FS, bounds Options) (done Repaired, err error) {
 	lock, err := fs.Lock(lockName)
 	if err != nil {
 		return done, fmt.Errorf("store: %w", err)
@@ -42,13 +42,13 @@
 	}
 	done.Needed = true
 	var table index.Table[[]byte]
-	var order []Part
-	for _, p := range look.report.Parts {
+	var order []FileReport
+	for _, p := range look.report.Files {
 		if p.Length > 0 {
 			order = append(order, p)
 		}
 	}
-	slices.SortStableFunc(order, func(a, b Part) int { // the snapshot stands before the log file of its number
+	slices.SortStableFunc(order, func(a, b FileReport) int { // the snapshot stands before the log file of its number
 		if a.ID != b.ID {
 			return int(int64(a.ID) - int64(b.ID))
 		}
@@ -90,7 +90,7 @@
 
 // salvage hands on every record of a file that is good, wherever it stands, and tells how many bytes are not. Bytes
 // behind those that count are not believed: what stands there was reported as failed.
-func salvage(fs vfs.FS, p Part, look *survey, each func(record)) (skipped int64, err error) {
+func salvage(fs vfs.FS, p FileReport, look *survey, each func(record)) (skipped int64, err error) {
 	f, err := fs.Open(p.Name)
 	if err != nil {
 		return 0, err
@@ -123,9 +123,9 @@
 }
 
 // rebuild writes a store of a snapshot and an empty log file.
-func rebuild(fs vfs.FS, bounds Bounds, id uint64, table *index.Table[[]byte]) error {
+func rebuild(fs vfs.FS, bounds Options, id uint64, table *index.Table[[]byte]) error {
 	s := &Store{fs: fs, bounds: bounds}
-	file, err := s.begin(fileName(id, logEnding), head{kind: logFile, doubt: true, id: id, length: bounds.Segment})
+	file, err := s.begin(fileName(id, logEnding), head{kind: logFile, doubt: true, id: id, length: bounds.SegmentBytes})
 	if err != nil {
 		return err
 	}
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -13,7 +13,7 @@
 	s.mu.Unlock()
 	s.state.RLock()
 	defer s.state.RUnlock()
-	return !busy && float64(s.diskBytes()) > s.bounds.Ratio*float64(s.live)+spareBytes
+	return !busy && float64(s.diskBytes()) > s.bounds.SnapshotRatio*float64(s.live)+spareBytes
 }
 
 // snapshot begins a new log file and copies, beside the work, all live records of the files before it to a snapshot,
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -25,12 +25,12 @@
 // Key names a record. It must be evenly spread, as a hash is.
 type Key = index.Key
 
-// Bounds are the figures that a Store keeps to. Zero means the usual one.
-type Bounds struct {
-	Segment int64         // bytes of a log file
-	Waiting int           // bytes that may wait to be written
-	Lag     time.Duration // the longest that a batch which nobody waits for stays unwritten
-	Ratio   float64       // bytes on disk for a live one past which a snapshot is made
+// Options are the figures that a Store keeps to. Zero means the usual one.
+type Options struct {
+	SegmentBytes  int64         // bytes of a log file
+	MaxWaiting    int           // bytes that may wait to be written
+	FlushDelay    time.Duration // the longest that a batch which nobody waits for stays unwritten
+	SnapshotRatio float64       // bytes on disk for a live one past which a snapshot is made
 }
 
 const (
@@ -43,24 +43,24 @@
 	closeMost    = 2 * time.Second
 )
 
-func (b Bounds) filled() Bounds {
-	if b.Segment <= 0 {
-		b.Segment = usualSegment
+func (b Options) filled() Options {
+	if b.SegmentBytes <= 0 {
+		b.SegmentBytes = usualSegment
 	}
-	if b.Waiting <= 0 {
-		b.Waiting = usualWaiting
+	if b.MaxWaiting <= 0 {
+		b.MaxWaiting = usualWaiting
 	}
-	if b.Lag <= 0 {
-		b.Lag = usualLag
+	if b.FlushDelay <= 0 {
+		b.FlushDelay = usualLag
 	}
-	if b.Ratio <= 1 {
-		b.Ratio = usualRatio
+	if b.SnapshotRatio <= 1 {
+		b.SnapshotRatio = usualRatio
 	}
 	return b
 }
 
-// Teller is told what became of a batch, from the store's goroutine. It must not wait.
-type Teller interface{ Stored(token uint64, err error) }
+// Notifier is told what became of a batch, from the store's goroutine. It must not wait.
+type Notifier interface{ Stored(token uint64, err error) }
 
 // place is where a record stands.
 type place struct {
@@ -110,7 +110,7 @@
 
 type waiting struct {
 	records, bytes int // up to the end of this batch
-	teller         Teller
+	teller         Notifier
 	token          uint64
 }
 
@@ -125,8 +125,8 @@
 	spoilt  bool  // a write or a sync failed: it gets nothing more, and is not believed past trusted
 }
 
-// Figures are counters of a store.
-type Figures struct {
+// Stats are counters of a store.
+type Stats struct {
 	Records, Batches, Commits, Syncs uint64
 	Failed                           uint64 // batches reported as failed
 	Rotations, Snapshots             uint64
@@ -140,7 +140,7 @@
 // Store is an open store.
 type Store struct {
 	fs     vfs.FS
-	bounds Bounds
+	bounds Options
 	lock   io.Closer
 
 	mu      sync.Mutex // of what waits
@@ -160,25 +160,25 @@
 	active  segment
 	next    uint64 // number of the next file
 	live    int64
-	figures Figures
+	figures Stats
 
 	out    line // being written; the committer's own
 	done   chan struct{}
 	doubts bool // the head of the next log file says so
 }
 
-// Found is what Open found.
-type Found struct {
-	Records  int
-	Files    int
-	Bytes    int64
-	Doubt    bool   // the end of the log is not as it was left: the last batches may be missing
-	Why      string // what was wrong with it
-	Removed  []string
-	Began    bool // there was no store here before
-	Snapshot uint64
-	Sick     error // why no log file could be begun, where that may pass: until it does, every batch fails
-	TookMS   float64
+// Recovery is what Open found.
+type Recovery struct {
+	Records   int
+	Files     int
+	Bytes     int64
+	InDoubt   bool   // the end of the log is not as it was left: the last batches may be missing
+	Reason    string // what was wrong with it
+	Removed   []string
+	Began     bool // there was no store here before
+	Snapshot  uint64
+	DiskError error // why no log file could be begun, where that may pass: until it does, every batch fails
+	TookMS    float64
 }
 
 // passing are the errors of a disk, or of the system, that may be gone by the next try.
@@ -191,20 +191,20 @@
 // Open opens the store in a folder, or begins one. Where the disk takes nothing just then, the store opens all the same and its batches
 // fail until it does. Each record that is still there is handed to keep in the order in which they were
 // written, with no value where one was deleted: of one key the last counts.
-func Open(fs vfs.FS, bounds Bounds, keep func(Key, int64, []byte)) (*Store, Found, error) {
+func Open(fs vfs.FS, bounds Options, keep func(Key, int64, []byte)) (*Store, Recovery, error) {
 	began := time.Now()
 	lock, err := fs.Lock(lockName)
 	if err != nil {
-		return nil, Found{}, fmt.Errorf("store: %w", err)
+		return nil, Recovery{}, fmt.Errorf("store: %w", err)
 	}
 	s := &Store{fs: fs, bounds: bounds.filled(), lock: lock, files: map[uint32]vfs.File{}, used: map[uint32]int64{},
 		done: make(chan struct{})}
 	s.wake, s.idle = sync.NewCond(&s.mu), sync.NewCond(&s.mu)
 	found, err := s.recover(keep)
 	if err == nil {
-		s.doubts = found.Doubt
+		s.doubts = found.InDoubt
 		if err = s.rotate(); passes(err) {
-			s.active.spoilt, found.Sick, err = true, err, nil // the first batch begins a file, once that can be
+			s.active.spoilt, found.DiskError, err = true, err, nil // the first batch begins a file, once that can be
 		}
 	}
 	if err != nil {
@@ -218,12 +218,12 @@
 
 // Append lines up a batch at a time in ms and never waits for the disk. The teller, if there is one, hears what became
 // of it; without one the batch is written within the lag. An error means that nothing was lined up.
-func (s *Store) Append(now int64, b *Batch, teller Teller, token uint64) error {
-	if int64(len(b.bytes)) > s.bounds.Segment-headSize {
+func (s *Store) Append(now int64, b *Batch, teller Notifier, token uint64) error {
+	if int64(len(b.bytes)) > s.bounds.SegmentBytes-headSize {
 		return ErrTooLong
 	}
 	for k, start := 0, 0; k < len(b.ends); k++ {
-		if b.ends[k]-start-recordHead > MostValue {
+		if b.ends[k]-start-recordHead > MaxValue {
 			return ErrTooLong
 		}
 		start = b.ends[k]
@@ -233,7 +233,7 @@
 	if s.closed {
 		return ErrClosed
 	}
-	if len(s.in.bytes)+len(b.bytes) > s.bounds.Waiting {
+	if len(s.in.bytes)+len(b.bytes) > s.bounds.MaxWaiting {
 		return ErrFull
 	}
 	s.now = max(s.now, now)
@@ -298,8 +298,8 @@
 	return record{}, fmt.Errorf("%w: the record at %d of file %x", ErrDamaged, p.at, p.file&^ofSnapshot)
 }
 
-// Figures gives the counters.
-func (s *Store) Figures() Figures {
+// Stats gives the counters.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	waits := len(s.in.bytes)
 	s.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,7 @@
 	"liftshift/internal/vfs"
 )
 
-var small = Bounds{Segment: 700, Lag: time.Hour}
+var small = Options{SegmentBytes: 700, FlushDelay: time.Hour}
 
 // The machine goes down at every call in turn, and what was not synced is lost wholly, in part, or not at all; then it
 // goes down again at every call of the recovery. What was told as lasting is there, and nothing that never was.
@@ -86,11 +86,11 @@
 			require.NoError(t, err, what)
 			require.True(t, done.Needed, what)
 			s, found, held = opened(t, hurt, small)
-			require.True(t, found.Doubt, what)
+			require.True(t, found.InDoubt, what)
 		}
 		require.NoError(t, s.Close())
-		require.True(t, found.Doubt || maps.Equal(held, told), what)
-		if found.Doubt { // and what is there is nothing made up
+		require.True(t, found.InDoubt || maps.Equal(held, told), what)
+		if found.InDoubt { // and what is there is nothing made up
 			for k, v := range held {
 				require.True(t, told[k] == v || strings.HasPrefix(v, "again") || told[k] == "", what)
 			}
@@ -151,7 +151,7 @@
 // A record that can't be read any more stops the snapshot: the old files stay, and nothing else suffers.
 func TestASnapshotGivesNothingUpForARecordThatItCannotRead(t *testing.T) {
 	disk := vfs.NewMemory()
-	s, _, _ := opened(t, disk, Bounds{Segment: 4096})
+	s, _, _ := opened(t, disk, Options{SegmentBytes: 4096})
 	require.NoError(t, write(s, 1, "one"))
 	require.NoError(t, write(s, 2, "two"))
 	f, err := disk.Open(fileName(1, logEnding))
@@ -161,7 +161,7 @@
 	_, err = s.Get(key(1))
 	assert.ErrorIs(t, err, ErrDamaged)
 	assert.Error(t, s.Snapshot())
-	assert.EqualValues(t, 1, s.Figures().SnapshotsFailed)
+	assert.EqualValues(t, 1, s.Stats().SnapshotsFailed)
 	v, err := s.Get(key(2))
 	assert.NoError(t, err)
 	assert.Equal(t, "two", string(v))
@@ -191,7 +191,7 @@
 	name := filepath.Join(path, "new", fileName(1, logEnding))
 	bytes, err := os.ReadFile(name)
 	require.NoError(t, err)
-	h := head{kind: logFile, id: 1, length: small.Segment}.bytes()
+	h := head{kind: logFile, id: 1, length: small.SegmentBytes}.bytes()
 	h[8] = Version + 1
 	copy(bytes, resealed(h))
 	require.NoError(t, os.WriteFile(name, bytes, 0o600))
@@ -205,7 +205,7 @@
 func TestWritersShareSyncsWhileSnapshotsRun(t *testing.T) {
 	dir, err := vfs.OpenDir(t.TempDir(), true)
 	require.NoError(t, err)
-	s, _, _ := opened(t, dir, Bounds{Segment: 16 << 10})
+	s, _, _ := opened(t, dir, Options{SegmentBytes: 16 << 10})
 	var all sync.WaitGroup
 	for w := range 32 {
 		all.Add(1)
@@ -220,13 +220,13 @@
 		assert.NoError(t, s.Snapshot())
 	}
 	all.Wait()
-	f := s.Figures()
+	f := s.Stats()
 	assert.Equal(t, 32, f.Live)
 	assert.Less(t, f.Syncs, f.Batches)
 	assert.GreaterOrEqual(t, f.Snapshots, uint64(5))
 	require.NoError(t, s.Close())
-	s, found, held := opened(t, dir, Bounds{})
-	assert.False(t, found.Doubt, found.Why)
+	s, found, held := opened(t, dir, Options{})
+	assert.False(t, found.InDoubt, found.Reason)
 	for w := range 32 {
 		assert.Equal(t, fmt.Sprintf("59 of %d", w), held[key(w)])
 	}
@@ -235,7 +235,7 @@
 
 func TestWhatWaitsIsBoundedAndWhatNobodyWaitsForIsWrittenInTime(t *testing.T) {
 	disk := vfs.NewMemory()
-	s, _, _ := opened(t, disk, Bounds{Waiting: 300, Lag: 20 * time.Millisecond})
+	s, _, _ := opened(t, disk, Options{MaxWaiting: 300, FlushDelay: 20 * time.Millisecond})
 	b := &Batch{}
 	b.Put(key(1), 0, []byte("x"))
 	n := 0
@@ -243,9 +243,9 @@
 		require.Less(t, n, 20)
 	}
 	assert.ErrorIs(t, s.Append(0, b, nil, 0), ErrFull)
-	assert.Eventually(t, func() bool { return s.Figures().Batches == uint64(n) }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return s.Stats().Batches == uint64(n) }, 5*time.Second, time.Millisecond)
 	b.Reset()
-	b.Put(key(1), 0, make([]byte, MostValue+1))
+	b.Put(key(1), 0, make([]byte, MaxValue+1))
 	assert.ErrorIs(t, s.Append(0, b, nil, 0), ErrTooLong)
 	require.NoError(t, s.Close())
 }
@@ -253,7 +253,7 @@
 // Churn of records that go by themselves leaves no more on disk than the bound says, and nothing of what has gone.
 func TestWhatHasLapsedLeavesTheDisk(t *testing.T) {
 	disk := vfs.NewMemory()
-	s, _, _ := opened(t, disk, Bounds{Segment: 64 << 10, Ratio: 1.5})
+	s, _, _ := opened(t, disk, Options{SegmentBytes: 64 << 10, SnapshotRatio: 1.5})
 	value := make([]byte, 200)
 	for now := int64(0); now < 400_000; now += 100 {
 		b := &Batch{}
@@ -263,7 +263,7 @@
 		require.NoError(t, s.Write(now, b))
 	}
 	require.NoError(t, s.Snapshot())
-	f := s.Figures()
+	f := s.Stats()
 	assert.InDelta(t, 2000, f.Live, 30)
 	assert.Greater(t, f.Snapshots, uint64(3))
 	assert.Less(t, float64(f.DiskBytes), 1.1*float64(f.LiveBytes))
