--- a/internal/assembly/budgets_test.go
+++ b/internal/assembly/budgets_test.go
@@ -30,20 +30,20 @@
 // served is a controller with an operators' file before engines of eight cores.
 func served(t *testing.T, file string, works map[string]time.Duration) (listen string, cmd *exec.Cmd, log *bytes.Buffer, runs *testservers.Memory) {
 	runs = &testservers.Memory{}
-	var engines []*testservers.Engine
+	var engines []*testservers.Executor
 	for k := range 2 {
-		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: runs}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, Memory: runs}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
 	}
 	dir := t.TempDir()
-	list, stop, err := testservers.List()
+	list, stop, err := testservers.EndpointList()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, log = freePort(t), &bytes.Buffer{}
 	node, hcl := filepath.Join(dir, "node.json"), filepath.Join(dir, "teams.hcl")
-	require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, 20*time.Second, engines...), 0o600))
+	require.NoError(t, os.WriteFile(node, testservers.NodeConfig(listen, list, 20*time.Second, engines...), 0o600))
 	require.NoError(t, os.WriteFile(hcl, []byte(file), 0o600))
 	cmd = exec.Command(programs(t), "serve", "--file", hcl)
 	cmd.Env, cmd.Stderr = append(os.Environ(), "RELAY_CONFIG="+node), log
--- a/internal/assembly/kill_test.go
+++ b/internal/assembly/kill_test.go
@@ -28,20 +28,20 @@
 }
 
 func freePort(t *testing.T) string {
-	at, err := testservers.Spot()
+	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	return at
 }
 
 // setup writes the files of a controller before some engines, with a store, and gives what starts it.
-func setup(t *testing.T, program string, engines ...*testservers.Engine) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
+func setup(t *testing.T, program string, engines ...*testservers.Executor) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
 	dir := t.TempDir()
-	list, stop, err := testservers.List()
+	list, stop, err := testservers.EndpointList()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, folder = freePort(t), filepath.Join(dir, "store")
 	node, file := filepath.Join(dir, "node.json"), filepath.Join(dir, "office.hcl")
-	require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, 20*time.Second, engines...), 0o600))
+	require.NoError(t, os.WriteFile(node, testservers.NodeConfig(listen, list, 20*time.Second, engines...), 0o600))
 	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "store {\n  directory = %q\n  segment = \"64KiB\"\n}\n", folder), 0o600))
 	return listen, folder, func(log *bytes.Buffer) *exec.Cmd {
 		cmd := exec.Command(program)
@@ -56,9 +56,9 @@
 // mark runs twice, no search gets two answers, and what ran is never told as denied or unknown.
 func TestKilledTwentyTimesUnderLoad(t *testing.T) {
 	memory := &testservers.Memory{}
-	var engines []*testservers.Engine
+	var engines []*testservers.Executor
 	for k, place := range []string{"here", "here", "there"} {
-		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: place, Drops: 20 * time.Second, Work: 3 * time.Millisecond, Memory: memory}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: place, DedupWindow: 20 * time.Second, Work: 3 * time.Millisecond, Memory: memory}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
@@ -87,7 +87,7 @@
 							return
 						}
 					}
-					a, err := c.Search(offering, req, mark, 4*time.Second)
+					a, err := c.Submit(offering, req, mark, 4*time.Second)
 					if err == nil {
 						if answered.Add(1); a.Code == 0 {
 							handled.Add(1)
@@ -124,8 +124,8 @@
 	ran, marks := map[string]bool{}, map[string]int{}
 	for _, r := range memory.Runs() {
 		ran[r.ID] = true
-		if r.Mark != "" {
-			marks[r.Mark]++
+		if r.IdempotencyKey != "" {
+			marks[r.IdempotencyKey]++
 		}
 	}
 	for m, n := range marks {
@@ -162,7 +162,7 @@
 // The tools and the operators' file, as an operator uses them.
 func TestTheCommandLine(t *testing.T) {
 	program := programs(t)
-	e := &testservers.Engine{Name: "s-0", Place: "here", Drops: 20 * time.Second}
+	e := &testservers.Executor{Name: "s-0", Zone: "here", DedupWindow: 20 * time.Second}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
 	listen, folder, start := setup(t, program, e)
@@ -170,7 +170,7 @@
 	cmd := start(&log)
 	c, err := testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
-	a, err := c.Search("mark", "r1", "m1", 4*time.Second)
+	a, err := c.Submit("mark", "r1", "m1", 4*time.Second)
 	require.NoError(t, err)
 	assert.Zero(t, a.Code)
 	run := func(code int, args ...string) string {
@@ -205,11 +205,11 @@
 	again := start(&log)
 	c, err = testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
-	a, err = c.Search("mark", "r2", "m2", 4*time.Second)
+	a, err = c.Submit("mark", "r2", "m2", 4*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, testservers.Denied, a.Code, "what is not known may have run")
-	assert.Positive(t, a.HoldOff)
-	a, err = c.Search("look", "r3", "", 4*time.Second)
+	assert.Equal(t, testservers.CodeRejected, a.Code, "what is not known may have run")
+	assert.Positive(t, a.RetryAfterMS)
+	a, err = c.Submit("look", "r3", "", 4*time.Second)
 	require.NoError(t, err)
 	assert.Zero(t, a.Code)
 	require.NoError(t, again.Process.Kill())
@@ -227,16 +227,16 @@
 // Whoever reads the log may go: the program goes on. A write to a pipe that nobody reads would end it by a signal.
 func TestALogThatNobodyReadsEndsNothing(t *testing.T) {
 	program := programs(t)
-	e := &testservers.Engine{Name: "s-0", Place: "here"}
+	e := &testservers.Executor{Name: "s-0", Zone: "here"}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
-	list, stop, err := testservers.List()
+	list, stop, err := testservers.EndpointList()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	for _, file := range []string{"", "control { socket = \"" + filepath.Join(t.TempDir(), "sock") + "\" }\n"} {
 		dir := t.TempDir()
 		listen, node, office := freePort(t), filepath.Join(dir, "node.json"), ""
-		require.NoError(t, os.WriteFile(node, testservers.Node(listen, list, time.Second, e), 0o600))
+		require.NoError(t, os.WriteFile(node, testservers.NodeConfig(listen, list, time.Second, e), 0o600))
 		if file != "" {
 			office = filepath.Join(dir, "office.hcl")
 			require.NoError(t, os.WriteFile(office, []byte(file), 0o600))
@@ -252,7 +252,7 @@
 		require.NoError(t, errors.Join(r.Close(), w.Close()))
 		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP)) // which is logged
 		time.Sleep(300 * time.Millisecond)
-		a, err := c.Search("look", "0000000000000001", "", 2*time.Second)
+		a, err := c.Submit("look", "0000000000000001", "", 2*time.Second)
 		assert.NoError(t, err)
 		assert.Zero(t, a.Code)
 		require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -49,7 +49,7 @@
 type site struct {
 	listen  string
 	cmd     *exec.Cmd
-	engines []*testservers.Engine
+	engines []*testservers.Executor
 	runs    *testservers.Memory
 	seq     atomic.Int64
 }
@@ -57,17 +57,17 @@
 func newSite(dir, programs, file string, works map[string]time.Duration, engines int) (*site, error) {
 	s := &site{runs: &testservers.Memory{}}
 	for k := range engines {
-		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Cores: 8, Works: works, Memory: s.runs}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, Memory: s.runs}
 		if err := e.Start(); err != nil {
 			return nil, err
 		}
 		s.engines = append(s.engines, e)
 	}
-	list, _, err := testservers.List() // ends with this program
+	list, _, err := testservers.EndpointList() // ends with this program
 	if err != nil {
 		return nil, err
 	}
-	if s.listen, err = testservers.Spot(); err != nil {
+	if s.listen, err = testservers.FreeAddress(); err != nil {
 		return nil, err
 	}
 	at, err := os.MkdirTemp(dir, "site-")
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	node := filepath.Join(at, "node.json")
-	if err := os.WriteFile(node, testservers.Node(s.listen, list, 20*time.Second, s.engines...), 0o600); err != nil {
+	if err := os.WriteFile(node, testservers.NodeConfig(s.listen, list, 20*time.Second, s.engines...), 0o600); err != nil {
 		return nil, err
 	}
 	s.cmd = exec.Command(filepath.Join(programs, "liftshift"))
@@ -199,10 +199,10 @@
 		}
 		seen := map[string]bool{}
 		for _, r := range s.runs.Runs() {
-			if r.Mark != "" && seen[r.Mark] {
+			if r.IdempotencyKey != "" && seen[r.IdempotencyKey] {
 				twice++
 			}
-			seen[r.Mark] = true
+			seen[r.IdempotencyKey] = true
 		}
 		c, _, err := play("", 64, nil)
 		if err != nil {
--- a/internal/benchmark/holds.go
+++ b/internal/benchmark/holds.go
@@ -25,17 +25,17 @@
 }
 
 // launch starts a controller before engines; file is the operators' file, or empty.
-func launch(dir, program, file string, engines []*testservers.Engine) (*controller, error) {
-	list, _, err := testservers.List() // ends with this program
+func launch(dir, program, file string, engines []*testservers.Executor) (*controller, error) {
+	list, _, err := testservers.EndpointList() // ends with this program
 	if err != nil {
 		return nil, err
 	}
 	c := &controller{}
-	if c.listen, err = testservers.Spot(); err != nil {
+	if c.listen, err = testservers.FreeAddress(); err != nil {
 		return nil, err
 	}
 	node := filepath.Join(dir, "node-"+strconv.Itoa(len(file))+".json")
-	if err := os.WriteFile(node, testservers.Node(c.listen, list, 20*time.Second, engines...), 0o600); err != nil {
+	if err := os.WriteFile(node, testservers.NodeConfig(c.listen, list, 20*time.Second, engines...), 0o600); err != nil {
 		return nil, err
 	}
 	c.cmd = exec.Command(program)
@@ -71,7 +71,7 @@
 						mark = fmt.Sprintf("%s-%d-%d", turn, w, n)
 					}
 					at := time.Now()
-					a, err := k.Search(offering, fmt.Sprintf("%s-%s-%d-%d", offering, turn, w, n), mark, 4*time.Second)
+					a, err := k.Submit(offering, fmt.Sprintf("%s-%s-%d-%d", offering, turn, w, n), mark, 4*time.Second)
 					if err != nil || a.Code != 0 {
 						return fmt.Errorf("answer %d %s: %w", a.Code, a.Message, err)
 					}
@@ -102,9 +102,9 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	var engines []*testservers.Engine
+	var engines []*testservers.Executor
 	for k := range 3 {
-		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: "here", Drops: 20 * time.Second, Work: 2 * time.Millisecond}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Work: 2 * time.Millisecond}
 		if err := e.Start(); err != nil {
 			return nil, err
 		}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -126,7 +126,7 @@
 				}
 				began := time.Now()
 				var a testservers.Answer
-				a, err = c.Search("look", fmt.Sprintf("own-%d-%d", w, k), "", 5*time.Second)
+				a, err = c.Submit("look", fmt.Sprintf("own-%d-%d", w, k), "", 5*time.Second)
 				mu.Lock()
 				if at, ms = append(at, began), append(ms, time.Since(began).Seconds()*1000); err != nil || a.Code != 0 {
 					failed++
@@ -179,7 +179,7 @@
 	ended := own(f, heirs)
 	time.Sleep(ownBefore)
 	for _, e := range f.Engines {
-		e.Most()
+		e.MostInFlight()
 		e.Full.Store(0)
 	}
 	cut := time.Now()
@@ -197,11 +197,11 @@
 	}
 	most, full, times := 0, 0, map[string]int{}
 	for _, e := range f.Engines {
-		most, full = max(most, e.Most()), full+int(e.Full.Load())
+		most, full = max(most, e.MostInFlight()), full+int(e.Full.Load())
 	}
 	for _, r := range f.Memory.Runs() {
-		if strings.HasPrefix(r.Mark, "o") {
-			times[r.Mark]++
+		if strings.HasPrefix(r.IdempotencyKey, "o") {
+			times[r.IdempotencyKey]++
 		}
 	}
 	twice := 0
@@ -225,10 +225,10 @@
 	for idle := time.Now(); time.Since(cut) < orphanLimit && time.Since(idle) < 20*time.Second && ran < n; time.Sleep(200 * time.Millisecond) {
 		seen := map[string]bool{}
 		for _, r := range f.Memory.Runs() {
-			if !strings.HasPrefix(r.Mark, "o") {
+			if !strings.HasPrefix(r.IdempotencyKey, "o") {
 				continue
 			}
-			if seen[r.Mark] = true; first.IsZero() {
+			if seen[r.IdempotencyKey] = true; first.IsZero() {
 				first = r.At
 			}
 			last = r.At
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -190,7 +190,7 @@
 					mark = "m" + id
 				}
 				var a testservers.Answer
-				if a, wrong = c.Search(offering, id, mark, 5*time.Second); wrong == nil && a.Code != 0 {
+				if a, wrong = c.Submit(offering, id, mark, 5*time.Second); wrong == nil && a.Code != 0 {
 					wrong = fmt.Errorf("%s: %d %s", id, a.Code, a.Message)
 				}
 			}
--- a/internal/chaostest/chaostest.go
+++ b/internal/chaostest/chaostest.go
@@ -80,9 +80,9 @@
 	Plan        Plan
 	Relay       *Relay
 	Controllers []*Controller
-	Engines     []*testservers.Engine
+	Engines     []*testservers.Executor
 	Memory      *testservers.Memory
-	list        *testservers.Changes
+	list        *testservers.Discovery
 	drained     map[string]time.Time // engines that are told to be leaving, since when
 	stops       []func()
 }
@@ -99,17 +99,17 @@
 		return nil, err
 	}
 	for k := range max(1, p.Engines) {
-		e := &testservers.Engine{Name: fmt.Sprint("s-", k), Place: fmt.Sprint("z", k%max(1, p.Zones)), Drops: 100 * time.Millisecond,
-			Work: time.Duration(p.WorkMS * float64(time.Millisecond)), Works: p.Works, Memory: f.Memory, Cores: p.Cores, Room: p.Room}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: fmt.Sprint("z", k%max(1, p.Zones)), DedupWindow: 100 * time.Millisecond,
+			Work: time.Duration(p.WorkMS * float64(time.Millisecond)), WorkByClass: p.Works, Memory: f.Memory, Cores: p.Cores, MaxInFlight: p.Room}
 		if p.Drops != 0 {
-			e.Drops = max(0, p.Drops)
+			e.DedupWindow = max(0, p.Drops)
 		}
 		if err = e.Start(); err != nil {
 			return nil, err
 		}
 		f.Engines = append(f.Engines, e)
 	}
-	if f.list, err = testservers.NewChanges(); err != nil {
+	if f.list, err = testservers.NewDiscovery(); err != nil {
 		return nil, err
 	}
 	f.stops = append(f.stops, f.list.Stop)
@@ -129,7 +129,7 @@
 		return err
 	}
 	var err error
-	if c.Client, err = testservers.Spot(); err != nil {
+	if c.Client, err = testservers.FreeAddress(); err != nil {
 		return err
 	}
 	c.Socket = filepath.Join(c.Folder, "sock")
@@ -138,7 +138,7 @@
 		seeds = append(seeds, f.Relay.Known(s))
 	}
 	node := map[string]any{}
-	if err := json.Unmarshal(testservers.Node(c.Client, list, f.window(), f.Engines...), &node); err != nil {
+	if err := json.Unmarshal(testservers.NodeConfig(c.Client, list, f.window(), f.Engines...), &node); err != nil {
 		return err
 	}
 	node["name"] = c.Name
@@ -261,7 +261,7 @@
 
 // Drain has the list tell that an engine is leaving. It goes on answering.
 func (f *Fleet) Drain(k int) error {
-	if err := f.list.Tell(f.Engines[k], "Terminating"); err != nil {
+	if err := f.list.Publish(f.Engines[k], "Terminating"); err != nil {
 		return err
 	}
 	f.drained[f.Engines[k].Name] = time.Now()
@@ -271,14 +271,14 @@
 // Gone has the list tell that an engine is gone, and ends it.
 func (f *Fleet) Gone(k int) error {
 	defer f.Engines[k].Stop()
-	return f.list.Tell(f.Engines[k], "Gone")
+	return f.list.Publish(f.Engines[k], "Gone")
 }
 
 // Undrained gives the runs that began at an engine past the grace after it was told to be leaving.
 func Undrained(runs []testservers.Run, drained map[string]time.Time) (wrong []string) {
 	for _, r := range runs {
-		if at, drains := drained[r.Engine]; drains && r.At.After(at.Add(drainGrace)) {
-			wrong = append(wrong, fmt.Sprintf("search %s ran at %s, %v after that was told to be leaving", r.ID, r.Engine, r.At.Sub(at)))
+		if at, drains := drained[r.Executor]; drains && r.At.After(at.Add(drainGrace)) {
+			wrong = append(wrong, fmt.Sprintf("search %s ran at %s, %v after that was told to be leaving", r.ID, r.Executor, r.At.Sub(at)))
 		}
 	}
 	return wrong
--- a/internal/chaostest/chaostest_test.go
+++ b/internal/chaostest/chaostest_test.go
@@ -292,11 +292,11 @@
 // The checker refuses what must be refused.
 func TestCheckerRefuses(t *testing.T) {
 	at := time.Now()
-	run := func(id, mark string) testservers.Run { return testservers.Run{ID: id, Mark: mark, At: at} }
+	run := func(id, mark string) testservers.Run { return testservers.Run{ID: id, IdempotencyKey: mark, At: at} }
 	assert.Empty(t, Check([]Asked{{ID: "1", Offering: "look", Outcome: "handled"}}, []testservers.Run{run("1", "")}, 1))
 	leaving := map[string]time.Time{"s-1": at}
-	assert.Empty(t, Undrained([]testservers.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Millisecond)}, {ID: "2", Engine: "s-2", At: at.Add(time.Hour)}}, leaving))
-	assert.NotEmpty(t, Undrained([]testservers.Run{{ID: "1", Engine: "s-1", At: at.Add(time.Second)}}, leaving), "a drain that is not kept")
+	assert.Empty(t, Undrained([]testservers.Run{{ID: "1", Executor: "s-1", At: at.Add(time.Millisecond)}, {ID: "2", Executor: "s-2", At: at.Add(time.Hour)}}, leaving))
+	assert.NotEmpty(t, Undrained([]testservers.Run{{ID: "1", Executor: "s-1", At: at.Add(time.Second)}}, leaving), "a drain that is not kept")
 	for name, c := range map[string]struct {
 		asked []Asked
 		runs  []testservers.Run
@@ -324,8 +324,8 @@
 				return "", err
 			}
 			defer c.Close()
-			a, err := c.Search(offering, id, mark, 2*time.Second)
-			return map[int]string{0: "handled", testservers.Denied: "denied"}[a.Code], err
+			a, err := c.Submit(offering, id, mark, 2*time.Second)
+			return map[int]string{0: "handled", testservers.CodeRejected: "denied"}[a.Code], err
 		}
 		for round := range 2 {
 			id := func(n int) string { return fmt.Sprintf("%s-%d-%d", sick, round, n) }
@@ -364,7 +364,7 @@
 	c, err := testservers.Dial(f.Controllers[0].Client, time.Second)
 	require.NoError(t, err)
 	defer c.Close()
-	go func() { _, _ = c.Search("look", "0000000000000001", "", 5*time.Second) }() // which the stop waits for
+	go func() { _, _ = c.Submit("look", "0000000000000001", "", 5*time.Second) }() // which the stop waits for
 	time.Sleep(200 * time.Millisecond)
 	one := f.Controllers[0]
 	require.NoError(t, f.Signal(0, syscall.SIGTERM))
@@ -387,7 +387,7 @@
 			return false
 		}
 		defer next.Close()
-		a, err := next.Search("look", fmt.Sprintf("%016x", time.Now().UnixNano()), "", 2*time.Second)
+		a, err := next.Submit("look", fmt.Sprintf("%016x", time.Now().UnixNano()), "", 2*time.Second)
 		return err == nil && a.Code == 0
 	}, 10*time.Second, 50*time.Millisecond, "ready in time")
 	t.Logf("ready %v after its start", time.Since(began))
@@ -426,16 +426,16 @@
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		joins := &testservers.Engine{Name: "s-new", Place: "z0", Work: 5 * time.Millisecond, Memory: f.Memory}
+		joins := &testservers.Executor{Name: "s-new", Zone: "z0", Work: 5 * time.Millisecond, Memory: f.Memory}
 		require.NoError(t, joins.Start())
 		t.Cleanup(joins.Stop)
-		require.NoError(t, f.list.TellSince(joins, "Ready", time.Now().Add(off).UnixMilli()))
+		require.NoError(t, f.list.PublishSince(joins, "Ready", time.Now().Add(off).UnixMilli()))
 		time.Sleep(2 * time.Second)
 		close(stop)
 		all.Wait()
 		n := 0
 		for _, r := range f.Memory.Runs() {
-			if r.Engine == joins.Name {
+			if r.Executor == joins.Name {
 				n++
 			}
 		}
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -82,7 +82,7 @@
 		}
 		conns[k] = c
 	}
-	answer, err := conns[k].Search(a.Offering, a.ID, a.Mark, 2*time.Second)
+	answer, err := conns[k].Submit(a.Offering, a.ID, a.Mark, 2*time.Second)
 	a.Took = time.Since(a.At)
 	switch {
 	case err != nil:
@@ -91,7 +91,7 @@
 		conns[k] = nil
 	case answer.Code == 0:
 		a.Outcome = "handled"
-	case answer.Code == testservers.Denied:
+	case answer.Code == testservers.CodeRejected:
 		a.Outcome = "denied"
 	default:
 		a.Outcome = "written off"
@@ -105,8 +105,8 @@
 	byID, byMark := map[string]int{}, map[string]int{}
 	for _, r := range runs {
 		byID[r.ID]++
-		if r.Mark != "" {
-			byMark[r.Mark]++
+		if r.IdempotencyKey != "" {
+			byMark[r.IdempotencyKey]++
 		}
 	}
 	seen, further := map[string]bool{}, 0
--- a/internal/chaostest/soak_test.go
+++ b/internal/chaostest/soak_test.go
@@ -177,9 +177,9 @@
 	}
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	if c.s.answered[o.id] = m.Error.Code == testservers.Denied; m.Error.Code == 0 {
+	if c.s.answered[o.id] = m.Error.Code == testservers.CodeRejected; m.Error.Code == 0 {
 		c.s.outcomes["handled"]++
-	} else if m.Error.Code == testservers.Denied {
+	} else if m.Error.Code == testservers.CodeRejected {
 		c.s.outcomes["denied"]++
 	} else {
 		c.s.outcomes["failed"]++
@@ -403,7 +403,7 @@
 // move has the list go on at another address, which a new configuration names; the one before tells nothing more, and ends later.
 func (s *soak) move() {
 	before := s.fleet.list
-	next, err := testservers.NewChanges()
+	next, err := testservers.NewDiscovery()
 	require.NoError(s.t, err)
 	s.t.Cleanup(next.Stop)
 	s.fleet.list = next
--- a/internal/chaostest/takeover.go
+++ b/internal/chaostest/takeover.go
@@ -81,13 +81,13 @@
 	if breaks > 0 {
 		defer time.AfterFunc(breaks, c.Close).Stop()
 	}
-	a, err := c.Search(offering, id, mark, patience)
+	a, err := c.Submit(offering, id, mark, patience)
 	switch {
 	case err != nil:
 		return "cut off"
 	case a.Code == 0:
 		return "handled"
-	case a.Code == testservers.Denied:
+	case a.Code == testservers.CodeRejected:
 		return "denied"
 	}
 	return "written off"
@@ -292,14 +292,14 @@
 func (f *Fleet) judge(r *Round, list []inHand, ran int, at time.Time, before []testservers.Run) {
 	times := map[string]int{}
 	for _, x := range f.Memory.Runs()[ran:] {
-		times[key(x.ID, x.Mark)]++
+		times[key(x.ID, x.IdempotencyKey)]++
 	}
 	early := map[string]bool{}
 	for _, x := range before {
-		early[key(x.ID, x.Mark)] = true
+		early[key(x.ID, x.IdempotencyKey)] = true
 	}
 	for _, x := range f.Memory.Runs()[ran:] {
-		if x.At.After(at) && x.Mark != "" && !early[x.Mark] && (r.FirstShot == 0 || x.At.Sub(at) < r.FirstShot) {
+		if x.At.After(at) && x.IdempotencyKey != "" && !early[x.IdempotencyKey] && (r.FirstShot == 0 || x.At.Sub(at) < r.FirstShot) {
 			r.FirstShot = x.At.Sub(at)
 		}
 	}
--- a/internal/chaostest/takeover_test.go
+++ b/internal/chaostest/takeover_test.go
@@ -50,8 +50,8 @@
 			began := time.Now()
 			if c, err := testservers.Dial(f.Controllers[k].Client, time.Second); err == nil {
 				defer c.Close()
-				if a, err := c.Search(offering, o.id, o.mark, 5*time.Second); err == nil {
-					o.outcome = map[int]string{0: "handled", testservers.Denied: "denied"}[a.Code]
+				if a, err := c.Submit(offering, o.id, o.mark, 5*time.Second); err == nil {
+					o.outcome = map[int]string{0: "handled", testservers.CodeRejected: "denied"}[a.Code]
 					if o.outcome == "" {
 						o.outcome = "written off"
 					}
@@ -76,7 +76,7 @@
 func ranTwice(f *Fleet) (marks []string) {
 	n := map[string]int{}
 	for _, r := range f.Memory.Runs() {
-		key := r.Mark
+		key := r.IdempotencyKey
 		if key == "" {
 			key = r.ID
 		}
@@ -182,7 +182,7 @@
 	time.Sleep(500 * time.Millisecond)
 	sent := map[string]string{}
 	for _, r := range f.Memory.Runs() {
-		sent[r.Mark] = r.Engine
+		sent[r.IdempotencyKey] = r.Executor
 	}
 	f.Kill(4)
 	require.NoError(t, f.Drain(0))
@@ -202,8 +202,8 @@
 	t.Logf("told: %v", known)
 	assert.GreaterOrEqual(t, known["handled"], counts["handled"])
 	for _, r := range f.Memory.Runs() {
-		if at, before := sent[r.Mark]; before {
-			assert.Equal(t, at, r.Engine, "it may have run there, and nowhere else")
+		if at, before := sent[r.IdempotencyKey]; before {
+			assert.Equal(t, at, r.Executor, "it may have run there, and nowhere else")
 		}
 	}
 }
--- a/internal/chaostest/zones.go
+++ b/internal/chaostest/zones.go
@@ -52,14 +52,14 @@
 			}
 		}
 		a := Asked{ID: fmt.Sprint(tag, "-", n), Offering: "look", Controller: k, At: time.Now(), Outcome: "cut off"}
-		got, err := c.Search(a.Offering, a.ID, "", 3*time.Second)
+		got, err := c.Submit(a.Offering, a.ID, "", 3*time.Second)
 		switch a.Took = time.Since(a.At); {
 		case err != nil:
 			c.Close()
 			c = nil
 		case got.Code == 0:
 			a.Outcome = "handled"
-		case got.Code == testservers.Denied:
+		case got.Code == testservers.CodeRejected:
 			a.Outcome = "denied"
 		default:
 			a.Outcome = "written off"
@@ -94,7 +94,7 @@
 // CutZone has all engines of a zone out of reach, or in reach again.
 func (f *Fleet) CutZone(zone string, cut bool) {
 	for _, e := range f.Engines {
-		if e.Place == zone {
+		if e.Zone == zone {
 			e.Cut(cut)
 		}
 	}
@@ -103,7 +103,7 @@
 // CutZoneForSome has all engines of a zone out of reach for the controllers of Plan.Seconds, or in reach again.
 func (f *Fleet) CutZoneForSome(zone string, cut bool) {
 	for _, e := range f.Engines {
-		if e.Place == zone {
+		if e.Zone == zone {
 			e.CutSecond(cut)
 		}
 	}
@@ -153,7 +153,7 @@
 func (f *Fleet) Spilled(tag string, from, to time.Time) (near, far int) {
 	zone := map[string]string{}
 	for _, e := range f.Engines {
-		zone[e.Name] = e.Place
+		zone[e.Name] = e.Zone
 	}
 	for _, r := range f.Memory.Runs() {
 		parts := strings.Split(r.ID, "-")
@@ -162,7 +162,7 @@
 		}
 		var k int
 		_, _ = fmt.Sscan(parts[1], &k)
-		if zone[r.Engine] == f.ZoneOf(k) {
+		if zone[r.Executor] == f.ZoneOf(k) {
 			near++
 		} else {
 			far++
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -66,7 +66,7 @@
 func open(t *testing.T, name string, part dispatch.Extension) *end {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	at, err := testservers.Spot()
+	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
 	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -40,7 +40,7 @@
 func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	at, err := testservers.Spot()
+	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Incarnation: 1, Address: at}
 	c.LocalityDatagram = scout
--- a/internal/raftnode/helpers_test.go
+++ b/internal/raftnode/helpers_test.go
@@ -37,7 +37,7 @@
 // addresses gives free ones on loopback.
 func addresses(t *testing.T, n int) (list []string) {
 	for range n {
-		at, err := testservers.Spot()
+		at, err := testservers.FreeAddress()
 		require.NoError(t, err)
 		list = append(list, at)
 	}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -30,7 +30,7 @@
 
 // free is an address that nobody listens on.
 func free(t *testing.T) string {
-	at, err := testservers.Spot()
+	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	return at
 }
--- a/internal/testservers/client.go
+++ b/internal/testservers/client.go
@@ -16,12 +16,12 @@
 
 // Answer is what a client got.
 type Answer struct {
-	Code    int // of an error; 0: handled
-	Message string
-	Data    string // base64, of a result
-	Outcome string // of the method outcome
-	HoldOff int
-	Waits   []Wait // told before the answer
+	Code         int // of an error; 0: handled
+	Message      string
+	Data         string // base64, of a result
+	Outcome      string // of the method outcome
+	RetryAfterMS int
+	Waits        []Wait // told before the answer
 }
 
 // Wait is a figure told of a search that waits.
@@ -33,8 +33,8 @@
 
 // Codes of the protocol.
 const (
-	Denied     = -32008
-	WrittenOff = -32000
+	CodeRejected = -32008
+	CodeFailed   = -32000
 )
 
 // Client is one connection of a client, for one call at a time.
@@ -60,8 +60,8 @@
 // Close ends the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Search asks for a search and waits for its answer.
-func (c *Client) Search(offering, req, mark string, timeout time.Duration) (Answer, error) {
+// Submit asks for a search and waits for its answer.
+func (c *Client) Submit(offering, req, mark string, timeout time.Duration) (Answer, error) {
 	p := map[string]any{"req": req, "timeout": timeout.Milliseconds(), "ms": 5, "ram": 1, "data": "c2VsZWN0IDE="}
 	if mark != "" {
 		p["opkey"] = mark
@@ -128,13 +128,13 @@
 	return m, json.Unmarshal(body[2:], &m)
 }
 
-// Node gives a configuration for a controller before some engines: three offerings, look (redoable), mark (labelled, its
+// NodeConfig gives a configuration for a controller before some engines: three offerings, look (redoable), mark (labelled, its
 // repeats dropped by the engines of a place for a window) and once (irreversible).
-func Node(listen, changelog string, window time.Duration, engines ...*Engine) []byte {
+func NodeConfig(listen, changelog string, window time.Duration, engines ...*Executor) []byte {
 	type m = map[string]any
 	var list []m
 	for _, e := range engines {
-		list = append(list, m{"name": e.Name, "address": e.Address(), "zone": e.Place, "type": "big", "group": 0, "status": "Ready",
+		list = append(list, m{"name": e.Name, "address": e.Address(), "zone": e.Zone, "type": "big", "group": 0, "status": "Ready",
 			"weight": 8})
 	}
 	class := func(name, effect string) m {
@@ -157,17 +157,17 @@
 	return text
 }
 
-// List is a change log that never has news.
-func List() (address string, stop func(), err error) {
-	c, err := NewChanges()
+// EndpointList is a change log that never has news.
+func EndpointList() (address string, stop func(), err error) {
+	c, err := NewDiscovery()
 	if err != nil {
 		return "", nil, err
 	}
 	return c.Address, c.Stop, nil
 }
 
-// Changes is a change log to which events can be added. The first is the one that Node has.
-type Changes struct {
+// Discovery is a change log to which events can be added. The first is the one that Node has.
+type Discovery struct {
 	Address string
 	server  *http.Server
 	mu      sync.Mutex
@@ -175,31 +175,31 @@
 	news    chan struct{} // closed by the next event
 }
 
-// NewChanges starts one.
-func NewChanges() (*Changes, error) {
+// NewDiscovery starts one.
+func NewDiscovery() (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &Changes{Address: l.Addr().String(), news: make(chan struct{})}
+	c := &Discovery{Address: l.Addr().String(), news: make(chan struct{})}
 	c.server = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(c.serve)}
 	go func() { _ = c.server.Serve(l) }()
 	return c, nil
 }
 
 // Stop ends it.
-func (c *Changes) Stop() { _ = c.server.Close() }
+func (c *Discovery) Stop() { _ = c.server.Close() }
 
-// Tell adds what has become of an engine: Ready, Terminating or Gone.
-func (c *Changes) Tell(e *Engine, status string) error { return c.TellSince(e, status, 0) }
+// Publish adds what has become of an engine: Ready, Terminating or Gone.
+func (c *Discovery) Publish(e *Executor, status string) error { return c.PublishSince(e, status, 0) }
 
-// TellSince is Tell of an engine that has started late, at a Unix ms by its own wall clock.
-func (c *Changes) TellSince(e *Engine, status string, since int64) error {
+// PublishSince is Tell of an engine that has started late, at a Unix ms by its own wall clock.
+func (c *Discovery) PublishSince(e *Executor, status string, since int64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	seq := len(c.events) + 2
 	text, err := json.Marshal(map[string]any{"seq": seq, "fleet": map[string]any{"index": seq, "snapshot": false, "endpoints": []any{map[string]any{
-		"name": e.Name, "address": e.Address(), "zone": e.Place, "type": "big", "group": 0, "status": status, "weight": 8,
+		"name": e.Name, "address": e.Address(), "zone": e.Zone, "type": "big", "group": 0, "status": status, "weight": 8,
 		"since_ms": since}}}})
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (c *Changes) serve(w http.ResponseWriter, r *http.Request) {
+func (c *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
 	late := time.After(min(5*time.Second, time.Duration(ms)*time.Millisecond))
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -17,20 +17,20 @@
 // Rows is what every engine answers.
 const Rows = "a\tb\tc\n"
 
-// Engine is one engine. It counts each run of a mark and of an id.
-type Engine struct {
-	Name   string
-	Place  string
-	Drops  time.Duration // for how long it drops repeats of a mark: it answers, and nothing runs; 0: it drops none
-	Work   time.Duration
-	Works  map[string]time.Duration // by offering, where that differs
-	Cores  int                      // that searches share by their priorities, 1 : 4 : 8 : 16; 0: any number
-	Memory *Memory                  // what it and others of its group remember
-	Room   int                      // searches at a time, past which it answers that it is full, where it has Cores; 0: any number
-	Full   atomic.Uint64            // such answers
-	Hangs  atomic.Bool              // it takes searches, and answers nothing but probes
-	most   int
-	cut    bool
+// Executor is one engine. It counts each run of a mark and of an id.
+type Executor struct {
+	Name        string
+	Zone        string
+	DedupWindow time.Duration // for how long it drops repeats of a mark: it answers, and nothing runs; 0: it drops none
+	Work        time.Duration
+	WorkByClass map[string]time.Duration // by offering, where that differs
+	Cores       int                      // that searches share by their priorities, 1 : 4 : 8 : 16; 0: any number
+	Memory      *Memory                  // what it and others of its group remember
+	MaxInFlight int                      // searches at a time, past which it answers that it is full, where it has Cores; 0: any number
+	Full        atomic.Uint64            // such answers
+	Hangs       atomic.Bool              // it takes searches, and answers nothing but probes
+	most        int
+	cut         bool
 
 	jobs     map[*job]struct{}
 	stopped  chan struct{}
@@ -43,9 +43,9 @@
 
 // Run is one run of a search.
 type Run struct {
-	ID, Mark, Engine string
-	At               time.Time
-	Max              time.Duration // how long its controller said to wait
+	ID, IdempotencyKey, Executor string
+	At                           time.Time
+	Max                          time.Duration // how long its controller said to wait
 }
 
 // Memory counts runs, and knows repeats, for all engines that share it.
@@ -69,16 +69,16 @@
 	if m.last == nil {
 		m.last = map[string]time.Time{}
 	}
-	at, known := m.last[r.Mark+"\x00"+group]
-	if r.Mark != "" && known && drops > 0 && r.At.Sub(at) < drops {
+	at, known := m.last[r.IdempotencyKey+"\x00"+group]
+	if r.IdempotencyKey != "" && known && drops > 0 && r.At.Sub(at) < drops {
 		return
 	}
-	m.last[r.Mark+"\x00"+group] = r.At
+	m.last[r.IdempotencyKey+"\x00"+group] = r.At
 	m.runs = append(m.runs, r)
 }
 
 // Start listens on a loopback address.
-func (e *Engine) Start() error {
+func (e *Executor) Start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 }
 
 // accept takes connections; while that way is cut they end at once.
-func (e *Engine) accept(l net.Listener, second bool) {
+func (e *Executor) accept(l net.Listener, second bool) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -122,13 +122,13 @@
 }
 
 // Address is where it listens.
-func (e *Engine) Address() string { return e.listener.Addr().String() }
+func (e *Executor) Address() string { return e.listener.Addr().String() }
 
 // Second is its other address.
-func (e *Engine) Second() string { return e.second.Addr().String() }
+func (e *Executor) Second() string { return e.second.Addr().String() }
 
 // CutSecond has it out of reach by its other address alone, or in reach again.
-func (e *Engine) CutSecond(cut bool) {
+func (e *Executor) CutSecond(cut bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.halfCut = cut
@@ -141,7 +141,7 @@
 }
 
 // Cut has it out of reach, or in reach again: connections end, and new ones end at once. What runs there goes on.
-func (e *Engine) Cut(cut bool) {
+func (e *Executor) Cut(cut bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cut = cut; cut {
@@ -153,7 +153,7 @@
 }
 
 // Stop ends it and its connections.
-func (e *Engine) Stop() {
+func (e *Executor) Stop() {
 	_ = e.listener.Close()
 	_ = e.second.Close()
 	e.mu.Lock()
@@ -168,7 +168,7 @@
 }
 
 // serve answers one connection. What is given up, or whose connection ends, has run all the same.
-func (e *Engine) serve(c net.Conn) {
+func (e *Executor) serve(c net.Conn) {
 	defer c.Close()
 	var out sync.Mutex
 	say := func(words ...string) {
@@ -212,15 +212,15 @@
 				if v, ok := strings.CutPrefix(f, "nice="); ok {
 					level = v
 				}
-				if v, ok := strings.CutPrefix(f, "profile="); ok && e.Works[v] > 0 {
-					work = e.Works[v]
+				if v, ok := strings.CutPrefix(f, "profile="); ok && e.WorkByClass[v] > 0 {
+					work = e.WorkByClass[v]
 				}
 			}
 			if e.filled() {
 				say(w[1], "full", "-")
 				break
 			}
-			e.Memory.run(Run{w[1], mark, e.Name, time.Now(), time.Duration(most) * time.Millisecond}, e.Place, e.Drops)
+			e.Memory.run(Run{w[1], mark, e.Name, time.Now(), time.Duration(most) * time.Millisecond}, e.Zone, e.DedupWindow)
 			if e.Hangs.Load() {
 				break
 			}
@@ -295,7 +295,7 @@
 
 var weights = map[string]float64{"0": 1, "1": 4, "2": 8, "3": 16}
 
-func (e *Engine) enter(work time.Duration, level string, done func()) *job {
+func (e *Executor) enter(work time.Duration, level string, done func()) *job {
 	j := &job{float64(work) / float64(time.Millisecond), max(1, weights[level]), done}
 	e.mu.Lock()
 	e.jobs[j] = struct{}{}
@@ -304,31 +304,31 @@
 }
 
 // filled tells whether there is no room for one more.
-func (e *Engine) filled() bool {
+func (e *Executor) filled() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.most = max(e.most, len(e.jobs)); e.Room == 0 || len(e.jobs) < e.Room {
+	if e.most = max(e.most, len(e.jobs)); e.MaxInFlight == 0 || len(e.jobs) < e.MaxInFlight {
 		return false
 	}
 	e.Full.Add(1)
 	return true
 }
 
-// Most gives how many searches it had at a time at most, since it was asked last.
-func (e *Engine) Most() (n int) {
+// MostInFlight gives how many searches it had at a time at most, since it was asked last.
+func (e *Executor) MostInFlight() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n, e.most = e.most, len(e.jobs)
 	return n
 }
 
-func (e *Engine) end(j *job) {
+func (e *Executor) end(j *job) {
 	e.mu.Lock()
 	delete(e.jobs, j)
 	e.mu.Unlock()
 }
 
-func (e *Engine) renice(j *job, level string) {
+func (e *Executor) renice(j *job, level string) {
 	e.mu.Lock()
 	if j != nil {
 		j.weight = max(1, weights[level])
@@ -337,7 +337,7 @@
 }
 
 // share gives each job its part of the cores, by weight and one core at most, as time goes by.
-func (e *Engine) share() {
+func (e *Executor) share() {
 	e.mu.Lock()
 	stopped := e.stopped
 	e.mu.Unlock()
@@ -358,7 +358,7 @@
 }
 
 // spend lets the jobs run for a time and gives those that end.
-func (e *Engine) spend(ms float64) (ended []func()) {
+func (e *Executor) spend(ms float64) (ended []func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cores, weight := float64(e.Cores), 0.0
--- a/internal/testservers/spot.go
+++ b/internal/testservers/spot.go
@@ -14,8 +14,8 @@
 
 var spots atomic.Uint32
 
-// Spot gives an address of the loopback that is this process's alone and that nobody listens at, for a program that is started next.
-func Spot() (at string, err error) {
+// FreeAddress gives an address of the loopback that is this process's alone and that nobody listens at, for a program that is started next.
+func FreeAddress() (at string, err error) {
 	p := os.Getpid()
 	for range 32 {
 		n := spots.Add(1)
