--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -97,7 +97,7 @@
 	var k *ledgerstore.Store
 	var found store.Recovery
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = ledgerstore.Open(vfs.Beneath(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
+		k, found, err = ledgerstore.Open(vfs.WithFaults(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
 			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.Beneath(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
+	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.WithFaults(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
 		return err
 	}
 	f.seat.OnEffect = f.agreed
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return fmt.Errorf("estate: %w", err)
 		}
-		if err := t.PersistCopies(vfs.Beneath(dir), func(note any) { i.desk.Put(dispatch.QueueItem{Message: note}) }); err != nil {
+		if err := t.PersistCopies(vfs.WithFaults(dir), func(note any) { i.desk.Put(dispatch.QueueItem{Message: note}) }); err != nil {
 			return err
 		}
 	}
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -41,7 +41,7 @@
 }
 
 // goldenFolder writes a store that has records of every kind, in a snapshot and behind it, at fixed times.
-func goldenFolder(t *testing.T, stop bool) *vfs.Memory {
+func goldenFolder(t *testing.T, stop bool) *vfs.MemoryFS {
 	disk := vfs.NewMemory()
 	c := &controller{now: 10000, heard: make(chan ledger.Event, 1000), engine: &engines{ran: map[string][]string{}}}
 	var err error
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -68,7 +68,7 @@
 func up(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
 
 // begin opens a keeper; a store that is damaged is repaired first, as an operator would.
-func begin(disk *vfs.Memory, now float64, e *engines) (*controller, error) {
+func begin(disk *vfs.MemoryFS, now float64, e *engines) (*controller, error) {
 	c := &controller{now: now, heard: make(chan ledger.Event, 1000), engine: e}
 	open := func() (err error) {
 		c.Store, _, err = OpenAt(disk, bounds, given(), func() float64 { return now }, up(now),
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -21,7 +21,7 @@
 const rounds = 12
 
 // after is what must hold after any damage: no mark runs a second time, and what was open has a final outcome.
-func after(t *testing.T, disk *vfs.Memory, now float64, e *engines, open []string, what string) {
+func after(t *testing.T, disk *vfs.MemoryFS, now float64, e *engines, open []string, what string) {
 	c, err := begin(disk, now, e)
 	require.NoError(t, err, what)
 	for _, id := range open {
@@ -76,7 +76,7 @@
 
 // The machine goes down at each call on the file system in turn: between record and send, send and note, answer and record.
 func TestNoMarkRunsTwiceThroughACrashAtAnyCall(t *testing.T) {
-	run := func(disk *vfs.Memory) (*engines, []string) {
+	run := func(disk *vfs.MemoryFS) (*engines, []string) {
 		e := &engines{ran: map[string][]string{}}
 		c, err := begin(disk, 1000, e)
 		if err != nil {
@@ -90,7 +90,7 @@
 	_, open := run(whole)
 	require.Len(t, open, 3)
 	for at := 1; at <= whole.Ops(); at++ {
-		for _, loss := range []vfs.Loss{vfs.All, vfs.Part, vfs.Nought} {
+		for _, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LosePart, vfs.LoseNothing} {
 			disk := vfs.NewMemory()
 			disk.CrashAt = at
 			e, open := run(disk)
@@ -140,7 +140,7 @@
 func (f *fleet) Refresh()                                        {}
 
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
-func desks(t *testing.T, disk *vfs.Memory) (*dispatch.Loop, *fleet, *Store) {
+func desks(t *testing.T, disk *vfs.MemoryFS) (*dispatch.Loop, *fleet, *Store) {
 	clock := dispatch.NewClock()
 	d := dispatch.New(clock, scheduler.New(7, given()), silent())
 	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -86,7 +86,7 @@
 }
 
 // goldenFolder holds a voter's folder against its files, which end at their last byte that is set, and gives one with the same files.
-func goldenFolder(t *testing.T, name string, fs *vfs.Memory) *vfs.Memory {
+func goldenFolder(t *testing.T, name string, fs *vfs.MemoryFS) *vfs.MemoryFS {
 	t.Helper()
 	files, err := fs.List()
 	require.NoError(t, err)
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -28,7 +28,7 @@
 	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
 	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
-	for seed, loss := range []vfs.Loss{vfs.All, vfs.Nought} {
+	for seed, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LoseNothing} {
 		again, err := openDisk(fs.Clone().Crash(loss, uint64(seed)), &Node{}, silent())
 		require.NoError(t, err)
 		assert.Equal(t, id, again.id)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -33,7 +33,7 @@
 	calls := whole.Ops()
 	require.Greater(t, calls, 100)
 	for at := 1; at <= calls; at++ {
-		for _, loss := range []vfs.Loss{vfs.All, vfs.Part, vfs.Nought} {
+		for _, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LosePart, vfs.LoseNothing} {
 			what := fmt.Sprintf("crash at call %d, loss %d", at, loss)
 			disk := vfs.NewMemory()
 			disk.CrashAt = at
@@ -63,7 +63,7 @@
 }
 
 // lives is a store's files after a workload, with what was told of them.
-func lives(t *testing.T) (*vfs.Memory, map[Key]string) {
+func lives(t *testing.T) (*vfs.MemoryFS, map[Key]string) {
 	disk := vfs.NewMemory()
 	s, _, _ := opened(t, disk, small)
 	told, _ := workload(s, 30)
@@ -138,7 +138,7 @@
 		failing = false
 		require.NoError(t, write(s, 99, "after"), call)
 		require.NoError(t, s.Close())
-		s, _, held := opened(t, disk.Crash(vfs.Part, 3), small)
+		s, _, held := opened(t, disk.Crash(vfs.LosePart, 3), small)
 		assert.Equal(t, "after", held[key(99)], call)
 		assert.Equal(t, "before", held[key(1)], call)
 		for _, n := range failed {
@@ -282,7 +282,7 @@
 				require.NoError(t, s.Snapshot())
 			case 1, 2:
 				if rapid.Bool().Draw(t, "crash") {
-					disk = disk.Crash(vfs.Part, uint64(n))
+					disk = disk.Crash(vfs.LosePart, uint64(n))
 				} else {
 					require.NoError(t, s.Close())
 				}
--- a/internal/vfs/faults_off.go
+++ b/internal/vfs/faults_off.go
@@ -2,5 +2,5 @@
 
 package vfs
 
-// Beneath gives what a store stands on: the folder itself. With the build tag faults, a layer that fails on command.
-func Beneath(d Dir) FS { return d }
+// WithFaults gives what a store stands on: the folder itself. With the build tag faults, a layer that fails on command.
+func WithFaults(d Dir) FS { return d }
--- a/internal/vfs/memory.go
+++ b/internal/vfs/memory.go
@@ -23,10 +23,10 @@
 // sector is what a disk writes whole or not at all.
 const sector = 512
 
-// Memory is a folder in memory. What was written is seen at once by readers, but lasts only once it was synced; what
+// MemoryFS is a folder in memory. What was written is seen at once by readers, but lasts only once it was synced; what
 // became of the rest shows after Crash. A failed Sync is the one of real systems: what it should have written counts as
 // clean from then on, and no later Sync writes it.
-type Memory struct {
+type MemoryFS struct {
 	// Fail is asked before each call that changes something; an error fails the call and nothing changes. May be nil.
 	Fail func(Op) error
 	// CrashAt is the call at which the machine goes down, 0: never. That call itself may or may not take effect.
@@ -60,19 +60,19 @@
 }
 
 // NewMemory gives an empty folder.
-func NewMemory() *Memory {
-	return &Memory{names: map[string]*node{}, lasts: map[string]*node{}, locked: map[string]bool{}}
+func NewMemory() *MemoryFS {
+	return &MemoryFS{names: map[string]*node{}, lasts: map[string]*node{}, locked: map[string]bool{}}
 }
 
 // Ops tells how many calls changed something so far.
-func (m *Memory) Ops() int {
+func (m *MemoryFS) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ops
 }
 
 // call counts a call; called under the lock.
-func (m *Memory) call(what, name string) (effect bool, err error) {
+func (m *MemoryFS) call(what, name string) (effect bool, err error) {
 	if m.down {
 		return false, ErrCrashed
 	}
@@ -90,7 +90,7 @@
 }
 
 // do makes a call that changes something. Where the machine goes down at it, it may still have taken effect.
-func (m *Memory) do(what, name string, change func()) error {
+func (m *MemoryFS) do(what, name string, change func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	effect, err := m.call(what, name)
@@ -101,7 +101,7 @@
 }
 
 // Create makes a file that is not there yet.
-func (m *Memory) Create(name string) (File, error) {
+func (m *MemoryFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	_, there := m.names[name]
 	m.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // turn changes a name; called under the lock.
-func (m *Memory) turn(name string, n *node) {
+func (m *MemoryFS) turn(name string, n *node) {
 	m.turns = append(m.turns, turn{name, n})
 	if n == nil {
 		delete(m.names, name)
@@ -126,7 +126,7 @@
 }
 
 // Open opens a file.
-func (m *Memory) Open(name string) (File, error) {
+func (m *MemoryFS) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -140,12 +140,12 @@
 }
 
 // Remove removes a file.
-func (m *Memory) Remove(name string) error {
+func (m *MemoryFS) Remove(name string) error {
 	return m.do("remove", name, func() { m.turn(name, nil) })
 }
 
 // Rename gives a file another name.
-func (m *Memory) Rename(from, to string) error {
+func (m *MemoryFS) Rename(from, to string) error {
 	m.mu.Lock()
 	n := m.names[from]
 	m.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // List gives the names.
-func (m *Memory) List() ([]string, error) {
+func (m *MemoryFS) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -172,7 +172,7 @@
 }
 
 // SyncDir makes names lasting.
-func (m *Memory) SyncDir() error {
+func (m *MemoryFS) SyncDir() error {
 	return m.do("syncdir", "", func() {
 		for _, t := range m.turns {
 			t.play(m.lasts)
@@ -190,7 +190,7 @@
 }
 
 // Lock takes the folder.
-func (m *Memory) Lock(name string) (io.Closer, error) {
+func (m *MemoryFS) Lock(name string) (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.locked[name] {
@@ -210,18 +210,18 @@
 // Close calls it.
 func (c closer) Close() error { return c() }
 
-// Loss tells what becomes, at a crash, of what was not synced.
-type Loss int
+// CrashLoss tells what becomes, at a crash, of what was not synced.
+type CrashLoss int
 
 // The losses.
 const (
-	All    Loss = iota // nothing of it lasts
-	Part               // any of it lasts, in any order, torn at sectors
-	Nought             // all of it lasts: just the process was killed
+	LoseAll     CrashLoss = iota // nothing of it lasts
+	LosePart                     // any of it lasts, in any order, torn at sectors
+	LoseNothing                  // all of it lasts: just the process was killed
 )
 
 // Crash gives the folder as it is found after the crash; the seed says which part lasts.
-func (m *Memory) Crash(loss Loss, seed uint64) *Memory {
+func (m *MemoryFS) Crash(loss CrashLoss, seed uint64) *MemoryFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = true
@@ -232,9 +232,9 @@
 	}
 	kept := 0
 	switch loss {
-	case Nought:
+	case LoseNothing:
 		kept = len(m.turns)
-	case Part:
+	case LosePart:
 		kept = dice.IntN(len(m.turns) + 1)
 	}
 	for k, t := range m.turns { // names change in order, as in a journal
@@ -250,10 +250,10 @@
 	for _, name := range sorted {
 		n := names[name]
 		bytes := slices.Clone(n.now)
-		if loss != Nought {
+		if loss != LoseNothing {
 			bytes = slices.Clone(n.lasts)
 			for _, w := range n.dirty {
-				if loss == Part {
+				if loss == LosePart {
 					bytes = w.tear(bytes, dice)
 				}
 			}
@@ -291,7 +291,7 @@
 }
 
 // Bytes gives what a file holds, as seen now; Set puts bytes in its place, lasting at once.
-func (m *Memory) Bytes(name string) []byte {
+func (m *MemoryFS) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if n := m.names[name]; n != nil {
@@ -301,7 +301,7 @@
 }
 
 // Set makes or replaces a file.
-func (m *Memory) Set(name string, bytes []byte) {
+func (m *MemoryFS) Set(name string, bytes []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := &node{now: slices.Clone(bytes), lasts: slices.Clone(bytes)}
@@ -309,7 +309,7 @@
 }
 
 // Clone gives a second folder with the same files, all lasting.
-func (m *Memory) Clone() *Memory {
+func (m *MemoryFS) Clone() *MemoryFS {
 	names, _ := m.List()
 	other := NewMemory()
 	for _, name := range names {
@@ -319,7 +319,7 @@
 }
 
 type handle struct {
-	m    *Memory
+	m    *MemoryFS
 	name string
 	n    *node
 }
