--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -17,7 +17,7 @@
 type teams struct {
 	tree  *quota.Tree
 	file  *operatorconfig.Quotas
-	book  *waitestimate.Book
+	book  *waitestimate.Estimator
 	given scheduler.Given
 	parts *quotashare.Shares
 	part  float64
@@ -30,7 +30,7 @@
 // waiting is a search that has not ended, with what was told of it.
 type waiting struct {
 	team, offering string
-	told, last     waitestimate.Told
+	told, last     waitestimate.Estimate
 	started        bool
 }
 
@@ -112,9 +112,9 @@
 	return effects
 }
 
-func (t *teams) tell(now float64, id string, w *waiting) waitestimate.Told {
+func (t *teams) tell(now float64, id string, w *waiting) waitestimate.Estimate {
 	ahead, threads, run := t.tree.WaitQueue(id)
-	return t.book.Tell(now, w.team, w.offering, waitestimate.Line{AheadMS: ahead, Threads: threads, RunMS: run})
+	return t.book.Estimate(now, w.team, w.offering, waitestimate.Backlog{AheadMS: ahead, Threads: threads, RunMS: run})
 }
 
 // PeerMessages looks at the ceilings and gives what other controllers are to hear.
--- a/internal/assembly/door.go
+++ b/internal/assembly/door.go
@@ -89,14 +89,14 @@
 
 // waits gives how well the figures told held.
 func (t *teams) showWaits() map[string]any {
-	kept := t.book.Kept()
-	slices.SortFunc(kept, func(a, b waitestimate.Kept) int {
-		return strings.Compare(a.Team+"\x00"+a.Offering, b.Team+"\x00"+b.Offering)
+	kept := t.book.Accuracy()
+	slices.SortFunc(kept, func(a, b waitestimate.Accuracy) int {
+		return strings.Compare(a.Team+"\x00"+a.Class, b.Team+"\x00"+b.Class)
 	})
 	var list []any
 	for _, k := range kept {
-		list = append(list, map[string]any{"team": k.Team, "offering": k.Offering, "starts": float64(k.Starts),
-			"starts_kept": float64(k.StartsKept), "ends": float64(k.Ends), "ends_kept": float64(k.EndsKept)})
+		list = append(list, map[string]any{"team": k.Team, "offering": k.Class, "starts": float64(k.Starts),
+			"starts_kept": float64(k.StartsWithin), "ends": float64(k.Ends), "ends_kept": float64(k.EndsWithin)})
 	}
 	return map[string]any{"waits": list}
 }
--- a/internal/waitestimate/waitestimate.go
+++ b/internal/waitestimate/waitestimate.go
@@ -106,18 +106,18 @@
 	f.epoch, f.n, f.within = f.epoch+1, 0, 0
 }
 
-// Line is what is ahead of a search when it comes.
-type Line struct {
+// Backlog is what is ahead of a search when it comes.
+type Backlog struct {
 	AheadMS float64 // work ahead of it, ms of one thread
 	Threads float64 // that do it for its team
 	RunMS   float64 // that it will take itself
 }
 
 // reckon is the plain figure: the work ahead over the threads that do it.
-func (l Line) reckon() float64 { return l.AheadMS/max(0.1, l.Threads) + floorMS }
+func (l Backlog) reckon() float64 { return l.AheadMS/max(0.1, l.Threads) + floorMS }
 
-// Told is a figure that was given. The zero value is: nothing could be told.
-type Told struct {
+// Estimate is a figure that was given. The zero value is: nothing could be told.
+type Estimate struct {
 	Known          bool
 	At             float64
 	StartMS, EndMS float64 // from At on
@@ -126,15 +126,15 @@
 	starts, ends   uint32 // epochs of the corrections
 }
 
-// Book keeps what was seen, by team and offering. Teams are bounded by who configures them.
-type Book struct {
+// Estimator keeps what was seen, by team and offering. Teams are bounded by who configures them.
+type Estimator struct {
 	kinds map[[2]string]*kind
 }
 
 // New gives an empty book.
-func New() *Book { return &Book{kinds: map[[2]string]*kind{}} }
+func New() *Estimator { return &Estimator{kinds: map[[2]string]*kind{}} }
 
-func (b *Book) kind(team, offering string) *kind {
+func (b *Estimator) kind(team, offering string) *kind {
 	k := b.kinds[[2]string{team, offering}]
 	if k == nil {
 		k = &kind{startFix: fix{off: 1}, endFix: fix{off: 1}}
@@ -143,10 +143,10 @@
 	return k
 }
 
-// Tell gives the figures for a search that comes, or that still waits.
-func (b *Book) Tell(now float64, team, offering string, line Line) Told {
+// Estimate gives the figures for a search that comes, or that still waits.
+func (b *Estimator) Estimate(now float64, team, offering string, line Backlog) Estimate {
 	k := b.kind(team, offering)
-	t := Told{At: now, reckoned: line.reckon(), run: max(1, line.RunMS), starts: k.startFix.epoch, ends: k.endFix.epoch}
+	t := Estimate{At: now, reckoned: line.reckon(), run: max(1, line.RunMS), starts: k.startFix.epoch, ends: k.endFix.epoch}
 	if now-k.readAt > 250 || !k.known { // quantiles move slowly, and reading them is the dear part
 		var a, z bool
 		k.quantile, a = k.start.at(within)
@@ -163,7 +163,7 @@
 }
 
 // Started hears that the first shot has left, of a search that was told this on taking.
-func (b *Book) Started(now float64, team, offering string, t Told) {
+func (b *Estimator) Started(now float64, team, offering string, t Estimate) {
 	k := b.kind(team, offering)
 	took := max(floorMS, now-t.At)
 	k.start.add(now, took/t.reckoned)
@@ -177,7 +177,7 @@
 }
 
 // Ended hears that it was handled.
-func (b *Book) Ended(now float64, team, offering string, t Told) {
+func (b *Estimator) Ended(now float64, team, offering string, t Estimate) {
 	k := b.kind(team, offering)
 	took := max(floorMS, now-t.At)
 	k.end.add(now, took/(t.reckoned+t.run))
@@ -191,7 +191,7 @@
 }
 
 // Changed tells whether a figure is worth telling again: it has changed much, against what the client now believes.
-func Changed(before, now Told) bool {
+func Changed(before, now Estimate) bool {
 	if before.Known != now.Known {
 		return true
 	}
@@ -199,16 +199,16 @@
 	return now.Known && math.Abs(now.StartMS-left) > changes*max(left, now.StartMS, 100)
 }
 
-// Kept is how many of the figures told were kept, for a team and offering.
-type Kept struct {
-	Team, Offering                     string
-	Starts, StartsKept, Ends, EndsKept uint64
+// Accuracy is how many of the figures told were kept, for a team and offering.
+type Accuracy struct {
+	Team, Class                            string
+	Starts, StartsWithin, Ends, EndsWithin uint64
 }
 
-// Kept gives these for all that were seen, in no order.
-func (b *Book) Kept() (list []Kept) {
+// Accuracy gives these for all that were seen, in no order.
+func (b *Estimator) Accuracy() (list []Accuracy) {
 	for name, k := range b.kinds {
-		list = append(list, Kept{name[0], name[1], k.startTold, k.startKept, k.told, k.kept})
+		list = append(list, Accuracy{name[0], name[1], k.startTold, k.startKept, k.told, k.kept})
 	}
 	return list
 }
--- a/internal/waitestimate/waitestimate_test.go
+++ b/internal/waitestimate/waitestimate_test.go
@@ -10,13 +10,13 @@
 )
 
 // line plays one server that does work in turn; waits are told on coming and heard as they end.
-func line(b *Book, dice *rand.Rand, from, to, load float64, pace func(now float64) float64) (kept, told int, ratios []float64) {
+func line(b *Estimator, dice *rand.Rand, from, to, load float64, pace func(now float64) float64) (kept, told int, ratios []float64) {
 	free := from
 	for now := from; now < to; {
 		now += dice.ExpFloat64() * 100 / load
 		work := dice.ExpFloat64() * 100
 		ahead := max(0, free-now)
-		t := b.Tell(now, "t", "look", Line{AheadMS: ahead, Threads: 1, RunMS: 100})
+		t := b.Estimate(now, "t", "look", Backlog{AheadMS: ahead, Threads: 1, RunMS: 100})
 		begins := max(now, free) + ahead*(pace(now)-1)
 		free = max(now, free) + work*pace(now)
 		b.Started(begins, "t", "look", t)
@@ -53,27 +53,27 @@
 		assert.Greater(t, float64(kept)/float64(told), 0.9, c.what)
 		slices.Sort(ratios)
 		assert.LessOrEqual(t, ratios[len(ratios)/2], 2.0, c.what)
-		k := b.Kept()
+		k := b.Accuracy()
 		assert.Len(t, k, 1)
-		assert.Greater(t, float64(k[0].EndsKept)/float64(k[0].Ends), 0.9, c.what)
+		assert.Greater(t, float64(k[0].EndsWithin)/float64(k[0].Ends), 0.9, c.what)
 	}
 }
 
 func TestWhatCannotBeToldIsUnknown(t *testing.T) {
 	b := New()
 	for n := range least {
-		told := b.Tell(1000, "t", "look", Line{AheadMS: 100, Threads: 1})
+		told := b.Estimate(1000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
 		assert.False(t, told.Known, n)
 		b.Started(1100, "t", "look", told)
 		b.Ended(1200, "t", "look", told)
 	}
-	told := b.Tell(2000, "t", "look", Line{AheadMS: 100, Threads: 1})
+	told := b.Estimate(2000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
 	assert.True(t, told.Known)
-	assert.False(t, b.Tell(2000, "t", "report", Line{}).Known, "of this offering nothing was seen")
+	assert.False(t, b.Estimate(2000, "t", "report", Backlog{}).Known, "of this offering nothing was seen")
 	assert.False(t, math.IsNaN(told.StartMS))
 	assert.GreaterOrEqual(t, told.EndMS, told.StartMS)
-	later := b.Tell(2050, "t", "look", Line{AheadMS: 50, Threads: 1})
+	later := b.Estimate(2050, "t", "look", Backlog{AheadMS: 50, Threads: 1})
 	assert.False(t, Changed(told, later), "half of it has gone by")
-	assert.True(t, Changed(told, b.Tell(2050, "t", "look", Line{AheadMS: 1000, Threads: 1})))
-	assert.True(t, Changed(Told{}, told))
+	assert.True(t, Changed(told, b.Estimate(2050, "t", "look", Backlog{AheadMS: 1000, Threads: 1})))
+	assert.True(t, Changed(Estimate{}, told))
 }
