--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -14,7 +14,7 @@
 
 // hall hosts the instances of this process by number.
 type hall struct {
-	instances map[int]scheduler.Instance
+	instances map[int]scheduler.Policy
 	reply     []byte
 	actions   []scheduler.Action
 }
@@ -45,7 +45,7 @@
 }
 
 func play(in io.Reader, out io.Writer) error {
-	h := &hall{instances: map[int]scheduler.Instance{}}
+	h := &hall{instances: map[int]scheduler.Policy{}}
 	r := simproto.NewReader(in)
 	for {
 		h.reply = h.reply[:0]
--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -59,12 +59,12 @@
 }
 
 // EndpointsUpdated counts the cores that there are.
-func (t *teams) EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect {
-	if list != scheduler.Changes {
+func (t *teams) EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Endpoint) []quota.Effect {
+	if list != scheduler.ListDelta {
 		clear(t.cores)
 	}
 	for _, e := range entries {
-		if delete(t.cores, e.Executor); e.Standing == scheduler.Active {
+		if delete(t.cores, e.Executor); e.Availability == scheduler.Active {
 			t.cores[e.Executor] = 1
 			for j := 0; t.given.Text("kind."+strconv.Itoa(j)+".name") != ""; j++ {
 				if at := "kind." + strconv.Itoa(j) + "."; t.given.Text(at+"name") == e.Kind {
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -194,7 +194,7 @@
 		for {
 			select {
 			case n := <-f.changes:
-				f.inst.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Counted, Value: n}})
+				f.inst.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ControllersCounted, Value: n}})
 				if t := f.inst.team; t != nil {
 					f.inst.desk.Put(dispatch.QueueItem{Call: func(float64) { t.parts.Owners(int(n)) }})
 				}
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -98,7 +98,7 @@
 		orders = append(orders, map[string]any{"kind": string(o.Kind), "zone": o.Zone, "author": o.Author, "why": o.Reason, "until": until(o.Until)})
 	}
 	for _, r := range w.Reaches() {
-		reaches = append(reaches, map[string]any{"zone": r.Place, "tier": float64(r.Tier), "threads": r.Room, "way_ms": r.WayMS, "least": r.Least})
+		reaches = append(reaches, map[string]any{"zone": r.Zone, "tier": float64(r.Tier), "threads": r.Capacity, "way_ms": r.LatencyMS, "least": r.MinDensity})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(w.Reports())) {
 		r := w.Reports()[zone]
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -136,27 +136,27 @@
 
 // reachCost is what the choice of an executor costs with reaches, against without.
 func reachCost() float64 {
-	cost := func(reaches []scheduler.Reach) func() float64 {
+	cost := func(reaches []scheduler.ZoneReach) func() float64 {
 		g := scheduler.New(1, scheduler.Given{"controllers": 3.0, "kind.0.name": "big", "kind.0.cores": 8.0, "kind.0.ram_mb": 65536.0, "offering.0.name": "look",
 			"offering.0.effect": "redoable", "offering.0.due_ms": 1000.0, "offering.0.limit_ms": 5000.0})
-		ev := scheduler.Event{Kind: scheduler.Listed, List: scheduler.Whole}
+		ev := scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListComplete}
 		for k := range 60 {
-			ev.Entries = append(ev.Entries, scheduler.Entry{Executor: uint32(k + 1), Place: fmt.Sprint("z", k%3), Kind: "big"})
+			ev.Endpoints = append(ev.Endpoints, scheduler.Endpoint{Executor: uint32(k + 1), Zone: fmt.Sprint("z", k%3), Kind: "big"})
 		}
 		g.Step(1, &ev, nil)
-		g.Step(1, &scheduler.Event{Kind: scheduler.Opened, Reaches: reaches}, nil)
+		g.Step(1, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: reaches}, nil)
 		n := 0
 		return func() float64 {
 			return seconds(func() {
 				for range 2000 {
 					n++
 					id, now := fmt.Sprint(n), float64(1000+n)
-					g.Step(now, &scheduler.Event{Kind: scheduler.Taken, Request: id, Offering: "look", Group: uint64(n), WorkMS: 10, Until: now + 5000}, nil)
-					g.Step(now, &scheduler.Event{Kind: scheduler.Ended, Request: id, Outcome: scheduler.Handled, Over: true}, nil)
+					g.Step(now, &scheduler.Event{Kind: scheduler.RequestArrived, Request: id, Class: "look", TableGroup: uint64(n), WorkMS: 10, Deadline: now + 5000}, nil)
+					g.Step(now, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: id, Outcome: scheduler.Succeeded, Final: true}, nil)
 				}
 			})
 		}
 	}
-	s := sides(cost([]scheduler.Reach{{Place: "z1", Tier: 1, Room: 8}, {Place: "z2", Tier: 1, Room: 8}}), cost(nil))
+	s := sides(cost([]scheduler.ZoneReach{{Zone: "z1", Tier: 1, Capacity: 8}, {Zone: "z2", Tier: 1, Capacity: 8}}), cost(nil))
 	return s[0] / s[1]
 }
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -113,13 +113,13 @@
 	agenda  agenda
 	chance  *rand.Rand
 	engines []*engine
-	gates   []*scheduler.Gateway
+	gates   []*scheduler.Scheduler
 	watches []*locality.Monitor
 	wants   []float64
 	open    []map[string]*asked
 	plan    locality.Plan
 	plans   []inForce
-	reaches [][]scheduler.Reach
+	reaches [][]scheduler.ZoneReach
 	applied map[int]uint64
 	number  int
 	f       Figures
@@ -167,16 +167,16 @@
 		p.gates = append(p.gates, scheduler.New(b.Seed+uint64(k), own))
 		p.watches = append(p.watches, locality.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
 		p.open, p.wants, p.reaches = append(p.open, map[string]*asked{}), append(p.wants, 0), append(p.reaches, nil)
-		p.step(k, &scheduler.Event{Kind: scheduler.Began})
+		p.step(k, &scheduler.Event{Kind: scheduler.Started})
 		p.list(k)
 		if b.Manner == Nearest {
-			var list []scheduler.Reach
+			var list []scheduler.ZoneReach
 			for z := range b.Zones {
 				if z != p.zoneOf(k) {
-					list = append(list, scheduler.Reach{Place: zoneName(z), Tier: 1, Room: math.Inf(1)})
+					list = append(list, scheduler.ZoneReach{Zone: zoneName(z), Tier: 1, Capacity: math.Inf(1)})
 				}
 			}
-			p.step(k, &scheduler.Event{Kind: scheduler.Opened, Reaches: list})
+			p.step(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: list})
 		}
 	}
 	p.play()
@@ -185,10 +185,10 @@
 
 // list tells a controller what executors there are.
 func (p *betweenPlay) list(k int) {
-	ev := &scheduler.Event{Kind: scheduler.Listed, List: scheduler.Whole}
+	ev := &scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListComplete}
 	for _, e := range p.engines {
 		if e.up {
-			ev.Entries = append(ev.Entries, scheduler.Entry{Executor: e.id, Place: zoneName(e.zone), Kind: "big", UpSince: max(0, e.since)})
+			ev.Endpoints = append(ev.Endpoints, scheduler.Endpoint{Executor: e.id, Zone: zoneName(e.zone), Kind: "big", StartedAt: max(0, e.since)})
 		}
 	}
 	p.step(k, ev)
@@ -197,22 +197,22 @@
 func (p *betweenPlay) step(k int, ev *scheduler.Event) {
 	for _, a := range slices.Clone(p.gates[k].Step(p.now+simWarm, ev, nil)) {
 		switch a.Kind {
-		case scheduler.Wake:
-			p.after(a.AfterMS, func() { p.step(k, &scheduler.Event{Kind: scheduler.Rang, Token: a.Token}) })
+		case scheduler.SetTimer:
+			p.after(a.AfterMS, func() { p.step(k, &scheduler.Event{Kind: scheduler.TimerFired, Token: a.Token}) })
 		case scheduler.Send:
 			p.send(k, &a)
-		case scheduler.Probe:
+		case scheduler.HealthCheck:
 			e := p.engines[a.Executor-1]
 			p.after(1+p.way(k, e), func() {
-				ev := &scheduler.Event{Kind: scheduler.Probed, Executor: e.id, Outcome: scheduler.Refused}
+				ev := &scheduler.Event{Kind: scheduler.HealthChecked, Executor: e.id, Outcome: scheduler.ConnectFailed}
 				if e.up {
-					ev.Outcome, ev.Report = scheduler.Handled, []float64{float64(len(e.jobs))}
+					ev.Outcome, ev.LoadReport = scheduler.Succeeded, []float64{float64(len(e.jobs))}
 				}
 				p.step(k, ev)
 			})
-		case scheduler.CallOff:
-			p.end(k, a.Request, a.Attempt, scheduler.Recalled)
-		case scheduler.Deny, scheduler.Fail:
+		case scheduler.Cancel:
+			p.end(k, a.Request, a.Attempt, scheduler.Cancelled)
+		case scheduler.Reject, scheduler.Fail:
 			p.answer(k, a.Request, false)
 		}
 	}
@@ -235,7 +235,7 @@
 	p.after(p.way(k, e)/2, func() {
 		if !e.up {
 			p.after(1, func() {
-				p.step(k, &scheduler.Event{Kind: scheduler.Ended, Request: a.Request, Attempt: shot, Executor: e.id, Outcome: scheduler.Refused})
+				p.step(k, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: a.Request, Attempt: shot, Executor: e.id, Outcome: scheduler.ConnectFailed})
 			})
 			return
 		}
@@ -279,7 +279,7 @@
 	e.jobs = nil
 	for _, j := range jobs {
 		p.after(1, func() {
-			p.step(j.by, &scheduler.Event{Kind: scheduler.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.Severed})
+			p.step(j.by, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.ConnectionLost})
 		})
 	}
 }
@@ -288,7 +288,9 @@
 	for _, e := range p.engines {
 		e.jobs = slices.DeleteFunc(e.jobs, func(j *shotOut) bool { return j.by == k && j.search == id && j.shot == shot })
 	}
-	p.after(0.1, func() { p.step(k, &scheduler.Event{Kind: scheduler.Ended, Request: id, Attempt: shot, Outcome: as}) })
+	p.after(0.1, func() {
+		p.step(k, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: id, Attempt: shot, Outcome: as})
+	})
 }
 
 func (p *betweenPlay) answer(k int, id string, handled bool) {
@@ -374,7 +376,7 @@
 		}
 		p.open[k][id] = &asked{at: p.now, by: k}
 		p.wants[k]++
-		p.step(k, &scheduler.Event{Kind: scheduler.Taken, Request: id, Offering: "look", Group: group, NeedMB: 1, WorkMS: simWork, Until: p.now + simWarm + 5000})
+		p.step(k, &scheduler.Event{Kind: scheduler.RequestArrived, Request: id, Class: "look", TableGroup: group, MemoryMB: 1, WorkMS: simWork, Deadline: p.now + simWarm + 5000})
 		p.arrive(k, rate, at)
 	})
 }
@@ -410,7 +412,7 @@
 			}
 			p.after(p.way(j.by, e)/2, func() {
 				p.answer(j.by, j.search, true)
-				p.step(j.by, &scheduler.Event{Kind: scheduler.Ended, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.Handled, TookMS: p.now - j.began, Over: true})
+				p.step(j.by, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: j.search, Attempt: j.shot, Executor: e.id, Outcome: scheduler.Succeeded, ElapsedMS: p.now - j.began, Final: true})
 			})
 		}
 		e.jobs = rest
@@ -455,11 +457,11 @@
 }
 
 func (p *betweenPlay) sees(k int) (list []locality.Executor) {
-	beliefs := p.gates[k].Beliefs(p.now+simWarm, nil)
+	beliefs := p.gates[k].ExecutorViews(p.now+simWarm, nil)
 	for _, b := range beliefs {
 		e := p.engines[b.Executor-1]
-		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Standing == scheduler.Active, Ejected: b.Aside, WarmingUp: b.Cold,
-			InFlight: float64(b.Threads), Known: b.Aside || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < 10_000 || b.ReportMS >= 0 && b.ReportMS < 10_000})
+		list = append(list, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: p.Cores, Listed: b.Availability == scheduler.Active, Ejected: b.Ejected, WarmingUp: b.WarmingUp,
+			InFlight: float64(b.Threads), Known: b.Ejected || b.InFlight > 0 || b.SinceSignMS >= 0 && b.SinceSignMS < 10_000 || b.SinceReportMS >= 0 && b.SinceReportMS < 10_000})
 	}
 	return list
 }
@@ -507,7 +509,7 @@
 			})
 		case locality.SetReach:
 			p.reaches[k], p.applied[k] = e.Reaches, e.Number
-			p.step(k, &scheduler.Event{Kind: scheduler.Opened, Reaches: e.Reaches})
+			p.step(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: e.Reaches})
 		}
 	}
 }
--- a/internal/dispatch/budgets.go
+++ b/internal/dispatch/budgets.go
@@ -11,7 +11,7 @@
 type QuotaManager interface {
 	Step(now float64, ev *quota.Event) []quota.Effect
 	TeamOf(s *Request) string // the team of a request
-	EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Entry) []quota.Effect
+	EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Endpoint) []quota.Effect
 	WaitEstimate(now float64, id string) (startMS, endMS float64) // of a request that waits; below 0: not known
 	PeerMessages(now float64) []quotashare.Message                // what other controllers are to hear
 	HandlePeerMessage(now float64, from int, data []byte) []quotashare.Message
@@ -53,7 +53,7 @@
 			out = append(out, Command{Kind: SetRetryAfter, AfterMS: min(start, 2*h.AfterMS)})
 		}
 	case EndpointsUpdated:
-		out = AppendQuotaCommands(out, b.EndpointsUpdated(now, h.List.List, h.List.Entries))
+		out = AppendQuotaCommands(out, b.EndpointsUpdated(now, h.List.List, h.List.Endpoints))
 	case ShutdownStarted:
 		out = AppendQuotaCommands(out, b.Step(now, &quota.Event{Kind: quota.ShutdownStarted}))
 	case Ticked:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -98,9 +98,9 @@
 	IdleMS                float64 // since anything was written or read; below 0: no connection
 }
 
-// believer is a module that tells what it holds of executors.
-type believer interface {
-	Beliefs(now float64, out []scheduler.Belief) []scheduler.Belief
+// stateReporter is a module that tells what it holds of executors.
+type stateReporter interface {
+	ExecutorViews(now float64, out []scheduler.ExecutorView) []scheduler.ExecutorView
 }
 
 // The other sides of a desk.
@@ -147,7 +147,7 @@
 
 type request struct {
 	Request
-	prior    scheduler.Prior // what may have run under its mark
+	prior    scheduler.PriorAttempt // what may have run under its mark
 	barred   bool
 	inLine   bool // the module does not have it yet
 	attempts [mostAttempts]attempt
@@ -168,7 +168,7 @@
 	LeaseHeld            func() bool // asked at the last step before an attempt that was held leaves; nil: it may
 
 	clock    Clock
-	one      scheduler.Instance
+	one      scheduler.Policy
 	log      logrus.FieldLogger
 	queue    chan QueueItem
 	stop     chan struct{}
@@ -186,14 +186,14 @@
 	offers   []Command   // what parts offer, in order
 	parts    []Extension // beside the module; none: it gets every request as it comes, and a crash forgets all
 	follows  []Command
-	beliefs  []scheduler.Belief
-	figures  []scheduler.Figure
+	beliefs  []scheduler.ExecutorView
+	figures  []scheduler.Estimate
 	open     atomic.Int64
 	pulse    pulse
 }
 
 // New returns a Desk for one instance of the module.
-func New(clock Clock, one scheduler.Instance, log logrus.FieldLogger) *Loop {
+func New(clock Clock, one scheduler.Policy, log logrus.FieldLogger) *Loop {
 	return &Loop{clock: clock, one: one, log: log, queue: make(chan QueueItem, queueRoom), stop: make(chan struct{}),
 		done: make(chan struct{}), requests: map[string]*request{}, awaiting: map[string]*Request{}, spent: map[string]struct{}{}, probes: map[uint32]uint64{}}
 }
@@ -224,12 +224,12 @@
 // Submit lines up a request.
 func (d *Loop) Submit(s *Request) {
 	d.open.Add(1)
-	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
 }
 
 // BeginShutdown tells the module that this controller stops: all that has been taken must be answered by then.
 func (d *Loop) BeginShutdown(by float64) {
-	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Closing, Until: by}})
+	d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.ShutdownStarted, Deadline: by}})
 }
 
 // Arrival gives the earliest clock at which what is read now may have come; it may be called from anywhere.
@@ -259,7 +259,7 @@
 	defer close(d.done)
 	alarm, armed := time.NewTimer(time.Hour), 0.0
 	defer alarm.Stop()
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Began}, at: d.clock.Now()})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Started}, at: d.clock.Now()})
 	d.timers.push(timer{at: d.clock.Now() + tallyMS, what: tallies})
 	if len(d.parts) > 0 {
 		d.timers.push(timer{at: d.clock.Now() + tickMS, what: ticks})
@@ -292,7 +292,7 @@
 	for now := d.clock.Now(); d.timers[0].at <= now; {
 		switch t := d.timers.pop(); t.what {
 		case wakes:
-			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang, Token: t.token}, at: t.at})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired, Token: t.token}, at: t.at})
 		case limits:
 			d.expire(t.request)
 		case releases:
@@ -307,8 +307,8 @@
 				d.timers.push(t)
 			} else {
 				d.Executors.ForgetHealthCheck(t.executor, t.token)
-				d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: t.executor, Outcome: scheduler.TimedOut,
-					TookMS: d.HealthCheckTimeoutMS}, Token: t.token, at: t.at})
+				d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: t.executor, Outcome: scheduler.TimedOut,
+					ElapsedMS: d.HealthCheckTimeoutMS}, Token: t.token, at: t.at})
 			}
 		case ticks:
 			d.timers.push(timer{at: now + tickMS, what: ticks})
@@ -334,7 +334,7 @@
 		d.ask(it.Query)
 	case it.Call != nil:
 		it.Call(d.clock.Now())
-	case it.Event.Kind == scheduler.Heard && d.happen(Event{Kind: PeerMessage, Peer: it.Event.FromPeer, Payload: it.Event.Data}).mine:
+	case it.Event.Kind == scheduler.PeerMessage && d.happen(Event{Kind: PeerMessage, Peer: it.Event.FromPeer, Payload: it.Event.Payload}).mine:
 	default:
 		d.hand(it)
 	}
@@ -363,7 +363,7 @@
 	ev := &it.Event
 	var s *request
 	switch ev.Kind {
-	case scheduler.Taken:
+	case scheduler.RequestArrived:
 		if s = d.take(it.Request, ev, it.resumed); s == nil {
 			return
 		}
@@ -371,7 +371,7 @@
 			s.inLine = true
 			return
 		}
-	case scheduler.Left:
+	case scheduler.ClientLeft:
 		if in := d.awaiting[ev.Request]; in != nil && in.Client == it.Client && in.Tag == it.Token {
 			delete(d.awaiting, ev.Request)
 			d.open.Add(-1)
@@ -393,29 +393,29 @@
 			d.answered(s, ledger.Abandoned, nil, 0)
 			d.tally.ClientLeft++
 		}
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		if s = d.settle(ev); s == nil {
 			d.tally.Stray++
 			return
 		}
-		if ev.Outcome == scheduler.Superseded && !s.answered && s.Abandoned() { // the word of it still stands in the queue
-			if ev.Barred = ev.Barred || s.halfClosed(); !s.halfClosed() {
+		if ev.Outcome == scheduler.NeverSent && !s.answered && s.Abandoned() { // the word of it still stands in the queue
+			if ev.Blocked = ev.Blocked || s.halfClosed(); !s.halfClosed() {
 				d.answered(s, ledger.Abandoned, nil, 0)
 				d.tally.ClientLeft++
 			}
 		}
-		if ev.Outcome == scheduler.Handled && !s.answered {
-			d.conclude(s, ledger.Succeeded, it.Body, 0, ev.SpentMS)
+		if ev.Outcome == scheduler.Succeeded && !s.answered {
+			d.conclude(s, ledger.Succeeded, it.Body, 0, ev.CostMS)
 			d.tally.Succeeded++
 		}
-		ev.Over = s.answered
-	case scheduler.Probed:
+		ev.Final = s.answered
+	case scheduler.HealthChecked:
 		if d.probes[ev.Executor] != it.Token {
 			d.tally.Stray++
 			return
 		}
 		delete(d.probes, ev.Executor)
-	case scheduler.Noted:
+	case scheduler.ProgressReported:
 		if s = d.requests[ev.Request]; s == nil || ev.Attempt >= s.fired || !s.attempts[ev.Attempt].out {
 			d.tally.Stray++
 			return
@@ -425,11 +425,11 @@
 	if s != nil {
 		d.release(s)
 	}
-	if ev.Kind == scheduler.Listed && ev.List != scheduler.NoList {
+	if ev.Kind == scheduler.EndpointsUpdated && ev.List != scheduler.ListUnavailable {
 		d.happen(Event{Kind: EndpointsUpdated, List: ev})
-	} else if ev.Kind == scheduler.Listed {
+	} else if ev.Kind == scheduler.EndpointsUpdated {
 		d.happen(Event{Kind: ListUnavailable})
-	} else if ev.Kind == scheduler.Closing {
+	} else if ev.Kind == scheduler.ShutdownStarted {
 		d.happen(Event{Kind: ShutdownStarted})
 	}
 }
@@ -463,7 +463,7 @@
 			}
 			return nil
 		}
-		ev.Barred = ev.Barred || v.barred
+		ev.Blocked = ev.Blocked || v.barred
 		if v.prior.At != 0 && (ev.Prior.At == 0 || v.prior.At < ev.Prior.At) {
 			ev.Prior = v.prior
 		}
@@ -485,9 +485,9 @@
 	}
 	*s = request{Request: *in}
 	d.requests[in.ID] = s
-	s.prior, s.barred = ev.Prior, ev.Barred
-	ev.Request, ev.Offering, ev.Group, ev.Key, ev.NeedMB = in.ID, in.Class, in.TableGroup, in.OrderKey, in.MemoryMB
-	ev.WorkMS, ev.Until, ev.Repeat = in.WorkMS, in.Deadline, in.Retried
+	s.prior, s.barred = ev.Prior, ev.Blocked
+	ev.Request, ev.Class, ev.TableGroup, ev.OrderKey, ev.MemoryMB = in.ID, in.Class, in.TableGroup, in.OrderKey, in.MemoryMB
+	ev.WorkMS, ev.Deadline, ev.Retried = in.WorkMS, in.Deadline, in.Retried
 	d.timers.push(timer{at: in.Deadline, what: limits, request: in.ID})
 	return s
 }
@@ -510,7 +510,7 @@
 	}
 	h := &s.attempts[ev.Attempt]
 	h.out, s.out, h.run = false, s.out-1, nil
-	ev.Executor, ev.TookMS = h.executor, d.clock.Now()-h.sent
+	ev.Executor, ev.ElapsedMS = h.executor, d.clock.Now()-h.sent
 	d.tally.AttemptEnds[ev.Outcome]++
 	d.happen(Event{Kind: AttemptEnded, Request: &s.Request, Attempt: ev.Attempt, NeverRan: ev.Outcome.NeverRan()})
 	return s
@@ -539,24 +539,24 @@
 // act does what the module asks for.
 func (d *Loop) act(now float64, a *scheduler.Action) {
 	switch a.Kind {
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		d.timers.push(timer{at: now + a.AfterMS, what: wakes, token: a.Token})
 		return
-	case scheduler.Probe:
+	case scheduler.HealthCheck:
 		d.token++
 		d.tally.HealthChecks++
 		d.probes[a.Executor] = d.token
 		if !d.Executors.HealthCheck(a.Executor, d.token) {
-			d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: a.Executor,
-				Outcome: scheduler.Unsent}, Token: d.token})
+			d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: a.Executor,
+				Outcome: scheduler.LocalFailure}, Token: d.token})
 		}
 		d.timers.push(timer{at: now + d.HealthCheckTimeoutMS, what: probes, token: d.token, executor: a.Executor})
 		return
-	case scheduler.Listen:
+	case scheduler.Subscribe:
 		d.List.Refresh()
 		return
-	case scheduler.Tell:
-		d.Peers.SendPeer(a.Peer, a.Data)
+	case scheduler.SendPeer:
+		d.Peers.SendPeer(a.Peer, a.Payload)
 		return
 	case scheduler.Log:
 		d.log.WithField("says", a.Text).Info("module")
@@ -569,10 +569,10 @@
 	switch a.Kind {
 	case scheduler.Send:
 		d.send(now, s, a)
-	case scheduler.Back:
+	case scheduler.ReturnRequest:
 		s.inLine = true
 		d.happen(Event{Kind: RequestReturned, Request: &s.Request})
-	case scheduler.Terms:
+	case scheduler.SetResources:
 		if s.grant != a.GrantMB {
 			s.grant = a.GrantMB
 			for k := range s.fired {
@@ -589,16 +589,16 @@
 				}
 			}
 		}
-	case scheduler.CallOff:
+	case scheduler.Cancel:
 		if a.Attempt < s.fired && s.attempts[a.Attempt].out {
-			d.halt(s, a.Attempt, scheduler.Recalled)
+			d.halt(s, a.Attempt, scheduler.Cancelled)
 		}
-	case scheduler.Deny, scheduler.Fail:
+	case scheduler.Reject, scheduler.Fail:
 		if s.answered {
 			return
 		}
 		d.tally.turnedAway(a.Kind, s.halfClosed())
-		if a.Kind == scheduler.Deny {
+		if a.Kind == scheduler.Reject {
 			d.conclude(s, ledger.Rejected, nil, d.happen(Event{Kind: RequestRejecting, Request: &s.Request, AfterMS: a.AfterMS}).afterMS, 0)
 		} else {
 			d.conclude(s, ledger.Failed, nil, 0, 0)
@@ -614,12 +614,12 @@
 	v := d.happen(Event{Kind: AttemptStarting, Request: &s.Request, Attempt: n, Executor: a.Executor})
 	kept := v.holds > 0
 	run, held := d.Executors.Send(Attempt{Request: &s.Request, Number: n, Executor: a.Executor, GrantMB: s.grant,
-		Level: s.level, TimeoutMS: s.Deadline - now, LatestStart: a.By, Held: kept})
+		Level: s.level, TimeoutMS: s.Deadline - now, LatestStart: a.LatestStart, Held: kept})
 	s.attempts[n] = attempt{run: run, executor: a.Executor, sent: now, due: now + held, holds: v.holds, out: true}
 	s.fired, s.out = n+1, s.out+1
 	d.happen(Event{Kind: AttemptStarted, Request: &s.Request, Attempt: n, Executor: a.Executor, GrantMB: s.grant})
 	if run == nil {
-		d.end(s, n, scheduler.Unsent)
+		d.end(s, n, scheduler.LocalFailure)
 	} else if v.forbid {
 		d.withhold(s.ID, n) // its record could not even be lined up
 	} else if kept {
@@ -638,13 +638,13 @@
 	case CancelSent:
 		d.end(s, n, as)
 	case CancelledUnsent:
-		d.end(s, n, scheduler.Superseded)
+		d.end(s, n, scheduler.NeverSent)
 	}
 }
 
 func (d *Loop) end(s *request, n int, as scheduler.Outcome) {
 	s.attempts[n].run = nil
-	d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Attempt: n, Outcome: as}})
+	d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: s.ID, Attempt: n, Outcome: as}})
 }
 
 // expire ends the attempts of a request whose hard limit has come: silence shows by then at the latest.
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -20,8 +20,8 @@
 	told []scheduler.Event
 }
 
-func (s *script) Beliefs(float64, []scheduler.Belief) []scheduler.Belief {
-	return []scheduler.Belief{{Executor: 7, Out: 3, Aside: true}}
+func (s *script) ExecutorViews(float64, []scheduler.ExecutorView) []scheduler.ExecutorView {
+	return []scheduler.ExecutorView{{Executor: 7, InFlight: 3, Ejected: true}}
 }
 
 func (s *script) Step(_ float64, ev *scheduler.Event, out []scheduler.Action) []scheduler.Action {
@@ -72,15 +72,15 @@
 func sent(f *side, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *script) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	one := &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.Taken: {
-		{Kind: scheduler.Terms, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
+	one := &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {
+		{Kind: scheduler.SetResources, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
 	for k, v := range on {
 		one.on[k] = v
 	}
 	d := New(NewClock(), one, log)
 	d.Executors, d.HealthCheckTimeoutMS = f, 250
 	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, f)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: search0(d, f)})
 	return d, one
 }
 
@@ -89,7 +89,7 @@
 }
 
 func end(o scheduler.Outcome) QueueItem {
-	return QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: "a", Outcome: o}, Body: []byte("rows")}
+	return QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: "a", Outcome: o}, Body: []byte("rows")}
 }
 
 func TestARequestIsSentHandledAndForgotten(t *testing.T) {
@@ -97,14 +97,14 @@
 	d, one := sent(f, nil)
 	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{f.sent[0].Executor, f.sent[0].GrantMB, f.sent[0].Level, f.sent[0].Number})
 	assert.InDelta(t, 1000, f.sent[0].TimeoutMS, 900)
-	d.play(end(scheduler.Handled))
+	d.play(end(scheduler.Succeeded))
 	assert.Equal(t, "rows", f.body)
-	ev := one.last(scheduler.Ended)
-	assert.True(t, ev.Over)
+	ev := one.last(scheduler.AttemptEnded)
+	assert.True(t, ev.Final)
 	assert.Equal(t, uint32(7), ev.Executor)
 	assert.Zero(t, d.OpenRequests())
 	assert.Empty(t, d.requests)
-	d.play(end(scheduler.Handled)) // nothing is answered twice
+	d.play(end(scheduler.Succeeded)) // nothing is answered twice
 	assert.Equal(t, []string{"handled"}, f.did)
 	assert.Equal(t, uint64(1), d.tally.Stray)
 }
@@ -125,27 +125,27 @@
 // An answer that is in the queue when its attempt is called off counts, as long as nothing was answered.
 func TestAnAnswerOnItsWayGoesBeforeACallOff(t *testing.T) {
 	f := &side{stopped: AlreadyEnded}
-	d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"}}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
-	assert.Nil(t, one.last(scheduler.Ended), "its end comes by itself")
-	d.play(end(scheduler.Handled))
+	d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"}}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	assert.Nil(t, one.last(scheduler.AttemptEnded), "its end comes by itself")
+	d.play(end(scheduler.Succeeded))
 	assert.Equal(t, []string{"off", "handled"}, f.did)
 }
 
 func TestWhatACallOffComesTo(t *testing.T) {
-	for stopped, want := range map[CancelResult]scheduler.Outcome{CancelSent: scheduler.Recalled, CancelledUnsent: scheduler.Superseded} {
+	for stopped, want := range map[CancelResult]scheduler.Outcome{CancelSent: scheduler.Cancelled, CancelledUnsent: scheduler.NeverSent} {
 		f := &side{stopped: stopped}
-		d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.CallOff, Request: "a"},
-			{Kind: scheduler.Terms, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
-		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
-		assert.Equal(t, want, one.last(scheduler.Ended).Outcome)
+		d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"},
+			{Kind: scheduler.SetResources, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
+		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+		assert.Equal(t, want, one.last(scheduler.AttemptEnded).Outcome)
 		assert.Equal(t, []string{"off"}, f.did)
 	}
 }
 
 func TestAnAttemptThatCannotGoOutHereIsUnsent(t *testing.T) {
 	_, one := sent(&side{refuse: true}, nil)
-	assert.Equal(t, scheduler.Unsent, one.last(scheduler.Ended).Outcome)
+	assert.Equal(t, scheduler.LocalFailure, one.last(scheduler.AttemptEnded).Outcome)
 }
 
 // Silence shows by the hard limit: the attempt is told as timed out, whoever forgot to look.
@@ -153,19 +153,19 @@
 	f := &side{}
 	d, one := sent(f, nil)
 	d.expire("a")
-	assert.Nil(t, one.last(scheduler.Ended), "not before it")
+	assert.Nil(t, one.last(scheduler.AttemptEnded), "not before it")
 	d.requests["a"].Deadline = d.clock.Now() - 1
 	d.expire("a")
-	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Ended).Outcome)
+	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.AttemptEnded).Outcome)
 	assert.Equal(t, uint64(1), d.tally.Overdue)
 }
 
 func TestDeniedOnceAndNothingAfter(t *testing.T) {
 	f := &side{}
-	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.Noted: {{Kind: scheduler.Deny, Request: "a"},
-		{Kind: scheduler.CallOff, Request: "a"}}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: "a"}})
-	d.play(end(scheduler.Handled))
+	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Reject, Request: "a"},
+		{Kind: scheduler.Cancel, Request: "a"}}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	d.play(end(scheduler.Succeeded))
 	assert.Equal(t, []string{"denied", "off"}, f.did)
 	assert.Zero(t, d.OpenRequests())
 }
@@ -173,11 +173,11 @@
 func TestAClientEndsItsOwnRequestsAlone(t *testing.T) {
 	f := &side{}
 	d, one := sent(f, nil)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: &side{}, Token: 5})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 4})
-	assert.Nil(t, one.last(scheduler.Left))
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
-	assert.NotNil(t, one.last(scheduler.Left))
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: &side{}, Token: 5})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 4})
+	assert.Nil(t, one.last(scheduler.ClientLeft))
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 5})
+	assert.NotNil(t, one.last(scheduler.ClientLeft))
 	assert.Zero(t, d.OpenRequests())
 }
 
@@ -186,13 +186,13 @@
 	d, _ := sent(f, nil)
 	s := search0(d, other)
 	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
 	assert.Equal(t, []string{"written off"}, other.did)
 	assert.Equal(t, 1, d.OpenRequests())
 	assert.Len(t, f.sent, 1)
-	d.play(end(scheduler.Handled))
+	d.play(end(scheduler.Succeeded))
 	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: search0(d, other)})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: search0(d, other)})
 	assert.Len(t, f.sent, 1, "nor once the first is over: its shot would be a further one")
 	assert.Len(t, d.spent, 1)
 	d.expire("a")
@@ -200,29 +200,29 @@
 }
 
 func TestProbes(t *testing.T) {
-	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.Rang: {{Kind: scheduler.Probe, Executor: 7}}}
+	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.TimerFired: {{Kind: scheduler.HealthCheck, Executor: 7}}}
 	f := &side{}
 	d, one := sent(f, probe)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: 7}, Token: 9})
-	assert.Nil(t, one.last(scheduler.Probed), "an older probe's answer")
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: 7}, Token: 9})
+	assert.Nil(t, one.last(scheduler.HealthChecked), "an older probe's answer")
 	d.HealthCheckTimeoutMS = 0
 	for d.timers[0].what != probes {
 		d.timers.pop()
 	}
 	d.timers[0].at = d.clock.Now() - 2*stoodMS // this controller stood still: the answer may wait to be read
 	d.due()
-	assert.Nil(t, one.last(scheduler.Probed))
+	assert.Nil(t, one.last(scheduler.HealthChecked))
 	for d.timers[0].what != probes {
 		d.timers.pop()
 	}
 	d.timers[0].at = d.clock.Now()
 	d.due()
-	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.Probed).Outcome)
+	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.HealthChecked).Outcome)
 	assert.Equal(t, []string{"probe", "unanswered"}, f.did)
 	d, one = sent(&side{refuse: true}, probe)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Rang}})
-	assert.Equal(t, scheduler.Unsent, one.last(scheduler.Probed).Outcome)
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	assert.Equal(t, scheduler.LocalFailure, one.last(scheduler.HealthChecked).Outcome)
 }
 
 func TestTimersComeInOrder(t *testing.T) {
@@ -236,14 +236,14 @@
 }
 
 func TestRunStopsAndPutNeverHangsAfter(t *testing.T) {
-	d, one := sent(&side{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Began: {{Kind: scheduler.Wake, AfterMS: 1, Token: 3}}})
+	d, one := sent(&side{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Started: {{Kind: scheduler.SetTimer, AfterMS: 1, Token: 3}}})
 	go d.Run()
 	for range 2 * queueRoom {
-		d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.Heard}})
+		d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage}})
 	}
 	assert.Eventually(t, func() bool { return len(d.queue) == 0 }, 5e9, 1e6)
 	d.Stop()
-	assert.Equal(t, uint64(3), one.last(scheduler.Rang).Token)
+	assert.Equal(t, uint64(3), one.last(scheduler.TimerFired).Token)
 	for range 2 * queueRoom {
 		d.Put(QueueItem{})
 	}
@@ -279,17 +279,17 @@
 		s := search0(d, f)
 		s.ID, s.Deadline = fmt.Sprint("a", n), d.clock.Now()+200
 		d.open.Add(1)
-		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s})
+		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
 		d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
 		switch n % 3 {
 		case 0:
-			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: s.ID, Outcome: scheduler.Handled}})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: s.ID, Outcome: scheduler.Succeeded}})
 		case 1:
-			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: s.ID}, Client: f, Token: s.Tag})
-			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.CallOff, Request: s.ID})
+			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: s.ID}, Client: f, Token: s.Tag})
+			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Cancel, Request: s.ID})
 			d.rest()
 		default:
-			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Deny, Request: s.ID})
+			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Reject, Request: s.ID})
 		}
 	}
 	time.Sleep(250 * time.Millisecond) // all hard limits go by
@@ -306,11 +306,11 @@
 	s := d.requests["a"]
 	s.ClientGone = &atomic.Bool{}
 	s.ClientGone.Store(true)
-	d.play(end(scheduler.Superseded))
-	assert.True(t, one.last(scheduler.Ended).Over)
+	d.play(end(scheduler.NeverSent))
+	assert.True(t, one.last(scheduler.AttemptEnded).Final)
 	assert.Zero(t, d.OpenRequests())
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: "a"}, Client: f, Token: 5})
-	assert.Nil(t, one.last(scheduler.Left), "told once")
+	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 5})
+	assert.Nil(t, one.last(scheduler.ClientLeft), "told once")
 	assert.Equal(t, uint64(1), d.tally.ClientLeft)
 	assert.Empty(t, f.did)
 	assert.Len(t, f.sent, 1)
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -18,9 +18,9 @@
 	Reply              func(ledger.Effect)
 }
 
-// learner is a module that tells what it has learnt.
-type learner interface {
-	Learnt(out []scheduler.Figure) []scheduler.Figure
+// estimateReporter is a module that tells what it has learnt.
+type estimateReporter interface {
+	Estimates(out []scheduler.Estimate) []scheduler.Estimate
 }
 
 // LedgerExtension puts a memory beside the module.
@@ -42,7 +42,7 @@
 		ev = ledger.Event{Kind: ledger.RequestClosed, ID: s.ID, Outcome: h.Outcome, Body: h.Body}
 	case EndpointsUpdated:
 		l := h.List
-		ev = ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: l.Index, Restored: l.List == scheduler.Restored, Complete: l.List != scheduler.Changes, Endpoints: l.Entries}
+		ev = ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: l.ListVersion, Restored: l.List == scheduler.ListRestored, Complete: l.List != scheduler.ListDelta, Endpoints: l.Endpoints}
 	case Ticked:
 		ev = ledger.Event{Kind: ledger.Ticked}
 		if r.WantsExecutorViews(now) {
@@ -112,9 +112,9 @@
 		return
 	}
 	before := len(d.later)
-	d.halt(s, n, scheduler.Superseded)
+	d.halt(s, n, scheduler.NeverSent)
 	for k := before; k < len(d.later); k++ {
-		invariant.Check(d.later[k].Event.Outcome == scheduler.Superseded, "a shot that is held has not left")
-		d.later[k].Event.Barred = true
+		invariant.Check(d.later[k].Event.Outcome == scheduler.NeverSent, "a shot that is held has not left")
+		d.later[k].Event.Blocked = true
 	}
 }
--- a/internal/dispatch/seam.go
+++ b/internal/dispatch/seam.go
@@ -43,19 +43,19 @@
 	Attempt  int
 	Executor uint32 // AttemptStarting
 	GrantMB  float64
-	NeverRan bool             // AttemptEnded: the outcome proves that it never ran
-	Prior    scheduler.Prior  // RequestReceived
-	Outcome  ledger.Outcome   // RequestEnding, RequestClosed
-	Body     []byte           // RequestEnding, RequestClosed: the answer
-	CostMS   float64          // RequestClosed
-	AfterMS  float64          // RequestRejecting: as the module has it
-	List     *scheduler.Event // EndpointsUpdated
+	NeverRan bool                   // AttemptEnded: the outcome proves that it never ran
+	Prior    scheduler.PriorAttempt // RequestReceived
+	Outcome  ledger.Outcome         // RequestEnding, RequestClosed
+	Body     []byte                 // RequestEnding, RequestClosed: the answer
+	CostMS   float64                // RequestClosed
+	AfterMS  float64                // RequestRejecting: as the module has it
+	List     *scheduler.Event       // EndpointsUpdated
 	Peer     int
 	Payload  []byte
 	Message  any
 	Query    *OutcomeQuery
 	// SchedulerState gives what the module holds of executors and what it has learnt, on Ticks, to a part that wants it.
-	SchedulerState func() ([]scheduler.Belief, []scheduler.Figure)
+	SchedulerState func() ([]scheduler.ExecutorView, []scheduler.Estimate)
 }
 
 // CommandKind tells what follows.
@@ -92,7 +92,7 @@
 	Kind        CommandKind
 	ID          string
 	Attempt     int
-	Prior       scheduler.Prior
+	Prior       scheduler.PriorAttempt
 	Blocked     bool
 	Outcome     ledger.Outcome
 	Body        []byte
@@ -115,7 +115,7 @@
 // verdict is what parts say of what is about to happen.
 type verdict struct {
 	answer  *Command
-	prior   scheduler.Prior
+	prior   scheduler.PriorAttempt
 	barred  bool
 	detain  bool
 	holds   int
@@ -173,7 +173,7 @@
 		case Resume:
 			if in := d.awaiting[f.ID]; in != nil {
 				delete(d.awaiting, f.ID)
-				d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Taken, Prior: f.Prior, Barred: f.Blocked}, Request: in, resumed: true})
+				d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived, Prior: f.Prior, Blocked: f.Blocked}, Request: in, resumed: true})
 			}
 		case AnswerSuspended:
 			if in := d.awaiting[f.ID]; in != nil {
@@ -182,10 +182,10 @@
 			}
 		case Adopt:
 			d.open.Add(1)
-			d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Taken, Prior: f.Prior}, Request: f.Request, resumed: true})
+			d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived, Prior: f.Prior}, Request: f.Request, resumed: true})
 		case Discard:
 			if s := d.requests[f.ID]; s != nil {
-				d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: f.ID}, Client: s.Client, Token: s.Tag})
+				d.later = append(d.later, QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: f.ID}, Client: s.Client, Token: s.Tag})
 			}
 		case DeliverAnswer:
 			d.letGo(f)
@@ -236,11 +236,11 @@
 			return
 		}
 		s.inLine = false
-		d.step(&scheduler.Event{Kind: scheduler.Taken, Request: s.ID, Offering: s.Class, Group: s.TableGroup, Key: s.OrderKey, NeedMB: s.MemoryMB,
-			WorkMS: s.WorkMS, Until: s.Deadline, Repeat: s.Retried, Prior: s.prior, Barred: s.barred || o.Blocked, Start: o.PriorityCap,
-			Part: o.MemoryShare, Now: o.Immediate})
+		d.step(&scheduler.Event{Kind: scheduler.RequestArrived, Request: s.ID, Class: s.Class, TableGroup: s.TableGroup, OrderKey: s.OrderKey, MemoryMB: s.MemoryMB,
+			WorkMS: s.WorkMS, Deadline: s.Deadline, Retried: s.Retried, Prior: s.prior, Blocked: s.barred || o.Blocked, PriorityCap: o.PriorityCap,
+			MemoryShare: o.MemoryShare, Immediate: o.Immediate})
 	case CapPriority:
-		d.step(&scheduler.Event{Kind: scheduler.Pressed, Request: s.ID, Start: o.PriorityCap, Part: o.MemoryShare})
+		d.step(&scheduler.Event{Kind: scheduler.PriorityCapped, Request: s.ID, PriorityCap: o.PriorityCap, MemoryShare: o.MemoryShare})
 	}
 	d.release(s)
 }
@@ -266,12 +266,12 @@
 
 // tick gives all parts their time.
 func (d *Loop) tick() {
-	d.happen(Event{Kind: Ticked, SchedulerState: func() ([]scheduler.Belief, []scheduler.Figure) {
-		if one, ok := d.one.(believer); ok {
-			d.beliefs = one.Beliefs(d.clock.Now(), d.beliefs[:0])
+	d.happen(Event{Kind: Ticked, SchedulerState: func() ([]scheduler.ExecutorView, []scheduler.Estimate) {
+		if one, ok := d.one.(stateReporter); ok {
+			d.beliefs = one.ExecutorViews(d.clock.Now(), d.beliefs[:0])
 		}
-		if one, ok := d.one.(learner); ok {
-			d.figures = one.Learnt(d.figures[:0])
+		if one, ok := d.one.(estimateReporter); ok {
+			d.figures = one.Estimates(d.figures[:0])
 		}
 		return d.beliefs, d.figures
 	}})
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -19,7 +19,7 @@
 	FromRecord                                        uint64 // answered by what is on record
 	Stray                                             uint64 // ends and notes of attempts that had ended
 	HealthChecks                                      uint64
-	AttemptEnds                                       [scheduler.Unsent + 1]uint64
+	AttemptEnds                                       [scheduler.LocalFailure + 1]uint64
 
 	items, steps        uint64
 	waitSum, waitMost   float64
@@ -53,16 +53,16 @@
 	switch {
 	case left:
 		t.ClientLeft++
-	case as == scheduler.Deny:
+	case as == scheduler.Reject:
 		t.Rejected++
 	default:
 		t.Failed++
 	}
 }
 
-var endNames = [...]string{scheduler.Handled: "handled", scheduler.Erred: "erred", scheduler.Full: "full",
-	scheduler.TimedOut: "timed_out", scheduler.Refused: "refused", scheduler.Severed: "severed", scheduler.Recalled: "recalled",
-	scheduler.Superseded: "superseded", scheduler.Unsent: "unsent"}
+var endNames = [...]string{scheduler.Succeeded: "handled", scheduler.Errored: "erred", scheduler.Overloaded: "full",
+	scheduler.TimedOut: "timed_out", scheduler.ConnectFailed: "refused", scheduler.ConnectionLost: "severed", scheduler.Cancelled: "recalled",
+	scheduler.NeverSent: "superseded", scheduler.LocalFailure: "unsent"}
 
 // tell logs the counters; the times start anew with each line.
 func (d *Loop) tell(line string) {
@@ -94,22 +94,22 @@
 // compare logs what the module believes of each executor of which something is held, beside what the sockets have. Attempts may differ by ends that
 // stand in the queue, no further.
 func (d *Loop) compare() {
-	one, ok := d.one.(believer)
+	one, ok := d.one.(stateReporter)
 	if !ok {
 		return
 	}
 	lines := 0
-	for _, b := range one.Beliefs(d.clock.Now(), nil) {
+	for _, b := range one.ExecutorViews(d.clock.Now(), nil) {
 		has := d.Executors.ConnectionState(b.Executor)
-		if b.Out == 0 && has.Attempts == 0 && has.Connections == 0 && b.Bad == 0 && !b.Aside && !b.Cold {
+		if b.InFlight == 0 && has.Attempts == 0 && has.Connections == 0 && b.ConsecutiveFailures == 0 && !b.Ejected && !b.WarmingUp {
 			continue // nothing is held of it
 		}
 		if lines++; lines > mostBeliefs {
 			d.log.WithField("most", mostBeliefs).Info("belief: there are more")
 			return
 		}
-		d.log.WithFields(logrus.Fields{"executor": has.Name, "id": b.Executor, "out": b.Out, "open": has.Attempts,
-			"connections": has.Connections, "quiet_ms": math.Round(has.IdleMS), "threads": b.Threads, "bad": b.Bad, "standing": b.Standing,
-			"aside": b.Aside, "cold": b.Cold, "heard_ms": math.Round(b.HeardMS), "report_ms": math.Round(b.ReportMS)}).Info("belief")
+		d.log.WithFields(logrus.Fields{"executor": has.Name, "id": b.Executor, "out": b.InFlight, "open": has.Attempts,
+			"connections": has.Connections, "quiet_ms": math.Round(has.IdleMS), "threads": b.Threads, "bad": b.ConsecutiveFailures, "standing": b.Availability,
+			"aside": b.Ejected, "cold": b.WarmingUp, "heard_ms": math.Round(b.SinceSignMS), "report_ms": math.Round(b.SinceReportMS)}).Info("belief")
 	}
 }
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -87,7 +87,7 @@
 		assert.Equal(t, c.doubt, f[0].Prior.At != 0)
 		assert.Equal(t, "select", string(f[0].Copy.Body))
 		if c.doubt {
-			assert.Equal(t, "here", f[0].Prior.Place)
+			assert.Equal(t, "here", f[0].Prior.Zone)
 		}
 		w.end(heirs[0], "a", Succeeded, "rows")
 		w.tick(1000)
--- a/internal/handoff/owner.go
+++ b/internal/handoff/owner.go
@@ -284,8 +284,8 @@
 }
 
 // prior is what the module is told of what may have run.
-func priorOf(c *Copy) scheduler.Prior {
-	p := scheduler.Prior{At: c.FirstAttemptAt, Place: c.Zone, Cell: c.Cell}
+func priorOf(c *Copy) scheduler.PriorAttempt {
+	p := scheduler.PriorAttempt{At: c.FirstAttemptAt, Zone: c.Zone, Cell: c.Cell}
 	if p.At == 0 || math.IsInf(p.At, 0) {
 		p.At = -math.MaxFloat64
 	}
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -195,7 +195,7 @@
 	Kind     EffectKind
 	ID       string
 	Attempt  int
-	Prior    scheduler.Prior
+	Prior    scheduler.PriorAttempt
 	Blocked  bool
 	Outcome  Outcome
 	Answer   []byte
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -43,7 +43,7 @@
 	name    string
 
 	// Of the desk's goroutine.
-	where     map[uint32]scheduler.Entry
+	where     map[uint32]scheduler.Endpoint
 	tokens    uint64
 	refreshed float64
 	replies   map[uint64]func([]byte, error)
@@ -83,7 +83,7 @@
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
 func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Loop, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Agent {
 	return &Agent{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
-		where: map[uint32]scheduler.Entry{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.OutcomeQuery{},
+		where: map[uint32]scheduler.Endpoint{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.OutcomeQuery{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
 
@@ -175,7 +175,7 @@
 		ev = handoff.Event{Kind: handoff.ClientLeft, ID: s.ID}
 	case dispatch.AttemptStarting:
 		at := t.where[h.Executor]
-		ev = handoff.Event{Kind: handoff.AttemptStarting, ID: s.ID, Attempt: h.Attempt, Zone: at.Place, Cell: at.Cell}
+		ev = handoff.Event{Kind: handoff.AttemptStarting, ID: s.ID, Attempt: h.Attempt, Zone: at.Zone, Cell: at.Cell}
 	case dispatch.AttemptEnded:
 		ev = handoff.Event{Kind: handoff.AttemptEnded, ID: s.ID, Attempt: h.Attempt, NeverRan: h.NeverRan}
 	case dispatch.RequestEnding:
@@ -228,11 +228,11 @@
 
 // list keeps where executors are.
 func (t *Agent) list(l *scheduler.Event) {
-	if l.List != scheduler.Changes {
+	if l.List != scheduler.ListDelta {
 		clear(t.where)
 	}
-	for _, e := range l.Entries {
-		if delete(t.where, e.Executor); e.Standing != scheduler.Gone {
+	for _, e := range l.Endpoints {
+		if delete(t.where, e.Executor); e.Availability != scheduler.Removed {
 			t.where[e.Executor] = e
 		}
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -59,7 +59,7 @@
 	slots := []slot{{1200, 300, 2}, {1233, 1, 0}, {1234, 0, 7}}
 	executor := trust{id: 9, place: "here", cell: -4, coldUntil: 130000.5, aside: true, strikes: 3, drain: 77, upSince: 1000.5, told: goldenNow}
 	this := life{at: 100.5, moment: Clocks{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"}, told: goldenNow, clean: true}
-	figures := []scheduler.Figure{{Name: "ran", Value: 1.5}, {Name: "threads.look", Value: -0.25}, {Name: "zero", Value: 0}}
+	figures := []scheduler.Estimate{{Name: "ran", Value: 1.5}, {Name: "threads.look", Value: -0.25}, {Name: "zero", Value: 0}}
 	set := note{key: noteKey("limit model"), name: "limit model", who: "ann", text: []byte("{}"), at: goldenNow}
 	return append(all,
 		goldenRecord{"ration", rationKey, func(l *Ledger) { l.ration.slots = slots; l.keepRation() }, func(l *Ledger) any { return l.ration.slots }, slots},
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -91,15 +91,15 @@
 
 // listed tells of executors 1 and 2 here and 3 there.
 func (l *lives) listed(now float64, index uint64, leaving ...uint32) {
-	var list []scheduler.Entry
+	var list []scheduler.Endpoint
 	for id := range uint32(3) {
-		e := scheduler.Entry{Executor: id + 1, Place: "here"}
+		e := scheduler.Endpoint{Executor: id + 1, Zone: "here"}
 		if id == 2 {
-			e.Place = "there"
+			e.Zone = "there"
 		}
 		for _, x := range leaving {
 			if x == id+1 {
-				e.Standing = scheduler.Leaving
+				e.Availability = scheduler.Draining
 			}
 		}
 		list = append(list, e)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -61,7 +61,7 @@
 	ID, IdempotencyKey string // RequestReceived, AttemptStarting, AttemptEnded, RequestClosed, OutcomeQueried
 	Class              string // RequestReceived
 	Deadline           float64
-	Prior              scheduler.Prior // RequestReceived: what may have run elsewhere under the mark
+	Prior              scheduler.PriorAttempt // RequestReceived: what may have run elsewhere under the mark
 	Attempt            int
 	Executor           uint32 // AttemptStarting
 	NeverRan           bool   // AttemptEnded: it is known not to have run
@@ -83,10 +83,10 @@
 	ListVersion uint64 // EndpointsUpdated: the version of the list; 0 where it tells none
 	Restored    bool   // EndpointsUpdated: as known at the start
 	Complete    bool
-	Endpoints   []scheduler.Entry
+	Endpoints   []scheduler.Endpoint
 
-	ExecutorViews []scheduler.Belief // Ticked, where it is time for them
-	Estimates     []scheduler.Figure
+	ExecutorViews []scheduler.ExecutorView // Ticked, where it is time for them
+	Estimates     []scheduler.Estimate
 }
 
 // EffectKind tells what an Effect asks for.
@@ -117,7 +117,7 @@
 	Token          uint64
 	ID             string
 	Attempt        int
-	Prior          scheduler.Prior
+	Prior          scheduler.PriorAttempt
 	Outcome        Outcome
 	Body           []byte // of an answer on record; nil: it was not kept
 	AfterMS        float64
@@ -180,7 +180,7 @@
 	marks    index.Table[mark]
 	ration   ration
 	trusts   map[uint32]*trust
-	learnt   []scheduler.Figure
+	learnt   []scheduler.Estimate
 	notes    []note
 	learntAt float64
 	bookAt   float64
@@ -361,7 +361,7 @@
 	}
 	closed := l.crashed(ev.TailInDoubt)
 	l.ageMarks(gone)
-	recall := scheduler.Event{Kind: scheduler.Kept, Figures: l.learnt}
+	recall := scheduler.Event{Kind: scheduler.StateRestored, Estimates: l.learnt}
 	l.ration.recall(l, &recall, gone, !l.life.clean)
 	clean := l.life.clean || l.life.at == 0
 	l.life = life{at: l.now, moment: ev.Clocks}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -99,7 +99,7 @@
 			assert.Equal(t, c.want, e.Kind, "%s, crash %v", c.what, crash)
 			assert.Equal(t, c.prior, e.Prior.At != 0, "%s, crash %v", c.what, crash)
 			if c.prior {
-				assert.Equal(t, "there", e.Prior.Place, c.what)
+				assert.Equal(t, "there", e.Prior.Zone, c.what)
 				assert.InDelta(t, 1000, e.Prior.At, 1.5, c.what)
 			}
 			if c.want == AnswerFromRecord {
@@ -234,7 +234,7 @@
 		after := born(l.disk, now+50, up(now+50), false)
 		kept := after.recall[0]
 		at := now + rapid.Float64Range(51, 9000).Draw(t, "asked")
-		allowed := int(3+0.1*float64(within(kept.Takes, at))) - within(kept.Extras, at)
+		allowed := int(3+0.1*float64(within(kept.Arrivals, at))) - within(kept.Retries, at)
 		really := 3 + 0.1*float64(within(takes, at)) - float64(within(extras, at))
 		assert.LessOrEqual(t, float64(max(0, allowed)), max(0, math.Floor(really+1e-9)))
 	})
@@ -254,8 +254,8 @@
 func TestExecutorsStayWhatTheyWere(t *testing.T) {
 	l := firstLife(1000)
 	l.listed(1000, 5, 2)
-	l.do(2000, Event{Kind: Ticked, ExecutorViews: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2},
-		{Executor: 3, Cold: true, ColdTo: 9000}, {Executor: 77, Aside: true}}})
+	l.do(2000, Event{Kind: Ticked, ExecutorViews: []scheduler.ExecutorView{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2},
+		{Executor: 3, WarmingUp: true, WarmupUntil: 9000}, {Executor: 77, Ejected: true}}})
 	for _, c := range []struct {
 		index   uint64
 		leaving bool
@@ -267,13 +267,13 @@
 		after := born(d, 3000, up(3000), false)
 		after.listed(3000, c.index)
 		require.Len(t, after.recall, 2)
-		want := []scheduler.Trust{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2, Leaving: true}, {Executor: 3, ColdUntil: 9000}}
+		want := []scheduler.ExecutorState{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2, Draining: true}, {Executor: 3, WarmupUntil: 9000}}
 		if !c.leaving {
-			want = []scheduler.Trust{want[0], want[2]}
+			want = []scheduler.ExecutorState{want[0], want[2]}
 		}
-		got := after.recall[1].Trusts
+		got := after.recall[1].ExecutorStates
 		for k := range got { // times are late by the step of a clock at most
-			got[k].ColdUntil = math.Max(0, math.Round(got[k].ColdUntil/10)*10)
+			got[k].WarmupUntil = math.Max(0, math.Round(got[k].WarmupUntil/10)*10)
 		}
 		assert.Equal(t, want, got, "list %d", c.index)
 	}
@@ -339,7 +339,7 @@
 				}
 				open, ids[id] = append(open, id), true
 				to := rapid.Uint32Range(1, 3).Draw(t, "to")
-				if e.Prior.At != 0 && (e.Prior.Place != places[to] || now > e.Prior.At+20000) {
+				if e.Prior.At != 0 && (e.Prior.Zone != places[to] || now > e.Prior.At+20000) {
 					break // the module keeps off
 				}
 				unrun := rapid.Bool().Draw(t, "never ran")
--- a/internal/ledger/ration.go
+++ b/internal/ledger/ration.go
@@ -69,17 +69,17 @@
 	for _, s := range r.slots {
 		early, late := float64(s.n)*rationMS-l.offset, min(float64(s.n+1)*rationMS-l.offset, l.desk)
 		for range s.extras {
-			ev.Extras = append(ev.Extras, late)
+			ev.Retries = append(ev.Retries, late)
 		}
 		for range s.takes {
 			if gone.Max == gone.Min {
-				ev.Takes = append(ev.Takes, early)
+				ev.Arrivals = append(ev.Arrivals, early)
 			}
 		}
 	}
 	if crashed && l.life.at != 0 {
 		for range int(max(0, math.Ceil(earned-float64(used)))) {
-			ev.Extras = append(ev.Extras, l.desk)
+			ev.Retries = append(ev.Retries, l.desk)
 			r.extra(l.now)
 		}
 	}
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -71,7 +71,7 @@
 	kind    int
 	nums    [fieldEnd]float64
 	texts   [fieldEnd][]byte
-	figures []scheduler.Figure
+	figures []scheduler.Estimate
 	set     [fieldEnd]bool
 }
 
@@ -96,7 +96,7 @@
 			}
 			b = b[used:]
 			if x := math.Float64frombits(v); n == fieldValue {
-				f.figures = append(f.figures, scheduler.Figure{Name: name, Value: x})
+				f.figures = append(f.figures, scheduler.Estimate{Name: name, Value: x})
 			} else if known {
 				f.nums[n], f.set[n] = x, true
 			}
--- a/internal/ledger/searches.go
+++ b/internal/ledger/searches.go
@@ -86,7 +86,7 @@
 	e := Effect{Kind: Admit}
 	if verdict == again {
 		l.counts.Again++
-		e.Prior = scheduler.Prior{At: m.first - l.offset, Place: m.place, Cell: m.cell}
+		e.Prior = scheduler.PriorAttempt{At: m.first - l.offset, Zone: m.place, Cell: m.cell}
 		if math.IsInf(m.first, 0) || e.Prior.At == 0 {
 			e.Prior.At = -math.MaxFloat64
 		}
@@ -120,7 +120,7 @@
 	}
 	m, _ := l.marks.Put(k, clampMS(l.now+o.window+l.remember))
 	l.bodies -= len(m.body)
-	*m = mark{label: ev.IdempotencyKey, offering: n, first: p.At + l.offset, last: l.now, place: p.Place, cell: p.Cell, unsure: 1}
+	*m = mark{label: ev.IdempotencyKey, offering: n, first: p.At + l.offset, last: l.now, place: p.Zone, cell: p.Cell, unsure: 1}
 	l.keepMark(k, m)
 }
 
--- a/internal/ledger/trusts.go
+++ b/internal/ledger/trusts.go
@@ -26,7 +26,7 @@
 	seen := map[uint32]bool{}
 	for _, e := range ev.Endpoints {
 		t := l.trusts[e.Executor]
-		if e.Standing == scheduler.Gone {
+		if e.Availability == scheduler.Removed {
 			l.gone(e.Executor)
 			continue
 		}
@@ -35,17 +35,17 @@
 			l.trusts[e.Executor] = t
 		}
 		seen[e.Executor] = true
-		leaving := e.Standing == scheduler.Leaving
+		leaving := e.Availability == scheduler.Draining
 		// A list of the start that is older than a drain on record does not end that drain.
-		older := ev.Restored && t.drain > 0 && (ev.ListVersion == 0 || ev.ListVersion < t.drain) && e.UpSince <= t.upSince
+		older := ev.Restored && t.drain > 0 && (ev.ListVersion == 0 || ev.ListVersion < t.drain) && e.StartedAt <= t.upSince
 		drain := t.drain
 		if leaving {
 			drain = max(1, ev.ListVersion)
 		} else if !older {
 			drain = 0
 		}
-		changed := drain != t.drain || t.place != e.Place || t.cell != e.Cell || t.upSince != e.UpSince
-		t.place, t.cell, t.upSince, t.drain = e.Place, e.Cell, e.UpSince, drain
+		changed := drain != t.drain || t.place != e.Zone || t.cell != e.Cell || t.upSince != e.StartedAt
+		t.place, t.cell, t.upSince, t.drain = e.Zone, e.Cell, e.StartedAt, drain
 		if t.drained = leaving; changed {
 			l.keepTrust(t)
 		}
@@ -80,19 +80,19 @@
 }
 
 // believe puts on record what the module holds of executors, where that changed.
-func (l *Ledger) believe(beliefs []scheduler.Belief) {
+func (l *Ledger) believe(beliefs []scheduler.ExecutorView) {
 	for _, b := range beliefs {
 		t := l.trusts[b.Executor]
 		if t == nil {
 			continue
 		}
 		cold := 0.0
-		if b.Cold {
-			cold = b.ColdTo + l.offset
+		if b.WarmingUp {
+			cold = b.WarmupUntil + l.offset
 		}
-		if t.aside != b.Aside || b.Aside && t.strikes != b.Strikes || math.Abs(t.coldUntil-cold) > coldStepMS ||
+		if t.aside != b.Ejected || b.Ejected && t.strikes != b.Ejections || math.Abs(t.coldUntil-cold) > coldStepMS ||
 			(t.aside || cold > 0 || t.drain > 0) && l.now > t.told+trustAgain*trustMS {
-			t.aside, t.strikes, t.coldUntil = b.Aside, b.Strikes, cold
+			t.aside, t.strikes, t.coldUntil = b.Ejected, b.Ejections, cold
 			l.keepTrust(t)
 		}
 	}
@@ -101,12 +101,12 @@
 // recallTrusts tells the module what it held of executors: those that were aside stay so until they have answered
 // probes, cold ones stay cold, and drains that the list of the start did not know hold.
 func (l *Ledger) recallTrusts() {
-	ev := scheduler.Event{Kind: scheduler.Kept}
+	ev := scheduler.Event{Kind: scheduler.StateRestored}
 	for _, id := range l.trustIDs() {
 		t := l.trusts[id]
 		if t.aside || t.coldUntil > l.now || t.drain > 0 {
-			ev.Trusts = append(ev.Trusts, scheduler.Trust{Executor: id, ColdUntil: t.coldUntil - l.offset, Aside: t.aside,
-				Strikes: t.strikes, Leaving: t.drain > 0 && !t.drained})
+			ev.ExecutorStates = append(ev.ExecutorStates, scheduler.ExecutorState{Executor: id, WarmupUntil: t.coldUntil - l.offset, Ejected: t.aside,
+				Ejections: t.strikes, Draining: t.drain > 0 && !t.drained})
 		}
 	}
 	l.do(Effect{Kind: RestoreState, SchedulerEvent: ev})
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -50,7 +50,7 @@
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
 	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
 		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
-	step(ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Entry{{Executor: 1, Place: "here"}, {Executor: 2, Place: "there"}}})
+	step(ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"}, {Executor: 2, Zone: "there"}}})
 	run := func(round string, ms float64) {
 		for _, s := range ends {
 			mark := s.mark
@@ -64,9 +64,9 @@
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "writtenoff" + round, Outcome: ledger.Failed})
 		step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit " + round, IdempotencyKey: "ann", Body: []byte("{}")})
 		c.now += ms
-		step(ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: 7, Endpoints: []scheduler.Entry{{Executor: 2, Place: "there", Cell: -3, Standing: scheduler.Leaving, UpSince: 5}}})
-		step(ledger.Event{Kind: ledger.Ticked, ExecutorViews: []scheduler.Belief{{Executor: 1, Aside: true, Strikes: 3, Cold: true, ColdTo: c.now + 2000}},
-			Estimates: []scheduler.Figure{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
+		step(ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: 7, Endpoints: []scheduler.Endpoint{{Executor: 2, Zone: "there", Cell: -3, Availability: scheduler.Draining, StartedAt: 5}}})
+		step(ledger.Event{Kind: ledger.Ticked, ExecutorViews: []scheduler.ExecutorView{{Executor: 1, Ejected: true, Ejections: 3, WarmingUp: true, WarmupUntil: c.now + 2000}},
+			Estimates: []scheduler.Estimate{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
 	}
 	run("-1", 2500) // nothing lapses before the snapshot: its order would hang on when that is seen
 	require.NoError(t, c.store.Snapshot())
@@ -153,12 +153,12 @@
 			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
 		}
 		recalled := k.RestoredEvents()
-		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Entry{{Executor: 1, Place: "here"},
-			{Executor: 2, Place: "there"}}}) {
+		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"},
+			{Executor: 2, Zone: "there"}}}) {
 			recalled = append(recalled, e.SchedulerEvent)
 		}
 		for _, ev := range recalled {
-			fmt.Fprintf(&told, "figures %v trusts %v\n", ev.Figures, ev.Trusts)
+			fmt.Fprintf(&told, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
 		}
 		golden(t, folder+"-told.txt", []byte(told.String()))
 		require.NoError(t, k.store.Close())
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -85,9 +85,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var list []scheduler.Entry
+	var list []scheduler.Endpoint
 	for id, place := range []string{"here", "there"} {
-		list = append(list, scheduler.Entry{Executor: uint32(id + 1), Place: place})
+		list = append(list, scheduler.Endpoint{Executor: uint32(id + 1), Zone: place})
 	}
 	c.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: list})
 	return c, nil
@@ -107,7 +107,7 @@
 		if c.now > first.Prior.At+20000 {
 			return first.Kind // the module never sends it
 		}
-		if place = first.Prior.Place; place == "there" {
+		if place = first.Prior.Zone; place == "there" {
 			executor = 2
 		} else {
 			executor = 1
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -122,7 +122,7 @@
 func (r *flight) Release() {
 	if r.gone.CompareAndSwap(false, true) {
 		r.f.sent.Add(1)
-		go r.f.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Ended, Request: r.shot.Request.ID, Attempt: r.shot.Number}, Body: []byte("rows")})
+		go r.f.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: r.shot.Request.ID, Attempt: r.shot.Number}, Body: []byte("rows")})
 	}
 }
 
@@ -152,8 +152,8 @@
 	for _, ev := range k.RestoredEvents() {
 		d.Put(dispatch.QueueItem{Event: ev})
 	}
-	d.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Restored,
-		Entries: []scheduler.Entry{{Executor: 1, Place: "here", Kind: "big"}, {Executor: 2, Place: "here", Kind: "big"}}}})
+	d.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListRestored,
+		Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here", Kind: "big"}, {Executor: 2, Zone: "here", Kind: "big"}}}})
 	return d, f, k
 }
 
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -41,7 +41,7 @@
 	late    []func()
 	at      []float64
 	loss    float64
-	reaches []map[string]scheduler.Reach
+	reaches []map[string]scheduler.ZoneReach
 	applied map[int]uint64
 	outs    map[int]map[string]float64 // threads that controllers have out, where a test says so
 	caps    []granted                  // plans, with when they came into force
@@ -124,9 +124,9 @@
 			}
 		case SetReach:
 			w.applied[k] = e.Number
-			w.reaches[k] = map[string]scheduler.Reach{}
+			w.reaches[k] = map[string]scheduler.ZoneReach{}
 			for _, r := range e.Reaches {
-				w.reaches[k][r.Place] = r
+				w.reaches[k][r.Zone] = r
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 		for n := range 10 {
 			x := Executor{Zone: fmt.Sprint("z", z), Kind: s.kinds[n%len(s.kinds)], Cores: s.cores / 10, Listed: float64(n) < 10*s.listed}
 			reach := float64(n) < 10*s.up && !(z == w.zoneOf[k] && s.hidden[k]) && !(z != w.zoneOf[k] && s.foreign)
-			if z == w.zoneOf[k] || w.state(w.zoneOf[k]) != Healthy && w.reaches[k] != nil && w.reaches[k][x.Zone].Room > 0 {
+			if z == w.zoneOf[k] || w.state(w.zoneOf[k]) != Healthy && w.reaches[k] != nil && w.reaches[k][x.Zone].Capacity > 0 {
 				x.Known, x.Ejected = true, !reach
 			}
 			if n == 0 {
@@ -239,7 +239,7 @@
 			sum, most := 0.0, 0.0
 			for k := range w.watches {
 				if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
-					sum += w.reaches[k][to].Room
+					sum += w.reaches[k][to].Capacity
 				}
 			}
 			for n, g := range w.caps {
@@ -269,7 +269,7 @@
 func (w *world) may(from, to int) (sum float64) {
 	for k := range w.watches {
 		if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
-			sum += w.reaches[k][fmt.Sprint("z", to)].Room
+			sum += w.reaches[k][fmt.Sprint("z", to)].Capacity
 		}
 	}
 	return sum
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -29,7 +29,7 @@
 	for k := range w.watches {
 		for place, r := range w.reaches[k] {
 			assert.NotEqual(t, fmt.Sprint("z", w.zoneOf[k]), place, "its own zone is near without bound")
-			assert.EqualValues(t, 3, r.Room, "a fourth of half of half of what is left")
+			assert.EqualValues(t, 3, r.Capacity, "a fourth of half of half of what is left")
 			assert.Equal(t, 1, r.Tier)
 		}
 	}
@@ -52,7 +52,7 @@
 	assert.Greater(t, w.may(0, 1), 10.0)
 	assert.Greater(t, w.may(0, 2), 10.0, "both carry it")
 	assert.Zero(t, w.may(1, 0)+w.may(2, 0))
-	assert.Equal(t, 0.0, w.reaches[0]["z0"].Room)
+	assert.Equal(t, 0.0, w.reaches[0]["z0"].Capacity)
 	w.sites[0].up, w.sites[0].listed = 1, 1
 	last, seen := 0.0, map[float64]bool{}
 	for range 200 {
@@ -138,20 +138,20 @@
 	w.sites[0].up, w.sites[0].listed = 0, 0
 	w.run(4000)
 	out := 9 // of z0, and no voter
-	had := w.reaches[out]["z1"].Room + w.reaches[out]["z2"].Room
+	had := w.reaches[out]["z1"].Capacity + w.reaches[out]["z2"].Capacity
 	require.Greater(t, had, 0.0)
 	w.away[out] = true
 	last := had
 	for range 80 {
 		w.run(100)
-		now := w.reaches[out]["z1"].Room + w.reaches[out]["z2"].Room
+		now := w.reaches[out]["z1"].Capacity + w.reaches[out]["z2"].Capacity
 		assert.LessOrEqual(t, now, last, "it never grows")
 		last = now
 	}
 	assert.Zero(t, last)
 	w.away[out] = false
 	w.run(8000)
-	assert.Greater(t, w.reaches[out]["z1"].Room+w.reaches[out]["z2"].Room, 0.0, "it is back")
+	assert.Greater(t, w.reaches[out]["z1"].Capacity+w.reaches[out]["z2"].Capacity, 0.0, "it is back")
 	w.clean()
 }
 
@@ -248,7 +248,7 @@
 	w.down[1], w.down[2] = true, true
 	w.run(8000)
 	assert.Equal(t, Evacuated, w.state(0), "nobody could agree that it returns")
-	assert.EqualValues(t, 1, w.reaches[3]["z0"].Room, "and yet it is not shut for ever")
+	assert.EqualValues(t, 1, w.reaches[3]["z0"].Capacity, "and yet it is not shut for ever")
 	w.clean()
 }
 
@@ -257,10 +257,10 @@
 	w := newWorld(t, 2, 3, testBounds())
 	w.sites[1].kinds = []string{"big", "type-a"}
 	w.run(5000)
-	assert.Equal(t, []string{"type-a"}, w.reaches[0]["z1"].Free)
+	assert.Equal(t, []string{"type-a"}, w.reaches[0]["z1"].ExclusiveKinds)
 	w.sites[1].up, w.sites[1].listed = 0, 0
 	w.run(4000)
-	assert.Empty(t, w.reaches[0]["z1"].Free)
+	assert.Empty(t, w.reaches[0]["z1"].ExclusiveKinds)
 	w.clean()
 }
 
@@ -422,7 +422,7 @@
 	w := calm(t, 8)
 	w.sites[0].up, w.sites[0].listed = 0, 0
 	w.run(6000)
-	had := w.reaches[0]["z1"].Room + w.reaches[0]["z2"].Room
+	had := w.reaches[0]["z1"].Capacity + w.reaches[0]["z2"].Capacity
 	require.Greater(t, had, 0.0)
 	for k := range w.watches {
 		if w.zoneOf[k] == 0 {
@@ -436,12 +436,12 @@
 		for k := range w.outs { // each has out what it wants and may, the first zone first
 			left := w.outs[k]["wants"]
 			for _, z := range []string{"z1", "z2"} {
-				w.outs[k][z] = min(left, w.reaches[k][z].Room)
+				w.outs[k][z] = min(left, w.reaches[k][z].Capacity)
 				left -= w.outs[k][z]
 			}
 		}
 		w.run(100)
-		most = max(most, w.reaches[0]["z1"].Room+w.reaches[0]["z2"].Room)
+		most = max(most, w.reaches[0]["z1"].Capacity+w.reaches[0]["z2"].Capacity)
 		if n == 40 {
 			w.loss = 0.2
 		}
--- a/internal/locality/watch.go
+++ b/internal/locality/watch.go
@@ -68,7 +68,7 @@
 	To      string
 	Data    []byte
 	Plan    *Plan
-	Reaches []scheduler.Reach
+	Reaches []scheduler.ZoneReach
 	Number  uint64
 	Text    string
 	Zone    string
@@ -125,7 +125,7 @@
 	planner     planner
 	proposed    uint64
 	proposedAt  float64
-	reaches     []scheduler.Reach
+	reaches     []scheduler.ZoneReach
 	strange     bool // its own zone has no executors, and never had
 	loans       loans
 	gen         uint64 // of what the module was told
@@ -152,7 +152,7 @@
 func (w *Monitor) Orders() []Order { return w.orders }
 
 // Reaches is what the module was told last.
-func (w *Monitor) Reaches() []scheduler.Reach { return w.reaches }
+func (w *Monitor) Reaches() []scheduler.ZoneReach { return w.reaches }
 
 // Reports are those that count now, where this controller leads.
 func (w *Monitor) Reports() map[string]Report { return w.reports() }
@@ -487,7 +487,7 @@
 // open tells the module how far searches may go now.
 func (w *Monitor) open() {
 	valid := w.valid()
-	var list []scheduler.Reach
+	var list []scheduler.ZoneReach
 	names := w.places()
 	if strange := len(w.executors) > 0 && !slices.Contains(names, w.zone); strange != w.strange {
 		if w.strange = strange; strange {
@@ -503,9 +503,9 @@
 			if pair == nil || z == nil {
 				continue // near, and whole
 			}
-			r := scheduler.Reach{Place: name, Room: w.room(name, valid)}
+			r := scheduler.ZoneReach{Zone: name, Capacity: w.room(name, valid)}
 			if z.State == Evacuated && orderOf(w.inForce(), name) != Evacuate && valid == 0 {
-				r.Room = w.bounds.MinShare // the order has lapsed, and nobody can agree on what follows: one search at a time
+				r.Capacity = w.bounds.MinShare // the order has lapsed, and nobody can agree on what follows: one search at a time
 			}
 			list = append(list, r)
 			continue
@@ -535,14 +535,14 @@
 }
 
 // far is how far another zone is. One that is in no plan yet is closed, but for kinds that there are nowhere near.
-func (w *Monitor) far(name string, valid float64) scheduler.Reach {
+func (w *Monitor) far(name string, valid float64) scheduler.ZoneReach {
 	self, z := w.plan.zone(w.zone), w.plan.zone(name)
-	r := scheduler.Reach{Place: name, Tier: 2}
+	r := scheduler.ZoneReach{Zone: name, Tier: 2}
 	if z == nil || z.State <= Suspected {
 		near, there := w.kinds(w.zone, self), w.kinds(name, z)
 		for _, kind := range there {
 			if !slices.Contains(near, kind) {
-				r.Free = append(r.Free, kind)
+				r.ExclusiveKinds = append(r.ExclusiveKinds, kind)
 			}
 		}
 	}
@@ -550,8 +550,8 @@
 		return r
 	}
 	way := [2]string{self.Region, z.Region}
-	r.Tier, r.Room = tierOf(self, z), w.room(name, valid)
-	r.WayMS, r.Least = w.bounds.LatencyMS[way], w.bounds.MinDensity[way]
+	r.Tier, r.Capacity = tierOf(self, z), w.room(name, valid)
+	r.LatencyMS, r.MinDensity = w.bounds.LatencyMS[way], w.bounds.MinDensity[way]
 	return r
 }
 
@@ -569,6 +569,6 @@
 	return kinds
 }
 
-func same(a, b scheduler.Reach) bool {
-	return a.Place == b.Place && a.Tier == b.Tier && a.Room == b.Room && a.WayMS == b.WayMS && a.Least == b.Least && slices.Equal(a.Free, b.Free)
+func same(a, b scheduler.ZoneReach) bool {
+	return a.Zone == b.Zone && a.Tier == b.Tier && a.Capacity == b.Capacity && a.LatencyMS == b.LatencyMS && a.MinDensity == b.MinDensity && slices.Equal(a.ExclusiveKinds, b.ExclusiveKinds)
 }
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -52,7 +52,7 @@
 	last    float64 // when the view was looked at
 
 	// Of the desk's goroutine.
-	where   map[uint32]scheduler.Entry
+	where   map[uint32]scheduler.Endpoint
 	cores   map[string]float64 // of a machine, by kind
 	threads map[string]float64 // of a search, by offering
 	wants   float64
@@ -70,13 +70,13 @@
 
 // reaching is what the module is to know, and its number.
 type reaching struct {
-	list   []scheduler.Reach
+	list   []scheduler.ZoneReach
 	number uint64
 }
 
 // New joins one; Begin has it work.
 func New(w *locality.Monitor, name string, given scheduler.Given, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
-	t := &Agent{Monitor: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Entry{},
+	t := &Agent{Monitor: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Endpoint{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
 	for k := 0; ; k++ {
 		at := "kind." + strconv.Itoa(k) + "."
@@ -124,7 +124,7 @@
 		select {
 		case <-t.opened:
 			r := t.reaches.Load()
-			t.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Opened, Reaches: r.list}})
+			t.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: r.list}})
 			t.desk.Put(dispatch.QueueItem{Call: func(float64) { t.applied = r.number }}) // behind it in the queue: the module has it then
 		case <-t.stop:
 			return
@@ -320,16 +320,16 @@
 	return out
 }
 
-func (t *Agent) executors(beliefs []scheduler.Belief) (list []locality.Executor) {
+func (t *Agent) executors(beliefs []scheduler.ExecutorView) (list []locality.Executor) {
 	for k := range beliefs {
 		b := &beliefs[k]
 		at, known := t.where[b.Executor]
 		if !known {
 			continue
 		}
-		x := locality.Executor{Zone: at.Place, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Standing == scheduler.Active, Ejected: b.Aside, WarmingUp: b.Cold,
+		x := locality.Executor{Zone: at.Zone, Kind: at.Kind, Cores: max(1, t.cores[at.Kind]), Listed: b.Availability == scheduler.Active, Ejected: b.Ejected, WarmingUp: b.WarmingUp,
 			InFlight: float64(b.Threads)}
-		x.Known = b.Aside || b.Bad > 0 || b.Out > 0 || b.HeardMS >= 0 && b.HeardMS < knownMS || b.ReportMS >= 0 && b.ReportMS < knownMS
+		x.Known = b.Ejected || b.ConsecutiveFailures > 0 || b.InFlight > 0 || b.SinceSignMS >= 0 && b.SinceSignMS < knownMS || b.SinceReportMS >= 0 && b.SinceReportMS < knownMS
 		list = append(list, x)
 	}
 	return list
@@ -337,11 +337,11 @@
 
 // list keeps where executors are.
 func (t *Agent) list(l *scheduler.Event) {
-	if l.List != scheduler.Changes {
+	if l.List != scheduler.ListDelta {
 		clear(t.where)
 	}
-	for _, e := range l.Entries {
-		if delete(t.where, e.Executor); e.Standing != scheduler.Gone {
+	for _, e := range l.Endpoints {
+		if delete(t.where, e.Executor); e.Availability != scheduler.Removed {
 			t.where[e.Executor] = e
 		}
 	}
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -30,15 +30,15 @@
 	assert.Zero(t, s.wants, "never below")
 	hear(dispatch.Event{Kind: dispatch.ListUnavailable})
 	assert.True(t, s.deaf)
-	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.Whole, Entries: []scheduler.Entry{{Executor: 1, Place: "z0", Kind: "big"},
-		{Executor: 2, Place: "z1", Kind: "big"}, {Executor: 3, Place: "z1", Kind: "odd"}}}})
+	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.ListComplete, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "z0", Kind: "big"},
+		{Executor: 2, Zone: "z1", Kind: "big"}, {Executor: 3, Zone: "z1", Kind: "odd"}}}})
 	assert.False(t, s.deaf)
-	list := s.executors([]scheduler.Belief{{Executor: 1, Out: 2, Threads: 8, HeardMS: 5, ReportMS: -1}, {Executor: 2, Aside: true, HeardMS: -1, ReportMS: -1},
-		{Executor: 3, HeardMS: knownMS + 1, ReportMS: -1, Standing: scheduler.Leaving}, {Executor: 9}})
+	list := s.executors([]scheduler.ExecutorView{{Executor: 1, InFlight: 2, Threads: 8, SinceSignMS: 5, SinceReportMS: -1}, {Executor: 2, Ejected: true, SinceSignMS: -1, SinceReportMS: -1},
+		{Executor: 3, SinceSignMS: knownMS + 1, SinceReportMS: -1, Availability: scheduler.Draining}, {Executor: 9}})
 	assert.Equal(t, []locality.Executor{{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: 8},
 		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Ejected: true}, {Zone: "z1", Kind: "odd", Cores: 1}}, list)
-	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: 2, Standing: scheduler.Gone}}}})
-	assert.Len(t, s.executors([]scheduler.Belief{{Executor: 1}, {Executor: 2}}), 1)
+	hear(dispatch.Event{Kind: dispatch.EndpointsUpdated, List: &scheduler.Event{List: scheduler.ListDelta, Endpoints: []scheduler.Endpoint{{Executor: 2, Availability: scheduler.Removed}}}})
+	assert.Len(t, s.executors([]scheduler.ExecutorView{{Executor: 1}, {Executor: 2}}), 1)
 	for _, data := range []string{"", "r", "r\xff", "r\x05ab", "?\x01a", "x\x01a"} {
 		s.heard(netip.AddrPort{}, []byte(data)) // nothing of it reaches the watch, which is not there
 	}
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -34,7 +34,7 @@
 	in    *bufio.Reader
 	line  int
 	long  []byte
-	lists [banks][]scheduler.Entry
+	lists [banks][]scheduler.Endpoint
 	held  [banks]bool
 	words map[string]string // names that come again and again, kept once
 	ev    scheduler.Event
@@ -154,17 +154,17 @@
 }
 
 var outcomes = map[string]scheduler.Outcome{
-	"completed": scheduler.Handled, "errored": scheduler.Erred, "saturated": scheduler.Full, "overdue": scheduler.TimedOut,
-	"refused_conn": scheduler.Refused, "severed": scheduler.Severed, "recalled": scheduler.Recalled,
-	"superseded": scheduler.Superseded,
+	"completed": scheduler.Succeeded, "errored": scheduler.Errored, "saturated": scheduler.Overloaded, "overdue": scheduler.TimedOut,
+	"refused_conn": scheduler.ConnectFailed, "severed": scheduler.ConnectionLost, "recalled": scheduler.Cancelled,
+	"superseded": scheduler.NeverSent,
 }
 
-var standings = map[string]scheduler.Standing{
-	"active": scheduler.Active, "leaving": scheduler.Leaving, "left": scheduler.Gone,
+var standings = map[string]scheduler.Availability{
+	"active": scheduler.Active, "leaving": scheduler.Draining, "left": scheduler.Removed,
 }
 
 var listKinds = map[string]scheduler.ListKind{
-	"update": scheduler.Changes, "replace": scheduler.Whole, "restored": scheduler.Restored, "unavailable": scheduler.NoList,
+	"update": scheduler.ListDelta, "replace": scheduler.ListComplete, "restored": scheduler.ListRestored, "unavailable": scheduler.ListUnavailable,
 }
 
 // tags are the events of the wire, with the kind of event and the parts that each can't do without.
@@ -172,10 +172,10 @@
 	kind  scheduler.EventKind
 	needs string
 }{
-	"ENDPOINTS": {scheduler.Listed, "Kind"}, "ARRIVAL": {scheduler.Taken, "Handle TierClass DropDead"},
-	"CLIENT_GONE": {scheduler.Left, "Handle"}, "VERDICT": {scheduler.Ended, "Handle Code"},
-	"CHANGE": {scheduler.Noted, "Handle What"}, "PROBE_DONE": {scheduler.Probed, "Code"}, "TIMER": {scheduler.Rang, ""},
-	"FIRST": {scheduler.Streaming, "Handle"}, "MESSAGE": {scheduler.Heard, ""},
+	"ENDPOINTS": {scheduler.EndpointsUpdated, "Kind"}, "ARRIVAL": {scheduler.RequestArrived, "Handle TierClass DropDead"},
+	"CLIENT_GONE": {scheduler.ClientLeft, "Handle"}, "VERDICT": {scheduler.AttemptEnded, "Handle Code"},
+	"CHANGE": {scheduler.ProgressReported, "Handle What"}, "PROBE_DONE": {scheduler.HealthChecked, "Code"}, "TIMER": {scheduler.TimerFired, ""},
+	"FIRST": {scheduler.ResponseStarted, "Handle"}, "MESSAGE": {scheduler.PeerMessage, ""},
 }
 
 // Batch plays the next batch to host and returns its number. At the end of the input it returns io.EOF.
@@ -271,11 +271,11 @@
 	if seen != len(strings.Fields(t.needs)) {
 		return r.errorf("%s: needs %s: %.120q", tag, t.needs, line)
 	}
-	if t.kind == scheduler.Listed && ev.List != scheduler.NoList {
+	if t.kind == scheduler.EndpointsUpdated && ev.List != scheduler.ListUnavailable {
 		if bank < 0 || bank >= banks || !r.held[bank] {
 			return r.errorf("ENDPOINTS: no list numbered %d", bank)
 		}
-		ev.Entries = r.lists[bank]
+		ev.Endpoints = r.lists[bank]
 	}
 	return r.at(tag, host.Event(instance, now, ev))
 }
@@ -294,17 +294,17 @@
 	case "Handle":
 		ev.Request = value
 	case "TableGroup":
-		ev.Group, err = token(value)
+		ev.TableGroup, err = token(value)
 	case "Table":
-		ev.Key = r.word(value)
+		ev.OrderKey = r.word(value)
 	case "TierClass":
-		ev.Offering = r.word(value)
+		ev.Class = r.word(value)
 	case "WantMb":
-		ev.NeedMB, err = number(value)
+		ev.MemoryMB, err = number(value)
 	case "Resent":
-		ev.Repeat, err = flag(value)
+		ev.Retried, err = flag(value)
 	case "DropDead":
-		ev.Until, err = millis(value)
+		ev.Deadline, err = millis(value)
 	case "Estimate":
 		ev.WorkMS, err = millis(value)
 	case "N":
@@ -316,13 +316,13 @@
 			err = fmt.Errorf("unknown outcome %q", value)
 		}
 	case "Spent":
-		ev.TookMS, err = millis(value)
+		ev.ElapsedMS, err = millis(value)
 	case "Over":
-		ev.Over, err = flag(value)
+		ev.Final, err = flag(value)
 	case "UsedUp":
 		var n uint64
 		n, err = token(value)
-		ev.SpentMS, ev.UsedMB = float64(n/4096), float64(n%4096)*4
+		ev.CostMS, ev.UsedMB = float64(n/4096), float64(n%4096)*4
 	case "Load":
 		r.load = r.load[:0]
 		for _, s := range strings.Split(value, ",") {
@@ -332,14 +332,14 @@
 			}
 			r.load = append(r.load, n)
 		}
-		ev.Report = r.load
+		ev.LoadReport = r.load
 	case "What":
 		var n int
 		n, err = whole(value)
-		if err == nil && (n < int(scheduler.Progress) || n > int(scheduler.Waits)) {
+		if err == nil && (n < int(scheduler.Progress) || n > int(scheduler.Waiting)) {
 			err = fmt.Errorf("unknown note %d", n)
 		}
-		ev.Note = scheduler.NoteKind(n)
+		ev.Progress = scheduler.ProgressKind(n)
 	case "X":
 		ev.Value, err = number(value)
 	case "KeyBack":
@@ -352,7 +352,7 @@
 		ev.FromPeer, err = whole(value)
 	case "Data":
 		if value != "-" {
-			ev.Data, err = base64.StdEncoding.DecodeString(value)
+			ev.Payload, err = base64.StdEncoding.DecodeString(value)
 		}
 	}
 	return err
@@ -384,7 +384,7 @@
 		if err != nil {
 			return err
 		}
-		var e scheduler.Entry
+		var e scheduler.Endpoint
 		named := false
 		tag, err := r.fields(line, "", func(name, value string) (err error) {
 			ok := true
@@ -393,7 +393,7 @@
 				e.Executor, err = executor(value)
 				named = true
 			case "Hall":
-				e.Place = r.word(value)
+				e.Zone = r.word(value)
 			case "Type":
 				e.Kind = r.word(value)
 			case "UnitGroup":
@@ -401,13 +401,13 @@
 				n, err = whole(value)
 				e.Cell = int64(n)
 			case "Availability":
-				if e.Standing, ok = standings[value]; !ok {
+				if e.Availability, ok = standings[value]; !ok {
 					err = fmt.Errorf("unknown standing %q", value)
 				}
 			case "Units":
 				e.Units, err = number(value)
 			case "UpSince":
-				e.UpSince, err = millis(value)
+				e.StartedAt, err = millis(value)
 			}
 			return err
 		})
@@ -448,50 +448,50 @@
 	if err := host.Attach(instance, seed, settings); err != nil {
 		return r.at("ATTACH", err)
 	}
-	return r.at("ATTACH", host.Event(instance, now, &scheduler.Event{Kind: scheduler.Began}))
+	return r.at("ATTACH", host.Event(instance, now, &scheduler.Event{Kind: scheduler.Started}))
 }
 
 // Append writes the action of an instance as a line to b.
 func Append(b []byte, instance int, a *scheduler.Action) []byte {
 	num := func(name string, n int64) { b = strconv.AppendInt(append(append(b, '\t'), name...), n, 10) }
 	text := func(name, s string) { b = append(append(append(b, '\t'), name...), s...) }
-	name := [...]string{scheduler.Send: "ASSIGN", scheduler.Terms: "RESOURCES", scheduler.CallOff: "CALL_OFF",
-		scheduler.Deny: "TURN_AWAY", scheduler.Fail: "REPORT_FAILURE", scheduler.Wake: "SLEEP", scheduler.Probe: "PROBE",
-		scheduler.Listen: "LISTEN", scheduler.Log: "LOG", scheduler.Tell: "SHARE"}[a.Kind]
+	name := [...]string{scheduler.Send: "ASSIGN", scheduler.SetResources: "RESOURCES", scheduler.Cancel: "CALL_OFF",
+		scheduler.Reject: "TURN_AWAY", scheduler.Fail: "REPORT_FAILURE", scheduler.SetTimer: "SLEEP", scheduler.HealthCheck: "PROBE",
+		scheduler.Subscribe: "LISTEN", scheduler.Log: "LOG", scheduler.SendPeer: "SHARE"}[a.Kind]
 	b = append(b, name...)
 	num("I=", int64(instance))
 	switch a.Kind {
 	case scheduler.Send:
 		text("Handle=", a.Request)
 		num("Executor=", int64(a.Executor))
-	case scheduler.Terms:
+	case scheduler.SetResources:
 		text("Handle=", a.Request)
 		b = strconv.AppendFloat(append(b, "\tGrantMb="...), a.GrantMB, 'f', -1, 64)
 		num("Prio=", int64(a.Level))
-	case scheduler.CallOff:
+	case scheduler.Cancel:
 		text("Handle=", a.Request)
 		num("N=", int64(a.Attempt))
-	case scheduler.Deny:
+	case scheduler.Reject:
 		text("Handle=", a.Request)
 		if a.AfterMS > 0 {
 			num("ComeBack=", int64(a.AfterMS*usPerMS))
 		}
 	case scheduler.Fail:
 		text("Handle=", a.Request)
-	case scheduler.Wake:
+	case scheduler.SetTimer:
 		num("Delay=", int64(math.Ceil(a.AfterMS*usPerMS)))
 		num("KeyBack=", int64(a.Token))
-	case scheduler.Probe:
+	case scheduler.HealthCheck:
 		num("Executor=", int64(a.Executor))
-	case scheduler.Listen:
+	case scheduler.Subscribe:
 		num("Active=", 1)
-	case scheduler.Tell:
+	case scheduler.SendPeer:
 		if a.Peer < 0 {
 			text("Dest=", "*")
 		} else {
 			num("Dest=", int64(a.Peer))
 		}
-		b = base64.StdEncoding.AppendEncode(append(b, "\tData="...), a.Data)
+		b = base64.StdEncoding.AppendEncode(append(b, "\tData="...), a.Payload)
 	case scheduler.Log:
 		text("BodyText=", a.Text)
 	}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -47,13 +47,13 @@
 	assert.NoError(t, err)
 	assert.Equal(t, uint64(12), seq)
 	assert.Equal(t, 1.5, h.now)
-	assert.Equal(t, scheduler.Event{Kind: scheduler.Taken, Request: "t/b", Group: 11, Key: "91f0", Offering: "look", NeedMB: 384,
-		Until: 8652.25, WorkMS: 12}, h.events[0])
+	assert.Equal(t, scheduler.Event{Kind: scheduler.RequestArrived, Request: "t/b", TableGroup: 11, OrderKey: "91f0", Class: "look", MemoryMB: 384,
+		Deadline: 8652.25, WorkMS: 12}, h.events[0])
 	assert.Equal(t, uint64(77), h.events[1].Token)
 	v := h.events[2]
-	assert.Equal(t, []any{scheduler.Handled, 18.5, true, 17.0, 384.0, uint32(5), []float64{1, 0.5}},
-		[]any{v.Outcome, v.TookMS, v.Over, v.SpentMS, v.UsedMB, v.Executor, v.Report})
-	assert.Equal(t, scheduler.Event{Kind: scheduler.Noted, Request: "t/b", Attempt: 1, Note: scheduler.Waits, Value: 2}, h.events[3])
+	assert.Equal(t, []any{scheduler.Succeeded, 18.5, true, 17.0, 384.0, uint32(5), []float64{1, 0.5}},
+		[]any{v.Outcome, v.ElapsedMS, v.Final, v.CostMS, v.UsedMB, v.Executor, v.LoadReport})
+	assert.Equal(t, scheduler.Event{Kind: scheduler.ProgressReported, Request: "t/b", Attempt: 1, Progress: scheduler.Waiting, Value: 2}, h.events[3])
 }
 
 func TestBanksAreReusedWithinABatch(t *testing.T) {
@@ -61,9 +61,9 @@
 		"ENDPOINTS\tI=3\tKind=restored\tBank=2", "SNAPSHOT_ROWS\tBank=2", "ENDPOINTS\tI=3\tKind=replace\tBank=2",
 		"ENDPOINTS\tI=3\tKind=unavailable")
 	assert.NoError(t, err)
-	assert.Equal(t, scheduler.Entry{Executor: 7, Kind: "a", UpSince: 2}, h.events[0].Entries[0])
-	assert.Empty(t, h.events[1].Entries)
-	assert.Equal(t, scheduler.NoList, h.events[2].List)
+	assert.Equal(t, scheduler.Endpoint{Executor: 7, Kind: "a", StartedAt: 2}, h.events[0].Endpoints[0])
+	assert.Empty(t, h.events[1].Endpoints)
+	assert.Equal(t, scheduler.ListUnavailable, h.events[2].List)
 }
 
 func TestSettingsTakeOurNames(t *testing.T) {
@@ -72,7 +72,7 @@
 		`"FamilyInfo": {"ClassLoad": [true], "ClassThreads": [2]}}`)
 	assert.NoError(t, err)
 	assert.Equal(t, []int{3}, h.stopped)
-	assert.Equal(t, scheduler.Began, h.events[0].Kind)
+	assert.Equal(t, scheduler.Started, h.events[0].Kind)
 	assert.Equal(t, scheduler.Given{"controllers": 2.0, "kind.0.name": "safe", "offering.0.name": "safe",
 		"offering.0.effect": "labelled", "offering.0.due_ms": 2.0, "offering.0.kinds": []string{"probe"},
 		"offering.0.holds_group": true, "offering.0.threads": 2.0}, h.given)
@@ -113,16 +113,16 @@
 func TestActions(t *testing.T) {
 	for want, a := range map[string]scheduler.Action{
 		"ASSIGN\tI=3\tHandle=t/b\tExecutor=7\n":            {Kind: scheduler.Send, Request: "t/b", Executor: 7},
-		"RESOURCES\tI=3\tHandle=t/b\tGrantMb=64\tPrio=2\n": {Kind: scheduler.Terms, Request: "t/b", GrantMB: 64, Level: 2},
-		"CALL_OFF\tI=3\tHandle=t/b\tN=1\n":                 {Kind: scheduler.CallOff, Request: "t/b", Attempt: 1},
-		"TURN_AWAY\tI=3\tHandle=t/b\tComeBack=2500\n":      {Kind: scheduler.Deny, Request: "t/b", AfterMS: 2.5},
-		"TURN_AWAY\tI=3\tHandle=t/b\n":                     {Kind: scheduler.Deny, Request: "t/b"},
+		"RESOURCES\tI=3\tHandle=t/b\tGrantMb=64\tPrio=2\n": {Kind: scheduler.SetResources, Request: "t/b", GrantMB: 64, Level: 2},
+		"CALL_OFF\tI=3\tHandle=t/b\tN=1\n":                 {Kind: scheduler.Cancel, Request: "t/b", Attempt: 1},
+		"TURN_AWAY\tI=3\tHandle=t/b\tComeBack=2500\n":      {Kind: scheduler.Reject, Request: "t/b", AfterMS: 2.5},
+		"TURN_AWAY\tI=3\tHandle=t/b\n":                     {Kind: scheduler.Reject, Request: "t/b"},
 		"REPORT_FAILURE\tI=3\tHandle=t/b\n":                {Kind: scheduler.Fail, Request: "t/b"},
-		"SLEEP\tI=3\tDelay=20000\tKeyBack=0\n":             {Kind: scheduler.Wake, AfterMS: 20},
-		"PROBE\tI=3\tExecutor=7\n":                         {Kind: scheduler.Probe, Executor: 7},
-		"LISTEN\tI=3\tActive=1\n":                          {Kind: scheduler.Listen},
-		"SHARE\tI=3\tDest=*\tData=AQI=\n":                  {Kind: scheduler.Tell, Peer: -1, Data: []byte{1, 2}},
-		"SHARE\tI=3\tDest=4\tData=AQ==\n":                  {Kind: scheduler.Tell, Peer: 4, Data: []byte{1}},
+		"SLEEP\tI=3\tDelay=20000\tKeyBack=0\n":             {Kind: scheduler.SetTimer, AfterMS: 20},
+		"PROBE\tI=3\tExecutor=7\n":                         {Kind: scheduler.HealthCheck, Executor: 7},
+		"LISTEN\tI=3\tActive=1\n":                          {Kind: scheduler.Subscribe},
+		"SHARE\tI=3\tDest=*\tData=AQI=\n":                  {Kind: scheduler.SendPeer, Peer: -1, Payload: []byte{1, 2}},
+		"SHARE\tI=3\tDest=4\tData=AQ==\n":                  {Kind: scheduler.SendPeer, Peer: 4, Payload: []byte{1}},
 		"LOG\tI=3\tBodyText=two known\n":                   {Kind: scheduler.Log, Text: "two known"},
 	} {
 		assert.Equal(t, want, string(Append(nil, 3, &a)))
--- a/internal/wire/changelog.go
+++ b/internal/wire/changelog.go
@@ -33,7 +33,7 @@
 
 // listed is one executor of the list.
 type listed struct {
-	entry         scheduler.Entry
+	entry         scheduler.Endpoint
 	name, address string
 }
 
@@ -48,7 +48,7 @@
 	list  []listed
 }
 
-var standings = map[string]scheduler.Standing{"Ready": scheduler.Active, "Terminating": scheduler.Leaving, "Gone": scheduler.Gone}
+var standings = map[string]scheduler.Availability{"Ready": scheduler.Active, "Terminating": scheduler.Draining, "Gone": scheduler.Removed}
 
 // readChanges reads a page of events, all or nothing. Those of other kinds only move the number on.
 func readChanges(text []byte) (last uint64, changes []change, err error) {
@@ -92,12 +92,12 @@
 		}
 		for _, x := range e.Fleet.Endpoints {
 			standing, ok := standings[x.Status]
-			if !ok || x.Name == "" || x.Address == "" && standing != scheduler.Gone {
+			if !ok || x.Name == "" || x.Address == "" && standing != scheduler.Removed {
 				return 0, nil, malformed("event %d: executor %q at %q is %q", e.Seq, x.Name, x.Address, x.Status)
 			}
-			c.list = append(c.list, listed{name: x.Name, address: x.Address, entry: scheduler.Entry{
-				Executor: executorID(x.Name), Place: x.Zone, Kind: x.Type, Cell: x.Group, Standing: standing,
-				Units: x.Weight, UpSince: x.Since}})
+			c.list = append(c.list, listed{name: x.Name, address: x.Address, entry: scheduler.Endpoint{
+				Executor: executorID(x.Name), Zone: x.Zone, Kind: x.Type, Cell: x.Group, Availability: standing,
+				Units: x.Weight, StartedAt: x.Since}})
 		}
 		changes = append(changes, c)
 	}
@@ -149,7 +149,7 @@
 // Start hands on the events known at the start.
 func (f *DiscoveryClient) Start() {
 	f.heard = f.fleet.clock.Now()
-	f.apply(f.knownTo, f.known, scheduler.Restored)
+	f.apply(f.knownTo, f.known, scheduler.ListRestored)
 	f.known = nil
 }
 
@@ -165,14 +165,14 @@
 			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "event": c.seq}).Info("list: displaced")
 		}
 		c.list = append(c.list, displaced...)
-		ev := scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes, Index: c.index}
+		ev := scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListDelta, ListVersion: c.index}
 		if c.whole {
 			ev.List = whole
 		}
 		for _, e := range c.list {
-			ev.Entries = append(ev.Entries, e.entry)
-			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "since": e.entry.UpSince,
-				"standing": e.entry.Standing, "event": c.seq}).Debug("list")
+			ev.Endpoints = append(ev.Endpoints, e.entry)
+			f.log.WithFields(logrus.Fields{"name": e.name, "address": e.address, "since": e.entry.StartedAt,
+				"standing": e.entry.Availability, "event": c.seq}).Debug("list")
 		}
 		f.queue.Put(dispatch.QueueItem{Event: ev})
 		f.log.WithFields(logrus.Fields{"event": c.seq, "entries": len(c.list), "whole": c.whole}).Info("list: changed")
@@ -199,7 +199,7 @@
 				id++
 			}
 		}
-		if e.entry.Executor = id; e.entry.Standing == scheduler.Gone {
+		if e.entry.Executor = id; e.entry.Availability == scheduler.Removed {
 			delete(f.names, id)
 			delete(f.ids, e.name)
 		} else {
@@ -273,7 +273,7 @@
 		f.log.WithField("why", why).Warn("list: out of reach")
 	}
 	f.down = true
-	f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.NoList, Until: f.heard, Deemed: deemed}})
+	f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListUnavailable, Deadline: f.heard, PresumedAt: deemed}})
 }
 
 // Stop ends Run.
@@ -328,9 +328,9 @@
 			f.heard += pollMS // it was held for as long as was asked: there was nothing until then
 		}
 		if f.down && len(changes) == 0 { // nothing has changed: that is news too
-			f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Listed, List: scheduler.Changes}})
+			f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListDelta}})
 		}
-		f.apply(last, changes, scheduler.Whole)
+		f.apply(last, changes, scheduler.ListComplete)
 		if f.down {
 			f.down = false
 			f.log.Info("list: back")
--- a/internal/wire/crossings_test.go
+++ b/internal/wire/crossings_test.go
@@ -37,11 +37,11 @@
 	for name, cross := range map[string]func(*ExecutorClient, *dispatch.Attempt){
 		"its client has gone": func(_ *ExecutorClient, s *dispatch.Attempt) { s.Request.ClientGone.Store(true) },
 		"its executor drains": func(f *ExecutorClient, _ *dispatch.Attempt) {
-			f.update(false, []listed{{scheduler.Entry{Executor: 1, Standing: scheduler.Leaving}, "s-1", f.machines[1].address}})
+			f.update(false, []listed{{scheduler.Endpoint{Executor: 1, Availability: scheduler.Draining}, "s-1", f.machines[1].address}})
 		},
 		"its executor is gone": func(f *ExecutorClient, _ *dispatch.Attempt) { f.update(true, nil) },
 		"a new executor has the address": func(f *ExecutorClient, _ *dispatch.Attempt) {
-			f.update(false, []listed{{scheduler.Entry{Executor: 2}, "s-2", f.machines[1].address}})
+			f.update(false, []listed{{scheduler.Endpoint{Executor: 2}, "s-2", f.machines[1].address}})
 		},
 		"its time is over": func(*ExecutorClient, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
 	} {
@@ -56,7 +56,7 @@
 		cross(f, &shot)
 		up <- struct{}{}
 		it := m.next(t)
-		assert.Equal(t, []any{scheduler.Ended, scheduler.Superseded, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Barred}, name)
+		assert.Equal(t, []any{scheduler.AttemptEnded, scheduler.NeverSent, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Blocked}, name)
 		assert.True(t, it.Event.Outcome.NeverRan())
 		assert.Equal(t, dispatch.AlreadyEnded, run.Cancel(), name)
 		f.Stop()
@@ -85,7 +85,7 @@
 		assert.Eventually(t, func() bool { return f.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
 		say(second, "a", "data", "-", "x\ty\tz\n")
 		it := m.next(t)
-		assert.Equal(t, []any{scheduler.Handled, 1}, []any{it.Event.Outcome, it.Event.Attempt}, word)
+		assert.Equal(t, []any{scheduler.Succeeded, 1}, []any{it.Event.Outcome, it.Event.Attempt}, word)
 		assert.Empty(t, m)
 	}
 }
@@ -119,7 +119,7 @@
 		it := m.next(t)
 		ends[it.Event.Request] = it.Event.Outcome
 	}
-	assert.Equal(t, map[string]scheduler.Outcome{"big": scheduler.Severed, "c": scheduler.Refused}, ends)
+	assert.Equal(t, map[string]scheduler.Outcome{"big": scheduler.ConnectionLost, "c": scheduler.ConnectFailed}, ends)
 }
 
 // A client that reads nothing is still heard: what it gives up is given up at once, though its answers are stuck.
@@ -136,7 +136,7 @@
 	time.Sleep(2 * writeTurn) // into the stuck write
 	ask(c, `{"jsonrpc":"2.0","method":"giveUp","params":{"req":"b"}}`)
 	it := m.next(t)
-	assert.Equal(t, []any{scheduler.Left, "b"}, []any{it.Event.Kind, it.Event.Request})
+	assert.Equal(t, []any{scheduler.ClientLeft, "b"}, []any{it.Event.Kind, it.Event.Request})
 	assert.True(t, second.Abandoned())
 	assert.False(t, pipe.written(), "it was stuck throughout")
 }
@@ -242,15 +242,15 @@
 // A new executor at an address shows that the one listed there is gone, whatever the list still says of it.
 func TestANewExecutorAtAnAddressDisplacesTheOldOne(t *testing.T) {
 	f, _ := fleetOf(t, "127.0.0.1:9", 15000)
-	old := listed{scheduler.Entry{Executor: 1}, "s-1", "127.0.0.1:9"}
-	next := listed{scheduler.Entry{Executor: 2, UpSince: 5}, "s-2", "127.0.0.1:9"}
+	old := listed{scheduler.Endpoint{Executor: 1}, "s-1", "127.0.0.1:9"}
+	next := listed{scheduler.Endpoint{Executor: 2, StartedAt: 5}, "s-2", "127.0.0.1:9"}
 	gone := old
-	gone.entry.Standing = scheduler.Gone
+	gone.entry.Availability = scheduler.Removed
 	assert.Equal(t, []listed{gone}, f.update(false, []listed{next}))
 	assert.Empty(t, f.update(false, []listed{next}), "told once")
-	assert.Empty(t, f.update(true, []listed{next, {scheduler.Entry{Executor: 3}, "s-3", "127.0.0.1:10"}}))
+	assert.Empty(t, f.update(true, []listed{next, {scheduler.Endpoint{Executor: 3}, "s-3", "127.0.0.1:10"}}))
 	leaving := next
-	leaving.entry.Standing, leaving.entry.Executor, leaving.name = scheduler.Leaving, 4, "s-4"
+	leaving.entry.Availability, leaving.entry.Executor, leaving.name = scheduler.Draining, 4, "s-4"
 	assert.Empty(t, f.update(false, []listed{leaving}), "one that drains displaces nobody")
 	assert.Contains(t, f.machines, uint32(2))
 }
@@ -270,7 +270,7 @@
 func TestAnIdleConnectionGivesWayToAFirstOne(t *testing.T) {
 	e, other := standIn(t, "127.0.0.1:0"), standIn(t, "127.0.0.1:0")
 	f, m := fleetOf(t, e.listener.Addr().String(), 15000)
-	f.update(false, []listed{{scheduler.Entry{Executor: 2}, "s-2", other.listener.Addr().String()}})
+	f.update(false, []listed{{scheduler.Endpoint{Executor: 2}, "s-2", other.listener.Addr().String()}})
 	for range f.links {
 		f.Send(shotOf(fmt.Sprint("a", len(f.all))))
 		e.hears(t, "fetch .*")
@@ -334,9 +334,9 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
 		f.Send(shotOf("a"))
-		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.LocalFailure, m.next(t).Event.Outcome, errno.Error())
 		assert.True(t, f.HealthCheck(1, 7))
-		assert.Equal(t, scheduler.Unsent, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.LocalFailure, m.next(t).Event.Outcome, errno.Error())
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		f, m := fleetOf(t, "127.0.0.1:9", 15000)
@@ -344,7 +344,7 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
 		f.Send(shotOf("a"))
-		assert.Equal(t, scheduler.Refused, m.next(t).Event.Outcome, errno.Error())
+		assert.Equal(t, scheduler.ConnectFailed, m.next(t).Event.Outcome, errno.Error())
 	}
 }
 
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -73,7 +73,7 @@
 type machine struct {
 	id            uint32
 	name, address string
-	entry         scheduler.Entry // as it was listed first
+	entry         scheduler.Endpoint // as it was listed first
 	since         float64
 	links         []*link
 	halted        map[string]float64 // ids called off there within the last apartMS
@@ -141,23 +141,23 @@
 	defer f.mu.Unlock()
 	kept := map[uint32]bool{}
 	for _, e := range list {
-		kept[e.entry.Executor] = e.entry.Standing != scheduler.Gone
+		kept[e.entry.Executor] = e.entry.Availability != scheduler.Removed
 		m := f.machines[e.entry.Executor]
 		if m != nil {
-			m.closed = e.entry.Standing != scheduler.Active
+			m.closed = e.entry.Availability != scheduler.Active
 		}
 		if m != nil && m.name != e.name {
 			f.log.WithFields(logrus.Fields{"one": m.name, "other": e.name}).Error("executor ids collide")
 		}
-		if m != nil && (m.address != e.address || e.entry.UpSince != m.since || e.entry.Standing == scheduler.Gone) {
+		if m != nil && (m.address != e.address || e.entry.StartedAt != m.since || e.entry.Availability == scheduler.Removed) {
 			f.retire(m)
 			m = nil
 		}
-		if e.entry.Standing == scheduler.Gone {
+		if e.entry.Availability == scheduler.Removed {
 			delete(f.machines, e.entry.Executor)
 		} else if m == nil {
 			f.machines[e.entry.Executor] = &machine{id: e.entry.Executor, name: e.name, address: e.address, entry: e.entry,
-				since: e.entry.UpSince, halted: map[string]float64{}, closed: e.entry.Standing != scheduler.Active}
+				since: e.entry.StartedAt, halted: map[string]float64{}, closed: e.entry.Availability != scheduler.Active}
 		}
 	}
 	for id, m := range f.machines {
@@ -168,7 +168,7 @@
 	}
 	owners := map[string]bool{}
 	for _, e := range list {
-		if e.entry.Standing == scheduler.Active {
+		if e.entry.Availability == scheduler.Active {
 			owners[e.address] = true
 		}
 	}
@@ -177,7 +177,7 @@
 			f.retire(m)
 			delete(f.machines, id)
 			gone := listed{entry: m.entry, name: m.name, address: m.address}
-			gone.entry.Standing = scheduler.Gone
+			gone.entry.Availability = scheduler.Removed
 			displaced = append(displaced, gone)
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 	f.seq++
 	r := &run{fleet: f, link: l, attempt: shot, seq: f.seq}
-	r.event = scheduler.Event{Kind: scheduler.Ended, Request: shot.Request.ID, Attempt: shot.Number}
+	r.event = scheduler.Event{Kind: scheduler.AttemptEnded, Request: shot.Request.ID, Attempt: shot.Number}
 	if l.signs > 0 {
 		r.used = true
 	}
@@ -354,7 +354,7 @@
 			f.Blocked.Add(1)
 			delete(l.open, r.attempt.Request.ID)
 			ev := r.event
-			ev.Outcome, ev.Barred = scheduler.Superseded, why == connpool.LeaseLost
+			ev.Outcome, ev.Blocked = scheduler.NeverSent, why == connpool.LeaseLost
 			barred = append(barred, dispatch.QueueItem{Event: ev})
 			continue
 		}
@@ -537,10 +537,10 @@
 	conn, err := f.dial("tcp", l.machine.address)
 	if err != nil {
 		f.DialFailures.Add(1)
-		as := scheduler.Refused
+		as := scheduler.ConnectFailed
 		if isLocal(err) {
 			f.LocalFailures.Add(1)
-			as = scheduler.Unsent
+			as = scheduler.LocalFailure
 		}
 		l.finish(as)
 		return
@@ -563,7 +563,7 @@
 		f.log.WithFields(logrus.Fields{"executor": l.machine.name, "why": err}).Warn("executor: malformed answer")
 	}
 	l.close()
-	if shots := l.finish(scheduler.Severed); shots > 0 {
+	if shots := l.finish(scheduler.ConnectionLost); shots > 0 {
 		f.log.WithFields(logrus.Fields{"executor": l.machine.name, "why": err, "shots": shots, "messages": l.signs}).
 			Info("executor: connection lost")
 	}
@@ -604,14 +604,14 @@
 	f.mu.Unlock()
 	for _, r := range runs {
 		if r.event.Outcome = as; r.pages != nil {
-			r.event.Outcome = scheduler.Severed // it ran, whatever became of the second connection
-		} else if !r.left && as == scheduler.Severed {
-			r.event.Outcome = scheduler.Refused // no byte of it left
+			r.event.Outcome = scheduler.ConnectionLost // it ran, whatever became of the second connection
+		} else if !r.left && as == scheduler.ConnectionLost {
+			r.event.Outcome = scheduler.ConnectFailed // no byte of it left
 		}
 		f.queue.Put(dispatch.QueueItem{Event: r.event})
 	}
 	for _, token := range tokens {
-		f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Outcome: as}, Token: token})
+		f.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: l.machine.id, Outcome: as}, Token: token})
 	}
 	return len(runs)
 }
@@ -639,10 +639,10 @@
 }
 
 // ends are the words that end an attempt, with what they mean.
-var ends = map[string]scheduler.Outcome{"full": scheduler.Full, "failed": scheduler.Erred, "moot": scheduler.Superseded}
+var ends = map[string]scheduler.Outcome{"full": scheduler.Overloaded, "failed": scheduler.Errored, "moot": scheduler.NeverSent}
 
 // notes are the words of a remark.
-var notes = map[string]scheduler.NoteKind{"pct": scheduler.Progress, "overflow": scheduler.Spills, "queued": scheduler.Waits}
+var notes = map[string]scheduler.ProgressKind{"pct": scheduler.Progress, "overflow": scheduler.Spilling, "queued": scheduler.Waiting}
 
 // answer takes one answer and gives what is to be told of it, if anything.
 func (l *link) answer(id, word, list string, body []byte) (it dispatch.QueueItem, ok bool, err error) {
@@ -658,9 +658,9 @@
 	l.signs++
 	if token, ok := l.probes[id]; ok && (word == "well" || word == "ill") {
 		delete(l.probes, id)
-		it = dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Probed, Executor: l.machine.id, Report: a.report}, Token: token}
+		it = dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: l.machine.id, LoadReport: a.report}, Token: token}
 		if word == "ill" {
-			it.Event.Outcome = scheduler.Erred
+			it.Event.Outcome = scheduler.Errored
 		}
 		return it, true, nil
 	}
@@ -674,7 +674,7 @@
 	}
 	switch outcome, end := ends[word]; {
 	case end:
-		r.event.Outcome, r.event.Report = outcome, a.report
+		r.event.Outcome, r.event.LoadReport = outcome, a.report
 		delete(l.open, id)
 		l.ended(id) // its second copy, some ms later, must not end the next attempt of this id
 		return dispatch.QueueItem{Event: r.event}, true, nil
@@ -683,14 +683,14 @@
 		if kind == 0 {
 			return it, false, nil
 		}
-		return dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Noted, Request: id, Attempt: r.attempt.Number, Executor: l.machine.id,
-			Note: kind, Value: a.value}}, true, nil
+		return dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: id, Attempt: r.attempt.Number, Executor: l.machine.id,
+			Progress: kind, Value: a.value}}, true, nil
 	case word == "data" && r.pages == nil:
 		if a.pages < 1 || a.pages > mostPages {
 			return it, false, malformed("an answer of %d pages", a.pages)
 		}
 		r.pages = make([][]byte, a.pages)
-		r.event.Report, r.event.SpentMS, r.event.UsedMB = a.report, a.spent, a.used
+		r.event.LoadReport, r.event.CostMS, r.event.UsedMB = a.report, a.spent, a.used
 		l.more(r)
 		a.page = 0
 	case word == "data", word == "page" && r.pages == nil:
--- a/internal/wire/executors_test.go
+++ b/internal/wire/executors_test.go
@@ -24,7 +24,7 @@
 
 func (m mailbox) Put(it dispatch.QueueItem) { m <- it }
 func (m mailbox) Submit(s *dispatch.Request) {
-	m <- dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Taken}, Request: s}
+	m <- dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s}
 }
 func (m mailbox) OpenRequests() int { return 0 }
 func (m mailbox) next(t *testing.T) dispatch.QueueItem {
@@ -110,7 +110,7 @@
 	f := NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1<<20), ExecutorLimits{ConnectMS: 200, IdleMS: idleMS, MaxPerConn: 2, MaxConns: 3,
 		ReportNames: reports},
 		silentLog())
-	f.update(true, []listed{{scheduler.Entry{Executor: 1}, "s-1", at}})
+	f.update(true, []listed{{scheduler.Endpoint{Executor: 1}, "s-1", at}})
 	t.Cleanup(f.Stop)
 	return f, m
 }
@@ -128,7 +128,7 @@
 	c := <-e.conns
 	say(c, "a", "news", "remark=queued,num=2", "")
 	it := m.next(t)
-	assert.Equal(t, []any{scheduler.Noted, scheduler.Waits, 2.0}, []any{it.Event.Kind, it.Event.Note, it.Event.Value})
+	assert.Equal(t, []any{scheduler.ProgressReported, scheduler.Waiting, 2.0}, []any{it.Event.Kind, it.Event.Progress, it.Event.Value})
 	run.SetLevel(1)
 	e.hears(t, "renice a 1")
 	say(c, "a", "data", "batches=3", "one\t1\tx\n")
@@ -141,7 +141,7 @@
 	say(c, "a", "page", "batch=1", "two\t1\tx\n")
 	e.hears(t, "done a")
 	it = m.next(t)
-	assert.Equal(t, scheduler.Handled, it.Event.Outcome)
+	assert.Equal(t, scheduler.Succeeded, it.Event.Outcome)
 	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(it.Body))
 	assert.Equal(t, dispatch.AlreadyEnded, run.Cancel())
 	assert.Equal(t, uint64(3), f.Strays.Load())
@@ -198,7 +198,7 @@
 		c = e.conn(t)
 		if !known {
 			say(c, "a", "failed", "-", "")
-			assert.Equal(t, scheduler.Erred, m.next(t).Event.Outcome)
+			assert.Equal(t, scheduler.Errored, m.next(t).Event.Outcome)
 			continue
 		}
 		say(c, "a", "page", "batch=1", "two\t1\tx\n")
@@ -219,7 +219,7 @@
 	say(c, "b", "data", "batches=2", "one\t1\tx\n")
 	e.hears(t, "more b 1")
 	c.Close()
-	assert.Equal(t, scheduler.Severed, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.ConnectionLost, m.next(t).Event.Outcome)
 }
 
 // A break is counted by whether its connection had carried others.
@@ -234,7 +234,7 @@
 	f.Send(shotOf("b")) // over the same, and lost with it
 	e.hears(t, "fetch b .*")
 	c.Close()
-	assert.Equal(t, scheduler.Severed, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.ConnectionLost, m.next(t).Event.Outcome)
 	assert.Equal(t, connpool.LossStats{New: connpool.LossCount{Attempts: 1}, Used: connpool.LossCount{Attempts: 1, Lost: 1}}, f.fates)
 }
 
@@ -250,7 +250,7 @@
 	e := standIn(t, "127.0.0.1:0")
 	f, m := fleetOf(t, e.listener.Addr().String(), 15000)
 	var c net.Conn
-	for word, want := range map[string]scheduler.Outcome{"full": scheduler.Full, "failed": scheduler.Erred, "moot": scheduler.Superseded} {
+	for word, want := range map[string]scheduler.Outcome{"full": scheduler.Overloaded, "failed": scheduler.Errored, "moot": scheduler.NeverSent} {
 		f.Send(shotOf(word))
 		e.hears(t, "fetch .*")
 		if c == nil {
@@ -264,7 +264,7 @@
 	say(c, "lost", "data", "batches=2", "one\t1\tx\n")
 	e.hears(t, "more lost 1")
 	say(c, "lost", "failed", "-", "")
-	assert.Equal(t, scheduler.Erred, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.Errored, m.next(t).Event.Outcome)
 }
 
 // Refused proves that nothing ran; reset or malformed answers do not.
@@ -280,16 +280,16 @@
 			c.Close()
 		}
 		_, _ = c.Write([]byte(last))
-		assert.Equal(t, scheduler.Severed, m.next(t).Event.Outcome, last)
+		assert.Equal(t, scheduler.ConnectionLost, m.next(t).Event.Outcome, last)
 		e.hears(t, "closed")
 	}
 	assert.Equal(t, uint64(5), f.Malformed.Load())
 	e.listener.Close()
 	f.Send(shotOf("b"))
-	assert.Equal(t, scheduler.Refused, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.ConnectFailed, m.next(t).Event.Outcome)
 	f.HealthCheck(1, 4)
 	it := m.next(t)
-	assert.Equal(t, []any{scheduler.Probed, scheduler.Refused, uint64(4)}, []any{it.Event.Kind, it.Event.Outcome, it.Token})
+	assert.Equal(t, []any{scheduler.HealthChecked, scheduler.ConnectFailed, uint64(4)}, []any{it.Event.Kind, it.Event.Outcome, it.Token})
 	run, _ := f.Send(dispatch.Attempt{Request: &dispatch.Request{}, Executor: 9})
 	assert.Nil(t, run, "an executor that isn't listed")
 }
@@ -363,7 +363,7 @@
 	f, m := fleetOf(t, at, 15000)
 	began := time.Now()
 	f.Send(shotOf("a"))
-	assert.Equal(t, scheduler.Refused, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.ConnectFailed, m.next(t).Event.Outcome)
 	assert.GreaterOrEqual(t, time.Since(began), 150*time.Millisecond)
 }
 
@@ -391,11 +391,11 @@
 	c := <-e.conns
 	say(c, "probe-7", "well", "report=backlog:1;x0:2", "")
 	it := m.next(t)
-	assert.Equal(t, []any{scheduler.Handled, uint64(7), []float64{1, 2}}, []any{it.Event.Outcome, it.Token, it.Event.Report})
+	assert.Equal(t, []any{scheduler.Succeeded, uint64(7), []float64{1, 2}}, []any{it.Event.Outcome, it.Token, it.Event.LoadReport})
 	f.HealthCheck(1, 8)
 	e.hears(t, "stats probe-8")
 	say(c, "probe-8", "ill", "-", "")
-	assert.Equal(t, scheduler.Erred, m.next(t).Event.Outcome)
+	assert.Equal(t, scheduler.Errored, m.next(t).Event.Outcome)
 	f.HealthCheck(1, 9)
 	e.hears(t, "stats probe-9")
 	f.ForgetHealthCheck(1, 9) // a connection that fell silent gets nothing new
@@ -411,8 +411,8 @@
 	f.Send(shotOf("a"))
 	e.hears(t, "fetch a .*")
 	<-e.conns
-	f.update(false, []listed{{scheduler.Entry{Executor: 1, Standing: scheduler.Gone}, "s-1", at},
-		{scheduler.Entry{Executor: 2}, "s-2", at}})
+	f.update(false, []listed{{scheduler.Endpoint{Executor: 1, Availability: scheduler.Removed}, "s-1", at},
+		{scheduler.Endpoint{Executor: 2}, "s-2", at}})
 	run, _ := f.Send(shotOf("b"))
 	assert.Nil(t, run)
 	s := shotOf("c")
@@ -453,8 +453,8 @@
 		if id%2 == 0 {
 			run.Cancel()
 		}
-		f.update(false, []listed{{scheduler.Entry{Executor: id, Standing: scheduler.Gone}, "s", at},
-			{scheduler.Entry{Executor: id + 1}, "s", at}})
+		f.update(false, []listed{{scheduler.Endpoint{Executor: id, Availability: scheduler.Removed}, "s", at},
+			{scheduler.Endpoint{Executor: id + 1}, "s", at}})
 		for range 2 {
 			e.conn(t).Close() // it ends, and its connections with it
 		}
--- a/internal/wire/feed_test.go
+++ b/internal/wire/feed_test.go
@@ -75,16 +75,16 @@
 	f.Start()
 	go f.Run()
 	defer f.Stop()
-	want := []scheduler.Event{{List: scheduler.Restored, Entries: []scheduler.Entry{{Executor: executorID("s-1")}}},
-		{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: executorID("s-2")}}}, {List: scheduler.NoList},
-		{List: scheduler.Changes, Entries: []scheduler.Entry{{Executor: executorID("s-2"), Standing: scheduler.Leaving}}}}
+	want := []scheduler.Event{{List: scheduler.ListRestored, Endpoints: []scheduler.Endpoint{{Executor: executorID("s-1")}}},
+		{List: scheduler.ListDelta, Endpoints: []scheduler.Endpoint{{Executor: executorID("s-2")}}}, {List: scheduler.ListUnavailable},
+		{List: scheduler.ListDelta, Endpoints: []scheduler.Endpoint{{Executor: executorID("s-2"), Availability: scheduler.Draining}}}}
 	for _, ev := range want {
-		ev.Kind = scheduler.Listed
+		ev.Kind = scheduler.EndpointsUpdated
 		got := m.next(t).Event
-		if got.List == scheduler.NoList {
-			assert.InDelta(t, fleet.clock.Now(), got.Until, 3000, "when it was last heard")
-			assert.InDelta(t, fleet.clock.Now()+brokenMS, got.Deemed, 1000, "a page that can't be read was to tell something")
-			got.Until, got.Deemed = 0, 0
+		if got.List == scheduler.ListUnavailable {
+			assert.InDelta(t, fleet.clock.Now(), got.Deadline, 3000, "when it was last heard")
+			assert.InDelta(t, fleet.clock.Now()+brokenMS, got.PresumedAt, 1000, "a page that can't be read was to tell something")
+			got.Deadline, got.PresumedAt = 0, 0
 		}
 		assert.Equal(t, ev, got)
 	}
@@ -105,9 +105,9 @@
 	f.Start()
 	go f.Run()
 	defer f.Stop()
-	for _, want := range []scheduler.ListKind{scheduler.NoList, scheduler.Changes} {
+	for _, want := range []scheduler.ListKind{scheduler.ListUnavailable, scheduler.ListDelta} {
 		ev := m.next(t).Event
-		assert.Equal(t, []any{scheduler.Listed, want, 0}, []any{ev.Kind, ev.List, len(ev.Entries)})
+		assert.Equal(t, []any{scheduler.EndpointsUpdated, want, 0}, []any{ev.Kind, ev.List, len(ev.Endpoints)})
 	}
 }
 
@@ -130,7 +130,7 @@
 	f.Follow(old) // again and again, the same and others
 	f.Follow(next)
 	assert.Contains(t, <-moved, "since=2")
-	assert.Equal(t, scheduler.Gone, m.next(t).Event.Entries[0].Standing)
+	assert.Equal(t, scheduler.Removed, m.next(t).Event.Endpoints[0].Availability)
 	assert.Less(t, time.Since(began), millis(pollMS))
 	assert.Empty(t, m, "nothing twice, and never out of reach")
 	assert.Zero(t, f.Lost.Load())
@@ -169,7 +169,7 @@
 	_, _ = other.WriteTo(make([]byte, mostDatagram+1), here)
 	_, _ = other.WriteTo([]byte("hi"), here)
 	it := m.next(t)
-	assert.Equal(t, []any{scheduler.Heard, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Data)})
+	assert.Equal(t, []any{scheduler.PeerMessage, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Payload)})
 	assert.Equal(t, uint64(2), p.Foreign.Load())
 	quiet, err := NewPeerNetwork("", nil, "", m, silentLog())
 	assert.NoError(t, err)
@@ -215,15 +215,15 @@
 		case "moved", "moved while out of reach":
 			if name != "moved" {
 				c.Close()
-				assert.Zero(t, m.next(t).Event.Deemed, "out of reach alone")
+				assert.Zero(t, m.next(t).Event.PresumedAt, "out of reach alone")
 			}
 			asked = clock.Now()
 			f.Follow(l.Addr().String())
 		}
 		ev := m.next(t).Event
-		assert.Equal(t, scheduler.NoList, ev.List, name)
-		assert.InDelta(t, asked+dueMS, ev.Deemed, 100, name)
-		assert.LessOrEqual(t, ev.Until, first+5, "%s: by the call, not by its answer", name)
+		assert.Equal(t, scheduler.ListUnavailable, ev.List, name)
+		assert.InDelta(t, asked+dueMS, ev.PresumedAt, 100, name)
+		assert.LessOrEqual(t, ev.Deadline, first+5, "%s: by the call, not by its answer", name)
 		f.Stop()
 		c.Close()
 	}
@@ -243,12 +243,12 @@
 	fleet := NewExecutorClient(m, dispatch.NewClock(), NewByteBudget(1), ExecutorLimits{}, silentLog())
 	f, err := NewDiscoveryClient("127.0.0.1:9", []byte(`{"seq":1,"results":[]}`), fleet, m, silentLog())
 	require.NoError(t, err)
-	play := func(seq int, events ...string) (list []scheduler.Entry) {
+	play := func(seq int, events ...string) (list []scheduler.Endpoint) {
 		text := strings.Join(events, ",")
 		last, changes, err := readChanges(fmt.Appendf(nil, `{"seq":%d,"results":[{"seq":%d,"fleet":{"snapshot":%v,"endpoints":[%s]}}]}`, seq, seq, seq == 2 || seq == 5, text))
 		require.NoError(t, err)
-		f.apply(last, changes, scheduler.Whole)
-		return m.next(t).Event.Entries
+		f.apply(last, changes, scheduler.ListComplete)
+		return m.next(t).Event.Endpoints
 	}
 	entry := func(name, kind, status string) string {
 		return fmt.Sprintf(`{"name":"%s","address":"127.0.0.1:%s","type":"%s","status":"%s"}`, name, name[len(name)-3:], kind, status)
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -316,7 +316,7 @@
 	}
 	c.lock.Unlock()
 	for _, r := range waiting {
-		c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
+		c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: r.req, HalfClosed: true}, Client: c, Token: r.tag})
 	}
 	var none [1]byte
 	for began := time.Now(); time.Since(began) < clientWrite; time.Sleep(stopLook) {
@@ -344,7 +344,7 @@
 	if r.half.Load() {
 		return // the word of it has been told
 	}
-	c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Left, Request: r.req}, Client: c, Token: r.tag})
+	c.front.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: r.req}, Client: c, Token: r.tag})
 }
 
 // leave takes out what is open: nothing more is answered here.
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -109,7 +109,7 @@
 		fmt.Fprint(c, bad+strings.Repeat("x", 1000))
 		answered(t, r, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"framing lost"}}`)
 		answered(t, r, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
-		assert.Equal(t, scheduler.Left, m.next(t).Event.Kind, "its shots are called off")
+		assert.Equal(t, scheduler.ClientLeft, m.next(t).Event.Kind, "its shots are called off")
 		s.Client.Succeeded(s.Tag, nil)
 		_, err := r.ReadByte()
 		assert.Error(t, err)
@@ -163,7 +163,7 @@
 		`{"jsonrpc":"2.0","id":2,"method":"giveUp"}`, `{"jsonrpc":"2.0","id":77,"method":"giveUp","params":{"id":3}}`} {
 		ask(c, give)
 		it := m.next(t)
-		assert.Equal(t, []any{scheduler.Left, open[0].ID, open[0].Tag}, []any{it.Event.Kind, it.Event.Request, it.Token})
+		assert.Equal(t, []any{scheduler.ClientLeft, open[0].ID, open[0].Tag}, []any{it.Event.Kind, it.Event.Request, it.Token})
 		open[0].Client.Succeeded(open[0].Tag, nil) // too late: no answer is owed
 		open = open[1:]
 	}
@@ -191,7 +191,7 @@
 	assert.Eventually(t, func() bool { return f.Pauses.Load() > 0 }, 3*time.Second, time.Millisecond)
 	assert.Empty(t, m)
 	c.Close()
-	assert.Equal(t, scheduler.Left, m.next(t).Event.Kind)
+	assert.Equal(t, scheduler.ClientLeft, m.next(t).Event.Kind)
 	s = m.next(t).Request
 	s.Client.Succeeded(s.Tag, nil)
 	answered(t, rw, `{"jsonrpc":"2.0","id":3,"result":{"data":""}}`)
@@ -216,7 +216,7 @@
 		ask(c, look(id, fmt.Sprint("a", id)))
 		select {
 		case it := <-m:
-			cut = it.Event.Kind == scheduler.Left
+			cut = it.Event.Kind == scheduler.ClientLeft
 			if !cut {
 				it.Request.Client.Succeeded(it.Request.Tag, page)
 			}
@@ -243,7 +243,7 @@
 		}
 		c.Close()
 		if n%2 == 1 {
-			assert.Equal(t, scheduler.Left, m.next(t).Event.Kind)
+			assert.Equal(t, scheduler.ClientLeft, m.next(t).Event.Kind)
 		}
 	}
 	assert.Eventually(t, func() bool {
--- a/internal/wire/parsers_test.go
+++ b/internal/wire/parsers_test.go
@@ -182,9 +182,9 @@
 	assert.NoError(t, err)
 	assert.Equal(t, uint64(9), last)
 	assert.Equal(t, []uint64{4, 8}, []uint64{list[0].seq, list[1].seq})
-	assert.Equal(t, scheduler.Entry{Executor: executorID("s-1"), Place: "z", Kind: "t", Cell: 2, Units: 4, UpSince: 77},
+	assert.Equal(t, scheduler.Endpoint{Executor: executorID("s-1"), Zone: "z", Kind: "t", Cell: 2, Units: 4, StartedAt: 77},
 		list[0].list[0].entry)
-	assert.Equal(t, scheduler.Gone, list[1].list[0].entry.Standing)
+	assert.Equal(t, scheduler.Removed, list[1].list[0].entry.Availability)
 	for _, bad := range []string{"", "[]", `{"results":[]}`, `{"seq":1,"results":[{"seq":2}]}`,
 		`{"seq":9,"results":[{"seq":3},{"seq":3}]}`, `{"seq":9,"results":[{"fleet":{}}]}`,
 		`{"seq":9,"results":[{"seq":1,"fleet":{"endpoints":[{"name":"x","address":"a","status":"Odd"}]}}]}`,
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -129,7 +129,7 @@
 			continue
 		}
 		p.Heard.Add(1)
-		p.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.Heard, FromPeer: peer, Data: append([]byte(nil), b[:n]...)}})
+		p.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage, FromPeer: peer, Payload: append([]byte(nil), b[:n]...)}})
 	}
 }
 
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -16,7 +16,7 @@
 // openUntil is the clock until which an executor surely may be sent something new. While the list is out of
 // reach, a drain counts as told in its time all the same; what an executor took proves that it took new
 // work.
-func (g *Gateway) openUntil(e *executor) float64 {
+func (g *Scheduler) openUntil(e *executor) float64 {
 	if g.unheard <= 0 {
 		return math.Inf(1)
 	}
@@ -36,7 +36,7 @@
 
 // deem notes when what the list owes counts as told. One that passed so long ago that it closes nothing by
 // itself is forgotten.
-func (g *Gateway) deem(at float64) {
+func (g *Scheduler) deem(at float64) {
 	past := g.now - g.given.Num("told_within_ms", 0)
 	g.deemed = slices.DeleteFunc(g.deemed, func(one float64) bool { return one < past })
 	if at > 0 && len(g.deemed) < mostDeemed {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -23,31 +23,31 @@
 }
 
 // gateway is an instance at 1000 ms that knows the executors 1 to n.
-func gateway(n int, more Given) *Gateway {
+func gateway(n int, more Given) *Scheduler {
 	g := New(7, given(more))
 	g.began = -1e6 // long ago
-	var list []Entry
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Entry{Executor: uint32(i + 1), Place: "here", Kind: "big"})
+		list = append(list, Endpoint{Executor: uint32(i + 1), Zone: "here", Kind: "big"})
 	}
-	g.Step(1000, &Event{Kind: Listed, List: Restored, Entries: list}, nil)
+	g.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
 	return g
 }
 
 // take hands g a request of 100 ms that has until 9000.
-func take(g *Gateway, now float64, id, offering string) []Action {
-	ev := Event{Kind: Taken, Request: id, Offering: offering, NeedMB: 100, WorkMS: 100, Until: 9000}
+func take(g *Scheduler, now float64, id, offering string) []Action {
+	ev := Event{Kind: RequestArrived, Request: id, Class: offering, MemoryMB: 100, WorkMS: 100, Deadline: 9000}
 	return g.Step(now, &ev, nil)
 }
 
-func ended(g *Gateway, now float64, id string, n int, o Outcome) []Action {
-	return g.Step(now, &Event{Kind: Ended, Request: id, Attempt: n, Outcome: o, Over: o == Handled}, nil)
+func ended(g *Scheduler, now float64, id string, n int, o Outcome) []Action {
+	return g.Step(now, &Event{Kind: AttemptEnded, Request: id, Attempt: n, Outcome: o, Final: o == Succeeded}, nil)
 }
 
 // kinds are the actions' kinds, wake-ups left out.
 func kinds(actions []Action) (k []ActionKind) {
 	for _, a := range actions {
-		if a.Kind != Wake {
+		if a.Kind != SetTimer {
 			k = append(k, a.Kind)
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 // beat lets g look at what runs, one beat after the last.
-func beat(g *Gateway, now float64) []Action {
+func beat(g *Scheduler, now float64) []Action {
 	g.beatAt = now - beatMS
-	return g.Step(now, &Event{Kind: Rang}, nil)
+	return g.Step(now, &Event{Kind: TimerFired}, nil)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -95,32 +95,32 @@
 
 func init() {
 	requestTable = []row{
-		{waiting, placed, running, (*Gateway).fire},
+		{waiting, placed, running, (*Scheduler).fire},
 		{running, missed, waiting, nil},
 		{recalling, missed, waiting, nil},
-		{running, doomed, recalling, (*Gateway).callOff},
+		{running, doomed, recalling, (*Scheduler).callOff},
 		{over, hopeless, over, nil},
 		{over, finished, over, nil},
-		{anyState, hopeless, over, (*Gateway).answer},
-		{anyState, finished, over, (*Gateway).callOff},
+		{anyState, hopeless, over, (*Scheduler).answer},
+		{anyState, finished, over, (*Scheduler).callOff},
 	}
 	executorTable = []row{
-		{fit, silent, aside, (*Gateway).evict},
-		{chilled, silent, aside, (*Gateway).evict},
-		{aside, answered, chilled, (*Gateway).chill},
-		{aside, restarted, aside, (*Gateway).chill},
-		{anyState, restarted, chilled, (*Gateway).chill},
+		{fit, silent, aside, (*Scheduler).evict},
+		{chilled, silent, aside, (*Scheduler).evict},
+		{aside, answered, chilled, (*Scheduler).chill},
+		{aside, restarted, aside, (*Scheduler).chill},
+		{anyState, restarted, chilled, (*Scheduler).chill},
 		{chilled, warmed, fit, nil},
 	}
 }
 
-func (g *Gateway) take(ev *Event) {
+func (g *Scheduler) take(ev *Event) {
 	if _, ok := g.slab.find(ev.Request); ok {
 		return
 	}
-	k := slices.IndexFunc(g.offerings, func(o offering) bool { return o.name == ev.Offering })
+	k := slices.IndexFunc(g.offerings, func(o offering) bool { return o.name == ev.Class })
 	if k < 0 { // an offering that the settings don't name: nothing is known that would let it run
-		g.do(Action{Kind: Deny, Request: ev.Request})
+		g.do(Action{Kind: Reject, Request: ev.Request})
 		return
 	}
 	o, s := &g.offerings[k], g.hold(ev, k)
@@ -132,25 +132,25 @@
 	o.usual += max(learnt, 1/o.taken) * (s.work - o.usual)
 	s.due = g.now + o.due + o.stretch*s.work/float64(o.threads)
 	g.asks = min(asksSaved, g.asks+asksPerTake)
-	if g.dirty = true; ev.Barred { // a repeat of it could not be told after a crash
+	if g.dirty = true; ev.Blocked { // a repeat of it could not be told after a crash
 		i, _ := g.slab.find(ev.Request)
 		g.request(i, hopeless)
 	}
 }
 
 // recall takes over what was known before a restart: it narrows sending, and saves learning.
-func (g *Gateway) recall(ev *Event) {
+func (g *Scheduler) recall(ev *Event) {
 	g.recount(ev)
-	for _, t := range ev.Trusts {
+	for _, t := range ev.ExecutorStates {
 		if x := g.at(t.Executor); x >= 0 {
 			e := &g.executors[x]
-			if t.Leaving && e.standing == Active {
-				e.standing = Leaving
+			if t.Draining && e.standing == Active {
+				e.standing = Draining
 			}
-			if t.ColdUntil > max(g.now, e.coldUntil) {
-				e.state, e.coldUntil, e.proven = chilled, t.ColdUntil, false
+			if t.WarmupUntil > max(g.now, e.coldUntil) {
+				e.state, e.coldUntil, e.proven = chilled, t.WarmupUntil, false
 			}
-			if e.strikes = t.Strikes; t.Aside {
+			if e.strikes = t.Ejections; t.Ejected {
 				e.strikes--
 				g.judge(x, silent)
 			}
@@ -159,7 +159,7 @@
 }
 
 // stop makes a planned end the hard limit of all in hand and to come: the rest is denied, or failed.
-func (g *Gateway) stop(by float64) {
+func (g *Scheduler) stop(by float64) {
 	g.closing, g.dirty = by, true
 	for i := range g.slab.places {
 		g.slab.places[i].until = min(g.slab.places[i].until, by)
@@ -168,7 +168,7 @@
 
 // maySend is the one place that decides whether an attempt at s may go to executor x. notHere: this one
 // won't do; notNow: none will at this moment; never: none will any more.
-func (g *Gateway) maySend(s *request, x int) verdict {
+func (g *Scheduler) maySend(s *request, x int) verdict {
 	o, e := &g.offerings[s.offering], &g.executors[x]
 	if s.state != waiting || s.out > 0 || g.now >= s.until-closingMS || g.now < s.again {
 		return notNow // a second attempt beside the first is never sent
@@ -180,7 +180,7 @@
 		if o.effect != "labelled" || g.now > g.latest(s) {
 			return never
 		}
-		if o.scope == "zone" && first.Place != e.place || o.scope == "cell" && first.Cell != e.cell {
+		if o.scope == "zone" && first.Zone != e.place || o.scope == "cell" && first.Cell != e.cell {
 			return notHere
 		}
 	}
@@ -196,7 +196,7 @@
 
 // latest is the clock by which an attempt of s must have begun, wherever it waits before: later its client
 // has its answer, or what drops its repeats may have forgotten it.
-func (g *Gateway) latest(s *request) float64 {
+func (g *Scheduler) latest(s *request) float64 {
 	by := s.until - closingMS
 	for first := range g.doubts(s) {
 		by = min(by, first.At+g.offerings[s.offering].window-closingMS)
@@ -206,16 +206,16 @@
 
 // beyond tells whether a place is too far for a request: no room left there, too little gain, too long a
 // way.
-func (g *Gateway) beyond(s *request, o *offering, place string) bool {
+func (g *Scheduler) beyond(s *request, o *offering, place string) bool {
 	r := g.far(o, place)
-	return r != nil && (float64(r.out+o.threads) > r.Room || s.earns < r.Least ||
-		g.now+r.WayMS+s.work/float64(o.threads) > s.until-closingMS)
+	return r != nil && (float64(r.out+o.threads) > r.Capacity || s.earns < r.MinDensity ||
+		g.now+r.LatencyMS+s.work/float64(o.threads) > s.until-closingMS)
 }
 
 // rationLeft tells whether one more attempt beyond a request's first, besides those coming, is in the
 // ration. One may begin as late as its connection comes up: counted from there, too, no more than one is
 // over it.
-func (g *Gateway) rationLeft(coming int) bool {
+func (g *Scheduler) rationLeft(coming int) bool {
 	length, late := g.given.Num("ration_span_ms", 0), g.given.Num("connect_ms", 0)
 	g.extras.forget(g.now-length-late-beatMS, 0)
 	g.takes.forget(g.now-length, 0)
@@ -225,16 +225,16 @@
 }
 
 // mayDeny is the one place that decides whether a request may be denied: a new try must do no harm.
-func (g *Gateway) mayDeny(s *request) bool {
+func (g *Scheduler) mayDeny(s *request) bool {
 	o := &g.offerings[s.offering]
 	return o.effect == "redoable" || o.effect == "labelled" && o.scope == "all" || !s.mayHaveRun()
 }
 
 // placeNow tells whether to go through what waits: a crowd once a tick, not at each event.
-func (g *Gateway) placeNow() bool { return g.now > g.placedAt || len(g.waiting) < crowd }
+func (g *Scheduler) placeNow() bool { return g.now > g.placedAt || len(g.waiting) < crowd }
 
 // place sends what waits, the most gain for its work first, and gives up what can't earn any more.
-func (g *Gateway) place() {
+func (g *Scheduler) place() {
 	g.gather()
 	slices.SortFunc(g.waiting, func(a, b int) int {
 		s, t := &g.slab.places[a], &g.slab.places[b]
@@ -252,7 +252,7 @@
 			g.target = x
 			g.request(i, placed)
 		} else if s.now {
-			g.do(Action{Kind: Back, Request: s.id})
+			g.do(Action{Kind: ReturnRequest, Request: s.id})
 			g.slab.drop(i)
 		} else if o := &g.offerings[s.offering]; o.late < lateLeast && g.now+s.work/float64(o.threads) > s.due {
 			g.request(i, hopeless) // sure to be late, and then worth little: it would only fill the line
@@ -262,7 +262,7 @@
 }
 
 // density is the gain that a request can still earn, for its work.
-func (g *Gateway) density(s *request) float64 {
+func (g *Scheduler) density(s *request) float64 {
 	o := &g.offerings[s.offering]
 	least := s.work / float64(o.threads)
 	switch {
@@ -276,7 +276,7 @@
 
 // choose gives the executor for a request, or -1: in the nearest places with room the first in its order,
 // else the one with the fewest threads a core. A request waits rather than stand behind a load of its group.
-func (g *Gateway) choose(s *request) int {
+func (g *Scheduler) choose(s *request) int {
 	o := &g.offerings[s.offering]
 	limit := fullPerCore
 	if s.work/float64(o.threads) <= g.onset {
@@ -331,7 +331,7 @@
 
 // tell lets a few controllers know what this one has out. Those add up and tell all how full executors are.
 // A lost message is made good by the next; without any, the owed work decides.
-func (g *Gateway) tell() {
+func (g *Scheduler) tell() {
 	if !g.mayTell || g.now < g.tellAt || len(g.executors) == 0 || !g.blind(&g.executors[0]) {
 		return
 	}
@@ -358,7 +358,7 @@
 }
 
 // heard takes a message: what another controller has out, or how full the executors are.
-func (g *Gateway) heard(from int, data []byte) {
+func (g *Scheduler) heard(from int, data []byte) {
 	told := g.unpublish(from, data)
 	for x := 0; told && x < len(g.executors); x++ {
 		if e := &g.executors[x]; e.standing == Active {
@@ -369,22 +369,22 @@
 }
 
 // part is this controller's part of an executor, widened by a spread, as parts are rarely full at once.
-func (g *Gateway) part(e *executor) float64 { return e.part }
+func (g *Scheduler) part(e *executor) float64 { return e.part }
 
 func partOf(share, cores float64) float64 { return share * (1 + math.Sqrt((1/share-1)/cores)) }
 
 // blind tells that this controller's part of an executor is below one thread.
-func (g *Gateway) blind(e *executor) bool { return g.part(e)*e.cores < 1 }
+func (g *Scheduler) blind(e *executor) bool { return g.part(e)*e.cores < 1 }
 
 // fresh tells whether a reported load still counts: bad news for longer, so that nobody runs back to a line.
-func (g *Gateway) fresh(e *executor) bool {
+func (g *Scheduler) fresh(e *executor) bool {
 	age := g.now - e.seenAt
 	return e.seenAt > 0 && (age < freshMS || e.seen > shortPerCore*e.cores && age < 2*freshMS)
 }
 
 // asked tells whether an executor's load report is to be waited for: our own threads say nothing of its
 // load.
-func (g *Gateway) asked(x int) bool {
+func (g *Scheduler) asked(x int) bool {
 	e := &g.executors[x]
 	if g.given.Text("report_comes") != "probes" || g.fresh(e) || !g.blind(e) {
 		return false
@@ -392,18 +392,18 @@
 	if !e.probeOut && g.asks >= 1 {
 		g.asks--
 		e.probeOut, e.probed = true, g.now
-		g.do(Action{Kind: Probe, Executor: e.id})
+		g.do(Action{Kind: HealthCheck, Executor: e.id})
 	}
 	g.full = g.asks < 1 && g.now < g.reportedAt+blindMS // nobody need ask again in this pass
 	return g.now < g.reportedAt+blindMS
 }
 
 // owed is the work, in ms of one thread, sent to an executor beyond what our part of it has done since.
-func (g *Gateway) owed(e *executor) float64 {
+func (g *Scheduler) owed(e *executor) float64 {
 	return max(0, e.owed-(g.now-e.owedAt)*drainPerCore*e.cores*g.share())
 }
 
-func (g *Gateway) grant(s *request, e *executor) float64 {
+func (g *Scheduler) grant(s *request, e *executor) float64 {
 	wants := s.need * cmp.Or(s.part, 1) // executors that set the grants themselves go by the estimate
 	if g.grants {
 		wants *= g.offerings[s.offering].memory
@@ -412,7 +412,7 @@
 }
 
 // fire sends the attempt placed, at the top level.
-func (g *Gateway) fire(i int) {
+func (g *Scheduler) fire(i int) {
 	s, e := &g.slab.places[i], &g.executors[g.target]
 	o, by := &g.offerings[s.offering], min(g.latest(s), g.openUntil(e))
 	s.p, s.quanta, s.level = pTop, 0, topLevel
@@ -429,28 +429,28 @@
 		g.held = append(g.held, holding{s.group, g.target, math.Inf(1)})
 	}
 	g.terms(s)
-	g.do(Action{Kind: Send, Request: s.id, Executor: e.id, By: by})
+	g.do(Action{Kind: Send, Request: s.id, Executor: e.id, LatestStart: by})
 }
 
 // terms names the memory and the level of s; what a deployment doesn't heed does no harm.
-func (g *Gateway) terms(s *request) {
-	g.do(Action{Kind: Terms, Request: s.id, Level: s.level, GrantMB: math.Ceil(s.last().grant)})
+func (g *Scheduler) terms(s *request) {
+	g.do(Action{Kind: SetResources, Request: s.id, Level: s.level, GrantMB: math.Ceil(s.last().grant)})
 }
 
-func (g *Gateway) callOff(i int) {
+func (g *Scheduler) callOff(i int) {
 	s := &g.slab.places[i]
 	for k := range s.fired {
 		if s.attempts[k].out && g.given.Is("may_call_off") {
-			g.do(Action{Kind: CallOff, Request: s.id, Attempt: k})
+			g.do(Action{Kind: Cancel, Request: s.id, Attempt: k})
 		}
 	}
 	g.release(i)
 }
 
-func (g *Gateway) answer(i int) {
+func (g *Scheduler) answer(i int) {
 	s := &g.slab.places[i]
 	if g.mayDeny(s) {
-		a := Action{Kind: Deny, Request: s.id}
+		a := Action{Kind: Reject, Request: s.id}
 		if g.given.Is("tells_come_back") {
 			a.AfterMS = g.given.Num("longest_come_back_ms", 0) * (0.5 + 0.5*g.chance())
 		}
@@ -461,12 +461,12 @@
 	g.callOff(i)
 }
 
-func (g *Gateway) note(i int, h *attempt, ev *Event) {
+func (g *Scheduler) note(i int, h *attempt, ev *Event) {
 	s := &g.slab.places[i]
 	o, e := &g.offerings[s.offering], &g.executors[h.executor]
 	e.heard, e.missed, h.noted, e.tookAt = g.now, false, g.now, max(e.tookAt, h.sent)
-	switch ev.Note {
-	case Waits:
+	switch ev.Progress {
+	case Waiting:
 		g.line(h, true)
 		g.dirty = true
 		// A reader that stands behind a load goes elsewhere at once: all it loses is the attempt that it uses up.
@@ -476,7 +476,7 @@
 				g.request(i, doomed)
 			}
 		}
-	case Spills:
+	case Spilling:
 		if s.need > 0 {
 			o.memory = max(o.memory, o.memory+fade*((h.grant+ev.Value)/s.need*memorySpare-o.memory))
 		}
@@ -498,44 +498,44 @@
 	}
 }
 
-func (g *Gateway) mayFollow(s *request) bool {
+func (g *Scheduler) mayFollow(s *request) bool {
 	return g.given.Is("may_call_off") && g.attemptsLeft(s) && g.rationLeft(g.returning())
 }
 
-func (g *Gateway) attemptsLeft(s *request) bool {
+func (g *Scheduler) attemptsLeft(s *request) bool {
 	return s.fired < mostAttempts && float64(s.begun()) < g.given.Num("most_shots", mostAttempts)
 }
 
-func (g *Gateway) ended(i int, h *attempt, ev *Event) {
+func (g *Scheduler) ended(i int, h *attempt, ev *Event) {
 	s := &g.slab.places[i]
 	o, e := &g.offerings[s.offering], &g.executors[h.executor]
 	g.settle(s, h, !ev.Outcome.NeverRan())
 	g.dirty = true
 	switch ev.Outcome {
-	case Handled:
+	case Succeeded:
 		e.heard, e.missed, e.proven, e.bad, e.tookAt = g.now, false, true, 0, max(e.tookAt, h.sent)
 		g.learn(s, o, e, h, ev)
-	case Full:
+	case Overloaded:
 		e.restUntil = g.now + restMS
-	case Unsent:
+	case LocalFailure:
 		e.restUntil = g.now + restMS // others may have a connection already
 		g.neverLeft(s, h)
-	case Erred, Refused, Severed:
-		s.erred += count(ev.Outcome == Erred)
-		if e.bad++; e.bad > 1 || ev.Outcome == Refused {
+	case Errored, ConnectFailed, ConnectionLost:
+		s.erred += count(ev.Outcome == Errored)
+		if e.bad++; e.bad > 1 || ev.Outcome == ConnectFailed {
 			e.restUntil = g.now + restMS
 		}
-		if e.bad >= badInARow || !e.proven || ev.Outcome == Refused && g.blind(e) {
+		if e.bad >= badInARow || !e.proven || ev.Outcome == ConnectFailed && g.blind(e) {
 			g.suspect(h.executor)
 		}
 	}
 	if rest := g.given.Num("key_rest_ms", 0); s.key != "" && rest > 0 &&
-		(ev.Outcome == TimedOut || ev.Outcome == Severed || ev.Outcome == Recalled) {
+		(ev.Outcome == TimedOut || ev.Outcome == ConnectionLost || ev.Outcome == Cancelled) {
 		g.rests[s.key] = g.now + rest
 	}
-	if ev.Over {
+	if ev.Final {
 		g.request(i, finished)
-	} else if ev.Barred {
+	} else if ev.Blocked {
 		g.request(i, hopeless)
 	} else if s.state != over && s.out == 0 {
 		g.request(i, missed)
@@ -543,31 +543,31 @@
 	g.release(i)
 }
 
-func (g *Gateway) learn(s *request, o *offering, e *executor, h *attempt, ev *Event) {
+func (g *Scheduler) learn(s *request, o *offering, e *executor, h *attempt, ev *Event) {
 	g.finished.add(g.now, h.ran)
 	ratio := h.ran / max(1, s.work/float64(o.threads))
 	o.slow += fade * (min(ratio, badPlan*o.slow+1) - o.slow)
 	e.pace += fade * (min(ratio/max(o.slow, 0.1), badPlan) - e.pace)
-	if ev.SpentMS > 0 && s.estimate > 0 {
-		o.worked += learnt * (min(ev.SpentMS, badPlan*s.work) - o.worked)
+	if ev.CostMS > 0 && s.estimate > 0 {
+		o.worked += learnt * (min(ev.CostMS, badPlan*s.work) - o.worked)
 		o.estimated += learnt * (s.estimate - o.estimated)
 	}
 }
 
-func (g *Gateway) list(ev *Event) {
-	if ev.List == NoList {
-		g.askAt, g.unheard = g.now+askMS, ev.Until
-		g.deem(ev.Deemed)
+func (g *Scheduler) list(ev *Event) {
+	if ev.List == ListUnavailable {
+		g.askAt, g.unheard = g.now+askMS, ev.Deadline
+		g.deem(ev.PresumedAt)
 		return
 	}
 	g.unheard, g.deemed = 0, g.deemed[:0]
 	for x := range g.executors {
-		if ev.List != Changes { // what a whole list leaves out is gone
-			g.executors[x].standing = Gone
+		if ev.List != ListDelta { // what a whole list leaves out is gone
+			g.executors[x].standing = Removed
 		}
 	}
-	for k := range ev.Entries {
-		n := &ev.Entries[k]
+	for k := range ev.Endpoints {
+		n := &ev.Endpoints[k]
 		known := g.at(n.Executor) >= 0
 		x := g.enter(n, executor{id: n.Executor, state: fit, pace: 1, proven: true})
 		e := &g.executors[x]
@@ -575,10 +575,10 @@
 			g.judge(x, restarted)
 			g.lost(x, g.startOf(n), true)
 		}
-		e.upSince, e.standing = n.UpSince, n.Standing
+		e.upSince, e.standing = n.StartedAt, n.Availability
 	}
 	for x := range g.executors {
-		if g.executors[x].standing == Gone {
+		if g.executors[x].standing == Removed {
 			g.lost(x, g.now, true)
 		}
 	}
@@ -586,14 +586,14 @@
 }
 
 // evict calls off the attempts at an executor set aside, but irreversible ones: it may only be cut off.
-func (g *Gateway) evict(x int) {
+func (g *Scheduler) evict(x int) {
 	e := &g.executors[x]
 	e.asideAt, e.answers, e.strikes = g.now, 0, e.strikes+1
 	g.lost(x, g.now, false)
 }
 
 // lost calls off the attempts at x that went out before; unless surely gone, only those another may follow.
-func (g *Gateway) lost(x int, before float64, surely bool) {
+func (g *Scheduler) lost(x int, before float64, surely bool) {
 	for i := range g.slab.places {
 		s := &g.slab.places[i]
 		if s.used && s.state == running && s.last().executor == x && s.last().sent < before &&
@@ -604,7 +604,7 @@
 }
 
 // suspect sets an executor aside, unless half of all look bad: then it is something they share.
-func (g *Gateway) suspect(x int) {
+func (g *Scheduler) suspect(x int) {
 	bad, all := 1, 0
 	for y := range g.executors {
 		if e := &g.executors[y]; e.standing == Active {
@@ -617,20 +617,20 @@
 	}
 }
 
-func (g *Gateway) notesMS() float64 { return cmp.Or(g.toldEveryMS, blindMS) }
+func (g *Scheduler) notesMS() float64 { return cmp.Or(g.toldEveryMS, blindMS) }
 
-func (g *Gateway) probed(ev *Event) {
+func (g *Scheduler) probed(ev *Event) {
 	x := g.at(ev.Executor)
 	if x < 0 {
 		return
 	}
 	e := &g.executors[x]
-	if ev.Outcome == Unsent {
+	if ev.Outcome == LocalFailure {
 		e.probeOut = false
 		return
 	}
-	e.probeOut, e.missed = false, ev.Outcome != Handled
-	if g.dirty = true; len(ev.Report) > 0 {
+	e.probeOut, e.missed = false, ev.Outcome != Succeeded
+	if g.dirty = true; len(ev.LoadReport) > 0 {
 		e.seenAt, g.reportedAt = g.now, g.now
 		e.seenMemory = g.reported(ev, "x0") * e.ram
 		e.seen = g.reported(ev, "inflight") + g.reported(ev, "x1")*busyThreads*e.cores
@@ -646,15 +646,15 @@
 }
 
 // beat looks at all that runs: levels, time left, executors under suspicion.
-func (g *Gateway) beat() {
-	g.do(Action{Kind: Wake, AfterMS: beatMS})
+func (g *Scheduler) beat() {
+	g.do(Action{Kind: SetTimer, AfterMS: beatMS})
 	gap := g.now - cmp.Or(g.beatAt, g.now-beatMS)
 	g.dirty, g.beatAt = true, g.now
 	g.asks = min(asksSaved, g.asks+gap*asksPerMS)
 	g.readOnset()
 	if g.given.Text("list_comes") == "asked" && g.now >= g.askAt {
 		g.askAt = math.Inf(1)
-		g.do(Action{Kind: Listen})
+		g.do(Action{Kind: Subscribe})
 	}
 	for i := range g.slab.places {
 		s := &g.slab.places[i]
@@ -677,7 +677,7 @@
 }
 
 // age adds a beat of running time to an attempt and lets its priority decay.
-func (g *Gateway) age(s *request, h *attempt, gap float64) {
+func (g *Scheduler) age(s *request, h *attempt, gap float64) {
 	if h.waits != 0 {
 		return // waiting is not running
 	}
@@ -694,7 +694,7 @@
 }
 
 // remark names the level of s where it has changed.
-func (g *Gateway) remark(s *request) {
+func (g *Scheduler) remark(s *request) {
 	if level := levelOf(min(s.p, cmp.Or(s.under, pTop))); level != s.level {
 		s.level = level
 		g.terms(s)
@@ -702,9 +702,9 @@
 }
 
 // press holds a request under a priority while others lack their due; a load never: its group would wait.
-func (g *Gateway) press(i int, ev *Event) {
+func (g *Scheduler) press(i int, ev *Event) {
 	s := &g.slab.places[i]
-	if s.under, s.part = ev.Start, ev.Part; g.offerings[s.offering].holds {
+	if s.under, s.part = ev.PriorityCap, ev.MemoryShare; g.offerings[s.offering].holds {
 		s.under = 0
 	}
 	if s.state == running {
@@ -715,7 +715,7 @@
 
 // forgotten tells whether an attempt has missed a note while its executor goes on working: lost replies, cut
 // streams, dropped attempts. It harms where notes alone are lost; one in line for memory sends none.
-func (g *Gateway) forgotten(s *request, h *attempt) bool {
+func (g *Scheduler) forgotten(s *request, h *attempt) bool {
 	every := g.toldEveryMS
 	e := &g.executors[h.executor]
 	return every > 0 && g.now-h.noted > noteLate*every+slackMS && h.waits == 0 && e.heard > h.noted &&
@@ -727,7 +727,7 @@
 }
 
 // readOnset reads the least running time below which the queries finished lately spent onsetShare of theirs.
-func (g *Gateway) readOnset() {
+func (g *Scheduler) readOnset() {
 	g.finished.forget(g.now-onsetMS, onsetLeast) // it reaches back as far as it must for its twenty
 	if g.now < g.onsetAt+onsetEvery {
 		return
@@ -752,7 +752,7 @@
 }
 
 // watch probes an executor that is aside or shows no sign of work, and sets it aside when that goes on.
-func (g *Gateway) watch(x int) {
+func (g *Scheduler) watch(x int) {
 	e := &g.executors[x]
 	if e.state == chilled && g.now >= e.coldUntil {
 		e.strikes = 0
@@ -769,7 +769,7 @@
 		}
 	} else if look && !e.probeOut && g.now >= e.probed+probeMS/math.Sqrt(g.share()) {
 		e.probeOut, e.probed = true, g.now
-		g.do(Action{Kind: Probe, Executor: e.id})
+		g.do(Action{Kind: HealthCheck, Executor: e.id})
 	}
 	// An attempt in line for memory sends no notes: where all of ours are, silence needs a missed probe too.
 	slack := noteMany
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -9,7 +9,7 @@
 
 func TestAFreshRequestIsSentAtTheTopLevel(t *testing.T) {
 	out := take(gateway(2, nil), 1000, "a", "read")
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(out))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(out))
 	assert.Equal(t, 3, out[0].Level)
 	assert.Equal(t, 100*memoryStart, out[0].GrantMB)
 }
@@ -42,7 +42,7 @@
 	g.age(s, s.last(), 0) // 12 quanta, of which 9 past the onset
 	assert.InDelta(t, pTop*math.Pow(decay, 9), s.p, 1e-6)
 	assert.Equal(t, 2, s.level)
-	assert.Equal(t, Action{Kind: Terms, Request: "a", GrantMB: 100 * memoryStart, Level: 2}, g.out[len(g.out)-1])
+	assert.Equal(t, Action{Kind: SetResources, Request: "a", GrantMB: 100 * memoryStart, Level: 2}, g.out[len(g.out)-1])
 	marked := len(g.out)
 	g.age(s, s.last(), 0)
 	assert.Len(t, g.out, marked, "re-marked without a change of level")
@@ -51,18 +51,18 @@
 func TestWaitingIsNotRunning(t *testing.T) {
 	g := gateway(1, nil)
 	take(g, 1000, "a", "mark")
-	g.Step(1010, &Event{Kind: Noted, Request: "a", Note: Waits, Value: 1}, nil)
-	g.Step(1030, &Event{Kind: Noted, Request: "a", Note: Progress, Value: 0}, nil)
+	g.Step(1010, &Event{Kind: ProgressReported, Request: "a", Progress: Waiting, Value: 1}, nil)
+	g.Step(1030, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0}, nil)
 	beat(g, 1050)
 	assert.Zero(t, g.slab.places[0].last().ran, "a share that does not grow is no sign of running")
-	g.Step(1060, &Event{Kind: Noted, Request: "a", Note: Progress, Value: 0.2}, nil)
+	g.Step(1060, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0.2}, nil)
 	beat(g, 1070)
 	assert.Equal(t, float64(beatMS), g.slab.places[0].last().ran)
 }
 
 func TestOrderIsTheSameEverywhereAndEven(t *testing.T) {
 	a, b := gateway(5, nil), New(99, given(nil))
-	b.Step(0, &Event{Kind: Listed, List: Whole, Entries: []Entry{
+	b.Step(0, &Event{Kind: EndpointsUpdated, List: ListComplete, Endpoints: []Endpoint{
 		{Executor: 5, Kind: "big"}, {Executor: 3, Kind: "big"}, {Executor: 1, Kind: "big"},
 		{Executor: 4, Kind: "big"}, {Executor: 2, Kind: "big"}}}, nil)
 	x, y := take(a, 1000, "a", "read"), take(b, 1000, "b", "read")
@@ -96,18 +96,18 @@
 	g.executors[0].threads, g.executors[1].threads = 30, 30
 	assert.Empty(t, take(g, 1000, "d", "read"))
 	g.executors[1].threads = 1
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(beat(g, 1020)))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(beat(g, 1020)))
 }
 
 func TestEveryAnswerComesBeforeTheClientGivesUp(t *testing.T) {
 	g := gateway(0, nil)
 	assert.Empty(t, take(g, 1000, "a", "once"), "no executor")
-	assert.Equal(t, []ActionKind{Deny}, kinds(beat(g, 8960)))
+	assert.Equal(t, []ActionKind{Reject}, kinds(beat(g, 8960)))
 	assert.Empty(t, g.slab.byID)
 	g = gateway(1, nil)
 	take(g, 1000, "b", "once")
-	assert.Equal(t, []ActionKind{Fail, CallOff, Probe}, kinds(beat(g, 8980)))
-	assert.Empty(t, kinds(ended(g, 8990, "b", 0, Recalled)))
+	assert.Equal(t, []ActionKind{Fail, Cancel, HealthCheck}, kinds(beat(g, 8980)))
+	assert.Empty(t, kinds(ended(g, 8990, "b", 0, Cancelled)))
 	assert.Empty(t, g.slab.byID)
 }
 
@@ -117,9 +117,9 @@
 		outcome  Outcome
 		want     []ActionKind
 	}{
-		{"read", Severed, []ActionKind{Terms, Send}}, {"mark", Erred, []ActionKind{Terms, Send}},
-		{"once", Erred, []ActionKind{Fail}}, {"once", Severed, []ActionKind{Fail}},
-		{"once", Full, []ActionKind{Terms, Send}}, {"once", Refused, []ActionKind{Terms, Send}},
+		{"read", ConnectionLost, []ActionKind{SetResources, Send}}, {"mark", Errored, []ActionKind{SetResources, Send}},
+		{"once", Errored, []ActionKind{Fail}}, {"once", ConnectionLost, []ActionKind{Fail}},
+		{"once", Overloaded, []ActionKind{SetResources, Send}}, {"once", ConnectFailed, []ActionKind{SetResources, Send}},
 	} {
 		g := gateway(3, nil)
 		take(g, 1000, "a", c.offering)
@@ -127,13 +127,13 @@
 	}
 	g := gateway(3, nil)
 	take(g, 1000, "a", "mark")
-	assert.Equal(t, []ActionKind{Deny}, kinds(ended(g, 5990, "a", 0, Erred)), "past the window")
+	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 5990, "a", 0, Errored)), "past the window")
 	g = gateway(3, Given{"offering.1.scope": "zone"})
 	take(g, 1000, "a", "mark")
 	for x := range g.executors {
 		g.executors[x].place = []string{"there", "here"}[min(1, (x+2-g.slab.places[0].last().executor)%3)]
 	}
-	g.executors[g.slab.places[0].last().executor].standing = Gone
+	g.executors[g.slab.places[0].last().executor].standing = Removed
 	s := &g.slab.places[0]
 	s.state, s.out, s.attempts[0].out = waiting, 0, false
 	assert.False(t, g.mayDeny(s), "repeats are dropped in one place alone")
@@ -146,16 +146,16 @@
 // A repeat leaves within the window in which it is dropped, also where it waits for a connection in between.
 func TestARepeatNamesTheLastMomentAtWhichItMayLeave(t *testing.T) {
 	g := gateway(2, Given{"offering.1.window_ms": 700.0})
-	assert.Equal(t, 8975.0, take(g, 1000, "a", "mark")[1].By, "the first is bound by its client alone")
-	assert.Equal(t, 1000.0+700-closingMS, ended(g, 1100, "a", 0, Severed)[1].By)
+	assert.Equal(t, 8975.0, take(g, 1000, "a", "mark")[1].LatestStart, "the first is bound by its client alone")
+	assert.Equal(t, 1000.0+700-closingMS, ended(g, 1100, "a", 0, ConnectionLost)[1].LatestStart)
 }
 
 func TestNothingNewToADrainingExecutor(t *testing.T) {
 	g := gateway(1, nil)
-	g.Step(1000, &Event{Kind: Listed, Entries: []Entry{{Executor: 1, Kind: "big", Standing: Leaving}}}, nil)
+	g.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 1, Kind: "big", Availability: Draining}}}, nil)
 	assert.Empty(t, take(g, 1001, "a", "read"))
 	g = gateway(2, nil)
-	g.Step(1000, &Event{Kind: Listed, List: Whole, Entries: []Entry{{Executor: 2, Kind: "big"}}}, nil)
+	g.Step(1000, &Event{Kind: EndpointsUpdated, List: ListComplete, Endpoints: []Endpoint{{Executor: 2, Kind: "big"}}}, nil)
 	assert.Equal(t, uint32(2), take(g, 1001, "a", "read")[1].Executor, "what a whole list leaves out is gone")
 }
 
@@ -163,34 +163,34 @@
 // of the list's last word, or of an attempt that it took; the list's next word opens all.
 func TestAListOutOfReachClosesWhatMayDrain(t *testing.T) {
 	g := gateway(2, Given{"told_within_ms": 7000.0, "drain_grace_ms": 500.0})
-	g.Step(1500, &Event{Kind: Listed, List: NoList, Until: 1400}, nil)
+	g.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
 	first := take(g, 5000, "a", "read")
-	assert.Equal(t, 1400+7000+500-float64(closingMS), first[1].By)
-	ended(g, 5100, "a", 0, Handled)
+	assert.Equal(t, 1400+7000+500-float64(closingMS), first[1].LatestStart)
+	ended(g, 5100, "a", 0, Succeeded)
 	for k, at := range []float64{8870, 8890, 12470} {
 		id := string(rune('b' + k))
-		ev := Event{Kind: Taken, Request: id, Offering: "read", Group: uint64(k * 10), WorkMS: 100, Until: 20000}
+		ev := Event{Kind: RequestArrived, Request: id, Class: "read", TableGroup: uint64(k * 10), WorkMS: 100, Deadline: 20000}
 		out := g.Step(at, &ev, nil)
-		assert.Equal(t, []ActionKind{Terms, Send}, kinds(out))
+		assert.Equal(t, []ActionKind{SetResources, Send}, kinds(out))
 		if at > 8875 {
 			assert.Equal(t, first[1].Executor, out[1].Executor, "the one that took something since")
 		}
-		g.Step(at, &Event{Kind: Ended, Request: id, Outcome: Full}, nil)
-		g.Step(at, &Event{Kind: Left, Request: id}, nil)
+		g.Step(at, &Event{Kind: AttemptEnded, Request: id, Outcome: Overloaded}, nil)
+		g.Step(at, &Event{Kind: ClientLeft, Request: id}, nil)
 		g.executors[0].restUntil, g.executors[1].restUntil = 0, 0
 	}
-	ev := Event{Kind: Taken, Request: "z", Offering: "read", WorkMS: 100, Until: 20000}
+	ev := Event{Kind: RequestArrived, Request: "z", Class: "read", WorkMS: 100, Deadline: 20000}
 	assert.Empty(t, kinds(g.Step(12480, &ev, nil)))
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(g.Step(12500, &Event{Kind: Listed, List: Changes}, nil)))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(g.Step(12500, &Event{Kind: EndpointsUpdated, List: ListDelta}, nil)))
 	g = gateway(1, Given{"drain_grace_ms": 500.0})
-	g.Step(1500, &Event{Kind: Listed, List: NoList, Until: 1400}, nil)
+	g.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
 	assert.NotEmpty(t, take(g, 8900, "a", "read"), "where it does not count as told")
 }
 
 func TestAColdExecutorGetsItsPartOfTheBudget(t *testing.T) {
 	// 3 * 0.3 * 8 cores * 2000 ms, of which nine tenths, between two: 6480 ms of work.
 	g := gateway(1, Given{"controllers": 2.0})
-	g.Step(1500, &Event{Kind: Listed, Entries: []Entry{{Executor: 1, Kind: "big", UpSince: 1400}}}, nil)
+	g.Step(1500, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: 1400}}}, nil)
 	e, o := &g.executors[0], &g.offerings[0]
 	assert.Equal(t, chilled, e.state)
 	o.usual = 1000
@@ -200,7 +200,7 @@
 	assert.False(t, g.warmEnough(o, e))
 	g.now = 4000
 	assert.True(t, g.warmEnough(o, e), "the window has passed")
-	g.Step(2500, &Event{Kind: Began}, nil)
+	g.Step(2500, &Event{Kind: Started}, nil)
 	g.now = 4000
 	for g.seed = range 100 { // what it sent before it started is not known: 0.61 of its part
 		e.coldSent.forget(1e9, 0)
@@ -226,21 +226,21 @@
 func TestRequestsOfAKeyRunInTurnAndTheKeyRests(t *testing.T) {
 	g := gateway(3, Given{"offering.0.in_order": true, "key_rest_ms": 400.0})
 	keyed := func(id string) []ActionKind {
-		ev := Event{Kind: Taken, Request: id, Offering: "read", Key: "k", WorkMS: 9, Until: 9000}
+		ev := Event{Kind: RequestArrived, Request: id, Class: "read", OrderKey: "k", WorkMS: 9, Deadline: 9000}
 		return kinds(g.Step(1000, &ev, nil))
 	}
-	assert.Equal(t, []ActionKind{Terms, Send}, keyed("a"))
+	assert.Equal(t, []ActionKind{SetResources, Send}, keyed("a"))
 	assert.Empty(t, keyed("b"))
-	assert.Equal(t, []ActionKind{CallOff}, kinds(g.Step(1010, &Event{Kind: Left, Request: "a"}, nil)))
-	assert.Empty(t, kinds(ended(g, 1020, "a", 0, Recalled)), "the key rests")
+	assert.Equal(t, []ActionKind{Cancel}, kinds(g.Step(1010, &Event{Kind: ClientLeft, Request: "a"}, nil)))
+	assert.Empty(t, kinds(ended(g, 1020, "a", 0, Cancelled)), "the key rests")
 	assert.Empty(t, kinds(beat(g, 1400)))
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(beat(g, 1425)))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(beat(g, 1425)))
 }
 
 func TestPlacementHoldsWithAllElseDown(t *testing.T) {
 	g := gateway(2, Given{"offering.0.kinds": []string{"odd"}})
 	assert.Empty(t, take(g, 1000, "a", "read"))
-	g.Step(1010, &Event{Kind: Listed, Entries: []Entry{{Executor: 9, Kind: "odd"}}}, nil)
+	g.Step(1010, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 9, Kind: "odd"}}}, nil)
 	assert.Equal(t, uint32(9), g.executors[g.slab.places[0].last().executor].id)
 }
 
@@ -248,8 +248,8 @@
 	more := Given{"ration_span_ms": 10000.0, "ration_floor": 1.0, "ration_share": 0.1}
 	g := gateway(3, more)
 	take(g, 1000, "a", "read")
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(ended(g, 1010, "a", 0, Full)), "the floor")
-	assert.Equal(t, []ActionKind{Deny}, kinds(ended(g, 1020, "a", 1, Full)), "a next try is not rationed")
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(ended(g, 1010, "a", 0, Overloaded)), "the floor")
+	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 1020, "a", 1, Overloaded)), "a next try is not rationed")
 	for range 9 {
 		g.takes.add(1030, 1)
 	}
@@ -267,25 +267,25 @@
 func TestAttemptsLeft(t *testing.T) {
 	g := gateway(3, Given{"most_shots": 2.0})
 	take(g, 1000, "a", "read")
-	ended(g, 1010, "a", 0, Full)
-	assert.Equal(t, []ActionKind{Deny}, kinds(ended(g, 1020, "a", 1, Full)), "given up at once")
+	ended(g, 1010, "a", 0, Overloaded)
+	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 1020, "a", 1, Overloaded)), "given up at once")
 }
 
 func TestABadPlanIsCalledOffAndSentAnew(t *testing.T) {
 	g := gateway(2, nil)
 	take(g, 1000, "a", "read")
 	g.slab.places[0].last().ran = 1000
-	out := g.Step(2000, &Event{Kind: Noted, Request: "a", Note: Progress, Value: 0.05}, nil)
-	assert.Equal(t, []ActionKind{CallOff}, kinds(out))
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(ended(g, 2010, "a", 0, Recalled)))
+	out := g.Step(2000, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0.05}, nil)
+	assert.Equal(t, []ActionKind{Cancel}, kinds(out))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(ended(g, 2010, "a", 0, Cancelled)))
 }
 
 func TestAReaderBehindALoadGoesElsewhere(t *testing.T) {
 	g := gateway(2, Given{"offering.0.stands_behind": true})
 	at := take(g, 1000, "a", "read")[1].Executor
-	out := g.Step(1005, &Event{Kind: Noted, Request: "a", Note: Waits, Value: 2}, nil)
-	assert.Equal(t, []ActionKind{CallOff}, kinds(out))
-	out = ended(g, 1010, "a", 0, Recalled)
+	out := g.Step(1005, &Event{Kind: ProgressReported, Request: "a", Progress: Waiting, Value: 2}, nil)
+	assert.Equal(t, []ActionKind{Cancel}, kinds(out))
+	out = ended(g, 1010, "a", 0, Cancelled)
 	assert.NotEqual(t, at, out[1].Executor)
 }
 
@@ -293,12 +293,12 @@
 	g := gateway(1, nil)
 	take(g, 1000, "a", "read")
 	take(g, 1000, "b", "read")
-	g.Step(2000, &Event{Kind: Noted, Request: "b", Note: Progress, Value: 0.5}, nil)
+	g.Step(2000, &Event{Kind: ProgressReported, Request: "b", Progress: Progress, Value: 0.5}, nil)
 	assert.Empty(t, kinds(beat(g, 2500)))
-	g.slab.places[0].last().waits = Waits
-	assert.Equal(t, []ActionKind{Probe}, kinds(beat(g, 2610)), "it stands in line, where it sends no notes")
+	g.slab.places[0].last().waits = Waiting
+	assert.Equal(t, []ActionKind{HealthCheck}, kinds(beat(g, 2610)), "it stands in line, where it sends no notes")
 	g.slab.places[0].last().waits = 0
-	assert.Equal(t, []ActionKind{CallOff}, kinds(beat(g, 2611)))
+	assert.Equal(t, []ActionKind{Cancel}, kinds(beat(g, 2611)))
 }
 
 func TestASilentExecutorIsSetAsideAndComesBackColdAfterProbes(t *testing.T) {
@@ -307,15 +307,15 @@
 	x := g.slab.places[0].last().executor
 	e := &g.executors[x]
 	out := beat(g, 1600)
-	assert.Contains(t, kinds(out), Probe)
-	probe := Event{Kind: Probed, Executor: e.id, Outcome: TimedOut}
+	assert.Contains(t, kinds(out), HealthCheck)
+	probe := Event{Kind: HealthChecked, Executor: e.id, Outcome: TimedOut}
 	g.Step(1850, &probe, nil)
 	out = beat(g, 2650)
-	assert.Contains(t, kinds(out), CallOff)
+	assert.Contains(t, kinds(out), Cancel)
 	assert.Equal(t, aside, e.state)
-	out = ended(g, 2655, "a", 0, Recalled)
+	out = ended(g, 2655, "a", 0, Cancelled)
 	assert.NotEqual(t, e.id, out[1].Executor)
-	probe.Outcome = Handled
+	probe.Outcome = Succeeded
 	g.Step(3150, &probe, nil)
 	assert.Equal(t, aside, e.state)
 	g.Step(3650, &probe, nil)
@@ -329,11 +329,11 @@
 	take(g, 1000, "a", "read")
 	x := g.slab.places[0].last().executor
 	g.executors[x].bad = badInARow - 2
-	ended(g, 1000, "a", 0, Erred)
+	ended(g, 1000, "a", 0, Errored)
 	assert.Equal(t, fit, g.executors[x].state)
 	g.executors[x].restUntil = 0
 	take(g, 1000, "b", "read")
-	ended(g, 1000, "b", 0, Erred)
+	ended(g, 1000, "b", 0, Errored)
 	assert.Equal(t, aside, g.executors[x].state)
 }
 
@@ -348,8 +348,8 @@
 
 func TestAHopelessRequestIsDeniedAtOnceWithATimeToComeBack(t *testing.T) {
 	g := gateway(1, nil)
-	out := g.Step(1000, &Event{Kind: Taken, Request: "a", Offering: "read", WorkMS: 5000, Until: 2000}, nil)
-	assert.Equal(t, Deny, out[0].Kind)
+	out := g.Step(1000, &Event{Kind: RequestArrived, Request: "a", Class: "read", WorkMS: 5000, Deadline: 2000}, nil)
+	assert.Equal(t, Reject, out[0].Kind)
 	assert.InDelta(t, 375, out[0].AfterMS, 125)
 }
 
@@ -358,14 +358,14 @@
 	take(g, 1000, "a", "read")
 	take(g, 1000, "b", "read")
 	beat(g, 1020)
-	g.Step(3500, &Event{Kind: Noted, Request: "b", Note: Progress, Value: 0.5}, nil)
-	assert.Empty(t, kinds(g.Step(3500, &Event{Kind: Rang}, nil)), "the note of a may stand in line")
+	g.Step(3500, &Event{Kind: ProgressReported, Request: "b", Progress: Progress, Value: 0.5}, nil)
+	assert.Empty(t, kinds(g.Step(3500, &Event{Kind: TimerFired}, nil)), "the note of a may stand in line")
 	assert.Equal(t, 2500.0, g.slab.places[0].last().ran, "it ran all the while")
-	assert.Contains(t, kinds(beat(g, 3520)), CallOff)
+	assert.Contains(t, kinds(beat(g, 3520)), Cancel)
 }
 
 func TestARequestSureToBeLateWaitsOnlyForWhatPays(t *testing.T) {
-	for late, want := range map[float64][]ActionKind{0.1: {Deny}, 0.5: nil} {
+	for late, want := range map[float64][]ActionKind{0.1: {Reject}, 0.5: nil} {
 		g := gateway(0, Given{"offering.0.late_share": late})
 		take(g, 1000, "a", "read")
 		assert.Empty(t, kinds(beat(g, 1800)))
@@ -375,9 +375,9 @@
 
 func TestTheOrdinaryPathAllocatesNothing(t *testing.T) {
 	g, out := gateway(4, nil), make([]Action, 0, 64)
-	taken := Event{Kind: Taken, Request: "a", Offering: "read", NeedMB: 100, WorkMS: 100, Until: 9e9}
-	done := Event{Kind: Ended, Request: "a", Outcome: Handled, Over: true}
-	rang, now := Event{Kind: Rang}, 1000.0
+	taken := Event{Kind: RequestArrived, Request: "a", Class: "read", MemoryMB: 100, WorkMS: 100, Deadline: 9e9}
+	done := Event{Kind: AttemptEnded, Request: "a", Outcome: Succeeded, Final: true}
+	rang, now := Event{Kind: TimerFired}, 1000.0
 	round := func() {
 		now += 100
 		out = g.Step(now, &taken, out[:0])
@@ -392,7 +392,7 @@
 }
 
 // many is a gateway over n executors whose part of each is far below one thread.
-func many(n int, more Given) *Gateway {
+func many(n int, more Given) *Scheduler {
 	g := gateway(n, more)
 	g.given["controllers"], g.given["slot"] = 200.0, 0.0
 	g.reckonShare()
@@ -425,20 +425,20 @@
 	g := many(2, Given{"report_comes": "probes", "report": []string{"queue", "x0", "x1"}})
 	g.reportedAt = 1000
 	out := take(g, 1000, "a", "read")
-	assert.Equal(t, []ActionKind{Probe}, kinds(out))
-	line := Event{Kind: Probed, Executor: out[0].Executor, Report: []float64{3, 0.2, 0.2}}
+	assert.Equal(t, []ActionKind{HealthCheck}, kinds(out))
+	line := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{3, 0.2, 0.2}}
 	out = g.Step(1002, &line, nil)
-	assert.Equal(t, []ActionKind{Probe}, kinds(out), "a line there: another is asked")
+	assert.Equal(t, []ActionKind{HealthCheck}, kinds(out), "a line there: another is asked")
 	assert.NotEqual(t, line.Executor, out[0].Executor)
-	room := Event{Kind: Probed, Executor: out[0].Executor, Report: []float64{0, 0.2, 0.2}}
+	room := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{0, 0.2, 0.2}}
 	out = g.Step(1004, &room, nil)
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(out))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(out))
 	assert.Equal(t, room.Executor, out[1].Executor)
 }
 
 func TestReportsThatStayOutAreNotWaitedFor(t *testing.T) {
 	g := many(2, Given{"report_comes": "probes", "report": []string{"queue"}})
-	assert.Equal(t, []ActionKind{Probe, Terms, Send}, kinds(take(g, 5000, "a", "read")))
+	assert.Equal(t, []ActionKind{HealthCheck, SetResources, Send}, kinds(take(g, 5000, "a", "read")))
 }
 
 func TestWhatControllersHaveOutIsAddedUpAndTold(t *testing.T) {
@@ -448,15 +448,15 @@
 	e.threads, e.memory = 8, e.ram/2
 	tells.tell()
 	mail := tells.out[0]
-	assert.Equal(t, []ActionKind{Tell, Tell, Tell}, kinds(tells.out))
-	adds.Step(1010, &Event{Kind: Heard, FromPeer: 7, Data: mail.Data}, nil)
+	assert.Equal(t, []ActionKind{SendPeer, SendPeer, SendPeer}, kinds(tells.out))
+	adds.Step(1010, &Event{Kind: PeerMessage, FromPeer: 7, Payload: mail.Payload}, nil)
 	adds.tell()
 	told := adds.out[len(adds.out)-1]
 	assert.Equal(t, -1, told.Peer)
-	tells.Step(1020, &Event{Kind: Heard, FromPeer: 0, Data: told.Data}, nil)
+	tells.Step(1020, &Event{Kind: PeerMessage, FromPeer: 0, Payload: told.Payload}, nil)
 	assert.InDelta(t, 8, e.seen, toldStep*e.cores)
 	assert.Zero(t, tells.executors[0].seen)
-	tells.Step(1030, &Event{Kind: Heard, FromPeer: 0, Data: told.Data[:2]}, nil) // another list there: passed over
+	tells.Step(1030, &Event{Kind: PeerMessage, FromPeer: 0, Payload: told.Payload[:2]}, nil) // another list there: passed over
 	assert.Equal(t, 1020.0, e.seenAt)
 }
 
@@ -521,7 +521,7 @@
 	g := many(3, nil)
 	take(g, 1000, "a", "read")
 	x := g.slab.places[0].last().executor
-	ended(g, 1001, "a", 0, Refused)
+	ended(g, 1001, "a", 0, ConnectFailed)
 	assert.Equal(t, aside, g.executors[x].state)
 }
 
@@ -542,7 +542,7 @@
 	g := gateway(0, Given{"controllers": 0.0, "may_tell": true, "report_comes": "probes"})
 	assert.Empty(t, kinds(take(g, 1000, "a", "read")))
 	assert.Empty(t, kinds(beat(g, 1020)))
-	assert.Equal(t, []ActionKind{Deny}, kinds(beat(g, 8990)))
+	assert.Equal(t, []ActionKind{Reject}, kinds(beat(g, 8990)))
 }
 
 func TestLongRequestsLeaveMemoryToShortOnesPastTheBound(t *testing.T) {
@@ -551,7 +551,7 @@
 	e.threads, e.memory = 10, 0.8*e.ram
 	assert.Empty(t, kinds(take(g, 1000, "a", "read")))
 	g.onset = 200
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(take(g, 1000, "b", "mark"))[:2])
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(take(g, 1000, "b", "mark"))[:2])
 }
 
 func TestGrantsStartAboveTheEstimateAndGrowWithSpilling(t *testing.T) {
@@ -559,7 +559,7 @@
 	take(g, 1000, "a", "read")
 	h := g.slab.places[0].last()
 	assert.Equal(t, 100*memoryStart, h.grant)
-	g.note(0, h, &Event{Kind: Noted, Note: Spills, Value: 250})
+	g.note(0, h, &Event{Kind: ProgressReported, Progress: Spilling, Value: 250})
 	assert.InDelta(t, memoryStart+fade*(4*memorySpare-memoryStart), g.offerings[0].memory, 1e-9)
 }
 
@@ -568,12 +568,12 @@
 	g := gateway(1, nil)
 	take(g, 1000, "short", "read")
 	take(g, 1000, "once", "once")
-	g.Step(1100, &Event{Kind: Closing, Until: 1500}, nil)
-	out := g.Step(1110, &Event{Kind: Taken, Request: "long", Offering: "read", WorkMS: 5000, Until: 9000}, nil)
-	assert.Equal(t, []ActionKind{Deny}, kinds(out), "what can't end in time asks elsewhere at once")
+	g.Step(1100, &Event{Kind: ShutdownStarted, Deadline: 1500}, nil)
+	out := g.Step(1110, &Event{Kind: RequestArrived, Request: "long", Class: "read", WorkMS: 5000, Deadline: 9000}, nil)
+	assert.Equal(t, []ActionKind{Reject}, kinds(out), "what can't end in time asks elsewhere at once")
 	assert.Empty(t, kinds(beat(g, 1460)))
 	out = beat(g, 1480)
-	assert.Equal(t, []ActionKind{Deny, CallOff, Fail, CallOff}, kinds(out))
+	assert.Equal(t, []ActionKind{Reject, Cancel, Fail, Cancel}, kinds(out))
 }
 
 // A message is whatever another machine sent: no bytes may stop the module or make it act for a stranger.
@@ -582,10 +582,10 @@
 	f.Add([]byte{1, 2, 0x53}, 7)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
 		g := gateway(3, Given{"may_tell": true, "controllers": 40.0})
-		out := g.Step(1100, &Event{Kind: Heard, FromPeer: from, Data: data}, nil)
-		out = g.Step(1400, &Event{Kind: Rang}, out)
+		out := g.Step(1100, &Event{Kind: PeerMessage, FromPeer: from, Payload: data}, nil)
+		out = g.Step(1400, &Event{Kind: TimerFired}, out)
 		for _, a := range out {
-			if a.Kind == Send || len(a.Data) > 256 {
+			if a.Kind == Send || len(a.Payload) > 256 {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -599,18 +599,18 @@
 	held := g.slab.places[0].last().executor
 	live := []uint32{1, 2, 3, 4}
 	for n := range uint32(200) {
-		g.Step(2000+float64(n), &Event{Kind: Listed, Entries: []Entry{{Executor: live[n%4], Standing: Gone},
+		g.Step(2000+float64(n), &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: live[n%4], Availability: Removed},
 			{Executor: 100 + n, Kind: "big"}}}, nil)
 		live[n%4] = 100 + n
 	}
 	assert.Equal(t, 5, len(g.executors))
-	assert.Equal(t, 5, len(g.Beliefs(2500, nil)), "the one gone still has a shot")
+	assert.Equal(t, 5, len(g.ExecutorViews(2500, nil)), "the one gone still has a shot")
 	assert.Less(t, g.executors[held].id, uint32(5), "a search in hand had its shot there")
 	take(g, 3000, "b", "read")
-	ended(g, 3100, "b", 0, Handled)
-	ended(g, 3100, "a", 0, Severed)
-	g.Step(9000, &Event{Kind: Left, Request: "a"}, nil)
-	g.Step(9001, &Event{Kind: Listed, Entries: []Entry{{Executor: 999, Kind: "big"}}}, nil)
+	ended(g, 3100, "b", 0, Succeeded)
+	ended(g, 3100, "a", 0, ConnectionLost)
+	g.Step(9000, &Event{Kind: ClientLeft, Request: "a"}, nil)
+	g.Step(9001, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 999, Kind: "big"}}}, nil)
 	assert.Equal(t, uint32(999), g.executors[held].id)
 	assert.Equal(t, 5, len(g.executors))
 	assert.Empty(t, g.slab.byID)
@@ -620,13 +620,13 @@
 func TestARequestThatErrsTwiceIsAtFaultItself(t *testing.T) {
 	g := gateway(4, nil)
 	take(g, 1000, "a", "read")
-	assert.Contains(t, kinds(ended(g, 1100, "a", 0, Erred)), Send)
-	assert.Equal(t, []ActionKind{Deny}, kinds(ended(g, 1200, "a", 1, Erred)), "the client hears so at once")
+	assert.Contains(t, kinds(ended(g, 1100, "a", 0, Errored)), Send)
+	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 1200, "a", 1, Errored)), "the client hears so at once")
 	take(g, 1300, "b", "once")
-	assert.Equal(t, []ActionKind{Fail}, kinds(ended(g, 1400, "b", 0, Erred)))
+	assert.Equal(t, []ActionKind{Fail}, kinds(ended(g, 1400, "b", 0, Errored)))
 	take(g, 1500, "c", "read") // breaks are no errors of the request
-	ended(g, 1600, "c", 0, Severed)
-	assert.Contains(t, kinds(ended(g, 1700, "c", 1, Severed)), Send)
+	ended(g, 1600, "c", 0, ConnectionLost)
+	assert.Contains(t, kinds(ended(g, 1700, "c", 1, ConnectionLost)), Send)
 }
 
 // Called off without a further attempt to follow, an attempt that might still be handled would be thrown away.
@@ -639,42 +639,42 @@
 		g.executors[k].threads += 100
 	}
 	behind := func(id string) []ActionKind {
-		return kinds(g.Step(1100, &Event{Kind: Noted, Request: id, Note: Waits, Value: 2}, nil))
+		return kinds(g.Step(1100, &Event{Kind: ProgressReported, Request: id, Progress: Waiting, Value: 2}, nil))
 	}
-	assert.Contains(t, behind("a"), CallOff)
+	assert.Contains(t, behind("a"), Cancel)
 	assert.Equal(t, 1, g.returning())
-	assert.NotContains(t, behind("b"), CallOff)
+	assert.NotContains(t, behind("b"), Cancel)
 }
 
 // What may have run under a mark, in another request or before a crash, goes only where it is known as a repeat, and no
 // longer than it is known there; it is never denied then, since a new try might do harm.
 func TestWhatMayHaveRunBeforeGoesToItsGroup(t *testing.T) {
 	g := gateway(1, Given{"offering.1.scope": "zone"})
-	g.Step(1000, &Event{Kind: Listed, Entries: []Entry{{Executor: 2, Place: "there", Kind: "big"}}}, nil)
-	again := func(id, offering string, p Prior) []Action {
-		return g.Step(2000, &Event{Kind: Taken, Request: id, Offering: offering, WorkMS: 100, Until: 9000, Prior: p}, nil)
+	g.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Zone: "there", Kind: "big"}}}, nil)
+	again := func(id, offering string, p PriorAttempt) []Action {
+		return g.Step(2000, &Event{Kind: RequestArrived, Request: id, Class: offering, WorkMS: 100, Deadline: 9000, Prior: p}, nil)
 	}
 	for n, place := range []string{"there", "here"} {
-		a := again("a"+place, "mark", Prior{At: 1900, Place: place})
+		a := again("a"+place, "mark", PriorAttempt{At: 1900, Zone: place})
 		assert.Equal(t, Send, a[len(a)-1].Kind)
 		assert.Equal(t, uint32(2-n), a[len(a)-1].Executor)
 	}
-	assert.Empty(t, kinds(again("b", "mark", Prior{At: 1900, Place: "lost"})), "it waits for its group")
+	assert.Empty(t, kinds(again("b", "mark", PriorAttempt{At: 1900, Zone: "lost"})), "it waits for its group")
 	a := beat(g, 8990)
 	assert.Contains(t, kinds(a), Fail)
-	assert.NotContains(t, kinds(a), Deny)
-	assert.Equal(t, []ActionKind{Fail}, kinds(again("c", "mark", Prior{At: -1e9, Place: "here"})), "past the window")
-	assert.Equal(t, []ActionKind{Fail}, kinds(again("d", "once", Prior{At: 1900, Place: "here"})))
+	assert.NotContains(t, kinds(a), Reject)
+	assert.Equal(t, []ActionKind{Fail}, kinds(again("c", "mark", PriorAttempt{At: -1e9, Zone: "here"})), "past the window")
+	assert.Equal(t, []ActionKind{Fail}, kinds(again("d", "once", PriorAttempt{At: 1900, Zone: "here"})))
 }
 
 // What can't be put on record must not run: it is denied unrun at once, not sent to a second executor.
 func TestWhatCannotBeRecordedIsDeniedUnrun(t *testing.T) {
 	g := gateway(2, nil)
-	a := g.Step(2000, &Event{Kind: Taken, Request: "a", Offering: "once", WorkMS: 100, Until: 9000, Barred: true}, nil)
-	assert.Equal(t, []ActionKind{Deny}, kinds(a))
+	a := g.Step(2000, &Event{Kind: RequestArrived, Request: "a", Class: "once", WorkMS: 100, Deadline: 9000, Blocked: true}, nil)
+	assert.Equal(t, []ActionKind{Reject}, kinds(a))
 	take(g, 2000, "b", "mark")
-	a = g.Step(2010, &Event{Kind: Ended, Request: "b", Outcome: Superseded, Barred: true}, nil)
-	assert.Equal(t, []ActionKind{Deny}, kinds(a))
+	a = g.Step(2010, &Event{Kind: AttemptEnded, Request: "b", Outcome: NeverSent, Blocked: true}, nil)
+	assert.Equal(t, []ActionKind{Reject}, kinds(a))
 	assert.Empty(t, g.slab.byID)
 }
 
@@ -683,17 +683,17 @@
 	before := gateway(1, nil)
 	for n := range 40 {
 		take(before, 1000, "x", "read")
-		before.Step(1000+float64(20*n), &Event{Kind: Ended, Request: "x", Outcome: Handled, Over: true, SpentMS: 150}, nil)
+		before.Step(1000+float64(20*n), &Event{Kind: AttemptEnded, Request: "x", Outcome: Succeeded, Final: true, CostMS: 150}, nil)
 	}
 	beat(before, 3000)
-	figures := before.Learnt(nil)
+	figures := before.Estimates(nil)
 	g := gateway(4, Given{"ration_span_ms": 10000.0, "ration_floor": 1.0})
-	g.Step(1000, &Event{Kind: Kept, Extras: []float64{900}, Figures: append(figures, Figure{"read.slow", -1}, Figure{"odd", 3}),
-		Trusts: []Trust{{Executor: 1, Aside: true, Strikes: 2}, {Executor: 2, ColdUntil: 5000}, {Executor: 3, Leaving: true},
-			{Executor: 99, Aside: true}}}, nil)
+	g.Step(1000, &Event{Kind: StateRestored, Retries: []float64{900}, Estimates: append(figures, Estimate{"read.slow", -1}, Estimate{"odd", 3}),
+		ExecutorStates: []ExecutorState{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2, WarmupUntil: 5000}, {Executor: 3, Draining: true},
+			{Executor: 99, Ejected: true}}}, nil)
 	assert.Equal(t, before.onset, onsetOf(g.finished.sorted()))
 	assert.Equal(t, before.offerings[0].worked, g.offerings[0].worked)
-	assert.Equal(t, []any{aside, 2, chilled, Leaving}, []any{g.executors[0].state, g.executors[0].strikes, g.executors[1].state,
+	assert.Equal(t, []any{aside, 2, chilled, Draining}, []any{g.executors[0].state, g.executors[0].strikes, g.executors[1].state,
 		g.executors[2].standing})
 	assert.False(t, g.rationLeft(0))
 	g.now = 10950
@@ -704,21 +704,21 @@
 // again when it is no more. A load starts at the top and is never held: it would hold its group for longer.
 func TestStartsAndPressingMoveLevels(t *testing.T) {
 	g := gateway(2, Given{"offering.1.holds_group": true, "offering.0.stands_behind": true})
-	a := g.Step(2000, &Event{Kind: Taken, Request: "a", Offering: "read", WorkMS: 100, NeedMB: 100, Until: 9000, Start: 500, Part: 0.5}, nil)
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(a))
+	a := g.Step(2000, &Event{Kind: RequestArrived, Request: "a", Class: "read", WorkMS: 100, MemoryMB: 100, Deadline: 9000, PriorityCap: 500, MemoryShare: 0.5}, nil)
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(a))
 	assert.Equal(t, 1, a[0].Level)
 	assert.Equal(t, 0.5*memoryStart*100, a[0].GrantMB)
-	a = g.Step(2000, &Event{Kind: Taken, Request: "b", Offering: "mark", WorkMS: 100, Until: 9000, Group: 5, Start: 500}, nil)
+	a = g.Step(2000, &Event{Kind: RequestArrived, Request: "b", Class: "mark", WorkMS: 100, Deadline: 9000, TableGroup: 5, PriorityCap: 500}, nil)
 	assert.Equal(t, topLevel, a[0].Level, "a load")
 	take(g, 2000, "c", "read")
 	press := func(id string, under float64) []Action {
-		return g.Step(2010, &Event{Kind: Pressed, Request: id, Start: under}, nil)
+		return g.Step(2010, &Event{Kind: PriorityCapped, Request: id, PriorityCap: under}, nil)
 	}
 	assert.Equal(t, 1, press("c", 500)[0].Level)
 	assert.Empty(t, kinds(press("c", 500)))
 	assert.Equal(t, topLevel, press("c", 0)[0].Level)
 	assert.Empty(t, kinds(press("b", 500)), "a load is not pressed")
-	ended(g, 2020, "c", 0, Handled)
+	ended(g, 2020, "c", 0, Succeeded)
 	assert.Empty(t, kinds(press("c", 500)), "it has its answer")
 	assert.Empty(t, kinds(press("nobody", 500)))
 }
@@ -728,12 +728,12 @@
 	g := gateway(1, nil)
 	a := take(g, 2000, "a", "read")
 	full := a[0].GrantMB
-	a = g.Step(2010, &Event{Kind: Pressed, Request: "a", Start: pTop, Part: 0.5}, nil)
-	assert.Equal(t, []ActionKind{Terms}, kinds(a))
+	a = g.Step(2010, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: pTop, MemoryShare: 0.5}, nil)
+	assert.Equal(t, []ActionKind{SetResources}, kinds(a))
 	assert.Equal(t, []float64{full / 2, full / 2}, []float64{a[0].GrantMB, g.executors[0].memory})
-	a = g.Step(2020, &Event{Kind: Pressed, Request: "a"}, nil)
+	a = g.Step(2020, &Event{Kind: PriorityCapped, Request: "a"}, nil)
 	assert.Equal(t, full, a[0].GrantMB)
-	ended(g, 2030, "a", 0, Handled)
+	ended(g, 2030, "a", 0, Succeeded)
 	assert.Zero(t, g.executors[0].memory)
 }
 
@@ -742,21 +742,21 @@
 func TestWhatIsSentNowOrGivenBack(t *testing.T) {
 	g := gateway(1, Given{"kind.0.cores": 1.0, "ration_span_ms": 10000.0})
 	now := func(at float64, id string) []Action {
-		return g.Step(at, &Event{Kind: Taken, Request: id, Offering: "read", WorkMS: 100, Until: 9000, Now: true}, nil)
+		return g.Step(at, &Event{Kind: RequestArrived, Request: id, Class: "read", WorkMS: 100, Deadline: 9000, Immediate: true}, nil)
 	}
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(now(2000, "a")))
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(now(2000, "a")))
 	assert.Equal(t, 1, g.takes.count())
 	for n := range 3 {
 		a := now(2010+float64(n), "b")
-		assert.Equal(t, []ActionKind{Back}, kinds(a))
+		assert.Equal(t, []ActionKind{ReturnRequest}, kinds(a))
 		assert.Equal(t, "b", a[0].Request)
 	}
 	assert.Equal(t, 1, g.takes.count())
 	assert.Len(t, g.slab.byID, 1)
-	ended(g, 2100, "a", 0, Handled)
-	assert.Equal(t, []ActionKind{Terms, Send}, kinds(now(2200, "b")))
-	assert.Equal(t, []ActionKind{Deny}, kinds(g.Step(2300, &Event{Kind: Taken, Request: "c", Offering: "read", WorkMS: 100, Until: 2310,
-		Now: true}, nil)), "what can't be done in time is turned away, not given back")
+	ended(g, 2100, "a", 0, Succeeded)
+	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(now(2200, "b")))
+	assert.Equal(t, []ActionKind{Reject}, kinds(g.Step(2300, &Event{Kind: RequestArrived, Request: "c", Class: "read", WorkMS: 100, Deadline: 2310,
+		Immediate: true}, nil)), "what can't be done in time is turned away, not given back")
 }
 
 // A request that is pressed at the moment when its connection breaks is sent no second time for that: an irreversible one ends
@@ -765,10 +765,10 @@
 	for offering, want := range map[string]ActionKind{"once": Fail, "mark": Send} {
 		g := gateway(2, nil)
 		take(g, 2000, "a", offering)
-		g.Step(2010, &Event{Kind: Pressed, Request: "a", Start: 500, Part: 0.7}, nil)
-		a := ended(g, 2010, "a", 0, Severed)
+		g.Step(2010, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 500, MemoryShare: 0.7}, nil)
+		a := ended(g, 2010, "a", 0, ConnectionLost)
 		assert.Equal(t, want, a[len(a)-1].Kind, offering)
-		a = g.Step(2011, &Event{Kind: Pressed, Request: "a", Start: 0}, nil)
+		a = g.Step(2011, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 0}, nil)
 		assert.NotContains(t, kinds(a), Send, offering)
 	}
 }
@@ -780,24 +780,24 @@
 	e, o := &g.executors[0], &g.offerings[0]
 	o.usual, e.coldUntil = 100, 1e9
 	before := g.coldPart(e)
-	g.Step(1001, &Event{Kind: Counted, Value: 2}, nil)
+	g.Step(1001, &Event{Kind: ControllersCounted, Value: 2}, nil)
 	assert.Equal(t, 0.5, g.share())
 	assert.Equal(t, before, g.coldPart(e))
-	g.Step(1002, &Event{Kind: Counted, Value: 0}, nil)
+	g.Step(1002, &Event{Kind: ControllersCounted, Value: 0}, nil)
 	assert.Equal(t, 0.25, g.share(), "nothing is known")
 }
 
 // Places that are far get requests only where no near one has room, no more threads than are open there, none that it is not worth, and
 // none that would be late on the way; what runs on kinds that are nowhere near goes there as if it were near.
 func TestHowFarRequestsGo(t *testing.T) {
-	far := func(r Reach) *Gateway {
+	far := func(r ZoneReach) *Scheduler {
 		g := gateway(1, Given{"offering.2.kinds": []string{"odd"}})
-		g.Step(1000, &Event{Kind: Listed, Entries: []Entry{{Executor: 2, Place: "there", Kind: "big"}, {Executor: 3, Place: "there", Kind: "odd"}}}, nil)
-		r.Place, r.Tier = "there", 1
-		g.Step(1000, &Event{Kind: Opened, Reaches: []Reach{r}}, nil)
+		g.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Zone: "there", Kind: "big"}, {Executor: 3, Zone: "there", Kind: "odd"}}}, nil)
+		r.Zone, r.Tier = "there", 1
+		g.Step(1000, &Event{Kind: ReachabilityChanged, Reaches: []ZoneReach{r}}, nil)
 		return g
 	}
-	sent := func(g *Gateway, offering string, n int) (by [4]int) {
+	sent := func(g *Scheduler, offering string, n int) (by [4]int) {
 		for k := range n {
 			for _, a := range take(g, 1001, offering+string(rune('a'+k)), offering) {
 				if a.Kind == Send {
@@ -807,24 +807,24 @@
 		}
 		return by
 	}
-	shut := sent(far(Reach{}), "read", 24)
+	shut := sent(far(ZoneReach{}), "read", 24)
 	assert.Greater(t, shut[1], 7, "near ones as far as there is room")
 	assert.Zero(t, shut[2]+shut[3])
-	some := sent(far(Reach{Room: 3}), "read", 24)
+	some := sent(far(ZoneReach{Capacity: 3}), "read", 24)
 	assert.Equal(t, shut[1], some[1], "near ones first")
 	assert.Equal(t, 3, some[2]+some[3])
-	all := sent(far(Reach{Room: math.Inf(1)}), "read", 24)
+	all := sent(far(ZoneReach{Capacity: math.Inf(1)}), "read", 24)
 	assert.Equal(t, shut[1], all[1])
 	assert.Equal(t, 24-shut[1], all[2]+all[3])
-	assert.Zero(t, sent(far(Reach{Room: 9, Least: 1}), "read", 24)[2], "its gain for its work is a hundredth")
-	assert.Zero(t, sent(far(Reach{Room: 9, WayMS: 7900}), "read", 24)[2], "it has 8 s")
-	assert.Zero(t, sent(far(Reach{}), "once", 3)[3])
-	assert.Equal(t, 3, sent(far(Reach{Free: []string{"odd"}}), "once", 3)[3])
-	assert.Zero(t, sent(far(Reach{Free: []string{"odd"}}), "read", 24)[3], "others may run near")
-	g := far(Reach{Room: 1})
+	assert.Zero(t, sent(far(ZoneReach{Capacity: 9, MinDensity: 1}), "read", 24)[2], "its gain for its work is a hundredth")
+	assert.Zero(t, sent(far(ZoneReach{Capacity: 9, LatencyMS: 7900}), "read", 24)[2], "it has 8 s")
+	assert.Zero(t, sent(far(ZoneReach{}), "once", 3)[3])
+	assert.Equal(t, 3, sent(far(ZoneReach{ExclusiveKinds: []string{"odd"}}), "once", 3)[3])
+	assert.Zero(t, sent(far(ZoneReach{ExclusiveKinds: []string{"odd"}}), "read", 24)[3], "others may run near")
+	g := far(ZoneReach{Capacity: 1})
 	sent(g, "read", 24)
 	moved := 0
-	for _, a := range g.Step(1002, &Event{Kind: Opened}, nil) {
+	for _, a := range g.Step(1002, &Event{Kind: ReachabilityChanged}, nil) {
 		if a.Kind == Send && a.Executor > 1 {
 			moved++
 		}
@@ -839,14 +839,14 @@
 	for name, since := range map[string]float64{"an hour behind": now - hour, "right": now - 20, "an hour ahead": now + hour} {
 		g := New(7, given(nil))
 		g.began = -1e6
-		g.Step(now-5000, &Event{Kind: Listed, List: Restored, Entries: []Entry{{Executor: 1, Kind: "big"}, {Executor: 2, Kind: "big",
-			UpSince: now - hour/2}}}, nil)
+		g.Step(now-5000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big"}, {Executor: 2, Kind: "big",
+			StartedAt: now - hour/2}}}, nil)
 		assert.Zero(t, g.executors[0].coldUntil+g.executors[1].coldUntil, name)
-		g.Step(now, &Event{Kind: Listed, Entries: []Entry{{Executor: 3, Kind: "big", UpSince: since}}}, nil)
+		g.Step(now, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 3, Kind: "big", StartedAt: since}}}, nil)
 		assert.Equal(t, now+10000, g.executors[2].coldUntil, "%s: joined", name)
-		g.Step(now+10, &Event{Kind: Listed, Entries: []Entry{{Executor: 2, Kind: "big", UpSince: since}}}, nil)
+		g.Step(now+10, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Kind: "big", StartedAt: since}}}, nil)
 		assert.Equal(t, now+10010, g.executors[1].coldUntil, "%s: started anew", name)
-		g.Step(now+20, &Event{Kind: Listed, Entries: []Entry{{Executor: 2, Kind: "big", UpSince: since}}}, nil)
+		g.Step(now+20, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Kind: "big", StartedAt: since}}}, nil)
 		assert.Equal(t, now+10010, g.executors[1].coldUntil, "%s: told again", name)
 	}
 }
@@ -859,7 +859,7 @@
 		take(g, 1000, "a", offering)
 		for n := range 4 { // all executors, one after the other
 			at := 1000 + 500*float64(n)
-			assert.NotContains(t, kinds(ended(g, at, "a", n, Unsent)), Send, "not in the same moment")
+			assert.NotContains(t, kinds(ended(g, at, "a", n, LocalFailure)), Send, "not in the same moment")
 			assert.Contains(t, kinds(beat(g, at+450)), Send, offering)
 		}
 		for x := range g.executors {
@@ -867,13 +867,13 @@
 			assert.Zero(t, g.executors[x].bad)
 		}
 		assert.Zero(t, g.extras.count())
-		assert.Contains(t, kinds(ended(g, 3000, "a", 4, Refused)), map[string]ActionKind{"read": Deny, "once": Deny}[offering],
+		assert.Contains(t, kinds(ended(g, 3000, "a", 4, ConnectFailed)), map[string]ActionKind{"read": Reject, "once": Reject}[offering],
 			"the next one would be beyond the first")
 	}
 	g := gateway(2, nil)
 	take(g, 1000, "a", "read")
 	g.executors[0].probeOut = true
-	g.Step(1010, &Event{Kind: Probed, Executor: 1, Outcome: Unsent}, nil)
+	g.Step(1010, &Event{Kind: HealthChecked, Executor: 1, Outcome: LocalFailure}, nil)
 	assert.Equal(t, []any{false, false, 0.0}, []any{g.executors[0].probeOut, g.executors[0].missed, g.executors[0].restUntil})
 }
 
@@ -896,9 +896,9 @@
 						}
 						g := New(uint64(slot*3+turn+1), given(Given{"controllers": float64(n), "slot": float64(slot)}))
 						if g.began = -1e6; turn > 0 {
-							g.Step(900, &Event{Kind: Began}, nil)
+							g.Step(900, &Event{Kind: Started}, nil)
 						}
-						g.Step(1000, &Event{Kind: Listed, List: Restored, Entries: []Entry{{Executor: 1, Kind: "big", UpSince: 950}}}, nil)
+						g.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: 950}}}, nil)
 						e, o := &g.executors[0], &g.offerings[0]
 						o.usual, o.taken = usual, 50
 						for ; g.warmEnough(o, e); sent++ {
@@ -918,7 +918,7 @@
 	g := gateway(1, Given{"told_within_ms": 7000.0, "drain_grace_ms": 500.0})
 	e := &g.executors[0]
 	lose := func(now, deemed float64) {
-		g.Step(now, &Event{Kind: Listed, List: NoList, Until: 1400, Deemed: deemed}, nil)
+		g.Step(now, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedAt: deemed}, nil)
 	}
 	lose(1500, 3400)
 	assert.Equal(t, 3400+500-float64(closingMS), g.openUntil(e))
@@ -934,7 +934,7 @@
 		lose(6000, 9100+float64(k))
 	}
 	assert.Len(t, g.deemed, mostDeemed)
-	g.Step(7000, &Event{Kind: Listed, List: Changes}, nil)
+	g.Step(7000, &Event{Kind: EndpointsUpdated, List: ListDelta}, nil)
 	assert.True(t, math.IsInf(g.openUntil(e), 1))
 }
 
@@ -943,19 +943,19 @@
 	for _, n := range []int{80, 300, 508, 509, 3200} {
 		g := New(7, given(Given{"may_tell": true, "controllers": 900.0, "slot": 0.0, "offering.0.threads": 1.0}))
 		g.began = -1e6
-		var list []Entry
+		var list []Endpoint
 		for x := range n {
-			list = append(list, Entry{Executor: uint32(x)*2654435761 + 1, Kind: "big"})
+			list = append(list, Endpoint{Executor: uint32(x)*2654435761 + 1, Kind: "big"})
 		}
-		g.Step(1000, &Event{Kind: Listed, List: Restored, Entries: list}, nil)
+		g.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
 		for x := range g.executors {
 			g.executors[x].threads, g.executors[x].out = 1, 1
 		}
 		told := 0
 		for _, a := range beat(g, 2000) {
-			if a.Kind == Tell {
+			if a.Kind == SendPeer {
 				told++
-				assert.LessOrEqual(t, len(a.Data), 256, "%d executors", n)
+				assert.LessOrEqual(t, len(a.Payload), 256, "%d executors", n)
 			}
 		}
 		assert.Equal(t, n <= 508, told > 0, "%d executors", n)
@@ -973,7 +973,7 @@
 		{hour + 60000, false}, {-4000, true}, {-hour, true}, {-hour + 3000, true}, {30 * hour, false}} {
 		g := New(7, given(nil))
 		g.began = -1e6
-		g.Step(now, &Event{Kind: Listed, List: Restored, Entries: []Entry{{Executor: 1, Kind: "big", UpSince: now - c.age}}}, nil)
+		g.Step(now, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: now - c.age}}}, nil)
 		assert.Equal(t, c.cold, g.executors[0].coldUntil > now, "%v ms old by the clocks", c.age)
 	}
 }
