--- a/scheduler/slab.go
+++ b/scheduler/slab.go
@@ -25,16 +25,16 @@
 	share    float64 // share done, as last noted
 	grant    float64
 	threads  int
-	waits    NoteKind // 0: runs; else Waits
-	out      bool     // no outcome yet
-	doubt    bool     // out, or ended without proof that it never ran
+	waits    ProgressKind // 0: runs; else Waits
+	out      bool         // no outcome yet
+	doubt    bool         // out, or ended without proof that it never ran
 }
 
 // request is one place of the slab.
 type request struct {
 	id       string
 	key      string
-	prior    Prior // what may have run under its mark
+	prior    PriorAttempt // what may have run under its mark
 	offering int
 	group    uint64
 	need     float64
@@ -94,15 +94,15 @@
 }
 
 // hold takes a request of the offering at k in hand.
-func (g *Gateway) hold(ev *Event, k int) *request {
+func (g *Scheduler) hold(ev *Event, k int) *request {
 	s := &g.slab.places[g.slab.take(ev.Request)]
 	g.seq++
-	s.seq, s.offering, s.group, s.until = g.seq, k, ev.Group, ev.Until
+	s.seq, s.offering, s.group, s.until = g.seq, k, ev.TableGroup, ev.Deadline
 	if g.offerings[k].inOrder {
-		s.key = ev.Key
+		s.key = ev.OrderKey
 	}
-	s.need, s.estimate, s.work, s.prior = ev.NeedMB, ev.WorkMS, ev.WorkMS, ev.Prior
-	s.start, s.part, s.now = ev.Start, ev.Part, ev.Now
+	s.need, s.estimate, s.work, s.prior = ev.MemoryMB, ev.WorkMS, ev.WorkMS, ev.Prior
+	s.start, s.part, s.now = ev.PriorityCap, ev.MemoryShare, ev.Immediate
 	if !s.now { // else it counts once it is sent
 		g.takes.add(g.now, 1)
 	}
@@ -185,11 +185,11 @@
 	state  state
 	input  input
 	next   state
-	effect func(*Gateway, int)
+	effect func(*Scheduler, int)
 }
 
 // turn plays an input to what stands at i, by the table, and tells whether a row was found.
-func (g *Gateway) turn(table []row, st *state, in input, i int) bool {
+func (g *Scheduler) turn(table []row, st *state, in input, i int) bool {
 	for k := range table {
 		if r := &table[k]; r.input == in && (r.state == *st || r.state == anyState) {
 			*st = r.next
@@ -204,9 +204,9 @@
 }
 
 // request plays an input to a request, judge to an executor; do adds an action.
-func (g *Gateway) request(i int, in input) { g.turn(requestTable, &g.slab.places[i].state, in, i) }
-func (g *Gateway) judge(x int, in input)   { g.turn(executorTable, &g.executors[x].state, in, x) }
-func (g *Gateway) do(a Action)             { g.out = append(g.out, a) }
+func (g *Scheduler) request(i int, in input) { g.turn(requestTable, &g.slab.places[i].state, in, i) }
+func (g *Scheduler) judge(x int, in input)   { g.turn(executorTable, &g.executors[x].state, in, x) }
+func (g *Scheduler) do(a Action)             { g.out = append(g.out, a) }
 
 // verdict is the answer to whether an attempt may be sent.
 type verdict uint8
@@ -245,7 +245,7 @@
 	cell       int64
 	cores, ram float64
 	part       float64 // this controller's part of it
-	standing   Standing
+	standing   Availability
 	upSince    float64
 	tookAt     float64 // when the latest attempt was sent that it took: one that drains turns away what is new
 	state      state
@@ -295,8 +295,8 @@
 	until    float64
 }
 
-// Gateway is one instance.
-type Gateway struct {
+// Scheduler is one instance.
+type Scheduler struct {
 	given      Given
 	usedOften  // of the settings
 	seed       uint64
@@ -339,7 +339,7 @@
 
 // pack appends to the mail what is out at an executor: 12 bits of its id, 6 of threads, 6 of memory as a
 // share, rounded by chance so that sums are right.
-func (g *Gateway) pack(e *executor, threads int) {
+func (g *Scheduler) pack(e *executor, threads int) {
 	if threads > 0 && len(g.mail)+3 <= mostTold {
 		share := math.Floor(64*e.memory/e.ram + g.chance())
 		n := e.tag()<<12 | uint32(min(63, threads))<<6 | uint32(min(63, share))
@@ -348,7 +348,7 @@
 }
 
 // fitsTelling tells whether the level of each executor that is listed fits a message.
-func (g *Gateway) fitsTelling() bool {
+func (g *Scheduler) fitsTelling() bool {
 	active := 0
 	for x := range g.executors {
 		active += count(g.executors[x].standing == Active)
@@ -359,20 +359,20 @@
 func (e *executor) tag() uint32 { return e.id * 0x9E3779B1 >> 20 }
 
 // post sends the mail to the first n controllers and tells whether this is one of them.
-func (g *Gateway) post(n int) (here bool) {
+func (g *Scheduler) post(n int) (here bool) {
 	for p := range min(n, int(g.given.Num("controllers", 1))) {
 		if p == int(g.given.Num("slot", 0)) {
 			here = true
 			g.heard(p, g.mail)
 		} else {
-			g.do(Action{Kind: Tell, Peer: p, Data: g.mail})
+			g.do(Action{Kind: SendPeer, Peer: p, Payload: g.mail})
 		}
 	}
 	return here
 }
 
 // addUp sums what the controllers told of each executor after since.
-func (g *Gateway) addUp(since float64) {
+func (g *Scheduler) addUp(since float64) {
 	for x := range g.executors {
 		g.executors[x].sum, g.executors[x].sumMemory = 0, 0
 	}
@@ -390,7 +390,7 @@
 }
 
 // byID gives the active executors in the order of their ids, and a check on which they are.
-func (g *Gateway) byID() (ordered []int, check byte) {
+func (g *Scheduler) byID() (ordered []int, check byte) {
 	for x := range g.executors {
 		if g.executors[x].standing == Active {
 			ordered = append(ordered, x)
@@ -402,7 +402,7 @@
 }
 
 // publish sends the level of each executor to all, in four bits.
-func (g *Gateway) publish() {
+func (g *Scheduler) publish() {
 	ordered, check := g.byID()
 	g.levels = append(g.levels[:0], 1, check)
 	for k, x := range ordered {
@@ -413,12 +413,12 @@
 			g.levels[len(g.levels)-1] |= level << 4
 		}
 	}
-	g.do(Action{Kind: Tell, Peer: -1, Data: g.levels})
+	g.do(Action{Kind: SendPeer, Peer: -1, Payload: g.levels})
 	g.heard(int(g.given.Num("slot", 0)), g.levels)
 }
 
 // unpublish files a mail, or reads levels that are of the executors listed here and tells so.
-func (g *Gateway) unpublish(from int, data []byte) bool {
+func (g *Scheduler) unpublish(from int, data []byte) bool {
 	ordered, check := g.byID()
 	switch {
 	case from >= 0 && from < int(g.given.Num("controllers", 1)) && len(data) > 0 && data[0] == 0:
@@ -441,8 +441,8 @@
 	mail []byte
 }
 
-// Beliefs appends what is held of each executor that is listed or has attempts out.
-func (g *Gateway) Beliefs(now float64, out []Belief) []Belief {
+// ExecutorViews appends what is held of each executor that is listed or has attempts out.
+func (g *Scheduler) ExecutorViews(now float64, out []ExecutorView) []ExecutorView {
 	since := func(at float64) float64 {
 		if at == 0 {
 			return -1
@@ -450,9 +450,9 @@
 		return now - at
 	}
 	for x := range g.executors {
-		if e := &g.executors[x]; e.standing != Gone || e.out > 0 {
-			out = append(out, Belief{Executor: e.id, Out: e.out, Threads: e.threads, Bad: e.bad, Standing: e.standing,
-				Aside: e.state == aside, Strikes: e.strikes, Cold: now < e.coldUntil, ColdTo: e.coldUntil, HeardMS: since(e.heard), ReportMS: since(e.seenAt)})
+		if e := &g.executors[x]; e.standing != Removed || e.out > 0 {
+			out = append(out, ExecutorView{Executor: e.id, InFlight: e.out, Threads: e.threads, ConsecutiveFailures: e.bad, Availability: e.standing,
+				Ejected: e.state == aside, Ejections: e.strikes, WarmingUp: now < e.coldUntil, WarmupUntil: e.coldUntil, SinceSignMS: since(e.heard), SinceReportMS: since(e.seenAt)})
 		}
 	}
 	return out
@@ -473,29 +473,29 @@
 // ranName is the name of a finished request's running time among figures: the onset is read from those.
 const ranName = "ran"
 
-// Learnt appends what this instance has learnt, the last running times oldest first.
-func (g *Gateway) Learnt(out []Figure) []Figure {
+// Estimates appends what this instance has learnt, the last running times oldest first.
+func (g *Scheduler) Estimates(out []Estimate) []Estimate {
 	for k := range g.offerings {
 		for f := range facts {
-			out = append(out, Figure{g.offerings[k].name + "." + facts[f].name, *facts[f].of(&g.offerings[k])})
+			out = append(out, Estimate{g.offerings[k].name + "." + facts[f].name, *facts[f].of(&g.offerings[k])})
 		}
 	}
 	ran := g.finished.live()
 	for _, ms := range ran[max(0, len(ran)-keptRuns):] {
-		out = append(out, Figure{ranName, ms})
+		out = append(out, Estimate{ranName, ms})
 	}
 	return out
 }
 
 // recount takes over the counts of the ration, and what Learnt gave; what can't be, is left out.
-func (g *Gateway) recount(ev *Event) {
-	for _, at := range ev.Takes {
+func (g *Scheduler) recount(ev *Event) {
+	for _, at := range ev.Arrivals {
 		g.takes.add(at, 1)
 	}
-	for _, at := range ev.Extras {
+	for _, at := range ev.Retries {
 		g.extras.add(at, 1)
 	}
-	for _, f := range ev.Figures {
+	for _, f := range ev.Estimates {
 		if !(f.Value > 0) || math.IsInf(f.Value, 0) {
 			continue
 		}
@@ -515,8 +515,8 @@
 }
 
 // New starts an instance with nothing but its settings and its seed.
-func New(seed uint64, given Given) *Gateway {
-	g := &Gateway{given: given, usedOften: readOften(given), seed: seed, slab: newSlab(), rests: map[string]float64{},
+func New(seed uint64, given Given) *Scheduler {
+	g := &Scheduler{given: given, usedOften: readOften(given), seed: seed, slab: newSlab(), rests: map[string]float64{},
 		closing: math.Inf(1)}
 	g.reckonShare()
 	for i := 0; ; i++ {
@@ -543,13 +543,13 @@
 }
 
 // chance draws a number from 0 up to 1.
-func (g *Gateway) chance() float64 {
+func (g *Scheduler) chance() float64 {
 	g.draws++
 	return g.odds(uint64(g.draws))
 }
 
 // odds is the number from 0 up to 1 that stands at n.
-func (g *Gateway) odds(n uint64) float64 {
+func (g *Scheduler) odds(n uint64) float64 {
 	var b [16]byte
 	for k := range 8 {
 		b[k] = byte(g.seed >> (8 * k))
@@ -561,10 +561,10 @@
 }
 
 // share is this controller's part of the traffic.
-func (g *Gateway) share() float64 { return g.traffic }
+func (g *Scheduler) share() float64 { return g.traffic }
 
 // reckonShare reckons this controller's share, and its part of each executor, anew.
-func (g *Gateway) reckonShare() {
+func (g *Scheduler) reckonShare() {
 	g.traffic = 1 / max(1, cmp.Or(g.present, g.given.Num("controllers", 1)))
 	for x := range g.executors {
 		g.executors[x].part = partOf(g.traffic, g.executors[x].cores)
@@ -572,7 +572,7 @@
 }
 
 // release frees a request that is over once all its attempts have their outcome.
-func (g *Gateway) release(i int) {
+func (g *Scheduler) release(i int) {
 	if s := &g.slab.places[i]; s.used && s.state == over && s.out == 0 {
 		g.slab.drop(i)
 		g.dirty = true
@@ -580,15 +580,15 @@
 }
 
 // reported gives the figure of a load report that goes by a name, or 0.
-func (g *Gateway) reported(ev *Event, name string) float64 {
-	if k := slices.Index(g.given.Names("report"), name); k >= 0 && k < len(ev.Report) {
-		return ev.Report[k]
+func (g *Scheduler) reported(ev *Event, name string) float64 {
+	if k := slices.Index(g.given.Names("report"), name); k >= 0 && k < len(ev.LoadReport) {
+		return ev.LoadReport[k]
 	}
 	return 0
 }
 
 // quiet is how long an executor with attempts out has shown no sign of work.
-func (g *Gateway) quiet(e *executor) float64 {
+func (g *Scheduler) quiet(e *executor) float64 {
 	if e.out == 0 {
 		return 0
 	}
@@ -596,7 +596,7 @@
 }
 
 // at gives the place of an executor, or -1.
-func (g *Gateway) at(id uint32) int {
+func (g *Scheduler) at(id uint32) int {
 	for x := range g.executors {
 		if g.executors[x].id == id {
 			return x
@@ -606,7 +606,7 @@
 }
 
 // enter gives the place of a listed executor, which starts as fresh if it is new.
-func (g *Gateway) enter(n *Entry, fresh executor) int {
+func (g *Scheduler) enter(n *Endpoint, fresh executor) int {
 	x := g.at(n.Executor)
 	if x < 0 {
 		if x = g.vacant(); x == len(g.executors) {
@@ -623,24 +623,24 @@
 
 // vacant gives the first place of an executor that is gone and that no request in hand names, or the end: ids are
 // always new, so places that were never used again would grow without end.
-func (g *Gateway) vacant() int {
+func (g *Scheduler) vacant() int {
 	x := 0
-	for x < len(g.executors) && (g.executors[x].standing != Gone || g.executors[x].out > 0 || g.named(x)) {
+	for x < len(g.executors) && (g.executors[x].standing != Removed || g.executors[x].out > 0 || g.named(x)) {
 		x++
 	}
 	return x
 }
 
 // named tells whether a request in hand had an attempt at x.
-func (g *Gateway) named(x int) bool {
+func (g *Scheduler) named(x int) bool {
 	return slices.ContainsFunc(g.slab.places, func(s request) bool {
 		return s.used && slices.ContainsFunc(s.attempts[:s.fired], func(h attempt) bool { return h.executor == x })
 	})
 }
 
 // read takes over what the list says of an executor's machine.
-func (e *executor) read(given Given, n *Entry) {
-	e.place, e.kind, e.cell = n.Place, n.Kind, n.Cell
+func (e *executor) read(given Given, n *Endpoint) {
+	e.place, e.kind, e.cell = n.Zone, n.Kind, n.Cell
 	e.cores, e.ram = 1, math.MaxFloat64
 	for j := 0; given.Text("kind."+strconv.Itoa(j)+".name") != ""; j++ {
 		if at := "kind." + strconv.Itoa(j) + "."; given.Text(at+"name") == n.Kind {
@@ -650,7 +650,7 @@
 }
 
 // lend counts an attempt of s as out, settle as back.
-func (g *Gateway) lend(s *request, x int, grant float64) *attempt {
+func (g *Scheduler) lend(s *request, x int, grant float64) *attempt {
 	e, h, threads := &g.executors[x], &s.attempts[s.fired], g.offerings[s.offering].threads
 	*h = attempt{executor: x, sent: g.now, noted: g.now, threads: threads, grant: grant, out: true, doubt: true}
 	if s.begun() > 0 {
@@ -670,7 +670,7 @@
 }
 
 // regrant books the memory that a running request is to have now, and names it where that is another amount.
-func (g *Gateway) regrant(s *request) {
+func (g *Scheduler) regrant(s *request) {
 	h := s.last()
 	e := &g.executors[h.executor]
 	was := h.grant
@@ -681,17 +681,17 @@
 }
 
 // line counts an attempt as standing in a line of its executor, or not.
-func (g *Gateway) line(h *attempt, waits bool) {
+func (g *Scheduler) line(h *attempt, waits bool) {
 	e := &g.executors[h.executor]
 	if h.waits != 0 {
 		h.waits, e.lined = 0, e.lined-1
 	}
 	if waits {
-		h.waits, e.lined = Waits, e.lined+1
+		h.waits, e.lined = Waiting, e.lined+1
 	}
 }
 
-func (g *Gateway) settle(s *request, h *attempt, doubt bool) {
+func (g *Scheduler) settle(s *request, h *attempt, doubt bool) {
 	e := &g.executors[h.executor]
 	g.line(h, false)
 	h.out, h.doubt = false, doubt
@@ -701,7 +701,7 @@
 
 // returning counts the requests whose attempt was lost or called off and that wait for their next one. Whoever is called off
 // besides them needs one more: without it an attempt would be thrown away that might still have been handled.
-func (g *Gateway) returning() (n int) {
+func (g *Scheduler) returning() (n int) {
 	for i := range g.slab.places {
 		s := &g.slab.places[i]
 		n += count(s.used && s.begun() > 0 && (s.state == waiting || s.state == recalling))
@@ -710,12 +710,12 @@
 }
 
 // holds tells whether a load is known to hold a group on an executor.
-func (g *Gateway) holds(group uint64, x int) bool {
+func (g *Scheduler) holds(group uint64, x int) bool {
 	return slices.ContainsFunc(g.held, func(h holding) bool { return h.group == group && h.executor == x })
 }
 
 // shotOf gives the place of a request and the attempt of it that an event speaks of, or nil if that is not out.
-func (g *Gateway) attemptOf(ev *Event) (int, *attempt) {
+func (g *Scheduler) attemptOf(ev *Event) (int, *attempt) {
 	i, ok := g.slab.find(ev.Request)
 	if !ok || ev.Attempt < 0 || ev.Attempt >= g.slab.places[i].fired || !g.slab.places[i].attempts[ev.Attempt].out {
 		return i, nil
@@ -724,15 +724,15 @@
 }
 
 // doubts gives what may have run of a request: another one of its mark, then its own attempts.
-func (g *Gateway) doubts(s *request) iter.Seq[Prior] {
-	return func(yield func(Prior) bool) {
+func (g *Scheduler) doubts(s *request) iter.Seq[PriorAttempt] {
+	return func(yield func(PriorAttempt) bool) {
 		if s.prior.At != 0 && !yield(s.prior) || g.offerings[s.offering].effect == "redoable" {
 			return
 		}
 		for k := range s.fired {
 			if h := &s.attempts[k]; h.doubt {
 				e := &g.executors[h.executor]
-				if !yield(Prior{h.sent, e.place, e.cell}) {
+				if !yield(PriorAttempt{h.sent, e.place, e.cell}) {
 					return
 				}
 			}
@@ -744,7 +744,7 @@
 func (s *request) begun() int { return s.fired - s.unsent }
 
 // neverLeft takes back what was counted for the latest attempt of s, as it never left, and has the next one wait a while.
-func (g *Gateway) neverLeft(s *request, h *attempt) {
+func (g *Scheduler) neverLeft(s *request, h *attempt) {
 	s.unsent++
 	if s.begun() > 0 {
 		g.extras.remove(h.sent)
@@ -756,7 +756,7 @@
 func (s *request) last() *attempt { return &s.attempts[s.fired-1] }
 
 // earlier tells whether an earlier request of the same key is still in hand.
-func (g *Gateway) earlier(s *request) bool {
+func (g *Scheduler) earlier(s *request) bool {
 	for k := range g.slab.places {
 		if t := &g.slab.places[k]; t.used && t.seq < s.seq && t.key == s.key {
 			return true
@@ -767,25 +767,25 @@
 
 // reached is a place that is not simply near, with the threads of this instance's attempts there.
 type reached struct {
-	Reach
+	ZoneReach
 	out int
 }
 
 // reach takes over how far places are.
-func (g *Gateway) reach(list []Reach) {
+func (g *Scheduler) reach(list []ZoneReach) {
 	g.reaches, g.dirty = g.reaches[:0], true
 	for _, r := range list {
-		g.reaches = append(g.reaches, reached{Reach: r})
+		g.reaches = append(g.reaches, reached{ZoneReach: r})
 	}
 	g.recountOut()
 }
 
 // recountOut counts what is out at each place: executors may have come, or moved.
-func (g *Gateway) recountOut() {
+func (g *Scheduler) recountOut() {
 	for k := range g.reaches {
 		g.reaches[k].out = 0
 		for x := range g.executors {
-			if g.executors[x].place == g.reaches[k].Place {
+			if g.executors[x].place == g.reaches[k].Zone {
 				g.reaches[k].out += g.executors[x].threads
 			}
 		}
@@ -793,18 +793,18 @@
 }
 
 // lent counts threads that went out to a place, or came back.
-func (g *Gateway) lent(place string, threads int) {
+func (g *Scheduler) lent(place string, threads int) {
 	for k := range g.reaches {
-		if g.reaches[k].Place == place {
+		if g.reaches[k].Zone == place {
 			g.reaches[k].out += threads
 		}
 	}
 }
 
 // far gives how far a place is for an offering, or nil: it is near.
-func (g *Gateway) far(o *offering, place string) *reached {
+func (g *Scheduler) far(o *offering, place string) *reached {
 	for k := range g.reaches {
-		if r := &g.reaches[k]; r.Place == place && !r.free(o) {
+		if r := &g.reaches[k]; r.Zone == place && !r.free(o) {
 			return r
 		}
 	}
@@ -819,15 +819,15 @@
 }
 
 // free tells whether an offering runs on kinds alone that are free at a place.
-func (r *Reach) free(o *offering) bool {
-	return o.kinds != nil && len(r.Free) > 0 && !slices.ContainsFunc(o.kinds, func(k string) bool { return !slices.Contains(r.Free, k) })
+func (r *ZoneReach) free(o *offering) bool {
+	return o.kinds != nil && len(r.ExclusiveKinds) > 0 && !slices.ContainsFunc(o.kinds, func(k string) bool { return !slices.Contains(r.ExclusiveKinds, k) })
 }
 
 // among tells whether a name is in a list that binds; no list binds nothing.
 func among(list []string, name string) bool { return list == nil || slices.Contains(list, name) }
 
 // gather starts a pass: it collects what waits and where loads hold their groups.
-func (g *Gateway) gather() {
+func (g *Scheduler) gather() {
 	g.dirty, g.placedAt, g.full = false, g.now, false
 	g.waiting = g.waiting[:0]
 	g.seen = slices.DeleteFunc(g.seen, func(h holding) bool { return h.until <= g.now })
@@ -847,7 +847,7 @@
 }
 
 // endRests forgets the keys that rest no longer.
-func (g *Gateway) endRests() {
+func (g *Scheduler) endRests() {
 	for key, until := range g.rests {
 		if g.now >= until {
 			delete(g.rests, key)
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -19,34 +19,34 @@
 // clocks may have been stepped, so a start is told by another figure than before, or by an executor that
 // joins, whatever the figure. Only where the list of this instance's own start brings it, its figure is all
 // there is: what started long ago is warm.
-func (g *Gateway) startedAnew(n *Entry, e *executor, known bool, list ListKind) bool {
+func (g *Scheduler) startedAnew(n *Endpoint, e *executor, known bool, list ListKind) bool {
 	switch {
-	case n.UpSince == 0 || known && n.UpSince == e.upSince:
+	case n.StartedAt == 0 || known && n.StartedAt == e.upSince:
 		return false
-	case !known && list == Restored:
-		return g.mayBeCold(g.now - n.UpSince)
+	case !known && list == ListRestored:
+		return g.mayBeCold(g.now - n.StartedAt)
 	}
 	return true
 }
 
 // mayBeCold tells whether a start so long ago by the wall clocks may lie within the warm-up: they may have
 // been stepped since, by some seconds or by an hour.
-func (g *Gateway) mayBeCold(age float64) bool {
+func (g *Scheduler) mayBeCold(age float64) bool {
 	warm := g.given.Num("warm_up_ms", 0) + stepMS
 	return age < warm || age > hourMS-stepMS && age < hourMS+warm
 }
 
 // startOf is the clock before which attempts were an earlier process's: the start told, where that fits this
 // machine's clock.
-func (g *Gateway) startOf(n *Entry) float64 {
-	if age := g.now - n.UpSince; age >= 0 && age <= g.given.Num("warm_up_ms", 0) {
-		return n.UpSince
+func (g *Scheduler) startOf(n *Endpoint) float64 {
+	if age := g.now - n.StartedAt; age >= 0 && age <= g.given.Num("warm_up_ms", 0) {
+		return n.StartedAt
 	}
 	return g.now
 }
 
 // chill takes an executor as cold from now on: it fell silent and may have started anew, list or no list.
-func (g *Gateway) chill(x int) {
+func (g *Scheduler) chill(x int) {
 	e := &g.executors[x]
 	e.coldUntil = g.now + g.given.Num("warm_up_ms", 0)
 	e.heard, e.busySince, e.bad, e.pace, e.missed, e.proven = g.now, g.now, 0, 1, false, false
@@ -55,7 +55,7 @@
 
 // warmEnough tells whether a request fits this part of what a cold executor may be sent at its least
 // capacity; it weighs what is usual. The parts of all controllers add up to the budget, whatever each sends.
-func (g *Gateway) warmEnough(o *offering, e *executor) bool {
+func (g *Scheduler) warmEnough(o *offering, e *executor) bool {
 	since := g.now - g.given.Num("fall_ms", 2000) - beatMS
 	e.coldSent.forget(since, 0)
 	part := g.coldPart(e)
@@ -68,7 +68,7 @@
 // partAnew is what a controller just started may use of its part, so that all of them, started anew
 // coldStarts times within the window, stay below a fall: a share of it, or, where that holds no request, all
 // of it by chance.
-func (g *Gateway) partAnew(o *offering, e *executor, part float64) float64 {
+func (g *Scheduler) partAnew(o *offering, e *executor, part float64) float64 {
 	requests := g.coldBudget(e) / g.usualWork(o)
 	slack := 2*math.Sqrt(requests) + 2
 	if requests < 30 {
@@ -85,14 +85,14 @@
 }
 
 // coldBudget is the work, in ms, that a cold executor stands within the window at its least capacity.
-func (g *Gateway) coldBudget(e *executor) float64 {
+func (g *Scheduler) coldBudget(e *executor) float64 {
 	capacity := g.given.Num("cold_from", 0.1) * e.cores
 	return g.given.Num("fall_multiple", 1) * capacity * g.given.Num("fall_ms", 2000)
 }
 
 // usualWork is the mean work of a request, in ms, over all that were taken; that of an offering where none
 // were.
-func (g *Gateway) usualWork(o *offering) float64 {
+func (g *Scheduler) usualWork(o *offering) float64 {
 	work, taken := 0.0, 0.0
 	for k := range g.offerings {
 		work, taken = work+g.offerings[k].usual*g.offerings[k].taken, taken+g.offerings[k].taken
@@ -106,7 +106,7 @@
 // coldPart is that part, in ms of work. Where an even one holds no request of the largest kind, about half
 // of the budget is dealt in pieces for these, the rest in pieces for the smallest kind, each to one
 // controller.
-func (g *Gateway) coldPart(e *executor) (part float64) {
+func (g *Scheduler) coldPart(e *executor) (part float64) {
 	budget := coldMargin * g.coldBudget(e)
 	n := max(1, g.given.Num("controllers", 1))
 	turn := math.Mod(g.given.Num("slot", 0)+float64(e.id), n)
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -1,50 +1,50 @@
 package scheduler
 
 // Step takes one event and appends what is to be done about it.
-func (g *Gateway) Step(now float64, ev *Event, out []Action) []Action {
+func (g *Scheduler) Step(now float64, ev *Event, out []Action) []Action {
 	g.now, g.out = now, out
 	switch ev.Kind {
-	case Began:
+	case Started:
 		g.began = now
-		g.do(Action{Kind: Wake, AfterMS: beatMS})
-	case Listed:
+		g.do(Action{Kind: SetTimer, AfterMS: beatMS})
+	case EndpointsUpdated:
 		g.list(ev)
-	case Taken:
+	case RequestArrived:
 		g.take(ev)
-	case Left:
+	case ClientLeft:
 		if i, ok := g.slab.find(ev.Request); ok && ev.HalfClosed {
 			g.request(i, hopeless)
 		} else if ok {
 			g.request(i, finished)
 		}
-	case Ended, Noted, Streaming:
-		if i, h := g.attemptOf(ev); h != nil && ev.Kind == Ended {
+	case AttemptEnded, ProgressReported, ResponseStarted:
+		if i, h := g.attemptOf(ev); h != nil && ev.Kind == AttemptEnded {
 			g.ended(i, h, ev)
-		} else if h != nil && ev.Kind == Noted {
+		} else if h != nil && ev.Kind == ProgressReported {
 			g.note(i, h, ev)
 		} else if h != nil {
 			g.slab.places[i].bound = true
 		}
-	case Probed:
+	case HealthChecked:
 		g.probed(ev)
-	case Rang:
+	case TimerFired:
 		g.beat()
 		g.tell()
-	case Pressed:
+	case PriorityCapped:
 		if i, ok := g.slab.find(ev.Request); ok {
 			g.press(i, ev)
 		}
-	case Kept:
+	case StateRestored:
 		g.recall(ev)
-	case Closing:
-		g.stop(ev.Until)
-	case Counted:
+	case ShutdownStarted:
+		g.stop(ev.Deadline)
+	case ControllersCounted:
 		g.present = ev.Value
 		g.reckonShare()
-	case Opened:
+	case ReachabilityChanged:
 		g.reach(ev.Reaches)
-	case Heard:
-		g.heard(ev.FromPeer, ev.Data)
+	case PeerMessage:
+		g.heard(ev.FromPeer, ev.Payload)
 	}
 	if g.dirty && g.placeNow() {
 		g.place()
