--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -19,8 +19,8 @@
 	actions   []scheduler.Action
 }
 
-func (h *hall) Attach(instance int, seed uint64, given scheduler.Given) error {
-	h.instances[instance] = scheduler.New(seed, given)
+func (h *hall) Attach(instance int, seed uint64, settings scheduler.Settings) error {
+	h.instances[instance] = scheduler.New(seed, settings)
 	return nil
 }
 
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"runtime"
 
 	"github.com/sirupsen/logrus"
@@ -16,9 +15,9 @@
 	"liftshift/internal/operatorconfig"
 	"liftshift/internal/retry"
 	"liftshift/internal/service"
+	"liftshift/internal/settings"
 	"liftshift/internal/store"
 	"liftshift/internal/vfs"
-	"liftshift/scheduler"
 )
 
 // Extensions is what an operators' file makes of a controller.
@@ -49,19 +48,19 @@
 
 // Open opens the store, if there is to be one, and gives the desk its parts: first the one that asks others, then the budgets, then the
 // memory.
-func (i *Extensions) Open(name string, d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error {
+func (i *Extensions) Open(name string, d *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error {
 	i.desk, i.log = d, log
 	if i.file.Quotas != nil {
-		t, err := newTeams(clock.Now(), i.file.Quotas, given)
+		t, err := newTeams(clock.Now(), i.file.Quotas, &platform.Scheduler)
 		if err != nil {
 			return fmt.Errorf("budgets: %w", err)
 		}
 		i.team = t
 	}
-	if err := i.openStore(d, given, clock); err != nil {
+	if err := i.openStore(d, platform, clock); err != nil {
 		return err
 	}
-	if err := i.openFleet(name, given, clock); err != nil {
+	if err := i.openFleet(name, platform, clock); err != nil {
 		return err
 	}
 	if i.heirs != nil {
@@ -85,7 +84,7 @@
 // and what is ready to run would wait for the disk meanwhile. It is no more processor time: a sync takes none.
 const syncSlots = 2
 
-func (i *Extensions) openStore(d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock) error {
+func (i *Extensions) openStore(d *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock) error {
 	s, log := i.file.Store, i.log
 	if s == nil {
 		return nil
@@ -97,7 +96,7 @@
 	var k *ledgerstore.Store
 	var found store.Recovery
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = ledgerstore.Open(vfs.WithFaults(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, ledgerGiven(given, s, i.file.Handoff), clock.Now,
+		k, found, err = ledgerstore.Open(vfs.WithFaults(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, *ledgerSettings(platform, s, i.file.Handoff), clock.Now,
 			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
 		return err
 	}, vfs.ErrInUse)
@@ -115,14 +114,14 @@
 	return nil
 }
 
-// ledgerGiven is what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerGiven(given scheduler.Given, s *operatorconfig.Store, e *operatorconfig.Handoff) scheduler.Given {
-	g := maps.Clone(given)
-	maps.Copy(g, s.Given)
-	if e != nil { // what was open at a crash is its heirs' to end
-		g["inherited"], g["leaves_at_once"] = true, !e.WaitForOwnDisk
-	}
-	return g
+// ledgerSettings returns what the ledger goes by: the platform's settings, and the operators' own.
+func ledgerSettings(platform *settings.Settings, s *operatorconfig.Store, h *operatorconfig.Handoff) *ledger.Settings {
+	of := &ledger.Settings{Classes: platform.Scheduler.Classes, RetryBudget: platform.Scheduler.RetryBudget,
+		RetryAfterMS: platform.Scheduler.LongestRetryAfterMS(), RememberMS: s.RememberMS, MaxAnswerBytes: s.MaxAnswerBytes, MaxRecords: s.MaxRecords}
+	if h != nil { // what was open at a crash is for the successors to end
+		of.SuccessorsResume, of.SkipDiskWait = true, !h.WaitForOwnDisk
+	}
+	return of
 }
 
 // Start tells the module what it needs from before, ahead of all else.
@@ -136,14 +135,14 @@
 }
 
 // Reload reads the file again.
-func (i *Extensions) Reload(given scheduler.Given) (func() []string, error) {
+func (i *Extensions) Reload(platform *settings.Settings) (func() []string, error) {
 	next, err := operatorconfig.Read(i.file.Path)
 	if err != nil {
 		return nil, err
 	}
 	return func() []string {
 		if i.keep != nil && next.Store != nil {
-			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Given: ledgerGiven(given, next.Store, i.file.Handoff)}})
+			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Settings: ledgerSettings(platform, next.Store, i.file.Handoff)}})
 		}
 		if i.team != nil && next.Quotas != nil && i.file.Quotas.SameTree(next.Quotas) {
 			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Quotas) }})
--- a/internal/assembly/budgets.go
+++ b/internal/assembly/budgets.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"strconv"
 
 	"liftshift/internal/dispatch"
 	"liftshift/internal/operatorconfig"
@@ -15,16 +14,16 @@
 
 // teams joins the tree of budgets, the rules of whose a search is and the book of waits to a desk. It decides nothing.
 type teams struct {
-	tree  *quota.Tree
-	file  *operatorconfig.Quotas
-	book  *waitestimate.Estimator
-	given scheduler.Given
-	parts *quotashare.Shares
-	part  float64
-	cores map[uint32]float64 // of listed executors that are not gone
-	open  map[string]*waiting
-	asked map[string]struct{} // those of them whose client wants to know
-	seen  bool                // the search that is being asked for wants to know
+	tree     *quota.Tree
+	file     *operatorconfig.Quotas
+	book     *waitestimate.Estimator
+	settings *scheduler.Settings
+	parts    *quotashare.Shares
+	part     float64
+	cores    map[uint32]float64 // of listed executors that are not gone
+	open     map[string]*waiting
+	asked    map[string]struct{} // those of them whose client wants to know
+	seen     bool                // the search that is being asked for wants to know
 }
 
 // waiting is a search that has not ended, with what was told of it.
@@ -34,17 +33,10 @@
 	started        bool
 }
 
-func newTeams(now float64, file *operatorconfig.Quotas, given scheduler.Given) (*teams, error) {
-	g := scheduler.Given{}
-	for k, v := range given {
-		g[k] = v
-	}
-	for k, v := range file.Given {
-		g[k] = v
-	}
-	tree, err := quota.New(file.Teams, file.Default, g)
-	p := quotashare.New(now, int(given.Num("controllers", 1)), int(given.Num("slot", 0)), given.Is("may_tell"), uint64(now*1000))
-	return &teams{parts: p, tree: tree, file: file, book: waitestimate.New(), given: g, cores: map[uint32]float64{}, open: map[string]*waiting{},
+func newTeams(now float64, file *operatorconfig.Quotas, settings *scheduler.Settings) (*teams, error) {
+	tree, err := quota.New(file.Teams, file.Default, quota.Settings{Controllers: settings.Controllers, Classes: settings.Classes, AgeMS: file.AgeMS})
+	p := quotashare.New(now, settings.Controllers, settings.Slot, settings.MayMessagePeers, uint64(now*1000))
+	return &teams{parts: p, tree: tree, file: file, book: waitestimate.New(), settings: settings, cores: map[uint32]float64{}, open: map[string]*waiting{},
 		asked: map[string]struct{}{}}, err
 }
 
@@ -65,12 +57,7 @@
 	}
 	for _, e := range entries {
 		if delete(t.cores, e.Executor); e.Availability == scheduler.Active {
-			t.cores[e.Executor] = 1
-			for j := 0; t.given.Text("kind."+strconv.Itoa(j)+".name") != ""; j++ {
-				if at := "kind." + strconv.Itoa(j) + "."; t.given.Text(at+"name") == e.Kind {
-					t.cores[e.Executor] = t.given.Num(at+"cores", 1)
-				}
-			}
+			t.cores[e.Executor] = t.settings.Kind(e.Kind).Cores
 		}
 	}
 	sum := 0.0
--- a/internal/assembly/fleet.go
+++ b/internal/assembly/fleet.go
@@ -22,6 +22,7 @@
 	"liftshift/internal/membership"
 	"liftshift/internal/operatorconfig"
 	"liftshift/internal/raftnode"
+	"liftshift/internal/settings"
 	"liftshift/internal/vfs"
 	"liftshift/scheduler"
 )
@@ -56,7 +57,7 @@
 }
 
 // openFleet makes the view and begins to listen, where the file has a block fleet.
-func (i *Extensions) openFleet(name string, given scheduler.Given, clock dispatch.Clock) error {
+func (i *Extensions) openFleet(name string, platform *settings.Settings, clock dispatch.Clock) error {
 	file := i.file.Cluster
 	if file == nil {
 		return nil
@@ -72,8 +73,8 @@
 	f.carrier.OnEffect = f.said
 	self := membership.Member{Name: name, Incarnation: f.life(), Address: file.Address, Zone: file.Zone, Region: file.Region, Version: version}
 	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Incarnation, 10)))
-	f.view = membership.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Given, seed)
-	if err := f.openSeat(seed, given); err != nil {
+	f.view = membership.New(f.carrier.Now(), file.Name, self, file.Seeds, file.Membership, seed)
+	if err := f.openSeat(seed, platform); err != nil {
 		return err
 	}
 	i.fleet = f
@@ -82,7 +83,7 @@
 }
 
 // openSeat begins to listen, with a seat in the council where the file names its founders.
-func (f *fleet) openSeat(seed uint32, given scheduler.Given) error {
+func (f *fleet) openSeat(seed uint32, platform *settings.Settings) error {
 	if len(f.file.Founders) == 0 {
 		return f.carrier.Start(f.view, nil)
 	}
@@ -90,17 +91,17 @@
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.WithFaults(folder), f.file.Founders, f.file.Given, seed, f.log); err != nil {
+	if f.seat, err = raftnode.New(f.carrier, f.view, vfs.WithFaults(folder), f.file.Founders, f.file.Consensus, seed, f.log); err != nil {
 		return err
 	}
 	f.seat.OnEffect = f.agreed
 	if f.inst.file.Handoff != nil {
-		if err := f.inst.openHeirs(f, seed, given); err != nil {
+		if err := f.inst.openHeirs(f, seed, platform); err != nil {
 			return err
 		}
 	}
 	if f.inst.file.Locality != nil {
-		f.inst.openLookout(f, given)
+		f.inst.openLookout(f, &platform.Scheduler)
 	}
 	return f.carrier.Start(f.view, f.seat)
 }
--- a/internal/assembly/heirs.go
+++ b/internal/assembly/heirs.go
@@ -13,8 +13,8 @@
 	"liftshift/internal/handoff"
 	"liftshift/internal/handoffnet"
 	"liftshift/internal/placement"
+	"liftshift/internal/settings"
 	"liftshift/internal/vfs"
-	"liftshift/scheduler"
 )
 
 // heirs joins a trustee to a controller: who uses it, what is logged, what is asked of it. It decides nothing.
@@ -24,15 +24,16 @@
 }
 
 // openHeirs makes the trustee, where the file has a block estate; the carriage does not listen yet.
-func (i *Extensions) openHeirs(f *fleet, seed uint32, given scheduler.Given) error {
-	g := maps.Clone(given)
-	maps.Copy(g, i.file.Store.Given)
-	maps.Copy(g, i.file.Handoff.Given)
-	for _, name := range i.file.Handoff.AdoptClasses {
-		if !offers(given, name) {
+func (i *Extensions) openHeirs(f *fleet, seed uint32, platform *settings.Settings) error {
+	file := i.file.Handoff
+	for _, name := range file.AdoptClasses {
+		if platform.Scheduler.Class(name) == nil {
 			return fmt.Errorf("estate: adopt names %q, which is no offering", name)
 		}
 	}
+	g := handoff.Settings{Classes: platform.Scheduler.Classes, RetryBudget: platform.AdoptionBudget, RetryAfterMS: platform.Scheduler.LongestRetryAfterMS(),
+		AdoptClasses: file.AdoptClasses, AdoptAtOnce: file.AdoptAtOnce, CopyAfterMS: file.CopyAfterMS, MaxCopies: file.MaxCopies,
+		MaxAnswerBytes: file.MaxAnswerBytes, RememberMS: i.file.Store.RememberMS, DoubtMS: file.DoubtMS, SendWithoutReplicas: file.SendWithoutReplicas}
 	self := f.view.Self()
 	t := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Incarnation}, g, seed, i.desk, f.clock, f.carrier, i.log)
 	if i.file.Handoff.CopiesOnDisk {
@@ -49,17 +50,6 @@
 	return nil
 }
 
-func offers(given scheduler.Given, name string) bool {
-	for k := 0; ; k++ {
-		switch given.Text(fmt.Sprint("offering.", k, ".name")) {
-		case name:
-			return true
-		case "":
-			return false
-		}
-	}
-}
-
 func (h *heirs) count() {
 	if h != nil {
 		h.inst.log.WithFields(h.trustee.Counters()).Info("estate")
--- a/internal/assembly/lookout.go
+++ b/internal/assembly/lookout.go
@@ -28,19 +28,19 @@
 }
 
 // openLookout makes the scout, where the file has a block zones; the carriage does not listen yet.
-func (i *Extensions) openLookout(f *fleet, given scheduler.Given) {
-	g := maps.Clone(given)
-	maps.Copy(g, i.file.Cluster.Given)
-	maps.Copy(g, i.file.Locality.Given)
-	for k := 0; given.Text(fmt.Sprint("offering.", k, ".name")) != ""; k++ {
-		g["zone_unit"] = max(g.Num("zone_unit", 1), given.Num(fmt.Sprint("offering.", k, ".threads"), 1))
-	}
-	b := locality.BoundsOf(g)
+func (i *Extensions) openLookout(f *fleet, platform *scheduler.Settings) {
+	b, file := locality.DefaultSettings(), i.file.Locality
+	b.ThreadsPerCore, b.SpillShare = file.ThreadsPerCore, file.SpillShare
+	b.StageMS, b.RecoveryWaitMS = file.StageMS, file.RecoveryWaitMS
+	b.LeaseMS = i.file.Cluster.Consensus.LeaseMS
+	for _, c := range platform.Classes {
+		b.MinShare = max(b.MinShare, float64(c.Threads))
+	}
 	self := f.view.Self()
 	for name, r := range i.file.Locality.Regions {
 		b.LatencyMS[[2]string{self.Region, name}], b.MinDensity[[2]string{self.Region, name}] = r.LatencyMS, r.MinDensity
 	}
-	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, given, i.desk, f.carrier, f.view, f.seat, i.log)}
+	i.lookout = &lookout{inst: i, fleet: f, scout: localityagent.New(locality.New(self.Name, self.Zone, self.Region, b), self.Name, platform, i.desk, f.carrier, f.view, f.seat, i.log)}
 	i.lookout.scout.Start()
 }
 
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -326,9 +326,16 @@
 	ready []string
 }
 
+// lookSettings has one class, of one thread.
+func lookSettings(ageMS float64) quota.Settings {
+	s := quota.DefaultSettings()
+	s.Classes, s.AgeMS = []scheduler.RequestClass{scheduler.DefaultClass("look", scheduler.Idempotent)}, ageMS
+	return s
+}
+
 func newFair(threads float64, age float64) *fair {
 	t, err := quota.New([]quota.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}, "other",
-		scheduler.Given{"offering.0.name": "look", "age_ms": age})
+		lookSettings(age))
 	if err != nil {
 		return nil // of constants alone
 	}
@@ -509,7 +516,7 @@
 			for k := range teams {
 				list = append(list, quota.Team{Name: fmt.Sprint("t", k)})
 			}
-			tree, err := quota.New(list, "other", scheduler.Given{"offering.0.name": "look", "age_ms": 1e12})
+			tree, err := quota.New(list, "other", lookSettings(1e12))
 			if err != nil {
 				return all, err
 			}
--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -16,7 +16,6 @@
 	"liftshift/internal/clustersim"
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
-	"liftshift/scheduler"
 )
 
 const (
@@ -51,9 +50,9 @@
 }
 
 // joined is a simulated fleet whose views are settled.
-func joined(n int, seed uint64, given scheduler.Given) *clustersim.Fleet {
+func joined(n int, seed uint64, settings membership.Settings) *clustersim.Fleet {
 	f := clustersim.New(n, seed)
-	f.Given = given
+	f.Membership = settings
 	for k := range n {
 		f.Start(k)
 	}
@@ -64,7 +63,7 @@
 
 // crashes measures when the first and when all know of crashes, and what a quiet fleet says.
 func crashes(n, rounds int) (first, all []float64, messages, bytes float64) {
-	f := joined(n, uint64(n), nil)
+	f := joined(n, uint64(n), membership.DefaultSettings())
 	f.Messages, f.Bytes = 0, 0
 	const quiet = 30_000
 	f.Run(f.Now + quiet)
@@ -102,7 +101,9 @@
 	shards := int(math.Ceil(hours / shardMembers * 6))
 	counts := make([]int, shards)
 	parallel(shards, func(s int) {
-		f := joined(shardMembers, uint64(s)+1000, scheduler.Given{"self_aware": aware})
+		settings := membership.DefaultSettings()
+		settings.IgnoreOwnHealth = !aware
+		f := joined(shardMembers, uint64(s)+1000, settings)
 		f.Net.Loss = 0.1
 		last := map[string]float64{}
 		f.Saw = func(_ int, e *membership.Effect) {
@@ -139,7 +140,7 @@
 	}
 	took := make([]float64, len(shapes))
 	parallel(len(shapes), func(k int) {
-		f := joined(300, uint64(k)+50, nil)
+		f := joined(300, uint64(k)+50, membership.DefaultSettings())
 		f.Net.Cut = shapes[k]
 		f.Run(f.Now + 60_000)
 		f.Net.Cut = nil
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -14,11 +14,11 @@
 
 	"liftshift/internal/chaostest"
 	"liftshift/internal/clusternet"
+	"liftshift/internal/consensus"
 	"liftshift/internal/handoff"
 	"liftshift/internal/membership"
 	"liftshift/internal/raftnode"
 	"liftshift/internal/testservers"
-	"liftshift/scheduler"
 )
 
 const (
@@ -45,11 +45,13 @@
 	log.SetOutput(io.Discard)
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
 	l.carrier = clusternet.New(f.Relay.Listen(k), log)
-	given := scheduler.Given{"voters": 3.0, "probe_ms": 200.0, "answer_ms": 80.0, "suspect_ms": 800.0, "lease_ms": 2000.0, "declare_ms": 500.0, "replace_ms": 15000.0}
+	seen, agreed := membership.DefaultSettings(), consensus.DefaultSettings()
+	seen.ProbeMS, seen.AnswerMS, seen.SuspectMS = 200, 80, 800
+	agreed.LeaseMS, agreed.DeclareLostMS = 2000, 500
 	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
-		[]string{f.Relay.Known(0), f.Relay.Known(1)}, given, 5)
+		[]string{f.Relay.Known(0), f.Relay.Known(1)}, seen, 5)
 	var err error
-	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, given, 5, log); err != nil {
+	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, agreed, 5, log); err != nil {
 		return nil, err
 	}
 	l.seat.OnConfiguration = func(r raftnode.Configuration) { l.roll.Store(&r) }
--- a/internal/benchmark/store.go
+++ b/internal/benchmark/store.go
@@ -336,8 +336,9 @@
 
 // ledgerPath measures what a lookup costs the desk's goroutine in the ledger.
 func ledgerPath(string) ([]Figure, error) {
-	g := scheduler.Given{"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.limit_ms": 5000.0,
-		"ration_span_ms": 10000.0}
+	g := ledger.DefaultSettings()
+	g.Classes = []scheduler.RequestClass{{Name: "look", Effect: scheduler.Idempotent, DeadlineMS: 5000}}
+	g.RetryBudget.WindowMS = 10000
 	l := ledger.New(g)
 	l.Step(0, &ledger.Event{Kind: ledger.RecoveryDone})
 	now, ids := 0.0, make([]string, 200_000)
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -264,7 +264,9 @@
 	t.Reassign(places, 1)
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
-		e := handoff.New(handoff.Member{Name: "a", Incarnation: 1}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 1)
+		settings := handoff.DefaultSettings()
+		settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3}}
+		e := handoff.New(handoff.Member{Name: "a", Incarnation: 1}, settings, 1)
 		e.Step(1000, &handoff.Event{Kind: handoff.PlacementChanged, LeaseHeld: true, Members: places, Table: &t})
 		for k := range keptCopies {
 			key := handoff.KeyOf(fmt.Sprint("m", k), "")
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -137,8 +137,13 @@
 // reachCost is what the choice of an executor costs with reaches, against without.
 func reachCost() float64 {
 	cost := func(reaches []scheduler.ZoneReach) func() float64 {
-		g := scheduler.New(1, scheduler.Given{"controllers": 3.0, "kind.0.name": "big", "kind.0.cores": 8.0, "kind.0.ram_mb": 65536.0, "offering.0.name": "look",
-			"offering.0.effect": "redoable", "offering.0.due_ms": 1000.0, "offering.0.limit_ms": 5000.0})
+		settings := scheduler.DefaultSettings()
+		settings.Controllers = 3
+		settings.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 65536}}
+		look := scheduler.DefaultClass("look", scheduler.Idempotent)
+		look.SoftDeadlineMS, look.DeadlineMS = 1000, 5000
+		settings.Classes = []scheduler.RequestClass{look}
+		g := scheduler.New(1, settings)
 		ev := scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListComplete}
 		for k := range 60 {
 			ev.Endpoints = append(ev.Endpoints, scheduler.Endpoint{Executor: uint32(k + 1), Zone: fmt.Sprint("z", k%3), Kind: "big"})
--- a/internal/clustersim/clustersim.go
+++ b/internal/clustersim/clustersim.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"math/rand/v2"
 
+	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
-	"liftshift/scheduler"
 )
 
 // Net is how the network is.
@@ -59,12 +59,13 @@
 
 // Fleet is a fleet in simulated time.
 type Fleet struct {
-	Now   float64
-	Net   Net
-	Nodes []*Node
-	Seeds []string
-	Given scheduler.Given
-	Zones int
+	Now        float64
+	Net        Net
+	Nodes      []*Node
+	Seeds      []string
+	Membership membership.Settings
+	Consensus  consensus.Settings
+	Zones      int
 	// Saw is told of each effect that says something.
 	Saw func(node int, e *membership.Effect)
 	// Tap is shown each datagram that arrives.
@@ -81,7 +82,7 @@
 
 // New returns a fleet of n that are not started.
 func New(n int, seed uint64) *Fleet {
-	f := &Fleet{Net: Net{LeastMS: 0.2, MostMS: 2}, chance: rand.New(rand.NewPCG(seed, 1)), byAddress: map[string]int{}, life: 1000, Zones: 3}
+	f := &Fleet{Membership: membership.DefaultSettings(), Consensus: consensus.DefaultSettings(), Net: Net{LeastMS: 0.2, MostMS: 2}, chance: rand.New(rand.NewPCG(seed, 1)), byAddress: map[string]int{}, life: 1000, Zones: 3}
 	for k := range n {
 		nd := &Node{Rate: 1, Name: fmt.Sprintf("n%d", k), Address: fmt.Sprintf("10.0.%d.%d:7", k/250, k%250)}
 		f.Nodes = append(f.Nodes, nd)
@@ -103,7 +104,7 @@
 	nd.Up, nd.until = true, 0
 	nd.run++
 	nd.View = membership.New(f.Local(k), "sim", membership.Member{Name: nd.Name, Incarnation: f.life, Address: nd.Address, Zone: fmt.Sprintf("z%d", k%f.Zones),
-		Version: 1, Flags: membership.Ready}, f.Seeds, f.Given, f.chance.Uint32())
+		Version: 1, Flags: membership.Ready}, f.Seeds, f.Membership, f.chance.Uint32())
 	nd.ticking = f.Now
 	f.put(event{at: f.Now, to: k, run: nd.run, ev: membership.Event{Kind: membership.Ticked}})
 }
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -7,7 +7,6 @@
 	"github.com/stretchr/testify/assert"
 
 	"liftshift/internal/membership"
-	"liftshift/scheduler"
 )
 
 // A fleet joins at once, a third of it is killed, it is parted in halves and healed: the views settle each time.
@@ -171,7 +170,6 @@
 // Messages of an hour ago change nothing, though they tell of members that have gone since.
 func TestOldMessages(t *testing.T) {
 	f := New(6, 11)
-	f.Given = map[string]any{}
 	for k := range f.Nodes {
 		f.Start(k)
 	}
@@ -190,14 +188,14 @@
 // A broken member that invents names can't make a view larger than its bound, nor keep real ones out.
 func TestInventedNames(t *testing.T) {
 	f := New(4, 12)
-	f.Given = scheduler.Given{"most_members": 200.0}
+	f.Membership.MaxMembers = 200
 	for k := range f.Nodes {
 		f.Start(k)
 	}
 	settles(t, f, 10_000, "start")
 	for k := range 2000 { // each is heard by one node alone, as from a broken one
 		v := membership.New(f.Now, "sim", membership.Member{Name: fmt.Sprint("invented-", k), Incarnation: 1, Address: fmt.Sprintf("10.99.%d.%d:1", k/250, k%250)},
-			[]string{"10.0.0.0:7"}, nil, uint32(k))
+			[]string{"10.0.0.0:7"}, membership.DefaultSettings(), uint32(k))
 		for _, e := range v.Step(f.Now, &membership.Event{Kind: membership.Ticked}) {
 			f.Tell(0, membership.Event{Kind: membership.ExchangeRequested, From: v.Self().Address, Data: e.Data})
 		}
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -56,23 +56,27 @@
 // Estates is a hall whose nodes keep copies of their open work.
 type Estates struct {
 	*Hall
-	Ends    []*End
-	Asked   []*Asked
-	Runs    map[string]int // by mark, or id: what had an effect
-	ran     map[string]float64
-	ids     map[string]int
-	Window  float64 // for which engines drop repeats; 0: they drop none
-	Lawless bool    // leases are not looked at: what the tests must be able to see
-	number  int
-	given   scheduler.Given
+	Ends     []*End
+	Asked    []*Asked
+	Runs     map[string]int // by mark, or id: what had an effect
+	ran      map[string]float64
+	ids      map[string]int
+	Window   float64 // for which engines drop repeats; 0: they drop none
+	Lawless  bool    // leases are not looked at: what the tests must be able to see
+	number   int
+	settings handoff.Settings
 }
 
 // NewEstates returns a hall of so many, with so many copies.
 func NewEstates(n, copies int, seed uint64, window float64) *Estates {
 	s := &Estates{Hall: NewHall(n, 3, seed), Runs: map[string]int{}, ran: map[string]float64{}, ids: map[string]int{}, Window: window}
-	s.Given = scheduler.Given{"lease_ms": 2000.0, "declare_ms": 500.0, "copies": float64(copies)}
-	s.given = scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": window, "offering.0.limit_ms": limitMS,
-		"offering.1.name": "once", "offering.1.effect": "irreversible", "offering.1.limit_ms": limitMS, "remember_ms": 60e3}
+	s.Consensus.LeaseMS, s.Consensus.DeclareLostMS, s.Consensus.Copies = 2000, 500, copies
+	s.settings = handoff.DefaultSettings()
+	s.settings.RememberMS = 60e3
+	s.settings.Classes = []scheduler.RequestClass{
+		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: window, DeadlineMS: limitMS},
+		{Name: "once", Effect: scheduler.NonIdempotent, DeadlineMS: limitMS},
+	}
 	for range n {
 		s.Ends = append(s.Ends, &End{})
 	}
@@ -84,7 +88,7 @@
 	s.Open(k)
 	s.Ends[k] = &End{run: s.Nodes[k].run, life: s.Seats[k].life, open: map[string]*search{}, waiting: map[string]*search{},
 		replies: map[uint64]func(*handoff.Batch){}}
-	s.Ends[k].Estate = handoff.New(handoff.Member{Name: s.Nodes[k].Name, Incarnation: s.Seats[k].life}, s.given, s.chance.Uint32())
+	s.Ends[k].Estate = handoff.New(handoff.Member{Name: s.Nodes[k].Name, Incarnation: s.Seats[k].life}, s.settings, s.chance.Uint32())
 	s.Ends[k].tokens = uint64(k) << 32
 	s.beat(k, s.Nodes[k].run)
 }
--- a/internal/clustersim/hall.go
+++ b/internal/clustersim/hall.go
@@ -87,7 +87,7 @@
 		}
 	}
 	s.life = nd.View.Self().Incarnation
-	s.Council = consensus.New(h.Local(k), nd.Name, s.life, s.Disk.Folder, h.Founders, kept, h.Given, h.chance.Uint32())
+	s.Council = consensus.New(h.Local(k), nd.Name, s.life, s.Disk.Folder, h.Founders, kept, h.Consensus, h.chance.Uint32())
 	s.sawAt = -1000
 	h.tick(k, nd.run)
 }
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -153,17 +153,22 @@
 	for k := range b.Executors {
 		p.engines = append(p.engines, &engine{id: uint32(k + 1), zone: k % b.Zones, up: true, since: -simWarm})
 	}
-	given := scheduler.Given{"controllers": float64(b.Controllers), "may_call_off": true, "may_probe": true, "most_shots": 4.0, "report_comes": "probes",
-		"report": []string{"inflight"}, "told_every_ms": 0.0, "ration_floor": 3.0, "ration_share": 0.1, "ration_span_ms": 10000.0, "fall_ms": simFall,
-		"fall_multiple": 1.0, "cold_from": coldFrom, "warm_up_ms": simWarm, "kind.0.name": "big", "kind.0.cores": b.Cores, "kind.0.ram_mb": 65536.0,
-		"offering.0.name": "look", "offering.0.effect": "redoable", "offering.0.due_ms": 1000.0, "offering.0.limit_ms": 5000.0, "offering.0.gain": 1.0,
-		"offering.0.late_share": 0.3, "tells_come_back": true, "longest_come_back_ms": 500.0}
-	bounds := locality.BoundsOf(scheduler.Given{"lease_ms": simLease, "stage_ms": simStage, "return_wait_ms": simWait})
+	settings := scheduler.DefaultSettings()
+	settings.Controllers = b.Controllers
+	settings.MayCancel, settings.MayHealthCheck, settings.MaxAttempts = true, true, 4
+	settings.ReportsByProbe, settings.ReportNames = true, []string{scheduler.ReportInFlight}
+	settings.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
+	settings.CollapseWindowMS, settings.CollapseMultiple, settings.ColdCapacity, settings.WarmupMS = simFall, 1, coldFrom, simWarm
+	settings.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: b.Cores, MemoryMB: 65536}}
+	look := scheduler.DefaultClass("look", scheduler.Idempotent)
+	look.SoftDeadlineMS, look.DeadlineMS, look.LateShare = 1000, 5000, 0.3
+	settings.Classes = []scheduler.RequestClass{look}
+	settings.NamesRetryAfter, settings.MaxRetryAfterMS = true, 500
+	bounds := locality.DefaultSettings()
+	bounds.LeaseMS, bounds.StageMS, bounds.RecoveryWaitMS = simLease, simStage, simWait
 	for k := range b.Controllers {
-		own := scheduler.Given{"slot": float64(k)}
-		for name, v := range given {
-			own[name] = v
-		}
+		own := settings
+		own.Slot = k
 		p.gates = append(p.gates, scheduler.New(b.Seed+uint64(k), own))
 		p.watches = append(p.watches, locality.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
 		p.open, p.wants, p.reaches = append(p.open, map[string]*asked{}), append(p.wants, 0), append(p.reaches, nil)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -13,7 +13,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/placement"
-	"liftshift/scheduler"
 )
 
 // Group is one member's end of it: a voter, or one that only asks.
@@ -80,10 +79,9 @@
 
 // New returns the end of a member. Folder names what it keeps on disk; without one it never votes. Founders are the names that found
 // the council together; kept is what was on disk, if anything. Given: voters, lease_ms, declare_ms, replace_ms.
-func New(now float64, name string, life uint64, folder string, founders []string, kept PersistedState, given scheduler.Given, seed uint32) *Group {
-	c := &Group{name: name, life: life, folder: folder, founders: founders, now: now, seed: seed, want: int(given.Num("voters", 3)),
-		leaseMS: given.Num("lease_ms", leaseMS), declareMS: given.Num("declare_ms", declareMS), replaceMS: given.Num("replace_ms", replaceMS),
-		copies: int(given.Num("copies", 0)),
+func New(now float64, name string, life uint64, folder string, founders []string, kept PersistedState, settings Settings, seed uint32) *Group {
+	c := &Group{name: name, life: life, folder: folder, founders: founders, now: now, seed: seed, want: settings.Voters,
+		leaseMS: settings.LeaseMS, declareMS: settings.DeclareLostMS, replaceMS: settings.ReplaceVoterMS, copies: settings.Copies,
 		record: Record{Members: map[string]Member{}}, granted: map[string]float64{}, goneAt: map[string]float64{}, doomed: map[string]uint64{},
 		reads: map[uint64][]asking{}, hellos: map[string]Hello{}, sights: map[string]Observation{}, callers: map[uint64]string{}, wakeAt: now}
 	c.tokens = uint64(c.chance() * (1 << 32))
--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -40,7 +40,7 @@
 
 // A lease counts from when it was asked for, and ends by the holder's clock alone; an answer to an earlier asking counts for nothing.
 func TestALeaseCountsFromTheAsking(t *testing.T) {
-	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, nil, 1)
+	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
 	asked := effect(c.Step(0, &Event{Kind: Ticked}), RequestLease)
 	require.Equal(t, "a", asked.To)
 	c.Step(500, &Event{Kind: LeaseReplied, Token: asked.Token + 1, Reply: LeaseReply{Verdict: Granted}})
@@ -61,7 +61,7 @@
 
 // One that gives its lease back acts on it no more, whatever answer is still on its way, and asks for no other.
 func TestALeaseGivenBackIsOver(t *testing.T) {
-	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, nil, 1)
+	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
 	c.Step(1, &Event{Kind: LeaseReplied, Token: effect(c.Step(0, &Event{Kind: Ticked}), RequestLease).Token, Reply: LeaseReply{Verdict: Granted}})
 	require.True(t, c.LeaseHeld(2))
 	later := effect(c.Step(2500, &Event{Kind: Ticked}), RequestLease)
@@ -75,18 +75,18 @@
 // Founders begin only once each has told its folder, and all with the same beginning; another folder is another voter.
 func TestFounding(t *testing.T) {
 	names := []string{"a", "b", "c"}
-	a := New(0, "a", 1, "fa", names, PersistedState{}, nil, 1)
+	a := New(0, "a", 1, "fa", names, PersistedState{}, DefaultSettings(), 1)
 	assert.Len(t, a.Step(0, &Event{Kind: Ticked}), 3, "greets two, and asks for its lease")
 	assert.Empty(t, kept(a.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})))
 	assert.Empty(t, kept(a.Step(2, &Event{Kind: HelloReceived, Hello: Hello{Name: "stranger", Folder: "fs"}})))
 	snap := kept(a.Step(3, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))
 	require.Len(t, snap, 1)
-	b := New(0, "b", 1, "fb", names, PersistedState{}, nil, 2)
+	b := New(0, "b", 1, "fb", names, PersistedState{}, DefaultSettings(), 2)
 	other := kept(b.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()}))
 	require.Len(t, other, 1, "one that is there already tells who founded it")
 	assert.Equal(t, snap[0].Snapshot.GetData(), other[0].Snapshot.GetData())
 	assert.True(t, proto.Equal(snap[0].Snapshot.GetMetadata(), other[0].Snapshot.GetMetadata()))
-	forgot := New(0, "b", 2, "another folder", names, PersistedState{}, nil, 3)
+	forgot := New(0, "b", 2, "another folder", names, PersistedState{}, DefaultSettings(), 3)
 	assert.Empty(t, kept(forgot.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()})), "who has forgotten how it voted does not vote")
 	assert.False(t, forgot.Hello().Voter)
 	assert.NotEqual(t, NodeID("b", "fb"), NodeID("b", "another folder"))
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -15,7 +15,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"liftshift/internal/placement"
-	"liftshift/scheduler"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -121,7 +120,7 @@
 	} {
 		goldenJSON(t, name+".json", value)
 	}
-	c := New(0, "x", 1, "", nil, PersistedState{}, nil, 1)
+	c := New(0, "x", 1, "", nil, PersistedState{}, DefaultSettings(), 1)
 	c.take(&raftpb.Snapshot{Data: must(os.ReadFile("testdata/golden/record.json")), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(9)}})
 	assert.Equal(t, full, c.record, "as a snapshot's data")
 }
@@ -133,7 +132,7 @@
 	snap, state := &raftpb.Snapshot{}, &raftpb.HardState{}
 	require.NoError(t, proto.Unmarshal(golden(t, "founding-snapshot.pb", must(marshal.Marshal(e.Snapshot))), snap))
 	require.NoError(t, proto.Unmarshal(golden(t, "founding-state.pb", must(marshal.Marshal(e.State))), state))
-	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{Snapshot: snap, State: state}, nil, 1)
+	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{Snapshot: snap, State: state}, DefaultSettings(), 1)
 	assert.Equal(t, c.record, again.record)
 	assert.Len(t, again.record.Voters, 3)
 }
@@ -143,8 +142,10 @@
 	only := []Voter{{ID: NodeID("a", "fa"), Name: "a"}}
 	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Members: map[string]Member{}, Voters: only, Founders: only})), Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{only[0].ID}}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	copying := DefaultSettings()
+	copying.Copies = 1
 	c := New(0, "a", 1, "fa", []string{"a"}, PersistedState{Snapshot: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
-		scheduler.Given{"copies": 1.0}, 1)
+		copying, 1)
 	now, logged := 0.0, map[string]bool{}
 	var play func(ev Event)
 	play = func(ev Event) {
--- a/internal/consensus/helpers_test.go
+++ b/internal/consensus/helpers_test.go
@@ -30,7 +30,7 @@
 
 // founder is one of three that have founded the council.
 func founder() (*Group, Effect) {
-	c := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, nil, 1)
+	c := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, DefaultSettings(), 1)
 	c.Step(0, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})
 	return c, kept(c.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))[0]
 }
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"hash/crc32"
 	"slices"
-	"strconv"
 
 	"liftshift/internal/placement"
 	"liftshift/scheduler"
@@ -13,12 +12,13 @@
 
 // offering is what the settings say of one offering.
 type offering struct {
-	name, effect string
-	window       float64
-	adopts       bool // what is open of it is gone on with
+	name   string
+	effect scheduler.Effect
+	window float64
+	adopts bool // what is open of it is gone on with
 }
 
-func (o *offering) recorded() bool { return o.effect != "redoable" }
+func (o *offering) recorded() bool { return o.effect != scheduler.Idempotent }
 
 // Manager is one controller's part in keeping open work.
 type Manager struct {
@@ -88,34 +88,24 @@
 	word, back Item
 }
 
-// New gives the estate of a controller. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer,
-// most_kept, lag_ms, alone, adopt_at_once, adopts.NAME, ration_span_ms, ration_floor, ration_share, tells_come_back,
-// longest_come_back_ms, doubt_ms.
-func New(self Member, given scheduler.Given, seed uint32) *Manager {
-	e := &Manager{self: self, remember: given.Num("remember_ms", usualMemory), answer: int(given.Num("keep_answer", usualAnswer)),
-		most: int(given.Num("most_kept", usualKept)), lag: given.Num("lag_ms", lagMS), alone: given.Is("alone"),
-		pace: pace{most: given.Num("adopt_at_once", adoptAtOnce), began: map[string]begun{}}, share: given.Num("ration_share", 0.1), floor: given.Num("ration_floor", 3),
-		spanMS: given.Num("ration_span_ms", 10000), seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Member{},
+// New returns the manager of a controller.
+func New(self Member, settings Settings, seed uint32) *Manager {
+	e := &Manager{self: self, remember: settings.RememberMS, answer: settings.MaxAnswerBytes, most: settings.MaxCopies, lag: settings.CopyAfterMS,
+		alone: settings.SendWithoutReplicas, pace: pace{most: float64(settings.AdoptAtOnce), began: map[string]begun{}},
+		share: settings.RetryBudget.Share, floor: settings.RetryBudget.Floor, spanMS: settings.RetryBudget.WindowMS,
+		longest: settings.DoubtMS, away: settings.RetryAfterMS, seed: seed, out: map[string]*Batch{}, places: map[string]*placement.Member{},
 		copies: map[Key]*kept{}, owners: map[Member]*owned{}, wheel: map[int64][]Key{}, learns: map[int]*learning{},
 		noted: map[Member]float64{}, moves: map[string]float64{}, bereft: map[int]float64{}, mine: map[Key]*mine{}, byID: map[string]*mine{},
 		backBy: map[takenWord]*taken{}, fresh: map[string]struct{}{}, lined: map[Key]struct{}{}}
-	e.longest = given.Num("doubt_ms", 0)
-	if given.Is("tells_come_back") {
-		e.away = given.Num("longest_come_back_ms", 0)
-	}
-	for i := 0; ; i++ {
-		at := "offering." + strconv.Itoa(i) + "."
-		name := given.Text(at + "name")
-		if name == "" {
-			return e
-		}
-		o := offering{name: name, effect: given.Text(at + "effect"), window: given.Num(at+"window_ms", 0)}
-		o.adopts = o.recorded() || given.Is("adopts."+name)
+	for _, c := range settings.Classes {
+		o := offering{name: c.Name, effect: c.Effect, window: c.DedupWindowMS}
+		o.adopts = o.recorded() || slices.Contains(settings.AdoptClasses, c.Name)
 		e.offerings, e.pace.usual = append(e.offerings, o), append(e.pace.usual, times{})
-		if o.effect == "labelled" {
-			e.longest = max(e.longest, o.window, given.Num(at+"limit_ms", 0))
+		if o.effect == scheduler.Keyed {
+			e.longest = max(e.longest, o.window, c.DeadlineMS)
 		}
 	}
+	return e
 }
 
 // chance draws from [0, 1), the same for the same seed.
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -143,7 +143,7 @@
 // One that is held for lost wakes up: it sends nothing, and what it heard meanwhile goes to its client only if nobody ended it.
 func TestALostOneWakesUp(t *testing.T) {
 	for _, adopted := range []bool{false, true} {
-		w := newWorld(t, 6, 2, scheduler.Given{"adopt_at_once": 1000.0})
+		w := newWorld(t, 6, 2, func(s *Settings) { s.AdoptAtOnce = 1000 })
 		w.arrive(0, "mark", "a", "m")
 		w.arrive(0, "mark", "unsent", "m2")
 		require.True(t, w.shoot(0, "a"))
@@ -233,7 +233,7 @@
 // Twenty thousand orphans at once: never more in hand than there is room for, the nearest hard limit first.
 func TestManyOrphansArePaced(t *testing.T) {
 	const n = 20_000
-	w := newWorld(t, 5, 2, scheduler.Given{"adopt_at_once": 50.0})
+	w := newWorld(t, 5, 2, func(s *Settings) { s.AdoptAtOnce = 50 })
 	for k := range n {
 		w.step(0, &Event{Kind: RequestArriving, ID: fmt.Sprint(k), Copy: &Copy{RequestData: RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "mark"},
 			Deadline: w.now + 60e3 + float64(k%1000)}})
@@ -266,7 +266,7 @@
 
 // A redoable search is copied only if it takes long, and run again only within the ration.
 func TestRedoableSearches(t *testing.T) {
-	w := newWorld(t, 5, 2, scheduler.Given{"ration_floor": 2.0, "ration_share": 0.0})
+	w := newWorld(t, 5, 2, func(s *Settings) { s.RetryBudget.Floor, s.RetryBudget.Share = 2, 0 })
 	for k := range 6 {
 		w.arrive(0, "look", fmt.Sprint("s", k), "")
 	}
@@ -384,7 +384,9 @@
 	for k := range 3 { // they come back, and know nothing
 		w.down[k] = false
 		w.places[k].Lost, w.places[k].Incarnation = false, 2
-		w.ends[k] = New(Member{w.places[k].Name, 2}, scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3}, 9)
+		settings := DefaultSettings()
+		settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3}}
+		w.ends[k] = New(Member{w.places[k].Name, 2}, settings, 9)
 	}
 	w.table.Reassign(w.places, 0)
 	w.seat()
@@ -420,7 +422,7 @@
 
 // An operator gives a search up: it is written off, and whoever asks is told so.
 func TestGivenUp(t *testing.T) {
-	w := newWorld(t, 5, 2, scheduler.Given{"adopt_at_once": 0.0})
+	w := newWorld(t, 5, 2, func(s *Settings) { s.AdoptAtOnce = 0 })
 	w.arrive(0, "mark", "a", "m")
 	w.lose(0)
 	w.tick(1000)
@@ -466,7 +468,7 @@
 		spoilt := append([]byte(nil), data...)
 		spoilt[n] ^= 0x41
 		if read, err := ReadBatch(spoilt, 1000); err == nil {
-			w := New(Member{"n0", 1}, nil, 1)
+			w := New(Member{"n0", 1}, DefaultSettings(), 1)
 			w.Step(1000, &Event{Kind: BatchReceived, Batch: read})
 		}
 	}
--- a/internal/handoff/heir.go
+++ b/internal/handoff/heir.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"liftshift/internal/placement"
+	"liftshift/scheduler"
 )
 
 // learning is a part whose former copies this controller takes over as a chair.
@@ -412,7 +413,7 @@
 	case e.now >= m.Deadline-lastMS:
 		out = Failed
 	}
-	if out == Open && o.recorded() && o.effect != "labelled" && !m.Confirmed {
+	if out == Open && o.recorded() && o.effect != scheduler.Keyed && !m.Confirmed {
 		out = Failed
 	}
 	if out == Failed && m.RunState == NotRun && o != nil && o.recorded() {
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -25,18 +25,22 @@
 	deaf   bool // answers that something is kept are lost on their way
 }
 
-func newWorld(t *testing.T, n, copies int, more scheduler.Given) *world {
+func newWorld(t *testing.T, n, copies int, change func(*Settings)) *world {
 	w := &world{t: t, now: 1000, down: map[int]bool{}}
-	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3,
-		"offering.1.name": "once", "offering.1.effect": "irreversible", "offering.1.limit_ms": 5e3,
-		"offering.2.name": "look", "offering.2.effect": "redoable", "offering.2.limit_ms": 5e3, "adopts.look": true}
-	for k, v := range more {
-		given[k] = v
+	settings := DefaultSettings()
+	settings.Classes = []scheduler.RequestClass{
+		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
+		{Name: "once", Effect: scheduler.NonIdempotent, DeadlineMS: 5e3},
+		{Name: "look", Effect: scheduler.Idempotent, DeadlineMS: 5e3},
+	}
+	settings.AdoptClasses = []string{"look"}
+	if change != nil {
+		change(&settings)
 	}
 	for k := range n {
 		name := fmt.Sprint("n", k)
 		w.places = append(w.places, placement.Member{Name: name, Incarnation: 1})
-		w.ends = append(w.ends, New(Member{name, 1}, given, uint32(k)))
+		w.ends = append(w.ends, New(Member{name, 1}, settings, uint32(k)))
 		w.got = append(w.got, map[EffectKind][]Effect{})
 	}
 	w.table.Reassign(w.places, copies)
--- a/internal/handoff/owner.go
+++ b/internal/handoff/owner.go
@@ -320,7 +320,7 @@
 			}
 		}
 	}
-	if o := e.offering(m.Class); o != nil && o.effect != "labelled" {
+	if o := e.offering(m.Class); o != nil && o.effect != scheduler.Keyed {
 		m.Confirmed = true // what was never more than asked for must not be sent by an heir: its client was told that it would not be
 		m.Sequence++
 		e.say(m)
@@ -514,7 +514,7 @@
 	}
 	o := e.offering(m.Class)
 	mineStill := e.held && m.Owner == e.self
-	if mineStill && !(ev.Outcome == Rejected && o != nil && o.effect != "labelled") {
+	if mineStill && !(ev.Outcome == Rejected && o != nil && o.effect != scheduler.Keyed) {
 		return
 	}
 	m.back = &ending{outcome: ev.Outcome, answer: ev.Answer, since: e.now, late: !mineStill}
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -50,8 +50,9 @@
 func goldenTrustee() *Agent {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	return New(handoff.Member{Name: "b", Incarnation: 1}, given, 1, nil, dispatch.NewClock(), nil, log)
+	settings := handoff.DefaultSettings()
+	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	return New(handoff.Member{Name: "b", Incarnation: 1}, settings, 1, nil, dispatch.NewClock(), nil, log)
 }
 
 // A holder's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A log file stands here
--- a/internal/handoffnet/handoffnet.go
+++ b/internal/handoffnet/handoffnet.go
@@ -81,8 +81,8 @@
 )
 
 // New joins one. Folder, if any, is where copies are kept so that they last; it must be this trustee's alone.
-func New(self handoff.Member, given scheduler.Given, seed uint32, d *dispatch.Loop, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Agent {
-	return &Agent{estate: handoff.New(self, given, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
+func New(self handoff.Member, settings handoff.Settings, seed uint32, d *dispatch.Loop, clock dispatch.Clock, carrier *clusternet.Transport, log logrus.FieldLogger) *Agent {
+	return &Agent{estate: handoff.New(self, settings, seed), desk: d, clock: clock, carrier: carrier, log: log, name: self.Name,
 		where: map[uint32]scheduler.Endpoint{}, replies: map[uint64]func([]byte, error){}, questions: map[uint64]*dispatch.OutcomeQuery{},
 		lines: map[string]*line{}, stop: make(chan struct{}), replied: make(chan reply, lineRoom)}
 }
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -70,8 +70,9 @@
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
 	e := &end{carrier: clusternet.New(at, log), desk: dispatch.New(clock, idle{}, log), at: at}
-	given := scheduler.Given{"offering.0.name": "mark", "offering.0.effect": "labelled", "offering.0.window_ms": 20e3, "offering.0.limit_ms": 5e3}
-	e.trustee = New(handoff.Member{Name: name, Incarnation: 1}, given, 1, e.desk, clock, e.carrier, log)
+	settings := handoff.DefaultSettings()
+	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	e.trustee = New(handoff.Member{Name: name, Incarnation: 1}, settings, 1, e.desk, clock, e.carrier, log)
 	e.trustee.held = func() bool { return true }
 	e.trustee.listen()
 	hear := e.carrier.HandoffDatagram
@@ -84,7 +85,9 @@
 		part = e.trustee
 	}
 	e.desk.Register(part)
-	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Incarnation: 1, Address: at}, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	seen := membership.DefaultSettings()
+	seen.ProbeMS, seen.AnswerMS, seen.SuspectMS = 60e3, 30e3, 120e3
+	view := membership.New(e.carrier.Now(), "test", membership.Member{Name: name, Incarnation: 1, Address: at}, []string{at}, seen, 1)
 	require.NoError(t, e.carrier.Start(view, nil))
 	go e.desk.Run()
 	t.Cleanup(func() {
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -74,7 +74,7 @@
 // Each kind of record, and a search in each of its states, is written as it always was, and read from that again.
 func TestGolden_LedgerRecords(t *testing.T) {
 	for _, r := range goldenRecords() {
-		l := New(given())
+		l := New(testSettings())
 		l.now = goldenNow
 		r.write(l)
 		e := l.out[0]
@@ -90,7 +90,7 @@
 		require.NoError(t, err, r.name)
 		ev.Value, err = hex.DecodeString(value)
 		require.NoError(t, err, r.name)
-		l = New(given())
+		l = New(testSettings())
 		l.Step(0, &ev)
 		assert.Equal(t, r.want, r.read(l), r.name)
 		assert.Equal(t, goldenNow, l.now, r.name)
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -2,21 +2,22 @@
 
 import (
 	"flag"
-	"fmt"
-	"strings"
 
 	"liftshift/scheduler"
 )
 
-// given has an offering of each effect; marks are dropped as repeats within a place for 20 s.
-func given() scheduler.Given {
-	g := scheduler.Given{"remember_ms": 60000.0, "keep_answer": 8.0, "ration_span_ms": 10000.0, "ration_floor": 3.0, "ration_share": 0.1}
-	for i, o := range []string{"look redoable", "mark labelled", "once irreversible"} {
-		name, effect, _ := strings.Cut(o, " ")
-		at := fmt.Sprintf("offering.%d.", i)
-		g[at+"name"], g[at+"effect"], g[at+"scope"], g[at+"window_ms"], g[at+"limit_ms"] = name, effect, "zone", 20000.0, 5000.0
+// testSettings has a class of each effect; executors of a zone drop repeats of a key for 20 s.
+func testSettings() Settings {
+	s := DefaultSettings()
+	s.RememberMS, s.MaxAnswerBytes = 60000, 8
+	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
+	for _, c := range []scheduler.RequestClass{
+		{Name: "look", Effect: scheduler.Idempotent}, {Name: "mark", Effect: scheduler.Keyed}, {Name: "once", Effect: scheduler.NonIdempotent},
+	} {
+		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
+		s.Classes = append(s.Classes, c)
 	}
-	return g
+	return s
 }
 
 // disk keeps what ledgers want kept, as a store would, and can be looked at as of any step.
@@ -34,7 +35,7 @@
 
 // born is a ledger that begins at a clock with what the disk holds.
 func born(d *disk, now float64, m Clocks, doubt bool) *lives {
-	l := &lives{Ledger: New(given()), disk: d}
+	l := &lives{Ledger: New(testSettings()), disk: d}
 	for k, e := range d.kept {
 		l.Step(0, &Event{Kind: RecordRead, Key: k, Expires: e.Expires, Value: e.Value})
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -78,7 +78,7 @@
 	Token uint64 // RecordsStored
 	OK    bool
 
-	Given scheduler.Given // SettingsChanged: remember_ms, keep_answer and most_kept
+	Settings *Settings // SettingsChanged
 
 	ListVersion uint64 // EndpointsUpdated: the version of the list; 0 where it tells none
 	Restored    bool   // EndpointsUpdated: as known at the start
@@ -144,11 +144,13 @@
 
 // offering is what the settings say of one offering.
 type offering struct {
-	name, effect, scope string
-	window, limit       float64
+	name          string
+	effect        scheduler.Effect
+	scope         scheduler.DedupScope
+	window, limit float64
 }
 
-func (o *offering) recorded() bool { return o.effect != "redoable" }
+func (o *offering) recorded() bool { return o.effect != scheduler.Idempotent }
 
 // health is the state of what keeps.
 type health uint8
@@ -160,7 +162,7 @@
 
 // Ledger is one controller's memory.
 type Ledger struct {
-	given      scheduler.Given
+	settings   Settings
 	offerings  []offering
 	longest    float64 // for which a mark may come again: the longest window or hard limit of a labelled offering
 	remember   float64
@@ -212,32 +214,26 @@
 	DiskFailing, TailInDoubt                                           bool
 }
 
-// New gives an empty ledger. Names that it heeds in the settings, besides those of offerings: remember_ms, keep_answer
-// (bytes), most_kept, ration_span_ms, ration_floor, ration_share, tells_come_back, longest_come_back_ms, inherited, leaves_at_once.
-func New(given scheduler.Given) *Ledger {
-	l := &Ledger{given: given, trusts: map[uint32]*trust{}}
-	l.heed(given)
-	for i := 0; ; i++ {
-		at := "offering." + strconv.Itoa(i) + "."
-		name := given.Text(at + "name")
-		if name == "" {
-			l.ration.span = given.Num("ration_span_ms", 0)
-			return l
-		}
-		o := offering{name: name, effect: given.Text(at + "effect"), scope: given.Text(at + "scope"),
-			window: given.Num(at+"window_ms", 0), limit: given.Num(at+"limit_ms", 0)}
-		if l.offerings = append(l.offerings, o); o.effect == "labelled" {
+// New returns an empty ledger.
+func New(settings Settings) *Ledger {
+	l := &Ledger{settings: settings, trusts: map[uint32]*trust{}}
+	l.heed(&settings)
+	for _, c := range settings.Classes {
+		o := offering{name: c.Name, effect: c.Effect, scope: c.DedupScope, window: c.DedupWindowMS, limit: c.DeadlineMS}
+		if l.offerings = append(l.offerings, o); o.effect == scheduler.Keyed {
 			l.longest = max(l.longest, o.window, o.limit)
 		}
 	}
+	l.ration.span = settings.RetryBudget.WindowMS
+	return l
 }
 
 // heed takes over what may change while it runs. What is kept already is kept for as long as was said then.
-func (l *Ledger) heed(given scheduler.Given) {
-	l.remember = given.Num("remember_ms", usualMemory)
-	l.keepAnswer = int(given.Num("keep_answer", usualAnswer))
-	l.mostKept = int(given.Num("most_kept", usualKept))
-	l.inherited, l.atOnce = given.Is("inherited"), given.Is("leaves_at_once")
+func (l *Ledger) heed(s *Settings) {
+	l.remember = s.RememberMS
+	l.keepAnswer = s.MaxAnswerBytes
+	l.mostKept = s.MaxRecords
+	l.inherited, l.atOnce = s.SuccessorsResume, s.SkipDiskWait
 }
 
 // Step takes one event at the caller's clock in ms. The effects hold until the next call.
@@ -269,7 +265,7 @@
 	case OutcomeQueried:
 		l.ask(ev)
 	case SettingsChanged:
-		l.heed(ev.Given)
+		l.heed(ev.Settings)
 	case OperatorNoteSet:
 		l.keepNote(ev)
 	case ShutdownFinished:
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -370,7 +370,7 @@
 }
 
 func TestRecordsOfOthersAreLeftAlone(t *testing.T) {
-	l := New(given())
+	l := New(testSettings())
 	for _, b := range [][]byte{nil, {}, {0xff, 0xff}, {1, 2, 3}, {9}} {
 		l.Step(0, &Event{Kind: RecordRead, Key: Key{1}, Value: b})
 	}
--- a/internal/ledger/ration.go
+++ b/internal/ledger/ration.go
@@ -58,9 +58,9 @@
 	if r.span <= 0 {
 		return
 	}
-	earned, used := l.given.Num("ration_floor", 0), 0
+	earned, used := l.settings.RetryBudget.Floor, 0
 	for _, s := range r.slots {
-		earned += l.given.Num("ration_share", 0) * float64(s.takes)
+		earned += l.settings.RetryBudget.Share * float64(s.takes)
 		if float64(s.n)*rationMS >= l.now-r.span {
 			used += s.extras
 		}
--- a/internal/ledger/searches.go
+++ b/internal/ledger/searches.go
@@ -138,8 +138,8 @@
 	switch m := l.marks.Get(s.mark); {
 	case e.Outcome == Succeeded && m != nil:
 		e.Body = m.body
-	case e.Outcome == Rejected && l.given.Is("tells_come_back"):
-		e.AfterMS = l.given.Num("longest_come_back_ms", 0)
+	case e.Outcome == Rejected:
+		e.AfterMS = l.settings.RetryAfterMS
 	}
 }
 
@@ -204,7 +204,7 @@
 		return true
 	}
 	t := l.trusts[executor]
-	return l.inside(m) && (t == nil || (o.scope != "zone" || t.place == m.place) && (o.scope != "cell" || t.cell == m.cell))
+	return l.inside(m) && (t == nil || (o.scope != scheduler.DedupZone || t.place == m.place) && (o.scope != scheduler.DedupCell || t.cell == m.cell))
 }
 
 // shotEnded books the end of a shot. What is known not to have run clears its mark.
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -33,11 +33,11 @@
 	return want
 }
 
-// goldenGiven has a ration, too, so that there is a record of it.
-func goldenGiven() scheduler.Given {
-	g := given()
-	g["ration_span_ms"], g["ration_floor"], g["ration_share"] = 10000.0, 3.0, 0.1
-	return g
+// goldenSettings has a retry budget, too, so that there is a record of it.
+func goldenSettings() ledger.Settings {
+	s := ledgerSettings()
+	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
+	return s
 }
 
 // goldenFolder writes a store that has records of every kind, in a snapshot and behind it, at fixed times.
@@ -45,7 +45,7 @@
 	disk := vfs.NewMemory()
 	c := &controller{now: 10000, heard: make(chan ledger.Event, 1000), engine: &engines{ran: map[string][]string{}}}
 	var err error
-	c.Store, _, err = OpenAt(disk, bounds, goldenGiven(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
+	c.Store, _, err = OpenAt(disk, bounds, goldenSettings(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
 	require.NoError(t, err)
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
 	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
@@ -140,7 +140,7 @@
 
 		const now = 30000
 		again := goldenCopy(t, folder)
-		k, _, err := OpenAt(again, bounds, goldenGiven(), func() float64 { return now }, up(now), func(ledger.Event) {}, silent())
+		k, _, err := OpenAt(again, bounds, goldenSettings(), func() float64 { return now }, up(now), func(ledger.Event) {}, silent())
 		require.NoError(t, err, folder)
 		var told strings.Builder
 		for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -16,17 +15,25 @@
 	"liftshift/scheduler"
 )
 
-// given has an offering of each effect; engines of a place drop repeats of a mark for 20 s, those of others do not.
-func given() scheduler.Given {
-	g := scheduler.Given{"controllers": 1.0, "most_shots": 4.0, "may_call_off": true, "kind.0.name": "big", "kind.0.cores": 8.0,
-		"kind.0.ram_mb": 16000.0, "remember_ms": 60000.0}
-	for i, o := range []string{"look redoable", "mark labelled", "once irreversible"} {
-		name, effect, _ := strings.Cut(o, " ")
-		at := fmt.Sprintf("offering.%d.", i)
-		g[at+"name"], g[at+"effect"], g[at+"scope"], g[at+"window_ms"], g[at+"limit_ms"] = name, effect, "zone", 20000.0, 5000.0
-		g[at+"due_ms"], g[at+"gain"], g[at+"late_share"], g[at+"threads"] = 1000.0, 1.0, 0.5, 1.0
-	}
-	return g
+// testSettings has a class of each effect; executors of a zone drop repeats of a key for 20 s, those of others do not.
+func testSettings() scheduler.Settings {
+	s := scheduler.DefaultSettings()
+	s.MaxAttempts, s.MayCancel = 4, true
+	s.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}}
+	for _, c := range []scheduler.RequestClass{
+		{Name: "look", Effect: scheduler.Idempotent}, {Name: "mark", Effect: scheduler.Keyed}, {Name: "once", Effect: scheduler.NonIdempotent},
+	} {
+		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
+		c.SoftDeadlineMS, c.Value, c.LateShare, c.Threads = 1000, 1, 0.5, 1
+		s.Classes = append(s.Classes, c)
+	}
+	return s
+}
+
+func ledgerSettings() ledger.Settings {
+	s := ledger.DefaultSettings()
+	s.Classes, s.RememberMS = testSettings().Classes, 60000
+	return s
 }
 
 func silent() *logrus.Logger {
@@ -71,7 +78,7 @@
 func begin(disk *vfs.MemoryFS, now float64, e *engines) (*controller, error) {
 	c := &controller{now: now, heard: make(chan ledger.Event, 1000), engine: e}
 	open := func() (err error) {
-		c.Store, _, err = OpenAt(disk, bounds, given(), func() float64 { return now }, up(now),
+		c.Store, _, err = OpenAt(disk, bounds, ledgerSettings(), func() float64 { return now }, up(now),
 			func(ev ledger.Event) { c.heard <- ev }, silent())
 		return err
 	}
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -35,15 +35,15 @@
 
 // Open opens the store, ends what was open at the last crash, and gives what was found. Back gets what is heard of the
 // disk, from another goroutine; it must lead to Step.
-func Open(fs vfs.FS, bounds store.Options, given scheduler.Given, now func() float64, back func(ledger.Event),
+func Open(fs vfs.FS, bounds store.Options, settings ledger.Settings, now func() float64, back func(ledger.Event),
 	log logrus.FieldLogger) (*Store, store.Recovery, error) {
-	return OpenAt(fs, bounds, given, now, ReadClocks(), back, log)
+	return OpenAt(fs, bounds, settings, now, ReadClocks(), back, log)
 }
 
 // OpenAt is Open at a moment of the machine's clocks.
-func OpenAt(fs vfs.FS, bounds store.Options, given scheduler.Given, now func() float64, moment ledger.Clocks,
+func OpenAt(fs vfs.FS, bounds store.Options, settings ledger.Settings, now func() float64, moment ledger.Clocks,
 	back func(ledger.Event), log logrus.FieldLogger) (*Store, store.Recovery, error) {
-	k := &Store{ledger: ledger.New(given), back: back, log: log, now: now}
+	k := &Store{ledger: ledger.New(settings), back: back, log: log, now: now}
 	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
 		k.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
 	})
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -142,8 +142,8 @@
 // desks is a desk with the decision module, a keeper on a disk, and executors that answer.
 func desks(t *testing.T, disk *vfs.MemoryFS) (*dispatch.Loop, *fleet, *Store) {
 	clock := dispatch.NewClock()
-	d := dispatch.New(clock, scheduler.New(7, given()), silent())
-	k, _, err := Open(disk, bounds, given(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
+	d := dispatch.New(clock, scheduler.New(7, testSettings()), silent())
+	k, _, err := Open(disk, bounds, ledgerSettings(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
 	require.NoError(t, err)
 	f := &fleet{desk: d}
 	d.Executors, d.Peers, d.List, d.HealthCheckTimeoutMS = f, f, f, 250
@@ -199,7 +199,7 @@
 		require.Equal(t, "handled", ask("once"), call)
 		d.Stop()
 		require.NoError(t, k.Close())
-		again, _, err := Open(disk, bounds, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
+		again, _, err := Open(disk, bounds, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
 		require.NoError(t, err)
 		assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
 		require.NoError(t, again.store.Close())
@@ -238,6 +238,6 @@
 	m := ReadClocks()
 	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
 	assert.Equal(t, m.UpMS > 0, m.Boot != "")
-	_, _, err := Open(vfs.NewMemory(), store.Options{}, given(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
+	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
 	assert.NoError(t, err)
 }
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -71,7 +71,8 @@
 func (w *world) name(k int) string { return fmt.Sprintf("c%03d", k) }
 
 func testBounds() Settings {
-	b := BoundsOf(scheduler.Given{"lease_ms": 3000.0, "stage_ms": 1000.0, "return_wait_ms": 1000.0})
+	b := DefaultSettings()
+	b.LeaseMS, b.StageMS, b.RecoveryWaitMS = 3000, 1000, 1000
 	return b
 }
 
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -11,8 +11,6 @@
 
 import (
 	"slices"
-
-	"liftshift/scheduler"
 )
 
 const (
@@ -208,10 +206,8 @@
 	MinDensity     map[[2]string]float64 // gain for its work that a search must have to go from a region to another
 }
 
-// BoundsOf reads them from plain names: zone_room, zone_spill, stage_ms, return_wait_ms, lease_ms, and the offerings' threads.
-func BoundsOf(g scheduler.Given) Settings {
-	b := Settings{ThreadsPerCore: g.Num("zone_room", usualRoom), SpillShare: g.Num("zone_spill", usualSpill), StageMS: g.Num("stage_ms", usualStage),
-		RecoveryWaitMS: g.Num("return_wait_ms", usualWait), LeaseMS: g.Num("lease_ms", confirmMS), MinShare: g.Num("zone_unit", 1),
+// DefaultSettings returns what holds where the operators say nothing.
+func DefaultSettings() Settings {
+	return Settings{ThreadsPerCore: usualRoom, SpillShare: usualSpill, StageMS: usualStage, RecoveryWaitMS: usualWait, LeaseMS: confirmMS, MinShare: 1,
 		LatencyMS: map[[2]string]float64{}, MinDensity: map[[2]string]float64{}}
-	return b
 }
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -44,7 +44,9 @@
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Incarnation: 1, Address: at}
 	c.LocalityDatagram = scout
-	view := membership.New(c.Now(), "test", self, []string{at}, scheduler.Given{"probe_ms": 60e3, "answer_ms": 30e3, "suspect_ms": 120e3}, 1)
+	settings := membership.DefaultSettings()
+	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 60e3, 30e3, 120e3
+	view := membership.New(c.Now(), "test", self, []string{at}, settings, 1)
 	require.NoError(t, c.Start(view, nil))
 	t.Cleanup(c.Stop)
 	return c, self
@@ -63,8 +65,8 @@
 	carrier, _ := goldenCarrier(t, "a", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", b, nil, scheduler.Given{}, 1) // its own member is the one that is sent to
-	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", nil, nil, carrier, view, nil, log)
+	view := membership.New(0, "test", b, nil, membership.DefaultSettings(), 1) // its own member is the one that is sent to
+	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", &scheduler.Settings{}, nil, carrier, view, nil, log)
 	for _, ev := range []locality.Event{
 		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
 		{Kind: locality.PlanAgreed, Plan: goldenPlan},
@@ -99,9 +101,9 @@
 	carrier, self := goldenCarrier(t, "b", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", self, nil, scheduler.Given{}, 1)
+	view := membership.New(0, "test", self, nil, membership.DefaultSettings(), 1)
 	watch := func(name string) *Agent {
-		return New(locality.New(name, "z0", "r", locality.BoundsOf(nil)), name, nil, nil, carrier, view, nil, log)
+		return New(locality.New(name, "z0", "r", locality.DefaultSettings()), name, &scheduler.Settings{}, nil, carrier, view, nil, log)
 	}
 	step := func(s *Agent, ev locality.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
 	read := func(name string) []byte {
--- a/internal/localityagent/localityagent.go
+++ b/internal/localityagent/localityagent.go
@@ -8,7 +8,6 @@
 	"encoding/json"
 	"net/netip"
 	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -75,25 +74,16 @@
 }
 
 // New joins one; Begin has it work.
-func New(w *locality.Monitor, name string, given scheduler.Given, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
+func New(w *locality.Monitor, name string, settings *scheduler.Settings, d *dispatch.Loop, c *clusternet.Transport, v *membership.View, s *raftnode.Node, log logrus.FieldLogger) *Agent {
 	t := &Agent{Monitor: w, carrier: c, view: v, seat: s, desk: d, log: log, name: name, stop: make(chan struct{}), opened: make(chan struct{}, 1), where: map[uint32]scheduler.Endpoint{},
 		cores: map[string]float64{}, threads: map[string]float64{}}
-	for k := 0; ; k++ {
-		at := "kind." + strconv.Itoa(k) + "."
-		kind := given.Text(at + "name")
-		if kind == "" {
-			break
-		}
-		t.cores[kind] = given.Num(at+"cores", 1)
+	for _, k := range settings.Kinds {
+		t.cores[k.Name] = k.Cores
 	}
-	for k := 0; ; k++ {
-		at := "offering." + strconv.Itoa(k) + "."
-		name := given.Text(at + "name")
-		if name == "" {
-			return t
-		}
-		t.threads[name] = max(1, given.Num(at+"threads", 1))
+	for _, c := range settings.Classes {
+		t.threads[c.Name] = float64(max(1, c.Threads))
 	}
+	return t
 }
 
 // Start has it hear the council and the others; it is called before the carriage listens.
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -18,8 +18,8 @@
 func TestWhatTheModuleHolds(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := New(locality.New("a", "z0", "r", locality.BoundsOf(nil)), "a", scheduler.Given{"kind.0.name": "big", "kind.0.cores": 8.0, "offering.0.name": "look",
-		"offering.0.threads": 4.0}, nil, nil, nil, nil, log)
+	settings := &scheduler.Settings{Kinds: []scheduler.ExecutorKind{{Name: "big", Cores: 8}}, Classes: []scheduler.RequestClass{{Name: "look", Threads: 4}}}
+	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", settings, nil, nil, nil, nil, log)
 	hear := func(h dispatch.Event) { assert.Empty(t, s.Handle(1, &h, nil)) }
 	hear(dispatch.Event{Kind: dispatch.RequestEntered, Request: &dispatch.Request{Class: "look"}})
 	hear(dispatch.Event{Kind: dispatch.RequestEntered, Request: &dispatch.Request{Class: "look"}})
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -40,7 +40,7 @@
 }
 
 func goldenView() *View {
-	return New(0, "f", Member{Name: "a", Incarnation: 1, Refutation: 5, Flags: Ready | CanVote, Version: 6, Address: "127.0.0.1:7000", Zone: "z1", Region: "r1"}, nil, nil, 1)
+	return New(0, "f", Member{Name: "a", Incarnation: 1, Refutation: 5, Flags: Ready | CanVote, Version: 6, Address: "127.0.0.1:7000", Zone: "z1", Region: "r1"}, nil, DefaultSettings(), 1)
 }
 
 // Every kind of datagram has the bytes that it had, and is read as it was.
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, full, read.kind)
 	assert.Equal(t, v.Hash(), read.hash)
-	other := New(0, "f", Member{Name: "z", Incarnation: 1, Address: "127.0.0.1:7100"}, nil, nil, 2)
+	other := New(0, "f", Member{Name: "z", Incarnation: 1, Address: "127.0.0.1:7100"}, nil, DefaultSettings(), 2)
 	other.Step(1, &Event{Kind: ExchangeAnswered, From: "127.0.0.1:7000", Data: must(os.ReadFile("testdata/golden/view.bin"))})
 	for _, m := range v.Members() {
 		got, found := other.Find(m.Name)
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -5,14 +5,12 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"liftshift/scheduler"
 )
 
 // pair gives two views that have not met.
 func pair() (a, b *View) {
-	return New(0, "f", Member{Name: "a", Address: "1", Incarnation: 2}, []string{"2"}, nil, 1),
-		New(0, "f", Member{Name: "b", Address: "2", Incarnation: 3}, []string{"1"}, nil, 2)
+	return New(0, "f", Member{Name: "a", Address: "1", Incarnation: 2}, []string{"2"}, DefaultSettings(), 1),
+		New(0, "f", Member{Name: "b", Address: "2", Incarnation: 3}, []string{"1"}, DefaultSettings(), 2)
 }
 
 // meet lets two views hear of each other.
@@ -45,8 +43,9 @@
 
 func (w *walked) start(k int) {
 	w.lives[k]++
-	given := scheduler.Given{"probe_ms": 100.0, "answer_ms": 40.0, "suspect_ms": 150.0}
-	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.lives[k]}, []string{"0", "1", "2"}, given, uint32(k))
+	settings := DefaultSettings()
+	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 100, 40, 150
+	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.lives[k]}, []string{"0", "1", "2"}, settings, uint32(k))
 	w.play(k, -1, Event{Kind: Ticked})
 }
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -51,7 +51,7 @@
 	data := a.pack(&message{kind: gossip}, nil)
 	newer := append([]byte(nil), data...)
 	newer[2] = major + 1
-	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, nil, 1).pack(&message{kind: gossip}, nil)
+	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, DefaultSettings(), 1).pack(&message{kind: gossip}, nil)
 	for _, d := range [][]byte{newer, other, data[:len(data)-1], []byte("hello")} {
 		b.Step(1, &Event{Kind: DatagramReceived, Data: d})
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -4,8 +4,6 @@
 	"hash/crc32"
 	"math"
 	"slices"
-
-	"liftshift/scheduler"
 )
 
 const (
@@ -119,17 +117,13 @@
 	counts                                                  Counts
 }
 
-// New returns the view of a controller that has just started and knows its seeds alone. Given are the times, in ms: probe_ms,
-// answer_ms, suspect_ms, exchange_ms; how many are kept, most_members; and whether it takes its own slowness into account, self_aware.
-func New(now float64, fleet string, self Member, seeds []string, given scheduler.Given, seed uint32) *View {
+// New returns the view of a controller that has just started and knows its seeds alone.
+func New(now float64, fleet string, self Member, seeds []string, settings Settings, seed uint32) *View {
 	self.State, self.Since = Joining, now
 	self.Refutation = max(1, self.Refutation)
 	v := &View{fleet: fleet, now: now, byName: map[string]*member{}, stead: map[uint64]asked{}, seed: seed,
-		probeMS: given.Num("probe_ms", probeMS), answerMS: given.Num("answer_ms", answerMS),
-		suspectMS: given.Num("suspect_ms", suspectMS), exchangeMS: given.Num("exchange_ms", exchangeMS), most: int(given.Num("most_members", mostMembers)), selfAware: true}
-	if _, said := given["self_aware"]; said {
-		v.selfAware = given.Is("self_aware")
-	}
+		probeMS: settings.ProbeMS, answerMS: settings.AnswerMS, suspectMS: settings.SuspectMS, exchangeMS: settings.ExchangeMS,
+		most: settings.MaxMembers, selfAware: !settings.IgnoreOwnHealth}
 	for _, s := range seeds {
 		if s != self.Address && !slices.Contains(v.seeds, s) {
 			v.seeds = append(v.seeds, s)
--- a/internal/operatorconfig/budgets.go
+++ b/internal/operatorconfig/budgets.go
@@ -8,7 +8,6 @@
 
 	"liftshift/internal/attribution"
 	"liftshift/internal/quota"
-	"liftshift/scheduler"
 )
 
 // Quotas is the block budgets.
@@ -16,7 +15,7 @@
 	Teams       []quota.Team
 	Default     string
 	Attribution attribution.Rules
-	Given       scheduler.Given // for the tree: age_ms
+	AgeMS       float64 // of waiting, past which the oldest requests get a share of their own
 	said        map[string]map[string]string
 }
 
@@ -50,7 +49,7 @@
 // budgetsOf reads the block budgets and checks that its parts fit together.
 func budgetsOf(v values) (*Quotas, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	b := &Quotas{Default: v.texts["default"], Given: scheduler.Given{"age_ms": v.nums["age"]}, said: map[string]map[string]string{}}
+	b := &Quotas{Default: v.texts["default"], AgeMS: v.nums["age"], said: map[string]map[string]string{}}
 	b.Attribution = attribution.Rules{Teams: map[string]bool{}, Classes: map[string]string{}, Schemas: map[string]string{}}
 	order, given := v.lists["whose"]
 	if !given {
@@ -91,7 +90,7 @@
 			b.said[kind][x.label] = team
 		}
 	}
-	if _, err := quota.New(b.Teams, b.Default, scheduler.Given{}); err != nil {
+	if _, err := quota.New(b.Teams, b.Default, quota.DefaultSettings()); err != nil {
 		diags = append(diags, wrong(v.at, "budgets: %v", err))
 	}
 	return b, diags
@@ -106,5 +105,5 @@
 		return list
 	}
 	return reflect.DeepEqual(shape(b), shape(o)) && b.Default == o.Default && reflect.DeepEqual(b.said, o.said) &&
-		reflect.DeepEqual(b.Attribution.Order, o.Attribution.Order) && reflect.DeepEqual(b.Given, o.Given)
+		reflect.DeepEqual(b.Attribution.Order, o.Attribution.Order) && b.AgeMS == o.AgeMS
 }
--- a/internal/operatorconfig/estate.go
+++ b/internal/operatorconfig/estate.go
@@ -4,17 +4,20 @@
 	"reflect"
 
 	"github.com/hashicorp/hcl/v2"
-
-	"liftshift/scheduler"
 )
 
 // Handoff is the block estate.
 type Handoff struct {
-	Given          scheduler.Given // for the estate: copies, lag_ms, adopt_at_once, most_kept, keep_answer, alone, adopts.NAME
-	WaitForOwnDisk bool            // a shot waits for this controller's own disk, too
-	CopiesOnDisk   bool            // holders answer once their copies last
-	Copies         int
-	AdoptClasses   []string
+	CopyAfterMS         float64 // idempotent requests that take longer are copied
+	AdoptAtOnce         int     // adopted requests in flight
+	MaxAnswerBytes      int     // longer answers are not copied
+	MaxCopies           int     // kept for other controllers
+	DoubtMS             float64 // for which keys of a partition without a quorum are rejected
+	SendWithoutReplicas bool    // go on where too few replicas can be reached
+	WaitForOwnDisk      bool    // a shot waits for this controller's own disk, too
+	CopiesOnDisk        bool    // holders answer once their copies last
+	Copies              int
+	AdoptClasses        []string
 }
 
 // estateBlock is what may stand in the block estate.
@@ -36,9 +39,9 @@
 // estateOf reads the block estate and checks that its parts fit together.
 func estateOf(v values, founders, store bool) (*Handoff, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	e := &Handoff{Copies: int(v.nums["copies"]), AdoptClasses: v.lists["adopt"], Given: scheduler.Given{"lag_ms": v.nums["lag"],
-		"adopt_at_once": v.nums["adopt_at_once"], "keep_answer": v.nums["keep_answers"], "most_kept": v.nums["most_kept"],
-		"doubt_ms": v.nums["doubt"], "alone": v.texts["unreachable"] == "alone"}}
+	e := &Handoff{Copies: int(v.nums["copies"]), AdoptClasses: v.lists["adopt"], CopyAfterMS: v.nums["lag"],
+		AdoptAtOnce: int(v.nums["adopt_at_once"]), MaxAnswerBytes: int(v.nums["keep_answers"]), MaxCopies: int(v.nums["most_kept"]),
+		DoubtMS: v.nums["doubt"], SendWithoutReplicas: v.texts["unreachable"] == "alone"}
 	how, known := conditions[v.texts["condition"]]
 	if e.WaitForOwnDisk, e.CopiesOnDisk = how[0], how[1]; !known {
 		diags = append(diags, wrong(v.set["condition"], "condition must be \"disk and holders\", \"holders\", \"disk and holders' disks\" or \"holders' disks\""))
@@ -46,9 +49,6 @@
 	if u := v.texts["unreachable"]; u != "" && u != "deny" && u != "alone" {
 		diags = append(diags, wrong(v.set["unreachable"], "unreachable must be \"deny\" or \"alone\""))
 	}
-	for _, name := range e.AdoptClasses {
-		e.Given["adopts."+name] = true
-	}
 	if !founders {
 		diags = append(diags, wrong(v.at, "an estate needs a council: there is no block fleet with founders"))
 	}
--- a/internal/operatorconfig/estate_test.go
+++ b/internal/operatorconfig/estate_test.go
@@ -12,7 +12,7 @@
 func TestEstateBlock(t *testing.T) {
 	f, err := Parse([]byte(council+"estate {\n condition = \"holders' disks\"\n adopt = [\"look\"]\n unreachable = \"alone\"\n copies = 1\n}"), "f")
 	require.NoError(t, err)
-	assert.Equal(t, []any{false, true, 1, true, true, 1.0}, []any{f.Handoff.WaitForOwnDisk, f.Handoff.CopiesOnDisk, f.Handoff.Copies, f.Handoff.Given["alone"], f.Handoff.Given["adopts.look"], f.Cluster.Given["copies"]})
+	assert.Equal(t, []any{false, true, 1, true, []string{"look"}, 1}, []any{f.Handoff.WaitForOwnDisk, f.Handoff.CopiesOnDisk, f.Handoff.Copies, f.Handoff.SendWithoutReplicas, f.Handoff.AdoptClasses, f.Cluster.Consensus.Copies})
 	usual, err := Parse([]byte(council+"estate {}"), "f")
 	require.NoError(t, err)
 	assert.Equal(t, []any{true, false, 2}, []any{usual.Handoff.WaitForOwnDisk, usual.Handoff.CopiesOnDisk, usual.Handoff.Copies})
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -9,8 +9,6 @@
 
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
-
-	"liftshift/scheduler"
 )
 
 // File is what the operators' file says. Without one, all is off.
@@ -26,10 +24,12 @@
 
 // Store is the block store.
 type Store struct {
-	Directory    string
-	SegmentBytes int64
-	FlushDelay   time.Duration
-	Given        scheduler.Given // for the ledger: remember_ms, keep_answer, most_kept
+	Directory      string
+	SegmentBytes   int64
+	FlushDelay     time.Duration
+	RememberMS     float64 // for which an idempotency key is kept past its window
+	MaxAnswerBytes int     // longer answers are not kept
+	MaxRecords     int     // of keys, and of requests
 }
 
 // Default is where the file is looked for if nothing else is said: nowhere, unless this names a path.
@@ -76,8 +76,8 @@
 	f := &File{Path: path}
 	for _, s := range body.kids["store"] {
 		f.Store = &Store{Directory: s.texts["directory"], SegmentBytes: int64(s.nums["segment"]),
-			FlushDelay: time.Duration(s.nums["lag"] * float64(time.Millisecond)), Given: scheduler.Given{
-				"remember_ms": s.nums["remember"], "keep_answer": s.nums["keep_answers"], "most_kept": s.nums["most_kept"]}}
+			FlushDelay: time.Duration(s.nums["lag"] * float64(time.Millisecond)),
+			RememberMS: s.nums["remember"], MaxAnswerBytes: int(s.nums["keep_answers"]), MaxRecords: int(s.nums["most_kept"])}
 	}
 	for _, c := range body.kids["control"] {
 		f.Control = c.texts["socket"]
@@ -96,7 +96,7 @@
 		if f.Handoff, diags = estateOf(b, f.Cluster != nil && len(f.Cluster.Founders) > 0, f.Store != nil); diags.HasErrors() {
 			return nil, complaint(diags)
 		}
-		f.Cluster.Given["copies"] = float64(f.Handoff.Copies)
+		f.Cluster.Consensus.Copies = f.Handoff.Copies
 	}
 	for _, b := range body.kids["zones"] {
 		if f.Locality, diags = zonesOf(b, f.Cluster); diags.HasErrors() {
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -16,8 +16,8 @@
 	f, err := Read(path)
 	require.NoError(t, err)
 	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond}, []any{f.Store.Directory, f.Store.SegmentBytes, f.Store.FlushDelay})
-	assert.Equal(t, []any{3600e3, 4096.0, 200e3},
-		[]any{f.Store.Given["remember_ms"], f.Store.Given["keep_answer"], f.Store.Given["most_kept"]})
+	assert.Equal(t, []any{3600e3, 4096, 200000},
+		[]any{f.Store.RememberMS, f.Store.MaxAnswerBytes, f.Store.MaxRecords})
 	none, err := Parse(nil, "x")
 	assert.NoError(t, err)
 	assert.Nil(t, none.Store)
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -7,7 +7,8 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"liftshift/scheduler"
+	"liftshift/internal/consensus"
+	"liftshift/internal/membership"
 )
 
 // Cluster is the block fleet.
@@ -20,8 +21,9 @@
 	Zone    string
 	Region  string
 	// Founders are the members that found the council together; empty: there is none.
-	Founders []string
-	Given    scheduler.Given // for the view and the council: probe_ms, answer_ms, suspect_ms, lease_ms, declare_ms, replace_ms, voters
+	Founders   []string
+	Membership membership.Settings
+	Consensus  consensus.Settings
 }
 
 const mostName = 60 // bytes of a name that goes over the wire
@@ -49,10 +51,10 @@
 func fleetOf(v values, store bool) (*Cluster, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
 	f := &Cluster{Name: v.texts["name"], Member: v.texts["member"], Address: v.texts["address"], Listen: v.texts["listen"], Seeds: v.lists["seeds"],
-		Zone: v.texts["zone"], Region: v.texts["region"], Founders: v.lists["founders"], Given: scheduler.Given{"voters": v.nums["voters"]}}
-	for _, name := range []string{"probe", "answer", "suspect", "lease", "declare", "replace"} {
-		f.Given[name+"_ms"] = v.nums[name]
-	}
+		Zone: v.texts["zone"], Region: v.texts["region"], Founders: v.lists["founders"], Membership: membership.DefaultSettings(), Consensus: consensus.DefaultSettings()}
+	f.Membership.ProbeMS, f.Membership.AnswerMS, f.Membership.SuspectMS = v.nums["probe"], v.nums["answer"], v.nums["suspect"]
+	f.Consensus.Voters, f.Consensus.LeaseMS = int(v.nums["voters"]), v.nums["lease"]
+	f.Consensus.DeclareLostMS, f.Consensus.ReplaceVoterMS = v.nums["declare"], v.nums["replace"]
 	for _, name := range []string{"name", "member", "zone", "region"} {
 		if len(v.texts[name]) > mostName {
 			diags = append(diags, wrong(v.set[name], "%s is longer than %d bytes", name, mostName))
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -4,14 +4,15 @@
 	"reflect"
 
 	"github.com/hashicorp/hcl/v2"
-
-	"liftshift/scheduler"
 )
 
 // Locality is the block zones.
 type Locality struct {
-	Given   scheduler.Given // zone_room, zone_spill, stage_ms, return_wait_ms
-	Regions map[string]Region
+	ThreadsPerCore float64 // that a zone's executors may have
+	SpillShare     float64 // of what a zone leaves of that, for other zones
+	StageMS        float64 // of a zone's recovery
+	RecoveryWaitMS float64 // until a recovery begins
+	Regions        map[string]Region
 }
 
 // Region is how far another one is from this controller's.
@@ -31,8 +32,8 @@
 // zonesOf reads the block zones and checks that its parts fit together.
 func zonesOf(v values, fleet *Cluster) (*Locality, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
-	z := &Locality{Regions: map[string]Region{}, Given: scheduler.Given{"zone_room": v.nums["room"], "zone_spill": v.nums["spill"],
-		"stage_ms": v.nums["stage"], "return_wait_ms": v.nums["return_wait"]}}
+	z := &Locality{Regions: map[string]Region{}, ThreadsPerCore: v.nums["room"], SpillShare: v.nums["spill"],
+		StageMS: v.nums["stage"], RecoveryWaitMS: v.nums["return_wait"]}
 	switch {
 	case fleet == nil || len(fleet.Founders) == 0:
 		diags = append(diags, wrong(v.at, "zones are agreed on by a council: there is no block fleet with founders"))
--- a/internal/operatorconfig/zones_test.go
+++ b/internal/operatorconfig/zones_test.go
@@ -12,12 +12,12 @@
 func TestBlockZones(t *testing.T) {
 	f, err := Parse([]byte(zoned+"zones {\n spill = 0.5\n stage = \"2s\"\n region \"west\" {\n  way = \"20ms\"\n  price = 0.5\n }\n}"), "f")
 	require.NoError(t, err)
-	assert.Equal(t, 0.5, f.Locality.Given["zone_spill"])
-	assert.Equal(t, 2000.0, f.Locality.Given["stage_ms"])
+	assert.Equal(t, 0.5, f.Locality.SpillShare)
+	assert.Equal(t, 2000.0, f.Locality.StageMS)
 	assert.Equal(t, Region{LatencyMS: 20, MinDensity: 0.5}, f.Locality.Regions["west"])
 	usual, err := Parse([]byte(zoned+"zones {}"), "f")
 	require.NoError(t, err)
-	assert.Equal(t, 1.2, usual.Locality.Given["zone_room"])
+	assert.Equal(t, 1.2, usual.Locality.ThreadsPerCore)
 	assert.Contains(t, f.Differs(usual), "zones")
 	assert.NotContains(t, f.Differs(f), "zones")
 	for text, want := range map[string]string{
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -10,21 +10,14 @@
 	"liftshift/scheduler"
 )
 
-// given has three offerings: look of one thread, report of two, load of two that holds its group.
-func given(more scheduler.Given) scheduler.Given {
-	g := scheduler.Given{"controllers": 1.0}
-	for i, o := range []struct {
-		name    string
-		threads float64
-		holds   bool
-	}{{"look", 1, false}, {"report", 2, false}, {"load", 2, true}} {
-		at := fmt.Sprintf("offering.%d.", i)
-		g[at+"name"], g[at+"threads"], g[at+"holds_group"] = o.name, o.threads, o.holds
+// testSettings has three classes: look of one thread, report of two, load of two that holds its table group.
+func testSettings(ageMS float64) Settings {
+	s := DefaultSettings()
+	if ageMS > 0 {
+		s.AgeMS = ageMS
 	}
-	for k, v := range more {
-		g[k] = v
-	}
-	return g
+	s.Classes = []scheduler.RequestClass{{Name: "look", Threads: 1}, {Name: "report", Threads: 2}, {Name: "load", Threads: 2, HoldsTableGroup: true}}
+	return s
 }
 
 // world is a tree before executors of so many threads that run what is offered in the order of offers, as far as there is
@@ -62,8 +55,8 @@
 	until          float64
 }
 
-func before(t require.TestingT, threads float64, teams []Team, more scheduler.Given) *world {
-	tree, err := New(teams, "other", given(more))
+func before(t require.TestingT, threads float64, teams []Team, ageMS float64) *world {
+	tree, err := New(teams, "other", testSettings(ageMS))
 	require.NoError(t, err)
 	w := &world{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
 		lost: map[string]int{}, pressed: map[string]int{}, info: map[string]ask{}, slow: 1}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -7,9 +7,6 @@
 import (
 	"fmt"
 	"math"
-	"strconv"
-
-	"liftshift/scheduler"
 )
 
 const (
@@ -161,20 +158,13 @@
 	LongestMS                                                   float64 // of all waits so far
 }
 
-// New gives a tree. Of the settings it reads the offerings and age_ms; the team named by fallback takes what is nobody's.
-func New(teams []Team, fallback string, given scheduler.Given) (*Tree, error) {
-	t := &Tree{age: given.Num("age_ms", usualAge), byName: map[string]int32{}, queue: empty, runs: empty, fresh: empty, free: room,
-		home: 1 / max(1, given.Num("controllers", 1)), total: perCore}
+// New returns a tree. The team named by fallback takes what is nobody's.
+func New(teams []Team, fallback string, settings Settings) (*Tree, error) {
+	t := &Tree{age: settings.AgeMS, byName: map[string]int32{}, queue: empty, runs: empty, fresh: empty, free: room,
+		home: 1 / max(1, float64(settings.Controllers)), total: perCore}
 	t.part = t.home
-	for i := 0; ; i++ {
-		at := "offering." + strconv.Itoa(i) + "."
-		name := given.Text(at + "name")
-		if name == "" {
-			break
-		}
-		t.offerings = append(t.offerings, offering{name: name, threads: max(1, given.Num(at+"threads", 1)),
-			holds:   given.Is(at + "holds_group"),
-			inOrder: given.Is(at + "in_order")})
+	for _, c := range settings.Classes {
+		t.offerings = append(t.offerings, offering{name: c.Name, threads: float64(max(1, c.Threads)), holds: c.HoldsTableGroup, inOrder: c.InOrder})
 	}
 	t.nodes = append(t.nodes, node{parent: -1, share: 1})
 	for pending := teams; len(pending) > 0; {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,8 +7,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
-
-	"liftshift/scheduler"
 )
 
 var two = []Team{{Name: "model", Weight: 3}, {Name: "render", Weight: 1}, {Name: "other", Weight: 1}}
@@ -22,7 +20,7 @@
 		modelOf, renderOf float64
 	}{{"alike", 1, "look", 100, 100}, {"long against short", 1, "report", 50, 3000}, {"estimates ten times too low", 0.1, "report", 100, 2000},
 		{"estimates ten times too high", 10, "report", 100, 2000}, {"no estimates", 0, "report", 100, 2000}} {
-		w := before(t, 16, two, nil)
+		w := before(t, 16, two, 0)
 		both := func() {
 			w.keep("model", "look", 20, c.modelOf, c.modelOf)
 			w.keep("render", c.offering, 20, c.renderOf, c.lies*c.renderOf)
@@ -36,7 +34,7 @@
 
 // Who was idle brings no credit along, gets its share at once when it comes, and starves nobody; what it did not use was lent.
 func TestIdleShareIsLentAndTakenBack(t *testing.T) {
-	w := before(t, 16, two, nil)
+	w := before(t, 16, two, 0)
 	w.until(61000, func() { w.keep("render", "look", 20, 100, 100) })
 	assert.InDelta(t, 16*60000, w.done["render"], 16*60000*0.05, "a team alone has all")
 	w.done = map[string]float64{}
@@ -49,7 +47,7 @@
 
 func TestAGuaranteeACeilingAndSubTeamsHold(t *testing.T) {
 	w := before(t, 20, []Team{{Name: "a", Weight: 1, GuaranteedShare: 0.5}, {Name: "b", Weight: 9}, {Name: "b1", Parent: "b", Weight: 1},
-		{Name: "b2", Parent: "b", Weight: 2, Ceiling: 0.1, BurstMS: 100}, {Name: "other"}}, nil)
+		{Name: "b2", Parent: "b", Weight: 2, Ceiling: 0.1, BurstMS: 100}, {Name: "other"}}, 0)
 	w.until(61000, func() {
 		for _, team := range []string{"a", "b1", "b2"} {
 			w.keep(team, "look", 20, 100, 100)
@@ -64,7 +62,7 @@
 
 func TestLimitsOfATeamHold(t *testing.T) {
 	w := before(t, 100, []Team{{Name: "s", MaxInFlight: 3}, {Name: "t", Threads: 5}, {Name: "m", MemoryMB: 40}, {Name: "q", MaxQueued: 2, MaxInFlight: 1},
-		{Name: "other"}}, nil)
+		{Name: "other"}}, 0)
 	w.until(3000, func() {
 		for _, team := range []string{"s", "t", "m"} {
 			w.keep(team, "look", 20, 500, 500)
@@ -82,7 +80,7 @@
 
 // Nobody waits past the age and the bound that is told, however small its weight.
 func TestAgeingBoundsTheLongestWait(t *testing.T) {
-	w := before(t, 8, []Team{{Name: "big", Weight: 1000}, {Name: "tiny", Weight: 0.001}, {Name: "other"}}, scheduler.Given{"age_ms": 2000.0})
+	w := before(t, 8, []Team{{Name: "big", Weight: 1000}, {Name: "tiny", Weight: 0.001}, {Name: "other"}}, 2000.0)
 	bound := 0.0
 	w.until(60000, func() {
 		w.keep("big", "look", 40, 100, 100)
@@ -97,7 +95,7 @@
 
 // Reports that only some executors take wait for those; the rest of the installation goes on.
 func TestWhoWaitsForFewExecutorsHoldsUpNobody(t *testing.T) {
-	w := before(t, 16, two, nil)
+	w := before(t, 16, two, 0)
 	w.only = map[string]float64{"report": 2, "look": 16, "load": 16}
 	w.until(31000, func() {
 		w.keep("render", "report", 50, 1000, 1000)
@@ -112,7 +110,7 @@
 	for n := range 10_000 {
 		teams = append(teams, Team{Name: fmt.Sprint("t", n)})
 	}
-	w := before(t, 50, teams, scheduler.Given{"age_ms": 1e9})
+	w := before(t, 50, teams, 1e9)
 	for n := range 10_000 {
 		w.ask(fmt.Sprint("t", n), "look", 10, 10, 1e6)
 	}
@@ -128,7 +126,7 @@
 
 // A search that can't be done in time any more goes to the module at that moment, whoever else waits.
 func TestWhatCannotBeDoneInTimeIsOfferedAtOnce(t *testing.T) {
-	w := before(t, 1, two, nil)
+	w := before(t, 1, two, 0)
 	w.until(2000, func() { w.keep("model", "look", 30, 1000, 1000) })
 	id := w.ask("render", "look", 300, 300, w.now+700)
 	at := w.now
@@ -149,7 +147,7 @@
 // Who uses what another is due is held down while that one waits, the latest first, a load never; and eased again. Changes
 // are bounded.
 func TestWhoUsesTooMuchIsPressedAndEased(t *testing.T) {
-	w := before(t, 16, []Team{{Name: "model"}, {Name: "render"}, {Name: "other", Weight: 0.001}}, nil)
+	w := before(t, 16, []Team{{Name: "model"}, {Name: "render"}, {Name: "other", Weight: 0.001}}, 0)
 	var ids []string
 	for n := range 7 {
 		ids = append(ids, w.ask("render", []string{"report", "load"}[n%2], 20000, 20000, 1e6))
@@ -188,7 +186,7 @@
 }
 
 func TestATeamIsChangedWhileItWorks(t *testing.T) {
-	w := before(t, 16, two, nil)
+	w := before(t, 16, two, 0)
 	both := func() { w.keep("model", "look", 20, 100, 100); w.keep("render", "look", 20, 100, 100) }
 	w.until(11000, both)
 	w.play(&Event{Kind: TeamChanged, NewLimits: Team{Name: "model", Weight: 1}})
@@ -206,13 +204,13 @@
 	for _, teams := range [][]Team{{{Name: "a", Parent: "b"}, {Name: "other"}}, {{Name: "a", Parent: "b"}, {Name: "b", Parent: "a"}, {Name: "other"}},
 		{{Name: "a"}, {Name: "a"}, {Name: "other"}}, {{Name: "a"}}, {{Name: "other"}, {Name: "a", Parent: "other"}},
 		{{Name: "a", GuaranteedShare: 0.6}, {Name: "b", GuaranteedShare: 0.6}, {Name: "other"}}} {
-		_, err := New(teams, "other", given(nil))
+		_, err := New(teams, "other", testSettings(0))
 		assert.Error(t, err)
 	}
 }
 
 func TestWhyASearchWaitsIsSaid(t *testing.T) {
-	w := before(t, 1, []Team{{Name: "s", MaxInFlight: 1}, {Name: "model"}, {Name: "other"}}, nil)
+	w := before(t, 1, []Team{{Name: "s", MaxInFlight: 1}, {Name: "model"}, {Name: "other"}}, 0)
 	w.ask("s", "look", 1000, 1000, 1e6)
 	id := w.ask("s", "look", 1000, 1000, 1e6)
 	assert.Contains(t, w.Explain(id), "the limit of searches in hand of s")
@@ -228,7 +226,7 @@
 func TestTheCountsAddUpAfterAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := before(t, 6, []Team{{Name: "p", Ceiling: 0.9}, {Name: "a", Parent: "p", MaxInFlight: 3}, {Name: "b", Parent: "p", Threads: 4},
-			{Name: "other", MemoryMB: 30}}, scheduler.Given{"age_ms": 300.0})
+			{Name: "other", MemoryMB: 30}}, 300.0)
 		var ids []string
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -297,7 +295,7 @@
 }
 
 func TestTheOrdinaryPathAllocatesNothing(t *testing.T) {
-	tree, err := New(two, "other", given(nil))
+	tree, err := New(two, "other", testSettings(0))
 	require.NoError(t, err)
 	ids := make([]string, 64)
 	for k := range ids {
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -165,12 +165,12 @@
 	at := addresses(t, 2)
 	hears := &ear{heard: map[string]bool{}, reply: golden(t, "reply-granted.json", []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`))}
 	far := clusternet.New(at[1], silent())
-	farView := membership.New(far.Now(), "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, nil, 2)
+	farView := membership.New(far.Now(), "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, membership.DefaultSettings(), 2)
 	require.NoError(t, far.Start(farView, hears))
 	t.Cleanup(far.Stop)
 	c := clusternet.New(at[0], silent())
-	v := membership.New(c.Now(), "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, at, nil, 1)
-	before := membership.New(0, "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, nil, 3)
+	v := membership.New(c.Now(), "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, at, membership.DefaultSettings(), 1)
+	before := membership.New(0, "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, membership.DefaultSettings(), 3)
 	for _, e := range before.Step(0, &membership.Event{Kind: membership.Ticked}) { // b is known at once
 		if len(e.Data) > 0 {
 			v.Step(c.Now(), &membership.Event{Kind: membership.DatagramReceived, From: at[1], Data: e.Data})
@@ -178,7 +178,7 @@
 	}
 	_, known := v.Find("b")
 	require.True(t, known)
-	s, err := New(c, v, vfs.NewMemory(), []string{"c", "b", "a"}, nil, 1, silent())
+	s, err := New(c, v, vfs.NewMemory(), []string{"c", "b", "a"}, consensus.DefaultSettings(), 1, silent())
 	require.NoError(t, err)
 	confirmed := make(chan uint64, 100)
 	s.OnPlanConfirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
@@ -198,8 +198,8 @@
 	assert.Error(t, err, "the answer is empty")
 	s.ReleaseLease()
 
-	still := membership.New(0, "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, nil, nil, 1)
-	other, err := New(clusternet.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, nil, 1, silent()) // of a carrier that never runs
+	still := membership.New(0, "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, nil, membership.DefaultSettings(), 1)
+	other, err := New(clusternet.New(at[0], silent()), still, nil, []string{"c", "b", "a"}, consensus.DefaultSettings(), 1, silent()) // of a carrier that never runs
 	require.NoError(t, err)
 	for file, want := range map[string]string{
 		"hello": "h", "lease": `a{"Name":"a","Life":3}`, "lease-back": `a{"Name":"a","Life":3,"Release":true}`, "record": "r",
--- a/internal/raftnode/raftnode.go
+++ b/internal/raftnode/raftnode.go
@@ -17,7 +17,6 @@
 	"liftshift/internal/consensus"
 	"liftshift/internal/membership"
 	"liftshift/internal/vfs"
-	"liftshift/scheduler"
 )
 
 const (
@@ -83,7 +82,7 @@
 }
 
 // New opens a member's end. Folder is where it votes from; nil: it has no disk and only asks.
-func New(carrier *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string, given scheduler.Given, seed uint32,
+func New(carrier *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string, settings consensus.Settings, seed uint32,
 	log logrus.FieldLogger) (*Node, error) {
 	self := view.Self()
 	s := &Node{carrier: carrier, view: view, log: log, name: self.Name, life: self.Incarnation, answers: map[uint64]func([]byte, error){},
@@ -97,7 +96,7 @@
 		}
 		s.disk, kept, id = d, d.kept, d.id
 	}
-	s.council = consensus.New(carrier.Now(), self.Name, self.Incarnation, id, founders, kept, given, seed)
+	s.council = consensus.New(carrier.Now(), self.Name, self.Incarnation, id, founders, kept, settings, seed)
 	return s, nil
 }
 
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -103,8 +103,8 @@
 			}
 		}
 		c := clusternet.New(at[k], silent())
-		v := membership.New(c.Now(), "f", membership.Member{Name: name, Incarnation: 1, Address: at[k]}, at, nil, uint32(k))
-		s, err := New(c, v, fs, names, nil, uint32(k), silent())
+		v := membership.New(c.Now(), "f", membership.Member{Name: name, Incarnation: 1, Address: at[k]}, at, membership.DefaultSettings(), uint32(k))
+		s, err := New(c, v, fs, names, consensus.DefaultSettings(), uint32(k), silent())
 		require.NoError(t, err)
 		if name == "b" {
 			s.OnEffect = func(_ float64, e consensus.Effect) {
--- a/internal/service/beside.go
+++ b/internal/service/beside.go
@@ -4,18 +4,18 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/dispatch"
-	"liftshift/scheduler"
+	"liftshift/internal/settings"
 )
 
 // Extensions is what an installation has besides the platform's side. Package service knows nothing of it, so that where it is
 // not wanted it is not even in the program.
 type Extensions interface {
 	// Open is called before the desk runs, with this controller's name, and may give it a memory.
-	Open(name string, d *dispatch.Loop, given scheduler.Given, clock dispatch.Clock, log logrus.FieldLogger) error
+	Open(name string, d *dispatch.Loop, settings *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error
 	// Start is called when the desk runs and has been told nothing yet.
 	Start()
 	// Reload reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
-	Reload(given scheduler.Given) (take func() []string, err error)
+	Reload(settings *settings.Settings) (take func() []string, err error)
 	// LogCounters logs its counters.
 	LogCounters()
 	// ShutdownStarted is called when a planned stop begins.
@@ -28,7 +28,7 @@
 type NoExtensions struct{}
 
 // Open does nothing, as all of these.
-func (NoExtensions) Open(string, *dispatch.Loop, scheduler.Given, dispatch.Clock, logrus.FieldLogger) error {
+func (NoExtensions) Open(string, *dispatch.Loop, *settings.Settings, dispatch.Clock, logrus.FieldLogger) error {
 	return nil
 }
 
@@ -36,7 +36,7 @@
 func (NoExtensions) Start() {}
 
 // Reload finds nothing.
-func (NoExtensions) Reload(scheduler.Given) (func() []string, error) {
+func (NoExtensions) Reload(*settings.Settings) (func() []string, error) {
 	return func() []string { return nil }, nil
 }
 
--- a/internal/service/node.go
+++ b/internal/service/node.go
@@ -18,7 +18,6 @@
 	"liftshift/internal/retry"
 	"liftshift/internal/settings"
 	"liftshift/internal/wire"
-	"liftshift/scheduler"
 )
 
 // readPatience is for how long a configuration is read again that can't be read for a moment.
@@ -41,8 +40,8 @@
 	Known      json.RawMessage `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
-	seed  uint64
-	given scheduler.Given
+	seed     uint64
+	settings *settings.Settings
 }
 
 // ReadConfig reads the configuration file whose path the environment names.
@@ -77,8 +76,8 @@
 	return text, err
 }
 
-// Given gives the settings in our names.
-func (n *Config) Given() scheduler.Given { return n.given }
+// PlatformSettings returns the platform's settings in the program's terms.
+func (n *Config) PlatformSettings() *settings.Settings { return n.settings }
 
 func (n *Config) check() (err error) {
 	for _, at := range []struct{ name, address string }{{"listen", n.Listen}, {"changelog", n.Discovery}} {
@@ -98,15 +97,16 @@
 	if n.seed, err = strconv.ParseUint(n.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed is not 16 hex digits: %q", n.Seed)
 	}
-	if n.given, err = settings.Read(n.Settings); err != nil {
+	if n.settings, err = settings.Read(n.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if n.given.Text("offering.0.name") == "" {
-		return errors.New("settings: no offering")
+	of := &n.settings.Scheduler
+	if len(of.Classes) == 0 {
+		return errors.New("settings: no request class")
 	}
 	// Parts of what all may send a cold executor add up only if nobody counts too few.
-	n.given["controllers"] = max(n.given.Num("controllers", 1), float64(len(n.Peers)))
-	n.given["told_within_ms"] = float64(toldWithin) / float64(time.Millisecond)
+	of.Controllers = max(of.Controllers, len(n.Peers))
+	of.NotifiedWithinMS = float64(toldWithin) / float64(time.Millisecond)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	next, err := ReadConfig()
 	var take func() []string
 	if err == nil {
-		take, err = beside.Reload(next.given)
+		take, err = beside.Reload(next.settings)
 	}
 	if err != nil {
 		log.WithField("why", err).Error("reload: not read, the old configuration stays in force")
@@ -133,7 +133,7 @@
 	var names []string
 	for name, same := range map[string]bool{"name": n.Name == next.Name, "listen": n.Listen == next.Listen,
 		"limits": n.Limits == next.Limits, "peer_listen": n.PeerListen == next.PeerListen, "peers_all": n.AllPeers == next.AllPeers,
-		"peers": slices.Equal(n.Peers, next.Peers), "settings": reflect.DeepEqual(n.given, next.given)} {
+		"peers": slices.Equal(n.Peers, next.Peers), "settings": reflect.DeepEqual(n.settings, next.settings)} {
 		if !same {
 			names = append(names, name)
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -6,7 +6,6 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"strconv"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -45,25 +44,25 @@
 	if n.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), max(1, int(n.Limits.Cores+0.5))))
 	}
-	g, clock := n.given, dispatch.NewClock()
+	set, clock := n.settings, dispatch.NewClock()
 	held := int64(n.Limits.MemoryMB * heldShare * (1 << 20))
 	bodies, out := wire.NewByteBudget(held), wire.NewByteBudget(held)
-	d := dispatch.New(clock, scheduler.New(n.seed, g), log)
-	if err := beside.Open(n.Name, d, g, clock, log); err != nil {
+	d := dispatch.New(clock, scheduler.New(n.seed, set.Scheduler), log)
+	if err := beside.Open(n.Name, d, set, clock, log); err != nil {
 		return err
 	}
 	defer beside.Close()
-	offerings, longest := offeringsOf(g)
+	offerings, longest := classLimits(set.Scheduler.Classes)
 	front, err := wire.NewClientServer(n.Listen, offerings, d, clock, wire.ServerLimits{
-		Clients: share(n.Limits.Sockets, clientsShare), MaxHeld: int(g.Num("most_held", 0)), BodyBudget: bodies,
-		AnswerBudget: out, RetryAfterMS: awayOf(g), ServeOutcomes: d.HasLedger(), Arrival: d.Arrival}, log)
+		Clients: share(n.Limits.Sockets, clientsShare), MaxHeld: set.MaxHeld, BodyBudget: bodies,
+		AnswerBudget: out, RetryAfterMS: set.Scheduler.LongestRetryAfterMS(), ServeOutcomes: d.HasLedger(), Arrival: d.Arrival}, log)
 	if err != nil {
 		return err
 	}
-	connect := g.Num("connect_ms", 250)
-	fleet := wire.NewExecutorClient(d, clock, out, wire.ExecutorLimits{ConnectMS: connect, IdleMS: g.Num("idle_close_ms", 15000),
-		MaxPerConn: int(g.Num("shots_per_connection", 100)), MaxConns: share(n.Limits.Sockets, linksShare),
-		ReportNames: g.Names("report"), Seed: n.seed}, log)
+	connect := set.Executors.ConnectTimeoutMS
+	fleet := wire.NewExecutorClient(d, clock, out, wire.ExecutorLimits{ConnectMS: connect, IdleMS: set.Executors.IdleCloseMS,
+		MaxPerConn: set.Executors.StreamsPerConn, MaxConns: share(n.Limits.Sockets, linksShare),
+		ReportNames: set.Scheduler.ReportNames, Seed: n.seed}, log)
 	fleet.LeaseHeld = d.LeaseHeld
 	peers, err := wire.NewPeerNetwork(n.PeerListen, n.Peers, n.AllPeers, d, log)
 	if err != nil {
@@ -147,27 +146,14 @@
 	return nil
 }
 
-// awayOf gives the time to stay away that a denial for want of room may name; 0 where none may be told.
-func awayOf(g scheduler.Given) float64 {
-	if !g.Is("tells_come_back") {
-		return 0
-	}
-	return g.Num("longest_come_back_ms", 0)
-}
-
-// offeringsOf gives what a front needs to know of each offering, and the longest hard limit.
-func offeringsOf(g scheduler.Given) (map[string]wire.ClassLimits, time.Duration) {
-	offerings, longest := map[string]wire.ClassLimits{}, 0.0
-	for i := 0; ; i++ {
-		at := "offering." + strconv.Itoa(i) + "."
-		name := g.Text(at + "name")
-		if name == "" {
-			return offerings, time.Duration(longest * float64(time.Millisecond))
-		}
-		limit := g.Num(at+"limit_ms", 0)
-		offerings[name] = wire.ClassLimits{Keyed: g.Text(at+"effect") == "labelled", LimitMS: limit}
-		longest = max(longest, limit)
+// classLimits returns what a client server has to know of each class, and the longest deadline.
+func classLimits(classes []scheduler.RequestClass) (map[string]wire.ClassLimits, time.Duration) {
+	limits, longest := map[string]wire.ClassLimits{}, 0.0
+	for _, c := range classes {
+		limits[c.Name] = wire.ClassLimits{Keyed: c.Effect == scheduler.Keyed, LimitMS: c.DeadlineMS}
+		longest = max(longest, c.DeadlineMS)
 	}
+	return limits, time.Duration(longest * float64(time.Millisecond))
 }
 
 func share(n int, of float64) int { return max(1, int(float64(n)*of)) }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -238,8 +238,8 @@
 	require.NoError(t, err)
 	for change, want := range map[string]string{`"listen"/"other"`: "listen is missing", `"changelog"/"other"`: "changelog is",
 		`"known"/"other"`: "known is missing", `"settings"/"other"`: "settings is missing", `8c1f/xyz`: "seed is not",
-		`"memory_mb":192/"memory_mb":0`: "limits", `"Classes"/"Others"`: "no offering", `{"name"/["name"`: "configuration",
-		`"Aim": 1000000/"Aim": [[]]`: "settings: Classes.*.Aim"} {
+		`"memory_mb":192/"memory_mb":0`: "limits", `"Classes"/"Others"`: "no request class", `{"name"/["name"`: "configuration",
+		`"Aim": 1000000/"Aim": [[]]`: "settings: Classes.Aim"} {
 		from, to, _ := strings.Cut(change, "/")
 		path := filepath.Join(t.TempDir(), "bad.json")
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(good), from, to, 1)), 0o600))
@@ -329,14 +329,14 @@
 // fewer.
 func TestControllersAreCountedByWhicheverSaysMore(t *testing.T) {
 	n := node(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-	assert.Equal(t, 1.0, n.given.Num("controllers", 0))
+	assert.Equal(t, 1, n.settings.Scheduler.Controllers)
 	text, err := os.ReadFile(os.Getenv("RELAY_CONFIG"))
 	require.NoError(t, err)
 	more := strings.Replace(string(text), `"name":"n0"`, `"name":"n0","peers":["127.0.0.1:5","127.0.0.1:6","127.0.0.1:7"]`, 1)
 	require.NoError(t, os.WriteFile(os.Getenv("RELAY_CONFIG"), []byte(more), 0o600))
 	n, err = ReadConfig()
 	require.NoError(t, err)
-	assert.Equal(t, 3.0, n.given.Num("controllers", 0))
+	assert.Equal(t, 3, n.settings.Scheduler.Controllers)
 }
 
 // A page of an answer that never comes holds up no planned stop: the request has its final answer before the end.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,155 +1,283 @@
-// Package settings turns the settings of the platform, as both adapters get them, into the plain map of names and
-// values that package rules reads. The platform's names for them end here.
+// Package settings maps the platform's settings, as both adapters get them, to the typed settings of the other packages. The
+// platform's names for them end here. It holds no value of its own but the defaults of what the platform leaves out.
 package settings
 
 import (
+	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"liftshift/scheduler"
 )
 
-// usPerMS is the settings' unit of time: microseconds.
+// usPerMS is the unit of time of the platform's settings: microseconds.
 const usPerMS = 1000
 
-// renamed gives our name for each setting that we read, under its path on the wire. A setting with "_ms" at
-// the end of our name is a time. A star stands for the place in a list.
-var renamed = map[string]string{
-	"Siblings": "controllers", "SlotNo": "slot", "Resolution": "beat_ms", "Discovery": "list_comes",
-	"Zone":              "place",
-	"Bounds.Cancelling": "may_call_off", "Bounds.Probing": "may_probe", "Bounds.Peers": "may_tell", "Bounds.ParallelTries": "may_run_two",
-	"Bounds.RetryAfter": "tells_come_back", "Bounds.MaxRetryAfter": "longest_come_back_ms",
-	"Bounds.ConnectTimeout": "connect_ms", "Bounds.IdleClose": "idle_close_ms",
-	"Bounds.StreamsPerConn": "shots_per_connection",
-	"Bounds.MaxAttempts":    "most_shots", "Bounds.MostHeld": "most_held", "Callers.MarksRetry": "marks_repeats",
-	"Classes.*.Name": "offering.*.name", "Classes.*.Idempotency": "offering.*.effect",
-	"Classes.*.DedupScope": "offering.*.scope", "Classes.*.DedupWindow": "offering.*.window_ms",
-	"Classes.*.Aim": "offering.*.due_ms", "Classes.*.AimStretch": "offering.*.due_stretch",
-	"Classes.*.HardLimit": "offering.*.limit_ms", "Classes.*.Worth": "offering.*.gain",
-	"Classes.*.LateWorth": "offering.*.late_share", "Classes.*.OneAtATime": "offering.*.in_order",
-	"Classes.*.KindsOpen": "offering.*.kinds", "Classes.*.ZonesOnly": "offering.*.places",
-	"Classes.*.Stream": "offering.*.stream", "FamilyInfo.ClassThreads.*": "offering.*.threads",
-	"FamilyInfo.ClassLoad.*":      "offering.*.holds_group",
-	"FamilyInfo.BlockedByLoads.*": "offering.*.stands_behind",
-	"FamilyInfo.KindCores.*":      "kind.*.cores", "FamilyInfo.RamOfKindMb.*": "kind.*.ram_mb",
-	"Kinds.*":                 "kind.*.name",
-	"FamilyInfo.LargestShare": "largest_share", "FamilyInfo.Grants": "grants",
-	"FamilyInfo.Priorities": "priorities",
-	"FamilyInfo.TellsEvery": "told_every_ms", "FamilyInfo.TellsCost": "tells_cost",
-	"FamilyInfo.MemoryShort": "memory_short", "Report.Names": "report", "Report.How": "report_comes",
-	"Invariants.DrainGrace": "drain_grace_ms", "Invariants.AnswerSlack": "answer_slack_ms",
-	"Invariants.FallMultiple": "fall_multiple", "Invariants.Fall": "fall_ms", "Invariants.ColdFrom": "cold_from",
-	"Invariants.WarmUp": "warm_up_ms", "Invariants.ExtraFloor": "ration_floor",
-	"Invariants.ExtraPerRequest": "ration_share", "Invariants.RatioSpan": "ration_span_ms",
-	"Invariants.KeyQuiet": "key_rest_ms",
+// Defaults of what the platform leaves out.
+const (
+	defaultConnectTimeoutMS = 250
+	defaultIdleCloseMS      = 15000
+	defaultStreamsPerConn   = 100
+)
+
+// defaultAdoptionBudget bounds what a successor runs again where the platform names no budget for retries.
+var defaultAdoptionBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
+
+// Settings are the platform's settings in the program's terms.
+type Settings struct {
+	Scheduler      scheduler.Settings
+	MaxHeld        int // requests that the controller may hold; 0: any number
+	Executors      ExecutorConnections
+	AdoptionBudget scheduler.RetryBudget
 }
 
-// worded gives our word for texts that are words of the wire.
-var worded = map[string]string{
-	"safe": "redoable", "keyed": "labelled", "unsafe": "irreversible", "subscribe": "asked",
-	"automatic": "pushed",
-	"pull":      "probes", "piggyback": "outcomes", "silent": "none", "line_up": "line", "overcommit": "page",
-	"outstanding": "inflight", "backlog": "queue",
+// ExecutorConnections bound the connections to executors.
+type ExecutorConnections struct {
+	ConnectTimeoutMS float64
+	IdleCloseMS      float64 // executors close a connection that has been idle for so long
+	StreamsPerConn   int
 }
 
-// Word gives our word for a word of the wire.
-func Word(s string) string {
-	if w, ok := worded[s]; ok {
-		return w
-	}
-	return s
+// Error names a setting that can't be read, by its path in the platform's settings.
+type Error struct {
+	Path string
+	Want string // what it has to be
+	Got  string
+}
+
+// Error implements error.
+func (e *Error) Error() string { return fmt.Sprintf("%s: %s is not %s", e.Path, e.Got, e.Want) }
+
+// platform is the JSON of the platform. Pointers tell what is missing from what is zero.
+type platform struct {
+	Siblings *float64 `json:"Siblings"`
+	SlotNo   *float64 `json:"SlotNo"`
+	Kinds    []string `json:"Kinds"`
+	Classes  []class  `json:"Classes"`
+
+	Discovery string `json:"Discovery"`
+	Report    struct {
+		How   string   `json:"How"`
+		Names []string `json:"Names"`
+	} `json:"Report"`
+
+	Bounds struct {
+		Cancelling     bool     `json:"Cancelling"`
+		Probing        bool     `json:"Probing"`
+		Peers          bool     `json:"Peers"`
+		RetryAfter     bool     `json:"RetryAfter"`
+		MaxRetryAfter  float64  `json:"MaxRetryAfter"`
+		ConnectTimeout *float64 `json:"ConnectTimeout"`
+		IdleClose      *float64 `json:"IdleClose"`
+		StreamsPerConn *float64 `json:"StreamsPerConn"`
+		MaxAttempts    *float64 `json:"MaxAttempts"`
+		MostHeld       float64  `json:"MostHeld"`
+	} `json:"Bounds"`
+
+	FamilyInfo struct {
+		ClassThreads   []*float64 `json:"ClassThreads"`
+		ClassLoad      []bool     `json:"ClassLoad"`
+		BlockedByLoads []bool     `json:"BlockedByLoads"`
+		KindCores      []*float64 `json:"KindCores"`
+		RAMOfKindMB    []*float64 `json:"RamOfKindMb"`
+		LargestShare   *float64   `json:"LargestShare"`
+		Grants         bool       `json:"Grants"`
+		TellsEvery     float64    `json:"TellsEvery"`
+	} `json:"FamilyInfo"`
+
+	Invariants struct {
+		DrainGrace      float64  `json:"DrainGrace"`
+		FallMultiple    *float64 `json:"FallMultiple"`
+		Fall            *float64 `json:"Fall"`
+		ColdFrom        *float64 `json:"ColdFrom"`
+		WarmUp          float64  `json:"WarmUp"`
+		ExtraFloor      *float64 `json:"ExtraFloor"`
+		ExtraPerRequest *float64 `json:"ExtraPerRequest"`
+		RatioSpan       *float64 `json:"RatioSpan"`
+		KeyQuiet        float64  `json:"KeyQuiet"`
+	} `json:"Invariants"`
+}
+
+// class is one request class as the platform names it.
+type class struct {
+	Name        string   `json:"Name"`
+	Idempotency string   `json:"Idempotency"`
+	DedupScope  string   `json:"DedupScope"`
+	DedupWindow float64  `json:"DedupWindow"`
+	Aim         float64  `json:"Aim"`
+	AimStretch  float64  `json:"AimStretch"`
+	HardLimit   float64  `json:"HardLimit"`
+	Worth       *float64 `json:"Worth"`
+	LateWorth   float64  `json:"LateWorth"`
+	OneAtATime  bool     `json:"OneAtATime"`
+	KindsOpen   []string `json:"KindsOpen"`
+	ZonesOnly   []string `json:"ZonesOnly"`
 }
 
-// translated tells which settings carry words of the wire; the others hold names, which stay as they are.
-var translated = map[string]bool{
-	"offering.*.effect": true, "list_comes": true, "report_comes": true, "memory_short": true, "report": true,
+// The platform's words for what the program has typed values for.
+var (
+	effects = map[string]scheduler.Effect{
+		"safe": scheduler.Idempotent, "keyed": scheduler.Keyed, "unsafe": scheduler.NonIdempotent}
+	scopes = map[string]scheduler.DedupScope{
+		"": scheduler.DedupNone, "all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell}
+	subscribes     = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	reportsByProbe = map[string]bool{"": false, "silent": false, "piggyback": false, "pull": true}
+	reportNames    = map[string]string{"outstanding": scheduler.ReportInFlight, "backlog": scheduler.ReportQueued}
+)
+
+// ReportName returns the program's name for a figure of a load report.
+func ReportName(platform string) string {
+	if name, ok := reportNames[platform]; ok {
+		return name
+	}
+	return platform
 }
 
-// Read flattens the settings, a JSON object, into our names. Unknown ones are skipped.
-func Read(text []byte) (scheduler.Given, error) {
-	var tree any
-	if err := json.Unmarshal(text, &tree); err != nil {
+// Read reads the platform's settings, a JSON object. Names that the program has no use for are passed over; a value that can't be
+// used is an *Error with its path.
+func Read(text []byte) (*Settings, error) {
+	if trimmed := bytes.TrimSpace(text); len(trimmed) == 0 || trimmed[0] != '{' {
+		return nil, errors.New("not an object")
+	}
+	var p platform
+	if err := json.Unmarshal(text, &p); err != nil {
+		var wrong *json.UnmarshalTypeError
+		if errors.As(err, &wrong) {
+			return nil, &Error{Path: wrong.Field, Want: wrong.Type.String(), Got: wrong.Value}
+		}
 		return nil, err
 	}
-	if _, ok := tree.(map[string]any); !ok {
-		return nil, fmt.Errorf("not an object")
+	s := &Settings{Scheduler: scheduler.DefaultSettings(), MaxHeld: int(p.Bounds.MostHeld)}
+	if err := p.deployment(&s.Scheduler); err != nil {
+		return nil, err
+	}
+	p.limits(&s.Scheduler)
+	if err := s.Scheduler.Validate(); err != nil {
+		return nil, err
 	}
-	out := scheduler.Given{}
-	return out, flatten(out, tree, "", "")
+	s.Executors = ExecutorConnections{
+		ConnectTimeoutMS: milliseconds(p.Bounds.ConnectTimeout, defaultConnectTimeoutMS),
+		IdleCloseMS:      milliseconds(p.Bounds.IdleClose, defaultIdleCloseMS),
+		StreamsPerConn:   int(number(p.Bounds.StreamsPerConn, defaultStreamsPerConn)),
+	}
+	s.AdoptionBudget = p.retryBudget(defaultAdoptionBudget)
+	return s, nil
 }
 
-func flatten(out scheduler.Given, v any, path, place string) error {
-	name, known := renamed[path]
-	if known {
-		ours := name
-		if place != "" {
-			ours = replaceStar(name, place)
-		}
-		if v, ok := value(v, name); ok {
-			out[ours] = v
-			return nil
-		}
-		return fmt.Errorf("%s: unexpected value %v", path, v)
-	}
-	switch v := v.(type) {
-	case map[string]any:
-		for k, w := range v {
-			p := k
-			if path != "" {
-				p = path + "." + k
-			}
-			if err := flatten(out, w, p, place); err != nil {
-				return err
-			}
-		}
-	case []any:
-		for i, w := range v {
-			if err := flatten(out, w, path+".*", fmt.Sprint(i)); err != nil {
-				return err
-			}
+// deployment sets what there is: classes, kinds and how the endpoint list and load reports come.
+func (p *platform) deployment(s *scheduler.Settings) error {
+	s.Controllers = int(number(p.Siblings, float64(s.Controllers)))
+	s.Slot = int(number(p.SlotNo, 0))
+	for k := range p.Classes {
+		c, err := p.class(k)
+		if err != nil {
+			return err
 		}
+		s.Classes = append(s.Classes, c)
+	}
+	for k, name := range p.Kinds {
+		kind := scheduler.DefaultKind(name)
+		kind.Cores = number(at(p.FamilyInfo.KindCores, k), kind.Cores)
+		kind.MemoryMB = number(at(p.FamilyInfo.RAMOfKindMB, k), kind.MemoryMB)
+		s.Kinds = append(s.Kinds, kind)
+	}
+	var err error
+	if s.SubscribesToList, err = lookup(subscribes, "Discovery", p.Discovery); err != nil {
+		return err
+	}
+	if s.ReportsByProbe, err = lookup(reportsByProbe, "Report.How", p.Report.How); err != nil {
+		return err
+	}
+	for _, name := range p.Report.Names {
+		s.ReportNames = append(s.ReportNames, ReportName(name))
 	}
 	return nil
 }
 
-func replaceStar(name, place string) string {
-	for i := range name {
-		if name[i] == '*' {
-			return name[:i] + place + name[i+1:]
-		}
+// class reads the class at k.
+func (p *platform) class(k int) (scheduler.RequestClass, error) {
+	in := &p.Classes[k]
+	path := fmt.Sprintf("Classes.%d.", k)
+	if in.Name == "" {
+		return scheduler.RequestClass{}, &Error{Path: path + "Name", Want: "a name", Got: `""`}
 	}
-	return name
+	effect, err := lookup(effects, path+"Idempotency", in.Idempotency)
+	if err != nil {
+		return scheduler.RequestClass{}, err
+	}
+	scope, err := lookup(scopes, path+"DedupScope", in.DedupScope)
+	if err != nil {
+		return scheduler.RequestClass{}, err
+	}
+	c := scheduler.DefaultClass(in.Name, effect)
+	c.DedupScope, c.DedupWindowMS = scope, in.DedupWindow/usPerMS
+	c.SoftDeadlineMS, c.SoftDeadlineStretch = in.Aim/usPerMS, in.AimStretch
+	c.DeadlineMS = in.HardLimit / usPerMS
+	c.Value, c.LateShare = number(in.Worth, c.Value), in.LateWorth
+	c.InOrder = in.OneAtATime
+	c.HoldsTableGroup, c.BlockedByHolders = at(p.FamilyInfo.ClassLoad, k), at(p.FamilyInfo.BlockedByLoads, k)
+	c.Threads = max(1, int(number(at(p.FamilyInfo.ClassThreads, k), float64(c.Threads))))
+	c.Kinds, c.Zones = in.KindsOpen, in.ZonesOnly
+	return c, nil
 }
 
-func value(v any, name string) (any, bool) {
-	word := func(s string) string {
-		if translated[name] {
-			return Word(s)
-		}
-		return s
+// limits sets what may be done, and what the platform promises in turn.
+func (p *platform) limits(s *scheduler.Settings) {
+	b, f, i := &p.Bounds, &p.FamilyInfo, &p.Invariants
+	s.MayCancel, s.MayHealthCheck, s.MayMessagePeers = b.Cancelling, b.Probing, b.Peers
+	s.MaxAttempts = int(number(b.MaxAttempts, float64(s.MaxAttempts)))
+	s.NamesRetryAfter, s.MaxRetryAfterMS = b.RetryAfter, b.MaxRetryAfter/usPerMS
+	s.ConnectTimeoutMS = milliseconds(b.ConnectTimeout, 0)
+	s.LargestShare = number(f.LargestShare, s.LargestShare)
+	s.HonorsGrants, s.ProgressEveryMS = f.Grants, f.TellsEvery/usPerMS
+	s.DrainGraceMS, s.OrderKeyRestMS = i.DrainGrace/usPerMS, i.KeyQuiet/usPerMS
+	s.RetryBudget = p.retryBudget(scheduler.RetryBudget{})
+	s.WarmupMS = i.WarmUp / usPerMS
+	s.ColdCapacity = number(i.ColdFrom, s.ColdCapacity)
+	s.CollapseMultiple = number(i.FallMultiple, s.CollapseMultiple)
+	s.CollapseWindowMS = milliseconds(i.Fall, s.CollapseWindowMS)
+}
+
+// retryBudget returns the budget for retries, with defaults for what is missing.
+func (p *platform) retryBudget(otherwise scheduler.RetryBudget) scheduler.RetryBudget {
+	i := &p.Invariants
+	return scheduler.RetryBudget{
+		WindowMS: milliseconds(i.RatioSpan, otherwise.WindowMS),
+		Floor:    number(i.ExtraFloor, otherwise.Floor),
+		Share:    number(i.ExtraPerRequest, otherwise.Share),
 	}
-	switch v := v.(type) {
-	case float64:
-		if len(name) > 3 && name[len(name)-3:] == "_ms" {
-			return v / usPerMS, true
-		}
-		return v, true
-	case bool:
-		return v, true
-	case string:
-		return word(v), true
-	case nil:
-		return nil, true
-	case []any:
-		list := make([]string, 0, len(v))
-		for _, w := range v {
-			s, ok := w.(string)
-			if !ok {
-				return nil, false
-			}
-			list = append(list, word(s))
-		}
-		return list, true
+}
+
+// lookup returns what a word of the platform stands for.
+func lookup[T any](words map[string]T, path, word string) (T, error) {
+	value, ok := words[word]
+	if !ok {
+		return value, &Error{Path: path, Want: "a word that this program knows", Got: fmt.Sprintf("%q", word)}
+	}
+	return value, nil
+}
+
+// number returns a value, or another one where it is missing.
+func number(value *float64, otherwise float64) float64 {
+	if value == nil {
+		return otherwise
+	}
+	return *value
+}
+
+// milliseconds returns a time, or another one where it is missing.
+func milliseconds(us *float64, otherwise float64) float64 {
+	if us == nil {
+		return otherwise
+	}
+	return *us / usPerMS
+}
+
+// at returns the value at k, or the zero value past the end.
+func at[T any](list []T, k int) (value T) {
+	if k < len(list) {
+		value = list[k]
 	}
-	return nil, false
+	return value
 }
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -24,7 +24,7 @@
 // Host is what a batch is played to.
 type Host interface {
 	// Attach starts an instance, Stop ends it, Event hands it one event.
-	Attach(instance int, seed uint64, given scheduler.Given) error
+	Attach(instance int, seed uint64, settings scheduler.Settings) error
 	Stop(instance int) error
 	Event(instance int, now float64, ev *scheduler.Event) error
 }
@@ -441,11 +441,11 @@
 	if text == "" {
 		return r.errorf("ATTACH: Settings is missing")
 	}
-	settings, err := settings.Read([]byte(text))
+	s, err := settings.Read([]byte(text))
 	if err != nil {
 		return r.errorf("ATTACH: Settings: %v", err)
 	}
-	if err := host.Attach(instance, seed, settings); err != nil {
+	if err := host.Attach(instance, seed, s.Scheduler); err != nil {
 		return r.at("ATTACH", err)
 	}
 	return r.at("ATTACH", host.Event(instance, now, &scheduler.Event{Kind: scheduler.Started}))
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -12,15 +12,15 @@
 
 // host keeps what it is told; instance 3 runs.
 type host struct {
-	given   scheduler.Given
-	seed    uint64
-	stopped []int
-	events  []scheduler.Event
-	now     float64
+	settings scheduler.Settings
+	seed     uint64
+	stopped  []int
+	events   []scheduler.Event
+	now      float64
 }
 
-func (h *host) Attach(_ int, seed uint64, given scheduler.Given) error {
-	h.seed, h.given = seed, given
+func (h *host) Attach(_ int, seed uint64, settings scheduler.Settings) error {
+	h.seed, h.settings = seed, settings
 	return nil
 }
 func (h *host) Stop(instance int) error { h.stopped = append(h.stopped, instance); return nil }
@@ -73,9 +73,13 @@
 	assert.NoError(t, err)
 	assert.Equal(t, []int{3}, h.stopped)
 	assert.Equal(t, scheduler.Started, h.events[0].Kind)
-	assert.Equal(t, scheduler.Given{"controllers": 2.0, "kind.0.name": "safe", "offering.0.name": "safe",
-		"offering.0.effect": "labelled", "offering.0.due_ms": 2.0, "offering.0.kinds": []string{"probe"},
-		"offering.0.holds_group": true, "offering.0.threads": 2.0}, h.given)
+	want := scheduler.DefaultSettings()
+	want.Controllers = 2
+	want.Kinds = []scheduler.ExecutorKind{scheduler.DefaultKind("safe")}
+	class := scheduler.DefaultClass("safe", scheduler.Keyed)
+	class.SoftDeadlineMS, class.Kinds, class.HoldsTableGroup, class.Threads = 2, []string{"probe"}, true, 2
+	want.Classes = []scheduler.RequestClass{class}
+	assert.Equal(t, want, h.settings)
 }
 
 func TestMalformedLinesAreNamed(t *testing.T) {
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -795,7 +795,7 @@
 		name, value, named := strings.Cut(part, ":")
 		if !named {
 			value = name
-		} else if k = slices.Index(names, settings.Word(name)); k < 0 {
+		} else if k = slices.Index(names, settings.ReportName(name)); k < 0 {
 			continue // more than the settings name
 		}
 		n, err := figure(value)
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -20,7 +20,7 @@
 	if g.unheard <= 0 {
 		return math.Inf(1)
 	}
-	told := g.given.Num("told_within_ms", 0)
+	told := g.settings.NotifiedWithinMS
 	if told <= 0 {
 		return math.Inf(1)
 	}
@@ -31,13 +31,13 @@
 			by = min(by, at)
 		}
 	}
-	return by + g.given.Num("drain_grace_ms", 0) - closingMS
+	return by + g.settings.DrainGraceMS - closingMS
 }
 
 // deem notes when what the list owes counts as told. One that passed so long ago that it closes nothing by
 // itself is forgotten.
 func (g *Scheduler) deem(at float64) {
-	past := g.now - g.given.Num("told_within_ms", 0)
+	past := g.now - g.settings.NotifiedWithinMS
 	g.deemed = slices.DeleteFunc(g.deemed, func(one float64) bool { return one < past })
 	if at > 0 && len(g.deemed) < mostDeemed {
 		g.deemed = append(g.deemed, at)
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,30 +1,29 @@
 package scheduler
 
-// given is a deployment with one offering of each effect.
-func given(more Given) Given {
-	g := Given{
-		"controllers": 1.0, "most_shots": 4.0, "may_call_off": true, "may_probe": true, "priorities": true,
-		"grants": true, "told_every_ms": 1000.0, "warm_up_ms": 10000.0, "cold_from": 0.3, "fall_multiple": 3.0,
-		"fall_ms": 2000.0, "tells_come_back": true, "longest_come_back_ms": 500.0,
-		"kind.0.name": "big", "kind.0.cores": 8.0, "kind.0.ram_mb": 16000.0,
-		"kind.1.name": "odd", "kind.1.cores": 8.0, "kind.1.ram_mb": 16000.0,
+// testSettings is a deployment with one class of each effect.
+func testSettings(changes ...func(*Settings)) Settings {
+	s := DefaultSettings()
+	s.MaxAttempts, s.MayCancel, s.MayHealthCheck = 4, true, true
+	s.HonorsGrants, s.ProgressEveryMS = true, 1000
+	s.WarmupMS, s.ColdCapacity, s.CollapseMultiple, s.CollapseWindowMS = 10000, 0.3, 3, 2000
+	s.NamesRetryAfter, s.MaxRetryAfterMS = true, 500
+	s.Kinds = []ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}, {Name: "odd", Cores: 8, MemoryMB: 16000}}
+	for _, c := range []RequestClass{{Name: "read", Effect: Idempotent}, {Name: "mark", Effect: Keyed}, {Name: "once", Effect: NonIdempotent}} {
+		c.DedupScope, c.DedupWindowMS = DedupAll, 5000
+		c.SoftDeadlineMS, c.Value, c.LateShare, c.Threads = 1000, 1, 0.5, 1
+		s.Classes = append(s.Classes, c)
 	}
-	for i, o := range []struct{ name, effect string }{
-		{"read", "redoable"}, {"mark", "labelled"}, {"once", "irreversible"},
-	} {
-		at := "offering." + string(rune('0'+i)) + "."
-		g[at+"name"], g[at+"effect"], g[at+"scope"], g[at+"window_ms"] = o.name, o.effect, "all", 5000.0
-		g[at+"due_ms"], g[at+"gain"], g[at+"late_share"], g[at+"threads"] = 1000.0, 1.0, 0.5, 1.0
-	}
-	for k, v := range more {
-		g[k] = v
+	for _, change := range changes {
+		if change != nil {
+			change(&s)
+		}
 	}
-	return g
+	return s
 }
 
 // gateway is an instance at 1000 ms that knows the executors 1 to n.
-func gateway(n int, more Given) *Scheduler {
-	g := New(7, given(more))
+func gateway(n int, changes ...func(*Settings)) *Scheduler {
+	g := New(7, testSettings(changes...))
 	g.began = -1e6 // long ago
 	var list []Endpoint
 	for i := range n {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -177,10 +177,10 @@
 		return never
 	}
 	for first := range g.doubts(s) { // what may have run, under this mark
-		if o.effect != "labelled" || g.now > g.latest(s) {
+		if o.effect != Keyed || g.now > g.latest(s) {
 			return never
 		}
-		if o.scope == "zone" && first.Zone != e.place || o.scope == "cell" && first.Cell != e.cell {
+		if o.scope == DedupZone && first.Zone != e.place || o.scope == DedupCell && first.Cell != e.cell {
 			return notHere
 		}
 	}
@@ -216,10 +216,10 @@
 // ration. One may begin as late as its connection comes up: counted from there, too, no more than one is
 // over it.
 func (g *Scheduler) rationLeft(coming int) bool {
-	length, late := g.given.Num("ration_span_ms", 0), g.given.Num("connect_ms", 0)
+	length, late := g.settings.RetryBudget.WindowMS, g.settings.ConnectTimeoutMS
 	g.extras.forget(g.now-length-late-beatMS, 0)
 	g.takes.forget(g.now-length, 0)
-	most := g.given.Num("ration_floor", 0) + g.given.Num("ration_share", 0)*float64(g.takes.count())
+	most := g.settings.RetryBudget.Floor + g.settings.RetryBudget.Share*float64(g.takes.count())
 	return length == 0 || float64(g.extras.since(g.now-length-beatMS)+coming+1) <= most &&
 		float64(g.extras.count()+coming) <= most
 }
@@ -227,7 +227,7 @@
 // mayDeny is the one place that decides whether a request may be denied: a new try must do no harm.
 func (g *Scheduler) mayDeny(s *request) bool {
 	o := &g.offerings[s.offering]
-	return o.effect == "redoable" || o.effect == "labelled" && o.scope == "all" || !s.mayHaveRun()
+	return o.effect == Idempotent || o.effect == Keyed && o.scope == DedupAll || !s.mayHaveRun()
 }
 
 // placeNow tells whether to go through what waits: a crowd once a tick, not at each event.
@@ -306,7 +306,7 @@
 		memory = (memory + g.grant(s, e)) / (e.ram * part)
 		group := s.group
 		if o.holds && g.blind(e) { // controllers that don't see each other's loads spread them
-			group += uint64(g.given.Num("slot", 0)) << 32
+			group += uint64(g.settings.Slot) << 32
 		}
 		fill := 0.0 // within the bound the order decides, past it the threads, ours and all's
 		if threads*now > boundPerCore*room || memory*now > 1 || far*g.owed(e) > 0 {
@@ -316,7 +316,7 @@
 			(best < 0 || tier < bestTier || tier == bestTier &&
 				(fill < bestFill || fill == bestFill && order(group, e.id) > bestRank)) {
 			// What is told to all at once would send all to the same one: the fuller, the fewer go at each telling.
-			if g.mayTell && g.blind(e) && g.fresh(e) &&
+			if g.settings.MayMessagePeers && g.blind(e) && g.fresh(e) &&
 				g.odds(s.seq*7919+uint64(e.seenAt)*31+uint64(x)) > 1-busy/(limit*room) {
 				continue
 			}
@@ -332,7 +332,7 @@
 // tell lets a few controllers know what this one has out. Those add up and tell all how full executors are.
 // A lost message is made good by the next; without any, the owed work decides.
 func (g *Scheduler) tell() {
-	if !g.mayTell || g.now < g.tellAt || len(g.executors) == 0 || !g.blind(&g.executors[0]) {
+	if !g.settings.MayMessagePeers || g.now < g.tellAt || len(g.executors) == 0 || !g.blind(&g.executors[0]) {
 		return
 	}
 	g.tellAt = g.now + tellMS*(0.9+0.2*g.chance())
@@ -386,7 +386,7 @@
 // load.
 func (g *Scheduler) asked(x int) bool {
 	e := &g.executors[x]
-	if g.given.Text("report_comes") != "probes" || g.fresh(e) || !g.blind(e) {
+	if !g.settings.ReportsByProbe || g.fresh(e) || !g.blind(e) {
 		return false
 	}
 	if !e.probeOut && g.asks >= 1 {
@@ -405,10 +405,10 @@
 
 func (g *Scheduler) grant(s *request, e *executor) float64 {
 	wants := s.need * cmp.Or(s.part, 1) // executors that set the grants themselves go by the estimate
-	if g.grants {
+	if g.settings.HonorsGrants {
 		wants *= g.offerings[s.offering].memory
 	}
-	return min(wants, e.ram*g.largestShare)
+	return min(wants, e.ram*g.settings.LargestShare)
 }
 
 // fire sends the attempt placed, at the top level.
@@ -440,7 +440,7 @@
 func (g *Scheduler) callOff(i int) {
 	s := &g.slab.places[i]
 	for k := range s.fired {
-		if s.attempts[k].out && g.given.Is("may_call_off") {
+		if s.attempts[k].out && g.settings.MayCancel {
 			g.do(Action{Kind: Cancel, Request: s.id, Attempt: k})
 		}
 	}
@@ -451,8 +451,8 @@
 	s := &g.slab.places[i]
 	if g.mayDeny(s) {
 		a := Action{Kind: Reject, Request: s.id}
-		if g.given.Is("tells_come_back") {
-			a.AfterMS = g.given.Num("longest_come_back_ms", 0) * (0.5 + 0.5*g.chance())
+		if g.settings.NamesRetryAfter {
+			a.AfterMS = g.settings.MaxRetryAfterMS * (0.5 + 0.5*g.chance())
 		}
 		g.do(a)
 	} else {
@@ -472,7 +472,7 @@
 		// A reader that stands behind a load goes elsewhere at once: all it loses is the attempt that it uses up.
 		if ev.Value == 2 {
 			g.seen = append(g.seen, holding{s.group, h.executor, g.now + seenMS})
-			if s.state == running && o.effect == "redoable" && h.share == 0 && g.mayFollow(s) {
+			if s.state == running && o.effect == Idempotent && h.share == 0 && g.mayFollow(s) {
 				g.request(i, doomed)
 			}
 		}
@@ -492,18 +492,18 @@
 		// A bad plan, told by a pace far under that of offering and executor, or an attempt that was forgotten
 		// there. It harms when an estimate is far too low, hence the limit on what is left.
 		if s.state == running && h.ran > badPlanMS && projected > badPlan*expected &&
-			projected-h.ran > 2*expected && o.effect == "redoable" && g.mayFollow(s) {
+			projected-h.ran > 2*expected && o.effect == Idempotent && g.mayFollow(s) {
 			g.request(i, doomed)
 		}
 	}
 }
 
 func (g *Scheduler) mayFollow(s *request) bool {
-	return g.given.Is("may_call_off") && g.attemptsLeft(s) && g.rationLeft(g.returning())
+	return g.settings.MayCancel && g.attemptsLeft(s) && g.rationLeft(g.returning())
 }
 
 func (g *Scheduler) attemptsLeft(s *request) bool {
-	return s.fired < mostAttempts && float64(s.begun()) < g.given.Num("most_shots", mostAttempts)
+	return s.fired < mostAttempts && s.begun() < g.settings.MaxAttempts
 }
 
 func (g *Scheduler) ended(i int, h *attempt, ev *Event) {
@@ -529,7 +529,7 @@
 			g.suspect(h.executor)
 		}
 	}
-	if rest := g.given.Num("key_rest_ms", 0); s.key != "" && rest > 0 &&
+	if rest := g.settings.OrderKeyRestMS; s.key != "" && rest > 0 &&
 		(ev.Outcome == TimedOut || ev.Outcome == ConnectionLost || ev.Outcome == Cancelled) {
 		g.rests[s.key] = g.now + rest
 	}
@@ -597,7 +597,7 @@
 	for i := range g.slab.places {
 		s := &g.slab.places[i]
 		if s.used && s.state == running && s.last().executor == x && s.last().sent < before &&
-			(surely || g.offerings[s.offering].effect != "irreversible" && g.mayFollow(s)) {
+			(surely || g.offerings[s.offering].effect != NonIdempotent && g.mayFollow(s)) {
 			g.request(i, doomed)
 		}
 	}
@@ -617,7 +617,7 @@
 	}
 }
 
-func (g *Scheduler) notesMS() float64 { return cmp.Or(g.toldEveryMS, blindMS) }
+func (g *Scheduler) notesMS() float64 { return cmp.Or(g.settings.ProgressEveryMS, blindMS) }
 
 func (g *Scheduler) probed(ev *Event) {
 	x := g.at(ev.Executor)
@@ -632,9 +632,9 @@
 	e.probeOut, e.missed = false, ev.Outcome != Succeeded
 	if g.dirty = true; len(ev.LoadReport) > 0 {
 		e.seenAt, g.reportedAt = g.now, g.now
-		e.seenMemory = g.reported(ev, "x0") * e.ram
-		e.seen = g.reported(ev, "inflight") + g.reported(ev, "x1")*busyThreads*e.cores
-		if g.reported(ev, "queue") > 0.5 { // what comes now stands in line
+		e.seenMemory = g.reported(ev, ReportMemoryShare) * e.ram
+		e.seen = g.reported(ev, ReportInFlight) + g.reported(ev, ReportDiskShare)*busyThreads*e.cores
+		if g.reported(ev, ReportQueued) > 0.5 { // what comes now stands in line
 			e.seen += shortPerCore * e.cores
 		}
 	}
@@ -652,7 +652,7 @@
 	g.dirty, g.beatAt = true, g.now
 	g.asks = min(asksSaved, g.asks+gap*asksPerMS)
 	g.readOnset()
-	if g.given.Text("list_comes") == "asked" && g.now >= g.askAt {
+	if g.settings.SubscribesToList && g.now >= g.askAt {
 		g.askAt = math.Inf(1)
 		g.do(Action{Kind: Subscribe})
 	}
@@ -716,10 +716,10 @@
 // forgotten tells whether an attempt has missed a note while its executor goes on working: lost replies, cut
 // streams, dropped attempts. It harms where notes alone are lost; one in line for memory sends none.
 func (g *Scheduler) forgotten(s *request, h *attempt) bool {
-	every := g.toldEveryMS
+	every := g.settings.ProgressEveryMS
 	e := &g.executors[h.executor]
 	return every > 0 && g.now-h.noted > noteLate*every+slackMS && h.waits == 0 && e.heard > h.noted &&
-		e.state != aside && g.offerings[s.offering].effect != "irreversible" && g.mayFollow(s)
+		e.state != aside && g.offerings[s.offering].effect != NonIdempotent && g.mayFollow(s)
 }
 
 func levelOf(p float64) int {
@@ -763,7 +763,7 @@
 	}
 	quiet, every := g.quiet(e), g.notesMS()
 	look := e.state == aside || quiet > min(every, probeMS)
-	if look && !g.mayProbe {
+	if look && !g.settings.MayHealthCheck {
 		if e.state == aside && g.now > e.asideAt+every*float64(e.strikes) {
 			g.judge(x, answered)
 		}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestOrderIsTheSameEverywhereAndEven(t *testing.T) {
-	a, b := gateway(5, nil), New(99, given(nil))
+	a, b := gateway(5, nil), New(99, testSettings())
 	b.Step(0, &Event{Kind: EndpointsUpdated, List: ListComplete, Endpoints: []Endpoint{
 		{Executor: 5, Kind: "big"}, {Executor: 3, Kind: "big"}, {Executor: 1, Kind: "big"},
 		{Executor: 4, Kind: "big"}, {Executor: 2, Kind: "big"}}}, nil)
@@ -128,7 +128,7 @@
 	g := gateway(3, nil)
 	take(g, 1000, "a", "mark")
 	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 5990, "a", 0, Errored)), "past the window")
-	g = gateway(3, Given{"offering.1.scope": "zone"})
+	g = gateway(3, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
 	take(g, 1000, "a", "mark")
 	for x := range g.executors {
 		g.executors[x].place = []string{"there", "here"}[min(1, (x+2-g.slab.places[0].last().executor)%3)]
@@ -145,7 +145,7 @@
 
 // A repeat leaves within the window in which it is dropped, also where it waits for a connection in between.
 func TestARepeatNamesTheLastMomentAtWhichItMayLeave(t *testing.T) {
-	g := gateway(2, Given{"offering.1.window_ms": 700.0})
+	g := gateway(2, func(s *Settings) { s.Classes[1].DedupWindowMS = 700 })
 	assert.Equal(t, 8975.0, take(g, 1000, "a", "mark")[1].LatestStart, "the first is bound by its client alone")
 	assert.Equal(t, 1000.0+700-closingMS, ended(g, 1100, "a", 0, ConnectionLost)[1].LatestStart)
 }
@@ -162,7 +162,7 @@
 // While the list is out of reach a drain counts as told all the same: an executor gets something new only within that time
 // of the list's last word, or of an attempt that it took; the list's next word opens all.
 func TestAListOutOfReachClosesWhatMayDrain(t *testing.T) {
-	g := gateway(2, Given{"told_within_ms": 7000.0, "drain_grace_ms": 500.0})
+	g := gateway(2, func(s *Settings) { s.NotifiedWithinMS = 7000; s.DrainGraceMS = 500 })
 	g.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
 	first := take(g, 5000, "a", "read")
 	assert.Equal(t, 1400+7000+500-float64(closingMS), first[1].LatestStart)
@@ -182,14 +182,14 @@
 	ev := Event{Kind: RequestArrived, Request: "z", Class: "read", WorkMS: 100, Deadline: 20000}
 	assert.Empty(t, kinds(g.Step(12480, &ev, nil)))
 	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(g.Step(12500, &Event{Kind: EndpointsUpdated, List: ListDelta}, nil)))
-	g = gateway(1, Given{"drain_grace_ms": 500.0})
+	g = gateway(1, func(s *Settings) { s.DrainGraceMS = 500 })
 	g.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
 	assert.NotEmpty(t, take(g, 8900, "a", "read"), "where it does not count as told")
 }
 
 func TestAColdExecutorGetsItsPartOfTheBudget(t *testing.T) {
 	// 3 * 0.3 * 8 cores * 2000 ms, of which nine tenths, between two: 6480 ms of work.
-	g := gateway(1, Given{"controllers": 2.0})
+	g := gateway(1, func(s *Settings) { s.Controllers = 2 })
 	g.Step(1500, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: 1400}}}, nil)
 	e, o := &g.executors[0], &g.offerings[0]
 	assert.Equal(t, chilled, e.state)
@@ -211,12 +211,12 @@
 	}
 	e.coldSent.forget(1e9, 0)
 	parts := 0
-	g.given["controllers"] = 12.0 // the part of a cold executor is reckoned from the settings
-	for g.seed = range 100 {      // a share of these parts holds none: 0.37 of them by chance
+	g.settings.Controllers = 12 // the part of a cold executor is reckoned from the settings
+	for g.seed = range 100 {    // a share of these parts holds none: 0.37 of them by chance
 		parts += count(g.warmEnough(o, e))
 	}
 	assert.InDelta(t, 37, parts, 15)
-	g.given["controllers"] = 2.0
+	g.settings.Controllers = 2
 	g.now = 4520
 	assert.True(t, g.warmEnough(o, e))
 	o.usual = 13000
@@ -224,7 +224,7 @@
 }
 
 func TestRequestsOfAKeyRunInTurnAndTheKeyRests(t *testing.T) {
-	g := gateway(3, Given{"offering.0.in_order": true, "key_rest_ms": 400.0})
+	g := gateway(3, func(s *Settings) { s.Classes[0].InOrder = true; s.OrderKeyRestMS = 400 })
 	keyed := func(id string) []ActionKind {
 		ev := Event{Kind: RequestArrived, Request: id, Class: "read", OrderKey: "k", WorkMS: 9, Deadline: 9000}
 		return kinds(g.Step(1000, &ev, nil))
@@ -238,14 +238,14 @@
 }
 
 func TestPlacementHoldsWithAllElseDown(t *testing.T) {
-	g := gateway(2, Given{"offering.0.kinds": []string{"odd"}})
+	g := gateway(2, func(s *Settings) { s.Classes[0].Kinds = []string{"odd"} })
 	assert.Empty(t, take(g, 1000, "a", "read"))
 	g.Step(1010, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 9, Kind: "odd"}}}, nil)
 	assert.Equal(t, uint32(9), g.executors[g.slab.places[0].last().executor].id)
 }
 
 func TestFurtherAttemptsAreRationed(t *testing.T) {
-	more := Given{"ration_span_ms": 10000.0, "ration_floor": 1.0, "ration_share": 0.1}
+	more := func(s *Settings) { s.RetryBudget.WindowMS = 10000; s.RetryBudget.Floor = 1; s.RetryBudget.Share = 0.1 }
 	g := gateway(3, more)
 	take(g, 1000, "a", "read")
 	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(ended(g, 1010, "a", 0, Overloaded)), "the floor")
@@ -256,7 +256,7 @@
 	assert.True(t, g.rationLeft(0), "a tenth of ten")
 	g.now = 11025
 	assert.False(t, g.rationLeft(0), "the first was taken too long ago")
-	g = gateway(1, Given{"ration_span_ms": 10000.0, "ration_floor": 1.0, "connect_ms": 250.0})
+	g = gateway(1, func(s *Settings) { s.RetryBudget.WindowMS = 10000; s.RetryBudget.Floor = 1; s.ConnectTimeoutMS = 250 })
 	g.extras.add(1000, 1)
 	g.now = 11200
 	assert.True(t, g.rationLeft(0), "one over it where connections come up late")
@@ -265,7 +265,7 @@
 }
 
 func TestAttemptsLeft(t *testing.T) {
-	g := gateway(3, Given{"most_shots": 2.0})
+	g := gateway(3, func(s *Settings) { s.MaxAttempts = 2 })
 	take(g, 1000, "a", "read")
 	ended(g, 1010, "a", 0, Overloaded)
 	assert.Equal(t, []ActionKind{Reject}, kinds(ended(g, 1020, "a", 1, Overloaded)), "given up at once")
@@ -281,7 +281,7 @@
 }
 
 func TestAReaderBehindALoadGoesElsewhere(t *testing.T) {
-	g := gateway(2, Given{"offering.0.stands_behind": true})
+	g := gateway(2, func(s *Settings) { s.Classes[0].BlockedByHolders = true })
 	at := take(g, 1000, "a", "read")[1].Executor
 	out := g.Step(1005, &Event{Kind: ProgressReported, Request: "a", Progress: Waiting, Value: 2}, nil)
 	assert.Equal(t, []ActionKind{Cancel}, kinds(out))
@@ -366,7 +366,7 @@
 
 func TestARequestSureToBeLateWaitsOnlyForWhatPays(t *testing.T) {
 	for late, want := range map[float64][]ActionKind{0.1: {Reject}, 0.5: nil} {
-		g := gateway(0, Given{"offering.0.late_share": late})
+		g := gateway(0, func(s *Settings) { s.Classes[0].LateShare = late })
 		take(g, 1000, "a", "read")
 		assert.Empty(t, kinds(beat(g, 1800)))
 		assert.Equal(t, want, kinds(beat(g, 1950)))
@@ -392,9 +392,9 @@
 }
 
 // many is a gateway over n executors whose part of each is far below one thread.
-func many(n int, more Given) *Scheduler {
-	g := gateway(n, more)
-	g.given["controllers"], g.given["slot"] = 200.0, 0.0
+func many(n int, change func(*Settings)) *Scheduler {
+	g := gateway(n, change)
+	g.settings.Controllers, g.settings.Slot = 200, 0
 	g.reckonShare()
 	return g
 }
@@ -422,7 +422,7 @@
 }
 
 func TestAnExecutorIsAskedBeforeAnAttemptWhereOurPartIsSmall(t *testing.T) {
-	g := many(2, Given{"report_comes": "probes", "report": []string{"queue", "x0", "x1"}})
+	g := many(2, func(s *Settings) { s.ReportsByProbe = true; s.ReportNames = []string{"queue", "x0", "x1"} })
 	g.reportedAt = 1000
 	out := take(g, 1000, "a", "read")
 	assert.Equal(t, []ActionKind{HealthCheck}, kinds(out))
@@ -437,13 +437,13 @@
 }
 
 func TestReportsThatStayOutAreNotWaitedFor(t *testing.T) {
-	g := many(2, Given{"report_comes": "probes", "report": []string{"queue"}})
+	g := many(2, func(s *Settings) { s.ReportsByProbe = true; s.ReportNames = []string{"queue"} })
 	assert.Equal(t, []ActionKind{HealthCheck, SetResources, Send}, kinds(take(g, 5000, "a", "read")))
 }
 
 func TestWhatControllersHaveOutIsAddedUpAndTold(t *testing.T) {
-	adds, tells := many(3, Given{"may_tell": true}), many(3, Given{"may_tell": true})
-	tells.given["slot"] = 7.0
+	adds, tells := many(3, func(s *Settings) { s.MayMessagePeers = true }), many(3, func(s *Settings) { s.MayMessagePeers = true })
+	tells.settings.Slot = 7
 	e := &tells.executors[1]
 	e.threads, e.memory = 8, e.ram/2
 	tells.tell()
@@ -461,7 +461,7 @@
 }
 
 func TestADeadExecutorIsToldAsFuller(t *testing.T) {
-	g := many(2, Given{"may_tell": true})
+	g := many(2, func(s *Settings) { s.MayMessagePeers = true })
 	g.executors[0].bad, g.executors[0].state = 1, aside
 	g.tell()
 	g.addUp(0)
@@ -470,7 +470,7 @@
 }
 
 func TestNobodyGoesToAnExecutorToldAsFull(t *testing.T) {
-	g := many(2, Given{"may_tell": true})
+	g := many(2, func(s *Settings) { s.MayMessagePeers = true })
 	for x := range g.executors {
 		e := &g.executors[x]
 		e.seen, e.seenAt = 3*e.cores*float64(x), 1000
@@ -492,7 +492,7 @@
 			for turn := range 5 {
 				sent, truth, count, kindsSent := 0.0, 0.0, 0.0, map[int]bool{}
 				for slot := range int(n) {
-					g := gateway(1, Given{"controllers": n, "slot": float64(slot)})
+					g := gateway(1, func(s *Settings) { s.Controllers = int(n); s.Slot = slot })
 					e := &g.executors[0]
 					e.coldUntil, g.seed = 9000, uint64(turn)<<32+uint64(slot)
 					for k, ms := range usual {
@@ -539,7 +539,7 @@
 }
 
 func TestNoControllersNamedAndAnEmptyListDoNoHarm(t *testing.T) {
-	g := gateway(0, Given{"controllers": 0.0, "may_tell": true, "report_comes": "probes"})
+	g := gateway(0, func(s *Settings) { s.Controllers = 0; s.MayMessagePeers = true; s.ReportsByProbe = true })
 	assert.Empty(t, kinds(take(g, 1000, "a", "read")))
 	assert.Empty(t, kinds(beat(g, 1020)))
 	assert.Equal(t, []ActionKind{Reject}, kinds(beat(g, 8990)))
@@ -581,7 +581,7 @@
 	f.Add([]byte{0, 1, 2, 3}, 0)
 	f.Add([]byte{1, 2, 0x53}, 7)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
-		g := gateway(3, Given{"may_tell": true, "controllers": 40.0})
+		g := gateway(3, func(s *Settings) { s.MayMessagePeers = true; s.Controllers = 40 })
 		out := g.Step(1100, &Event{Kind: PeerMessage, FromPeer: from, Payload: data}, nil)
 		out = g.Step(1400, &Event{Kind: TimerFired}, out)
 		for _, a := range out {
@@ -631,7 +631,11 @@
 
 // Called off without a further attempt to follow, an attempt that might still be handled would be thrown away.
 func TestNobodyIsCalledOffForAnAttemptThatTheRationLacks(t *testing.T) {
-	g := gateway(2, Given{"ration_span_ms": 10000.0, "ration_floor": 1.0, "offering.0.stands_behind": true})
+	g := gateway(2, func(s *Settings) {
+		s.RetryBudget.WindowMS = 10000
+		s.RetryBudget.Floor = 1
+		s.Classes[0].BlockedByHolders = true
+	})
 	for _, id := range []string{"a", "b"} {
 		take(g, 1000, id, "read")
 	}
@@ -649,7 +653,7 @@
 // What may have run under a mark, in another request or before a crash, goes only where it is known as a repeat, and no
 // longer than it is known there; it is never denied then, since a new try might do harm.
 func TestWhatMayHaveRunBeforeGoesToItsGroup(t *testing.T) {
-	g := gateway(1, Given{"offering.1.scope": "zone"})
+	g := gateway(1, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
 	g.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Zone: "there", Kind: "big"}}}, nil)
 	again := func(id, offering string, p PriorAttempt) []Action {
 		return g.Step(2000, &Event{Kind: RequestArrived, Request: id, Class: offering, WorkMS: 100, Deadline: 9000, Prior: p}, nil)
@@ -687,7 +691,7 @@
 	}
 	beat(before, 3000)
 	figures := before.Estimates(nil)
-	g := gateway(4, Given{"ration_span_ms": 10000.0, "ration_floor": 1.0})
+	g := gateway(4, func(s *Settings) { s.RetryBudget.WindowMS = 10000; s.RetryBudget.Floor = 1 })
 	g.Step(1000, &Event{Kind: StateRestored, Retries: []float64{900}, Estimates: append(figures, Estimate{"read.slow", -1}, Estimate{"odd", 3}),
 		ExecutorStates: []ExecutorState{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2, WarmupUntil: 5000}, {Executor: 3, Draining: true},
 			{Executor: 99, Ejected: true}}}, nil)
@@ -703,7 +707,7 @@
 // A request of a team past its budget starts lower and gets less memory; held under a level while it runs it is re-marked, and
 // again when it is no more. A load starts at the top and is never held: it would hold its group for longer.
 func TestStartsAndPressingMoveLevels(t *testing.T) {
-	g := gateway(2, Given{"offering.1.holds_group": true, "offering.0.stands_behind": true})
+	g := gateway(2, func(s *Settings) { s.Classes[1].HoldsTableGroup = true; s.Classes[0].BlockedByHolders = true })
 	a := g.Step(2000, &Event{Kind: RequestArrived, Request: "a", Class: "read", WorkMS: 100, MemoryMB: 100, Deadline: 9000, PriorityCap: 500, MemoryShare: 0.5}, nil)
 	assert.Equal(t, []ActionKind{SetResources, Send}, kinds(a))
 	assert.Equal(t, 1, a[0].Level)
@@ -740,7 +744,7 @@
 // What is to be sent now or not at all takes no room that another waits for, counts for the ration only once it is sent, and
 // leaves nothing behind when it is given back.
 func TestWhatIsSentNowOrGivenBack(t *testing.T) {
-	g := gateway(1, Given{"kind.0.cores": 1.0, "ration_span_ms": 10000.0})
+	g := gateway(1, func(s *Settings) { s.Kinds[0].Cores = 1; s.RetryBudget.WindowMS = 10000 })
 	now := func(at float64, id string) []Action {
 		return g.Step(at, &Event{Kind: RequestArrived, Request: id, Class: "read", WorkMS: 100, Deadline: 9000, Immediate: true}, nil)
 	}
@@ -775,7 +779,7 @@
 
 // How many controllers there are is heard: the part of an executor follows, the part of a cold one stays that of the settings.
 func TestCountedControllers(t *testing.T) {
-	g := gateway(1, Given{"controllers": 4.0, "slot": 1.0})
+	g := gateway(1, func(s *Settings) { s.Controllers = 4; s.Slot = 1 })
 	assert.Equal(t, 0.25, g.share())
 	e, o := &g.executors[0], &g.offerings[0]
 	o.usual, e.coldUntil = 100, 1e9
@@ -791,7 +795,7 @@
 // none that would be late on the way; what runs on kinds that are nowhere near goes there as if it were near.
 func TestHowFarRequestsGo(t *testing.T) {
 	far := func(r ZoneReach) *Scheduler {
-		g := gateway(1, Given{"offering.2.kinds": []string{"odd"}})
+		g := gateway(1, func(s *Settings) { s.Classes[2].Kinds = []string{"odd"} })
 		g.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Zone: "there", Kind: "big"}, {Executor: 3, Zone: "there", Kind: "odd"}}}, nil)
 		r.Zone, r.Tier = "there", 1
 		g.Step(1000, &Event{Kind: ReachabilityChanged, Reaches: []ZoneReach{r}}, nil)
@@ -837,7 +841,7 @@
 func TestAStartIsColdWhateverTheWallClocksSay(t *testing.T) {
 	const now, hour = 1e9, 3.6e6
 	for name, since := range map[string]float64{"an hour behind": now - hour, "right": now - 20, "an hour ahead": now + hour} {
-		g := New(7, given(nil))
+		g := New(7, testSettings())
 		g.began = -1e6
 		g.Step(now-5000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big"}, {Executor: 2, Kind: "big",
 			StartedAt: now - hour/2}}}, nil)
@@ -855,7 +859,12 @@
 // a while, elsewhere meanwhile; an irreversible request too, as nothing ran.
 func TestWhatNeverLeftHereJudgesNoExecutor(t *testing.T) {
 	for _, offering := range []string{"read", "once"} {
-		g := gateway(4, Given{"controllers": 300.0, "ration_span_ms": 10000.0, "ration_floor": 0.0, "most_shots": 2.0})
+		g := gateway(4, func(s *Settings) {
+			s.Controllers = 300
+			s.RetryBudget.WindowMS = 10000
+			s.RetryBudget.Floor = 0
+			s.MaxAttempts = 2
+		})
 		take(g, 1000, "a", offering)
 		for n := range 4 { // all executors, one after the other
 			at := 1000 + 500*float64(n)
@@ -894,7 +903,7 @@
 						if turn > 0 && slot%10 >= killed {
 							break
 						}
-						g := New(uint64(slot*3+turn+1), given(Given{"controllers": float64(n), "slot": float64(slot)}))
+						g := New(uint64(slot*3+turn+1), testSettings(func(s *Settings) { s.Controllers = n; s.Slot = slot }))
 						if g.began = -1e6; turn > 0 {
 							g.Step(900, &Event{Kind: Started}, nil)
 						}
@@ -915,7 +924,7 @@
 // A list that broke off, fell silent or moved owes what it had to tell until a clock of its own: an executor that has not taken
 // anything since is closed by then, one that has is open until the next such clock, or for as long as counts otherwise.
 func TestWhatCountsAsToldClosesWhatMayDrain(t *testing.T) {
-	g := gateway(1, Given{"told_within_ms": 7000.0, "drain_grace_ms": 500.0})
+	g := gateway(1, func(s *Settings) { s.NotifiedWithinMS = 7000; s.DrainGraceMS = 500 })
 	e := &g.executors[0]
 	lose := func(now, deemed float64) {
 		g.Step(now, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedAt: deemed}, nil)
@@ -941,7 +950,7 @@
 // What controllers tell one another fits a datagram, however many executors there are: a longer one voids the run.
 func TestTellingsFitADatagram(t *testing.T) {
 	for _, n := range []int{80, 300, 508, 509, 3200} {
-		g := New(7, given(Given{"may_tell": true, "controllers": 900.0, "slot": 0.0, "offering.0.threads": 1.0}))
+		g := New(7, testSettings(func(s *Settings) { s.MayMessagePeers = true; s.Controllers = 900; s.Slot = 0; s.Classes[0].Threads = 1 }))
 		g.began = -1e6
 		var list []Endpoint
 		for x := range n {
@@ -971,7 +980,7 @@
 		cold bool
 	}{{20, true}, {9000, true}, {14000, true}, {20000, false}, {hour / 2, false}, {hour - 4000, true}, {hour + 3000, true}, {hour + 14000, true},
 		{hour + 60000, false}, {-4000, true}, {-hour, true}, {-hour + 3000, true}, {30 * hour, false}} {
-		g := New(7, given(nil))
+		g := New(7, testSettings())
 		g.began = -1e6
 		g.Step(now, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: now - c.age}}}, nil)
 		assert.Equal(t, c.cold, g.executors[0].coldUntil > now, "%v ms old by the clocks", c.age)
--- a/scheduler/slab.go
+++ b/scheduler/slab.go
@@ -6,7 +6,6 @@
 	"iter"
 	"math"
 	"slices"
-	"strconv"
 	"strings"
 )
 
@@ -220,14 +219,16 @@
 
 // offering is what is known of one offering: what the settings say, and what was learned.
 type offering struct {
-	name, effect, scope string
-	window              float64
-	due, stretch        float64
-	gain, late          float64
-	inOrder             bool
-	holds, behind       bool // holds its table group while it runs; stands still behind one that does
-	threads             int
-	kinds, places       []string
+	name          string
+	effect        Effect
+	scope         DedupScope
+	window        float64
+	due, stretch  float64
+	gain, late    float64
+	inOrder       bool
+	holds, behind bool // holds its table group while it runs; stands still behind one that does
+	threads       int
+	kinds, places []string
 
 	usual     float64 // usual work, ms
 	taken     float64 // requests that it was learnt from
@@ -277,17 +278,6 @@
 	level      float64 // how full, as told
 }
 
-// usedOften are settings that are looked at for each executor at each choice: the map would cost more than the choice.
-type usedOften struct {
-	toldEveryMS, largestShare float64
-	grants, mayTell, mayProbe bool
-}
-
-func readOften(given Given) usedOften {
-	return usedOften{toldEveryMS: given.Num("told_every_ms", 0), largestShare: given.Num("largest_share", 1), grants: given.Is("grants"),
-		mayTell: given.Is("may_tell"), mayProbe: given.Is("may_probe")}
-}
-
 // holding is a table group that a load holds on an executor.
 type holding struct {
 	group    uint64
@@ -297,8 +287,7 @@
 
 // Scheduler is one instance.
 type Scheduler struct {
-	given      Given
-	usedOften  // of the settings
+	settings   Settings
 	seed       uint64
 	draws      uint32
 	now        float64
@@ -360,8 +349,8 @@
 
 // post sends the mail to the first n controllers and tells whether this is one of them.
 func (g *Scheduler) post(n int) (here bool) {
-	for p := range min(n, int(g.given.Num("controllers", 1))) {
-		if p == int(g.given.Num("slot", 0)) {
+	for p := range min(n, g.settings.Controllers) {
+		if p == g.settings.Slot {
 			here = true
 			g.heard(p, g.mail)
 		} else {
@@ -414,14 +403,14 @@
 		}
 	}
 	g.do(Action{Kind: SendPeer, Peer: -1, Payload: g.levels})
-	g.heard(int(g.given.Num("slot", 0)), g.levels)
+	g.heard(g.settings.Slot, g.levels)
 }
 
 // unpublish files a mail, or reads levels that are of the executors listed here and tells so.
 func (g *Scheduler) unpublish(from int, data []byte) bool {
 	ordered, check := g.byID()
 	switch {
-	case from >= 0 && from < int(g.given.Num("controllers", 1)) && len(data) > 0 && data[0] == 0:
+	case from >= 0 && from < g.settings.Controllers && len(data) > 0 && data[0] == 0:
 		for from >= len(g.told) {
 			g.told = append(g.told, telling{})
 		}
@@ -515,23 +504,16 @@
 }
 
 // New starts an instance with nothing but its settings and its seed.
-func New(seed uint64, given Given) *Scheduler {
-	g := &Scheduler{given: given, usedOften: readOften(given), seed: seed, slab: newSlab(), rests: map[string]float64{},
-		closing: math.Inf(1)}
+func New(seed uint64, settings Settings) *Scheduler {
+	g := &Scheduler{settings: settings, seed: seed, slab: newSlab(), rests: map[string]float64{}, closing: math.Inf(1)}
 	g.reckonShare()
-	for i := 0; ; i++ {
-		at := "offering." + strconv.Itoa(i) + "."
-		if given.Text(at+"name") == "" {
-			return g
-		}
-		g.offerings = append(g.offerings, offering{name: given.Text(at + "name"), effect: given.Text(at + "effect"),
-			scope: given.Text(at + "scope"), window: given.Num(at+"window_ms", 0), due: given.Num(at+"due_ms", 0),
-			stretch: given.Num(at+"due_stretch", 0), gain: given.Num(at+"gain", 1),
-			late: given.Num(at+"late_share", 0), inOrder: given.Is(at + "in_order"),
-			holds: given.Is(at + "holds_group"), behind: given.Is(at + "stands_behind"),
-			threads: int(max(1, given.Num(at+"threads", 1))), kinds: given.Names(at + "kinds"),
-			places: given.Names(at + "places"), slow: 1, memory: memoryStart})
+	for _, c := range settings.Classes {
+		g.offerings = append(g.offerings, offering{name: c.Name, effect: c.Effect, scope: c.DedupScope, window: c.DedupWindowMS,
+			due: c.SoftDeadlineMS, stretch: c.SoftDeadlineStretch, gain: c.Value, late: c.LateShare, inOrder: c.InOrder,
+			holds: c.HoldsTableGroup, behind: c.BlockedByHolders, threads: c.Threads, kinds: c.Kinds, places: c.Zones,
+			slow: 1, memory: memoryStart})
 	}
+	return g
 }
 
 // order hashes a group and an executor, without a seed: the same rank at every controller.
@@ -565,7 +547,7 @@
 
 // reckonShare reckons this controller's share, and its part of each executor, anew.
 func (g *Scheduler) reckonShare() {
-	g.traffic = 1 / max(1, cmp.Or(g.present, g.given.Num("controllers", 1)))
+	g.traffic = 1 / max(1, cmp.Or(g.present, float64(g.settings.Controllers)))
 	for x := range g.executors {
 		g.executors[x].part = partOf(g.traffic, g.executors[x].cores)
 	}
@@ -581,7 +563,7 @@
 
 // reported gives the figure of a load report that goes by a name, or 0.
 func (g *Scheduler) reported(ev *Event, name string) float64 {
-	if k := slices.Index(g.given.Names("report"), name); k >= 0 && k < len(ev.LoadReport) {
+	if k := slices.Index(g.settings.ReportNames, name); k >= 0 && k < len(ev.LoadReport) {
 		return ev.LoadReport[k]
 	}
 	return 0
@@ -615,7 +597,7 @@
 		g.executors[x] = fresh
 		g.seen = slices.DeleteFunc(g.seen, func(h holding) bool { return h.executor == x })
 	}
-	g.executors[x].read(g.given, n)
+	g.executors[x].read(&g.settings, n)
 	g.executors[x].part = partOf(g.traffic, g.executors[x].cores)
 	g.recountOut()
 	return x
@@ -639,14 +621,10 @@
 }
 
 // read takes over what the list says of an executor's machine.
-func (e *executor) read(given Given, n *Endpoint) {
+func (e *executor) read(settings *Settings, n *Endpoint) {
 	e.place, e.kind, e.cell = n.Zone, n.Kind, n.Cell
-	e.cores, e.ram = 1, math.MaxFloat64
-	for j := 0; given.Text("kind."+strconv.Itoa(j)+".name") != ""; j++ {
-		if at := "kind." + strconv.Itoa(j) + "."; given.Text(at+"name") == n.Kind {
-			e.cores, e.ram = given.Num(at+"cores", 1), given.Num(at+"ram_mb", math.MaxFloat64)
-		}
-	}
+	kind := settings.Kind(n.Kind)
+	e.cores, e.ram = kind.Cores, kind.MemoryMB
 }
 
 // lend counts an attempt of s as out, settle as back.
@@ -726,7 +704,7 @@
 // doubts gives what may have run of a request: another one of its mark, then its own attempts.
 func (g *Scheduler) doubts(s *request) iter.Seq[PriorAttempt] {
 	return func(yield func(PriorAttempt) bool) {
-		if s.prior.At != 0 && !yield(s.prior) || g.offerings[s.offering].effect == "redoable" {
+		if s.prior.At != 0 && !yield(s.prior) || g.offerings[s.offering].effect == Idempotent {
 			return
 		}
 		for k := range s.fired {
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -32,14 +32,14 @@
 // mayBeCold tells whether a start so long ago by the wall clocks may lie within the warm-up: they may have
 // been stepped since, by some seconds or by an hour.
 func (g *Scheduler) mayBeCold(age float64) bool {
-	warm := g.given.Num("warm_up_ms", 0) + stepMS
+	warm := g.settings.WarmupMS + stepMS
 	return age < warm || age > hourMS-stepMS && age < hourMS+warm
 }
 
 // startOf is the clock before which attempts were an earlier process's: the start told, where that fits this
 // machine's clock.
 func (g *Scheduler) startOf(n *Endpoint) float64 {
-	if age := g.now - n.StartedAt; age >= 0 && age <= g.given.Num("warm_up_ms", 0) {
+	if age := g.now - n.StartedAt; age >= 0 && age <= g.settings.WarmupMS {
 		return n.StartedAt
 	}
 	return g.now
@@ -48,7 +48,7 @@
 // chill takes an executor as cold from now on: it fell silent and may have started anew, list or no list.
 func (g *Scheduler) chill(x int) {
 	e := &g.executors[x]
-	e.coldUntil = g.now + g.given.Num("warm_up_ms", 0)
+	e.coldUntil = g.now + g.settings.WarmupMS
 	e.heard, e.busySince, e.bad, e.pace, e.missed, e.proven = g.now, g.now, 0, 1, false, false
 	g.lost(x, e.asideAt, true)
 }
@@ -56,7 +56,7 @@
 // warmEnough tells whether a request fits this part of what a cold executor may be sent at its least
 // capacity; it weighs what is usual. The parts of all controllers add up to the budget, whatever each sends.
 func (g *Scheduler) warmEnough(o *offering, e *executor) bool {
-	since := g.now - g.given.Num("fall_ms", 2000) - beatMS
+	since := g.now - g.settings.CollapseWindowMS - beatMS
 	e.coldSent.forget(since, 0)
 	part := g.coldPart(e)
 	if since < g.began { // what this one sent before it was started again is not known
@@ -86,8 +86,8 @@
 
 // coldBudget is the work, in ms, that a cold executor stands within the window at its least capacity.
 func (g *Scheduler) coldBudget(e *executor) float64 {
-	capacity := g.given.Num("cold_from", 0.1) * e.cores
-	return g.given.Num("fall_multiple", 1) * capacity * g.given.Num("fall_ms", 2000)
+	capacity := g.settings.ColdCapacity * e.cores
+	return g.settings.CollapseMultiple * capacity * g.settings.CollapseWindowMS
 }
 
 // usualWork is the mean work of a request, in ms, over all that were taken; that of an offering where none
@@ -108,8 +108,8 @@
 // controller.
 func (g *Scheduler) coldPart(e *executor) (part float64) {
 	budget := coldMargin * g.coldBudget(e)
-	n := max(1, g.given.Num("controllers", 1))
-	turn := math.Mod(g.given.Num("slot", 0)+float64(e.id), n)
+	n := max(1, float64(g.settings.Controllers))
+	turn := math.Mod(float64(g.settings.Slot)+float64(e.id), n)
 	least, most := math.Inf(1), 0.0
 	for k := range g.offerings {
 		if usual := g.offerings[k].usual; usual > 0 {
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -3,37 +3,6 @@
 // slowstart.go and drains.go the decisions.
 package scheduler
 
-// Given holds the settings handed over at start: plain names and values (float64, bool, string or
-// []string). Times are milliseconds; names that end in _ms say so. A missing name means that the rule or
-// ability is absent.
-type Given map[string]any
-
-// Num returns the number under name, or otherwise.
-func (m Given) Num(name string, otherwise float64) float64 {
-	if v, ok := m[name].(float64); ok {
-		return v
-	}
-	return otherwise
-}
-
-// Is tells whether the flag under name is set.
-func (m Given) Is(name string) bool {
-	v, _ := m[name].(bool)
-	return v
-}
-
-// Text returns the text under name.
-func (m Given) Text(name string) string {
-	v, _ := m[name].(string)
-	return v
-}
-
-// Names returns the list under name.
-func (m Given) Names(name string) []string {
-	v, _ := m[name].([]string)
-	return v
-}
-
 // EventKind tells what an Event reports.
 type EventKind uint8
 
