--- /dev/null
+++ b/internal/rehearse/versions_test.go
@@ -0,0 +1,279 @@
+package rehearse
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"liftshift/internal/standin"
+)
+
+const (
+	keyedWork         = 1500 * time.Millisecond // of a keyed request at its engine, so that a kill finds it there
+	deduplicationTime = 20 * time.Second        // for which engines drop repeats of a key
+	requestPatience   = 12 * time.Second        // of one client, retries included
+	steadyTime        = 200 * time.Millisecond  // without a new run: whatever was written to an engine has come there
+)
+
+// startAs starts a controller with a program and checks that its process runs that version.
+func startAs(t *testing.T, f *Fleet, k int, program string) {
+	t.Helper()
+	f.Plan.Program = program
+	require.NoError(t, f.Start(k))
+	require.Eventually(t, func() bool { // liftshift goes on as liftshift-full of the same folder
+		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", f.Process(k)))
+		return err == nil && path == program+"-full"
+	}, 10*time.Second, 5*time.Millisecond, "controller %d runs %s", k, program)
+}
+
+// versionsFleet writes a fleet whose keyed requests may take longer than a takeover; it starts controller k with programs[k].
+func versionsFleet(t *testing.T, plan Plan, programs ...string) *Fleet {
+	t.Helper()
+	plan.Folder, plan.Seed, plan.Controllers, plan.Engines, plan.Store = t.TempDir(), 1, len(programs), 3, true
+	plan.Works = map[string]time.Duration{"mark": keyedWork}
+	f, err := New(plan)
+	require.NoError(t, err)
+	t.Cleanup(func() {
+		f.Close()
+		if t.Failed() {
+			for _, c := range f.Controllers {
+				t.Logf("---- %s\n%.4000s", c.Name, c.Log())
+			}
+		}
+	})
+	for k, c := range f.Controllers {
+		path := filepath.Join(c.Folder, "node.json")
+		text, err := os.ReadFile(path)
+		require.NoError(t, err)
+		longer := bytes.ReplaceAll(text, []byte(`"HardLimit":5000000`), []byte(`"HardLimit":15000000`))
+		require.NotEqual(t, text, longer)
+		require.NoError(t, os.WriteFile(path, longer, 0o600))
+		startAs(t, f, k, programs[k])
+	}
+	return f
+}
+
+// waitForMembers waits until all controllers that run know each other, hold their leases and know who keeps copies. It asks by the names
+// that both versions know.
+func waitForMembers(t *testing.T, f *Fleet) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		if settled, _ := f.Settled(); !settled {
+			return false
+		}
+		for k, c := range f.Controllers {
+			a, err := f.Ask(k, "estate", nil)
+			if c.Up() && (err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0) {
+				return false
+			}
+		}
+		return true
+	}, 20*time.Second, 20*time.Millisecond, "all that run know who keeps copies")
+}
+
+// figure gives a number that a controller tells of the work it keeps for others.
+func figure(t *testing.T, f *Fleet, k int, name string) int {
+	t.Helper()
+	a, err := f.Ask(k, "estate", nil)
+	require.NoError(t, err)
+	require.Contains(t, a, name)
+	return int(a[name].(float64))
+}
+
+// keyedRequest is a request with an idempotency key, as its client sees it.
+type keyedRequest struct {
+	key    string
+	answer standin.Answer
+	err    error // the connection ended without an answer, or there was a second answer
+}
+
+// sendKeyed sends a request, reads its answer and asks for the outcome on the same connection: a second answer would come before that. A
+// controller may end a connection 5 s after its last message once nothing is open there; then nothing follows the answer either.
+func sendKeyed(address, id, key string) (r keyedRequest) {
+	r.key = key
+	c, err := standin.Dial(address, time.Second)
+	if err != nil {
+		r.err = err
+		return r
+	}
+	defer c.Close()
+	if r.answer, r.err = c.Search("mark", id, key, requestPatience); r.err != nil {
+		r.err = fmt.Errorf("no answer: %w", r.err)
+		return r
+	}
+	if _, err := c.Call("outcome", map[string]any{"opkey": key}, 3*time.Second); err != nil && !errors.Is(err, io.EOF) {
+		r.err = fmt.Errorf("no outcome after the answer: %w", err)
+	}
+	return r
+}
+
+// sendAll has one client per key send its request to a controller, at once, and gives a function that waits for the answers. Clients that
+// are told to come again later do so.
+func sendAll(f *Fleet, k int, tag string, keys []string) func() []keyedRequest {
+	out := make([]keyedRequest, len(keys))
+	var all sync.WaitGroup
+	for n, key := range keys {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			until := time.Now().Add(requestPatience)
+			for attempt := 0; ; attempt++ {
+				out[n] = sendKeyed(f.Controllers[k].Client, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
+				if out[n].err != nil || out[n].answer.Code != standin.Denied || time.Now().After(until) {
+					return
+				}
+				time.Sleep(100 * time.Millisecond)
+			}
+		}()
+	}
+	return func() []keyedRequest { all.Wait(); return out }
+}
+
+// numberedKeys gives so many idempotency keys.
+func numberedKeys(tag string, count int) (keys []string) {
+	for n := range count {
+		keys = append(keys, fmt.Sprint(tag, n))
+	}
+	return keys
+}
+
+// cutOff gives the keys of requests whose connection ended without an answer; the others must be handled.
+func cutOff(t *testing.T, list []keyedRequest) (keys []string) {
+	t.Helper()
+	for _, r := range list {
+		if r.err != nil {
+			keys = append(keys, r.key)
+		} else {
+			assert.Zero(t, r.answer.Code, "%s: %s", r.key, r.answer.Message)
+		}
+	}
+	return keys
+}
+
+// runsOf gives how often each key ran at an engine.
+func runsOf(f *Fleet) map[string]int {
+	runs := map[string]int{}
+	for _, r := range f.Memory.Runs() {
+		runs[r.Mark]++
+	}
+	return runs
+}
+
+// waitForSteadyRuns waits until there were so many runs at least and nothing more is sent for now, so that no attempt is between its
+// controller's store and its engine.
+func waitForSteadyRuns(t *testing.T, f *Fleet, least int) {
+	t.Helper()
+	count, since := 0, time.Now()
+	require.Eventually(t, func() bool {
+		if now := len(f.Memory.Runs()); now != count {
+			count, since = now, time.Now()
+		}
+		return count >= least && time.Since(since) > steadyTime
+	}, 5*time.Second, 5*time.Millisecond, "some run")
+}
+
+// onceEach gives the runs that are right: each key once.
+func onceEach(keys []string) map[string]int {
+	runs := map[string]int{}
+	for _, key := range keys {
+		runs[key] = 1
+	}
+	return runs
+}
+
+// assertOutcomes checks that every controller that runs tells the outcome that the client of each key heard.
+func assertOutcomes(t *testing.T, f *Fleet, list []keyedRequest) {
+	t.Helper()
+	until := time.Now().Add(10 * time.Second)
+	for k, c := range f.Controllers {
+		for _, r := range list {
+			if !c.Up() {
+				continue
+			}
+			want, told := "handled", f.Outcome(k, "", r.key)
+			if r.answer.Code != 0 {
+				want = "written_off"
+			}
+			for told != want && time.Now().Before(until) {
+				time.Sleep(20 * time.Millisecond)
+				told = f.Outcome(k, "", r.key)
+			}
+			if !assert.Equal(t, want, told, "%s as %s tells it", r.key, c.Name) && time.Now().After(until) {
+				return // the others aren't waited for
+			}
+		}
+	}
+}
+
+// TestVersions_MixedFleetRunsEachKeyOnce kills one of three controllers that keep copies of each other's open work, with one or two of the
+// version before in each place. Clients send their requests to the successors again. Each key runs once, and each client gets one answer,
+// which all controllers confirm, also the killed one once it is back as the other version.
+func TestVersions_MixedFleetRunsEachKeyOnce(t *testing.T) {
+	before, now := bothVersions(t)
+	for _, place := range []struct {
+		name     string
+		programs []string // of the two successors, of the one that is killed, and of that once it is back
+	}{
+		{"old at 0", []string{before, now, now, before}},
+		{"old at 1", []string{now, before, now, before}},
+		{"old killed", []string{now, now, before, now}},
+		{"new killed", []string{before, before, now, before}},
+	} {
+		t.Run(place.name+", repeats dropped", func(t *testing.T) {
+			t.Parallel()
+			assertAdoption(t, place.programs, deduplicationTime)
+		})
+		t.Run(place.name+", repeats run", func(t *testing.T) {
+			t.Parallel()
+			assertAdoption(t, place.programs, -1)
+		})
+	}
+}
+
+// assertAdoption plays one kill. Where engines drop repeats, all requests must be handled. Where they don't, a request that ran before the
+// kill must not be sent again and fails, and one that did not is handled by a successor.
+func assertAdoption(t *testing.T, programs []string, drops time.Duration) {
+	t.Helper()
+	const killed, requests = 2, 30
+	f := versionsFleet(t, Plan{Zones: 3, Founders: 3, Fleet: quick, Estate: "copies = 1", Drops: drops}, programs[:3]...)
+	waitForMembers(t, f)
+	keys := numberedKeys("m", requests)
+	first := sendAll(f, killed, "a", keys)
+	waitForSteadyRuns(t, f, 1)
+	assert.Equal(t, requests, figure(t, f, killed, "registered"), "successors have copies of all")
+	f.Kill(killed)
+	ran := runsOf(f)
+	inHand := cutOff(t, first())
+	require.NotEmpty(t, inHand, "requests are in hand at the kill")
+	second := sendAll(f, 0, "b", inHand)()
+	handled := 0
+	for _, r := range second {
+		assert.NoError(t, r.err, r.key)
+		if ran[r.key] > 0 && drops < 0 {
+			assert.Equal(t, standin.WrittenOff, r.answer.Code, "%s may have run: %s", r.key, r.answer.Message)
+			continue
+		}
+		handled++
+		assert.Zero(t, r.answer.Code, "%s: %s", r.key, r.answer.Message)
+	}
+	taken := figure(t, f, 0, "taken") + figure(t, f, 1, "taken")
+	t.Logf("%d keys in hand, %d ran before the kill; successors adopted %d, handled %d", len(inHand), len(ran), taken, handled)
+	assert.NotZero(t, taken, "a successor has adopted a request")
+	assert.Less(t, len(ran), requests, "some begin at a successor")
+	assert.NotZero(t, handled)
+	assert.Equal(t, onceEach(keys), runsOf(f))
+	assertOutcomes(t, f, second)
+	startAs(t, f, killed, programs[3])
+	waitForMembers(t, f)
+	assertOutcomes(t, f, second)
+	assert.Equal(t, onceEach(keys), runsOf(f), "also after the killed one is back")
+}
