--- a/cmd/liftshift-full/rehearse.go
+++ b/cmd/liftshift-full/chaos.go
@@ -11,14 +11,14 @@
 	"liftshift/internal/chaostest"
 )
 
-func rehearseCommand() *cobra.Command {
+func chaosCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "rehearse FILE", Short: "Play a drill with several real controllers on this machine", Args: args(1, 1),
-		Long: "Play a drill: several real controllers with stand-ins for engines, list and clients, on loopback, with the failures that\n" +
-			"FILE (HCL) lists. What clients and engines saw is checked; a failed drill prints its seed and exits with 1.",
-		Example: "  liftshift rehearse deploy/drill.hcl --report drill.html",
-		RunE: func(cmd *cobra.Command, given []string) error {
-			script, err := chaostest.ReadScript(given[0])
+		Use: "chaos FILE", Short: "Play a drill with several real controllers on this machine", Args: args(1, 1),
+		Long: "Play a drill: several real controllers with test servers for executors, discovery and clients, on loopback, with the failures that\n" +
+			"FILE (HCL) lists. What clients and executors saw is checked; a failed drill prints its seed and exits with 1.",
+		Example: "  liftshift chaos deploy/drill.hcl --report drill.html",
+		RunE: func(cmd *cobra.Command, operands []string) error {
+			script, err := chaostest.ReadScript(operands[0])
 			if err != nil {
 				return err
 			}
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			folder, err := os.MkdirTemp("", "rehearsal-")
+			folder, err := os.MkdirTemp("", "chaos-")
 			if err != nil {
 				return err
 			}
@@ -48,7 +48,7 @@
 				}
 			}
 			if len(o.Wrong) > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), "again: liftshift rehearse %s --seed %d\n", given[0], o.Seed)
+				fmt.Fprintf(cmd.OutOrStdout(), "again: liftshift chaos %s --seed %d\n", operands[0], o.Seed)
 				return errFaulty
 			}
 			return nil
--- a/cmd/liftshift-full/main.go
+++ b/cmd/liftshift-full/main.go
@@ -11,6 +11,8 @@
 	"syscall"
 
 	"github.com/spf13/cobra"
+
+	"liftshift/internal/operatorconfig"
 )
 
 // Exit codes.
@@ -26,14 +28,16 @@
 	reload := make(chan os.Signal, 1) // first of all: unheeded, SIGHUP would end the process
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: that must not end the process
-	os.Exit(exitOf(root(reload).Execute()))
+	cmd := root(reload)
+	cmd.SetArgs(renameDeprecated(os.Args[1:], os.Stderr))
+	os.Exit(exitOf(cmd.Execute()))
 }
 
-// usage is an error in how a command was called.
-type usage struct{ error }
+// usageError is an error in how a command was called.
+type usageError struct{ error }
 
 func exitOf(err error) int {
-	var wrong usage
+	var wrong usageError
 	switch {
 	case err == nil:
 		return 0
@@ -46,11 +50,11 @@
 	return exitFault
 }
 
-// args lets a command take so many arguments, at least and at most.
-func args(least, most int) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, given []string) error {
-		if len(given) < least || len(given) > most {
-			return usage{fmt.Errorf("%s: %d arguments, wanted %s", cmd.CommandPath(), len(given), cmd.Use)}
+// args lets a command take from min to max operands.
+func args(min, max int) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, operands []string) error {
+		if len(operands) < min || len(operands) > max {
+			return usageError{fmt.Errorf("%s: %d arguments, wanted %s", cmd.CommandPath(), len(operands), cmd.Use)}
 		}
 		return nil
 	}
@@ -60,15 +64,16 @@
 	cmd := &cobra.Command{
 		Use:   "liftshift",
 		Short: "A workload manager before analytic engines",
-		Long: "liftshift is one controller: it takes searches from clients, chooses the executor and the level of each shot, and\n" +
-			"gives every search one final answer. Without a command it serves, as `liftshift serve` does.",
+		Long: "liftshift is one controller: it takes requests from clients, chooses the executor and the level of each attempt, and\n" +
+			"gives every request one final answer. Without a command it serves, as `liftshift serve` does.",
 		Example:       "  RELAY_CONFIG=deploy/example.json liftshift\n  liftshift check --file deploy/office.hcl\n  liftshift store inspect /var/lib/liftshift",
 		Args:          args(0, 0),
 		SilenceErrors: true, SilenceUsage: true,
 	}
-	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
-	cmd.PersistentFlags().String("file", os.Getenv("LIFTSHIFT_FILE"), "the operators' own file (HCL); without one nothing of it is on")
+	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	cmd.PersistentFlags().String("file", os.Getenv(operatorconfig.PathVariable), "the operators' own file (HCL); without one nothing of it is on")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error { return serve(cmd, reload) }
-	cmd.AddCommand(serveCommand(reload), checkCommand(), versionCommand(), storeCommand(), budgetsCommand(), waitsCommand(), topCommand(), membersCommand(), councilCommand(), estateCommand(), zonesCommand(), rehearseCommand())
+	cmd.AddCommand(serveCommand(reload), checkCommand(), versionCommand(), storeCommand(), quotasCommand(), waitsCommand(), topCommand(),
+		membersCommand(), consensusCommand(), handoffCommand(), zonesCommand(), chaosCommand())
 	return cmd
 }
--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -26,14 +26,9 @@
 }
 
 func storeCommand() *cobra.Command {
-	cmd := &cobra.Command{
-		Use:   "store",
-		Short: "Work on the folder of a store",
-		Long: "Work on the folder of a store. inspect and verify only read, also while a controller uses it; the others need it for\n" +
-			"themselves. Exit codes: 0 all is well, 1 something is faulty, 2 wrong usage.",
-		Args: args(1, 0), // a command of its own is needed
-		RunE: func(*cobra.Command, []string) error { return nil },
-	}
+	cmd := group("store", "Work on the folder of a store")
+	cmd.Long = "Work on the folder of a store. inspect and verify only read, also while a controller uses it; the others need it for\n" +
+		"themselves. Exit codes: 0 all is well, 1 something is faulty, 2 wrong usage."
 	cmd.PersistentFlags().Bool("json", false, "print JSON")
 	cmd.AddCommand(
 		onFolder("inspect", "Show what a store holds, by kind", "  liftshift store inspect /var/lib/liftshift --json", inspect),
@@ -49,8 +44,8 @@
 func onFolder(name, short, example string, run func(dir vfs.Dir, out io.Writer, asJSON bool) error) *cobra.Command {
 	return &cobra.Command{
 		Use: name + " FOLDER", Short: short, Example: example, Args: args(1, 1),
-		RunE: func(cmd *cobra.Command, given []string) error {
-			dir, err := vfs.OpenDir(given[0], false)
+		RunE: func(cmd *cobra.Command, operands []string) error {
+			dir, err := vfs.OpenDir(operands[0], false)
 			if err != nil {
 				return err
 			}
@@ -156,7 +151,7 @@
 	case report.Damage != "":
 		fmt.Fprintln(w, "damaged: "+report.Damage+"; a controller does not start on it; see: liftshift store repair")
 	case report.InDoubt:
-		fmt.Fprintln(w, "in doubt: "+report.Reason+"; a controller starts, and denies marks that it does not know for a window")
+		fmt.Fprintln(w, "in doubt: "+report.Reason+"; a controller starts, and rejects idempotency keys that it does not know for a window")
 	default:
 		fmt.Fprintln(w, "good")
 	}
--- a/cmd/liftshift-full/zones.go
+++ b/cmd/liftshift-full/zones.go
@@ -6,91 +6,82 @@
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
+
+	"liftshift/internal/adminapi"
 )
 
 func zonesCommand() *cobra.Command {
-	cmd := withSocket(&cobra.Command{Use: "zones", Short: "See and steer what goes from one zone to another", Args: args(1, 0),
-		RunE: func(*cobra.Command, []string) error { return nil }})
-	order := func(kind, usual, short, example string) *cobra.Command {
-		c := &cobra.Command{Use: kind + " ZONE", Short: short, Args: args(1, 1), Example: example,
-			RunE: func(cmd *cobra.Command, given []string) error {
-				span, _ := cmd.Flags().GetString("for")
-				why, _ := cmd.Flags().GetString("why")
-				a, err := ask(cmd, "zones order", map[string]any{"kind": kind, "zone": given[0], "for": span, "why": why, "who": author()})
-				if err == nil {
-					fmt.Fprintf(cmd.OutOrStdout(), "asked for, until %v; see: liftshift zones show\n", a["until"])
-				}
-				return err
-			}}
-		c.Flags().String("for", usual, "how long the order holds")
-		c.Flags().String("why", "", "why, for those who look later")
-		return c
-	}
+	cmd := withSocket(group("zones", "See and steer what goes from one zone to another"))
 	cmd.AddCommand(
 		&cobra.Command{Use: "show", Short: "How zones stand, what may go where, and this controller's part of it", Args: args(0, 0),
-			Example: "  liftshift zones show --file office.hcl",
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				a, err := ask(cmd, "zones", nil)
-				if err != nil {
-					return err
-				}
-				return show(cmd, a, zonesTable)
-			}},
+			Example: "  liftshift zones show --file office.hcl", RunE: showReply(adminapi.QuestionLocality, zonesTable)},
 		&cobra.Command{Use: "explain", Short: "Why the latest plan is as it is, line by line, at the controller that leads", Args: args(0, 0),
-			Example: "  liftshift zones explain --file office.hcl",
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				a, err := ask(cmd, "zones", nil)
-				if err != nil {
-					return err
-				}
-				return show(cmd, a, func(out io.Writer, a map[string]any) {
-					zonesLines(out, a)
-					if lines, _ := a["lines"].([]any); len(lines) == 0 {
-						fmt.Fprintf(out, "this controller makes no plans; %v leads\n", a["leader"])
-					}
-				})
-			}},
+			Example: "  liftshift zones explain --file office.hcl", RunE: showReply(adminapi.QuestionLocality, planExplanation)},
 		&cobra.Command{Use: "plan ZONE", Short: "What if a zone, or a region, were lost now", Args: args(1, 1),
 			Example: "  liftshift zones plan kurume-2 --file office.hcl",
-			RunE: func(cmd *cobra.Command, given []string) error {
-				a, err := ask(cmd, "zones plan", map[string]any{"zone": given[0]})
-				if err != nil {
-					return err
-				}
-				return show(cmd, a, zonesLines)
+			RunE: func(cmd *cobra.Command, operands []string) error {
+				request := adminapi.ZoneRequest{Zone: operands[0]}
+				return askAndShow(cmd, adminapi.QuestionZoneWhatIf, request, func(out io.Writer, reply adminapi.LinesReply) {
+					printLines(out, reply.Lines)
+				})
 			}},
-		order("evacuate", "30m", "Have nothing new go to a zone, for a time", "  liftshift zones evacuate kurume-2 --for 45m --why \"new switches\" --file office.hcl"),
-		order("hold", "30m", "Have a zone's return not go on, for a time", "  liftshift zones hold kurume-2 --for 10m --file office.hcl"),
-		order("return", "", "End an evacuation or a hold; a lost zone that is in reach begins its return", "  liftshift zones return kurume-2 --file office.hcl"))
+		zoneOrderCommand("evacuate", "30m", "Have nothing new go to a zone, for a time",
+			"  liftshift zones evacuate kurume-2 --for 45m --why \"new switches\" --file office.hcl"),
+		zoneOrderCommand("hold", "30m", "Have a zone's recovery not go on, for a time", "  liftshift zones hold kurume-2 --for 10m --file office.hcl"),
+		zoneOrderCommand("return", "", "End an evacuation or a hold; a lost zone that is in reach begins its recovery",
+			"  liftshift zones return kurume-2 --file office.hcl"))
 	return cmd
 }
 
-// zonesLines prints what is said line by line.
-func zonesLines(out io.Writer, a map[string]any) {
-	lines, _ := a["lines"].([]any)
+func zoneOrderCommand(kind, usual, short, example string) *cobra.Command {
+	cmd := &cobra.Command{Use: kind + " ZONE", Short: short, Args: args(1, 1), Example: example,
+		RunE: func(cmd *cobra.Command, operands []string) error {
+			request := adminapi.ZoneOrderRequest{Kind: kind, Zone: operands[0], Author: author()}
+			request.For, _ = cmd.Flags().GetString("for")
+			request.Reason, _ = cmd.Flags().GetString("why")
+			reply, err := ask[adminapi.ZoneOrderReply](cmd, adminapi.QuestionZoneOrder, request)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "asked for, until %s; see: liftshift zones show\n", reply.Until)
+			return nil
+		}}
+	cmd.Flags().String("for", usual, "how long the order holds")
+	cmd.Flags().String("why", "", "why, for those who look later")
+	return cmd
+}
+
+func printLines(out io.Writer, lines []string) {
 	for _, line := range lines {
 		fmt.Fprintln(out, line)
 	}
 }
 
-func zonesTable(out io.Writer, a map[string]any) {
-	fmt.Fprintf(out, "plan %v; %v leads the council; this controller holds its lease: %v\n", a["plan"], a["leader"], a["held"])
+func planExplanation(out io.Writer, reply adminapi.LocalityReply) {
+	printLines(out, reply.Explanations)
+	if len(reply.Explanations) == 0 {
+		fmt.Fprintf(out, "this controller makes no plans; %s leads\n", reply.Leader)
+	}
+}
+
+func zonesTable(out io.Writer, reply adminapi.LocalityReply) {
+	fmt.Fprintf(out, "plan %d; %s leads the consensus group; this controller holds its lease: %v\n", reply.Plan, reply.Leader, reply.LeaseHeld)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "zone\tregion\tstate\tstage\tcores\tcontrollers\twhy")
-	for _, z := range items(a["zones"]) {
-		fmt.Fprintf(w, "%v\t%v\t%v\t%v\t%v\t%v\t%v\n", z["zone"], z["region"], z["state"], z["stage"], z["cores"], z["controllers"], z["why"])
+	fmt.Fprintln(w, "zone\tregion\tstate\tstage\tcores\tcontrollers\treason")
+	for _, z := range reply.Zones {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%s\n", z.Name, z.Region, z.State, z.Stage, z.Cores, z.Controllers, z.Reason)
 	}
 	_ = w.Flush()
-	for _, p := range items(a["pairs"]) {
-		fmt.Fprintf(out, "from %v to %v: %v threads at most, in %v parts\n", p["from"], p["to"], p["cap"], p["parts"])
+	for _, p := range reply.Pairs {
+		fmt.Fprintf(out, "from %s to %s: %v threads at most, in %d shares\n", p.From, p.To, p.Cap, p.Shares)
 	}
-	for _, r := range items(a["reaches"]) {
-		fmt.Fprintf(out, "from here to %v (tier %v): %v threads at most\n", r["zone"], r["tier"], r["threads"])
+	for _, r := range reply.Reaches {
+		fmt.Fprintf(out, "from here to %s (tier %d): %v threads at most\n", r.Zone, r.Tier, r.Threads)
 	}
-	for _, r := range items(a["reports"]) {
-		fmt.Fprintf(out, "%v: %v controllers report, their searches want %v threads\n", r["zone"], r["voices"], r["wants"])
+	for _, r := range reply.Reports {
+		fmt.Fprintf(out, "%s: %d controllers report, their requests demand %v threads\n", r.Zone, r.Observers, r.DemandThreads)
 	}
-	for _, o := range items(a["orders"]) {
-		fmt.Fprintf(out, "order: %v %v until %v, by %v %v\n", o["kind"], o["zone"], o["until"], o["author"], o["why"])
+	for _, o := range reply.Orders {
+		fmt.Fprintf(out, "order: %s %s until %s, by %s %s\n", o.Kind, o.Zone, o.Until, o.Author, o.Reason)
 	}
 }
--- a/deploy/fleet.hcl
+++ b/deploy/cluster.hcl
@@ -1,9 +1,9 @@
-# One of several controllers that keep a view of one another, and a council that three of them found.
+# One of several controllers that keep a membership view of one another, and a consensus group that three of them form.
 store {
   directory = "/var/lib/liftshift"
 }
 
-fleet {
+cluster {
   name     = "kurume"
   address  = "10.0.0.4:7950" # UDP and TCP, as the others reach it; the network is for controllers alone
   seeds    = ["10.0.0.4:7950", "10.0.0.5:7950", "10.0.0.6:7950"]
@@ -12,5 +12,5 @@
 }
 
 control {
-  socket = "/run/liftshift/control.sock" # liftshift members --file deploy/fleet.hcl
+  socket = "/run/liftshift/control.sock" # liftshift members --file deploy/cluster.hcl
 }
--- a/deploy/drill.hcl
+++ b/deploy/drill.hcl
@@ -1,4 +1,4 @@
-# A drill on one machine before a fleet block is trusted: liftshift rehearse deploy/drill.hcl --report drill.html
+# A drill on one machine before a cluster block is trusted: liftshift chaos deploy/drill.hcl --report drill.html
 controllers = 6
 engines     = 3
 zones       = 3
@@ -18,9 +18,9 @@
   twice = 0.05
   delay = "30ms"
 }
-step "22s" { stop = ["c4"] } # it stands still, and wakes up believing itself alive
+step "22s" { stop = ["c4"] } # it stalls, and wakes up believing itself alive
 step "27s" { go = ["c4"] }
 step "28s" {
   term  = ["c5"]
-  drain = ["s2"] # one engine leaves: nothing new goes there past the grace
+  drain = ["s2"] # one executor drains: nothing new goes there past the grace
 }
--- a/deploy/office.hcl
+++ b/deploy/office.hcl
@@ -3,8 +3,8 @@
 store {
   directory    = "/var/lib/liftshift" # for this controller alone
   segment      = "4MiB"               # one log file
-  lag          = "50ms"               # what no shot waits for is written by then
-  remember     = "10m"                # marks are kept so long past the window of their offering
-  keep_answers = "4KiB"               # answers of labelled searches up to this are kept with their mark
-  most_kept    = 200000               # marks, and searches, at most
+  lag          = "50ms"               # what no attempt waits for is written by then
+  remember     = "10m"                # idempotency keys are kept so long past the window of their class
+  keep_answers = "4KiB"               # answers of keyed requests up to this are kept with their key
+  most_kept    = 200000               # keys, and requests, at most
 }
--- a/deploy/teams.hcl
+++ b/deploy/quotas.hcl
@@ -1,8 +1,8 @@
 # Two teams before one installation: look-ups of the modellers, reports and loads of the renderers.
-budgets {
-  default = "other"
-  age     = "3s"                                     # the oldest get a part of all work past this wait
-  whose   = ["field", "address", "offering", "schema"] # the order in which it is told
+quotas {
+  default     = "other"
+  age         = "3s" # the oldest get a part of all work past this wait
+  attribution = ["field", "address", "class", "schema"] # the order in which rules are looked at
 
   team "model" {
     weight     = 3
@@ -10,7 +10,7 @@
   }
   team "render" {
     weight = 1
-    queue  = 5000 # further ones are turned away
+    queue  = 5000 # further ones are rejected
   }
   team "render-nightly" {
     parent  = "render"
@@ -21,10 +21,10 @@
   team "other" { weight = 0.5 }
 
   address "10.20.0.0/16" { team = "model" }
-  offering "report" { team = "render-daily" }
+  class "report" { team = "render-daily" }
   schema "nightly" { team = "render-nightly" }
 }
 
 control {
-  socket = "/run/liftshift/control.sock" # for its owner alone: liftshift budgets show --file deploy/teams.hcl
+  socket = "/run/liftshift/control.sock" # for its owner alone: liftshift quotas show --file deploy/quotas.hcl
 }
--- a/deploy/zones.hcl
+++ b/deploy/zones.hcl
@@ -3,7 +3,7 @@
   directory = "/var/lib/liftshift"
 }
 
-fleet {
+cluster {
   name     = "kurume"
   address  = "10.0.0.4:7950"
   seeds    = ["10.0.0.4:7950", "10.0.1.4:7950", "10.0.2.4:7950"]
@@ -13,11 +13,11 @@
 }
 
 zones {
-  spill = 0.8   # of what a zone's own searches leave, others may have so much
-  stage = "10s" # of a return
+  spill = 0.8   # of what a zone's own requests leave, others may have so much
+  stage = "10s" # of a recovery
 
   region "kokura" {
-    way = "20ms"
+    latency = "20ms"
   }
 }
 
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,5 +1,6 @@
-// Package adminapi is the operators' door to a running controller: gRPC with protobuf messages over a Unix socket that only its
-// owner may open. It decides nothing and knows nothing of what it carries.
+// Package adminapi is the operators' administrative interface to a running controller: gRPC with protobuf messages over a Unix socket
+// that only its owner may open. It owns the socket and the form of questions and replies; it decides nothing and reads no state of the
+// controller.
 package adminapi
 
 import (
@@ -18,17 +19,17 @@
 )
 
 const (
-	service     = "liftshift.Control"
-	method      = "Ask"
-	mostMessage = 4 << 20
-	patience    = 5 * time.Second
-	mostCalls   = 16 // at a time
+	service            = "liftshift.Control"
+	method             = "Ask"
+	maxMessageBytes    = 4 << 20
+	callTimeout        = 5 * time.Second
+	maxConcurrentCalls = 16
 )
 
-// Handler answers one question, told by its name, with its fields. Errors of the asker are Wrong.
+// Handler answers one question, given by its name, with its fields. An error of the caller is a RequestError.
 type Handler func(ctx context.Context, question string, fields map[string]any) (map[string]any, error)
 
-// RequestError is an error in a question.
+// RequestError is an error in a request: the caller can correct it.
 type RequestError struct{ error }
 
 // RequestErrorf makes one.
@@ -36,7 +37,7 @@
 	return RequestError{fmt.Errorf(format, args...)}
 }
 
-// Server is an open door.
+// Server is a control socket that is open.
 type Server struct {
 	grpc *grpc.Server
 	path string
@@ -72,10 +73,10 @@
 		return srv.(asker).ask(ctx, in)
 	}}}}
 
-// ErrInUse tells that another process serves there.
+// ErrInUse is returned where another process serves the socket.
 var ErrInUse = errors.New("in use by another process")
 
-// Serve opens the door at a path. A socket that a dead controller left there is taken away; one that answers is not.
+// Serve opens a control socket at a path. A socket that a dead controller left there is removed; one that answers is not.
 func Serve(path string, handle Handler) (*Server, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		_ = c.Close()
@@ -96,22 +97,22 @@
 	if err := os.Chmod(path, 0o600); err != nil {
 		return nil, errors.Join(fmt.Errorf("control: %w", err), l.Close())
 	}
-	s := &Server{path: path, grpc: grpc.NewServer(grpc.MaxRecvMsgSize(mostMessage), grpc.MaxConcurrentStreams(mostCalls),
-		grpc.ConnectionTimeout(patience))}
+	s := &Server{path: path, grpc: grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxConcurrentCalls),
+		grpc.ConnectionTimeout(callTimeout))}
 	s.grpc.RegisterService(&desc, handling{handle})
 	go func() { _ = s.grpc.Serve(l) }()
 	return s, nil
 }
 
-// Close shuts the door.
+// Close ends all calls and closes the socket.
 func (s *Server) Close() { s.grpc.Stop() }
 
-// Call asks the controller behind a path.
+// Call asks the controller behind a path a question in its wire form; Ask is the typed one.
 func Call(ctx context.Context, path, question string, fields map[string]any) (map[string]any, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := grpc.NewClient("unix:"+path, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostMessage)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestADoorAnswersItsOwnerAlone(t *testing.T) {
+func TestServer_AnswersItsOwner(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	handle := func(_ context.Context, question string, fields map[string]any) (map[string]any, error) {
 		switch question {
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,5 +1,6 @@
-// Package assembly joins what the operators' own file asks for to a controller: the store beneath its memory, and the
-// budgets of its teams.
+// Package assembly joins what the operators' own file asks for to a controller: the store beneath its ledger, the quotas of its teams,
+// the cluster with its consensus group, the handoff of open requests, the locality of zones and the administrative socket. It owns
+// which of them there are, starts and stops them in order, logs what they report and answers questions about them. It decides nothing.
 package assembly
 
 import (
@@ -20,18 +21,21 @@
 	"liftshift/internal/vfs"
 )
 
-// Extensions is what an operators' file makes of a controller.
-type Extensions struct {
-	file  *operatorconfig.File
-	desk  *dispatch.Loop
-	keep  *ledgerstore.Store // nil: no store
-	team  *teams             // nil: no budgets
-	door  *adminapi.Server
-	fleet *fleet // nil: none
-	heirs *heirs // nil: nobody keeps copies
+// storeSyncThreads is how many threads a sync of the disk may block: a thread in a sync keeps its slot of the Go scheduler until that
+// notices, and what is ready to run would wait for the disk meanwhile. A sync takes no processor time.
+const storeSyncThreads = 2
 
-	lookout *lookout // nil: nothing is decided between zones
-	log     logrus.FieldLogger
+// Extensions are what an operators' file adds to a controller.
+type Extensions struct {
+	file     *operatorconfig.File
+	loop     *dispatch.Loop
+	store    *ledgerstore.Store // nil: no store
+	quotas   *quotaManager      // nil: no quotas
+	cluster  *cluster           // nil: no cluster
+	handoff  *handoffExtension  // nil: nobody keeps copies
+	locality *localityExtension // nil: nothing is decided between zones
+	admin    *adminapi.Server
+	log      logrus.FieldLogger
 }
 
 // New reads the operators' file at a path; without one there is nothing besides the platform's side.
@@ -46,136 +50,149 @@
 	return &Extensions{file: file}, nil
 }
 
-// Open opens the store, if there is to be one, and gives the desk its parts: first the one that asks others, then the budgets, then the
-// memory.
-func (i *Extensions) Open(name string, d *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error {
-	i.desk, i.log = d, log
-	if i.file.Quotas != nil {
-		t, err := newTeams(clock.Now(), i.file.Quotas, &platform.Scheduler)
+// Open opens what the file asks for and registers it with the event loop: first the handoff, which asks other controllers, then the
+// quotas, the locality and the ledger.
+func (x *Extensions) Open(name string, loop *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error {
+	x.loop, x.log = loop, log
+	if len(x.file.Deprecated) > 0 {
+		log.WithField("names", x.file.Deprecated).Warn("operator file: deprecated names; the page of the block has the new ones")
+	}
+	if x.file.Quotas != nil {
+		quotas, err := newQuotaManager(clock.Now(), x.file.Quotas, &platform.Scheduler)
 		if err != nil {
-			return fmt.Errorf("budgets: %w", err)
+			return fmt.Errorf("quotas: %w", err)
 		}
-		i.team = t
+		x.quotas = quotas
 	}
-	if err := i.openStore(d, platform, clock); err != nil {
+	if err := x.openStore(platform, clock); err != nil {
 		return err
 	}
-	if err := i.openFleet(name, platform, clock); err != nil {
+	if err := x.openCluster(name, platform, clock); err != nil {
 		return err
 	}
-	if i.heirs != nil {
-		d.Register(i.heirs.trustee)
-		d.LeaseHeld = i.heirs.trustee.LeaseHeld
+	x.register()
+	return x.openAdmin()
+}
+
+// register gives the event loop its extensions, in the order in which they hear of events.
+func (x *Extensions) register() {
+	if x.handoff != nil {
+		x.loop.Register(x.handoff.agent)
+		x.loop.LeaseHeld = x.handoff.agent.LeaseHeld
 	}
-	if i.team != nil {
-		d.Register(dispatch.QuotaExtension(i.team))
+	if x.quotas != nil {
+		x.loop.Register(dispatch.QuotaExtension(x.quotas))
 	}
-	if i.lookout != nil {
-		d.Register(i.lookout.scout)
+	if x.locality != nil {
+		x.loop.Register(x.locality.agent)
 	}
-	if i.keep != nil {
-		d.Register(dispatch.LedgerExtension(i.keep))
-		i.recallLimits()
+	if x.store != nil {
+		x.loop.Register(dispatch.LedgerExtension(x.store))
+		x.restoreLimits()
 	}
-	return i.openDoor()
 }
 
-// syncSlots is how many of the runtime's slots syncs of a disk may occupy: a thread in a sync keeps its slot until the runtime notices,
-// and what is ready to run would wait for the disk meanwhile. It is no more processor time: a sync takes none.
-const syncSlots = 2
-
-func (i *Extensions) openStore(d *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock) error {
-	s, log := i.file.Store, i.log
-	if s == nil {
+// openStore opens the store, where the file has a block store.
+func (x *Extensions) openStore(platform *settings.Settings, clock dispatch.Clock) error {
+	block := x.file.Store
+	if block == nil {
 		return nil
 	}
-	dir, err := vfs.OpenDir(s.Directory, true)
+	dir, err := vfs.OpenDir(block.Directory, true)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	var k *ledgerstore.Store
+	options := store.Options{SegmentBytes: block.SegmentBytes, FlushDelay: block.FlushDelay}
+	post := func(event ledger.Event) { x.loop.Put(dispatch.QueueItem{Message: &event}) }
+	var opened *ledgerstore.Store
 	var found store.Recovery
 	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
-		k, found, err = ledgerstore.Open(vfs.WithFaults(dir), store.Options{SegmentBytes: s.SegmentBytes, FlushDelay: s.FlushDelay}, *ledgerSettings(platform, s, i.file.Handoff), clock.Now,
-			func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, log)
+		opened, found, err = ledgerstore.Open(vfs.WithFaults(dir), options, *ledgerSettings(platform, block, x.file.Handoff), clock.Now, post, x.log)
 		return err
 	}, vfs.ErrInUse)
 	if err != nil {
-		return fmt.Errorf("%w (folder %s; see: liftshift store verify %s)", err, s.Directory, s.Directory)
+		return fmt.Errorf("%w (folder %s; see: liftshift store verify %s)", err, block.Directory, block.Directory)
 	}
 	if found.InDoubt {
-		log.WithField("why", found.Reason).Warn("store: the last records may be missing")
+		x.log.WithField("reason", found.Reason).Warn("store: the last records may be missing")
 	}
 	if found.DiskError != nil {
-		log.WithField("why", found.DiskError).Error("store: the disk takes nothing; what needs a record is denied until it does")
+		x.log.WithField("reason", found.DiskError).Error("store: the disk takes no writes; what needs a record is rejected until it does")
 	}
-	i.keep = k
-	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + syncSlots)
+	x.store = opened
+	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + storeSyncThreads)
 	return nil
 }
 
 // ledgerSettings returns what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerSettings(platform *settings.Settings, s *operatorconfig.Store, h *operatorconfig.Handoff) *ledger.Settings {
-	of := &ledger.Settings{Classes: platform.Scheduler.Classes, RetryBudget: platform.Scheduler.RetryBudget,
-		RetryAfterMS: platform.Scheduler.LongestRetryAfterMS(), RememberMS: s.RememberMS, MaxAnswerBytes: s.MaxAnswerBytes, MaxRecords: s.MaxRecords}
-	if h != nil { // what was open at a crash is for the successors to end
-		of.SuccessorsResume, of.SkipDiskWait = true, !h.WaitForOwnDisk
-	}
-	return of
+func ledgerSettings(platform *settings.Settings, block *operatorconfig.Store, handoff *operatorconfig.Handoff) *ledger.Settings {
+	s := &ledger.Settings{
+		Classes:        platform.Scheduler.Classes,
+		RetryBudget:    platform.Scheduler.RetryBudget,
+		RetryAfterMS:   platform.Scheduler.LongestRetryAfterMS(),
+		RememberMS:     block.RememberMS,
+		MaxAnswerBytes: block.MaxAnswerBytes,
+		MaxRecords:     block.MaxRecords,
+	}
+	if handoff != nil { // what was open at a crash is for the successors to end
+		s.SuccessorsResume, s.SkipDiskWait = true, !handoff.WaitForOwnDisk
+	}
+	return s
 }
 
-// Start tells the module what it needs from before, ahead of all else.
-func (i *Extensions) Start() {
-	if i.keep != nil {
-		for _, ev := range i.keep.RestoredEvents() {
-			i.desk.Put(dispatch.QueueItem{Event: ev})
+// Start tells the scheduler what was restored, ahead of all else, and the cluster that this controller serves.
+func (x *Extensions) Start() {
+	if x.store != nil {
+		for _, event := range x.store.RestoredEvents() {
+			x.loop.Put(dispatch.QueueItem{Event: event})
 		}
 	}
-	i.fleet.begin()
+	x.cluster.start()
 }
 
-// Reload reads the file again.
-func (i *Extensions) Reload(platform *settings.Settings) (func() []string, error) {
-	next, err := operatorconfig.Read(i.file.Path)
+// Reload reads the file again. What it returns puts it in force and names what needs a restart.
+func (x *Extensions) Reload(platform *settings.Settings) (func() []string, error) {
+	next, err := operatorconfig.Read(x.file.Path)
 	if err != nil {
 		return nil, err
 	}
 	return func() []string {
-		if i.keep != nil && next.Store != nil {
-			i.desk.Put(dispatch.QueueItem{Message: &ledger.Event{Kind: ledger.SettingsChanged, Settings: ledgerSettings(platform, next.Store, i.file.Handoff)}})
+		if x.store != nil && next.Store != nil {
+			changed := &ledger.Event{Kind: ledger.SettingsChanged, Settings: ledgerSettings(platform, next.Store, x.file.Handoff)}
+			x.loop.Put(dispatch.QueueItem{Message: changed})
 		}
-		if i.team != nil && next.Quotas != nil && i.file.Quotas.SameTree(next.Quotas) {
-			i.desk.Put(dispatch.QueueItem{Call: func(now float64) { i.team.reset(i.desk, now, next.Quotas) }})
+		if x.quotas != nil && next.Quotas != nil && x.file.Quotas.SameTree(next.Quotas) {
+			x.loop.Put(dispatch.QueueItem{Call: func(now float64) { x.quotas.reload(x.loop, now, next.Quotas) }})
 		}
-		return i.file.Differs(next)
+		return x.file.Differs(next)
 	}, nil
 }
 
-// LogCounters logs the counters.
-func (i *Extensions) LogCounters() {
-	if i.keep != nil {
-		i.log.WithFields(i.keep.Fields()).Info("store")
-	}
-	i.fleet.count()
-	i.heirs.count()
-	i.lookout.count()
+// LogCounters logs the counters of all that there is.
+func (x *Extensions) LogCounters() {
+	if x.store != nil {
+		x.log.WithFields(x.store.Fields()).Info("store")
+	}
+	x.cluster.logCounters()
+	x.handoff.logCounters()
+	x.locality.logCounters()
 }
 
-// ShutdownStarted tells the fleet that this controller is on its way out.
-func (i *Extensions) ShutdownStarted() { i.fleet.stopping() }
+// ShutdownStarted tells the cluster that this controller is draining.
+func (x *Extensions) ShutdownStarted() { x.cluster.shutdownStarted() }
 
-// Close ends the store and shuts the door.
-func (i *Extensions) Close() {
-	if i.door != nil {
-		i.door.Close()
-	}
-	i.fleet.close()
-	i.heirs.close()
-	i.lookout.close()
-	if i.keep == nil {
+// Close ends the store and closes the administrative socket. The event loop has ended.
+func (x *Extensions) Close() {
+	if x.admin != nil {
+		x.admin.Close()
+	}
+	x.cluster.close()
+	x.handoff.close()
+	x.locality.close()
+	if x.store == nil {
 		return
 	}
-	if err := i.keep.Close(); err != nil {
-		i.log.WithField("why", err).Warn("store: not closed well")
+	if err := x.store.Close(); err != nil {
+		x.log.WithField("reason", err).Warn("store: not closed cleanly")
 	}
 }
--- a/internal/assembly/golden_test.go
+++ b/internal/assembly/golden_test.go
@@ -31,11 +31,11 @@
 // A team's limits are kept as they always were, and read from that again. Their time is fixed here: it is the clock's else.
 func TestGolden_InstallationLimits(t *testing.T) {
 	assert.Equal(t, "limit ", limitNote)
-	for name, value := range map[string]limit{"limit": {Weight: 2.5, Ceiling: 0.75, Threads: 16.5, MemoryMB: 4000.25, Searches: 12, Queue: 500,
+	for name, value := range map[string]limits{"limit": {Weight: 2.5, Ceiling: 0.75, Threads: 16.5, MemoryMB: 4000.25, Requests: 12, Queue: 500,
 		At: time.Date(2026, 3, 4, 5, 6, 7, 890123000, time.UTC)}, "limit-empty": {}} {
 		data, err := json.Marshal(value)
 		require.NoError(t, err)
-		var got limit
+		var got limits
 		require.NoError(t, json.Unmarshal(golden(t, name+".json", data), &got))
 		assert.Equal(t, value, got, name)
 	}
--- a/internal/assembly/budgets_test.go
+++ b/internal/assembly/quota_test.go
@@ -18,9 +18,9 @@
 	"liftshift/internal/testservers"
 )
 
-const twoTeams = `budgets {
+const twoTeams = `quotas {
   default = "other"
-  whose   = ["field", "offering"]
+  attribution = ["field", "class"]
   team "model" { weight = 3 }
   team "render" { weight = 1 }
   team "other" { weight = 0.001 }
@@ -89,7 +89,7 @@
 
 // Two teams that saturate get work by their weights; every search has its one answer; clients that ask are told waits that
 // hold; a planned stop with full queues leaves none unanswered.
-func TestTwoTeamsBeforeTheRealProgram(t *testing.T) {
+func TestQuotas_ShareByWeight(t *testing.T) {
 	listen, cmd, log, _ := served(t, twoTeams, map[string]time.Duration{"look": 20 * time.Millisecond})
 	var all sync.WaitGroup
 	var stop atomic.Bool
@@ -127,7 +127,7 @@
 
 // An operator looks at the teams of a running controller and changes one; with a store that lasts through a crash, without one
 // it is said that it does not. A reload that would change which teams there are says so and changes nothing else.
-func TestAnOperatorSeesAndSetsBudgets(t *testing.T) {
+func TestQuotas_SetAtRunTime(t *testing.T) {
 	for _, stored := range []bool{true, false} {
 		dir := t.TempDir()
 		file := twoTeams + fmt.Sprintf("control {\n  socket = %q\n}\n", filepath.Join(dir, "c"))
@@ -145,23 +145,24 @@
 		require.NoError(t, err)
 		c.Close()
 		want := map[bool]string{true: "it lasts", false: "will not last"}[stored]
-		assert.Contains(t, run(0, "budgets", "set", "render", "--searches", "1"), want)
+		assert.Contains(t, run(0, "quotas", "set", "render", "--requests", "1"), want)
 		var all sync.WaitGroup
 		var stop atomic.Bool
 		crowd(t, &all, listen, "render", "look", 6, &stop, nil)
 		require.Eventually(t, func() bool {
-			return bytes.Contains([]byte(run(0, "budgets", "show")), []byte("searches in hand of render")) ||
-				bytes.Contains([]byte(run(0, "budgets", "show")), []byte("the limit of searches in hand"))
+			return bytes.Contains([]byte(run(0, "quotas", "show")), []byte("searches in hand of render")) ||
+				bytes.Contains([]byte(run(0, "quotas", "show")), []byte("the limit of searches in hand"))
 		}, 5*time.Second, 50*time.Millisecond)
-		assert.Contains(t, run(0, "budgets", "show", "--json"), `"queued"`)
+		assert.Contains(t, run(0, "quotas", "show", "--json"), `"queued"`)
 		why := run(0, "top", "--times", "1")
 		assert.Contains(t, why, "render")
 		assert.Contains(t, run(0, "waits"), "starts told")
-		run(2, "budgets", "set", "nobody", "--weight", "2")
-		run(2, "budgets", "set", "render", "--weight", "-2")
-		run(2, "budgets", "set", "render")
-		run(2, "budgets", "explain", "nothing")
-		run(2, "budgets")
+		run(2, "quotas", "set", "nobody", "--weight", "2")
+		run(2, "quotas", "set", "render", "--weight", "-2")
+		run(2, "quotas", "set", "render")
+		run(2, "quotas", "explain", "nothing")
+		run(2, "quotas")
+		assert.Contains(t, run(0, "budgets", "show"), "the command budgets is deprecated, use quotas")
 		stop.Store(true)
 		all.Wait()
 		require.NoError(t, cmd.Process.Kill())
@@ -173,24 +174,24 @@
 		c, err = testservers.Dial(listen, 10*time.Second)
 		require.NoError(t, err)
 		c.Close()
-		assert.Equal(t, stored, bytes.Contains([]byte(run(0, "budgets", "show", "--json")), []byte(`"searches": 1`)))
+		assert.Equal(t, stored, bytes.Contains([]byte(run(0, "quotas", "show", "--json")), []byte(`"max_in_flight": 1`)))
 		require.NoError(t, again.Process.Kill())
 		_ = again.Wait()
 	}
 }
 
 // A reload that takes a team away with work in hand changes nothing of that: it says what needs a restart. New weights hold.
-func TestAReloadThatRemovesATeamLosesNothing(t *testing.T) {
+func TestReload_KeepsRemovedTeamsWork(t *testing.T) {
 	listen, cmd, log, _ := served(t, twoTeams, map[string]time.Duration{"look": 30 * time.Millisecond})
 	var all sync.WaitGroup
 	var stop atomic.Bool
 	render := crowd(t, &all, listen, "render", "look", 40, &stop, func(a testservers.Answer, _ time.Time) { assert.Zero(t, a.Code) })
 	require.Eventually(t, func() bool { return render.Load() > 20 }, 10*time.Second, 5*time.Millisecond)
 	file := cmd.Args[len(cmd.Args)-1]
-	require.NoError(t, os.WriteFile(file, []byte("budgets {\n default = \"other\"\n team \"other\" {}\n}\n"), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte("quotas {\n default = \"other\"\n team \"other\" {}\n}\n"), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	time.Sleep(200 * time.Millisecond)
-	require.NoError(t, os.WriteFile(file, []byte("budgets {"), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte("quotas {"), 0o600))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	time.Sleep(200 * time.Millisecond)
 	before := render.Load()
@@ -199,6 +200,6 @@
 	all.Wait()
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Wait())
-	assert.Contains(t, log.String(), "budgets: which teams there are")
+	assert.Contains(t, log.String(), "quotas: which teams there are")
 	assert.Contains(t, log.String(), "reload: not read")
 }
--- a/internal/assembly/kill_test.go
+++ b/internal/assembly/store_test.go
@@ -54,7 +54,7 @@
 
 // The real program is killed outright twenty times under load, and started again. Clients come again with their marks. No
 // mark runs twice, no search gets two answers, and what ran is never told as denied or unknown.
-func TestKilledTwentyTimesUnderLoad(t *testing.T) {
+func TestStore_RunsKeysOnceThroughKills(t *testing.T) {
 	memory := &testservers.Memory{}
 	var engines []*testservers.Executor
 	for k, place := range []string{"here", "here", "there"} {
@@ -160,7 +160,7 @@
 }
 
 // The tools and the operators' file, as an operator uses them.
-func TestTheCommandLine(t *testing.T) {
+func TestCommands_OnAStore(t *testing.T) {
 	program := programs(t)
 	e := &testservers.Executor{Name: "s-0", Zone: "here", DedupWindow: 20 * time.Second}
 	require.NoError(t, e.Start())
@@ -225,7 +225,7 @@
 }
 
 // Whoever reads the log may go: the program goes on. A write to a pipe that nobody reads would end it by a signal.
-func TestALogThatNobodyReadsEndsNothing(t *testing.T) {
+func TestServe_SurvivesALogWithoutReader(t *testing.T) {
 	program := programs(t)
 	e := &testservers.Executor{Name: "s-0", Zone: "here"}
 	require.NoError(t, e.Start())
--- a/internal/chaostest/chaostest_test.go
+++ b/internal/chaostest/chaostest_test.go
@@ -77,7 +77,7 @@
 	assert.Equal(t, "gone", view["c3"])
 	require.NoError(t, f.Signal(3, syscall.SIGCONT))
 	settles(t, f, "awake")
-	assert.Contains(t, f.Controllers[3].Log(), "stood still")
+	assert.Contains(t, f.Controllers[3].Log(), "this controller stalled")
 	end()
 	list := history.List()
 	assert.Empty(t, Check(list, f.Memory.Runs(), 6))
@@ -100,8 +100,8 @@
 	assert.Equal(t, "gone", view["c3"])
 	require.NoError(t, f.Signal(3, syscall.SIGCONT))
 	settles(t, f, "after 30 s")
-	assert.Equal(t, 2, strings.Count(f.Controllers[3].Log(), "stood still"))
-	assert.NotContains(t, f.Controllers[3].Log(), "fleet: gone", "it judged nobody by what it did not hear")
+	assert.Equal(t, 2, strings.Count(f.Controllers[3].Log(), "this controller stalled"))
+	assert.NotContains(t, f.Controllers[3].Log(), "cluster: gone", "it judged nobody by what it did not hear")
 }
 
 // A restart under the same name, at once and with its store lost, is a later life; two processes of one name are both named.
@@ -132,7 +132,7 @@
 	require.NoError(t, os.WriteFile(file, bytes.Replace(text, []byte("fleet {\n"), []byte("fleet {\n  member = \"c2\"\n"), 1), 0o600))
 	require.NoError(t, f.Start(3))
 	for _, k := range []int{2, 3} {
-		require.Eventually(t, func() bool { return strings.Contains(f.Controllers[k].Log(), "a name borne twice") }, 10*time.Second,
+		require.Eventually(t, func() bool { return strings.Contains(f.Controllers[k].Log(), "duplicate member name") }, 10*time.Second,
 			20*time.Millisecond, "controller %d names the other", k)
 	}
 	third := lives()
@@ -181,7 +181,7 @@
 	next = led(t, f, -1)
 	require.Eventually(t, lost(4, "left"), 5*time.Second, 50*time.Millisecond, "one that left is told as such, at once")
 	for _, c := range f.Controllers {
-		assert.NotContains(t, c.Log(), "can't go on")
+		assert.NotContains(t, c.Log(), "voter has failed")
 	}
 }
 
@@ -200,7 +200,7 @@
 	sick := time.Now()
 	leads := led(t, f, 1)
 	require.Eventually(t, func() bool { return place(f, leads, "c4") == "lost" }, 15*time.Second, 50*time.Millisecond, "two of three voters agree")
-	require.Eventually(t, func() bool { return strings.Contains(f.Controllers[1].Log(), "can't go on") }, 10*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(f.Controllers[1].Log(), "voter has failed") }, 10*time.Second, 20*time.Millisecond)
 	marked := func() bool {
 		a, err := f.Ask(0, "members", nil)
 		list, _ := a["members"].([]any)
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 
@@ -10,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAFileIsReadWithItsUnits(t *testing.T) {
+func TestRead_TakesUnits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("store {\n directory = \"/d\"\n segment = \"64KiB\"\n lag = \"20ms\"\n remember = \"1h\"\n}\n"), 0o600))
 	f, err := Read(path)
@@ -31,7 +32,7 @@
 }
 
 // Every complaint names file, line and column; all of them are told at once.
-func TestWhatIsWrongIsNamedWithItsPlace(t *testing.T) {
+func TestParse_NamesThePlaceOfAComplaint(t *testing.T) {
 	for text, want := range map[string]string{
 		"store {\n":                                                        "f:1:7: Unclosed configuration block",
 		"stor {}":                                                          `f:1:1: Unsupported block type`,
@@ -57,3 +58,63 @@
 	assert.ErrorContains(t, err, "f:2:14")
 	assert.ErrorContains(t, err, "f:3:8")
 }
+
+// What the names of before say is what today's say; each of them is told.
+func TestParse_TakesDeprecatedNames(t *testing.T) {
+	today := `store {
+  directory = "/d"
+}
+quotas {
+  default     = "other"
+  attribution = ["class", "field"]
+  team "other" { requests = 3 }
+  class "look" { team = "other" }
+}
+cluster {
+  name     = "f"
+  address  = "127.0.0.1:1"
+  seeds    = ["127.0.0.1:1"]
+  founders = ["a", "b", "c"]
+  zone     = "z"
+}
+handoff {
+  condition   = "disk and replicas"
+  unreachable = "reject"
+}
+zones {
+  region "west" {
+    latency     = "20ms"
+    min_density = 0.5
+  }
+}
+`
+	before := strings.NewReplacer("quotas {", "budgets {", "attribution =", "whose =", `["class"`, `["offering"`, "requests =", "searches =",
+		`class "look"`, `offering "look"`, "cluster {", "fleet {", "handoff {", "estate {", "disk and replicas", "disk and holders",
+		`"reject"`, `"deny"`, "latency ", "way ", "min_density", "price").Replace(today)
+	a, err := Parse([]byte(today), "f")
+	require.NoError(t, err)
+	assert.Empty(t, a.Deprecated)
+	b, err := Parse([]byte(before), "f")
+	require.NoError(t, err)
+	assert.Empty(t, a.Differs(b))
+	assert.Equal(t, a.Quotas.Teams, b.Quotas.Teams)
+	assert.Equal(t, a.Quotas.Attribution, b.Quotas.Attribution)
+	assert.Equal(t, a.Locality, b.Locality)
+	assert.ElementsMatch(t, []string{"budgets (now quotas)", "whose (now attribution)", "offering (now class)",
+		"searches (now requests)", "fleet (now cluster)", "estate (now handoff)", "disk and holders (now disk and replicas)",
+		"deny (now reject)", "way (now latency)", "price (now min_density)"}, b.Deprecated)
+	_, err = Parse([]byte("quotas {\n default = \"a\"\n whose = []\n attribution = []\n team \"a\" {}\n}"), "f")
+	assert.ErrorContains(t, err, "f:3:2: whose is the former name of attribution, which stands here, too")
+	_, err = Parse([]byte("store {\n directory = \"/d\"\n}\nfleet {}\ncluster {}"), "f")
+	assert.Error(t, err, "a block may not stand there under both names")
+}
+
+// The examples that operators begin with are files of today.
+func TestRead_TakesTheExamples(t *testing.T) {
+	for _, name := range []string{"cluster", "handoff", "office", "quotas", "zones"} {
+		f, err := Read(filepath.Join("..", "..", "deploy", name+".hcl"))
+		if assert.NoError(t, err, name) {
+			assert.Empty(t, f.Deprecated, name)
+		}
+	}
+}
