--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -5,10 +5,6 @@
 	"slices"
 )
 
-// Drains while the list is out of reach: until when an executor may be sent something new though nobody
-// tells whether it drains. It keeps the rule on drains through what counts as told whether or not it was
-// heard.
-
 // mostDeemed is the room for clocks at which what the list owes counts as told: a few in each second that
 // these count.
 const mostDeemed = 32
--- a/scheduler/types.go
+++ b/scheduler/events.go
@@ -1,6 +1,3 @@
-// Package scheduler decides what becomes of each request: where its attempts go, at which level they run, when they
-// are called off and what the client is told. types.go is the interface, slab.go the storage, rules.go,
-// slowstart.go and drains.go the decisions.
 package scheduler
 
 // EventKind tells what an Event reports.
@@ -164,59 +161,3 @@
 	Name  string
 	Value float64
 }
-
-// ActionKind tells what an Action asks for.
-type ActionKind uint8
-
-// The actions.
-const (
-	Send          ActionKind = iota // an attempt of Request to Executor
-	SetResources                    // GrantMB and Level for Request
-	Cancel                          // stop waiting for Attempt of Request
-	Reject                          // final: denied, come back after AfterMS
-	Fail                            // final: failed
-	SetTimer                        // ring Token after AfterMS
-	HealthCheck                     // probe Executor
-	Subscribe                       // subscribe to the list
-	Log                             // Text for the operators
-	SendPeer                        // Data to the controller numbered Peer, or to all if that is below 0
-	ReturnRequest                   // Request, taken to be sent now, can't be: it is not in hand any more
-)
-
-// Action is one thing that an instance wants done, in the order given.
-type Action struct {
-	Kind        ActionKind
-	Request     string
-	Executor    uint32
-	Attempt     int
-	GrantMB     float64
-	Level       int
-	AfterMS     float64
-	LatestStart float64 // Send: clock after which it must not begin any more
-	Token       uint64
-	Text        string
-	Peer        int
-	Payload     []byte // read before the next Step
-}
-
-// ExecutorView is what an instance holds of one executor, for the front's log.
-type ExecutorView struct {
-	Executor            uint32
-	InFlight            int // attempts there without an outcome
-	Threads             int // of them
-	ConsecutiveFailures int // failures in a row
-	Availability        Availability
-	Ejected             bool    // gets nothing until it has answered probes
-	Ejections           int     // how often it was set aside lately
-	WarmingUp           bool    // gets its part of a cold budget
-	WarmupUntil         float64 // clock until which it does
-	SinceSignMS         float64 // since the last sign of work; below 0: none yet
-	SinceReportMS       float64 // since the last load report or telling; below 0: none yet
-}
-
-// Policy is what a front calls: every event in the order it happened, with the clock in milliseconds. The
-// actions are appended to out, which the caller owns and may reuse. An instance shares nothing with
-// another.
-type Policy interface {
-	Step(now float64, ev *Event, out []Action) []Action
-}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -2,10 +2,6 @@
 
 import "math"
 
-// Slow start: which executors are cold, and what part of what a cold one stands this controller may send it.
-// It keeps the rule that a cold executor is not pushed over by the sum of all controllers, without a word
-// among them.
-
 const (
 	coldMargin = 0.9  // part of the cold budget that all use together: what is usual is learnt by each alone
 	stepMS     = 5000 // ms by which a wall clock may have been stepped a little
