--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,6 +1,6 @@
 package scheduler
 
-func (g *Scheduler) do(a Action) { g.out = append(g.out, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
 // ActionKind tells what an Action asks for.
 type ActionKind uint8
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -3,112 +3,112 @@
 import "math"
 
 const (
-	seenMS    = 2000 // ms that a load met once is taken to go on: a part of what loads take
-	badPlan   = 4.0  // times the expected running time at which a plan counts as bad; more tells no pace
-	badPlanMS = 400  // ms that an attempt runs before its plan is judged
+	holderReportMS = 2000 // ms that a load met once is taken to go on: a part of what loads take
+	badPlanFactor  = 4.0  // times the expected running time at which a plan counts as bad; more tells no pace
+	badPlanMinMS   = 400  // ms that an attempt runs before its plan is judged
 )
 
-// fire sends the attempt placed, at the top level.
-func (g *Scheduler) fire(i int) {
-	s, e := &g.slab.places[i], &g.executors[g.target]
-	o, by := &g.offerings[s.offering], min(g.latest(s), g.openUntil(e))
-	s.p, s.quanta, s.level = pTop, 0, topLevel
-	if s.start > 0 && !o.holds { // past its budget while others wait: the paper's static p0 (3.2)
-		s.p, s.level = min(s.start, pTop), levelOf(min(s.start, pTop))
+// startAttempt sends the attempt placed, at the top level.
+func (s *Scheduler) startAttempt(slot int) {
+	r, e := &s.requests.entries[slot], &s.executors[s.assignTo]
+	class, by := &s.classes[r.class], min(s.latestStart(r), s.drainSafeUntil(e))
+	r.priority, r.quanta, r.level = topPriority, 0, topLevel
+	if r.startPriority > 0 && !class.holdsGroup { // past its budget while others wait: the paper's static p0 (3.2)
+		r.priority, r.level = min(r.startPriority, topPriority), levelFor(min(r.startPriority, topPriority))
 	}
-	g.lend(s, g.target, g.grant(s, e))
-	e.owed, e.owedAt = g.owed(e)+s.work, g.now
-	e.seen, e.seenMemory = e.seen+float64(o.threads), e.seenMemory+g.grant(s, e)
-	if g.now < e.coldUntil {
-		e.coldSent.add(g.now, o.usual)
+	s.reserve(r, s.assignTo, s.memoryGrant(r, e))
+	e.backlogMS, e.backlogAt = s.backlog(e)+r.workMS, s.now
+	e.reportedThreads, e.reportedMB = e.reportedThreads+float64(class.threads), e.reportedMB+s.memoryGrant(r, e)
+	if s.now < e.warmupUntil {
+		e.warmupSent.add(s.now, class.usualWorkMS)
 	}
-	if o.holds {
-		g.held = append(g.held, holding{s.group, g.target, math.Inf(1)})
+	if class.holdsGroup {
+		s.groupHolders = append(s.groupHolders, groupHolder{r.tableGroup, s.assignTo, math.Inf(1)})
 	}
-	g.terms(s)
-	g.do(Action{Kind: Send, Request: s.id, Executor: e.id, LatestStart: by})
+	s.setResources(r)
+	s.emit(Action{Kind: Send, Request: r.id, Executor: e.id, LatestStart: by})
 }
 
-func (g *Scheduler) callOff(i int) {
-	s := &g.slab.places[i]
-	for k := range s.fired {
-		if s.attempts[k].out && g.settings.MayCancel {
-			g.do(Action{Kind: Cancel, Request: s.id, Attempt: k})
+func (s *Scheduler) cancelAttempts(slot int) {
+	r := &s.requests.entries[slot]
+	for k := range r.attemptCount {
+		if r.attempts[k].inFlight && s.settings.MayCancel {
+			s.emit(Action{Kind: Cancel, Request: r.id, Attempt: k})
 		}
 	}
-	g.release(i)
+	s.releaseIfSettled(slot)
 }
 
-func (g *Scheduler) note(i int, h *attempt, ev *Event) {
-	s := &g.slab.places[i]
-	o, e := &g.offerings[s.offering], &g.executors[h.executor]
-	e.heard, e.missed, h.noted, e.tookAt = g.now, false, g.now, max(e.tookAt, h.sent)
+func (s *Scheduler) recordProgress(slot int, a *attempt, ev *Event) {
+	r := &s.requests.entries[slot]
+	class, e := &s.classes[r.class], &s.executors[a.executor]
+	e.lastSignAt, e.probeFailed, a.progressAt, e.acceptedAt = s.now, false, s.now, max(e.acceptedAt, a.sentAt)
 	switch ev.Progress {
 	case Waiting:
-		g.line(h, true)
-		g.dirty = true
+		s.setQueued(a, true)
+		s.dispatchNeeded = true
 		// A reader that stands behind a load goes elsewhere at once: all it loses is the attempt that it uses up.
 		if ev.Value == 2 {
-			g.seen = append(g.seen, holding{s.group, h.executor, g.now + seenMS})
-			if s.state == running && o.effect == Idempotent && h.share == 0 && g.mayFollow(s) {
-				g.request(i, doomed)
+			s.reportedHolders = append(s.reportedHolders, groupHolder{r.tableGroup, a.executor, s.now + holderReportMS})
+			if r.state == requestRunning && class.effect == Idempotent && a.doneShare == 0 && s.mayReplaceAttempt(r) {
+				s.applyToRequest(slot, inputAttemptAbandoned)
 			}
 		}
 	case Spilling:
-		if s.need > 0 {
-			o.memory = max(o.memory, o.memory+fade*((h.grant+ev.Value)/s.need*memorySpare-o.memory))
+		if r.memoryMB > 0 {
+			class.memoryFactor = max(class.memoryFactor, class.memoryFactor+smoothing*((a.grantMB+ev.Value)/r.memoryMB*spillMemoryFactor-class.memoryFactor))
 		}
 	case Progress:
-		if ev.Value > h.share { // an attempt that stands still goes on telling the share that it has
-			h.share = ev.Value
-			g.line(h, false)
+		if ev.Value > a.doneShare { // an attempt that stands still goes on telling the share that it has
+			a.doneShare = ev.Value
+			s.setQueued(a, false)
 		}
 		e.proven = e.proven || ev.Value > 0
-		least := s.work / float64(o.threads)
-		expected := least * max(1, o.slow) * max(1, e.pace)
-		projected := h.ran / max(h.share, 0.01)
+		least := r.workMS / float64(class.threads)
+		expected := least * max(1, class.slowdown) * max(1, e.slowdown)
+		projected := a.ranMS / max(a.doneShare, 0.01)
 		// A bad plan, told by a pace far under that of offering and executor, or an attempt that was forgotten
 		// there. It harms when an estimate is far too low, hence the limit on what is left.
-		if s.state == running && h.ran > badPlanMS && projected > badPlan*expected &&
-			projected-h.ran > 2*expected && o.effect == Idempotent && g.mayFollow(s) {
-			g.request(i, doomed)
+		if r.state == requestRunning && a.ranMS > badPlanMinMS && projected > badPlanFactor*expected &&
+			projected-a.ranMS > 2*expected && class.effect == Idempotent && s.mayReplaceAttempt(r) {
+			s.applyToRequest(slot, inputAttemptAbandoned)
 		}
 	}
 }
 
-func (g *Scheduler) ended(i int, h *attempt, ev *Event) {
-	s := &g.slab.places[i]
-	o, e := &g.offerings[s.offering], &g.executors[h.executor]
-	g.settle(s, h, !ev.Outcome.NeverRan())
-	g.dirty = true
+func (s *Scheduler) endAttempt(slot int, a *attempt, ev *Event) {
+	r := &s.requests.entries[slot]
+	class, e := &s.classes[r.class], &s.executors[a.executor]
+	s.releaseReservation(r, a, !ev.Outcome.NeverRan())
+	s.dispatchNeeded = true
 	switch ev.Outcome {
 	case Succeeded:
-		e.heard, e.missed, e.proven, e.bad, e.tookAt = g.now, false, true, 0, max(e.tookAt, h.sent)
-		g.learn(s, o, e, h, ev)
+		e.lastSignAt, e.probeFailed, e.proven, e.failures, e.acceptedAt = s.now, false, true, 0, max(e.acceptedAt, a.sentAt)
+		s.learnFromAnswer(r, class, e, a, ev)
 	case Overloaded:
-		e.restUntil = g.now + restMS
+		e.avoidUntil = s.now + avoidMS
 	case LocalFailure:
-		e.restUntil = g.now + restMS // others may have a connection already
-		g.neverLeft(s, h)
+		e.avoidUntil = s.now + avoidMS // others may have a connection already
+		s.recordLocalFailure(r, a)
 	case Errored, ConnectFailed, ConnectionLost:
-		s.erred += count(ev.Outcome == Errored)
-		if e.bad++; e.bad > 1 || ev.Outcome == ConnectFailed {
-			e.restUntil = g.now + restMS
+		r.errorCount += count(ev.Outcome == Errored)
+		if e.failures++; e.failures > 1 || ev.Outcome == ConnectFailed {
+			e.avoidUntil = s.now + avoidMS
 		}
-		if e.bad >= badInARow || !e.proven || ev.Outcome == ConnectFailed && g.blind(e) {
-			g.suspect(h.executor)
+		if e.failures >= maxFailures || !e.proven || ev.Outcome == ConnectFailed && s.sharesUnderOneThread(e) {
+			s.suspect(a.executor)
 		}
 	}
-	if rest := g.settings.OrderKeyRestMS; s.key != "" && rest > 0 &&
+	if rest := s.settings.OrderKeyRestMS; r.orderKey != "" && rest > 0 &&
 		(ev.Outcome == TimedOut || ev.Outcome == ConnectionLost || ev.Outcome == Cancelled) {
-		g.rests[s.key] = g.now + rest
+		s.orderKeyBlockedUntil[r.orderKey] = s.now + rest
 	}
 	if ev.Final {
-		g.request(i, finished)
+		s.applyToRequest(slot, inputFinished)
 	} else if ev.Blocked {
-		g.request(i, hopeless)
-	} else if s.state != over && s.out == 0 {
-		g.request(i, missed)
+		s.applyToRequest(slot, inputUnservable)
+	} else if r.state != requestDone && r.inFlight == 0 {
+		s.applyToRequest(slot, inputAttemptFailed)
 	}
-	g.release(i)
+	s.releaseIfSettled(slot)
 }
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -1,32 +1,32 @@
 package scheduler
 
-func (g *Scheduler) list(ev *Event) {
+func (s *Scheduler) updateEndpoints(ev *Event) {
 	if ev.List == ListUnavailable {
-		g.askAt, g.unheard = g.now+askMS, ev.Deadline
-		g.deem(ev.PresumedAt)
+		s.resubscribeAt, s.listLastHeardAt = s.now+resubscribeMS, ev.Deadline
+		s.presumeNotified(ev.PresumedAt)
 		return
 	}
-	g.unheard, g.deemed = 0, g.deemed[:0]
-	for x := range g.executors {
+	s.listLastHeardAt, s.presumedNotifiedAt = 0, s.presumedNotifiedAt[:0]
+	for index := range s.executors {
 		if ev.List != ListDelta { // what a whole list leaves out is gone
-			g.executors[x].standing = Removed
+			s.executors[index].availability = Removed
 		}
 	}
 	for k := range ev.Endpoints {
-		n := &ev.Endpoints[k]
-		known := g.at(n.Executor) >= 0
-		x := g.enter(n, executor{id: n.Executor, state: fit, pace: 1, proven: true})
-		e := &g.executors[x]
-		if g.startedAnew(n, e, known, ev.List) {
-			g.judge(x, restarted)
-			g.lost(x, g.startOf(n), true)
+		endpoint := &ev.Endpoints[k]
+		known := s.executorIndex(endpoint.Executor) >= 0
+		index := s.upsertExecutor(endpoint, executor{id: endpoint.Executor, state: executorHealthy, slowdown: 1, proven: true})
+		e := &s.executors[index]
+		if s.isNewStart(endpoint, e, known, ev.List) {
+			s.applyToExecutor(index, inputRestarted)
+			s.abandonAttempts(index, s.startTime(endpoint), true)
 		}
-		e.upSince, e.standing = n.StartedAt, n.Availability
+		e.startedAt, e.availability = endpoint.StartedAt, endpoint.Availability
 	}
-	for x := range g.executors {
-		if g.executors[x].standing == Removed {
-			g.lost(x, g.now, true)
+	for index := range s.executors {
+		if s.executors[index].availability == Removed {
+			s.abandonAttempts(index, s.now, true)
 		}
 	}
-	g.dirty = true
+	s.dispatchNeeded = true
 }
--- a/scheduler/hash.go
+++ b/scheduler/hash.go
@@ -10,17 +10,17 @@
 	return h ^ h>>31
 }
 
-// chance draws a number from 0 up to 1.
-func (g *Scheduler) chance() float64 {
-	g.draws++
-	return g.odds(uint64(g.draws))
+// random draws a number from 0 up to 1.
+func (s *Scheduler) random() float64 {
+	s.randomDraws++
+	return s.randomAt(uint64(s.randomDraws))
 }
 
-// odds is the number from 0 up to 1 that stands at n.
-func (g *Scheduler) odds(n uint64) float64 {
+// randomAt is the number from 0 up to 1 that stands at n.
+func (s *Scheduler) randomAt(n uint64) float64 {
 	var b [16]byte
 	for k := range 8 {
-		b[k] = byte(g.seed >> (8 * k))
+		b[k] = byte(s.seed >> (8 * k))
 	}
 	for k := range 8 {
 		b[8+k] = byte(n >> (8 * k))
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -23,24 +23,24 @@
 
 // gateway is an instance at 1000 ms that knows the executors 1 to n.
 func gateway(n int, changes ...func(*Settings)) *Scheduler {
-	g := New(7, testSettings(changes...))
-	g.began = -1e6 // long ago
+	s := New(7, testSettings(changes...))
+	s.startedAt = -1e6 // long ago
 	var list []Endpoint
-	for i := range n {
-		list = append(list, Endpoint{Executor: uint32(i + 1), Zone: "here", Kind: "big"})
+	for slot := range n {
+		list = append(list, Endpoint{Executor: uint32(slot + 1), Zone: "here", Kind: "big"})
 	}
-	g.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
-	return g
+	s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
+	return s
 }
 
 // take hands g a request of 100 ms that has until 9000.
-func take(g *Scheduler, now float64, id, offering string) []Action {
+func take(s *Scheduler, now float64, id, offering string) []Action {
 	ev := Event{Kind: RequestArrived, Request: id, Class: offering, MemoryMB: 100, WorkMS: 100, Deadline: 9000}
-	return g.Step(now, &ev, nil)
+	return s.Step(now, &ev, nil)
 }
 
-func ended(g *Scheduler, now float64, id string, n int, o Outcome) []Action {
-	return g.Step(now, &Event{Kind: AttemptEnded, Request: id, Attempt: n, Outcome: o, Final: o == Succeeded}, nil)
+func ended(s *Scheduler, now float64, id string, n int, o Outcome) []Action {
+	return s.Step(now, &Event{Kind: AttemptEnded, Request: id, Attempt: n, Outcome: o, Final: o == Succeeded}, nil)
 }
 
 // kinds are the actions' kinds, wake-ups left out.
@@ -54,7 +54,7 @@
 }
 
 // beat lets g look at what runs, one beat after the last.
-func beat(g *Scheduler, now float64) []Action {
-	g.beatAt = now - beatMS
-	return g.Step(now, &Event{Kind: TimerFired}, nil)
+func beat(s *Scheduler, now float64) []Action {
+	s.tickedAt = now - tickMS
+	return s.Step(now, &Event{Kind: TimerFired}, nil)
 }
--- a/scheduler/loadexchange.go
+++ b/scheduler/loadexchange.go
@@ -3,53 +3,53 @@
 import "math"
 
 const (
-	posts    = 3   // controllers that add up what the others tell: some may stall or be dead
-	tellMS   = 250 // ms between tellings: half as often costs more gain than it saves in bytes
-	toldStep = 0.2 // threads a core in each of the sixteen steps told, up to twice what is full
-	warning  = 4   // threads more told of an executor that fails: three such warnings fill it
+	aggregators         = 3   // controllers that add up what the others tell: some may stall or be dead
+	exchangeIntervalMS  = 250 // ms between tellings: half as often costs more gain than it saves in bytes
+	levelThreadsPerCore = 0.2 // threads a core in each of the sixteen steps told, up to twice what is full
+	failingExtraThreads = 4   // threads more told of an executor that fails: three such warnings fill it
 )
 
-// tell lets a few controllers know what this one has out. Those add up and tell all how full executors are.
+// exchangeLoad lets a few controllers know what this one has out. Those add up and tell all how full executors are.
 // A lost message is made good by the next; without any, the owed work decides.
-func (g *Scheduler) tell() {
-	if !g.settings.MayMessagePeers || g.now < g.tellAt || len(g.executors) == 0 || !g.blind(&g.executors[0]) {
+func (s *Scheduler) exchangeLoad() {
+	if !s.settings.MayMessagePeers || s.now < s.nextExchangeAt || len(s.executors) == 0 || !s.sharesUnderOneThread(&s.executors[0]) {
 		return
 	}
-	g.tellAt = g.now + tellMS*(0.9+0.2*g.chance())
-	if !g.fitsTelling() {
+	s.nextExchangeAt = s.now + exchangeIntervalMS*(0.9+0.2*s.random())
+	if !s.levelsFitMessage() {
 		return // the owed work decides, as without tellings
 	}
-	g.mail = append(g.mail[:0], 0)
-	for x := range g.executors {
-		e, threads := &g.executors[x], g.executors[x].threads
-		if e.bad > 0 && (g.now < e.restUntil || e.state == aside) {
-			threads += warning // a dead executor looks empty otherwise
+	s.loadMessage = append(s.loadMessage[:0], 0)
+	for index := range s.executors {
+		e, threads := &s.executors[index], s.executors[index].threads
+		if e.failures > 0 && (s.now < e.avoidUntil || e.state == executorEjected) {
+			threads += failingExtraThreads // a dead executor looks empty otherwise
 		}
-		g.pack(e, threads)
+		s.appendLoad(e, threads)
 	}
-	if g.post(posts) {
-		g.addUp(g.now - blindMS)
-		for x := range g.executors {
-			e := &g.executors[x]
-			e.level = math.Round(max(e.sum/e.cores, e.sumMemory*fullPerCore) / toldStep)
+	if s.sendToAggregators(aggregators) {
+		s.sumPeerLoads(s.now - reportsLostMS)
+		for index := range s.executors {
+			e := &s.executors[index]
+			e.loadLevel = math.Round(max(e.peerThreads/e.cores, e.peerMemoryShare*maxThreadsPerCore) / levelThreadsPerCore)
 		}
-		g.publish()
+		s.publishLevels()
 	}
 }
 
 // heard takes a message: what another controller has out, or how full the executors are.
-func (g *Scheduler) heard(from int, data []byte) {
-	told := g.unpublish(from, data)
-	for x := 0; told && x < len(g.executors); x++ {
-		if e := &g.executors[x]; e.standing == Active {
-			e.seen, e.seenMemory, e.seenAt = e.level*toldStep*e.cores, 0, g.now
+func (s *Scheduler) receiveLoad(from int, data []byte) {
+	told := s.decodeLoadMessage(from, data)
+	for index := 0; told && index < len(s.executors); index++ {
+		if e := &s.executors[index]; e.availability == Active {
+			e.reportedThreads, e.reportedMB, e.reportedAt = e.loadLevel*levelThreadsPerCore*e.cores, 0, s.now
 		}
 	}
-	g.dirty = g.dirty || told
+	s.dispatchNeeded = s.dispatchNeeded || told
 }
 
-// telling is what another controller has out, as it last told.
-type telling struct {
-	at   float64
-	mail []byte
+// peerLoad is what another controller has out, as it last told.
+type peerLoad struct {
+	receivedAt float64
+	entries    []byte
 }
--- a/scheduler/loadmessage.go
+++ b/scheduler/loadmessage.go
@@ -7,100 +7,100 @@
 )
 
 // mostTold is the size of the longest message to another controller.
-const mostTold = 256
+const maxMessageBytes = 256
 
-// pack appends to the mail what is out at an executor: 12 bits of its id, 6 of threads, 6 of memory as a
+// appendLoad appends to the mail what is out at an executor: 12 bits of its id, 6 of threads, 6 of memory as a
 // share, rounded by chance so that sums are right.
-func (g *Scheduler) pack(e *executor, threads int) {
-	if threads > 0 && len(g.mail)+3 <= mostTold {
-		share := math.Floor(64*e.memory/e.ram + g.chance())
+func (s *Scheduler) appendLoad(e *executor, threads int) {
+	if threads > 0 && len(s.loadMessage)+3 <= maxMessageBytes {
+		share := math.Floor(64*e.grantedMB/e.memoryMB + s.random())
 		n := e.tag()<<12 | uint32(min(63, threads))<<6 | uint32(min(63, share))
-		g.mail = append(g.mail, byte(n>>16), byte(n>>8), byte(n))
+		s.loadMessage = append(s.loadMessage, byte(n>>16), byte(n>>8), byte(n))
 	}
 }
 
-// fitsTelling tells whether the level of each executor that is listed fits a message.
-func (g *Scheduler) fitsTelling() bool {
+// levelsFitMessage tells whether the level of each executor that is listed fits a message.
+func (s *Scheduler) levelsFitMessage() bool {
 	active := 0
-	for x := range g.executors {
-		active += count(g.executors[x].standing == Active)
+	for index := range s.executors {
+		active += count(s.executors[index].availability == Active)
 	}
-	return 2+(active+1)/2 <= mostTold
+	return 2+(active+1)/2 <= maxMessageBytes
 }
 
 func (e *executor) tag() uint32 { return e.id * 0x9E3779B1 >> 20 }
 
-// post sends the mail to the first n controllers and tells whether this is one of them.
-func (g *Scheduler) post(n int) (here bool) {
-	for p := range min(n, g.settings.Controllers) {
-		if p == g.settings.Slot {
+// sendToAggregators sends the mail to the first n controllers and tells whether this is one of them.
+func (s *Scheduler) sendToAggregators(n int) (here bool) {
+	for p := range min(n, s.settings.Controllers) {
+		if p == s.settings.Slot {
 			here = true
-			g.heard(p, g.mail)
+			s.receiveLoad(p, s.loadMessage)
 		} else {
-			g.do(Action{Kind: SendPeer, Peer: p, Payload: g.mail})
+			s.emit(Action{Kind: SendPeer, Peer: p, Payload: s.loadMessage})
 		}
 	}
 	return here
 }
 
-// addUp sums what the controllers told of each executor after since.
-func (g *Scheduler) addUp(since float64) {
-	for x := range g.executors {
-		g.executors[x].sum, g.executors[x].sumMemory = 0, 0
+// sumPeerLoads sums what the controllers told of each executor after since.
+func (s *Scheduler) sumPeerLoads(since float64) {
+	for index := range s.executors {
+		s.executors[index].peerThreads, s.executors[index].peerMemoryShare = 0, 0
 	}
-	for p := range g.told {
-		for mail := g.told[p].mail; g.told[p].at > since && len(mail) >= 3; mail = mail[3:] {
+	for p := range s.peerLoads {
+		for mail := s.peerLoads[p].entries; s.peerLoads[p].receivedAt > since && len(mail) >= 3; mail = mail[3:] {
 			n := uint32(mail[0])<<16 | uint32(mail[1])<<8 | uint32(mail[2])
-			for x := range g.executors {
-				if e := &g.executors[x]; e.tag() == n>>12 {
-					e.sum += float64(n >> 6 & 63)
-					e.sumMemory += float64(n&63) / 64
+			for index := range s.executors {
+				if e := &s.executors[index]; e.tag() == n>>12 {
+					e.peerThreads += float64(n >> 6 & 63)
+					e.peerMemoryShare += float64(n&63) / 64
 				}
 			}
 		}
 	}
 }
 
-// byID gives the active executors in the order of their ids, and a check on which they are.
-func (g *Scheduler) byID() (ordered []int, check byte) {
-	for x := range g.executors {
-		if g.executors[x].standing == Active {
-			ordered = append(ordered, x)
-			check += byte(g.executors[x].tag())
+// activeByID gives the active executors in the order of their ids, and a check on which they are.
+func (s *Scheduler) activeByID() (ordered []int, check byte) {
+	for index := range s.executors {
+		if s.executors[index].availability == Active {
+			ordered = append(ordered, index)
+			check += byte(s.executors[index].tag())
 		}
 	}
-	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(g.executors[a].id, g.executors[b].id) })
+	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(s.executors[a].id, s.executors[b].id) })
 	return ordered, check
 }
 
-// publish sends the level of each executor to all, in four bits.
-func (g *Scheduler) publish() {
-	ordered, check := g.byID()
-	g.levels = append(g.levels[:0], 1, check)
-	for k, x := range ordered {
-		level := byte(min(15, g.executors[x].level))
+// publishLevels sends the level of each executor to all, in four bits.
+func (s *Scheduler) publishLevels() {
+	ordered, check := s.activeByID()
+	s.levelsMessage = append(s.levelsMessage[:0], 1, check)
+	for k, index := range ordered {
+		level := byte(min(15, s.executors[index].loadLevel))
 		if k%2 == 0 {
-			g.levels = append(g.levels, level)
+			s.levelsMessage = append(s.levelsMessage, level)
 		} else {
-			g.levels[len(g.levels)-1] |= level << 4
+			s.levelsMessage[len(s.levelsMessage)-1] |= level << 4
 		}
 	}
-	g.do(Action{Kind: SendPeer, Peer: -1, Payload: g.levels})
-	g.heard(g.settings.Slot, g.levels)
+	s.emit(Action{Kind: SendPeer, Peer: -1, Payload: s.levelsMessage})
+	s.receiveLoad(s.settings.Slot, s.levelsMessage)
 }
 
-// unpublish files a mail, or reads levels that are of the executors listed here and tells so.
-func (g *Scheduler) unpublish(from int, data []byte) bool {
-	ordered, check := g.byID()
+// decodeLoadMessage files a mail, or reads levels that are of the executors listed here and tells so.
+func (s *Scheduler) decodeLoadMessage(from int, data []byte) bool {
+	ordered, check := s.activeByID()
 	switch {
-	case from >= 0 && from < g.settings.Controllers && len(data) > 0 && data[0] == 0:
-		for from >= len(g.told) {
-			g.told = append(g.told, telling{})
+	case from >= 0 && from < s.settings.Controllers && len(data) > 0 && data[0] == 0:
+		for from >= len(s.peerLoads) {
+			s.peerLoads = append(s.peerLoads, peerLoad{})
 		}
-		g.told[from].at, g.told[from].mail = g.now, append(g.told[from].mail[:0], data[1:]...)
+		s.peerLoads[from].receivedAt, s.peerLoads[from].entries = s.now, append(s.peerLoads[from].entries[:0], data[1:]...)
 	case len(data) == 2+(len(ordered)+1)/2 && data[0] == 1 && data[1] == check:
-		for k, x := range ordered {
-			g.executors[x].level = float64(data[2+k/2] >> (k % 2 * 4) & 15)
+		for k, index := range ordered {
+			s.executors[index].loadLevel = float64(data[2+k/2] >> (k % 2 * 4) & 15)
 		}
 		return true
 	}
--- a/scheduler/orderkeys.go
+++ b/scheduler/orderkeys.go
@@ -1,20 +1,20 @@
 package scheduler
 
-// earlier tells whether an earlier request of the same key is still in hand.
-func (g *Scheduler) earlier(s *request) bool {
-	for k := range g.slab.places {
-		if t := &g.slab.places[k]; t.used && t.seq < s.seq && t.key == s.key {
+// hasPredecessor tells whether an earlier request of the same key is still in hand.
+func (s *Scheduler) hasPredecessor(r *request) bool {
+	for k := range s.requests.entries {
+		if other := &s.requests.entries[k]; other.inUse && other.sequence < r.sequence && other.orderKey == r.orderKey {
 			return true
 		}
 	}
 	return false
 }
 
-// endRests forgets the keys that rest no longer.
-func (g *Scheduler) endRests() {
-	for key, until := range g.rests {
-		if g.now >= until {
-			delete(g.rests, key)
+// expireOrderKeys forgets the keys that rest no longer.
+func (s *Scheduler) expireOrderKeys() {
+	for key, until := range s.orderKeyBlockedUntil {
+		if s.now >= until {
+			delete(s.orderKeyBlockedUntil, key)
 		}
 	}
 }
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -1,51 +1,51 @@
 package scheduler
 
-// lend counts an attempt of s as out, settle as back.
-func (g *Scheduler) lend(s *request, x int, grant float64) *attempt {
-	e, h, threads := &g.executors[x], &s.attempts[s.fired], g.offerings[s.offering].threads
-	*h = attempt{executor: x, sent: g.now, noted: g.now, threads: threads, grant: grant, out: true, doubt: true}
-	if s.begun() > 0 {
-		g.extras.add(g.now, 1)
+// reserve counts an attempt of s as out, settle as back.
+func (s *Scheduler) reserve(r *request, index int, grant float64) *attempt {
+	e, a, threads := &s.executors[index], &r.attempts[r.attemptCount], s.classes[r.class].threads
+	*a = attempt{executor: index, sentAt: s.now, progressAt: s.now, threads: threads, grantMB: grant, inFlight: true, mayHaveRun: true}
+	if r.startedCount() > 0 {
+		s.retries.add(s.now, 1)
 	}
-	if s.now {
-		s.now = false
-		g.takes.add(g.now, 1)
+	if r.immediate {
+		r.immediate = false
+		s.arrivals.add(s.now, 1)
 	}
-	if e.out == 0 {
-		e.busySince = g.now
+	if e.inFlight == 0 {
+		e.busySince = s.now
 	}
-	s.fired, s.out = s.fired+1, s.out+1
-	e.out, e.threads, e.memory = e.out+1, e.threads+threads, e.memory+grant
-	g.lent(e.place, threads)
-	return h
+	r.attemptCount, r.inFlight = r.attemptCount+1, r.inFlight+1
+	e.inFlight, e.threads, e.grantedMB = e.inFlight+1, e.threads+threads, e.grantedMB+grant
+	s.addRemoteThreads(e.zone, threads)
+	return a
 }
 
-// regrant books the memory that a running request is to have now, and names it where that is another amount.
-func (g *Scheduler) regrant(s *request) {
-	h := s.last()
-	e := &g.executors[h.executor]
-	was := h.grant
-	h.grant = g.grant(s, e)
-	if e.memory += h.grant - was; h.grant != was {
-		g.terms(s)
+// updateGrant books the memory that a running request is to have now, and names it where that is another amount.
+func (s *Scheduler) updateGrant(r *request) {
+	a := r.lastAttempt()
+	e := &s.executors[a.executor]
+	was := a.grantMB
+	a.grantMB = s.memoryGrant(r, e)
+	if e.grantedMB += a.grantMB - was; a.grantMB != was {
+		s.setResources(r)
 	}
 }
 
-// line counts an attempt as standing in a line of its executor, or not.
-func (g *Scheduler) line(h *attempt, waits bool) {
-	e := &g.executors[h.executor]
-	if h.waits != 0 {
-		h.waits, e.lined = 0, e.lined-1
+// setQueued counts an attempt as standing in a line of its executor, or not.
+func (s *Scheduler) setQueued(a *attempt, waits bool) {
+	e := &s.executors[a.executor]
+	if a.waiting != 0 {
+		a.waiting, e.queued = 0, e.queued-1
 	}
 	if waits {
-		h.waits, e.lined = Waiting, e.lined+1
+		a.waiting, e.queued = Waiting, e.queued+1
 	}
 }
 
-func (g *Scheduler) settle(s *request, h *attempt, doubt bool) {
-	e := &g.executors[h.executor]
-	g.line(h, false)
-	h.out, h.doubt = false, doubt
-	s.out, e.out, e.threads, e.memory = s.out-1, e.out-1, e.threads-h.threads, e.memory-h.grant
-	g.lent(e.place, -h.threads)
+func (s *Scheduler) releaseReservation(r *request, a *attempt, doubt bool) {
+	e := &s.executors[a.executor]
+	s.setQueued(a, false)
+	a.inFlight, a.mayHaveRun = false, doubt
+	r.inFlight, e.inFlight, e.threads, e.grantedMB = r.inFlight-1, e.inFlight-1, e.threads-a.threads, e.grantedMB-a.grantMB
+	s.addRemoteThreads(e.zone, -a.threads)
 }
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -6,79 +6,79 @@
 )
 
 const (
-	keptRuns = 64 // running times kept through a restart: three times the least that tells an onset
+	restoredRuns = 64 // running times kept through a restart: three times the least that tells an onset
 )
 
-// recall takes over what was known before a restart: it narrows sending, and saves learning.
-func (g *Scheduler) recall(ev *Event) {
-	g.recount(ev)
+// restoreState takes over what was known before a restart: it narrows sending, and saves learning.
+func (s *Scheduler) restoreState(ev *Event) {
+	s.restoreEstimates(ev)
 	for _, t := range ev.ExecutorStates {
-		if x := g.at(t.Executor); x >= 0 {
-			e := &g.executors[x]
-			if t.Draining && e.standing == Active {
-				e.standing = Draining
+		if index := s.executorIndex(t.Executor); index >= 0 {
+			e := &s.executors[index]
+			if t.Draining && e.availability == Active {
+				e.availability = Draining
 			}
-			if t.WarmupUntil > max(g.now, e.coldUntil) {
-				e.state, e.coldUntil, e.proven = chilled, t.WarmupUntil, false
+			if t.WarmupUntil > max(s.now, e.warmupUntil) {
+				e.state, e.warmupUntil, e.proven = executorWarmingUp, t.WarmupUntil, false
 			}
-			if e.strikes = t.Ejections; t.Ejected {
-				e.strikes--
-				g.judge(x, silent)
+			if e.ejections = t.Ejections; t.Ejected {
+				e.ejections--
+				s.applyToExecutor(index, inputUnresponsive)
 			}
 		}
 	}
 }
 
 // facts names what is learnt of an offering, for Learnt and relearn.
-var facts = []struct {
+var estimateFields = []struct {
 	name string
-	of   func(*offering) *float64
+	of   func(*classState) *float64
 }{
-	{"usual", func(o *offering) *float64 { return &o.usual }},
-	{"slow", func(o *offering) *float64 { return &o.slow }},
-	{"memory", func(o *offering) *float64 { return &o.memory }},
-	{"worked", func(o *offering) *float64 { return &o.worked }},
-	{"estimated", func(o *offering) *float64 { return &o.estimated }},
+	{"usual", func(class *classState) *float64 { return &class.usualWorkMS }},
+	{"slow", func(class *classState) *float64 { return &class.slowdown }},
+	{"memory", func(class *classState) *float64 { return &class.memoryFactor }},
+	{"worked", func(class *classState) *float64 { return &class.actualWorkMS }},
+	{"estimated", func(class *classState) *float64 { return &class.estimatedWorkMS }},
 }
 
 // ranName is the name of a finished request's running time among figures: the onset is read from those.
-const ranName = "ran"
+const runEstimate = "ran"
 
 // Estimates appends what this instance has learnt, the last running times oldest first.
-func (g *Scheduler) Estimates(out []Estimate) []Estimate {
-	for k := range g.offerings {
-		for f := range facts {
-			out = append(out, Estimate{g.offerings[k].name + "." + facts[f].name, *facts[f].of(&g.offerings[k])})
+func (s *Scheduler) Estimates(out []Estimate) []Estimate {
+	for k := range s.classes {
+		for f := range estimateFields {
+			out = append(out, Estimate{s.classes[k].name + "." + estimateFields[f].name, *estimateFields[f].of(&s.classes[k])})
 		}
 	}
-	ran := g.finished.live()
-	for _, ms := range ran[max(0, len(ran)-keptRuns):] {
-		out = append(out, Estimate{ranName, ms})
+	ran := s.finishedRuns.live()
+	for _, ms := range ran[max(0, len(ran)-restoredRuns):] {
+		out = append(out, Estimate{runEstimate, ms})
 	}
 	return out
 }
 
-// recount takes over the counts of the ration, and what Learnt gave; what can't be, is left out.
-func (g *Scheduler) recount(ev *Event) {
+// restoreEstimates takes over the counts of the ration, and what Learnt gave; what can't be, is left out.
+func (s *Scheduler) restoreEstimates(ev *Event) {
 	for _, at := range ev.Arrivals {
-		g.takes.add(at, 1)
+		s.arrivals.add(at, 1)
 	}
 	for _, at := range ev.Retries {
-		g.extras.add(at, 1)
+		s.retries.add(at, 1)
 	}
 	for _, f := range ev.Estimates {
 		if !(f.Value > 0) || math.IsInf(f.Value, 0) {
 			continue
 		}
-		if f.Name == ranName {
-			g.finished.add(g.now, f.Value)
+		if f.Name == runEstimate {
+			s.finishedRuns.add(s.now, f.Value)
 		}
-		for k := range g.offerings {
-			name, ok := strings.CutPrefix(f.Name, g.offerings[k].name+".")
-			for j := range facts {
-				if ok && facts[j].name == name {
-					*facts[j].of(&g.offerings[k]) = f.Value
-					g.offerings[k].taken = 1 / learnt
+		for k := range s.classes {
+			name, ok := strings.CutPrefix(f.Name, s.classes[k].name+".")
+			for j := range estimateFields {
+				if ok && estimateFields[j].name == name {
+					*estimateFields[j].of(&s.classes[k]) = f.Value
+					s.classes[k].arrivals = 1 / costSmoothing
 				}
 			}
 		}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,45 +1,45 @@
 package scheduler
 
 const (
-	againMS   = 25  // ms until a request whose attempt could not leave is tried again; doubled each time
-	againMost = 400 // ms of that at most: descriptors and ports come back in such times
+	localRetryMS    = 25  // ms until a request whose attempt could not leave is tried again; doubled each time
+	maxLocalRetryMS = 400 // ms of that at most: descriptors and ports come back in such times
 )
 
-// rationLeft tells whether one more attempt beyond a request's first, besides those coming, is in the
+// retryBudgetLeft tells whether one more attempt beyond a request's first, besides those coming, is in the
 // ration. One may begin as late as its connection comes up: counted from there, too, no more than one is
 // over it.
-func (g *Scheduler) rationLeft(coming int) bool {
-	length, late := g.settings.RetryBudget.WindowMS, g.settings.ConnectTimeoutMS
-	g.extras.forget(g.now-length-late-beatMS, 0)
-	g.takes.forget(g.now-length, 0)
-	most := g.settings.RetryBudget.Floor + g.settings.RetryBudget.Share*float64(g.takes.count())
-	return length == 0 || float64(g.extras.since(g.now-length-beatMS)+coming+1) <= most &&
-		float64(g.extras.count()+coming) <= most
+func (s *Scheduler) retryBudgetLeft(coming int) bool {
+	length, late := s.settings.RetryBudget.WindowMS, s.settings.ConnectTimeoutMS
+	s.retries.forget(s.now-length-late-tickMS, 0)
+	s.arrivals.forget(s.now-length, 0)
+	most := s.settings.RetryBudget.Floor + s.settings.RetryBudget.Share*float64(s.arrivals.count())
+	return length == 0 || float64(s.retries.countSince(s.now-length-tickMS)+coming+1) <= most &&
+		float64(s.retries.count()+coming) <= most
 }
 
-func (g *Scheduler) mayFollow(s *request) bool {
-	return g.settings.MayCancel && g.attemptsLeft(s) && g.rationLeft(g.returning())
+func (s *Scheduler) mayReplaceAttempt(r *request) bool {
+	return s.settings.MayCancel && s.attemptsLeft(r) && s.retryBudgetLeft(s.awaitingRetry())
 }
 
-func (g *Scheduler) attemptsLeft(s *request) bool {
-	return s.fired < mostAttempts && s.begun() < g.settings.MaxAttempts
+func (s *Scheduler) attemptsLeft(r *request) bool {
+	return r.attemptCount < maxAttempts && r.startedCount() < s.settings.MaxAttempts
 }
 
-// returning counts the requests whose attempt was lost or called off and that wait for their next one. Whoever is called off
+// awaitingRetry counts the requests whose attempt was lost or called off and that wait for their next one. Whoever is called off
 // besides them needs one more: without it an attempt would be thrown away that might still have been handled.
-func (g *Scheduler) returning() (n int) {
-	for i := range g.slab.places {
-		s := &g.slab.places[i]
-		n += count(s.used && s.begun() > 0 && (s.state == waiting || s.state == recalling))
+func (s *Scheduler) awaitingRetry() (n int) {
+	for slot := range s.requests.entries {
+		r := &s.requests.entries[slot]
+		n += count(r.inUse && r.startedCount() > 0 && (r.state == requestQueued || r.state == requestCancelling))
 	}
 	return n
 }
 
-// neverLeft takes back what was counted for the latest attempt of s, as it never left, and has the next one wait a while.
-func (g *Scheduler) neverLeft(s *request, h *attempt) {
-	s.unsent++
-	if s.begun() > 0 {
-		g.extras.remove(h.sent)
+// recordLocalFailure takes back what was counted for the latest attempt of s, as it never left, and has the next one wait a while.
+func (s *Scheduler) recordLocalFailure(r *request, a *attempt) {
+	r.unsentCount++
+	if r.startedCount() > 0 {
+		s.retries.remove(a.sentAt)
 	}
-	s.again = g.now + min(againMost, againMS*float64(uint(1)<<(s.unsent-1)))
+	r.retryNotBefore = s.now + min(maxLocalRetryMS, localRetryMS*float64(uint(1)<<(r.unsentCount-1)))
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,108 +9,108 @@
 
 // Scheduler is one instance.
 type Scheduler struct {
-	settings   Settings
-	seed       uint64
-	draws      uint32
-	now        float64
-	out        []Action
-	slab       slab
-	offerings  []offering
-	executors  []executor
-	rests      map[string]float64 // order key: rests until
-	takes      span
-	extras     span
-	finished   span // running times of finished requests
-	onset      float64
-	onsetAt    float64
-	target     int  // the executor that the request being placed goes to
-	dirty      bool // something changed that may let a waiting request go
-	seq        uint64
-	waiting    []int
-	held       []holding // as of this pass
-	seen       []holding // told by notes
-	placedAt   float64
-	beatAt     float64
-	full       bool    // no executor has room, as of this pass
-	asks       float64 // probes for load reports that may still be sent
-	reportedAt float64
-	tellAt     float64
-	mail       []byte
-	levels     []byte
-	told       []telling // by controller, at those that add up
-	askAt      float64   // when the list is to be asked for
-	unheard    float64   // the last word of the list, where it is out of reach; 0: it is not, or nobody tells
-	deemed     []float64 // clocks at which what the list owes counts as told, while it is out of reach
-	present    float64   // controllers that share the executors, where that is heard
-	traffic    float64   // this controller's share of the traffic
-	reaches    []reached // places that are not simply near
-	began      float64   // when this instance started
-	closing    float64   // when this instance stops; far off unless that is planned
+	settings             Settings
+	seed                 uint64
+	randomDraws          uint32
+	now                  float64
+	actions              []Action
+	requests             requestTable
+	classes              []classState
+	executors            []executor
+	orderKeyBlockedUntil map[string]float64 // order key: rests until
+	arrivals             window
+	retries              window
+	finishedRuns         window // running times of finished requests
+	decayOnsetMS         float64
+	decayOnsetReadAt     float64
+	assignTo             int  // the executor that the request being placed goes to
+	dispatchNeeded       bool // something changed that may let a waiting request go
+	lastSequence         uint64
+	queue                []int
+	groupHolders         []groupHolder // as of this pass
+	reportedHolders      []groupHolder // told by notes
+	dispatchedAt         float64
+	tickedAt             float64
+	saturated            bool    // no executor has room, as of this pass
+	probeTokens          float64 // probes for load reports that may still be sent
+	reportedAt           float64
+	nextExchangeAt       float64
+	loadMessage          []byte
+	levelsMessage        []byte
+	peerLoads            []peerLoad   // by controller, at those that add up
+	resubscribeAt        float64      // when the list is to be asked for
+	listLastHeardAt      float64      // the last word of the list, where it is out of reach; 0: it is not, or nobody tells
+	presumedNotifiedAt   []float64    // clocks at which what the list owes counts as told, while it is out of reach
+	countedControllers   float64      // controllers that share the executors, where that is heard
+	trafficShare         float64      // this controller's share of the traffic
+	remoteZones          []remoteZone // places that are not simply near
+	startedAt            float64      // when this instance started
+	shutdownDeadline     float64      // when this instance stops; far off unless that is planned
 }
 
 // New starts an instance with nothing but its settings and its seed.
 func New(seed uint64, settings Settings) *Scheduler {
-	g := &Scheduler{settings: settings, seed: seed, slab: newSlab(), rests: map[string]float64{}, closing: math.Inf(1)}
-	g.reckonShare()
+	s := &Scheduler{settings: settings, seed: seed, requests: newRequestTable(), orderKeyBlockedUntil: map[string]float64{}, shutdownDeadline: math.Inf(1)}
+	s.updateTrafficShare()
 	for _, c := range settings.Classes {
-		g.offerings = append(g.offerings, offering{name: c.Name, effect: c.Effect, scope: c.DedupScope, window: c.DedupWindowMS,
-			due: c.SoftDeadlineMS, stretch: c.SoftDeadlineStretch, gain: c.Value, late: c.LateShare, inOrder: c.InOrder,
-			holds: c.HoldsTableGroup, behind: c.BlockedByHolders, threads: c.Threads, kinds: c.Kinds, places: c.Zones,
-			slow: 1, memory: memoryStart})
+		s.classes = append(s.classes, classState{name: c.Name, effect: c.Effect, dedupScope: c.DedupScope, dedupWindowMS: c.DedupWindowMS,
+			softDeadlineMS: c.SoftDeadlineMS, softDeadlineStretch: c.SoftDeadlineStretch, value: c.Value, lateShare: c.LateShare, inOrder: c.InOrder,
+			holdsGroup: c.HoldsTableGroup, blockedByHolders: c.BlockedByHolders, threads: c.Threads, kinds: c.Kinds, zones: c.Zones,
+			slowdown: 1, memoryFactor: initialMemoryFactor})
 	}
-	return g
+	return s
 }
 
 // Step takes one event and appends what is to be done about it.
-func (g *Scheduler) Step(now float64, ev *Event, out []Action) []Action {
-	g.now, g.out = now, out
+func (s *Scheduler) Step(now float64, ev *Event, out []Action) []Action {
+	s.now, s.actions = now, out
 	switch ev.Kind {
 	case Started:
-		g.began = now
-		g.do(Action{Kind: SetTimer, AfterMS: beatMS})
+		s.startedAt = now
+		s.emit(Action{Kind: SetTimer, AfterMS: tickMS})
 	case EndpointsUpdated:
-		g.list(ev)
+		s.updateEndpoints(ev)
 	case RequestArrived:
-		g.take(ev)
+		s.admit(ev)
 	case ClientLeft:
-		if i, ok := g.slab.find(ev.Request); ok && ev.HalfClosed {
-			g.request(i, hopeless)
+		if slot, ok := s.requests.find(ev.Request); ok && ev.HalfClosed {
+			s.applyToRequest(slot, inputUnservable)
 		} else if ok {
-			g.request(i, finished)
+			s.applyToRequest(slot, inputFinished)
 		}
 	case AttemptEnded, ProgressReported, ResponseStarted:
-		if i, h := g.attemptOf(ev); h != nil && ev.Kind == AttemptEnded {
-			g.ended(i, h, ev)
-		} else if h != nil && ev.Kind == ProgressReported {
-			g.note(i, h, ev)
-		} else if h != nil {
-			g.slab.places[i].bound = true
+		if slot, a := s.findAttempt(ev); a != nil && ev.Kind == AttemptEnded {
+			s.endAttempt(slot, a, ev)
+		} else if a != nil && ev.Kind == ProgressReported {
+			s.recordProgress(slot, a, ev)
+		} else if a != nil {
+			s.requests.entries[slot].responseStarted = true
 		}
 	case HealthChecked:
-		g.probed(ev)
+		s.recordHealthCheck(ev)
 	case TimerFired:
-		g.beat()
-		g.tell()
+		s.tick()
+		s.exchangeLoad()
 	case PriorityCapped:
-		if i, ok := g.slab.find(ev.Request); ok {
-			g.press(i, ev)
+		if slot, ok := s.requests.find(ev.Request); ok {
+			s.capPriority(slot, ev)
 		}
 	case StateRestored:
-		g.recall(ev)
+		s.restoreState(ev)
 	case ShutdownStarted:
-		g.stop(ev.Deadline)
+		s.shutDown(ev.Deadline)
 	case ControllersCounted:
-		g.present = ev.Value
-		g.reckonShare()
+		s.countedControllers = ev.Value
+		s.updateTrafficShare()
 	case ReachabilityChanged:
-		g.reach(ev.Reaches)
+		s.updateReach(ev.Reaches)
 	case PeerMessage:
-		g.heard(ev.FromPeer, ev.Payload)
+		s.receiveLoad(ev.FromPeer, ev.Payload)
 	}
-	if g.dirty && g.placeNow() {
-		g.place()
+	if s.dispatchNeeded && s.dispatchDue() {
+		s.dispatch()
 	}
-	out, g.out = g.out, nil
+	out, s.actions = s.actions, nil
 	return out
 }
 
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -109,7 +109,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Controllers:      1,
-		MaxAttempts:      mostAttempts,
+		MaxAttempts:      maxAttempts,
 		LargestShare:     1,
 		ColdCapacity:     0.1,
 		CollapseMultiple: 1,
--- a/scheduler/states.go
+++ b/scheduler/states.go
@@ -2,49 +2,49 @@
 
 // States of a request, then of an executor.
 const (
-	waiting state = iota
-	running
-	recalling
-	over
-	fit
-	aside
-	chilled
+	requestQueued state = iota
+	requestRunning
+	requestCancelling
+	requestDone
+	executorHealthy
+	executorEjected
+	executorWarmingUp
 	anyState
 )
 
 // Inputs of a request, then of an executor.
 const (
-	placed    input = iota // an executor was found for it
-	missed                 // its attempt ended unhandled
-	doomed                 // its attempt is lost or has a bad plan
-	hopeless               // it can't be handled any more
-	finished               // it was handled, or its client left
-	silent                 // no sign of work, or only bad ones
-	answered               // probes were answered
-	restarted              // the list tells of a new start
-	warmed                 // the time to warm up is over
+	inputAssigned         input = iota // an executor was found for it
+	inputAttemptFailed                 // its attempt ended unhandled
+	inputAttemptAbandoned              // its attempt is lost or has a bad plan
+	inputUnservable                    // it can't be handled any more
+	inputFinished                      // it was handled, or its client left
+	inputUnresponsive                  // no sign of work, or only bad ones
+	inputProbesAnswered                // probes were answered
+	inputRestarted                     // the list tells of a new start
+	inputWarmedUp                      // the time to warm up is over
 )
 
-var requestTable, executorTable []row
+var requestTransitions, executorTransitions []transition
 
 func init() {
-	requestTable = []row{
-		{waiting, placed, running, (*Scheduler).fire},
-		{running, missed, waiting, nil},
-		{recalling, missed, waiting, nil},
-		{running, doomed, recalling, (*Scheduler).callOff},
-		{over, hopeless, over, nil},
-		{over, finished, over, nil},
-		{anyState, hopeless, over, (*Scheduler).answer},
-		{anyState, finished, over, (*Scheduler).callOff},
+	requestTransitions = []transition{
+		{requestQueued, inputAssigned, requestRunning, (*Scheduler).startAttempt},
+		{requestRunning, inputAttemptFailed, requestQueued, nil},
+		{requestCancelling, inputAttemptFailed, requestQueued, nil},
+		{requestRunning, inputAttemptAbandoned, requestCancelling, (*Scheduler).cancelAttempts},
+		{requestDone, inputUnservable, requestDone, nil},
+		{requestDone, inputFinished, requestDone, nil},
+		{anyState, inputUnservable, requestDone, (*Scheduler).rejectOrFail},
+		{anyState, inputFinished, requestDone, (*Scheduler).cancelAttempts},
 	}
-	executorTable = []row{
-		{fit, silent, aside, (*Scheduler).evict},
-		{chilled, silent, aside, (*Scheduler).evict},
-		{aside, answered, chilled, (*Scheduler).chill},
-		{aside, restarted, aside, (*Scheduler).chill},
-		{anyState, restarted, chilled, (*Scheduler).chill},
-		{chilled, warmed, fit, nil},
+	executorTransitions = []transition{
+		{executorHealthy, inputUnresponsive, executorEjected, (*Scheduler).eject},
+		{executorWarmingUp, inputUnresponsive, executorEjected, (*Scheduler).eject},
+		{executorEjected, inputProbesAnswered, executorWarmingUp, (*Scheduler).startWarmup},
+		{executorEjected, inputRestarted, executorEjected, (*Scheduler).startWarmup},
+		{anyState, inputRestarted, executorWarmingUp, (*Scheduler).startWarmup},
+		{executorWarmingUp, inputWarmedUp, executorHealthy, nil},
 	}
 }
 
@@ -55,12 +55,12 @@
 	input uint8
 )
 
-// verdict is the answer to whether an attempt may be sent.
-type verdict uint8
+// sendVerdict is the answer to whether an attempt may be sent.
+type sendVerdict uint8
 
 const (
-	yes verdict = iota
-	notHere
-	notNow
-	never
+	sendAllowed sendVerdict = iota
+	sendElsewhere
+	sendLater
+	sendNever
 )
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	askMS   = 1000 // ms until a list out of reach is asked for again: longer than most calls take
-	beatMS  = 20   // ms between looks at what runs: a fifth of a quantum
-	stallMS = 100  // ms between beats from which this instance itself stood still: five beats
+	resubscribeMS = 1000 // ms until a list out of reach is asked for again: longer than most calls take
+	tickMS        = 20   // ms between looks at what runs: a fifth of a quantum
+	stallMS       = 100  // ms between beats from which this instance itself stood still: five beats
 )
 
-// beat looks at all that runs: levels, time left, executors under suspicion.
-func (g *Scheduler) beat() {
-	g.do(Action{Kind: SetTimer, AfterMS: beatMS})
-	gap := g.now - cmp.Or(g.beatAt, g.now-beatMS)
-	g.dirty, g.beatAt = true, g.now
-	g.asks = min(asksSaved, g.asks+gap*asksPerMS)
-	g.readOnset()
-	if g.settings.SubscribesToList && g.now >= g.askAt {
-		g.askAt = math.Inf(1)
-		g.do(Action{Kind: Subscribe})
+// tick looks at all that runs: levels, time left, executors under suspicion.
+func (s *Scheduler) tick() {
+	s.emit(Action{Kind: SetTimer, AfterMS: tickMS})
+	gap := s.now - cmp.Or(s.tickedAt, s.now-tickMS)
+	s.dispatchNeeded, s.tickedAt = true, s.now
+	s.probeTokens = min(maxProbeTokens, s.probeTokens+gap*probesPerMS)
+	s.updateDecayOnset()
+	if s.settings.SubscribesToList && s.now >= s.resubscribeAt {
+		s.resubscribeAt = math.Inf(1)
+		s.emit(Action{Kind: Subscribe})
 	}
-	for i := range g.slab.places {
-		s := &g.slab.places[i]
+	for slot := range s.requests.entries {
+		r := &s.requests.entries[slot]
 		switch {
-		case !s.used || s.state == over:
-		case g.now >= s.until-closingMS && !s.bound:
-			g.request(i, hopeless)
-		case s.state == running:
-			g.age(s, s.last(), gap)
-			if gap < stallMS && g.forgotten(s, s.last()) {
-				g.request(i, doomed)
+		case !r.inUse || r.state == requestDone:
+		case s.now >= r.deadline-answerMarginMS && !r.responseStarted:
+			s.applyToRequest(slot, inputUnservable)
+		case r.state == requestRunning:
+			s.advanceRun(r, r.lastAttempt(), gap)
+			if gap < stallMS && s.missedProgress(r, r.lastAttempt()) {
+				s.applyToRequest(slot, inputAttemptAbandoned)
 			}
 		}
 	}
 	// After a stall of its own, signs of work may still stand in line behind this beat: nobody is judged.
-	for x := 0; gap < stallMS && x < len(g.executors); x++ {
-		g.watch(x)
+	for index := 0; gap < stallMS && index < len(s.executors); index++ {
+		s.watchExecutor(index)
 	}
-	g.endRests()
+	s.expireOrderKeys()
 }
--- a/scheduler/transitions.go
+++ b/scheduler/transitions.go
@@ -1,28 +1,32 @@
 package scheduler
 
-type row struct {
-	state  state
+type transition struct {
+	from   state
 	input  input
-	next   state
-	effect func(*Scheduler, int)
+	to     state
+	action func(*Scheduler, int)
 }
 
-// turn plays an input to what stands at i, by the table, and tells whether a row was found.
-func (g *Scheduler) turn(table []row, st *state, in input, i int) bool {
+// apply plays an input to what stands at i, by the table, and tells whether a row was found.
+func (s *Scheduler) apply(table []transition, st *state, in input, slot int) bool {
 	for k := range table {
-		if r := &table[k]; r.input == in && (r.state == *st || r.state == anyState) {
-			*st = r.next
-			if r.effect != nil {
-				r.effect(g, i)
+		if t := &table[k]; t.input == in && (t.from == *st || t.from == anyState) {
+			*st = t.to
+			if t.action != nil {
+				t.action(s, slot)
 			}
-			g.dirty = true
+			s.dispatchNeeded = true
 			return true
 		}
 	}
 	return false
 }
 
-// request plays an input to a request, judge to an executor; do adds an action.
-func (g *Scheduler) request(i int, in input) { g.turn(requestTable, &g.slab.places[i].state, in, i) }
+// applyToRequest plays an input to a request, judge to an executor; do adds an action.
+func (s *Scheduler) applyToRequest(slot int, in input) {
+	s.apply(requestTransitions, &s.requests.entries[slot].state, in, slot)
+}
 
-func (g *Scheduler) judge(x int, in input) { g.turn(executorTable, &g.executors[x].state, in, x) }
+func (s *Scheduler) applyToExecutor(index int, in input) {
+	s.apply(executorTransitions, &s.executors[index].state, in, index)
+}
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -2,63 +2,63 @@
 
 import "slices"
 
-// span is a queue of dated amounts, oldest first, that forgets what is older than it is asked to keep.
-type span struct {
-	at     []float64
-	amount []float64
-	head   int
-	sum    float64
-	copy   []float64
+// window is a queue of dated amounts, oldest first, that forgets what is older than it is asked to keep.
+type window struct {
+	times   []float64
+	amounts []float64
+	head    int
+	sum     float64
+	scratch []float64
 }
 
-func (s *span) add(now, amount float64) {
-	if s.head > 64 && s.head*2 > len(s.at) {
-		s.at = s.at[:copy(s.at, s.at[s.head:])]
-		s.amount = s.amount[:copy(s.amount, s.amount[s.head:])]
-		s.head = 0
+func (w *window) add(now, amount float64) {
+	if w.head > 64 && w.head*2 > len(w.times) {
+		w.times = w.times[:copy(w.times, w.times[w.head:])]
+		w.amounts = w.amounts[:copy(w.amounts, w.amounts[w.head:])]
+		w.head = 0
 	}
-	s.at = append(s.at, now)
-	s.amount = append(s.amount, amount)
-	s.sum += amount
+	w.times = append(w.times, now)
+	w.amounts = append(w.amounts, amount)
+	w.sum += amount
 }
 
 // remove drops the latest amount of that date.
-func (s *span) remove(at float64) {
-	for k := len(s.at) - 1; k >= s.head; k-- {
-		if s.at[k] == at {
-			s.sum -= s.amount[k]
-			s.at, s.amount = slices.Delete(s.at, k, k+1), slices.Delete(s.amount, k, k+1)
+func (w *window) remove(at float64) {
+	for k := len(w.times) - 1; k >= w.head; k-- {
+		if w.times[k] == at {
+			w.sum -= w.amounts[k]
+			w.times, w.amounts = slices.Delete(w.times, k, k+1), slices.Delete(w.amounts, k, k+1)
 			return
 		}
 	}
 }
 
 // forget drops what is dated before, but keeps the last few.
-func (s *span) forget(before float64, keep int) {
-	for s.head < len(s.at)-keep && s.at[s.head] < before {
-		s.sum -= s.amount[s.head]
-		s.head++
+func (w *window) forget(before float64, keep int) {
+	for w.head < len(w.times)-keep && w.times[w.head] < before {
+		w.sum -= w.amounts[w.head]
+		w.head++
 	}
-	if s.head == len(s.at) {
-		s.at, s.amount, s.head, s.sum = s.at[:0], s.amount[:0], 0, 0
+	if w.head == len(w.times) {
+		w.times, w.amounts, w.head, w.sum = w.times[:0], w.amounts[:0], 0, 0
 	}
 }
 
 // sorted gives the live amounts in order; the next call reuses them.
-func (s *span) sorted() []float64 {
-	s.copy = append(s.copy[:0], s.live()...)
-	slices.Sort(s.copy)
-	return s.copy
+func (w *window) sorted() []float64 {
+	w.scratch = append(w.scratch[:0], w.live()...)
+	slices.Sort(w.scratch)
+	return w.scratch
 }
 
-// since counts what is dated from then on.
-func (s *span) since(from float64) int {
-	k, _ := slices.BinarySearch(s.at[s.head:], from)
-	return s.count() - k
+// countSince counts what is dated from then on.
+func (w *window) countSince(from float64) int {
+	k, _ := slices.BinarySearch(w.times[w.head:], from)
+	return w.count() - k
 }
 
-func (s *span) count() int { return len(s.at) - s.head }
+func (w *window) count() int { return len(w.times) - w.head }
 
-func (s *span) live() []float64 { return s.amount[s.head:] }
+func (w *window) live() []float64 { return w.amounts[w.head:] }
 
-func (s *span) total() float64 { return s.sum }
+func (w *window) total() float64 { return w.sum }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -2,62 +2,62 @@
 
 import "slices"
 
-// reached is a place that is not simply near, with the threads of this instance's attempts there.
-type reached struct {
+// remoteZone is a place that is not simply near, with the threads of this instance's attempts there.
+type remoteZone struct {
 	ZoneReach
-	out int
+	threads int
 }
 
-// reach takes over how far places are.
-func (g *Scheduler) reach(list []ZoneReach) {
-	g.reaches, g.dirty = g.reaches[:0], true
+// updateReach takes over how far places are.
+func (s *Scheduler) updateReach(list []ZoneReach) {
+	s.remoteZones, s.dispatchNeeded = s.remoteZones[:0], true
 	for _, r := range list {
-		g.reaches = append(g.reaches, reached{ZoneReach: r})
+		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: r})
 	}
-	g.recountOut()
+	s.recountRemoteThreads()
 }
 
-// recountOut counts what is out at each place: executors may have come, or moved.
-func (g *Scheduler) recountOut() {
-	for k := range g.reaches {
-		g.reaches[k].out = 0
-		for x := range g.executors {
-			if g.executors[x].place == g.reaches[k].Zone {
-				g.reaches[k].out += g.executors[x].threads
+// recountRemoteThreads counts what is out at each place: executors may have come, or moved.
+func (s *Scheduler) recountRemoteThreads() {
+	for k := range s.remoteZones {
+		s.remoteZones[k].threads = 0
+		for index := range s.executors {
+			if s.executors[index].zone == s.remoteZones[k].Zone {
+				s.remoteZones[k].threads += s.executors[index].threads
 			}
 		}
 	}
 }
 
-// lent counts threads that went out to a place, or came back.
-func (g *Scheduler) lent(place string, threads int) {
-	for k := range g.reaches {
-		if g.reaches[k].Zone == place {
-			g.reaches[k].out += threads
+// addRemoteThreads counts threads that went out to a place, or came back.
+func (s *Scheduler) addRemoteThreads(place string, threads int) {
+	for k := range s.remoteZones {
+		if s.remoteZones[k].Zone == place {
+			s.remoteZones[k].threads += threads
 		}
 	}
 }
 
-// far gives how far a place is for an offering, or nil: it is near.
-func (g *Scheduler) far(o *offering, place string) *reached {
-	for k := range g.reaches {
-		if r := &g.reaches[k]; r.Zone == place && !r.free(o) {
-			return r
+// remoteZoneFor gives how far a place is for an offering, or nil: it is near.
+func (s *Scheduler) remoteZoneFor(class *classState, place string) *remoteZone {
+	for k := range s.remoteZones {
+		if zone := &s.remoteZones[k]; zone.Zone == place && !zone.isNearFor(class) {
+			return zone
 		}
 	}
 	return nil
 }
 
-func (r *reached) tier() int {
-	if r == nil {
+func (zone *remoteZone) tier() int {
+	if zone == nil {
 		return 0
 	}
-	return r.Tier
+	return zone.Tier
 }
 
-// free tells whether an offering runs on kinds alone that are free at a place.
-func (r *ZoneReach) free(o *offering) bool {
-	return o.kinds != nil && len(r.ExclusiveKinds) > 0 && !slices.ContainsFunc(o.kinds, func(k string) bool { return !slices.Contains(r.ExclusiveKinds, k) })
+// isNearFor tells whether an offering runs on kinds alone that are free at a place.
+func (z *ZoneReach) isNearFor(class *classState) bool {
+	return class.kinds != nil && len(z.ExclusiveKinds) > 0 && !slices.ContainsFunc(class.kinds, func(k string) bool { return !slices.Contains(z.ExclusiveKinds, k) })
 }
 
 // among tells whether a name is in a list that binds; no list binds nothing.
