--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,24 +1,32 @@
 package scheduler
 
+// Attempts: how one starts, what its progress reports and its outcome lead to, and when it is cancelled to be
+// sent anew. An attempt starts at the top priority level, whatever its request (paper, 3.2), unless its team
+// is over its budget.
+
 import "math"
 
 const (
-	holderReportMS = 2000 // ms that a load met once is taken to go on: a part of what loads take
-	badPlanFactor  = 4.0  // times the expected running time at which a plan counts as bad; more tells no pace
-	badPlanMinMS   = 400  // ms that an attempt runs before its plan is judged
+	holderReportMS    = 2000 // that a reported holder of a table group is taken to go on
+	badPlanFactor     = 4.0  // times the expected running time
+	badPlanMinMS      = 400  // that an attempt runs before its plan is judged
+	badPlanLeftFactor = 2    // times the expected running time left: an estimate may be far too low
+
+	waitsForHolder = 2 // value of a Waiting report: behind a holder of the table group
 )
 
-// startAttempt sends the attempt placed, at the top level.
 func (s *Scheduler) startAttempt(slot int) {
-	r, e := &s.requests.entries[slot], &s.executors[s.assignTo]
-	class, by := &s.classes[r.class], min(s.latestStart(r), s.drainSafeUntil(e))
-	r.priority, r.quanta, r.level = topPriority, 0, topLevel
-	if r.startPriority > 0 && !class.holdsGroup { // past its budget while others wait: the paper's static p0 (3.2)
-		r.priority, r.level = min(r.startPriority, topPriority), levelFor(min(r.startPriority, topPriority))
-	}
-	s.reserve(r, s.assignTo, s.memoryGrant(r, e))
-	e.backlogMS, e.backlogAt = s.backlog(e)+r.workMS, s.now
-	e.reportedThreads, e.reportedMB = e.reportedThreads+float64(class.threads), e.reportedMB+s.memoryGrant(r, e)
+	r := s.requests.at(slot)
+	e := &s.executors[s.assignTo]
+	class := &s.classes[r.class]
+	latest := min(s.latestStart(r), s.drainSafeUntil(e))
+	s.setStartPriority(r, class)
+	grant := s.memoryGrant(r, e)
+	s.reserve(r, s.assignTo, grant)
+	e.backlogMS = s.backlog(e) + r.workMS
+	e.backlogAt = s.now
+	e.reportedThreads += float64(class.threads)
+	e.reportedMB += grant
 	if s.now < e.warmupUntil {
 		e.warmupSent.add(s.now, class.usualWorkMS)
 	}
@@ -26,64 +34,86 @@
 		s.groupHolders = append(s.groupHolders, groupHolder{r.tableGroup, s.assignTo, math.Inf(1)})
 	}
 	s.setResources(r)
-	s.emit(Action{Kind: Send, Request: r.id, Executor: e.id, LatestStart: by})
-}
-
-func (s *Scheduler) cancelAttempts(slot int) {
-	r := &s.requests.entries[slot]
-	for k := range r.attemptCount {
-		if r.attempts[k].inFlight && s.settings.MayCancel {
-			s.emit(Action{Kind: Cancel, Request: r.id, Attempt: k})
-		}
-	}
-	s.releaseIfSettled(slot)
+	s.emit(Action{Kind: Send, Request: r.id, Executor: e.id, LatestStart: latest})
 }
 
 func (s *Scheduler) recordProgress(slot int, a *attempt, ev *Event) {
-	r := &s.requests.entries[slot]
-	class, e := &s.classes[r.class], &s.executors[a.executor]
-	e.lastSignAt, e.probeFailed, a.progressAt, e.acceptedAt = s.now, false, s.now, max(e.acceptedAt, a.sentAt)
+	r := s.requests.at(slot)
+	class := &s.classes[r.class]
+	e := &s.executors[a.executor]
+	e.recordSign(s.now, a)
+	a.progressAt = s.now
 	switch ev.Progress {
 	case Waiting:
 		s.setQueued(a, true)
 		s.dispatchNeeded = true
-		// A reader that stands behind a load goes elsewhere at once: all it loses is the attempt that it uses up.
-		if ev.Value == 2 {
-			s.reportedHolders = append(s.reportedHolders, groupHolder{r.tableGroup, a.executor, s.now + holderReportMS})
-			if r.state == requestRunning && class.effect == Idempotent && a.doneShare == 0 && s.mayReplaceAttempt(r) {
+		if ev.Value == waitsForHolder {
+			holder := groupHolder{group: r.tableGroup, executor: a.executor, until: s.now + holderReportMS}
+			s.reportedHolders = append(s.reportedHolders, holder)
+			if s.leavesHolder(r, class, a) {
 				s.applyToRequest(slot, inputAttemptAbandoned)
 			}
 		}
 	case Spilling:
-		if r.memoryMB > 0 {
-			class.memoryFactor = max(class.memoryFactor, class.memoryFactor+smoothing*((a.grantMB+ev.Value)/r.memoryMB*spillMemoryFactor-class.memoryFactor))
-		}
+		class.learnSpilling(r, a, ev.Value)
 	case Progress:
-		if ev.Value > a.doneShare { // an attempt that stands still goes on telling the share that it has
+		if ev.Value > a.doneShare { // an attempt that stands still goes on reporting the share that it has
 			a.doneShare = ev.Value
 			s.setQueued(a, false)
 		}
 		e.proven = e.proven || ev.Value > 0
-		least := r.workMS / float64(class.threads)
-		expected := least * max(1, class.slowdown) * max(1, e.slowdown)
-		projected := a.ranMS / max(a.doneShare, 0.01)
-		// A bad plan, told by a pace far under that of offering and executor, or an attempt that was forgotten
-		// there. It harms when an estimate is far too low, hence the limit on what is left.
-		if r.state == requestRunning && a.ranMS > badPlanMinMS && projected > badPlanFactor*expected &&
-			projected-a.ranMS > 2*expected && class.effect == Idempotent && s.mayReplaceAttempt(r) {
+		if s.hasBadPlan(r, class, e, a) {
 			s.applyToRequest(slot, inputAttemptAbandoned)
 		}
 	}
 }
 
+// leavesHolder reports whether an attempt that stands still behind a holder is sent elsewhere: all that it
+// loses is the attempt.
+func (s *Scheduler) leavesHolder(r *request, class *classState, a *attempt) bool {
+	mayRunAgain := r.state == requestRunning && class.effect == Idempotent
+	return mayRunAgain && a.doneShare == 0 && s.mayReplaceAttempt(r)
+}
+
+// hasBadPlan reports whether an attempt is far slower than its class and executor: it has a bad plan, or was
+// forgotten there.
+func (s *Scheduler) hasBadPlan(r *request, class *classState, e *executor, a *attempt) bool {
+	if r.state != requestRunning || class.effect != Idempotent || a.ranMS <= badPlanMinMS {
+		return false
+	}
+	expected := class.minRunMS(r) * max(1, class.slowdown) * max(1, e.slowdown)
+	projected := a.ranMS / max(a.doneShare, 0.01)
+	if projected <= badPlanFactor*expected || projected-a.ranMS <= badPlanLeftFactor*expected {
+		return false
+	}
+	return s.mayReplaceAttempt(r)
+}
+
 func (s *Scheduler) endAttempt(slot int, a *attempt, ev *Event) {
-	r := &s.requests.entries[slot]
-	class, e := &s.classes[r.class], &s.executors[a.executor]
+	r := s.requests.at(slot)
 	s.releaseReservation(r, a, !ev.Outcome.NeverRan())
 	s.dispatchNeeded = true
+	s.judgeOutcome(r, a, ev)
+	s.blockOrderKey(r, ev.Outcome)
+	switch {
+	case ev.Final:
+		s.applyToRequest(slot, inputFinished)
+	case ev.Blocked:
+		s.applyToRequest(slot, inputUnservable)
+	case r.state != requestDone && r.inFlight == 0:
+		s.applyToRequest(slot, inputAttemptFailed)
+	}
+	s.releaseIfSettled(slot)
+}
+
+func (s *Scheduler) judgeOutcome(r *request, a *attempt, ev *Event) {
+	class := &s.classes[r.class]
+	e := &s.executors[a.executor]
 	switch ev.Outcome {
 	case Succeeded:
-		e.lastSignAt, e.probeFailed, e.proven, e.failures, e.acceptedAt = s.now, false, true, 0, max(e.acceptedAt, a.sentAt)
+		e.recordSign(s.now, a)
+		e.proven = true
+		e.failures = 0
 		s.learnFromAnswer(r, class, e, a, ev)
 	case Overloaded:
 		e.avoidUntil = s.now + avoidMS
@@ -91,24 +121,9 @@
 		e.avoidUntil = s.now + avoidMS // others may have a connection already
 		s.recordLocalFailure(r, a)
 	case Errored, ConnectFailed, ConnectionLost:
-		r.errorCount += count(ev.Outcome == Errored)
-		if e.failures++; e.failures > 1 || ev.Outcome == ConnectFailed {
-			e.avoidUntil = s.now + avoidMS
+		if ev.Outcome == Errored {
+			r.errorCount++
 		}
-		if e.failures >= maxFailures || !e.proven || ev.Outcome == ConnectFailed && s.sharesUnderOneThread(e) {
-			s.suspect(a.executor)
-		}
-	}
-	if rest := s.settings.OrderKeyRestMS; r.orderKey != "" && rest > 0 &&
-		(ev.Outcome == TimedOut || ev.Outcome == ConnectionLost || ev.Outcome == Cancelled) {
-		s.orderKeyBlockedUntil[r.orderKey] = s.now + rest
+		s.recordFailure(a.executor, ev.Outcome)
 	}
-	if ev.Final {
-		s.applyToRequest(slot, inputFinished)
-	} else if ev.Blocked {
-		s.applyToRequest(slot, inputUnservable)
-	} else if r.state != requestDone && r.inFlight == 0 {
-		s.applyToRequest(slot, inputAttemptFailed)
-	}
-	s.releaseIfSettled(slot)
 }
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -1,40 +1,39 @@
 package scheduler
 
+// Drains while the endpoint list is out of reach. Nothing new may go to an executor later than a grace period
+// after this controller was told that it drains, and after a given time it counts as told whether it heard or
+// not. So while nobody tells, an executor is open only as long as no drain of it can have come into force.
+
 import (
 	"math"
 	"slices"
 )
 
-// mostDeemed is the room for clocks at which what the list owes counts as told: a few in each second that
-// these count.
+// maxPresumed is the number of times kept at which pending news counts as known.
 const maxPresumed = 32
 
-// drainSafeUntil is the clock until which an executor surely may be sent something new. While the list is out of
-// reach, a drain counts as told in its time all the same; what an executor took proves that it took new
-// work.
+// drainSafeUntil returns until when an executor surely may be sent new attempts. One that it took proves it
+// was not draining.
 func (s *Scheduler) drainSafeUntil(e *executor) float64 {
-	if s.listLastHeardAt <= 0 {
-		return math.Inf(1)
-	}
-	told := s.settings.NotifiedWithinMS
-	if told <= 0 {
+	if s.listLastHeardAt <= 0 || s.settings.NotifiedWithinMS <= 0 {
 		return math.Inf(1)
 	}
-	known := max(s.listLastHeardAt, e.acceptedAt)
-	by := known + told
+	activeAt := max(s.listLastHeardAt, e.acceptedAt)
+	toldAt := activeAt + s.settings.NotifiedWithinMS
 	for _, at := range s.presumedNotifiedAt {
-		if at > known {
-			by = min(by, at)
+		if at > activeAt {
+			toldAt = min(toldAt, at)
 		}
 	}
-	return by + s.settings.DrainGraceMS - answerMarginMS
+	return toldAt + s.settings.DrainGraceMS - answerMarginMS
 }
 
-// presumeNotified notes when what the list owes counts as told. One that passed so long ago that it closes nothing by
-// itself is forgotten.
+// presumeNotified notes when pending news counts as known, and forgets the times that close nothing by
+// themselves any more.
 func (s *Scheduler) presumeNotified(at float64) {
-	past := s.now - s.settings.NotifiedWithinMS
-	s.presumedNotifiedAt = slices.DeleteFunc(s.presumedNotifiedAt, func(one float64) bool { return one < past })
+	oldest := s.now - s.settings.NotifiedWithinMS
+	isOld := func(presumed float64) bool { return presumed < oldest }
+	s.presumedNotifiedAt = slices.DeleteFunc(s.presumedNotifiedAt, isOld)
 	if at > 0 && len(s.presumedNotifiedAt) < maxPresumed {
 		s.presumedNotifiedAt = append(s.presumedNotifiedAt, at)
 	}
--- a/scheduler/ejection.go
+++ b/scheduler/ejection.go
@@ -1,92 +1,129 @@
 package scheduler
 
+// Outlier ejection: which executors get nothing for a while because they show no sign of work, or only
+// failures; which attempts there are cancelled to be sent anew; and how health checks bring an executor back.
+// An executor is judged by progress reports, outcomes and health checks alone, never by how long its work
+// takes. Where half of all look bad, nobody is ejected: the cause is something that they share, this
+// controller's network among others.
+
 import (
-	"cmp"
 	"math"
 )
 
 const (
-	lateProgressIntervals   = 1.5 // note intervals until a running attempt must have been told of: one, and its phase
-	silentProgressIntervals = 3.0 // note intervals without any sign though probes are answered
-	progressSlackMS         = 100 // ms on top of both, for notes on their way
-	probeIntervalMS         = 500 // ms between probes of an executor under suspicion: two probe time-outs
-	probesToRecover         = 2   // probes in a row that bring an executor back: one may be luck
-	maxFailures             = 5   // failures in a row that set aside, as breaks hit good ones too; one, after a return
-	avoidMS                 = 300 // ms that an executor is left alone after it refused
+	lateProgressIntervals   = 1.5 // intervals until an attempt must have been reported: one, and its phase
+	silentProgressIntervals = 3.0 // intervals without any sign, though health checks are answered
+	progressSlackMS         = 100 // on top of both, for reports on their way
+	probeIntervalMS         = 500
+	probesToRecover         = 2 // in a row: one may be luck
+	maxFailures             = 5 // in a row: broken connections hit good executors too
+	avoidMS                 = 300
 )
 
-// eject calls off the attempts at an executor set aside, but irreversible ones: it may only be cut off.
+// eject cancels the attempts at an ejected executor, as far as others may follow them: it may only be cut
+// off.
 func (s *Scheduler) eject(index int) {
 	e := &s.executors[index]
-	e.ejectedAt, e.probesAnswered, e.ejections = s.now, 0, e.ejections+1
+	e.ejectedAt = s.now
+	e.probesAnswered = 0
+	e.ejections++
 	s.abandonAttempts(index, s.now, false)
 }
 
-// abandonAttempts calls off the attempts at x that went out before; unless surely gone, only those another may follow.
-func (s *Scheduler) abandonAttempts(index int, before float64, surely bool) {
+// abandonAttempts gives up attempts that were sent before a time: all if they are surely gone, else those
+// that may be replaced.
+func (s *Scheduler) abandonAttempts(index int, before float64, surelyGone bool) {
 	for slot := range s.requests.entries {
-		r := &s.requests.entries[slot]
-		if r.inUse && r.state == requestRunning && r.lastAttempt().executor == index && r.lastAttempt().sentAt < before &&
-			(surely || s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r)) {
+		r := s.requests.at(slot)
+		if !r.inUse || r.state != requestRunning {
+			continue
+		}
+		a := r.lastAttempt()
+		if a.executor != index || a.sentAt >= before {
+			continue
+		}
+		if surelyGone || s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r) {
 			s.applyToRequest(slot, inputAttemptAbandoned)
 		}
 	}
 }
 
-// suspect sets an executor aside, unless half of all look bad: then it is something they share.
+// suspect ejects an executor, unless half of all look bad.
 func (s *Scheduler) suspect(index int) {
-	bad, all := 1, 0
+	bad := 1
+	active := 0
 	for other := range s.executors {
-		if e := &s.executors[other]; e.availability == Active {
-			all++
-			bad += count(other != index && (e.state == executorEjected || s.silentMS(e) > s.progressIntervalMS()))
+		e := &s.executors[other]
+		if e.availability != Active {
+			continue
+		}
+		active++
+		if other != index && (e.state == executorEjected || s.silentMS(e) > s.progressIntervalMS()) {
+			bad++
 		}
 	}
-	if 2*bad <= all {
+	if 2*bad <= active {
 		s.applyToExecutor(index, inputUnresponsive)
 	}
 }
 
-func (s *Scheduler) progressIntervalMS() float64 {
-	return cmp.Or(s.settings.ProgressEveryMS, reportsLostMS)
+// recordFailure counts a failed attempt against its executor. A single one suffices while the executor has
+// not done any work since it came back, or a refused connection where this controller's share is too small to
+// see five.
+func (s *Scheduler) recordFailure(index int, outcome Outcome) {
+	e := &s.executors[index]
+	e.failures++
+	if e.failures > 1 || outcome == ConnectFailed {
+		e.avoidUntil = s.now + avoidMS
+	}
+	if e.failures >= maxFailures || !e.proven || outcome == ConnectFailed && s.sharesUnderOneThread(e) {
+		s.suspect(index)
+	}
 }
 
+// recordHealthCheck takes the result of a health check. One that failed on this side says nothing of the
+// executor.
 func (s *Scheduler) recordHealthCheck(ev *Event) {
 	index := s.executorIndex(ev.Executor)
 	if index < 0 {
 		return
 	}
 	e := &s.executors[index]
+	e.probing = false
 	if ev.Outcome == LocalFailure {
-		e.probing = false
 		return
 	}
-	e.probing, e.probeFailed = false, ev.Outcome != Succeeded
-	if s.dispatchNeeded = true; len(ev.LoadReport) > 0 {
-		e.reportedAt, s.reportedAt = s.now, s.now
-		e.reportedMB = s.reportFigure(ev, ReportMemoryShare) * e.memoryMB
-		e.reportedThreads = s.reportFigure(ev, ReportInFlight) + s.reportFigure(ev, ReportDiskShare)*diskThreadsPerCore*e.cores
-		if s.reportFigure(ev, ReportQueued) > 0.5 { // what comes now stands in line
-			e.reportedThreads += maxShortThreadsPerCore * e.cores
-		}
+	s.dispatchNeeded = true
+	if len(ev.LoadReport) > 0 {
+		s.recordLoadReport(e, ev)
 	}
-	if e.probesAnswered++; e.probeFailed {
-		e.probesAnswered, e.avoidUntil = 0, s.now+avoidMS
-	} else if e.state == executorEjected && e.probesAnswered >= probesToRecover*e.ejections {
+	e.probeFailed = ev.Outcome != Succeeded
+	if e.probeFailed {
+		e.probesAnswered = 0
+		e.avoidUntil = s.now + avoidMS
+		return
+	}
+	e.probesAnswered++
+	if e.state == executorEjected && e.probesAnswered >= probesToRecover*e.ejections {
 		s.applyToExecutor(index, inputProbesAnswered)
 	}
 }
 
-// missedProgress tells whether an attempt has missed a note while its executor goes on working: lost replies, cut
-// streams, dropped attempts. It harms where notes alone are lost; one in line for memory sends none.
+// missedProgress reports whether an attempt is sent anew because its progress report is missing though its
+// executor goes on reporting others: the reply was lost, the stream cut or the attempt dropped. One that is
+// queued for memory reports nothing.
 func (s *Scheduler) missedProgress(r *request, a *attempt) bool {
-	every := s.settings.ProgressEveryMS
+	interval := s.settings.ProgressEveryMS
 	e := &s.executors[a.executor]
-	return every > 0 && s.now-a.progressAt > lateProgressIntervals*every+progressSlackMS && a.waiting == 0 && e.lastSignAt > a.progressAt &&
-		e.state != executorEjected && s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r)
+	isLate := interval > 0 && s.now-a.progressAt > lateProgressIntervals*interval+progressSlackMS && !a.queued
+	if !isLate || e.lastSignAt <= a.progressAt || e.state == executorEjected {
+		return false
+	}
+	return s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r)
 }
 
-// watchExecutor probes an executor that is aside or shows no sign of work, and sets it aside when that goes on.
+// watchExecutor ends a warm-up, has an executor checked that is ejected or shows no sign of work, and ejects
+// it when that goes on.
 func (s *Scheduler) watchExecutor(index int) {
 	e := &s.executors[index]
 	if e.state == executorWarmingUp && s.now >= e.warmupUntil {
@@ -96,22 +133,41 @@
 	if e.availability != Active {
 		return
 	}
-	quiet, every := s.silentMS(e), s.progressIntervalMS()
-	look := e.state == executorEjected || quiet > min(every, probeIntervalMS)
-	if look && !s.settings.MayHealthCheck {
-		if e.state == executorEjected && s.now > e.ejectedAt+every*float64(e.ejections) {
+	silentMS := s.silentMS(e)
+	if e.state == executorEjected || silentMS > min(s.progressIntervalMS(), probeIntervalMS) {
+		s.checkExecutor(index)
+	}
+	if s.isUnresponsive(e, silentMS) {
+		s.suspect(index)
+	}
+}
+
+// checkExecutor sends a health check. Where there are none, time brings an ejected executor back, later after
+// each ejection.
+func (s *Scheduler) checkExecutor(index int) {
+	e := &s.executors[index]
+	if !s.settings.MayHealthCheck {
+		if e.state == executorEjected && s.now > e.ejectedAt+s.progressIntervalMS()*float64(e.ejections) {
 			s.applyToExecutor(index, inputProbesAnswered)
 		}
-	} else if look && !e.probing && s.now >= e.probedAt+probeIntervalMS/math.Sqrt(s.share()) {
-		e.probing, e.probedAt = true, s.now
-		s.emit(Action{Kind: HealthCheck, Executor: e.id})
+		return
 	}
-	// An attempt in line for memory sends no notes: where all of ours are, silence needs a missed probe too.
-	slack := silentProgressIntervals
-	if e.probeFailed && e.queued < e.inFlight {
-		slack = lateProgressIntervals
+	// All controllers together send as many as one would times the root of their number.
+	if !e.probing && s.now >= e.probedAt+probeIntervalMS/math.Sqrt(s.trafficShare) {
+		s.sendProbe(e)
 	}
-	if e.state != executorEjected && quiet > slack*every+progressSlackMS && (e.probeFailed || e.queued < e.inFlight) {
-		s.suspect(index)
+}
+
+// isUnresponsive reports whether an executor has been silent for too long. Attempts that are queued for
+// memory report nothing: where all are, silence counts only with a failed health check.
+func (s *Scheduler) isUnresponsive(e *executor, silentMS float64) bool {
+	allQueued := e.queued >= e.inFlight
+	if e.state == executorEjected || allQueued && !e.probeFailed {
+		return false
+	}
+	intervals := silentProgressIntervals
+	if e.probeFailed && !allQueued {
+		intervals = lateProgressIntervals
 	}
+	return silentMS > intervals*s.progressIntervalMS()+progressSlackMS
 }
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -1,27 +1,25 @@
 package scheduler
 
+// Endpoint list: which executors there are, and what news of them leads to. What a complete list leaves out
+// is gone, and so is whatever ran there.
+
+// updateEndpoints takes news of the endpoint list, or that it is out of reach.
 func (s *Scheduler) updateEndpoints(ev *Event) {
 	if ev.List == ListUnavailable {
-		s.resubscribeAt, s.listLastHeardAt = s.now+resubscribeMS, ev.Deadline
+		s.resubscribeAt = s.now + resubscribeMS
+		s.listLastHeardAt = ev.Deadline
 		s.presumeNotified(ev.PresumedAt)
 		return
 	}
-	s.listLastHeardAt, s.presumedNotifiedAt = 0, s.presumedNotifiedAt[:0]
-	for index := range s.executors {
-		if ev.List != ListDelta { // what a whole list leaves out is gone
+	s.listLastHeardAt = 0
+	s.presumedNotifiedAt = s.presumedNotifiedAt[:0]
+	if ev.List != ListDelta {
+		for index := range s.executors {
 			s.executors[index].availability = Removed
 		}
 	}
-	for k := range ev.Endpoints {
-		endpoint := &ev.Endpoints[k]
-		known := s.executorIndex(endpoint.Executor) >= 0
-		index := s.upsertExecutor(endpoint, executor{id: endpoint.Executor, state: executorHealthy, slowdown: 1, proven: true})
-		e := &s.executors[index]
-		if s.isNewStart(endpoint, e, known, ev.List) {
-			s.applyToExecutor(index, inputRestarted)
-			s.abandonAttempts(index, s.startTime(endpoint), true)
-		}
-		e.startedAt, e.availability = endpoint.StartedAt, endpoint.Availability
+	for i := range ev.Endpoints {
+		s.updateEndpoint(&ev.Endpoints[i], ev.List)
 	}
 	for index := range s.executors {
 		if s.executors[index].availability == Removed {
@@ -30,3 +28,15 @@
 	}
 	s.dispatchNeeded = true
 }
+
+func (s *Scheduler) updateEndpoint(endpoint *Endpoint, list ListKind) {
+	known := s.executorIndex(endpoint.Executor) >= 0
+	index := s.upsertExecutor(endpoint)
+	e := &s.executors[index]
+	if s.isNewStart(endpoint, e, known, list) {
+		s.applyToExecutor(index, inputRestarted)
+		s.abandonAttempts(index, s.startTime(endpoint), true)
+	}
+	e.startedAt = endpoint.StartedAt
+	e.availability = endpoint.Availability
+}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -1,50 +1,64 @@
 package scheduler
 
-// EventKind tells what an Event reports.
+// EventKind says what an Event reports.
 type EventKind uint8
 
 // The events.
 const (
 	Started             EventKind = iota // the instance starts
-	EndpointsUpdated                     // news of the list of executors
+	EndpointsUpdated                     // news of the endpoint list
 	RequestArrived                       // a request came in
 	ClientLeft                           // the client of a request is gone
 	AttemptEnded                         // an attempt has its outcome
-	ProgressReported                     // a running attempt sends a note
-	HealthChecked                        // a probe has its result
+	ProgressReported                     // an attempt in flight sent a progress report
+	HealthChecked                        // a health check has its result
 	TimerFired                           // a timer is due
-	ResponseStarted                      // an attempt's answer has begun and belongs to the client
+	ResponseStarted                      // the client has the beginning of an attempt's answer
 	PeerMessage                          // a message from another controller
-	ShutdownStarted                      // the instance stops: by Until all it has taken must have its answer
-	StateRestored                        // what was known before the instance was last ended
-	PriorityCapped                       // a request is held under a priority, or no longer
-	ControllersCounted                   // so many controllers share the executors now
-	ReachabilityChanged                  // how far requests may go now: Reaches; places that it leaves out are near
-	eventKinds
+	ShutdownStarted                      // the instance ends: all requests must have their answer by Deadline
+	StateRestored                        // what was known before a restart
+	PriorityCapped                       // a request is kept under a priority, or no longer
+	ControllersCounted                   // how many controllers share the executors now
+	ReachabilityChanged                  // which zones are remote now
 )
 
-// ListKind tells how the entries of a Listed event are meant.
+// String returns the name of the kind.
+func (k EventKind) String() string {
+	return nameOf(k, "started", "endpoints updated", "request arrived", "client left", "attempt ended", "progress reported",
+		"health checked", "timer fired", "response started", "peer message", "shutdown started", "state restored", "priority capped",
+		"controllers counted", "reachability changed")
+}
+
+// ListKind says how the entries of an EndpointsUpdated event are meant.
 type ListKind uint8
 
 // The kinds of list.
 const (
-	ListDelta       ListKind = iota // just the entries that changed
-	ListComplete                    // everything there is
-	ListRestored                    // everything as last held, perhaps out of date
-	ListUnavailable                 // the list is out of reach
+	ListDelta       ListKind = iota // only the entries that changed
+	ListComplete                    // all entries
+	ListRestored                    // all entries as they were last known, perhaps out of date
+	ListUnavailable                 // no entries: the list is out of reach
 )
 
-// Availability is what the list says of an executor.
+// String returns the name of the kind.
+func (k ListKind) String() string {
+	return nameOf(k, "delta", "complete", "restored", "unavailable")
+}
+
+// Availability is what the endpoint list says of an executor.
 type Availability uint8
 
-// The standings.
+// The availabilities.
 const (
-	Active Availability = iota
-	Draining
+	Active   Availability = iota
+	Draining              // it finishes what it has and gets nothing new
 	Removed
 )
 
-// Endpoint is one executor in a list.
+// String returns the name of the availability.
+func (a Availability) String() string { return nameOf(a, "active", "draining", "removed") }
+
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Executor     uint32
 	Zone         string
@@ -52,102 +66,112 @@
 	Cell         int64
 	Availability Availability
 	Units        float64
-	StartedAt    float64 // clock, ms; 0: long past
+	StartedAt    float64 // 0: long ago
 }
 
-// Outcome tells how an attempt or a probe ended.
+// Outcome says how an attempt or a health check ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Succeeded      Outcome = iota // answered
-	Errored                       // an error came back; it may have run
-	Overloaded                    // turned away unseen
-	TimedOut                      // no answer in time; may have run
-	ConnectFailed                 // no connection
-	ConnectionLost                // the connection broke; may have run
-	Cancelled                     // called off; may have run
-	NeverSent                     // never sent
-	LocalFailure                  // never sent, for want of something on this side: it says nothing of the executor
+	Succeeded      Outcome = iota // it was answered
+	Errored                       // an error came back; the attempt may have run
+	Overloaded                    // the executor turned it away without looking at it
+	TimedOut                      // no answer came in time; the attempt may have run
+	ConnectFailed                 // there was no connection
+	ConnectionLost                // the connection broke; the attempt may have run
+	Cancelled                     // it was cancelled; the attempt may have run
+	NeverSent                     // it was not sent
+	LocalFailure                  // it was not sent because of a failure on this side, which says nothing of the executor
 )
 
-// NeverRan tells whether the outcome proves that the attempt never ran.
+// String returns the name of the outcome.
+func (o Outcome) String() string {
+	return nameOf(o, "succeeded", "errored", "overloaded", "timed out", "connect failed", "connection lost", "cancelled", "never sent",
+		"local failure")
+}
+
+// NeverRan reports whether the outcome proves that the attempt never ran.
 func (o Outcome) NeverRan() bool {
 	return o == Overloaded || o == ConnectFailed || o == NeverSent || o == LocalFailure
 }
 
-// ProgressKind tells what a note reports.
+// ProgressKind says what a progress report is about.
 type ProgressKind uint8
 
-// The notes.
+// The kinds of progress report.
 const (
-	Progress ProgressKind = 1 // Value: share done
-	Spilling ProgressKind = 2 // Value: MB missing
-	Waiting  ProgressKind = 3 // Value: 1 for memory, 2 for a load
+	Progress ProgressKind = 1 // Value: the share that is done
+	Spilling ProgressKind = 2 // Value: the MB that the attempt lacks
+	Waiting  ProgressKind = 3 // Value: 1 for memory, 2 for a holder of its table group
 )
 
-// Event is one thing that an instance is told. Only the fields of its kind are set.
+// String returns the name of the kind.
+func (k ProgressKind) String() string { return nameOf(k, "none", "progress", "spilling", "waiting") }
+
+// Event is one thing that an instance is told. Only the fields of its kind are set. Times are milliseconds.
 type Event struct {
 	Kind     EventKind
 	Request  string
 	Executor uint32
-	Attempt  int
-
-	Class       string       // RequestArrived
-	TableGroup  uint64       // RequestArrived: table group
-	OrderKey    string       // RequestArrived: order key, or empty
-	MemoryMB    float64      // RequestArrived: memory estimate
-	WorkMS      float64      // RequestArrived: work estimate
-	Deadline    float64      // RequestArrived: clock at which the client gives up, ms; Closing: the last moment for answers; Listed, with NoList: its last word
-	Retried     bool         // RequestArrived: the client marked it as a repeat
-	Prior       PriorAttempt // RequestArrived: what may have run under the same mark
-	Blocked     bool         // RequestArrived, AttemptEnded: it can't be put on record, or has no room, so it must not run
-	PriorityCap float64      // RequestArrived: priority to start at; Pressed: priority that it stays under; 0: the top
-	MemoryShare float64      // RequestArrived, PriorityCapped: part of the memory wanted that it gets; 0: all
-	Immediate   bool         // RequestArrived: it is sent in this pass, or given back
-
-	PresumedAt float64 // EndpointsUpdated, with ListUnavailable: clock at which all that the list has to tell by then counts as told, heard or not; 0: none
+	Attempt  int // index among the attempts of Request
+
+	Class       string // RequestArrived
+	TableGroup  uint64 // RequestArrived
+	OrderKey    string // RequestArrived: empty for none
+	MemoryMB    float64
+	WorkMS      float64      // RequestArrived: the client's estimate
+	Deadline    float64      // RequestArrived, ShutdownStarted; EndpointsUpdated with ListUnavailable: when the list was last heard
+	Retried     bool         // RequestArrived: the client says that it is a retry
+	Prior       PriorAttempt // RequestArrived
+	Blocked     bool         // RequestArrived, AttemptEnded: the request can't be put on record, so it must not run
+	PriorityCap float64      // RequestArrived: the priority to start at; PriorityCapped: the priority to stay under; 0: the top
+	MemoryShare float64      // RequestArrived, PriorityCapped: part of the memory that it gets; 0: all
+	Immediate   bool         // RequestArrived: it is sent in this step, or given back
+
+	PresumedAt float64 // EndpointsUpdated with ListUnavailable: when its pending news counts as known; 0: never
 	HalfClosed bool    // ClientLeft: the client may still read, so the request gets a final answer
 
 	Outcome     Outcome // AttemptEnded, HealthChecked
 	ElapsedMS   float64 // AttemptEnded, HealthChecked
-	Final       bool    // AttemptEnded: the request is finished
-	CostMS      float64 // AttemptEnded: work it took, where told
-	UsedMB      float64 // AttemptEnded: memory it needed, where told
+	Final       bool    // AttemptEnded: the request has its answer
+	CostMS      float64 // AttemptEnded: the work that it took; 0: unknown
+	UsedMB      float64 // AttemptEnded: the memory that it used; 0: unknown
 	LoadReport  []float64
 	Progress    ProgressKind // ProgressReported
-	Value       float64      // Noted; Counted: controllers, this one among them
+	Value       float64      // ProgressReported; ControllersCounted: the controllers, this one among them
 	Token       uint64       // TimerFired
 	List        ListKind     // EndpointsUpdated
 	Endpoints   []Endpoint   // EndpointsUpdated
-	ListVersion uint64       // EndpointsUpdated: the version of the list, where it is told
+	ListVersion uint64       // EndpointsUpdated: 0: unknown
 	FromPeer    int          // PeerMessage
 	Payload     []byte       // PeerMessage
 
-	Arrivals, Retries []float64       // StateRestored: clocks at which requests were taken, and further attempts sent
-	ExecutorStates    []ExecutorState // StateRestored
-	Reaches           []ZoneReach     // ReachabilityChanged
-	Estimates         []Estimate      // StateRestored
+	Arrivals       []float64 // StateRestored: when requests arrived
+	Retries        []float64 // StateRestored: when retries were sent
+	ExecutorStates []ExecutorState
+	Reaches        []ZoneReach // ReachabilityChanged: the remote zones
+	Estimates      []Estimate  // StateRestored
 }
 
-// PriorAttempt is the first attempt of another request with the same mark that may have run. At 0: there is none.
+// PriorAttempt is the first attempt of another request with the same idempotency key that may have run.
 type PriorAttempt struct {
-	At   float64 // clock; far in the past where it is not known
+	At   float64 // 0: there is none; far in the past: unknown
 	Zone string
 	Cell int64
 }
 
-// ZoneReach is how far requests may go to the executors of a place.
+// ZoneReach says how far requests may go to the executors of a zone.
 type ZoneReach struct {
 	Zone           string
-	Tier           int      // 0: near; a further one is used only where no nearer executor has room
-	Capacity       float64  // threads of this instance's attempts there at most; infinite: any number
-	LatencyMS      float64  // longer on the way there and back than to near ones
-	MinDensity     float64  // gain for its work that a request must have to go there
-	ExclusiveKinds []string // kinds that no near place has: requests that run on nothing else go there as if it were near
+	Tier           int      // 0: near; a higher one is used only where no lower one has room
+	Capacity       float64  // threads that may be in flight there
+	LatencyMS      float64  // more for the way there and back than to a near zone
+	MinDensity     float64  // value for its work that a request must have to go there
+	ExclusiveKinds []string // kinds that no near zone has: for requests that need them the zone counts as near
 }
 
-// ExecutorState is what is known of an executor besides what the list says.
+// ExecutorState is what is known of an executor besides what the endpoint list says.
 type ExecutorState struct {
 	Executor    uint32
 	WarmupUntil float64
@@ -156,7 +180,7 @@
 	Draining    bool
 }
 
-// Estimate is one thing learnt.
+// Estimate is a figure that was learned.
 type Estimate struct {
 	Name  string
 	Value float64
--- a/scheduler/loadexchange.go
+++ b/scheduler/loadexchange.go
@@ -1,55 +1,74 @@
 package scheduler
 
+// Load exchange between controllers. Where a controller's share of an executor is below one thread, it sees
+// too little of an executor's load by itself. So each tells a few aggregators what it has in flight; these
+// add it up and tell all how full each executor is. A lost message is made good by the next one; without any,
+// the backlog decides.
+
 import "math"
 
 const (
-	aggregators         = 3   // controllers that add up what the others tell: some may stall or be dead
-	exchangeIntervalMS  = 250 // ms between tellings: half as often costs more gain than it saves in bytes
-	levelThreadsPerCore = 0.2 // threads a core in each of the sixteen steps told, up to twice what is full
-	failingExtraThreads = 4   // threads more told of an executor that fails: three such warnings fill it
+	aggregators         = 3 // some may stall or be dead
+	exchangeIntervalMS  = 250
+	levelThreadsPerCore = 0.2 // threads a core in each of the sixteen levels, up to twice what is full
+	failingExtraThreads = 4   // told of an executor that fails, as it looks empty otherwise
 )
 
-// exchangeLoad lets a few controllers know what this one has out. Those add up and tell all how full executors are.
-// A lost message is made good by the next; without any, the owed work decides.
+// exchangeLoad tells the aggregators what this controller has in flight and, if it is one, tells all how full
+// executors are.
 func (s *Scheduler) exchangeLoad() {
-	if !s.settings.MayMessagePeers || s.now < s.nextExchangeAt || len(s.executors) == 0 || !s.sharesUnderOneThread(&s.executors[0]) {
+	if !s.exchangeDue() {
 		return
 	}
 	s.nextExchangeAt = s.now + exchangeIntervalMS*(0.9+0.2*s.random())
 	if !s.levelsFitMessage() {
-		return // the owed work decides, as without tellings
+		return
 	}
-	s.loadMessage = append(s.loadMessage[:0], 0)
+	s.writeLoadMessage()
+	if !s.sendToAggregators(aggregators) {
+		return
+	}
+	s.sumPeerLoads(s.now - reportsLostMS)
 	for index := range s.executors {
-		e, threads := &s.executors[index], s.executors[index].threads
-		if e.failures > 0 && (s.now < e.avoidUntil || e.state == executorEjected) {
-			threads += failingExtraThreads // a dead executor looks empty otherwise
-		}
-		s.appendLoad(e, threads)
+		e := &s.executors[index]
+		threadsPerCore := max(e.peerThreads/e.cores, e.peerMemoryShare*maxThreadsPerCore)
+		e.loadLevel = math.Round(threadsPerCore / levelThreadsPerCore)
 	}
-	if s.sendToAggregators(aggregators) {
-		s.sumPeerLoads(s.now - reportsLostMS)
-		for index := range s.executors {
-			e := &s.executors[index]
-			e.loadLevel = math.Round(max(e.peerThreads/e.cores, e.peerMemoryShare*maxThreadsPerCore) / levelThreadsPerCore)
-		}
-		s.publishLevels()
+	s.publishLevels()
+}
+
+func (s *Scheduler) exchangeDue() bool {
+	if !s.settings.MayMessagePeers || s.now < s.nextExchangeAt {
+		return false
 	}
+	return len(s.executors) > 0 && s.sharesUnderOneThread(&s.executors[0])
 }
 
-// heard takes a message: what another controller has out, or how full the executors are.
-func (s *Scheduler) receiveLoad(from int, data []byte) {
-	told := s.decodeLoadMessage(from, data)
-	for index := 0; told && index < len(s.executors); index++ {
-		if e := &s.executors[index]; e.availability == Active {
-			e.reportedThreads, e.reportedMB, e.reportedAt = e.loadLevel*levelThreadsPerCore*e.cores, 0, s.now
+func (s *Scheduler) writeLoadMessage() {
+	s.loadMessage = append(s.loadMessage[:0], loadMessageTag)
+	for index := range s.executors {
+		e := &s.executors[index]
+		threads := e.threads
+		if e.failures > 0 && (s.now < e.avoidUntil || e.state == executorEjected) {
+			threads += failingExtraThreads
 		}
+		s.appendLoad(e, threads)
 	}
-	s.dispatchNeeded = s.dispatchNeeded || told
 }
 
-// peerLoad is what another controller has out, as it last told.
-type peerLoad struct {
-	receivedAt float64
-	entries    []byte
+// receiveLoad takes a message: what another controller has in flight, or how full the executors are.
+func (s *Scheduler) receiveLoad(from int, message []byte) {
+	if !s.decodeLoadMessage(from, message) {
+		return
+	}
+	for index := range s.executors {
+		e := &s.executors[index]
+		if e.availability != Active {
+			continue
+		}
+		e.reportedThreads = e.loadLevel * levelThreadsPerCore * e.cores
+		e.reportedMB = 0
+		e.reportedAt = s.now
+	}
+	s.dispatchNeeded = true
 }
--- a/scheduler/loadmessage.go
+++ b/scheduler/loadmessage.go
@@ -6,80 +6,118 @@
 	"slices"
 )
 
-// mostTold is the size of the longest message to another controller.
-const maxMessageBytes = 256
+// Messages between controllers. The first byte is a tag. A load message goes on with three bytes for each executor with threads
+// of the sender: 12 bits of a hash of its id, 6 of threads and 6 of the share of its memory. A levels message goes on with a
+// checksum of the listed executors and four bits for the level of each, in the order of their ids.
+const (
+	loadMessageTag   = 0
+	levelsMessageTag = 1
 
-// appendLoad appends to the mail what is out at an executor: 12 bits of its id, 6 of threads, 6 of memory as a
-// share, rounded by chance so that sums are right.
+	maxMessageBytes   = 256
+	loadEntryBytes    = 3
+	maxEntryValue     = 63 // six bits
+	maxLevel          = 15 // four bits
+	levelsHeaderBytes = 2
+)
+
+// peerLoad is what another controller has in flight, as it last told.
+type peerLoad struct {
+	receivedAt float64
+	entries    []byte
+}
+
+// appendLoad appends the entry of an executor to the load message. The share of memory is rounded by chance, so that sums are
+// right.
 func (s *Scheduler) appendLoad(e *executor, threads int) {
-	if threads > 0 && len(s.loadMessage)+3 <= maxMessageBytes {
-		share := math.Floor(64*e.grantedMB/e.memoryMB + s.random())
-		n := e.tag()<<12 | uint32(min(63, threads))<<6 | uint32(min(63, share))
-		s.loadMessage = append(s.loadMessage, byte(n>>16), byte(n>>8), byte(n))
+	if threads <= 0 || len(s.loadMessage)+loadEntryBytes > maxMessageBytes {
+		return
 	}
+	share := math.Floor((maxEntryValue+1)*e.grantedMB/e.memoryMB + s.random())
+	n := e.tag()<<12 | uint32(min(maxEntryValue, threads))<<6 | uint32(min(maxEntryValue, share))
+	s.loadMessage = append(s.loadMessage, byte(n>>16), byte(n>>8), byte(n))
 }
 
-// levelsFitMessage tells whether the level of each executor that is listed fits a message.
+// tag returns the 12 bits that stand for an executor in messages.
+func (e *executor) tag() uint32 { return e.id * 0x9E3779B1 >> 20 }
+
+// levelsMessageBytes returns the length of a levels message for so many executors.
+func levelsMessageBytes(executors int) int { return levelsHeaderBytes + (executors+1)/2 }
+
+// levelsFitMessage reports whether the levels of all listed executors fit a message.
 func (s *Scheduler) levelsFitMessage() bool {
 	active := 0
 	for index := range s.executors {
-		active += count(s.executors[index].availability == Active)
+		if s.executors[index].availability == Active {
+			active++
+		}
 	}
-	return 2+(active+1)/2 <= maxMessageBytes
+	return levelsMessageBytes(active) <= maxMessageBytes
 }
 
-func (e *executor) tag() uint32 { return e.id * 0x9E3779B1 >> 20 }
-
-// sendToAggregators sends the mail to the first n controllers and tells whether this is one of them.
-func (s *Scheduler) sendToAggregators(n int) (here bool) {
-	for p := range min(n, s.settings.Controllers) {
-		if p == s.settings.Slot {
-			here = true
-			s.receiveLoad(p, s.loadMessage)
-		} else {
-			s.emit(Action{Kind: SendPeer, Peer: p, Payload: s.loadMessage})
+// sendToAggregators sends the load message to the first n controllers and reports whether this is one of them.
+func (s *Scheduler) sendToAggregators(n int) bool {
+	isAggregator := false
+	for peer := range min(n, s.settings.Controllers) {
+		if peer == s.settings.Slot {
+			isAggregator = true
+			s.receiveLoad(peer, s.loadMessage)
+			continue
 		}
+		s.emit(Action{Kind: SendPeer, Peer: peer, Payload: s.loadMessage})
 	}
-	return here
+	return isAggregator
 }
 
-// sumPeerLoads sums what the controllers told of each executor after since.
+// sumPeerLoads adds up what controllers have told of each executor after a time.
 func (s *Scheduler) sumPeerLoads(since float64) {
 	for index := range s.executors {
-		s.executors[index].peerThreads, s.executors[index].peerMemoryShare = 0, 0
+		e := &s.executors[index]
+		e.peerThreads = 0
+		e.peerMemoryShare = 0
+	}
+	for i := range s.peerLoads {
+		peer := &s.peerLoads[i]
+		if peer.receivedAt <= since {
+			continue
+		}
+		for entries := peer.entries; len(entries) >= loadEntryBytes; entries = entries[loadEntryBytes:] {
+			s.addPeerLoad(uint32(entries[0])<<16 | uint32(entries[1])<<8 | uint32(entries[2]))
+		}
 	}
-	for p := range s.peerLoads {
-		for mail := s.peerLoads[p].entries; s.peerLoads[p].receivedAt > since && len(mail) >= 3; mail = mail[3:] {
-			n := uint32(mail[0])<<16 | uint32(mail[1])<<8 | uint32(mail[2])
-			for index := range s.executors {
-				if e := &s.executors[index]; e.tag() == n>>12 {
-					e.peerThreads += float64(n >> 6 & 63)
-					e.peerMemoryShare += float64(n&63) / 64
-				}
-			}
+}
+
+// addPeerLoad adds one entry of a load message to the executors that it may mean.
+func (s *Scheduler) addPeerLoad(entry uint32) {
+	for index := range s.executors {
+		e := &s.executors[index]
+		if e.tag() != entry>>12 {
+			continue
 		}
+		e.peerThreads += float64(entry >> 6 & maxEntryValue)
+		e.peerMemoryShare += float64(entry&maxEntryValue) / (maxEntryValue + 1)
 	}
 }
 
-// activeByID gives the active executors in the order of their ids, and a check on which they are.
-func (s *Scheduler) activeByID() (ordered []int, check byte) {
+// activeByID returns the indexes of the listed executors in the order of their ids, and a checksum of which they are.
+func (s *Scheduler) activeByID() (ordered []int, checksum byte) {
 	for index := range s.executors {
-		if s.executors[index].availability == Active {
+		e := &s.executors[index]
+		if e.availability == Active {
 			ordered = append(ordered, index)
-			check += byte(s.executors[index].tag())
+			checksum += byte(e.tag())
 		}
 	}
 	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(s.executors[a].id, s.executors[b].id) })
-	return ordered, check
+	return ordered, checksum
 }
 
-// publishLevels sends the level of each executor to all, in four bits.
+// publishLevels sends the level of each executor to all controllers, this one among them.
 func (s *Scheduler) publishLevels() {
-	ordered, check := s.activeByID()
-	s.levelsMessage = append(s.levelsMessage[:0], 1, check)
-	for k, index := range ordered {
-		level := byte(min(15, s.executors[index].loadLevel))
-		if k%2 == 0 {
+	ordered, checksum := s.activeByID()
+	s.levelsMessage = append(s.levelsMessage[:0], levelsMessageTag, checksum)
+	for i, index := range ordered {
+		level := byte(min(maxLevel, s.executors[index].loadLevel))
+		if i%2 == 0 {
 			s.levelsMessage = append(s.levelsMessage, level)
 		} else {
 			s.levelsMessage[len(s.levelsMessage)-1] |= level << 4
@@ -89,20 +127,29 @@
 	s.receiveLoad(s.settings.Slot, s.levelsMessage)
 }
 
-// decodeLoadMessage files a mail, or reads levels that are of the executors listed here and tells so.
-func (s *Scheduler) decodeLoadMessage(from int, data []byte) bool {
-	ordered, check := s.activeByID()
-	switch {
-	case from >= 0 && from < s.settings.Controllers && len(data) > 0 && data[0] == 0:
-		for from >= len(s.peerLoads) {
-			s.peerLoads = append(s.peerLoads, peerLoad{})
-		}
-		s.peerLoads[from].receivedAt, s.peerLoads[from].entries = s.now, append(s.peerLoads[from].entries[:0], data[1:]...)
-	case len(data) == 2+(len(ordered)+1)/2 && data[0] == 1 && data[1] == check:
-		for k, index := range ordered {
-			s.executors[index].loadLevel = float64(data[2+k/2] >> (k % 2 * 4) & 15)
-		}
-		return true
+// decodeLoadMessage keeps a load message, or reads the levels of the executors that are listed here; it reports whether there are
+// new levels. Any other message is passed over.
+func (s *Scheduler) decodeLoadMessage(from int, message []byte) bool {
+	if from >= 0 && from < s.settings.Controllers && len(message) > 0 && message[0] == loadMessageTag {
+		s.keepPeerLoad(from, message[1:])
+		return false
+	}
+	ordered, checksum := s.activeByID()
+	if len(message) != levelsMessageBytes(len(ordered)) || message[0] != levelsMessageTag || message[1] != checksum {
+		return false
+	}
+	for i, index := range ordered {
+		s.executors[index].loadLevel = float64(message[levelsHeaderBytes+i/2] >> (i % 2 * 4) & maxLevel)
+	}
+	return true
+}
+
+// keepPeerLoad keeps the entries of another controller's load message.
+func (s *Scheduler) keepPeerLoad(from int, entries []byte) {
+	for from >= len(s.peerLoads) {
+		s.peerLoads = append(s.peerLoads, peerLoad{})
 	}
-	return false
+	peer := &s.peerLoads[from]
+	peer.receivedAt = s.now
+	peer.entries = append(peer.entries[:0], entries...)
 }
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -1,24 +1,33 @@
 package scheduler
 
+// Memory grants: how much memory a request may use on its executor. Too little makes it spill, which costs
+// far more work than memory left unused, so grants start above the estimate and grow with reports of
+// spilling.
+
 import (
 	"cmp"
-	"math"
 )
 
 const (
 	spillMemoryFactor   = 1.3 // memory granted for each MB that a spilling request turned out to need
-	initialMemoryFactor = 1.5 // the same before anything is known: spilling costs far more than memory too much
+	initialMemoryFactor = 1.5 // memory granted for each MB estimated, before anything is known
 )
 
+// memoryGrant returns the memory that a request gets on an executor. Executors that grant memory themselves
+// go by the estimate.
 func (s *Scheduler) memoryGrant(r *request, e *executor) float64 {
-	wants := r.memoryMB * cmp.Or(r.memoryShare, 1) // executors that set the grants themselves go by the estimate
+	wanted := r.memoryMB * cmp.Or(r.memoryShare, 1)
 	if s.settings.HonorsGrants {
-		wants *= s.classes[r.class].memoryFactor
+		wanted *= s.classes[r.class].memoryFactor
 	}
-	return min(wants, e.memoryMB*s.settings.LargestShare)
+	return min(wanted, e.memoryMB*s.settings.LargestShare)
 }
 
-// setResources names the memory and the level of s; what a deployment doesn't heed does no harm.
-func (s *Scheduler) setResources(r *request) {
-	s.emit(Action{Kind: SetResources, Request: r.id, Level: r.level, GrantMB: math.Ceil(r.lastAttempt().grantMB)})
+// learnSpilling raises the grants of a class after a request of it has reported the memory that it lacks.
+func (c *classState) learnSpilling(r *request, a *attempt, lackingMB float64) {
+	if r.memoryMB <= 0 {
+		return
+	}
+	needed := (a.grantMB + lackingMB) / r.memoryMB * spillMemoryFactor
+	c.memoryFactor = max(c.memoryFactor, c.memoryFactor+smoothing*(needed-c.memoryFactor))
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -6,56 +6,58 @@
 	"slices"
 )
 
-// mostAttempts is the room for attempts in one place of the slab.
-const maxAttempts = 8
+// attemptCapacity is the most attempts that a request may have, those that never left among them.
+const attemptCapacity = 8
 
 // attempt is one attempt at a request.
 type attempt struct {
-	executor   int // index into Scheduler.executors
+	executor   int // index of its executor
 	sentAt     float64
-	progressAt float64 // clock of the last note, or of sending
-	ranMS      float64 // running time so far, waiting left out
-	doneShare  float64 // share done, as last noted
+	progressAt float64 // of its last progress report, or of sending
+	ranMS      float64 // running time so far, without waiting
+	doneShare  float64 // as last reported
 	grantMB    float64
 	threads    int
-	waiting    ProgressKind // 0: runs; else Waits
-	inFlight   bool         // no outcome yet
-	mayHaveRun bool         // out, or ended without proof that it never ran
+	queued     bool // it waits on its executor
+	inFlight   bool // it has no outcome yet
+	mayHaveRun bool // it is in flight, or ended without proof that it never ran
 }
 
-// request is one place of the slab.
+// request is a request in hand, in a slot of the request table.
 type request struct {
+	inUse           bool
 	id              string
+	sequence        uint64 // order of arrival
+	class           int    // index of its class
+	state           requestState
 	orderKey        string
-	prior           PriorAttempt // what may have run under its mark
-	class           int
+	prior           PriorAttempt
 	tableGroup      uint64
-	memoryMB        float64
-	estimateMS      float64 // work as estimated by the client, ms
-	workMS          float64 // the same, corrected: work of all threads
-	sequence        uint64  // order of taking
+	memoryMB        float64 // as the client estimated it
+	estimateMS      float64 // work, as the client estimated it
+	workMS          float64 // the same, corrected
 	softDeadline    float64
 	deadline        float64
-	priority        float64 // the paper's priority
-	startPriority   float64 // where it starts; 0: the top
-	priorityCap     float64 // what it is held under; 0: nothing
-	memoryShare     float64 // of the memory wanted; 0: all
+	density         float64 // value that it can still earn for its work, as of this pass
 	immediate       bool    // sent in this pass, or given back
-	density         float64 // gain for its work, as of this pass
-	quanta          int     // quanta of running time already counted
-	level           int
-	attempts        [maxAttempts]attempt
-	attemptCount    int
-	unsentCount     int     // of those fired, that never left for want of something on this side
-	retryNotBefore  float64 // clock before which no other is sent, after one of them
-	inFlight        int     // attempts without an outcome
-	state           state
-	errorCount      int // attempts that ended in an error
-	inUse           bool
-	responseStarted bool // a stream has begun: the client owns it
+	responseStarted bool    // its client has part of the answer, so it gets no other
+
+	priority      float64
+	startPriority float64 // 0: the top
+	priorityCap   float64 // 0: none
+	memoryShare   float64 // of the memory wanted; 0: all
+	quanta        int     // of running time that have been counted for its decay
+	level         int
+
+	attempts       [attemptCapacity]attempt
+	attemptCount   int
+	unsentCount    int     // attempts that never left because of a failure on this side
+	retryNotBefore float64 // after such a failure
+	inFlight       int     // attempts without an outcome
+	errorCount     int     // attempts that ended in an error
 }
 
-// slab keeps the requests in hand and reuses their places.
+// requestTable keeps the requests in hand, and uses their slots again.
 type requestTable struct {
 	entries []request
 	free    []int
@@ -64,7 +66,10 @@
 
 func newRequestTable() requestTable { return requestTable{byID: make(map[string]int)} }
 
-// take gives a cleared place for id.
+// at returns the request in a slot.
+func (t *requestTable) at(slot int) *request { return &t.entries[slot] }
+
+// insert gives a request an empty slot.
 func (t *requestTable) insert(id string) int {
 	var slot int
 	if n := len(t.free); n > 0 {
@@ -79,91 +84,123 @@
 	return slot
 }
 
-// remove frees the place at i.
+// remove frees a slot.
 func (t *requestTable) remove(slot int) {
 	delete(t.byID, t.entries[slot].id)
 	t.entries[slot] = request{}
 	t.free = append(t.free, slot)
 }
 
-// addRequest takes a request of the offering at k in hand.
-func (s *Scheduler) addRequest(ev *Event, k int) *request {
-	r := &s.requests.entries[s.requests.insert(ev.Request)]
+// find returns the slot of a request.
+func (t *requestTable) find(id string) (int, bool) {
+	slot, ok := t.byID[id]
+	return slot, ok
+}
+
+// addRequest takes a request of a class in hand and returns its slot.
+func (s *Scheduler) addRequest(ev *Event, class int) int {
+	slot := s.requests.insert(ev.Request)
 	s.lastSequence++
-	r.sequence, r.class, r.tableGroup, r.deadline = s.lastSequence, k, ev.TableGroup, ev.Deadline
-	if s.classes[k].inOrder {
+	r := s.requests.at(slot)
+	r.sequence = s.lastSequence
+	r.class = class
+	if s.classes[class].inOrder {
 		r.orderKey = ev.OrderKey
 	}
-	r.memoryMB, r.estimateMS, r.workMS, r.prior = ev.MemoryMB, ev.WorkMS, ev.WorkMS, ev.Prior
-	r.startPriority, r.memoryShare, r.immediate = ev.PriorityCap, ev.MemoryShare, ev.Immediate
-	if !r.immediate { // else it counts once it is sent
+	r.prior = ev.Prior
+	r.tableGroup = ev.TableGroup
+	r.memoryMB = ev.MemoryMB
+	r.estimateMS = ev.WorkMS
+	r.deadline = ev.Deadline
+	r.startPriority = ev.PriorityCap
+	r.memoryShare = ev.MemoryShare
+	r.immediate = ev.Immediate
+	if !r.immediate { // an immediate one counts for the retry budget once it is sent
 		s.arrivals.add(s.now, 1)
 	}
-	return r
-}
-
-// find returns the place of id.
-func (t *requestTable) find(id string) (int, bool) {
-	slot, ok := t.byID[id]
-	return slot, ok
+	return slot
 }
 
-// releaseIfSettled frees a request that is over once all its attempts have their outcome.
+// releaseIfSettled frees the slot of a request that is done, once all its attempts have their outcome.
 func (s *Scheduler) releaseIfSettled(slot int) {
-	if r := &s.requests.entries[slot]; r.inUse && r.state == requestDone && r.inFlight == 0 {
+	r := s.requests.at(slot)
+	if r.inUse && r.state == requestDone && r.inFlight == 0 {
 		s.requests.remove(slot)
 		s.dispatchNeeded = true
 	}
 }
 
-// findAttempt gives the place of a request and the attempt of it that an event speaks of, or nil if that is not out.
+// findAttempt returns the attempt that an event is about, and the slot of its request; nil if it is not in flight.
 func (s *Scheduler) findAttempt(ev *Event) (int, *attempt) {
 	slot, ok := s.requests.find(ev.Request)
-	if !ok || ev.Attempt < 0 || ev.Attempt >= s.requests.entries[slot].attemptCount || !s.requests.entries[slot].attempts[ev.Attempt].inFlight {
+	if !ok {
+		return slot, nil
+	}
+	r := s.requests.at(slot)
+	if ev.Attempt < 0 || ev.Attempt >= r.attemptCount || !r.attempts[ev.Attempt].inFlight {
 		return slot, nil
 	}
-	return slot, &s.requests.entries[slot].attempts[ev.Attempt]
+	return slot, &r.attempts[ev.Attempt]
 }
 
-// priorAttempts gives what may have run of a request: another one of its mark, then its own attempts.
+// priorAttempts yields what may have run of a request: an attempt of another request with the same idempotency key, then its own.
+// The latter don't matter where a repeat is harmless.
 func (s *Scheduler) priorAttempts(r *request) iter.Seq[PriorAttempt] {
 	return func(yield func(PriorAttempt) bool) {
 		if r.prior.At != 0 && !yield(r.prior) || s.classes[r.class].effect == Idempotent {
 			return
 		}
-		for k := range r.attemptCount {
-			if a := &r.attempts[k]; a.mayHaveRun {
-				e := &s.executors[a.executor]
-				if !yield(PriorAttempt{a.sentAt, e.zone, e.cell}) {
-					return
-				}
+		for i := range r.attemptCount {
+			a := &r.attempts[i]
+			if !a.mayHaveRun {
+				continue
+			}
+			e := &s.executors[a.executor]
+			if !yield(PriorAttempt{At: a.sentAt, Zone: e.zone, Cell: e.cell}) {
+				return
 			}
 		}
 	}
 }
 
-// startedCount counts the attempts that left, or may have.
+// startedCount returns the number of attempts that left, or may have.
 func (r *request) startedCount() int { return r.attemptCount - r.unsentCount }
 
-// lastAttempt is the latest attempt.
+// lastAttempt returns the latest attempt; there must be one.
 func (r *request) lastAttempt() *attempt { return &r.attempts[r.attemptCount-1] }
 
-// collectQueue starts a pass: it collects what waits and where loads hold their groups.
+// mayHaveRun reports whether anything of a request may have run.
+func (r *request) mayHaveRun() bool {
+	return r.prior.At != 0 || slices.ContainsFunc(r.attempts[:r.attemptCount], func(a attempt) bool { return a.mayHaveRun })
+}
+
+// collectQueue starts a pass: it collects the queued requests, and where table groups are held.
 func (s *Scheduler) collectQueue() {
-	s.dispatchNeeded, s.dispatchedAt, s.saturated = false, s.now, false
+	s.dispatchNeeded = false
+	s.dispatchedAt = s.now
+	s.saturated = false
 	s.queue = s.queue[:0]
 	s.reportedHolders = slices.DeleteFunc(s.reportedHolders, func(holder groupHolder) bool { return holder.until <= s.now })
 	s.groupHolders = append(s.groupHolders[:0], s.reportedHolders...)
 	for slot := range s.requests.entries {
-		if r := &s.requests.entries[slot]; r.inUse && r.state == requestQueued {
-			s.queue, r.density = append(s.queue, slot), s.valueDensity(r)
+		r := s.requests.at(slot)
+		if r.inUse && r.state == requestQueued {
+			s.queue = append(s.queue, slot)
+			r.density = s.valueDensity(r)
 		} else if r.inFlight > 0 && s.classes[r.class].holdsGroup {
 			s.groupHolders = append(s.groupHolders, groupHolder{r.tableGroup, r.lastAttempt().executor, math.Inf(1)})
 		}
 	}
 }
 
-// mayHaveRun tells whether an attempt is out or ended without proof that it never ran.
-func (r *request) mayHaveRun() bool {
-	return r.prior.At != 0 || slices.ContainsFunc(r.attempts[:r.attemptCount], func(a attempt) bool { return a.mayHaveRun })
+// awaitingRetry counts the requests whose attempt was lost or cancelled and that wait for the next one.
+func (s *Scheduler) awaitingRetry() int {
+	waiting := 0
+	for slot := range s.requests.entries {
+		r := s.requests.at(slot)
+		if r.inUse && r.startedCount() > 0 && (r.state == requestQueued || r.state == requestCancelling) {
+			waiting++
+		}
+	}
+	return waiting
 }
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -1,9 +1,11 @@
 package scheduler
 
-// reserve counts an attempt of s as out, settle as back.
-func (s *Scheduler) reserve(r *request, index int, grant float64) *attempt {
-	e, a, threads := &s.executors[index], &r.attempts[r.attemptCount], s.classes[r.class].threads
-	*a = attempt{executor: index, sentAt: s.now, progressAt: s.now, threads: threads, grantMB: grant, inFlight: true, mayHaveRun: true}
+import "math"
+
+// reserve counts a new attempt at a request as in flight on an executor.
+func (s *Scheduler) reserve(r *request, index int, grantMB float64) {
+	e := &s.executors[index]
+	threads := s.classes[r.class].threads
 	if r.startedCount() > 0 {
 		s.retries.add(s.now, 1)
 	}
@@ -14,38 +16,74 @@
 	if e.inFlight == 0 {
 		e.busySince = s.now
 	}
-	r.attemptCount, r.inFlight = r.attemptCount+1, r.inFlight+1
-	e.inFlight, e.threads, e.grantedMB = e.inFlight+1, e.threads+threads, e.grantedMB+grant
+	r.attempts[r.attemptCount] = attempt{
+		executor:   index,
+		sentAt:     s.now,
+		progressAt: s.now,
+		threads:    threads,
+		grantMB:    grantMB,
+		inFlight:   true,
+		mayHaveRun: true,
+	}
+	r.attemptCount++
+	r.inFlight++
+	e.inFlight++
+	e.threads += threads
+	e.grantedMB += grantMB
 	s.addRemoteThreads(e.zone, threads)
-	return a
 }
 
-// updateGrant books the memory that a running request is to have now, and names it where that is another amount.
+// releaseReservation counts an attempt as ended.
+func (s *Scheduler) releaseReservation(r *request, a *attempt, mayHaveRun bool) {
+	e := &s.executors[a.executor]
+	s.setQueued(a, false)
+	a.inFlight = false
+	a.mayHaveRun = mayHaveRun
+	r.inFlight--
+	e.inFlight--
+	e.threads -= a.threads
+	e.grantedMB -= a.grantMB
+	s.addRemoteThreads(e.zone, -a.threads)
+}
+
+// setQueued counts an attempt as waiting on its executor, or no longer.
+func (s *Scheduler) setQueued(a *attempt, queued bool) {
+	if a.queued == queued {
+		return
+	}
+	e := &s.executors[a.executor]
+	a.queued = queued
+	if queued {
+		e.queued++
+	} else {
+		e.queued--
+	}
+}
+
+// updateGrant grants a running request what it is to have now.
 func (s *Scheduler) updateGrant(r *request) {
 	a := r.lastAttempt()
 	e := &s.executors[a.executor]
-	was := a.grantMB
+	before := a.grantMB
 	a.grantMB = s.memoryGrant(r, e)
-	if e.grantedMB += a.grantMB - was; a.grantMB != was {
+	e.grantedMB += a.grantMB - before
+	if a.grantMB != before {
 		s.setResources(r)
 	}
 }
 
-// setQueued counts an attempt as standing in a line of its executor, or not.
-func (s *Scheduler) setQueued(a *attempt, waits bool) {
-	e := &s.executors[a.executor]
-	if a.waiting != 0 {
-		a.waiting, e.queued = 0, e.queued-1
-	}
-	if waits {
-		a.waiting, e.queued = Waiting, e.queued+1
-	}
+// setResources names the memory grant and the level of a running request. A deployment that heeds neither loses nothing.
+func (s *Scheduler) setResources(r *request) {
+	s.emit(Action{Kind: SetResources, Request: r.id, Level: r.level, GrantMB: math.Ceil(r.lastAttempt().grantMB)})
 }
 
-func (s *Scheduler) releaseReservation(r *request, a *attempt, doubt bool) {
-	e := &s.executors[a.executor]
-	s.setQueued(a, false)
-	a.inFlight, a.mayHaveRun = false, doubt
-	r.inFlight, e.inFlight, e.threads, e.grantedMB = r.inFlight-1, e.inFlight-1, e.threads-a.threads, e.grantedMB-a.grantMB
-	s.addRemoteThreads(e.zone, -a.threads)
+// cancelAttempts cancels what is in flight of a request.
+func (s *Scheduler) cancelAttempts(slot int) {
+	r := s.requests.at(slot)
+	for i := range r.attemptCount {
+		if r.attempts[i].inFlight && s.settings.MayCancel {
+			s.emit(Action{Kind: Cancel, Request: r.id, Attempt: i})
+		}
+	}
+	s.releaseIfSettled(slot)
 }
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -5,81 +5,93 @@
 	"strings"
 )
 
-const (
-	restoredRuns = 64 // running times kept through a restart: three times the least that tells an onset
-)
+// Restart: what an instance takes over from the one before. The retries and arrivals of the last window keep
+// the retry budget from being spent twice; executors that were ejected, warming up or draining stay so;
+// estimates save learning them anew.
 
-// restoreState takes over what was known before a restart: it narrows sending, and saves learning.
+// restoreState takes over what was known before a restart.
 func (s *Scheduler) restoreState(ev *Event) {
-	s.restoreEstimates(ev)
-	for _, t := range ev.ExecutorStates {
-		if index := s.executorIndex(t.Executor); index >= 0 {
-			e := &s.executors[index]
-			if t.Draining && e.availability == Active {
-				e.availability = Draining
-			}
-			if t.WarmupUntil > max(s.now, e.warmupUntil) {
-				e.state, e.warmupUntil, e.proven = executorWarmingUp, t.WarmupUntil, false
-			}
-			if e.ejections = t.Ejections; t.Ejected {
-				e.ejections--
-				s.applyToExecutor(index, inputUnresponsive)
-			}
-		}
+	for _, at := range ev.Arrivals {
+		s.arrivals.add(at, 1)
+	}
+	for _, at := range ev.Retries {
+		s.retries.add(at, 1)
+	}
+	for i := range ev.Estimates {
+		s.restoreEstimate(&ev.Estimates[i])
+	}
+	for i := range ev.ExecutorStates {
+		s.restoreExecutor(&ev.ExecutorStates[i])
 	}
 }
 
-// facts names what is learnt of an offering, for Learnt and relearn.
-var estimateFields = []struct {
-	name string
-	of   func(*classState) *float64
-}{
-	{"usual", func(class *classState) *float64 { return &class.usualWorkMS }},
-	{"slow", func(class *classState) *float64 { return &class.slowdown }},
-	{"memory", func(class *classState) *float64 { return &class.memoryFactor }},
-	{"worked", func(class *classState) *float64 { return &class.actualWorkMS }},
-	{"estimated", func(class *classState) *float64 { return &class.estimatedWorkMS }},
+// restoreExecutor takes over what was known of one executor, if it is listed.
+func (s *Scheduler) restoreExecutor(known *ExecutorState) {
+	index := s.executorIndex(known.Executor)
+	if index < 0 {
+		return
+	}
+	e := &s.executors[index]
+	if known.Draining && e.availability == Active {
+		e.availability = Draining
+	}
+	if known.WarmupUntil > max(s.now, e.warmupUntil) {
+		e.state = executorWarmingUp
+		e.warmupUntil = known.WarmupUntil
+		e.proven = false
+	}
+	e.ejections = known.Ejections
+	if known.Ejected {
+		e.ejections-- // ejecting it counts it again
+		s.applyToExecutor(index, inputUnresponsive)
+	}
 }
 
-// ranName is the name of a finished request's running time among figures: the onset is read from those.
+// runEstimate is the name of the running time of a finished request among estimates.
 const runEstimate = "ran"
 
-// Estimates appends what this instance has learnt, the last running times oldest first.
+// estimateFields are the estimates of a class, by the names under which they are stored.
+var estimateFields = [...]struct {
+	name  string
+	field func(*classState) *float64
+}{
+	{"usual", func(c *classState) *float64 { return &c.usualWorkMS }},
+	{"slow", func(c *classState) *float64 { return &c.slowdown }},
+	{"memory", func(c *classState) *float64 { return &c.memoryFactor }},
+	{"worked", func(c *classState) *float64 { return &c.actualWorkMS }},
+	{"estimated", func(c *classState) *float64 { return &c.estimatedWorkMS }},
+}
+
+// Estimates appends what an instance has learned, the last running times oldest first.
 func (s *Scheduler) Estimates(out []Estimate) []Estimate {
-	for k := range s.classes {
-		for f := range estimateFields {
-			out = append(out, Estimate{s.classes[k].name + "." + estimateFields[f].name, *estimateFields[f].of(&s.classes[k])})
+	for i := range s.classes {
+		class := &s.classes[i]
+		for _, f := range estimateFields {
+			out = append(out, Estimate{Name: class.name + "." + f.name, Value: *f.field(class)})
 		}
 	}
-	ran := s.finishedRuns.live()
-	for _, ms := range ran[max(0, len(ran)-restoredRuns):] {
-		out = append(out, Estimate{runEstimate, ms})
+	runs := s.finishedRuns.live()
+	for _, ms := range runs[max(0, len(runs)-restoredRuns):] {
+		out = append(out, Estimate{Name: runEstimate, Value: ms})
 	}
 	return out
 }
 
-// restoreEstimates takes over the counts of the ration, and what Learnt gave; what can't be, is left out.
-func (s *Scheduler) restoreEstimates(ev *Event) {
-	for _, at := range ev.Arrivals {
-		s.arrivals.add(at, 1)
+// restoreEstimate takes over one estimate. One that can't be is passed over.
+func (s *Scheduler) restoreEstimate(estimate *Estimate) {
+	if !(estimate.Value > 0) || math.IsInf(estimate.Value, 0) {
+		return
 	}
-	for _, at := range ev.Retries {
-		s.retries.add(at, 1)
+	if estimate.Name == runEstimate {
+		s.finishedRuns.add(s.now, estimate.Value)
 	}
-	for _, f := range ev.Estimates {
-		if !(f.Value > 0) || math.IsInf(f.Value, 0) {
-			continue
-		}
-		if f.Name == runEstimate {
-			s.finishedRuns.add(s.now, f.Value)
-		}
-		for k := range s.classes {
-			name, ok := strings.CutPrefix(f.Name, s.classes[k].name+".")
-			for j := range estimateFields {
-				if ok && estimateFields[j].name == name {
-					*estimateFields[j].of(&s.classes[k]) = f.Value
-					s.classes[k].arrivals = 1 / costSmoothing
-				}
+	for i := range s.classes {
+		class := &s.classes[i]
+		name, ok := strings.CutPrefix(estimate.Name, class.name+".")
+		for _, f := range estimateFields {
+			if ok && f.name == name {
+				*f.field(class) = estimate.Value
+				class.arrivals = 1 / costSmoothing
 			}
 		}
 	}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,41 +1,41 @@
 package scheduler
 
+// Retry budget: in any window of its length, the attempts beyond each request's first never outnumber a floor
+// and a share of the requests that arrived in that window. An attempt is cancelled to be sent anew only where
+// the budget has one for it and for each request that waits for its retry already; otherwise work that might
+// still succeed would be thrown away.
+
 const (
-	localRetryMS    = 25  // ms until a request whose attempt could not leave is tried again; doubled each time
-	maxLocalRetryMS = 400 // ms of that at most: descriptors and ports come back in such times
+	localRetryMS    = 25  // until the first retry after a failure on this side; twice as long each time
+	maxLocalRetryMS = 400 // descriptors and ports come back in such times
 )
 
-// retryBudgetLeft tells whether one more attempt beyond a request's first, besides those coming, is in the
-// ration. One may begin as late as its connection comes up: counted from there, too, no more than one is
-// over it.
-func (s *Scheduler) retryBudgetLeft(coming int) bool {
-	length, late := s.settings.RetryBudget.WindowMS, s.settings.ConnectTimeoutMS
-	s.retries.forget(s.now-length-late-tickMS, 0)
-	s.arrivals.forget(s.now-length, 0)
-	most := s.settings.RetryBudget.Floor + s.settings.RetryBudget.Share*float64(s.arrivals.count())
-	return length == 0 || float64(s.retries.countSince(s.now-length-tickMS)+coming+1) <= most &&
-		float64(s.retries.count()+coming) <= most
+// retryBudgetLeft reports whether the budget has one more retry besides the pending ones. A retry may begin
+// as late as its connection comes up, so they are counted from there, too: then no more than one is over the
+// budget.
+func (s *Scheduler) retryBudgetLeft(pending int) bool {
+	budget := &s.settings.RetryBudget
+	s.retries.forget(s.now-budget.WindowMS-s.settings.ConnectTimeoutMS-tickMS, 0)
+	s.arrivals.forget(s.now-budget.WindowMS, 0)
+	if budget.WindowMS == 0 {
+		return true
+	}
+	allowed := budget.Floor + budget.Share*float64(s.arrivals.count())
+	recent := s.retries.countSince(s.now - budget.WindowMS - tickMS)
+	return float64(recent+pending+1) <= allowed && float64(s.retries.count()+pending) <= allowed
 }
 
+// mayReplaceAttempt reports whether an attempt may be cancelled because another one can follow it.
 func (s *Scheduler) mayReplaceAttempt(r *request) bool {
 	return s.settings.MayCancel && s.attemptsLeft(r) && s.retryBudgetLeft(s.awaitingRetry())
 }
 
 func (s *Scheduler) attemptsLeft(r *request) bool {
-	return r.attemptCount < maxAttempts && r.startedCount() < s.settings.MaxAttempts
-}
-
-// awaitingRetry counts the requests whose attempt was lost or called off and that wait for their next one. Whoever is called off
-// besides them needs one more: without it an attempt would be thrown away that might still have been handled.
-func (s *Scheduler) awaitingRetry() (n int) {
-	for slot := range s.requests.entries {
-		r := &s.requests.entries[slot]
-		n += count(r.inUse && r.startedCount() > 0 && (r.state == requestQueued || r.state == requestCancelling))
-	}
-	return n
+	return r.attemptCount < attemptCapacity && r.startedCount() < s.settings.MaxAttempts
 }
 
-// recordLocalFailure takes back what was counted for the latest attempt of s, as it never left, and has the next one wait a while.
+// recordLocalFailure takes back what was counted for an attempt that never left, and has the next one wait a
+// while.
 func (s *Scheduler) recordLocalFailure(r *request, a *attempt) {
 	r.unsentCount++
 	if r.startedCount() > 0 {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -71,7 +71,7 @@
 	for group := range uint64(400) {
 		best := uint32(1)
 		for id := uint32(2); id <= 8; id++ {
-			if order(group, id) > order(group, best) {
+			if rendezvousRank(group, id) > rendezvousRank(group, best) {
 				best = id
 			}
 		}
@@ -213,7 +213,9 @@
 	parts := 0
 	s.settings.Controllers = 12 // the part of a cold executor is reckoned from the settings
 	for s.seed = range 100 {    // a share of these parts holds none: 0.37 of them by chance
-		parts += count(s.fitsWarmupShare(class, e))
+		if s.fitsWarmupShare(class, e) {
+			parts++
+		}
 	}
 	assert.InDelta(t, 37, parts, 15)
 	s.settings.Controllers = 2
@@ -295,9 +297,9 @@
 	take(s, 1000, "b", "read")
 	s.Step(2000, &Event{Kind: ProgressReported, Request: "b", Progress: Progress, Value: 0.5}, nil)
 	assert.Empty(t, kinds(beat(s, 2500)))
-	s.requests.entries[0].lastAttempt().waiting = Waiting
+	s.requests.entries[0].lastAttempt().queued = true
 	assert.Equal(t, []ActionKind{HealthCheck}, kinds(beat(s, 2610)), "it stands in line, where it sends no notes")
-	s.requests.entries[0].lastAttempt().waiting = 0
+	s.requests.entries[0].lastAttempt().queued = false
 	assert.Equal(t, []ActionKind{Cancel}, kinds(beat(s, 2611)))
 }
 
@@ -342,8 +344,8 @@
 	for index := range 4 {
 		s.suspect(index)
 	}
-	assert.Equal(t, []state{executorEjected, executorEjected, executorHealthy, executorHealthy},
-		[]state{s.executors[0].state, s.executors[1].state, s.executors[2].state, s.executors[3].state})
+	assert.Equal(t, []executorState{executorEjected, executorEjected, executorHealthy, executorHealthy},
+		[]executorState{s.executors[0].state, s.executors[1].state, s.executors[2].state, s.executors[3].state})
 }
 
 func TestAHopelessRequestIsDeniedAtOnceWithATimeToComeBack(t *testing.T) {
@@ -780,15 +782,15 @@
 // How many controllers there are is heard: the part of an executor follows, the part of a cold one stays that of the settings.
 func TestCountedControllers(t *testing.T) {
 	s := gateway(1, func(s *Settings) { s.Controllers = 4; s.Slot = 1 })
-	assert.Equal(t, 0.25, s.share())
+	assert.Equal(t, 0.25, s.trafficShare)
 	e, class := &s.executors[0], &s.classes[0]
 	class.usualWorkMS, e.warmupUntil = 100, 1e9
 	before := s.warmupShare(e)
 	s.Step(1001, &Event{Kind: ControllersCounted, Value: 2}, nil)
-	assert.Equal(t, 0.5, s.share())
+	assert.Equal(t, 0.5, s.trafficShare)
 	assert.Equal(t, before, s.warmupShare(e))
 	s.Step(1002, &Event{Kind: ControllersCounted, Value: 0}, nil)
-	assert.Equal(t, 0.25, s.share(), "nothing is known")
+	assert.Equal(t, 0.25, s.trafficShare, "nothing is known")
 }
 
 // Places that are far get requests only where no near one has room, no more threads than are open there, none that it is not worth, and
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -1,92 +1,159 @@
 package scheduler
 
+// Executor selection. Each table group has an order of the executors that is the same at every controller, by
+// rendezvous hashing without a seed. A request takes the first executor in it that is within the preferred
+// bound, else the one with the fewest threads a core (paper, 2.3: a bound on what is active at once). Past a
+// second bound work is lost, so the request waits.
+//
+// Where a controller's share of an executor is below one thread, its own threads say little of how busy that
+// is. What it sent lately, load reports and what controllers tell each other then stand in for them, the more
+// the smaller the share.
+
 import "math"
 
 const (
-	preferredThreadsPerCore = 1.2  // running threads a core at which routing skips it: half of a request's time is reading
-	backlogThreadsPerCore   = 1.5  // threads a core at which what was sent counts as done: a full executor's
-	backlogPerThreadMS      = 1000 // ms a core of owed work that weigh as much as one thread a core: a request's length
-	reportLifetimeMS        = 600  // ms that a load report or telling counts: what it tells of ends in about that time
-	probesPerRequest        = 2    // probes for load reports that each request allows: a second choice, no more
-	probesPerMS             = 1e-3 // the same for time going by, so that what waits can go on asking
-	maxProbeTokens          = 10   // most of those kept for later: a burst's worth
-	diskThreadsPerCore      = 1.2  // threads a core on an executor whose disks are always busy: half are kept by cores
-	maxThreadsPerCore       = 1.5  // threads a core past which work is lost: a request waits here (paper's wait queue)
-	maxShortThreadsPerCore  = 2.2  // the same for requests shorter than the onset, which leave again at once
-	reportsLostMS           = 2000 // ms without notes, reports or tellings after which there are none
+	preferredThreadsPerCore = 1.2
+	maxThreadsPerCore       = 1.5
+	maxShortThreadsPerCore  = 2.2 // for requests shorter than the decay onset, which leave again at once
+
+	backlogThreadsPerCore = 1.5  // that are taken to work off what was sent
+	backlogPerThreadMS    = 1000 // of backlog a core that weigh as much as one thread a core
+
+	reportLifetimeMS   = 600
+	reportsLostMS      = 2000 // without reports, after which none are waited for
+	diskThreadsPerCore = 1.2  // on an executor whose disks are always busy
+
+	probesPerRequest = 2    // health checks for load reports: a second choice, no more
+	probesPerMS      = 1e-3 // so that queued requests can go on asking
+	maxProbeTokens   = 10
 )
 
-// selectExecutor gives the executor for a request, or -1: in the nearest places with room the first in its order,
-// else the one with the fewest threads a core. A request waits rather than stand behind a load of its group.
+// selectExecutor returns the index of the executor for a request, or -1 if it has to wait. In doing so it
+// notes whether any executor has room at all. A request does not go where another holds its table group.
 func (s *Scheduler) selectExecutor(r *request) int {
 	class := &s.classes[r.class]
 	limit := maxThreadsPerCore
-	if r.workMS/float64(class.threads) <= s.decayOnsetMS {
+	if class.minRunMS(r) <= s.decayOnsetMS {
 		limit = maxShortThreadsPerCore
 	}
 	s.saturated = true
-	best, bestFill, bestRank, bestTier := -1, 0.0, uint64(0), 0
+	best := candidate{index: -1}
 	for index := range s.executors {
-		e := &s.executors[index]
-		busy, part, memory := float64(e.threads), s.part(e), e.grantedMB
-		if s.reportIsCurrent(e) {
-			busy, part, memory = e.reportedThreads, 1, e.reportedMB
-		}
-		room, ours := e.cores*part, s.part(e)*e.cores
-		now, far := min(1, room*room), 1-min(1, ours*ours)
-		s.saturated = s.saturated && busy > 0 && busy+1 > maxShortThreadsPerCore*room
-		if s.now < e.avoidUntil || !e.proven && e.inFlight > 0 || (class.blockedByHolders || class.holdsGroup) && s.groupIsHeld(r.tableGroup, index) {
+		load := s.loadOf(&s.executors[index])
+		s.saturated = s.saturated && load.isFull()
+		if s.isAvoided(r, class, index) {
 			continue
 		}
-		if v := s.maySend(r, index); v == sendLater || v == sendNever {
-			s.saturated = false
-			break
-		} else if v == sendElsewhere {
+		verdict := s.maySend(r, index)
+		if verdict == sendElsewhere {
 			continue
 		}
-		threads, tier := busy+float64(class.threads), s.remoteZoneFor(class, e.zone).tier()
-		memory = (memory + s.memoryGrant(r, e)) / (e.memoryMB * part)
-		group := r.tableGroup
-		if class.holdsGroup && s.sharesUnderOneThread(e) { // controllers that don't see each other's loads spread them
-			group += uint64(s.settings.Slot) << 32
-		}
-		fill := 0.0 // within the bound the order decides, past it the threads, ours and all's
-		if threads*now > preferredThreadsPerCore*room || memory*now > 1 || far*s.backlog(e) > 0 {
-			fill = 1 + now*busy/room + far*s.backlog(e)/e.cores/backlogPerThreadMS
+		if verdict != sendAllowed {
+			s.saturated = false
+			return -1
 		}
-		if (fill == 0 || threads <= limit*room && memory <= limit/maxShortThreadsPerCore || busy == 0) &&
-			(best < 0 || tier < bestTier || tier == bestTier &&
-				(fill < bestFill || fill == bestFill && order(group, e.id) > bestRank)) {
-			// What is told to all at once would send all to the same one: the fuller, the fewer go at each telling.
-			if s.settings.MayMessagePeers && s.sharesUnderOneThread(e) && s.reportIsCurrent(e) &&
-				s.randomAt(r.sequence*7919+uint64(e.reportedAt)*31+uint64(index)) > 1-busy/(limit*room) {
-				continue
-			}
-			best, bestFill, bestRank, bestTier = index, fill, order(group, e.id), tier
+		next := s.newCandidate(r, class, index, load)
+		if next.fits(load, limit) && next.isBetterThan(best) && !s.leavesToOthers(r, index, load, limit) {
+			best = next
 		}
 	}
-	if best >= 0 && s.awaitsLoadReport(best) {
+	if best.index >= 0 && s.awaitsLoadReport(best.index) {
 		return -1
 	}
-	return best
+	return best.index
 }
 
-// part is this controller's part of an executor, widened by a spread, as parts are rarely full at once.
-func (s *Scheduler) part(e *executor) float64 { return e.share }
+// isAvoided reports whether a request goes elsewhere for a while: after a refusal, while an executor that
+// came back is tried with one attempt, or where another request holds its table group.
+func (s *Scheduler) isAvoided(r *request, class *classState, index int) bool {
+	e := &s.executors[index]
+	if s.now < e.avoidUntil || !e.proven && e.inFlight > 0 {
+		return true
+	}
+	return (class.blockedByHolders || class.holdsGroup) && s.groupIsHeld(r.tableGroup, index)
+}
 
-func shareOf(share, cores float64) float64 { return share * (1 + math.Sqrt((1/share-1)/cores)) }
+func (s *Scheduler) loadOf(e *executor) executorLoad {
+	if s.reportIsCurrent(e) {
+		return executorLoad{threads: e.reportedThreads, memoryMB: e.reportedMB, share: 1, room: e.cores}
+	}
+	threads := float64(e.threads)
+	return executorLoad{threads: threads, memoryMB: e.grantedMB, share: e.share, room: e.cores * e.share}
+}
 
-// sharesUnderOneThread tells that this controller's part of an executor is below one thread.
-func (s *Scheduler) sharesUnderOneThread(e *executor) bool { return s.part(e)*e.cores < 1 }
+// isFull reports whether there is no room for a single thread of a short request.
+func (l executorLoad) isFull() bool {
+	return l.threads > 0 && l.threads+1 > maxShortThreadsPerCore*l.room
+}
 
-// reportIsCurrent tells whether a reported load still counts: bad news for longer, so that nobody runs back to a line.
+func (s *Scheduler) newCandidate(r *request, class *classState, index int, load executorLoad) candidate {
+	e := &s.executors[index]
+	c := candidate{
+		index:       index,
+		tier:        s.remoteZoneFor(class, e.zone).tier(),
+		threads:     load.threads + float64(class.threads),
+		memoryShare: (load.memoryMB + s.memoryGrant(r, e)) / (e.memoryMB * load.share),
+	}
+	threadsWeight := min(1, load.room*load.room)
+	own := e.share * e.cores
+	backlogWeight := 1 - min(1, own*own)
+	backlog := s.backlog(e)
+	isPastBound := c.threads*threadsWeight > preferredThreadsPerCore*load.room || c.memoryShare*threadsWeight > 1
+	if isPastBound || backlogWeight*backlog > 0 {
+		c.fill = 1 + threadsWeight*load.threads/load.room + backlogWeight*backlog/e.cores/backlogPerThreadMS
+	}
+	group := r.tableGroup
+	if class.holdsGroup && s.sharesUnderOneThread(e) { // holders that don't know of each other keep apart
+		group += uint64(s.settings.Slot) << 32
+	}
+	c.rank = rendezvousRank(group, e.id)
+	return c
+}
+
+func (c candidate) fits(load executorLoad, limit float64) bool {
+	hasRoom := c.threads <= limit*load.room && c.memoryShare <= limit/maxShortThreadsPerCore
+	return c.fill == 0 || hasRoom || load.threads == 0
+}
+
+func (c candidate) isBetterThan(other candidate) bool {
+	switch {
+	case other.index < 0:
+		return true
+	case c.tier != other.tier:
+		return c.tier < other.tier
+	case c.fill != other.fill:
+		return c.fill < other.fill
+	}
+	return c.rank > other.rank
+}
+
+// leavesToOthers reports whether a request keeps away from an executor by chance. What all controllers were
+// told at the same time would send all of them to the same one: the fuller it is, the fewer go.
+func (s *Scheduler) leavesToOthers(r *request, index int, load executorLoad, limit float64) bool {
+	e := &s.executors[index]
+	if !s.settings.MayMessagePeers || !s.sharesUnderOneThread(e) || !s.reportIsCurrent(e) {
+		return false
+	}
+	chance := s.randomAt(r.sequence*7919 + uint64(e.reportedAt)*31 + uint64(index))
+	return chance > 1-load.threads/(limit*load.room)
+}
+
+// shareOf widens a share of the traffic to a share of an executor, since the shares of all controllers are
+// seldom full at once.
+func shareOf(traffic, cores float64) float64 {
+	return traffic * (1 + math.Sqrt((1/traffic-1)/cores))
+}
+
+// reportIsCurrent reports whether what was reported of an executor still counts: of a full one for longer, so
+// that not all controllers return to it at once.
 func (s *Scheduler) reportIsCurrent(e *executor) bool {
 	age := s.now - e.reportedAt
-	return e.reportedAt > 0 && (age < reportLifetimeMS || e.reportedThreads > maxShortThreadsPerCore*e.cores && age < 2*reportLifetimeMS)
+	isFull := e.reportedThreads > maxShortThreadsPerCore*e.cores
+	return e.reportedAt > 0 && (age < reportLifetimeMS || isFull && age < 2*reportLifetimeMS)
 }
 
-// awaitsLoadReport tells whether an executor's load report is to be waited for: our own threads say nothing of its
-// load.
+// awaitsLoadReport reports whether a request waits for an executor's load report, and asks for one if none is
+// on its way.
 func (s *Scheduler) awaitsLoadReport(index int) bool {
 	e := &s.executors[index]
 	if !s.settings.ReportsByProbe || s.reportIsCurrent(e) || !s.sharesUnderOneThread(e) {
@@ -94,14 +161,26 @@
 	}
 	if !e.probing && s.probeTokens >= 1 {
 		s.probeTokens--
-		e.probing, e.probedAt = true, s.now
-		s.emit(Action{Kind: HealthCheck, Executor: e.id})
+		s.sendProbe(e)
 	}
-	s.saturated = s.probeTokens < 1 && s.now < s.reportedAt+reportsLostMS // nobody need ask again in this pass
-	return s.now < s.reportedAt+reportsLostMS
+	reportsCome := s.now < s.reportedAt+reportsLostMS
+	s.saturated = s.probeTokens < 1 && reportsCome // no other request can ask in this pass
+	return reportsCome
 }
 
-// owed is the work, in ms of one thread, sent to an executor beyond what our part of it has done since.
+// backlog returns the work, in ms of one thread, that was sent beyond what this controller's share has done
+// since.
 func (s *Scheduler) backlog(e *executor) float64 {
-	return max(0, e.backlogMS-(s.now-e.backlogAt)*backlogThreadsPerCore*e.cores*s.share())
+	return max(0, e.backlogMS-(s.now-e.backlogAt)*backlogThreadsPerCore*e.cores*s.trafficShare)
+}
+
+func (s *Scheduler) recordLoadReport(e *executor, ev *Event) {
+	e.reportedAt = s.now
+	s.reportedAt = s.now
+	e.reportedMB = s.reportFigure(ev, ReportMemoryShare) * e.memoryMB
+	diskThreads := s.reportFigure(ev, ReportDiskShare) * diskThreadsPerCore * e.cores
+	e.reportedThreads = s.reportFigure(ev, ReportInFlight) + diskThreads
+	if s.reportFigure(ev, ReportQueued) > 0.5 { // whatever comes now would queue there
+		e.reportedThreads += maxShortThreadsPerCore * e.cores
+	}
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -16,10 +16,8 @@
 	Idempotent                  // may run any number of times
 )
 
-var effectNames = [...]string{"non-idempotent", "keyed", "idempotent"}
-
 // String returns the name of the effect.
-func (e Effect) String() string { return effectNames[e] }
+func (e Effect) String() string { return nameOf(e, "non-idempotent", "keyed", "idempotent") }
 
 // DedupScope says which executors drop repeats of a keyed request.
 type DedupScope uint8
@@ -32,6 +30,9 @@
 	DedupCell            // those of the cell of the first attempt
 )
 
+// String returns the name of the scope.
+func (s DedupScope) String() string { return nameOf(s, "none", "all", "zone", "cell") }
+
 // RequestClass is one class of requests.
 type RequestClass struct {
 	Name                string
@@ -109,7 +110,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Controllers:      1,
-		MaxAttempts:      maxAttempts,
+		MaxAttempts:      attemptCapacity,
 		LargestShare:     1,
 		ColdCapacity:     0.1,
 		CollapseMultiple: 1,
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,20 +1,25 @@
 package scheduler
 
+// Slow start. An executor that has just started can do only a part of its work, and collapses if all
+// controllers together send it more than a multiple of that part within a window. The shares of all
+// controllers add up to less, whatever each of them sends and though they agree on nothing, and also where
+// controllers have just been started again.
+
 import "math"
 
 const (
-	warmupMargin       = 0.9  // part of the cold budget that all use together: what is usual is learnt by each alone
-	clockStepMS        = 5000 // ms by which a wall clock may have been stepped a little
-	clockHourMS        = 36e5 // ms by which one may have been stepped that was set to another hour
-	startsPerWindow    = 2    // starts of each controller within the window that the budget outlasts
-	restartChanceShare = 0.6  // of what these may send, where chance decides who sends it: two deviations are left
-	maxWarmupPiece     = 0.8  // part of that which a single request may take: the rest keeps warming it up
+	warmupMargin       = 0.9     // of the budget that is shared out: each controller learns the usual work alone
+	maxWarmupPiece     = 0.8     // of that, for a single request: the rest goes on warming it up
+	startsPerWindow    = 2       // of each controller that the budget outlasts
+	restartChanceShare = 0.6     // of what restarted controllers may send, where chance decides which do
+	fewRequests        = 30      // below which a budget tolerates a wider spread
+	clockStepMS        = 5000    // by which a wall clock may have been corrected
+	clockHourMS        = 3600000 // by which one may have been set wrong
 )
 
-// isNewStart tells whether an entry tells of a start that this instance has not treated as cold yet. Wall
-// clocks may have been stepped, so a start is told by another figure than before, or by an executor that
-// joins, whatever the figure. Only where the list of this instance's own start brings it, its figure is all
-// there is: what started long ago is warm.
+// isNewStart reports whether an entry of the list names a start that has not been treated as one. Wall clocks
+// may have been stepped, so that is any other time than before, or an executor that joins, whatever its time.
+// Only in the list of the controller's own start the time is all there is to go by.
 func (s *Scheduler) isNewStart(endpoint *Endpoint, e *executor, known bool, list ListKind) bool {
 	switch {
 	case endpoint.StartedAt == 0 || known && endpoint.StartedAt == e.startedAt:
@@ -25,103 +30,96 @@
 	return true
 }
 
-// mayBeWarmingUp tells whether a start so long ago by the wall clocks may lie within the warm-up: they may have
-// been stepped since, by some seconds or by an hour.
-func (s *Scheduler) mayBeWarmingUp(age float64) bool {
-	warm := s.settings.WarmupMS + clockStepMS
-	return age < warm || age > clockHourMS-clockStepMS && age < clockHourMS+warm
+// mayBeWarmingUp reports whether a start may lie within the warm-up, though wall clocks were corrected since
+// or set by an hour.
+func (s *Scheduler) mayBeWarmingUp(ageMS float64) bool {
+	warmupMS := s.settings.WarmupMS + clockStepMS
+	return ageMS < warmupMS || ageMS > clockHourMS-clockStepMS && ageMS < clockHourMS+warmupMS
 }
 
-// startTime is the clock before which attempts were an earlier process's: the start told, where that fits this
-// machine's clock.
+// startTime returns the time before which attempts went to an earlier process: that of the entry, where it
+// fits this clock.
 func (s *Scheduler) startTime(endpoint *Endpoint) float64 {
-	if age := s.now - endpoint.StartedAt; age >= 0 && age <= s.settings.WarmupMS {
+	age := s.now - endpoint.StartedAt
+	if age >= 0 && age <= s.settings.WarmupMS {
 		return endpoint.StartedAt
 	}
 	return s.now
 }
 
-// startWarmup takes an executor as cold from now on: it fell silent and may have started anew, list or no list.
+// startWarmup treats an executor as just started: the list says so, or it fell silent and may have been
+// started again.
 func (s *Scheduler) startWarmup(index int) {
 	e := &s.executors[index]
 	e.warmupUntil = s.now + s.settings.WarmupMS
-	e.lastSignAt, e.busySince, e.failures, e.slowdown, e.probeFailed, e.proven = s.now, s.now, 0, 1, false, false
+	e.lastSignAt = s.now
+	e.busySince = s.now
+	e.failures = 0
+	e.slowdown = 1
+	e.probeFailed = false
+	e.proven = false
 	s.abandonAttempts(index, e.ejectedAt, true)
 }
 
-// fitsWarmupShare tells whether a request fits this part of what a cold executor may be sent at its least
-// capacity; it weighs what is usual. The parts of all controllers add up to the budget, whatever each sends.
+// fitsWarmupShare reports whether a usual request of a class fits this controller's share of an executor's
+// warm-up budget.
 func (s *Scheduler) fitsWarmupShare(class *classState, e *executor) bool {
 	since := s.now - s.settings.CollapseWindowMS - tickMS
 	e.warmupSent.forget(since, 0)
-	part := s.warmupShare(e)
-	if since < s.startedAt { // what this one sent before it was started again is not known
-		part = s.shareAfterRestart(class, e, part)
+	share := s.warmupShare(e)
+	if since < s.startedAt { // what was sent before the controller's own start is not known
+		share = s.warmupShareAfterRestart(class, e, share)
 	}
-	return e.warmupSent.total()+class.usualWorkMS <= part
+	return e.warmupSent.total()+class.usualWorkMS <= share
 }
 
-// shareAfterRestart is what a controller just started may use of its part, so that all of them, started anew
-// coldStarts times within the window, stay below a fall: a share of it, or, where that holds no request, all
-// of it by chance.
-func (s *Scheduler) shareAfterRestart(class *classState, e *executor, part float64) float64 {
+// warmupShareAfterRestart returns what a controller that has just started may use of its share, so that all
+// of them, started several times within the window, keep within the budget: a part of the share or, where
+// that holds no request, all of it by chance.
+func (s *Scheduler) warmupShareAfterRestart(class *classState, e *executor, share float64) float64 {
 	requests := s.warmupBudget(e) / s.meanWork(class)
-	slack := 2*math.Sqrt(requests) + 2
-	if requests < 30 {
-		slack = 3*math.Sqrt(requests) + 3
+	tolerated := 2*math.Sqrt(requests) + 2
+	if requests < fewRequests {
+		tolerated = 3*math.Sqrt(requests) + 3
 	}
-	share := ((requests+slack)/(warmupMargin*requests) - 1) / startsPerWindow
-	if anew := part * min(1, share); anew >= class.usualWorkMS {
-		return anew
+	part := ((requests+tolerated)/(warmupMargin*requests) - 1) / startsPerWindow
+	reduced := share * min(1, part)
+	if reduced >= class.usualWorkMS {
+		return reduced
 	}
-	if s.randomAt(uint64(e.id)) < share*restartChanceShare {
-		return part
+	if s.randomAt(uint64(e.id)) < part*restartChanceShare {
+		return share
 	}
 	return 0
 }
 
-// warmupBudget is the work, in ms, that a cold executor stands within the window at its least capacity.
+// warmupBudget returns the work, in ms, that an executor stands within the window at its least capacity.
 func (s *Scheduler) warmupBudget(e *executor) float64 {
 	capacity := s.settings.ColdCapacity * e.cores
 	return s.settings.CollapseMultiple * capacity * s.settings.CollapseWindowMS
 }
 
-// meanWork is the mean work of a request, in ms, over all that were taken; that of an offering where none
-// were.
-func (s *Scheduler) meanWork(class *classState) float64 {
-	work, taken := 0.0, 0.0
-	for k := range s.classes {
-		work, taken = work+s.classes[k].usualWorkMS*s.classes[k].arrivals, taken+s.classes[k].arrivals
-	}
-	if work <= 0 {
-		return max(1, class.usualWorkMS)
-	}
-	return work / taken
-}
-
-// warmupShare is that part, in ms of work. Where an even one holds no request of the largest kind, about half
-// of the budget is dealt in pieces for these, the rest in pieces for the smallest kind, each to one
-// controller.
-func (s *Scheduler) warmupShare(e *executor) (part float64) {
+// warmupShare returns this controller's share of the warm-up budget of an executor, in ms of work. Where an
+// even one holds no request of the largest class, about half of the budget is dealt in pieces for these and
+// the rest in pieces for the smallest class, each piece to one controller.
+func (s *Scheduler) warmupShare(e *executor) float64 {
 	budget := warmupMargin * s.warmupBudget(e)
-	n := max(1, float64(s.settings.Controllers))
-	turn := math.Mod(float64(s.settings.Slot)+float64(e.id), n)
-	least, most := math.Inf(1), 0.0
-	for k := range s.classes {
-		if usual := s.classes[k].usualWorkMS; usual > 0 {
-			least, most = min(least, usual), max(most, usual)
-		}
-	}
-	if most <= budget/n {
-		return budget / n
+	controllers := max(1, float64(s.settings.Controllers))
+	smallest, largest := s.usualWorkRange()
+	if largest <= budget/controllers {
+		return budget / controllers
 	}
-	large, piece := max(1, min(n, math.Floor(budget/2/most))), min(most, maxWarmupPiece*budget)
-	if turn < large {
-		part = piece
+	turn := math.Mod(float64(s.settings.Slot)+float64(e.id), controllers)
+	share := 0.0
+	largePieces := max(1, min(controllers, math.Floor(budget/2/largest)))
+	piece := min(largest, maxWarmupPiece*budget)
+	if turn < largePieces {
+		share = piece
 	}
-	budget -= large * piece
-	if small := max(1, min(n, math.Floor(budget/least))); turn < small {
-		part += budget / small
+	budget -= largePieces * piece
+	smallPieces := max(1, min(controllers, math.Floor(budget/smallest)))
+	if turn < smallPieces {
+		share += budget / smallPieces
 	}
-	return part
+	return share
 }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -2,63 +2,75 @@
 
 import "slices"
 
-// remoteZone is a place that is not simply near, with the threads of this instance's attempts there.
+// remoteZone is a zone that is not near, with the threads of this controller's attempts there.
 type remoteZone struct {
 	ZoneReach
 	threads int
 }
 
-// updateReach takes over how far places are.
-func (s *Scheduler) updateReach(list []ZoneReach) {
-	s.remoteZones, s.dispatchNeeded = s.remoteZones[:0], true
-	for _, r := range list {
-		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: r})
+// updateReach takes which zones are remote; all others are near.
+func (s *Scheduler) updateReach(reaches []ZoneReach) {
+	s.remoteZones = s.remoteZones[:0]
+	for _, reach := range reaches {
+		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: reach})
 	}
 	s.recountRemoteThreads()
+	s.dispatchNeeded = true
 }
 
-// recountRemoteThreads counts what is out at each place: executors may have come, or moved.
+// recountRemoteThreads counts the threads in remote zones anew: executors may have come, or moved.
 func (s *Scheduler) recountRemoteThreads() {
-	for k := range s.remoteZones {
-		s.remoteZones[k].threads = 0
+	for i := range s.remoteZones {
+		zone := &s.remoteZones[i]
+		zone.threads = 0
 		for index := range s.executors {
-			if s.executors[index].zone == s.remoteZones[k].Zone {
-				s.remoteZones[k].threads += s.executors[index].threads
+			if s.executors[index].zone == zone.Zone {
+				zone.threads += s.executors[index].threads
 			}
 		}
 	}
 }
 
-// addRemoteThreads counts threads that went out to a place, or came back.
-func (s *Scheduler) addRemoteThreads(place string, threads int) {
-	for k := range s.remoteZones {
-		if s.remoteZones[k].Zone == place {
-			s.remoteZones[k].threads += threads
+// addRemoteThreads counts threads that went to a zone, or came back.
+func (s *Scheduler) addRemoteThreads(name string, threads int) {
+	for i := range s.remoteZones {
+		if s.remoteZones[i].Zone == name {
+			s.remoteZones[i].threads += threads
 		}
 	}
 }
 
-// remoteZoneFor gives how far a place is for an offering, or nil: it is near.
-func (s *Scheduler) remoteZoneFor(class *classState, place string) *remoteZone {
-	for k := range s.remoteZones {
-		if zone := &s.remoteZones[k]; zone.Zone == place && !zone.isNearFor(class) {
+// remoteZoneFor returns a zone if it is remote for a class, otherwise nil.
+func (s *Scheduler) remoteZoneFor(class *classState, name string) *remoteZone {
+	for i := range s.remoteZones {
+		zone := &s.remoteZones[i]
+		if zone.Zone == name && !zone.isNearFor(class) {
 			return zone
 		}
 	}
 	return nil
 }
 
-func (zone *remoteZone) tier() int {
-	if zone == nil {
+// tier returns the tier of a zone; that of nil, a near one, is 0.
+func (z *remoteZone) tier() int {
+	if z == nil {
 		return 0
 	}
-	return zone.Tier
+	return z.Tier
 }
 
-// isNearFor tells whether an offering runs on kinds alone that are free at a place.
+// isNearFor reports whether a class runs only on kinds for which the zone counts as near.
 func (z *ZoneReach) isNearFor(class *classState) bool {
-	return class.kinds != nil && len(z.ExclusiveKinds) > 0 && !slices.ContainsFunc(class.kinds, func(k string) bool { return !slices.Contains(z.ExclusiveKinds, k) })
+	if class.kinds == nil || len(z.ExclusiveKinds) == 0 {
+		return false
+	}
+	for _, kind := range class.kinds {
+		if !slices.Contains(z.ExclusiveKinds, kind) {
+			return false
+		}
+	}
+	return true
 }
 
-// among tells whether a name is in a list that binds; no list binds nothing.
-func among(list []string, name string) bool { return list == nil || slices.Contains(list, name) }
+// allows reports whether a list of permitted names holds a name; nil permits all.
+func allows(names []string, name string) bool { return names == nil || slices.Contains(names, name) }
