--- /dev/null
+++ b/scheduler/reservations.go
@@ -0,0 +1,89 @@
+package scheduler
+
+import "math"
+
+// reserve counts a new attempt at a request as in flight on an executor.
+func (s *Scheduler) reserve(r *request, index int, grantMB float64) {
+	e := &s.executors[index]
+	threads := s.classes[r.class].threads
+	if r.startedCount() > 0 {
+		s.retries.add(s.now, 1)
+	}
+	if r.immediate {
+		r.immediate = false
+		s.arrivals.add(s.now, 1)
+	}
+	if e.inFlight == 0 {
+		e.busySince = s.now
+	}
+	r.attempts[r.attemptCount] = attempt{
+		executor:   index,
+		sentAt:     s.now,
+		progressAt: s.now,
+		threads:    threads,
+		grantMB:    grantMB,
+		inFlight:   true,
+		mayHaveRun: true,
+	}
+	r.attemptCount++
+	r.inFlight++
+	e.inFlight++
+	e.threads += threads
+	e.grantedMB += grantMB
+	s.addRemoteThreads(e.zone, threads)
+}
+
+// releaseReservation counts an attempt as ended.
+func (s *Scheduler) releaseReservation(r *request, a *attempt, mayHaveRun bool) {
+	e := &s.executors[a.executor]
+	s.setQueued(a, false)
+	a.inFlight = false
+	a.mayHaveRun = mayHaveRun
+	r.inFlight--
+	e.inFlight--
+	e.threads -= a.threads
+	e.grantedMB -= a.grantMB
+	s.addRemoteThreads(e.zone, -a.threads)
+}
+
+// setQueued counts an attempt as waiting on its executor, or no longer.
+func (s *Scheduler) setQueued(a *attempt, queued bool) {
+	if a.queued == queued {
+		return
+	}
+	e := &s.executors[a.executor]
+	a.queued = queued
+	if queued {
+		e.queued++
+	} else {
+		e.queued--
+	}
+}
+
+// updateGrant grants a running request what it is to have now.
+func (s *Scheduler) updateGrant(r *request) {
+	a := r.lastAttempt()
+	e := &s.executors[a.executor]
+	before := a.grantMB
+	a.grantMB = s.memoryGrant(r, e)
+	e.grantedMB += a.grantMB - before
+	if a.grantMB != before {
+		s.setResources(r)
+	}
+}
+
+// setResources names the memory grant and the level of a running request. A deployment that heeds neither loses nothing.
+func (s *Scheduler) setResources(r *request) {
+	s.emit(Action{Kind: SetResources, Request: r.id, Level: r.level, GrantMB: math.Ceil(r.lastAttempt().grantMB)})
+}
+
+// cancelAttempts cancels what is in flight of a request.
+func (s *Scheduler) cancelAttempts(slot int) {
+	r := s.requests.at(slot)
+	for i := range r.attemptCount {
+		if r.attempts[i].inFlight && s.settings.MayCancel {
+			s.emit(Action{Kind: Cancel, Request: r.id, Attempt: i})
+		}
+	}
+	s.releaseIfSettled(slot)
+}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,131 +1,125 @@
 package scheduler
 
-import "math"
+// Slow start. An executor that has just started can do only a part of its work, and collapses if all
+// controllers together send it more than a multiple of that part within a window. The shares of all
+// controllers add up to less, whatever each of them sends and though they agree on nothing, and also where
+// controllers have just been started again.
 
-// Slow start: which executors are cold, and what part of what a cold one stands this controller may send it.
-// It keeps the rule that a cold executor is not pushed over by the sum of all controllers, without a word
-// among them.
+import "math"
 
 const (
-	coldMargin = 0.9  // part of the cold budget that all use together: what is usual is learnt by each alone
-	stepMS     = 5000 // ms by which a wall clock may have been stepped a little
-	hourMS     = 36e5 // ms by which one may have been stepped that was set to another hour
-	coldStarts = 2    // starts of each controller within the window that the budget outlasts
-	coldChance = 0.6  // of what these may send, where chance decides who sends it: two deviations are left
-	coldLarge  = 0.8  // part of that which a single request may take: the rest keeps warming it up
+	warmupMargin       = 0.9     // of the budget that is shared out: each controller learns the usual work alone
+	maxWarmupPiece     = 0.8     // of that, for a single request: the rest goes on warming it up
+	startsPerWindow    = 2       // of each controller that the budget outlasts
+	restartChanceShare = 0.6     // of what restarted controllers may send, where chance decides which do
+	fewRequests        = 30      // below which a budget tolerates a wider spread
+	clockStepMS        = 5000    // by which a wall clock may have been corrected
+	clockHourMS        = 3600000 // by which one may have been set wrong
 )
 
-// startedAnew tells whether an entry tells of a start that this instance has not treated as cold yet. Wall
-// clocks may have been stepped, so a start is told by another figure than before, or by an executor that
-// joins, whatever the figure. Only where the list of this instance's own start brings it, its figure is all
-// there is: what started long ago is warm.
-func (g *Scheduler) startedAnew(n *Endpoint, e *executor, known bool, list ListKind) bool {
+// isNewStart reports whether an entry of the list names a start that has not been treated as one. Wall clocks
+// may have been stepped, so that is any other time than before, or an executor that joins, whatever its time.
+// Only in the list of the controller's own start the time is all there is to go by.
+func (s *Scheduler) isNewStart(endpoint *Endpoint, e *executor, known bool, list ListKind) bool {
 	switch {
-	case n.StartedAt == 0 || known && n.StartedAt == e.upSince:
+	case endpoint.StartedAt == 0 || known && endpoint.StartedAt == e.startedAt:
 		return false
 	case !known && list == ListRestored:
-		return g.mayBeCold(g.now - n.StartedAt)
+		return s.mayBeWarmingUp(s.now - endpoint.StartedAt)
 	}
 	return true
 }
 
-// mayBeCold tells whether a start so long ago by the wall clocks may lie within the warm-up: they may have
-// been stepped since, by some seconds or by an hour.
-func (g *Scheduler) mayBeCold(age float64) bool {
-	warm := g.settings.WarmupMS + stepMS
-	return age < warm || age > hourMS-stepMS && age < hourMS+warm
+// mayBeWarmingUp reports whether a start may lie within the warm-up, though wall clocks were corrected since
+// or set by an hour.
+func (s *Scheduler) mayBeWarmingUp(ageMS float64) bool {
+	warmupMS := s.settings.WarmupMS + clockStepMS
+	return ageMS < warmupMS || ageMS > clockHourMS-clockStepMS && ageMS < clockHourMS+warmupMS
 }
 
-// startOf is the clock before which attempts were an earlier process's: the start told, where that fits this
-// machine's clock.
-func (g *Scheduler) startOf(n *Endpoint) float64 {
-	if age := g.now - n.StartedAt; age >= 0 && age <= g.settings.WarmupMS {
-		return n.StartedAt
+// startTime returns the time before which attempts went to an earlier process: that of the entry, where it
+// fits this clock.
+func (s *Scheduler) startTime(endpoint *Endpoint) float64 {
+	age := s.now - endpoint.StartedAt
+	if age >= 0 && age <= s.settings.WarmupMS {
+		return endpoint.StartedAt
 	}
-	return g.now
+	return s.now
 }
 
-// chill takes an executor as cold from now on: it fell silent and may have started anew, list or no list.
-func (g *Scheduler) chill(x int) {
-	e := &g.executors[x]
-	e.coldUntil = g.now + g.settings.WarmupMS
-	e.heard, e.busySince, e.bad, e.pace, e.missed, e.proven = g.now, g.now, 0, 1, false, false
-	g.lost(x, e.asideAt, true)
+// startWarmup treats an executor as just started: the list says so, or it fell silent and may have been
+// started again.
+func (s *Scheduler) startWarmup(index int) {
+	e := &s.executors[index]
+	e.warmupUntil = s.now + s.settings.WarmupMS
+	e.lastSignAt = s.now
+	e.busySince = s.now
+	e.failures = 0
+	e.slowdown = 1
+	e.probeFailed = false
+	e.proven = false
+	s.abandonAttempts(index, e.ejectedAt, true)
 }
 
-// warmEnough tells whether a request fits this part of what a cold executor may be sent at its least
-// capacity; it weighs what is usual. The parts of all controllers add up to the budget, whatever each sends.
-func (g *Scheduler) warmEnough(o *offering, e *executor) bool {
-	since := g.now - g.settings.CollapseWindowMS - beatMS
-	e.coldSent.forget(since, 0)
-	part := g.coldPart(e)
-	if since < g.began { // what this one sent before it was started again is not known
-		part = g.partAnew(o, e, part)
+// fitsWarmupShare reports whether a usual request of a class fits this controller's share of an executor's
+// warm-up budget.
+func (s *Scheduler) fitsWarmupShare(class *classState, e *executor) bool {
+	since := s.now - s.settings.CollapseWindowMS - tickMS
+	e.warmupSent.forget(since, 0)
+	share := s.warmupShare(e)
+	if since < s.startedAt { // what was sent before the controller's own start is not known
+		share = s.warmupShareAfterRestart(class, e, share)
 	}
-	return e.coldSent.total()+o.usual <= part
+	return e.warmupSent.total()+class.usualWorkMS <= share
 }
 
-// partAnew is what a controller just started may use of its part, so that all of them, started anew
-// coldStarts times within the window, stay below a fall: a share of it, or, where that holds no request, all
-// of it by chance.
-func (g *Scheduler) partAnew(o *offering, e *executor, part float64) float64 {
-	requests := g.coldBudget(e) / g.usualWork(o)
-	slack := 2*math.Sqrt(requests) + 2
-	if requests < 30 {
-		slack = 3*math.Sqrt(requests) + 3
+// warmupShareAfterRestart returns what a controller that has just started may use of its share, so that all
+// of them, started several times within the window, keep within the budget: a part of the share or, where
+// that holds no request, all of it by chance.
+func (s *Scheduler) warmupShareAfterRestart(class *classState, e *executor, share float64) float64 {
+	requests := s.warmupBudget(e) / s.meanWork(class)
+	tolerated := 2*math.Sqrt(requests) + 2
+	if requests < fewRequests {
+		tolerated = 3*math.Sqrt(requests) + 3
 	}
-	share := ((requests+slack)/(coldMargin*requests) - 1) / coldStarts
-	if anew := part * min(1, share); anew >= o.usual {
-		return anew
+	part := ((requests+tolerated)/(warmupMargin*requests) - 1) / startsPerWindow
+	reduced := share * min(1, part)
+	if reduced >= class.usualWorkMS {
+		return reduced
 	}
-	if g.odds(uint64(e.id)) < share*coldChance {
-		return part
+	if s.randomAt(uint64(e.id)) < part*restartChanceShare {
+		return share
 	}
 	return 0
 }
 
-// coldBudget is the work, in ms, that a cold executor stands within the window at its least capacity.
-func (g *Scheduler) coldBudget(e *executor) float64 {
-	capacity := g.settings.ColdCapacity * e.cores
-	return g.settings.CollapseMultiple * capacity * g.settings.CollapseWindowMS
+// warmupBudget returns the work, in ms, that an executor stands within the window at its least capacity.
+func (s *Scheduler) warmupBudget(e *executor) float64 {
+	capacity := s.settings.ColdCapacity * e.cores
+	return s.settings.CollapseMultiple * capacity * s.settings.CollapseWindowMS
 }
 
-// usualWork is the mean work of a request, in ms, over all that were taken; that of an offering where none
-// were.
-func (g *Scheduler) usualWork(o *offering) float64 {
-	work, taken := 0.0, 0.0
-	for k := range g.offerings {
-		work, taken = work+g.offerings[k].usual*g.offerings[k].taken, taken+g.offerings[k].taken
-	}
-	if work <= 0 {
-		return max(1, o.usual)
-	}
-	return work / taken
-}
-
-// coldPart is that part, in ms of work. Where an even one holds no request of the largest kind, about half
-// of the budget is dealt in pieces for these, the rest in pieces for the smallest kind, each to one
-// controller.
-func (g *Scheduler) coldPart(e *executor) (part float64) {
-	budget := coldMargin * g.coldBudget(e)
-	n := max(1, float64(g.settings.Controllers))
-	turn := math.Mod(float64(g.settings.Slot)+float64(e.id), n)
-	least, most := math.Inf(1), 0.0
-	for k := range g.offerings {
-		if usual := g.offerings[k].usual; usual > 0 {
-			least, most = min(least, usual), max(most, usual)
-		}
-	}
-	if most <= budget/n {
-		return budget / n
+// warmupShare returns this controller's share of the warm-up budget of an executor, in ms of work. Where an
+// even one holds no request of the largest class, about half of the budget is dealt in pieces for these and
+// the rest in pieces for the smallest class, each piece to one controller.
+func (s *Scheduler) warmupShare(e *executor) float64 {
+	budget := warmupMargin * s.warmupBudget(e)
+	controllers := max(1, float64(s.settings.Controllers))
+	smallest, largest := s.usualWorkRange()
+	if largest <= budget/controllers {
+		return budget / controllers
 	}
-	large, piece := max(1, min(n, math.Floor(budget/2/most))), min(most, coldLarge*budget)
-	if turn < large {
-		part = piece
+	turn := math.Mod(float64(s.settings.Slot)+float64(e.id), controllers)
+	share := 0.0
+	largePieces := max(1, min(controllers, math.Floor(budget/2/largest)))
+	piece := min(largest, maxWarmupPiece*budget)
+	if turn < largePieces {
+		share = piece
 	}
-	budget -= large * piece
-	if small := max(1, min(n, math.Floor(budget/least))); turn < small {
-		part += budget / small
+	budget -= largePieces * piece
+	smallPieces := max(1, min(controllers, math.Floor(budget/smallest)))
+	if turn < smallPieces {
+		share += budget / smallPieces
 	}
-	return part
+	return share
 }
