--- a/internal/assembly/budgets_test.go
+++ b/internal/assembly/budgets_test.go
@@ -121,6 +121,7 @@
 	all.Wait()
 	assert.NoError(t, cmd.Wait())
 	assert.Contains(t, log.String(), "stop: done\" open=0")
+	assert.NotContains(t, log.String(), "violated: ")
 	assert.NotContains(t, log.String(), "broken")
 	t.Logf("%d and %d handled, %d of %d waits within what was told", m, r, kept.Load(), told.Load())
 }
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -207,7 +207,7 @@
 	all.Wait()
 	cpu = (cpuMS(f.Process(0)) - before) / millSearches
 	if offering == "mark" {
-		holdMS = lastField(f.Controllers[0], "tally", "hold_ms")
+		holdMS = lastField(f.Controllers[0], "counters", "hold_ms")
 	}
 	return cpu, holdMS, err
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -14,218 +14,228 @@
 	"liftshift/scheduler"
 )
 
-// script is a module that answers each kind of event with fixed actions and keeps what it was told.
-type script struct {
-	on   map[scheduler.EventKind][]scheduler.Action
-	told []scheduler.Event
+// fakePolicy records its events and answers each kind with fixed actions.
+type fakePolicy struct {
+	actions map[scheduler.EventKind][]scheduler.Action
+	events  []scheduler.Event
 }
 
-func (s *script) ExecutorViews(float64, []scheduler.ExecutorView) []scheduler.ExecutorView {
+func (s *fakePolicy) ExecutorViews(float64, []scheduler.ExecutorView) []scheduler.ExecutorView {
 	return []scheduler.ExecutorView{{Executor: 7, InFlight: 3, Ejected: true}}
 }
 
-func (s *script) Step(_ float64, ev *scheduler.Event, out []scheduler.Action) []scheduler.Action {
-	s.told = append(s.told, *ev)
-	return append(out, s.on[ev.Kind]...)
+func (s *fakePolicy) Step(_ float64, ev *scheduler.Event, out []scheduler.Action) []scheduler.Action {
+	s.events = append(s.events, *ev)
+	return append(out, s.actions[ev.Kind]...)
 }
 
-// last is what the module was told last, of a kind.
-func (s *script) last(kind scheduler.EventKind) *scheduler.Event {
-	for k := len(s.told) - 1; k >= 0; k-- {
-		if s.told[k].Kind == kind {
-			return &s.told[k]
+// lastEvent returns the last event of a kind.
+func (s *fakePolicy) lastEvent(kind scheduler.EventKind) *scheduler.Event {
+	for k := len(s.events) - 1; k >= 0; k-- {
+		if s.events[k].Kind == kind {
+			return &s.events[k]
 		}
 	}
 	return nil
 }
 
-// side plays executors and client: it keeps what it was asked for.
-type side struct {
-	stopped CancelResult
-	held    float64
-	refuse  bool
-	sent    []Attempt
-	did     []string
-	body    string
+// fakeTransport plays executors, attempt and client, and records calls.
+type fakeTransport struct {
+	cancelResult CancelResult
+	heldMS       float64
+	refuseSends  bool
+	sent         []Attempt
+	calls        []string
+	body         string
 }
 
-func (f *side) Send(s Attempt) (RunningAttempt, float64) {
-	f.sent = append(f.sent, s)
-	if f.refuse {
+func (t *fakeTransport) Send(s Attempt) (RunningAttempt, float64) {
+	t.sent = append(t.sent, s)
+	if t.refuseSends {
 		return nil, 0
 	}
-	return f, f.held
+	return t, t.heldMS
 }
-func (f *side) Release()                         { f.did = append(f.did, "release") }
-func (f *side) HealthCheck(uint32, uint64) bool  { f.did = append(f.did, "probe"); return !f.refuse }
-func (f *side) ForgetHealthCheck(uint32, uint64) { f.did = append(f.did, "unanswered") }
-func (f *side) ConnectionState(uint32) ConnectionState {
+func (t *fakeTransport) Release() { t.calls = append(t.calls, "release") }
+func (t *fakeTransport) HealthCheck(uint32, uint64) bool {
+	t.calls = append(t.calls, "health check")
+	return !t.refuseSends
+}
+func (t *fakeTransport) ForgetHealthCheck(uint32, uint64) {
+	t.calls = append(t.calls, "forget health check")
+}
+func (t *fakeTransport) ConnectionState(uint32) ConnectionState {
 	return ConnectionState{Name: "s-7", Attempts: 2}
 }
-func (f *side) Cancel() CancelResult         { f.did = append(f.did, "off"); return f.stopped }
-func (f *side) SetLevel(int)                 { f.did = append(f.did, "level") }
-func (f *side) Succeeded(_ uint64, b []byte) { f.did, f.body = append(f.did, "handled"), string(b) }
-func (f *side) Rejected(uint64, float64)     { f.did = append(f.did, "denied") }
-func (f *side) Failed(uint64)                { f.did = append(f.did, "written off") }
+func (t *fakeTransport) Cancel() CancelResult {
+	t.calls = append(t.calls, "cancel")
+	return t.cancelResult
+}
+func (t *fakeTransport) SetLevel(int) { t.calls = append(t.calls, "set level") }
+func (t *fakeTransport) Succeeded(_ uint64, b []byte) {
+	t.calls, t.body = append(t.calls, "succeeded"), string(b)
+}
+func (t *fakeTransport) Rejected(uint64, float64) { t.calls = append(t.calls, "rejected") }
+func (t *fakeTransport) Failed(uint64)            { t.calls = append(t.calls, "failed") }
 
-// sent is a desk whose module has sent request a to executor 7 at level 3.
-func sent(f *side, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *script) {
+// newLoopWithAttempt returns a loop whose scheduler has sent request a to executor 7 at level 3.
+func newLoopWithAttempt(transport *fakeTransport, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *fakePolicy) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	one := &script{on: map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {
+	policy := &fakePolicy{actions: map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {
 		{Kind: scheduler.SetResources, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
 	for k, v := range on {
-		one.on[k] = v
+		policy.actions[k] = v
 	}
-	d := New(NewClock(), one, log)
-	d.Executors, d.HealthCheckTimeoutMS = f, 250
-	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: search0(d, f)})
-	return d, one
+	loop := New(NewClock(), policy, log)
+	loop.Executors, loop.HealthCheckTimeoutMS = transport, 250
+	loop.openCount.Add(1)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, transport)})
+	return loop, policy
 }
 
-func search0(d *Loop, f *side) *Request {
-	return &Request{ID: "a", Class: "look", Deadline: d.clock.Now() + 1000, Client: f, Tag: 5}
+func newRequest(loop *Loop, transport *fakeTransport) *Request {
+	return &Request{ID: "a", Class: "look", Deadline: loop.clock.Now() + 1000, Client: transport, Tag: 5}
 }
 
-func end(o scheduler.Outcome) QueueItem {
+func attemptEnded(o scheduler.Outcome) QueueItem {
 	return QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: "a", Outcome: o}, Body: []byte("rows")}
 }
 
-func TestARequestIsSentHandledAndForgotten(t *testing.T) {
-	f := &side{}
-	d, one := sent(f, nil)
-	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{f.sent[0].Executor, f.sent[0].GrantMB, f.sent[0].Level, f.sent[0].Number})
-	assert.InDelta(t, 1000, f.sent[0].TimeoutMS, 900)
-	d.play(end(scheduler.Succeeded))
-	assert.Equal(t, "rows", f.body)
-	ev := one.last(scheduler.AttemptEnded)
+func TestLoop_SendsAnswersAndReleasesRequest(t *testing.T) {
+	transport := &fakeTransport{}
+	loop, policy := newLoopWithAttempt(transport, nil)
+	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{transport.sent[0].Executor, transport.sent[0].GrantMB, transport.sent[0].Level, transport.sent[0].Number})
+	assert.InDelta(t, 1000, transport.sent[0].TimeoutMS, 900)
+	loop.process(attemptEnded(scheduler.Succeeded))
+	assert.Equal(t, "rows", transport.body)
+	ev := policy.lastEvent(scheduler.AttemptEnded)
 	assert.True(t, ev.Final)
 	assert.Equal(t, uint32(7), ev.Executor)
-	assert.Zero(t, d.OpenRequests())
-	assert.Empty(t, d.requests)
-	d.play(end(scheduler.Succeeded)) // nothing is answered twice
-	assert.Equal(t, []string{"handled"}, f.did)
-	assert.Equal(t, uint64(1), d.tally.Stray)
+	assert.Zero(t, loop.OpenRequests())
+	assert.Empty(t, loop.requests)
+	loop.process(attemptEnded(scheduler.Succeeded)) // nothing is answered twice
+	assert.Equal(t, []string{"succeeded"}, transport.calls)
+	assert.Equal(t, uint64(1), loop.counters.Stray)
 }
 
-func TestAnAttemptHeldBackIsReleasedInItsTime(t *testing.T) {
-	f := &side{held: 40}
-	d, _ := sent(f, nil)
-	d.due()
-	assert.Empty(t, f.did)
-	assert.Equal(t, releases, d.timers[0].what)
-	assert.InDelta(t, d.clock.Now()+40, d.timers[0].at, 30)
-	d.timers[0].at = 0
-	d.timers.push(timer{at: d.clock.Now() + 1e6, what: tallies})
-	d.due()
-	assert.Equal(t, []string{"release"}, f.did)
+func TestLoop_ReleasesDelayedAttempt(t *testing.T) {
+	transport := &fakeTransport{heldMS: 40}
+	loop, _ := newLoopWithAttempt(transport, nil)
+	loop.fireTimers()
+	assert.Empty(t, transport.calls)
+	assert.Equal(t, releaseTimer, loop.timers[0].kind)
+	assert.InDelta(t, loop.clock.Now()+40, loop.timers[0].at, 30)
+	loop.timers[0].at = 0
+	loop.timers.push(timer{at: loop.clock.Now() + 1e6, kind: countersTimer})
+	loop.fireTimers()
+	assert.Equal(t, []string{"release"}, transport.calls)
 }
 
-// An answer that is in the queue when its attempt is called off counts, as long as nothing was answered.
-func TestAnAnswerOnItsWayGoesBeforeACallOff(t *testing.T) {
-	f := &side{stopped: AlreadyEnded}
-	d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"}}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
-	assert.Nil(t, one.last(scheduler.AttemptEnded), "its end comes by itself")
-	d.play(end(scheduler.Succeeded))
-	assert.Equal(t, []string{"off", "handled"}, f.did)
+// An answer that is in the queue when its attempt is cancelled counts, as long as nothing was answered.
+func TestLoop_QueuedAnswerPrecedesCancellation(t *testing.T) {
+	transport := &fakeTransport{cancelResult: AlreadyEnded}
+	loop, policy := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"}}})
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "its end comes by itself")
+	loop.process(attemptEnded(scheduler.Succeeded))
+	assert.Equal(t, []string{"cancel", "succeeded"}, transport.calls)
 }
 
-func TestWhatACallOffComesTo(t *testing.T) {
+func TestLoop_CancelResultGivesOutcome(t *testing.T) {
 	for stopped, want := range map[CancelResult]scheduler.Outcome{CancelSent: scheduler.Cancelled, CancelledUnsent: scheduler.NeverSent} {
-		f := &side{stopped: stopped}
-		d, one := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"},
-			{Kind: scheduler.SetResources, Request: "a", Level: 1}}}) // terms for an attempt whose end stands in line
-		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
-		assert.Equal(t, want, one.last(scheduler.AttemptEnded).Outcome)
-		assert.Equal(t, []string{"off"}, f.did)
+		transport := &fakeTransport{cancelResult: stopped}
+		loop, policy := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"},
+			{Kind: scheduler.SetResources, Request: "a", Level: 1}}}) // resources for an attempt whose end is pending
+		loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+		assert.Equal(t, want, policy.lastEvent(scheduler.AttemptEnded).Outcome)
+		assert.Equal(t, []string{"cancel"}, transport.calls)
 	}
 }
 
-func TestAnAttemptThatCannotGoOutHereIsUnsent(t *testing.T) {
-	_, one := sent(&side{refuse: true}, nil)
-	assert.Equal(t, scheduler.LocalFailure, one.last(scheduler.AttemptEnded).Outcome)
+func TestLoop_RefusedSendIsLocalFailure(t *testing.T) {
+	_, policy := newLoopWithAttempt(&fakeTransport{refuseSends: true}, nil)
+	assert.Equal(t, scheduler.LocalFailure, policy.lastEvent(scheduler.AttemptEnded).Outcome)
 }
 
-// Silence shows by the hard limit: the attempt is told as timed out, whoever forgot to look.
-func TestSilenceShowsByTheHardLimit(t *testing.T) {
-	f := &side{}
-	d, one := sent(f, nil)
-	d.expire("a")
-	assert.Nil(t, one.last(scheduler.AttemptEnded), "not before it")
-	d.requests["a"].Deadline = d.clock.Now() - 1
-	d.expire("a")
-	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.AttemptEnded).Outcome)
-	assert.Equal(t, uint64(1), d.tally.Overdue)
+// The deadline ends an attempt that shows no sign, also where the scheduler set no timer.
+func TestLoop_DeadlineEndsSilentAttempt(t *testing.T) {
+	transport := &fakeTransport{}
+	loop, policy := newLoopWithAttempt(transport, nil)
+	loop.expireRequest("a")
+	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "not before it")
+	loop.requests["a"].Deadline = loop.clock.Now() - 1
+	loop.expireRequest("a")
+	assert.Equal(t, scheduler.TimedOut, policy.lastEvent(scheduler.AttemptEnded).Outcome)
+	assert.Equal(t, uint64(1), loop.counters.Overdue)
 }
 
-func TestDeniedOnceAndNothingAfter(t *testing.T) {
-	f := &side{}
-	d, _ := sent(f, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Reject, Request: "a"},
+func TestLoop_RejectsOnce(t *testing.T) {
+	transport := &fakeTransport{}
+	loop, _ := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Reject, Request: "a"},
 		{Kind: scheduler.Cancel, Request: "a"}}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
-	d.play(end(scheduler.Succeeded))
-	assert.Equal(t, []string{"denied", "off"}, f.did)
-	assert.Zero(t, d.OpenRequests())
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	loop.process(attemptEnded(scheduler.Succeeded))
+	assert.Equal(t, []string{"rejected", "cancel"}, transport.calls)
+	assert.Zero(t, loop.OpenRequests())
 }
 
-func TestAClientEndsItsOwnRequestsAlone(t *testing.T) {
-	f := &side{}
-	d, one := sent(f, nil)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: &side{}, Token: 5})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 4})
-	assert.Nil(t, one.last(scheduler.ClientLeft))
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 5})
-	assert.NotNil(t, one.last(scheduler.ClientLeft))
-	assert.Zero(t, d.OpenRequests())
+func TestLoop_ClientEndsOnlyItsOwnRequests(t *testing.T) {
+	transport := &fakeTransport{}
+	loop, policy := newLoopWithAttempt(transport, nil)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: &fakeTransport{}, Token: 5})
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 4})
+	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft))
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 5})
+	assert.NotNil(t, policy.lastEvent(scheduler.ClientLeft))
+	assert.Zero(t, loop.OpenRequests())
 }
 
-func TestAnIDThatIsOpenIsFailedTheSecondTime(t *testing.T) {
-	f, other := &side{}, &side{}
-	d, _ := sent(f, nil)
-	s := search0(d, other)
-	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
-	assert.Equal(t, []string{"written off"}, other.did)
-	assert.Equal(t, 1, d.OpenRequests())
-	assert.Len(t, f.sent, 1)
-	d.play(end(scheduler.Succeeded))
-	d.open.Add(1)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: search0(d, other)})
-	assert.Len(t, f.sent, 1, "nor once the first is over: its shot would be a further one")
-	assert.Len(t, d.spent, 1)
-	d.expire("a")
-	assert.Empty(t, d.spent, "ids are kept no longer than up to the hard limit")
+func TestLoop_FailsDuplicateID(t *testing.T) {
+	transport, other := &fakeTransport{}, &fakeTransport{}
+	loop, _ := newLoopWithAttempt(transport, nil)
+	s := newRequest(loop, other)
+	loop.openCount.Add(1)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
+	assert.Equal(t, []string{"failed"}, other.calls)
+	assert.Equal(t, 1, loop.OpenRequests())
+	assert.Len(t, transport.sent, 1)
+	loop.process(attemptEnded(scheduler.Succeeded))
+	loop.openCount.Add(1)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, other)})
+	assert.Len(t, transport.sent, 1, "nor once the first is closed: its attempt would be one more")
+	assert.Len(t, loop.closedIDs, 1)
+	loop.expireRequest("a")
+	assert.Empty(t, loop.closedIDs, "ids are kept no longer than their deadline")
 }
 
-func TestProbes(t *testing.T) {
+func TestLoop_HealthChecks(t *testing.T) {
 	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.TimerFired: {{Kind: scheduler.HealthCheck, Executor: 7}}}
-	f := &side{}
-	d, one := sent(f, probe)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: 7}, Token: 9})
-	assert.Nil(t, one.last(scheduler.HealthChecked), "an older probe's answer")
-	d.HealthCheckTimeoutMS = 0
-	for d.timers[0].what != probes {
-		d.timers.pop()
+	transport := &fakeTransport{}
+	loop, policy := newLoopWithAttempt(transport, probe)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: 7}, Token: 9})
+	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked), "the answer of an older check")
+	loop.HealthCheckTimeoutMS = 0
+	for loop.timers[0].kind != healthCheckTimer {
+		loop.timers.pop()
 	}
-	d.timers[0].at = d.clock.Now() - 2*stoodMS // this controller stood still: the answer may wait to be read
-	d.due()
-	assert.Nil(t, one.last(scheduler.HealthChecked))
-	for d.timers[0].what != probes {
-		d.timers.pop()
+	loop.timers[0].at = loop.clock.Now() - 2*stallMS // this process stalled: the answer may be there and not be read yet
+	loop.fireTimers()
+	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked))
+	for loop.timers[0].kind != healthCheckTimer {
+		loop.timers.pop()
 	}
-	d.timers[0].at = d.clock.Now()
-	d.due()
-	assert.Equal(t, scheduler.TimedOut, one.last(scheduler.HealthChecked).Outcome)
-	assert.Equal(t, []string{"probe", "unanswered"}, f.did)
-	d, one = sent(&side{refuse: true}, probe)
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
-	assert.Equal(t, scheduler.LocalFailure, one.last(scheduler.HealthChecked).Outcome)
+	loop.timers[0].at = loop.clock.Now()
+	loop.fireTimers()
+	assert.Equal(t, scheduler.TimedOut, policy.lastEvent(scheduler.HealthChecked).Outcome)
+	assert.Equal(t, []string{"health check", "forget health check"}, transport.calls)
+	loop, policy = newLoopWithAttempt(&fakeTransport{refuseSends: true}, probe)
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	assert.Equal(t, scheduler.LocalFailure, policy.lastEvent(scheduler.HealthChecked).Outcome)
 }
 
-func TestTimersComeInOrder(t *testing.T) {
+func TestTimers_PopInOrder(t *testing.T) {
 	var h timers
 	for k := range 200 {
 		h.push(timer{at: float64(k * 7919 % 200)})
@@ -235,21 +245,21 @@
 	}
 }
 
-func TestRunStopsAndPutNeverHangsAfter(t *testing.T) {
-	d, one := sent(&side{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Started: {{Kind: scheduler.SetTimer, AfterMS: 1, Token: 3}}})
-	go d.Run()
-	for range 2 * queueRoom {
-		d.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage}})
+func TestLoop_PutReturnsAfterStop(t *testing.T) {
+	loop, policy := newLoopWithAttempt(&fakeTransport{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Started: {{Kind: scheduler.SetTimer, AfterMS: 1, Token: 3}}})
+	go loop.Run()
+	for range 2 * queueCapacity {
+		loop.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage}})
 	}
-	assert.Eventually(t, func() bool { return len(d.queue) == 0 }, 5e9, 1e6)
-	d.Stop()
-	assert.Equal(t, uint64(3), one.last(scheduler.TimerFired).Token)
-	for range 2 * queueRoom {
-		d.Put(QueueItem{})
+	assert.Eventually(t, func() bool { return len(loop.queue) == 0 }, 5e9, 1e6)
+	loop.Stop()
+	assert.Equal(t, uint64(3), policy.lastEvent(scheduler.TimerFired).Token)
+	for range 2 * queueCapacity {
+		loop.Put(QueueItem{})
 	}
 }
 
-func TestTheClockStandsOnUnixTime(t *testing.T) {
+func TestClock_StartsAtUnixTime(t *testing.T) {
 	c := NewClock()
 	a := c.Now()
 	assert.InDelta(t, float64(c.start.UnixMilli()), a, 1000)
@@ -257,76 +267,76 @@
 	assert.Zero(t, c.until(a-5))
 }
 
-// What the module believes of an executor must be seen beside what passes on the sockets.
-func TestBeliefsAreLoggedBesideTheSockets(t *testing.T) {
-	d, _ := sent(&side{}, nil)
+// The scheduler's view of an executor is logged beside the state of its connections.
+func TestLoop_LogsExecutorViewBesideConnectionState(t *testing.T) {
+	loop, _ := newLoopWithAttempt(&fakeTransport{}, nil)
 	var text bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&text)
-	d.log = log
-	d.compare()
-	assert.Regexp(t, `belief aside=true .*executor=s-7 .*id=7 open=2 out=3`, text.String())
+	loop.log = log
+	loop.logExecutorStates()
+	assert.Regexp(t, `msg=executor .*connection_attempts=2 .*ejected=true executor=s-7 id=7 .*in_flight=3`, text.String())
 }
 
-// Ids are always new: nothing is kept of a request past its hard limit, however it ended.
-func TestNothingIsKeptOfRequestsThatAreOver(t *testing.T) {
-	f := &side{stopped: CancelSent}
+// Ids are always new: nothing is kept of a request past its deadline, however it ended.
+func TestLoop_KeepsNothingPastDeadline(t *testing.T) {
+	transport := &fakeTransport{cancelResult: CancelSent}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d := New(NewClock(), &script{}, log)
-	d.Executors = f
+	loop := New(NewClock(), &fakePolicy{}, log)
+	loop.Executors = transport
 	for n := range 300 {
-		s := search0(d, f)
-		s.ID, s.Deadline = fmt.Sprint("a", n), d.clock.Now()+200
-		d.open.Add(1)
-		d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
-		d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
+		s := newRequest(loop, transport)
+		s.ID, s.Deadline = fmt.Sprint("a", n), loop.clock.Now()+200
+		loop.openCount.Add(1)
+		loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
+		loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
 		switch n % 3 {
 		case 0:
-			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: s.ID, Outcome: scheduler.Succeeded}})
+			loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: s.ID, Outcome: scheduler.Succeeded}})
 		case 1:
-			d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: s.ID}, Client: f, Token: s.Tag})
-			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Cancel, Request: s.ID})
-			d.rest()
+			loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: s.ID}, Client: transport, Token: s.Tag})
+			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Cancel, Request: s.ID})
+			loop.processPending()
 		default:
-			d.act(d.clock.Now(), &scheduler.Action{Kind: scheduler.Reject, Request: s.ID})
+			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Reject, Request: s.ID})
 		}
 	}
-	time.Sleep(250 * time.Millisecond) // all hard limits go by
-	d.timers.push(timer{at: d.clock.Now() + 1e6, what: tallies})
-	d.due()
-	assert.Equal(t, []int{0, 0, 1, 0}, []int{len(d.requests), len(d.spent), len(d.timers), d.OpenRequests()})
+	time.Sleep(250 * time.Millisecond) // all deadlines pass
+	loop.timers.push(timer{at: loop.clock.Now() + 1e6, kind: countersTimer})
+	loop.fireTimers()
+	assert.Equal(t, []int{0, 0, 1, 0}, []int{len(loop.requests), len(loop.closedIDs), len(loop.timers), loop.OpenRequests()})
 }
 
-// An attempt that was stopped at the last step, as its client had gone: the module is told that the request is over, before the
-// word of it has come through the queue, and sends it nowhere else.
-func TestAnAttemptStoppedForAClientThatLeftIsTheLast(t *testing.T) {
-	f := &side{}
-	d, one := sent(f, nil)
-	s := d.requests["a"]
+// An attempt was not sent as its client had gone: the scheduler learns that the request is over before ClientLeft has come through
+// the queue, and sends it nowhere else.
+func TestLoop_AttemptNotSentForGoneClientIsFinal(t *testing.T) {
+	transport := &fakeTransport{}
+	loop, policy := newLoopWithAttempt(transport, nil)
+	s := loop.requests["a"]
 	s.ClientGone = &atomic.Bool{}
 	s.ClientGone.Store(true)
-	d.play(end(scheduler.NeverSent))
-	assert.True(t, one.last(scheduler.AttemptEnded).Final)
-	assert.Zero(t, d.OpenRequests())
-	d.play(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: f, Token: 5})
-	assert.Nil(t, one.last(scheduler.ClientLeft), "told once")
-	assert.Equal(t, uint64(1), d.tally.ClientLeft)
-	assert.Empty(t, f.did)
-	assert.Len(t, f.sent, 1)
+	loop.process(attemptEnded(scheduler.NeverSent))
+	assert.True(t, policy.lastEvent(scheduler.AttemptEnded).Final)
+	assert.Zero(t, loop.OpenRequests())
+	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 5})
+	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft), "told once")
+	assert.Equal(t, uint64(1), loop.counters.ClientLeft)
+	assert.Empty(t, transport.calls)
+	assert.Len(t, transport.sent, 1)
 }
 
-// What is read during a stand-still of this process, or just after it, may have come as that began.
-func TestArrivalsAroundAStandStill(t *testing.T) {
-	var p pulse
-	assert.Equal(t, 500.0, p.arrival(500), "nothing is known before the first turn")
-	p.beat(1000)
-	assert.Equal(t, 1040.0, p.arrival(1040))
-	assert.Equal(t, 1000.0, p.arrival(1600))
-	p.beat(1600)
-	assert.Equal(t, 1000.0, p.arrival(1620))
-	p.beat(1620)
-	p.beat(1640)
-	p.beat(1655)
-	assert.Equal(t, 1655.0, p.arrival(1655))
+// What is read during a stall of this process, or just after it, may have come as that began.
+func TestStallDetector_EarliestArrival(t *testing.T) {
+	var p stallDetector
+	assert.Equal(t, 500.0, p.earliestArrival(500), "no turn was recorded yet")
+	p.recordTurn(1000)
+	assert.Equal(t, 1040.0, p.earliestArrival(1040))
+	assert.Equal(t, 1000.0, p.earliestArrival(1600))
+	p.recordTurn(1600)
+	assert.Equal(t, 1000.0, p.earliestArrival(1620))
+	p.recordTurn(1620)
+	p.recordTurn(1640)
+	p.recordTurn(1655)
+	assert.Equal(t, 1655.0, p.earliestArrival(1655))
 }
