--- a/cmd/liftshift/main.go
+++ b/cmd/liftshift/main.go
@@ -1,6 +1,6 @@
-// Command liftshift is one controller on sockets. Called plainly it serves, with the platform's configuration that
-// RELAY_CONFIG names, and has nothing else in it: what the platform does not use costs it no memory. With any argument, or
-// where LIFTSHIFT_FILE names an operators' file, it becomes liftshift-full, which stands beside it.
+// Command liftshift is one controller. Without arguments it serves with the platform's configuration, which RELAY_CONFIG names, and
+// contains nothing else: what the platform does not use costs it no memory. With any argument, or where LIFTSHIFT_FILE names an
+// operators' file, it replaces itself by the program liftshift-full in the same folder.
 package main
 
 import (
@@ -14,15 +14,15 @@
 	"liftshift/internal/service"
 )
 
-const full = "liftshift-full"
+const fullProgram = "liftshift-full"
 
 func main() {
-	reload := make(chan os.Signal, 1) // first of all: unheeded, SIGHUP would end the process
+	reload := make(chan os.Signal, 1) // first of all: unhandled, SIGHUP would end the process
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: that must not end the process
+	signal.Ignore(syscall.SIGPIPE) // the reader of the log may go: that must not end the process
 	var err error
 	if len(os.Args) > 1 || os.Getenv("LIFTSHIFT_FILE") != "" {
-		err = become()
+		err = execFull()
 	} else {
 		err = serve(reload)
 	}
@@ -32,22 +32,23 @@
 	}
 }
 
-// become goes on as the full program, under the same process number.
-func become() error {
+// execFull replaces this program by the full one, under the same process id.
+func execFull() error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(self), full)
-	signal.Ignore(syscall.SIGHUP) // stays so until the other listens
+	path := filepath.Join(filepath.Dir(self), fullProgram)
+	signal.Ignore(syscall.SIGHUP) // stays ignored until the other program handles it
 	if err := syscall.Exec(path, os.Args, os.Environ()); err != nil {
-		return fmt.Errorf("commands and the operators' file need %s beside this program: %w", full, err)
+		return fmt.Errorf("commands and the operators' file need %s beside this program: %w", fullProgram, err)
 	}
 	return nil
 }
 
+// serve runs a controller until SIGTERM or SIGINT.
 func serve(reload <-chan os.Signal) error {
-	node, err := service.ReadConfig()
+	config, err := service.ReadConfig()
 	if err != nil {
 		return err
 	}
@@ -55,5 +56,5 @@
 	defer stop()
 	log, flush := service.NewLog(os.Stderr)
 	defer flush()
-	return service.Run(ctx, node, service.NoExtensions{}, reload, log)
+	return service.Run(ctx, config, service.NoExtensions{}, reload, log)
 }
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -1,4 +1,3 @@
-// Package service starts the parts, keeps their limits and stops them.
 package service
 
 import (
@@ -7,23 +6,18 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
-	"slices"
 	"strconv"
 	"syscall"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"liftshift/internal/retry"
 	"liftshift/internal/settings"
-	"liftshift/internal/wire"
 )
 
 // readPatience is for how long a configuration is read again that can't be read for a moment.
-const readPatience = time.Second
+const readRetryTime = time.Second
 
-// Config is what a controller is told at its start.
+// Config is the configuration of a controller, as the platform writes it.
 type Config struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -44,100 +38,70 @@
 	settings *settings.Settings
 }
 
-// ReadConfig reads the configuration file whose path the environment names.
+// ReadConfig reads and validates the configuration file that the environment variable RELAY_CONFIG names.
 func ReadConfig() (*Config, error) {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG names no configuration file")
 	}
-	text, err := readPatiently(path, os.ReadFile)
+	text, err := readWithRetries(path, os.ReadFile)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	n := &Config{}
-	if err := json.Unmarshal(text, n); err != nil {
+	c := &Config{}
+	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	if at := os.Getenv("RELAY_LISTEN"); n.Listen == "" {
-		n.Listen = at
+	if c.Listen == "" {
+		c.Listen = os.Getenv("RELAY_LISTEN")
 	}
-	if err := n.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return n, nil
+	return c, nil
 }
 
-// readPatiently reads a file, and again where that fails for a moment.
-func readPatiently(path string, read func(string) ([]byte, error)) (text []byte, err error) {
-	err = retry.For(readPatience, func() error {
+// readWithRetries reads a file, and again after transient errors.
+func readWithRetries(path string, read func(string) ([]byte, error)) (text []byte, err error) {
+	err = retry.For(readRetryTime, func() error {
 		text, err = read(path)
 		return err
 	}, append([]error{syscall.EIO}, retry.Momentary...)...)
 	return text, err
 }
 
-// PlatformSettings returns the platform's settings in the program's terms.
-func (n *Config) PlatformSettings() *settings.Settings { return n.settings }
+// PlatformSettings returns the platform's settings, typed and validated.
+func (c *Config) PlatformSettings() *settings.Settings { return c.settings }
 
-func (n *Config) check() (err error) {
-	for _, at := range []struct{ name, address string }{{"listen", n.Listen}, {"changelog", n.Discovery}} {
-		if _, err := netip.ParseAddrPort(at.address); err != nil {
-			return fmt.Errorf("%s is missing or no address: %q", at.name, at.address)
+// validate checks the fields and completes what is derived from them.
+func (c *Config) validate() (err error) {
+	for _, field := range []struct{ name, address string }{{"listen", c.Listen}, {"changelog", c.Discovery}} {
+		if _, err := netip.ParseAddrPort(field.address); err != nil {
+			return fmt.Errorf("%s is missing or no address: %q", field.name, field.address)
 		}
 	}
-	if len(n.Known) == 0 {
+	if len(c.Known) == 0 {
 		return errors.New("known is missing")
 	}
-	if len(n.Settings) == 0 {
+	if len(c.Settings) == 0 {
 		return errors.New("settings is missing")
 	}
-	if n.Limits.MemoryMB <= 0 || n.Limits.Sockets <= 0 {
+	if c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
 		return errors.New("limits: memory_mb and sockets must be above 0")
 	}
-	if n.seed, err = strconv.ParseUint(n.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed is not 16 hex digits: %q", n.Seed)
+	c.seed, err = strconv.ParseUint(c.Seed, 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed is not 16 hex digits: %q", c.Seed)
 	}
-	if n.settings, err = settings.Read(n.Settings); err != nil {
+	c.settings, err = settings.Read(c.Settings)
+	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	of := &n.settings.Scheduler
-	if len(of.Classes) == 0 {
+	if len(c.settings.Scheduler.Classes) == 0 {
 		return errors.New("settings: no request class")
 	}
-	// Parts of what all may send a cold executor add up only if nobody counts too few.
-	of.Controllers = max(of.Controllers, len(n.Peers))
-	of.NotifiedWithinMS = float64(toldWithin) / float64(time.Millisecond)
+	// Controllers share what a warming-up executor may get: the shares add up only if none counts too few controllers.
+	c.settings.Scheduler.Controllers = max(c.settings.Scheduler.Controllers, len(c.Peers))
+	c.settings.Scheduler.NotifiedWithinMS = float64(notifiedWithin) / float64(time.Millisecond)
 	return nil
 }
-
-// reload reads the configuration again, gives the one in force from then on, and whether that is what was read. It is taken
-// whole or not at all. What moves is the change log; the rest is fixed at the start, and the log names what would need a restart.
-func (n *Config) reload(feed *wire.DiscoveryClient, beside Extensions, log logrus.FieldLogger) (*Config, bool) {
-	next, err := ReadConfig()
-	var take func() []string
-	if err == nil {
-		take, err = beside.Reload(next.settings)
-	}
-	if err != nil {
-		log.WithField("why", err).Error("reload: not read, the old configuration stays in force")
-		return n, false
-	}
-	feed.Follow(next.Discovery)
-	log.WithFields(logrus.Fields{"changelog": next.Discovery, "needs_restart": append(n.differs(next), take()...)}).Info("reload: done")
-	return next, true
-}
-
-// differs names the fields that another configuration has otherwise and that only a restart heeds. The events known
-// at the start and the seed are new in each file.
-func (n *Config) differs(next *Config) []string {
-	var names []string
-	for name, same := range map[string]bool{"name": n.Name == next.Name, "listen": n.Listen == next.Listen,
-		"limits": n.Limits == next.Limits, "peer_listen": n.PeerListen == next.PeerListen, "peers_all": n.AllPeers == next.AllPeers,
-		"peers": slices.Equal(n.Peers, next.Peers), "settings": reflect.DeepEqual(n.settings, next.settings)} {
-		if !same {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
-}
--- a/internal/service/extensions.go
+++ b/internal/service/extensions.go
@@ -7,27 +7,28 @@
 	"liftshift/internal/settings"
 )
 
-// Extensions is what an installation has besides the platform's side. Package service knows nothing of it, so that where it is
-// not wanted it is not even in the program.
+// Extensions is what a controller has besides the platform's side. Package service does not import it, so that a program that does
+// not want it does not contain it.
 type Extensions interface {
-	// Open is called before the desk runs, with this controller's name, and may give it a memory.
-	Open(name string, d *dispatch.Loop, settings *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error
-	// Start is called when the desk runs and has been told nothing yet.
+	// Open is called before the loop runs, with this controller's name, and may register extensions of the loop.
+	Open(name string, loop *dispatch.Loop, settings *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error
+	// Start is called when the loop runs and has no events yet.
 	Start()
-	// Reload reads again what belongs to it and changes nothing; take makes it count, and names what needs a restart.
+	// Reload reads the extensions' configuration again and changes nothing; take puts it into force and returns the names of what
+	// needs a restart.
 	Reload(settings *settings.Settings) (take func() []string, err error)
-	// LogCounters logs its counters.
+	// LogCounters logs the extensions' counters.
 	LogCounters()
-	// ShutdownStarted is called when a planned stop begins.
+	// ShutdownStarted is called when a graceful shutdown begins.
 	ShutdownStarted()
-	// Close is called at the end, when the desk has ended.
+	// Close is called at the end, when the loop has ended.
 	Close()
 }
 
-// NoExtensions is an installation that has nothing besides the platform's side.
+// NoExtensions implements Extensions for a controller that has only the platform's side.
 type NoExtensions struct{}
 
-// Open does nothing, as all of these.
+// Open does nothing.
 func (NoExtensions) Open(string, *dispatch.Loop, *settings.Settings, dispatch.Clock, logrus.FieldLogger) error {
 	return nil
 }
@@ -35,7 +36,7 @@
 // Start does nothing.
 func (NoExtensions) Start() {}
 
-// Reload finds nothing.
+// Reload finds nothing to reload.
 func (NoExtensions) Reload(*settings.Settings) (func() []string, error) {
 	return func() []string { return nil }, nil
 }
--- a/internal/service/log.go
+++ b/internal/service/log.go
@@ -8,48 +8,49 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lines writes log lines from a goroutine of its own: who logs never waits for the reader of the log. What
-// doesn't fit is dropped and counted.
-type lines struct {
+const (
+	logQueueCapacity = 1024                   // lines that may wait to be written
+	flushTimeout     = 100 * time.Millisecond // for the log's reader at the end: well within what a shutdown has left
+)
+
+// asyncWriter writes log lines from a goroutine of its own, so that who logs never waits for the reader of the log. What does not
+// fit into its queue is dropped and counted.
+type asyncWriter struct {
 	out     io.Writer
 	queue   chan []byte
 	done    chan struct{}
 	dropped atomic.Uint64
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (w *asyncWriter) Write(b []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), b...):
+	case w.queue <- append([]byte(nil), b...):
 	default:
-		l.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(b), nil
 }
 
-func (l *lines) run() {
-	defer close(l.done)
-	for b := range l.queue {
-		_, _ = l.out.Write(b)
+func (w *asyncWriter) run() {
+	defer close(w.done)
+	for line := range w.queue {
+		_, _ = w.out.Write(line)
 	}
 }
 
-// lastLines is the longest that the end waits for the log's reader: well within what a planned stop has left.
-const lastLines = 100 * time.Millisecond
-
-// NewLog returns a log on out, and what writes the rest of it at the end.
-func NewLog(out io.Writer) (*logrus.Logger, func()) {
-	l := &lines{out: out, queue: make(chan []byte, logRoom), done: make(chan struct{})}
-	go l.run()
-	log := logrus.New()
-	log.SetOutput(l)
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
-		TimestampFormat: "15:04:05.000"})
+// NewLog returns a log that writes to out, and a function that writes what is queued and ends the log.
+func NewLog(out io.Writer) (log *logrus.Logger, flush func()) {
+	w := &asyncWriter{out: out, queue: make(chan []byte, logQueueCapacity), done: make(chan struct{})}
+	go w.run()
+	log = logrus.New()
+	log.SetOutput(w)
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"})
 	return log, func() {
 		log.SetOutput(io.Discard)
-		close(l.queue)
+		close(w.queue)
 		select {
-		case <-l.done:
-		case <-time.After(lastLines): // nobody reads them: the process ends all the same
+		case <-w.done:
+		case <-time.After(flushTimeout): // nobody reads the lines: the process ends all the same
 		}
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,3 +1,6 @@
+// Package service builds a controller from its configuration, serves, reloads and stops it.
+//
+// It owns the order of start and shutdown and the shares of the machine's limits, and takes no decision about requests.
 package service
 
 import (
@@ -17,138 +20,234 @@
 
 // Shares of the limits. They bound memory and sockets and decide nothing.
 const (
-	heapShare    = 0.7  // of the memory, for Go's own limit: the rest is for stacks, sockets and what is not yet swept
-	heldShare    = 0.12 // of the memory, for each of the bodies of open requests, and what waits to be written
-	heapGrowth   = 400  // percent that the heap grows between collections, as long as the limit is far
-	clientsShare = 0.55 // of the descriptors
-	linksShare   = 0.3  // of the descriptors, for executors
-	logRoom      = 1024 // lines that may wait to be written
-	countEvery   = 10 * time.Second
-	reloadTries  = 4 // looks at a configuration that could not be read, after the first
-	reloadAgain  = 250 * time.Millisecond
+	heapMemoryShare     = 0.7  // of the memory, for Go's own limit: the rest is for stacks, sockets and what is not yet swept
+	bufferMemoryShare   = 0.12 // of the memory, for each of the bodies of open requests and what waits to be written
+	gcPercent           = 400  // growth of the heap between collections, as long as the limit is far
+	clientSocketShare   = 0.55 // of the descriptors
+	executorSocketShare = 0.3  // of the descriptors
+	countersInterval    = 10 * time.Second
 )
 
-// The protocol's times, for a list out of reach and for a planned stop.
+// The protocol's times.
 const (
-	frontLeaves = 700 * time.Millisecond // the front has left by then, and its last request has come
-	longestStop = 3 * time.Second        // the longest hard limit that the stop waits for
-	toldWithin  = 7 * time.Second        // what the change log has to tell counts as told by then, heard or not
-	stopLook    = 10 * time.Millisecond
-	stopSpare   = 300 * time.Millisecond // for the last answers to be written and read: half of it for each
+	balancerLeaveTime = 700 * time.Millisecond // after which the load balancer has stopped sending, and its last request has come
+	maxDeadlineWait   = 3 * time.Second        // the longest deadline that a shutdown waits for
+	notifiedWithin    = 7 * time.Second        // after which what the endpoint list has to tell counts as notified, heard or not
 )
 
-// Run serves until ctx ends, then stops as planned. At each reload it reads the configuration again.
-func Run(ctx context.Context, n *Config, beside Extensions, reload <-chan os.Signal, log *logrus.Logger) error {
-	debug.SetMemoryLimit(int64(n.Limits.MemoryMB * heapShare * (1 << 20)))
-	debug.SetGCPercent(heapGrowth)
-	if n.Limits.Cores > 0 {
-		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), max(1, int(n.Limits.Cores+0.5))))
+const (
+	drainPollInterval = 10 * time.Millisecond
+	flushReserve      = 300 * time.Millisecond // for the last answers to be written and read: half of it for each
+)
+
+// controller is what Run has started.
+type controller struct {
+	config     *Config
+	extensions Extensions
+	log        *logrus.Logger
+	clock      dispatch.Clock
+	loop       *dispatch.Loop
+	clients    *wire.ClientServer
+	executors  *wire.ExecutorClient
+	peers      *wire.PeerNetwork
+	discovery  *wire.DiscoveryClient
+
+	requestBytes *wire.ByteBudget // bodies of open requests
+	outputBytes  *wire.ByteBudget // what waits to be written
+	maxDeadline  time.Duration    // of all request classes
+
+	retryReload       <-chan time.Time // when a configuration that could not be read is read again; nil: not at all
+	reloadRetriesLeft int
+}
+
+// Run serves until ctx ends, then shuts down gracefully. It reads the configuration again at each signal from reload.
+func Run(ctx context.Context, config *Config, extensions Extensions, reload <-chan os.Signal, log *logrus.Logger) error {
+	applyRuntimeLimits(config)
+	c := newController(config, extensions, log)
+	if err := extensions.Open(config.Name, c.loop, config.settings, c.clock, log); err != nil {
+		return err
 	}
-	set, clock := n.settings, dispatch.NewClock()
-	held := int64(n.Limits.MemoryMB * heldShare * (1 << 20))
-	bodies, out := wire.NewByteBudget(held), wire.NewByteBudget(held)
-	d := dispatch.New(clock, scheduler.New(n.seed, set.Scheduler), log)
-	if err := beside.Open(n.Name, d, set, clock, log); err != nil {
+	defer extensions.Close()
+	if err := c.open(); err != nil {
 		return err
 	}
-	defer beside.Close()
-	offerings, longest := classLimits(set.Scheduler.Classes)
-	front, err := wire.NewClientServer(n.Listen, offerings, d, clock, wire.ServerLimits{
-		Clients: share(n.Limits.Sockets, clientsShare), MaxHeld: set.MaxHeld, BodyBudget: bodies,
-		AnswerBudget: out, RetryAfterMS: set.Scheduler.LongestRetryAfterMS(), ServeOutcomes: d.HasLedger(), Arrival: d.Arrival}, log)
+	c.start(ctx)
+	c.serve(ctx, reload)
+	c.shutDown(reload)
+	return nil
+}
+
+// applyRuntimeLimits sets the limits of Go's runtime.
+func applyRuntimeLimits(config *Config) {
+	debug.SetMemoryLimit(int64(config.Limits.MemoryMB * heapMemoryShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+	if config.Limits.Cores > 0 {
+		runtime.GOMAXPROCS(min(runtime.GOMAXPROCS(0), max(1, int(config.Limits.Cores+0.5))))
+	}
+}
+
+func newController(config *Config, extensions Extensions, log *logrus.Logger) *controller {
+	bufferBytes := int64(config.Limits.MemoryMB * bufferMemoryShare * (1 << 20))
+	clock := dispatch.NewClock()
+	return &controller{
+		config:       config,
+		extensions:   extensions,
+		log:          log,
+		clock:        clock,
+		loop:         dispatch.New(clock, scheduler.New(config.seed, config.settings.Scheduler), log),
+		requestBytes: wire.NewByteBudget(bufferBytes),
+		outputBytes:  wire.NewByteBudget(bufferBytes),
+	}
+}
+
+// open listens and connects the loop with its protocols. Nothing is served yet.
+func (c *controller) open() (err error) {
+	config, set := c.config, c.config.settings
+	classes, maxDeadline := classLimits(set.Scheduler.Classes)
+	c.maxDeadline = maxDeadline
+	c.clients, err = wire.NewClientServer(config.Listen, classes, c.loop, c.clock, wire.ServerLimits{
+		Clients:       share(config.Limits.Sockets, clientSocketShare),
+		MaxHeld:       set.MaxHeld,
+		BodyBudget:    c.requestBytes,
+		AnswerBudget:  c.outputBytes,
+		RetryAfterMS:  set.Scheduler.LongestRetryAfterMS(),
+		ServeOutcomes: c.loop.HasLedger(),
+		Arrival:       c.loop.Arrival,
+	}, c.log)
 	if err != nil {
 		return err
 	}
-	connect := set.Executors.ConnectTimeoutMS
-	fleet := wire.NewExecutorClient(d, clock, out, wire.ExecutorLimits{ConnectMS: connect, IdleMS: set.Executors.IdleCloseMS,
-		MaxPerConn: set.Executors.StreamsPerConn, MaxConns: share(n.Limits.Sockets, linksShare),
-		ReportNames: set.Scheduler.ReportNames, Seed: n.seed}, log)
-	fleet.LeaseHeld = d.LeaseHeld
-	peers, err := wire.NewPeerNetwork(n.PeerListen, n.Peers, n.AllPeers, d, log)
+	c.executors = wire.NewExecutorClient(c.loop, c.clock, c.outputBytes, wire.ExecutorLimits{
+		ConnectMS:   set.Executors.ConnectTimeoutMS,
+		IdleMS:      set.Executors.IdleCloseMS,
+		MaxPerConn:  set.Executors.StreamsPerConn,
+		MaxConns:    share(config.Limits.Sockets, executorSocketShare),
+		ReportNames: set.Scheduler.ReportNames,
+		Seed:        config.seed,
+	}, c.log)
+	c.executors.LeaseHeld = c.loop.LeaseHeld
+	c.peers, err = wire.NewPeerNetwork(config.PeerListen, config.Peers, config.AllPeers, c.loop, c.log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	d.Executors, d.Peers, d.HealthCheckTimeoutMS = fleet, peers, connect
-	feed, err := wire.NewDiscoveryClient(n.Discovery, n.Known, fleet, d, log)
+	c.discovery, err = wire.NewDiscoveryClient(config.Discovery, config.Known, c.executors, c.loop, c.log)
 	if err != nil {
 		return err
 	}
-	d.List = feed
-	go d.Run()
-	beside.Start()
-	feed.Start()
-	go peers.Run()
-	go feed.Run()
-	go front.Run()
-	front.SetReady(ctx.Err() == nil)
-	log.WithFields(logrus.Fields{"name": n.Name, "listen": n.Listen, "memory_mb": n.Limits.MemoryMB,
-		"sockets": n.Limits.Sockets, "procs": runtime.GOMAXPROCS(0)}).Info("start: serving")
-	count := func(line string) {
-		log.WithFields(logrus.Fields{"accepted": front.Accepted.Load(), "bad": front.Bad.Load(),
-			"framing_lost": front.LostFraming.Load(), "pauses": front.Pauses.Load(), "too_many": front.Refused.Load(), "silent": front.TimedOut.Load(), "gave_way": front.Evicted.Load(),
-			"dials": fleet.Dials.Load(), "dials_failed": fleet.DialFailures.Load(), "dials_unsent": fleet.LocalFailures.Load(), "strays": fleet.Strays.Load(), "moved": fleet.Resumed.Load(), "barred": fleet.Blocked.Load(),
-			"malformed": fleet.Malformed.Load(), "polls": feed.Calls.Load(), "polls_lost": feed.Lost.Load(),
-			"polls_malformed": feed.Malformed.Load(), "told": peers.Sent.Load(), "heard": peers.Heard.Load(),
-			"told_dropped": peers.Dropped.Load(), "foreign": peers.Foreign.Load(), "bodies": bodies.Held(),
-			"unwritten": out.Held(), "goroutines": runtime.NumGoroutine()}).Info(line)
-		beside.LogCounters()
-	}
-	var again <-chan time.Time // when a file that could not be read is looked at once more: it may not have been whole yet
-	tries := 0
-	renew := func(left int) {
-		var done bool
-		if n, done = n.reload(feed, beside, log); done {
-			left = 0
-		}
-		if tries, again = left, nil; left > 0 {
-			again = time.After(reloadAgain)
-		}
-	}
-	for tick := time.NewTicker(countEvery); ctx.Err() == nil; {
+	c.loop.Executors = c.executors
+	c.loop.Peers = c.peers
+	c.loop.List = c.discovery
+	c.loop.HealthCheckTimeoutMS = set.Executors.ConnectTimeoutMS
+	return nil
+}
+
+// start starts all goroutines. The endpoints that are known at the start reach the loop before anything else does.
+func (c *controller) start(ctx context.Context) {
+	go c.loop.Run()
+	c.extensions.Start()
+	c.discovery.Start()
+	go c.peers.Run()
+	go c.discovery.Run()
+	go c.clients.Run()
+	c.clients.SetReady(ctx.Err() == nil)
+	c.log.WithFields(logrus.Fields{
+		"name":      c.config.Name,
+		"listen":    c.config.Listen,
+		"memory_mb": c.config.Limits.MemoryMB,
+		"sockets":   c.config.Limits.Sockets,
+		"procs":     runtime.GOMAXPROCS(0),
+	}).Info("start: serving")
+}
+
+// serve reloads and logs counters until ctx ends.
+func (c *controller) serve(ctx context.Context, reload <-chan os.Signal) {
+	ticker := time.NewTicker(countersInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-			tick.Stop()
-		case <-tick.C:
-			count("sockets")
+		case <-ticker.C:
+			c.logCounters("sockets")
 		case <-reload:
-			renew(reloadTries)
-		case <-again:
-			renew(tries - 1)
+			c.reload(reloadRetries)
+		case <-c.retryReload:
+			c.reload(c.reloadRetriesLeft - 1)
 		}
 	}
+}
 
+// shutDown stops the controller gracefully: it is not ready any more, waits until the balancer has stopped sending and all requests
+// are answered, but not past the limit, then ends everything.
+func (c *controller) shutDown(reload <-chan os.Signal) {
 	began := time.Now()
-	limit := frontLeaves + min(longestStop, longest)
-	front.SetReady(false)
-	beside.ShutdownStarted()
-	d.BeginShutdown(clock.Now() + float64(limit-stopSpare)/float64(time.Millisecond))
-	log.WithFields(logrus.Fields{"open": d.OpenRequests(), "within": limit}).Info("stop: begun")
-	for time.Since(began) < limit-stopSpare/2 {
+	limit := balancerLeaveTime + min(maxDeadlineWait, c.maxDeadline)
+	c.clients.SetReady(false)
+	c.extensions.ShutdownStarted()
+	c.loop.BeginShutdown(c.clock.Now() + float64(limit-flushReserve)/float64(time.Millisecond))
+	c.log.WithFields(logrus.Fields{"open": c.loop.OpenRequests(), "within": limit}).Info("stop: begun")
+	c.drain(began, limit, reload)
+	c.clients.Stop(flushReserve / 3)
+	c.discovery.Stop()
+	c.loop.Stop()
+	c.logCounters("sockets: end")
+	c.executors.Stop()
+	c.peers.Stop()
+	c.log.WithFields(logrus.Fields{"open": c.loop.OpenRequests(), "took": time.Since(began)}).Info("stop: done")
+}
+
+// drain waits until all requests are answered and all clients have their answers, or the limit is near.
+func (c *controller) drain(began time.Time, limit time.Duration, reload <-chan os.Signal) {
+	for time.Since(began) < limit-flushReserve/2 {
 		select {
-		case <-time.After(stopLook):
-		case <-reload: // the change log may move once more: what drains meanwhile has to be heard of
-			renew(0)
+		case <-time.After(drainPollInterval):
+		case <-reload: // the discovery address may still move: executors that begin to drain have to be heard of
+			c.reload(0)
 		}
-		if time.Since(began) < frontLeaves {
+		if time.Since(began) < balancerLeaveTime {
 			continue
 		}
-		if front.Drain(); d.OpenRequests() == 0 && front.Done() {
-			break
+		c.clients.Drain()
+		if c.loop.OpenRequests() == 0 && c.clients.Done() {
+			return
 		}
 	}
-	front.Stop(stopSpare / 3)
-	feed.Stop()
-	d.Stop()
-	count("sockets: end")
-	fleet.Stop()
-	peers.Stop()
-	log.WithFields(logrus.Fields{"open": d.OpenRequests(), "took": time.Since(began)}).Info("stop: done")
-	return nil
 }
 
-// classLimits returns what a client server has to know of each class, and the longest deadline.
+// logCounters logs the counters of the protocols and of the extensions.
+func (c *controller) logCounters(message string) {
+	c.log.WithFields(logrus.Fields{
+		"accepted":              c.clients.Accepted.Load(),
+		"bad_requests":          c.clients.Bad.Load(),
+		"framing_errors":        c.clients.LostFraming.Load(),
+		"accept_pauses":         c.clients.Pauses.Load(),
+		"connections_rejected":  c.clients.Refused.Load(),
+		"connections_timed_out": c.clients.TimedOut.Load(),
+		"connections_evicted":   c.clients.Evicted.Load(),
+		"dials":                 c.executors.Dials.Load(),
+		"dial_failures":         c.executors.DialFailures.Load(),
+		"dial_local_failures":   c.executors.LocalFailures.Load(),
+		"stray_replies":         c.executors.Strays.Load(),
+		"resumed_answers":       c.executors.Resumed.Load(),
+		"blocked_attempts":      c.executors.Blocked.Load(),
+		"malformed_replies":     c.executors.Malformed.Load(),
+		"discovery_calls":       c.discovery.Calls.Load(),
+		"discovery_lost":        c.discovery.Lost.Load(),
+		"discovery_malformed":   c.discovery.Malformed.Load(),
+		"gossip_sent":           c.peers.Sent.Load(),
+		"gossip_received":       c.peers.Heard.Load(),
+		"gossip_dropped":        c.peers.Dropped.Load(),
+		"gossip_unknown_sender": c.peers.Foreign.Load(),
+		"request_bytes":         c.requestBytes.Held(),
+		"unwritten_bytes":       c.outputBytes.Held(),
+		"goroutines":            runtime.NumGoroutine(),
+	}).Info(message)
+	c.extensions.LogCounters()
+}
+
+// classLimits returns what a client server has to know of each request class, and the longest deadline.
 func classLimits(classes []scheduler.RequestClass) (map[string]wire.ClassLimits, time.Duration) {
-	limits, longest := map[string]wire.ClassLimits{}, 0.0
+	limits := map[string]wire.ClassLimits{}
+	longest := 0.0
 	for _, c := range classes {
 		limits[c.Name] = wire.ClassLimits{Keyed: c.Effect == scheduler.Keyed, LimitMS: c.DeadlineMS}
 		longest = max(longest, c.DeadlineMS)
@@ -156,4 +255,5 @@
 	return limits, time.Duration(longest * float64(time.Millisecond))
 }
 
-func share(n int, of float64) int { return max(1, int(float64(n)*of)) }
+// share returns a part of n, at least 1.
+func share(n int, part float64) int { return max(1, int(float64(n)*part)) }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -28,14 +28,14 @@
  "FamilyInfo": {"KindCores": [8], "RamOfKindMb": [16384], "LargestShare": 0.4, "TellsEvery": 500000},
  "Kinds": ["big"], "Siblings": 1}`
 
-// free is an address that nobody listens on.
-func free(t *testing.T) string {
+// freeAddress returns an address that nobody listens on.
+func freeAddress(t *testing.T) string {
 	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	return at
 }
 
-func node(t *testing.T, listen, changelog, executor string) *Config {
+func newConfig(t *testing.T, listen, changelog, executor string) *Config {
 	path := filepath.Join(t.TempDir(), "node.json")
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n0","listen":"%s","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"changelog":"%s","settings":%s,"known":{"seq":1,"results":[
@@ -47,7 +47,7 @@
 	return n
 }
 
-// silentExecutor takes attempts and never answers; it tells what it read.
+// silentExecutor takes attempts and never answers; it reports what it read.
 func silentExecutor(t *testing.T) (string, chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -71,8 +71,8 @@
 	return l.Addr().String(), heard
 }
 
-// serve runs a controller until stop; done tells how it ended.
-func serve(t *testing.T, n *Config) (reload chan os.Signal, stop func(), done chan error) {
+// startController runs a controller until stop; done gets its error.
+func startController(t *testing.T, n *Config) (reload chan os.Signal, stop func(), done chan error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	reload, done = make(chan os.Signal), make(chan error, 1)
@@ -81,7 +81,7 @@
 	return reload, stop, done
 }
 
-func dialUp(t *testing.T, at string) (c net.Conn) {
+func dialEventually(t *testing.T, at string) (c net.Conn) {
 	require.Eventually(t, func() (ok bool) {
 		var err error
 		c, err = net.Dial("tcp", at)
@@ -91,9 +91,11 @@
 	return c
 }
 
-func say(c net.Conn, text string) { fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", len(text), text) }
+func sendMessage(c net.Conn, text string) {
+	fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", len(text), text)
+}
 
-func answer(t *testing.T, r *bufio.Reader) string {
+func readAnswer(t *testing.T, r *bufio.Reader) string {
 	head, err := r.ReadString('\n')
 	require.NoError(t, err)
 	n := 0
@@ -104,43 +106,43 @@
 	return string(b[2:])
 }
 
-// A planned stop goes on accepting until the front has left, answers all it has taken, long requests too, and
-// leaves nothing behind.
-func TestAPlannedStopAnswersAllAndLeavesNothing(t *testing.T) {
+// A shutdown goes on accepting until the balancer has stopped sending, answers all it has taken, long requests too, and leaks
+// nothing.
+func TestRun_ShutdownAnswersAllAndLeaksNothing(t *testing.T) {
 	executor, heard := silentExecutor(t)
-	n := node(t, free(t), free(t), executor)
+	n := newConfig(t, freeAddress(t), freeAddress(t), executor)
 	before := runtime.NumGoroutine()
-	_, stop, done := serve(t, n)
-	c := dialUp(t, n.Listen)
+	_, stop, done := startController(t, n)
+	c := dialEventually(t, n.Listen)
 	r := bufio.NewReader(c)
 	search := `{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"a%d","timeout":20000,"ms":50,"ram":9,"data":"eA=="}}`
-	say(c, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
-	assert.Contains(t, answer(t, r), `"fit":true`)
-	say(c, fmt.Sprintf(search, 2, 2))
-	assert.Contains(t, <-heard, "profile=look,max=4", "no longer than the hard limit")
+	sendMessage(c, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
+	assert.Contains(t, readAnswer(t, r), `"fit":true`)
+	sendMessage(c, fmt.Sprintf(search, 2, 2))
+	assert.Contains(t, <-heard, "profile=look,max=4", "no longer than the deadline of its class")
 	began := time.Now()
 	stop()
 	time.Sleep(300 * time.Millisecond)
-	late := dialUp(t, n.Listen)
-	say(late, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
+	late := dialEventually(t, n.Listen)
+	sendMessage(late, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
 	lr := bufio.NewReader(late)
-	assert.Contains(t, answer(t, lr), `"fit":false`)
-	say(late, fmt.Sprintf(search, 2, 3))
-	assert.Contains(t, answer(t, r), `-32008`, "the long search is denied")
-	assert.Contains(t, answer(t, lr), `-32008`, "so is the one that came late")
+	assert.Contains(t, readAnswer(t, lr), `"fit":false`)
+	sendMessage(late, fmt.Sprintf(search, 2, 3))
+	assert.Contains(t, readAnswer(t, r), `-32008`, "the long request is rejected")
+	assert.Contains(t, readAnswer(t, lr), `-32008`, "so is the one that came late")
 	assert.NoError(t, <-done)
-	assert.Less(t, time.Since(began), frontLeaves+longestStop+2*time.Second) // a slow machine's allowance
-	assert.Greater(t, time.Since(began), frontLeaves)
+	assert.Less(t, time.Since(began), balancerLeaveTime+maxDeadlineWait+2*time.Second) // allowance for a slow machine
+	assert.Greater(t, time.Since(began), balancerLeaveTime)
 	c.Close()
 	late.Close()
 	assert.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+1 }, 5*time.Second, 10*time.Millisecond)
 }
 
-// A reload is a whole replacement or none; unheeded, the signal would end the process.
-func TestAReloadMovesTheChangeLogOrNothing(t *testing.T) {
+// A reload replaces the configuration whole or not at all.
+func TestRun_ReloadReplacesDiscoveryAddressOrNothing(t *testing.T) {
 	first, firstHeard := silentExecutor(t) // any listener that tells what it read
 	second, secondHeard := silentExecutor(t)
-	n := node(t, free(t), first, "127.0.0.1:9")
+	n := newConfig(t, freeAddress(t), first, "127.0.0.1:9")
 	var text bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&text)
@@ -155,7 +157,7 @@
 	changed := strings.NewReplacer(first, second, `"cores":1`, `"cores":2`).Replace(string(good))
 	require.NoError(t, os.WriteFile(path, []byte(changed[:len(changed)/2]), 0o600))
 	reload <- syscall.SIGHUP
-	reload <- syscall.SIGHUP // taken once the one before has been played
+	reload <- syscall.SIGHUP // taken once the one before has been handled
 	require.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
 	reload <- syscall.SIGHUP
 	began := time.Now()
@@ -167,12 +169,12 @@
 	assert.Contains(t, text.String(), fmt.Sprintf(`"reload: done" changelog="%s" needs_restart="[limits]"`, second))
 }
 
-// The signal may come while the file is still being written: it is looked at again.
-func TestAConfigurationThatWasNotYetWholeIsReadAgain(t *testing.T) {
+// The signal may come while the file is still being written: it is read again.
+func TestRun_ReloadRetriesIncompleteFile(t *testing.T) {
 	first, firstHeard := silentExecutor(t)
 	second, secondHeard := silentExecutor(t)
-	n := node(t, free(t), first, "127.0.0.1:9")
-	reload, stop, done := serve(t, n)
+	n := newConfig(t, freeAddress(t), first, "127.0.0.1:9")
+	reload, stop, done := startController(t, n)
 	<-firstHeard
 	path := os.Getenv("RELAY_CONFIG")
 	good, err := os.ReadFile(path)
@@ -186,22 +188,22 @@
 	assert.NoError(t, <-done)
 }
 
-// A request that is on its way as the controller stops is answered, refused, or left to its client by an end of the connection
-// before its answer; never taken and forgotten. One client asks without a pause across the whole stop.
-func TestNoRequestIsLostAcrossAPlannedStop(t *testing.T) {
-	n := node(t, free(t), free(t), "127.0.0.1:9")
-	_, stop, done := serve(t, n)
-	c := dialUp(t, n.Listen)
+// A request that is on its way as the controller stops is answered, or its connection ends before its answer; none is taken and
+// lost. One client sends without a pause across the whole shutdown.
+func TestRun_ShutdownLosesNoRequest(t *testing.T) {
+	n := newConfig(t, freeAddress(t), freeAddress(t), "127.0.0.1:9")
+	_, stop, done := startController(t, n)
+	c := dialEventually(t, n.Listen)
 	defer c.Close()
-	rest := dialUp(t, n.Listen) // rests until it is ended
-	defer rest.Close()
-	say(rest, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
-	answer(t, bufio.NewReader(rest))
+	idle := dialEventually(t, n.Listen) // idle until it is closed
+	defer idle.Close()
+	sendMessage(idle, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
+	readAnswer(t, bufio.NewReader(idle))
 	time.AfterFunc(20*time.Millisecond, stop)
 	r := bufio.NewReader(c)
 	answered := 0
 	for id := 1; ; id++ {
-		say(c, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"c%d","timeout":300,"ms":50,"ram":9,"data":"eA=="}}`, id, id))
+		sendMessage(c, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"c%d","timeout":300,"ms":50,"ram":9,"data":"eA=="}}`, id, id))
 		head, err := r.ReadString('\n')
 		if err != nil {
 			assert.ErrorIs(t, err, io.EOF, "no reset")
@@ -211,29 +213,29 @@
 		_, _ = fmt.Sscanf(head, "Content-Length: %d", &size)
 		body := make([]byte, size+2)
 		_, err = io.ReadFull(r, body)
-		require.NoError(t, err, "an answer that was begun is whole")
+		require.NoError(t, err, "an answer that was begun is complete")
 		assert.Contains(t, string(body), `-32008`)
 		answered++
 	}
 	assert.Positive(t, answered)
-	_, err := rest.Read(make([]byte, 1))
+	_, err := idle.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NoError(t, <-done)
 }
 
-func TestAnIdleControllerStopsOnceTheFrontHasLeft(t *testing.T) {
-	n := node(t, free(t), free(t), "127.0.0.1:9")
+func TestRun_IdleShutdownEndsOnceBalancerHasLeft(t *testing.T) {
+	n := newConfig(t, freeAddress(t), freeAddress(t), "127.0.0.1:9")
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	began := time.Now()
 	assert.NoError(t, Run(ctx, n, NoExtensions{}, nil, log))
-	assert.InDelta(t, frontLeaves.Seconds()+1, time.Since(began).Seconds(), 1)
+	assert.InDelta(t, balancerLeaveTime.Seconds()+1, time.Since(began).Seconds(), 1)
 }
 
-func TestWhatAConfigurationLacksIsNamed(t *testing.T) {
-	n := node(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+func TestReadConfig_NamesWhatIsMissing(t *testing.T) {
+	n := newConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	good, err := os.ReadFile(os.Getenv("RELAY_CONFIG"))
 	require.NoError(t, err)
 	for change, want := range map[string]string{`"listen"/"other"`: "listen is missing", `"changelog"/"other"`: "changelog is",
@@ -252,33 +254,33 @@
 	assert.ErrorContains(t, err, "/nowhere")
 	n.Listen = "192.0.2.1:1"
 	assert.Error(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "an address that can't be bound")
-	n.Listen, n.PeerListen = free(t), "192.0.2.1:1"
+	n.Listen, n.PeerListen = freeAddress(t), "192.0.2.1:1"
 	assert.ErrorContains(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "peers")
-	n.PeerListen, n.Listen, n.Known = "", free(t), []byte(`{"seq":0,"results":[{"seq":1}]}`)
+	n.PeerListen, n.Listen, n.Known = "", freeAddress(t), []byte(`{"seq":0,"results":[{"seq":1}]}`)
 	assert.ErrorContains(t, Run(t.Context(), n, NoExtensions{}, nil, logrus.New()), "known")
 }
 
-// Who logs must never wait for the reader of the log.
-func TestLogLinesAreDroppedRatherThanWaitedFor(t *testing.T) {
+// Logging never waits for the reader of the log.
+func TestNewLog_DropsLinesInsteadOfWaiting(t *testing.T) {
 	r, w := io.Pipe()
 	log, flush := NewLog(w)
-	for range 3 * logRoom {
+	for range 3 * logQueueCapacity {
 		log.Info("x")
 	}
 	go func() { _, _ = io.Copy(io.Discard, r) }()
 	flush()
 }
 
-// A client that ends its writing side alone looks like one that has gone: nothing more begins for it. But it may still read, and
-// what it had asked for gets a final answer before the end: denied where a new try does no harm, else failed.
-func TestAClientThatEndsOnlyItsWritingSideIsAnswered(t *testing.T) {
+// For a client that closes its writing side only nothing more begins, as it may have gone. But it may still read, and its requests
+// get a final answer before the connection ends: rejected where a retry is safe, else failed.
+func TestRun_AnswersHalfClosedClient(t *testing.T) {
 	executor, heard := silentExecutor(t)
 	for name, at := range map[string]string{"its attempt runs": executor, "none could begin": "127.0.0.1:9"} {
-		n := node(t, free(t), free(t), at)
-		_, stop, done := serve(t, n)
-		c := dialUp(t, n.Listen).(*net.TCPConn)
+		n := newConfig(t, freeAddress(t), freeAddress(t), at)
+		_, stop, done := startController(t, n)
+		c := dialEventually(t, n.Listen).(*net.TCPConn)
 		for id := range 3 {
-			say(c, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"h%d","timeout":4000,"ms":50,"ram":9,"data":"eA=="}}`, id+1, id))
+			sendMessage(c, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"h%d","timeout":4000,"ms":50,"ram":9,"data":"eA=="}}`, id+1, id))
 		}
 		if at == executor {
 			<-heard
@@ -305,12 +307,12 @@
 	}
 }
 
-// A file that can't be opened for a moment, for want of descriptors or for a fault of the disk, is read again; one that is not there
-// is said at once.
-func TestAConfigurationThatCannotBeReadForAMomentIsReadAgain(t *testing.T) {
+// A file that can't be opened for a moment, for lack of descriptors or a fault of the disk, is read again; one that does not exist
+// fails at once.
+func TestReadWithRetries_RetriesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.EIO, syscall.ENOMEM} {
 		tries := 0
-		text, err := readPatiently("x", func(path string) ([]byte, error) {
+		text, err := readWithRetries("x", func(path string) ([]byte, error) {
 			if tries++; tries < 3 {
 				return nil, &os.PathError{Op: "open", Path: path, Err: errno}
 			}
@@ -320,15 +322,15 @@
 		assert.Equal(t, "good", string(text))
 	}
 	began := time.Now()
-	_, err := readPatiently("/nowhere", os.ReadFile)
+	_, err := readWithRetries("/nowhere", os.ReadFile)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 	assert.Less(t, time.Since(began), time.Second)
 }
 
-// The budget of a cold executor is parted among all controllers: those that the configuration lists count where the settings name
-// fewer.
-func TestControllersAreCountedByWhicheverSaysMore(t *testing.T) {
-	n := node(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+// What a warming-up executor may get is shared among all controllers: those that the configuration lists count where the settings
+// name fewer.
+func TestReadConfig_CountsListedControllers(t *testing.T) {
+	n := newConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	assert.Equal(t, 1, n.settings.Scheduler.Controllers)
 	text, err := os.ReadFile(os.Getenv("RELAY_CONFIG"))
 	require.NoError(t, err)
@@ -339,8 +341,8 @@
 	assert.Equal(t, 3, n.settings.Scheduler.Controllers)
 }
 
-// A page of an answer that never comes holds up no planned stop: the request has its final answer before the end.
-func TestAPageUnderWayAtAPlannedStopIsGivenUpInTime(t *testing.T) {
+// A page of an answer that never comes holds up no shutdown: the request has its final answer before the end.
+func TestRun_ShutdownAbandonsPendingPage(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -367,14 +369,14 @@
 			}()
 		}
 	}()
-	n := node(t, free(t), free(t), l.Addr().String())
-	_, stop, done := serve(t, n)
-	c := dialUp(t, n.Listen)
-	say(c, `{"jsonrpc":"2.0","id":1,"method":"look","params":{"req":"p1","timeout":20000,"ms":50,"ram":9,"data":"eA=="}}`)
+	n := newConfig(t, freeAddress(t), freeAddress(t), l.Addr().String())
+	_, stop, done := startController(t, n)
+	c := dialEventually(t, n.Listen)
+	sendMessage(c, `{"jsonrpc":"2.0","id":1,"method":"look","params":{"req":"p1","timeout":20000,"ms":50,"ram":9,"data":"eA=="}}`)
 	<-asked
 	began := time.Now()
 	stop()
-	assert.Contains(t, answer(t, bufio.NewReader(c)), `"error"`)
-	assert.Less(t, time.Since(began), frontLeaves+longestStop)
+	assert.Contains(t, readAnswer(t, bufio.NewReader(c)), `"error"`)
+	assert.Less(t, time.Since(began), balancerLeaveTime+maxDeadlineWait)
 	assert.NoError(t, <-done)
 }
