--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,128 +1,140 @@
-// Package connpool decides on connections to executors: which one an attempt takes, which are used no more, and whether an attempt
-// may still leave as its connection takes it. It owns no socket, clock or goroutine; who calls it carries that out.
+// Package connpool decides on connections to executors: which one an attempt takes, which ones are retired, and whether an attempt
+// may still leave as its connection takes it. It owns no socket, clock or goroutine; its caller carries the decisions out.
 package connpool
 
 const (
-	spare     = 4   // one connection in so many is kept for executors that have none yet
-	fatesRoom = 256 // attempts that fates count before both counts are halved: some seconds' worth
+	newExecutorReserve = 4   // one connection in so many is kept for executors that have none yet
+	lossWindow         = 256 // attempts that are counted before both counts are halved: some seconds' worth
 )
 
 // Conn is one connection to an executor, as its owner sees it.
 type Conn struct {
 	Up           bool    // connected
 	Draining     bool    // gets nothing new
-	Excluded     bool    // the attempt's id is open here, or was ended here but by its answer: a late word would pass for the new one's
-	Attempts     int     // attempts
-	HealthChecks int     //
-	IdleMS       float64 // since it was used last
+	Excluded     bool    // the attempt's id is open here, or was cancelled here: a late reply would pass for the new attempt's
+	Attempts     int     // under way
+	HealthChecks int     // under way
+	IdleMS       float64 // since it was last used
 }
 
-func (c *Conn) load() int { return c.Attempts + c.HealthChecks }
+func (c *Conn) inUse() int { return c.Attempts + c.HealthChecks }
 
-// Limits are the figures that a pool keeps to.
+// Limits are the limits of a pool.
 type Limits struct {
 	MaxPerConn int     // attempts on one connection
 	MaxConns   int     // connections, to all executors
-	IdleMS     float64 // unused ones are closed here by then: the other side may be about to close them
+	IdleMS     float64 // after which an unused one is retired: the other side may be about to close it
 }
 
-// What Pick gives beside the place of a connection.
+// Results of Pick other than the index of a connection.
 const (
-	Dial   = -1 // a new one
-	NoConn = -2 // there is none, and can't be one more
+	Dial   = -1 // make a new one
+	NoConn = -2 // there is none, and there can be no more
 )
 
-// Pick gives the place of the connection that an attempt takes, and appends those that get nothing new from now on. What shares a
-// connection is lost with it: as long as there may be more of them, each attempt and each probe has one to itself, the one
-// used last, as the others may close as idle; while used ones break more often, a new one. Past that they share, the least
-// loaded first. All is how many there are to all executors.
-func (l Limits) Pick(conns []Conn, all int, f *LossStats, retire []int) (int, []int) {
-	alone, least := NoConn, NoConn
+// Pick returns the index of the connection that an attempt takes, or Dial or NoConn, and appends to retire the indices of those that
+// get nothing new from now on. All is the number of connections to all executors.
+//
+// What shares a connection is lost with it. As long as there may be more connections, each attempt and each health check has one to
+// itself: the one used last, so that the others become idle, or a new one while used ones break more often. Past that they share,
+// the least loaded first.
+func (l Limits) Pick(conns []Conn, all int, losses *LossStats, retire []int) (int, []int) {
+	unused, leastLoaded := NoConn, NoConn
 	for k := range conns {
 		c := &conns[k]
 		if c.Draining {
 			continue
 		}
-		if c.Up && c.load() == 0 && c.IdleMS > l.IdleMS {
+		if c.Up && c.inUse() == 0 && c.IdleMS > l.IdleMS {
 			retire = append(retire, k)
 			continue
 		}
 		switch {
 		case c.Excluded || c.Attempts >= l.MaxPerConn:
-		case c.load() == 0 && (alone == NoConn || c.IdleMS < conns[alone].IdleMS):
-			alone = k
-		case c.load() > 0 && (least == NoConn || c.load() < conns[least].load()):
-			least = k
+		case c.inUse() == 0 && (unused == NoConn || c.IdleMS < conns[unused].IdleMS):
+			unused = k
+		case c.inUse() > 0 && (leastLoaded == NoConn || c.inUse() < conns[leastLoaded].inUse()):
+			leastLoaded = k
 		}
 	}
-	scarce := all >= l.MaxConns-l.MaxConns/spare
+	scarce := all >= l.MaxConns-l.MaxConns/newExecutorReserve
 	switch {
-	case alone != NoConn && (scarce || !f.PreferNew()):
-		return alone, retire
-	case alone != NoConn:
-		return Dial, append(retire, alone) // it is not used again while used ones break
-	case least != NoConn && scarce, all >= l.MaxConns:
-		return least, retire
+	case unused != NoConn && (scarce || !losses.PreferNew()):
+		return unused, retire
+	case unused != NoConn:
+		return Dial, append(retire, unused)
+	case leastLoaded != NoConn && scarce, all >= l.MaxConns:
+		return leastLoaded, retire
 	}
 	return Dial, retire
 }
 
-// LossStats count attempts on new and on used connections, and those of them that a break ended before any word came.
+// LossStats counts attempts on new and on used connections, and those of them that lost their connection before any reply.
 type LossStats struct{ New, Used LossCount }
 
-// LossCount is the count of one kind.
+// LossCount counts the attempts on one kind of connection.
 type LossCount struct{ Attempts, Lost int }
 
 // Record counts an attempt.
-func (f *LossStats) Record(used, lost bool) {
-	one := &f.New
+func (s *LossStats) Record(used, lost bool) {
+	count := &s.New
 	if used {
-		one = &f.Used
+		count = &s.Used
 	}
-	if one.Attempts++; lost {
-		one.Lost++
+	count.Attempts++
+	if lost {
+		count.Lost++
 	}
-	if one.Attempts >= fatesRoom {
-		for _, one := range []*LossCount{&f.New, &f.Used} {
-			one.Attempts, one.Lost = one.Attempts/2, one.Lost/2
-		}
+	if count.Attempts >= lossWindow {
+		s.New.halve()
+		s.Used.halve()
 	}
 }
 
-// PreferNew tells that used connections break under attempts more often than new ones. They are tried again once that is so long
-// ago that it counts for nothing.
-func (f *LossStats) PreferNew() bool {
-	return f.Used.Lost*max(1, f.New.Attempts) > f.New.Lost*max(1, f.Used.Attempts)
+func (c *LossCount) halve() {
+	c.Attempts /= 2
+	c.Lost /= 2
+}
+
+// PreferNew returns whether used connections break under attempts more often than new ones. Halving the counts lets them be tried
+// again in time.
+func (s *LossStats) PreferNew() bool {
+	return s.Used.Lost*max(1, s.New.Attempts) > s.New.Lost*max(1, s.Used.Attempts)
 }
 
-// BlockReason is why an attempt may not leave any more; 0: it may.
+// BlockReason is why an attempt may not leave any more; 0: it may leave.
 type BlockReason uint8
 
-// The bars.
+// Reasons, in the order in which they are checked.
 const (
 	ClientGone     BlockReason = iota + 1 // its client has gone
-	ExecutorClosed                        // its executor drains or is gone
-	TooLate                               // the time until which it may begin is over
-	LeaseLost                             // this controller may not act at this moment
+	ExecutorClosed                        // its executor drains or is removed
+	TooLate                               // the latest time to start is over
+	LeaseLost                             // this controller has lost its lease
 )
 
-// FinalCheck is what is known as a connection takes an attempt: nothing stands between it and the socket any more.
+var blockReasonNames = [...]string{"none", ClientGone: "client gone", ExecutorClosed: "executor closed", TooLate: "too late", LeaseLost: "lease lost"}
+
+// String returns the name of the reason.
+func (r BlockReason) String() string { return blockReasonNames[r] }
+
+// FinalCheck is what is known as a connection takes an attempt, right before the socket.
 type FinalCheck struct {
 	ClientGone, ExecutorClosed, LeaseLost bool
-	NowMS, LatestStartMS                  float64 // ByMS 0: any time
+	NowMS, LatestStartMS                  float64 // LatestStartMS 0: any time
 }
 
-// Bar looks once more at what may have changed since the attempt was decided: a connection can come up late, and a process can
-// sleep in between.
-func (l FinalCheck) Reason() BlockReason {
+// Reason checks once more what may have changed since the attempt was decided: a connection can come up late, and a process can
+// stall in between.
+func (c FinalCheck) Reason() BlockReason {
 	switch {
-	case l.ClientGone:
+	case c.ClientGone:
 		return ClientGone
-	case l.ExecutorClosed:
+	case c.ExecutorClosed:
 		return ExecutorClosed
-	case l.LatestStartMS > 0 && l.NowMS > l.LatestStartMS:
+	case c.LatestStartMS > 0 && c.NowMS > c.LatestStartMS:
 		return TooLate
-	case l.LeaseLost:
+	case c.LeaseLost:
 		return LeaseLost
 	}
 	return 0
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug tells which build this is.
+// Debug tells whether the program is built with the tag debug.
 const Debug = true
 
 func fail(claim string) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant watches what must hold. Built with the tag debug, a broken claim stops the program; without it,
-// the claim is counted under its name and the program goes on.
+// Package invariant checks claims that must hold at run time. Built with the tag debug, a violated claim panics; without it, the
+// violation is counted under the claim's text and the program goes on. The package knows nothing of who checks.
 package invariant
 
 import (
@@ -8,11 +8,11 @@
 )
 
 var (
-	mu     sync.Mutex
-	broken = map[string]uint64{}
+	violationsMu sync.Mutex
+	violations   = map[string]uint64{}
 )
 
-// Check tells whether a claim holds, and sees to it if it does not.
+// Check returns whether a claim holds. If it does not, it panics or counts the violation, as the build says.
 func Check(holds bool, claim string) bool {
 	if !holds {
 		fail(claim)
@@ -20,15 +20,15 @@
 	return holds
 }
 
-// Violations gives the claims that did not hold, with how often.
+// Violations returns how often each violated claim did not hold.
 func Violations() map[string]uint64 {
-	mu.Lock()
-	defer mu.Unlock()
-	return maps.Clone(broken)
+	violationsMu.Lock()
+	defer violationsMu.Unlock()
+	return maps.Clone(violations)
 }
 
 func count(claim string) {
-	mu.Lock()
-	broken[claim]++
-	mu.Unlock()
+	violationsMu.Lock()
+	violations[claim]++
+	violationsMu.Unlock()
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestABrokenClaimStopsADebugBuildAndIsCountedInARelease(t *testing.T) {
+func TestCheck_PanicsInDebugAndCountsInRelease(t *testing.T) {
 	assert.True(t, Check(true, "fine"))
 	if Debug {
 		assert.Panics(t, func() { Check(false, "odd") })
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,5 @@
-// Package retry makes calls again that fail for a moment's reason. It is for starts: nothing that serves waits in it.
+// Package retry repeats calls that fail for a transient reason. It is for the start of a process and for files that are read at a
+// reload; nothing that serves requests may wait in it.
 package retry
 
 import (
@@ -8,29 +9,31 @@
 	"time"
 )
 
-// The patience of a start: half of the time in which a restarted controller has to be ready.
 const (
+	// AtStart is how long a start retries: half of the time in which a restarted controller has to be ready.
 	AtStart = 5 * time.Second
-	Pause   = 50 * time.Millisecond
+	// Pause is the time between two calls.
+	Pause = 50 * time.Millisecond
 )
 
-// Momentary are the system's errors that may be gone at the next call.
+// Momentary lists the system's errors that may be gone at the next call.
 var Momentary = []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
-// For makes a call until it succeeds, fails for another reason than those that pass, or the patience is over; it gives the last error.
-func For(patience time.Duration, call func() error, passing ...error) error {
+// For repeats a call until it succeeds, fails with an error that is not in the transient ones, or the time is over. It returns the
+// last error.
+func For(timeout time.Duration, call func() error, transient ...error) error {
 	began := time.Now()
 	for {
 		err := call()
-		passes := slices.ContainsFunc(passing, func(one error) bool { return errors.Is(err, one) })
-		if !passes || time.Since(began) > patience {
+		isTransient := slices.ContainsFunc(transient, func(target error) bool { return errors.Is(err, target) })
+		if !isTransient || time.Since(began) > timeout {
 			return err
 		}
 		time.Sleep(Pause)
 	}
 }
 
-// Listening makes a call that listens at an address: the process before this one may still be ending under it.
+// Listening repeats a call that listens at an address: the process before this one may still be ending there.
 func Listening(call func() error) error {
 	return For(AtStart, call, append([]error{syscall.EADDRINUSE}, Momentary...)...)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCallsAreMadeAgainWhileTheirErrorsPass(t *testing.T) {
+func TestFor_RetriesTransientErrors(t *testing.T) {
 	calls := 0
 	fails := func(errs ...error) func() error {
 		calls = 0
