--- a/internal/vfs/faults_on.go
+++ b/internal/vfs/faults_on.go
@@ -15,8 +15,8 @@
 // at each call that changes something. This layer is for rehearsals alone; no other build has it.
 const FaultFile = "LIFTSHIFT_DISK"
 
-// Beneath gives a folder whose calls fail as the fault file says.
-func Beneath(d Dir) FS {
+// WithFaults returns a folder whose changing calls fail as the fault file says, or the folder itself where no fault file is named.
+func WithFaults(d Dir) FS {
 	if os.Getenv(FaultFile) == "" {
 		return d
 	}
