--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -31,7 +31,7 @@
 	return want
 }
 
-// goldenRecord is a record of one kind: what writes it, what it is read into, and what must be read.
+// goldenRecord is a record of one kind: what writes it, what reads it back, and what must be read.
 type goldenRecord struct {
 	name  string
 	key   Key
@@ -43,41 +43,42 @@
 const goldenNow = 123456.5
 
 func goldenRecords() (all []goldenRecord) {
-	for s, name := range []string{"waiting", "out", "doubted", "handled", "denied", "writtenoff", "left"} {
-		k := searchKey("id-7")
-		one := search{id: "id-7", label: "label-7", mark: markKey("label-7"), offering: 1, state: state(s), at: goldenNow, until: 128000.25, out: 5, ran: true}
-		all = append(all, goldenRecord{"search-" + name, k, func(l *Ledger) { l.keepSearch(k, &one) },
-			func(l *Ledger) any { return *l.searches.Get(k) }, one})
+	for state, name := range []string{"waiting", "out", "doubted", "handled", "denied", "writtenoff", "left"} {
+		k := requestKey("id-7")
+		one := request{id: "id-7", idempotencyKey: "label-7", keyRecord: idempotencyRecordKey("label-7"), class: 1, state: requestState(state),
+			updatedAt: goldenNow, deadline: 128000.25, inFlight: 5, mayHaveRun: true}
+		all = append(all, goldenRecord{"search-" + name, k, func(l *Ledger) { l.persistRequest(k, &one) },
+			func(l *Ledger) any { return *l.requests.Get(k) }, one})
 	}
-	for name, one := range map[string]mark{
-		"mark":            {label: "label-7", first: 123000.5, last: 123400.25, executor: 9, place: "here", cell: -4, offering: 2, unsure: 3, ran: true, body: []byte("rows")},
-		"mark-no-body":    {label: "label-7", first: math.Inf(-1), last: 1, offering: 1},
-		"mark-empty-body": {label: "label-7", last: 1, offering: 1, body: []byte{}}} {
-		k := markKey("label-7")
-		all = append(all, goldenRecord{name, k, func(l *Ledger) { l.keepMark(k, &one) }, func(l *Ledger) any { return *l.marks.Get(k) }, one})
+	for name, one := range map[string]idempotencyKey{
+		"mark":            {text: "label-7", firstAt: 123000.5, lastAt: 123400.25, executor: 9, zone: "here", cell: -4, class: 2, unresolved: 3, succeeded: true, answer: []byte("rows")},
+		"mark-no-body":    {text: "label-7", firstAt: math.Inf(-1), lastAt: 1, class: 1},
+		"mark-empty-body": {text: "label-7", lastAt: 1, class: 1, answer: []byte{}}} {
+		k := idempotencyRecordKey("label-7")
+		all = append(all, goldenRecord{name, k, func(l *Ledger) { l.persistKey(k, &one) }, func(l *Ledger) any { return *l.keys.Get(k) }, one})
 	}
-	slots := []slot{{1200, 300, 2}, {1233, 1, 0}, {1234, 0, 7}}
-	executor := trust{id: 9, place: "here", cell: -4, coldUntil: 130000.5, aside: true, strikes: 3, drain: 77, upSince: 1000.5, told: goldenNow}
-	this := life{at: 100.5, moment: Clocks{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"}, told: goldenNow, clean: true}
-	figures := []scheduler.Estimate{{Name: "ran", Value: 1.5}, {Name: "threads.look", Value: -0.25}, {Name: "zero", Value: 0}}
-	set := note{key: noteKey("limit model"), name: "limit model", who: "ann", text: []byte("{}"), at: goldenNow}
+	slots := []budgetSlot{{1200, 300, 2}, {1233, 1, 0}, {1234, 0, 7}}
+	executor := executorState{id: 9, zone: "here", cell: -4, warmupUntil: 130000.5, ejected: true, ejections: 3, drainVersion: 77, startedAt: 1000.5, persistedAt: goldenNow}
+	this := incarnation{startedAt: 100.5, clocks: Clocks{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"}, persistedAt: goldenNow, clean: true}
+	estimates := []scheduler.Estimate{{Name: "ran", Value: 1.5}, {Name: "threads.look", Value: -0.25}, {Name: "zero", Value: 0}}
+	note := operatorNote{key: noteKey("limit model"), name: "limit model", author: "ann", body: []byte("{}"), at: goldenNow}
 	return append(all,
-		goldenRecord{"ration", rationKey, func(l *Ledger) { l.ration.slots = slots; l.keepRation() }, func(l *Ledger) any { return l.ration.slots }, slots},
-		goldenRecord{"executor", executor.key(), func(l *Ledger) { one := executor; l.keepTrust(&one) }, func(l *Ledger) any { return *l.trusts[9] }, executor},
-		goldenRecord{"life", lifeKey, func(l *Ledger) { l.life, l.doubtUntil = this, 140000.5; l.keepLife() },
-			func(l *Ledger) any { return []any{l.life, l.doubtUntil} }, []any{this, 140000.5}},
-		goldenRecord{"learnt", learntKey, func(l *Ledger) { l.learnt = figures; l.keepLearnt() }, func(l *Ledger) any { return l.learnt }, figures},
-		goldenRecord{"note", set.key, func(l *Ledger) { l.keepNote(&Event{ID: set.name, IdempotencyKey: set.who, Body: set.text}) },
-			func(l *Ledger) any { return l.notes[0] }, set})
+		goldenRecord{"ration", retryBudgetKey, func(l *Ledger) { l.retryBudget.slots = slots; l.persistRetryBudget() }, func(l *Ledger) any { return l.retryBudget.slots }, slots},
+		goldenRecord{"executor", executor.key(), func(l *Ledger) { one := executor; l.persistExecutor(&one) }, func(l *Ledger) any { return *l.executors[9] }, executor},
+		goldenRecord{"life", incarnationKey, func(l *Ledger) { l.incarnation, l.inDoubtUntil = this, 140000.5; l.persistIncarnation() },
+			func(l *Ledger) any { return []any{l.incarnation, l.inDoubtUntil} }, []any{this, 140000.5}},
+		goldenRecord{"learnt", estimatesKey, func(l *Ledger) { l.estimates = estimates; l.persistEstimates() }, func(l *Ledger) any { return l.estimates }, estimates},
+		goldenRecord{"note", note.key, func(l *Ledger) { l.persistNote(&Event{ID: note.name, IdempotencyKey: note.author, Body: note.body}) },
+			func(l *Ledger) any { return l.notes[0] }, note})
 }
 
-// Each kind of record, and a search in each of its states, is written as it always was, and read from that again.
+// TestGolden_LedgerRecords checks that each kind of record, and a request in each state, is written as it always was and read back.
 func TestGolden_LedgerRecords(t *testing.T) {
 	for _, r := range goldenRecords() {
 		l := New(testSettings())
 		l.now = goldenNow
 		r.write(l)
-		e := l.out[0]
+		e := l.effects[0]
 		require.Equal(t, Persist, e.Kind, r.name)
 		assert.Equal(t, r.key, e.Key, r.name)
 		text := golden(t, r.name+".txt", fmt.Appendf(nil, "key %x\nexpires %d\nvalue %x\n", e.Key[:], e.Expires, e.Value))
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -20,47 +20,49 @@
 	return s
 }
 
-// disk keeps what ledgers want kept, as a store would, and can be looked at as of any step.
-type disk struct {
-	kept map[Key]Effect
+// memoryDisk holds the records of ledgers, as a store would, and can be looked at after any step.
+type memoryDisk struct {
+	records map[Key]Effect
 }
 
-// lives is a ledger on a disk, with its own idea of the time.
-type lives struct {
+// testLedger is a ledger on a memory disk.
+type testLedger struct {
 	*Ledger
-	disk   *disk
-	recall []scheduler.Event
-	said   []string
+	disk     *memoryDisk
+	restored []scheduler.Event
+	logged   []string
 }
 
-// born is a ledger that begins at a clock with what the disk holds.
-func born(d *disk, now float64, m Clocks, doubt bool) *lives {
-	l := &lives{Ledger: New(testSettings()), disk: d}
-	for k, e := range d.kept {
+// startLedger returns a ledger that starts at a time with what the disk holds.
+func startLedger(d *memoryDisk, now float64, m Clocks, doubt bool) *testLedger {
+	l := &testLedger{Ledger: New(testSettings()), disk: d}
+	for k, e := range d.records {
 		l.Step(0, &Event{Kind: RecordRead, Key: k, Expires: e.Expires, Value: e.Value})
 	}
-	l.do(now, Event{Kind: RecoveryDone, Clocks: m, TailInDoubt: doubt})
+	l.play(now, Event{Kind: RecoveryDone, Clocks: m, TailInDoubt: doubt})
 	return l
 }
 
-func firstLife(now float64) *lives { return born(&disk{kept: map[Key]Effect{}}, now, up(now), false) }
+func newTestLedger(now float64) *testLedger {
+	return startLedger(&memoryDisk{records: map[Key]Effect{}}, now, clocksAt(now), false)
+}
 
-// up is a moment of a machine that has run since 0.
-func up(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
+// clocksAt returns the clocks of a machine that was booted at 0.
+func clocksAt(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
 
-// do plays an event, keeps what is to be kept, and gives the rest.
-func (l *lives) do(now float64, ev Event) (rest []Effect) {
+// play takes a step, stores its records, and returns the other effects.
+func (l *testLedger) play(now float64, ev Event) (rest []Effect) {
 	for _, e := range l.Step(now, &ev) {
 		switch e.Kind {
 		case Persist:
 			e.Value = append([]byte(nil), e.Value...)
-			l.disk.kept[e.Key] = e
+			l.disk.records[e.Key] = e
 		case Delete:
-			delete(l.disk.kept, e.Key)
+			delete(l.disk.records, e.Key)
 		case RestoreState:
-			l.recall = append(l.recall, e.SchedulerEvent)
+			l.restored = append(l.restored, e.SchedulerEvent)
 		case LogMessage:
-			l.said = append(l.said, e.Text)
+			l.logged = append(l.logged, e.Text)
 		case Sync:
 		default:
 			rest = append(rest, e)
@@ -69,46 +71,46 @@
 	return rest
 }
 
-func (l *lives) take(now float64, offering, id, label string) Effect {
-	return l.do(now, Event{Kind: RequestReceived, ID: id, IdempotencyKey: label, Class: offering, Deadline: now + 5000})[0]
+func (l *testLedger) receive(now float64, class, id, key string) Effect {
+	return l.play(now, Event{Kind: RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: now + 5000})[0]
 }
 
-// send puts a shot on record and has that last; it tells whether the shot left.
-func (l *lives) send(now float64, id string, n int, executor uint32) bool {
-	for _, e := range l.do(now, Event{Kind: AttemptStarting, ID: id, Attempt: n, Executor: executor}) {
+// startAttempt puts an attempt on record, reports that as durable, and tells whether the attempt was released.
+func (l *testLedger) startAttempt(now float64, id string, n int, executor uint32) bool {
+	for _, e := range l.play(now, Event{Kind: AttemptStarting, ID: id, Attempt: n, Executor: executor}) {
 		if e.Kind == HoldAttempt {
-			r := l.do(now, Event{Kind: RecordsStored, Token: e.Token, OK: true})
+			r := l.play(now, Event{Kind: RecordsStored, Token: e.Token, OK: true})
 			return len(r) == 1 && r[0].Kind == ReleaseAttempt && r[0].ID == id && r[0].Attempt == n
 		}
 	}
 	return true
 }
 
-// outcome is what is told of an id, then of a mark.
-func (l *lives) outcome(now float64, id, label string) (a, b Outcome) {
-	a = l.do(now, Event{Kind: OutcomeQueried, ID: id})[0].Outcome
-	return a, l.do(now, Event{Kind: OutcomeQueried, IdempotencyKey: label})[0].Outcome
+// outcomes returns the outcome of a request id and that of an idempotency key.
+func (l *testLedger) outcomes(now float64, id, key string) (ofID, ofKey Outcome) {
+	ofID = l.play(now, Event{Kind: OutcomeQueried, ID: id})[0].Outcome
+	return ofID, l.play(now, Event{Kind: OutcomeQueried, IdempotencyKey: key})[0].Outcome
 }
 
-// listed tells of executors 1 and 2 here and 3 there.
-func (l *lives) listed(now float64, index uint64, leaving ...uint32) {
+// updateEndpoints sends a complete list: executors 1 and 2 in zone here, 3 in zone there, some of them draining.
+func (l *testLedger) updateEndpoints(now float64, version uint64, draining ...uint32) {
 	var list []scheduler.Endpoint
 	for id := range uint32(3) {
 		e := scheduler.Endpoint{Executor: id + 1, Zone: "here"}
 		if id == 2 {
 			e.Zone = "there"
 		}
-		for _, x := range leaving {
+		for _, x := range draining {
 			if x == id+1 {
 				e.Availability = scheduler.Draining
 			}
 		}
 		list = append(list, e)
 	}
-	l.do(now, Event{Kind: EndpointsUpdated, ListVersion: index, Restored: true, Complete: true, Endpoints: list})
+	l.play(now, Event{Kind: EndpointsUpdated, ListVersion: version, Restored: true, Complete: true, Endpoints: list})
 }
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -33,7 +33,7 @@
 	return want
 }
 
-// goldenSettings has a retry budget, too, so that there is a record of it.
+// goldenSettings has a retry budget, too, so that there is a record of one.
 func goldenSettings() ledger.Settings {
 	s := ledgerSettings()
 	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
@@ -43,21 +43,21 @@
 // goldenFolder writes a store that has records of every kind, in a snapshot and behind it, at fixed times.
 func goldenFolder(t *testing.T, stop bool) *vfs.MemoryFS {
 	disk := vfs.NewMemory()
-	c := &controller{now: 10000, heard: make(chan ledger.Event, 1000), engine: &engines{ran: map[string][]string{}}}
+	c := &testController{now: 10000, reports: make(chan ledger.Event, 1000), engines: &testEngines{ran: map[string][]string{}}}
 	var err error
-	c.Store, _, err = OpenAt(disk, bounds, goldenSettings(), func() float64 { return c.now }, up(c.now), func(ev ledger.Event) { c.heard <- ev }, silent())
+	c.Store, _, err = OpenAt(disk, testOptions, goldenSettings(), func() float64 { return c.now }, clocksAt(c.now), func(ev ledger.Event) { c.reports <- ev }, quietLogger())
 	require.NoError(t, err)
 	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
-	ends := []struct{ id, offering, mark, ends string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
+	requests := []struct{ id, class, key, ending string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
 		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
 	step(ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"}, {Executor: 2, Zone: "there"}}})
 	run := func(round string, ms float64) {
-		for _, s := range ends {
-			mark := s.mark
-			if mark != "" {
-				mark += round
+		for _, r := range requests {
+			key := r.key
+			if key != "" {
+				key += round
 			}
-			c.search(s.id+round, s.offering, mark, s.ends, 1)
+			c.request(r.id+round, r.class, key, r.ending, 1)
 		}
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "denied" + round, Outcome: ledger.Rejected})
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "left" + round, Outcome: ledger.Abandoned})
@@ -68,7 +68,7 @@
 		step(ledger.Event{Kind: ledger.Ticked, ExecutorViews: []scheduler.ExecutorView{{Executor: 1, Ejected: true, Ejections: 3, WarmingUp: true, WarmupUntil: c.now + 2000}},
 			Estimates: []scheduler.Estimate{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
 	}
-	run("-1", 2500) // nothing lapses before the snapshot: its order would hang on when that is seen
+	run("-1", 2500) // nothing expires before the snapshot, whose order would depend on when that is seen
 	require.NoError(t, c.store.Snapshot())
 	run("-2", 6000)
 	step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit -1", IdempotencyKey: "ann"}) // ends it
@@ -79,18 +79,18 @@
 	require.NoError(t, c.store.Close())
 	names, err := disk.List()
 	require.NoError(t, err)
-	for k := len(names) - 1; k >= 0; k-- { // the last batch was half written
-		if strings.HasSuffix(names[k], ".log") {
-			b := disk.Bytes(names[k])
+	for i := len(names) - 1; i >= 0; i-- { // the last batch was half written
+		if strings.HasSuffix(names[i], ".log") {
+			b := disk.Bytes(names[i])
 			clear(b[len(strings.TrimRight(string(b), "\x00"))-10:])
-			disk.Set(names[k], b)
+			disk.Set(names[i], b)
 			break
 		}
 	}
 	return disk
 }
 
-// goldenCopy lays a golden folder into a new one.
+// goldenCopy copies a golden folder to a new one.
 func goldenCopy(t *testing.T, folder string) vfs.Dir {
 	t.Helper()
 	dir := t.TempDir()
@@ -100,9 +100,9 @@
 	return fs
 }
 
-// A store's folder is written as it always was, after a planned stop and with a torn end, and the same is found in it: each record in its
-// order, what is said of the end, and what a controller makes of it.
-func TestGolden_KeeperFolders(t *testing.T) {
+// TestGolden_StoreFolders checks that a folder is written as it always was, after a planned shutdown and with a torn tail, and that the same is
+// found in it: each record in its order, what is said of the tail, and what a controller makes of it.
+func TestGolden_StoreFolders(t *testing.T) {
 	for _, folder := range []string{"clean", "torn"} {
 		disk := goldenFolder(t, folder == "clean")
 		if *update {
@@ -110,20 +110,20 @@
 		}
 		names, err := disk.List()
 		require.NoError(t, err)
-		var kept []string
+		var written []string
 		for _, name := range names {
 			if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
-				kept = append(kept, name)
+				written = append(written, name)
 				golden(t, filepath.Join(folder, name), disk.Bytes(name))
 			}
 		}
 		there, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
 		require.NoError(t, err)
-		assert.Len(t, there, len(kept), folder)
+		assert.Len(t, there, len(written), folder)
 
 		var text strings.Builder
 		kinds := map[string]bool{}
-		s, found, err := store.Open(goldenCopy(t, folder), bounds, func(k store.Key, expires int64, value []byte) {
+		s, found, err := store.Open(goldenCopy(t, folder), testOptions, func(k store.Key, expires int64, value []byte) {
 			fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
 			kind, _, _ := ledger.DescribeRecord(value)
 			kinds[kind] = true
@@ -140,31 +140,31 @@
 
 		const now = 30000
 		again := goldenCopy(t, folder)
-		k, _, err := OpenAt(again, bounds, goldenSettings(), func() float64 { return now }, up(now), func(ledger.Event) {}, silent())
+		k, _, err := OpenAt(again, testOptions, goldenSettings(), func() float64 { return now }, clocksAt(now), func(ledger.Event) {}, quietLogger())
 		require.NoError(t, err, folder)
-		var told strings.Builder
+		var answers strings.Builder
 		for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
 			for _, round := range []string{"-1", "-2"} {
 				e := k.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
-				fmt.Fprintf(&told, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
+				fmt.Fprintf(&answers, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
 			}
 		}
 		for _, n := range k.OperatorNotes() {
-			fmt.Fprintf(&told, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
+			fmt.Fprintf(&answers, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
 		}
-		recalled := k.RestoredEvents()
+		restored := k.RestoredEvents()
 		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"},
 			{Executor: 2, Zone: "there"}}}) {
-			recalled = append(recalled, e.SchedulerEvent)
+			restored = append(restored, e.SchedulerEvent)
 		}
-		for _, ev := range recalled {
-			fmt.Fprintf(&told, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
+		for _, ev := range restored {
+			fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
 		}
-		golden(t, folder+"-told.txt", []byte(told.String()))
+		golden(t, folder+"-told.txt", []byte(answers.String()))
 		require.NoError(t, k.store.Close())
-		next, err := again.Open("0000000000000003.log") // what this life wrote; its head tells of the doubt
+		next, err := again.Open("0000000000000003.log") // what this incarnation wrote; its header tells of the doubt
 		require.NoError(t, err)
-		data := make([]byte, bounds.SegmentBytes)
+		data := make([]byte, testOptions.SegmentBytes)
 		_, err = next.ReadAt(data, 0)
 		require.NoError(t, err)
 		require.NoError(t, next.Close())
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -36,55 +36,55 @@
 	return s
 }
 
-func silent() *logrus.Logger {
+func quietLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-var bounds = store.Options{SegmentBytes: 4096, FlushDelay: time.Millisecond}
+var testOptions = store.Options{SegmentBytes: 4096, FlushDelay: time.Millisecond}
 
-// engines count the runs of marks; a place drops repeats, the others do not know of it.
-type engines struct{ ran map[string][]string }
+// testEngines count the runs of idempotency keys. A zone drops repeats of its own, the others do not know of them.
+type testEngines struct{ ran map[string][]string }
 
-// run is a mark that reaches an engine of a place.
-func (e *engines) run(mark, place string) {
-	if !slices.Contains(e.ran[mark], place) {
-		e.ran[mark] = append(e.ran[mark], place)
+// run is a key that reaches an engine of a zone.
+func (e *testEngines) run(key, zone string) {
+	if !slices.Contains(e.ran[key], zone) {
+		e.ran[key] = append(e.ran[key], zone)
 	}
 }
 
-// twice names the marks that ran more than once.
-func (e *engines) twice() (marks []string) {
-	for m, places := range e.ran {
-		if len(places) > 1 {
-			marks = append(marks, m)
+// ranTwice returns the keys that ran more than once.
+func (e *testEngines) ranTwice() (keys []string) {
+	for key, zones := range e.ran {
+		if len(zones) > 1 {
+			keys = append(keys, key)
 		}
 	}
-	return marks
+	return keys
 }
 
-// controller does what a desk does with a keeper, one search after the other.
-type controller struct {
+// testController does what the event loop does with a Store, one request after the other.
+type testController struct {
 	*Store
-	now    float64
-	heard  chan ledger.Event
-	engine *engines
+	now     float64
+	reports chan ledger.Event
+	engines *testEngines
 }
 
-func up(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
+func clocksAt(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
 
-// begin opens a keeper; a store that is damaged is repaired first, as an operator would.
-func begin(disk *vfs.MemoryFS, now float64, e *engines) (*controller, error) {
-	c := &controller{now: now, heard: make(chan ledger.Event, 1000), engine: e}
+// startController opens a Store. A damaged one is repaired first, as an operator would.
+func startController(disk *vfs.MemoryFS, now float64, e *testEngines) (*testController, error) {
+	c := &testController{now: now, reports: make(chan ledger.Event, 1000), engines: e}
 	open := func() (err error) {
-		c.Store, _, err = OpenAt(disk, bounds, ledgerSettings(), func() float64 { return now }, up(now),
-			func(ev ledger.Event) { c.heard <- ev }, silent())
+		c.Store, _, err = OpenAt(disk, testOptions, ledgerSettings(), func() float64 { return now }, clocksAt(now),
+			func(ev ledger.Event) { c.reports <- ev }, quietLogger())
 		return err
 	}
 	err := open()
 	if err != nil {
-		if _, rerr := store.Repair(disk, bounds); rerr != nil {
+		if _, rerr := store.Repair(disk, testOptions); rerr != nil {
 			return nil, rerr
 		}
 		err = open()
@@ -93,36 +93,33 @@
 		return nil, err
 	}
 	var list []scheduler.Endpoint
-	for id, place := range []string{"here", "there"} {
-		list = append(list, scheduler.Endpoint{Executor: uint32(id + 1), Zone: place})
+	for id, zone := range []string{"here", "there"} {
+		list = append(list, scheduler.Endpoint{Executor: uint32(id + 1), Zone: zone})
 	}
 	c.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: list})
 	return c, nil
 }
 
-// search takes a search, sends its shot once that is on record, and ends it as it is told; it gives what came of it.
-// Ends: "" leaves it open; "unrun": the shot never ran; "handled"; "before": nothing is sent.
-func (c *controller) search(id, offering, mark, ends string, executor uint32) ledger.EffectKind {
+// request receives a request, sends its attempt once that is on record, and ends it as given; it returns what became of it.
+// Endings: "" leaves it open; "unrun": the attempt never ran; "handled"; "before": nothing is sent.
+func (c *testController) request(id, class, key, ending string, executor uint32) ledger.EffectKind {
 	c.now++
-	effects := c.Step(c.now, &ledger.Event{Kind: ledger.RequestReceived, ID: id, IdempotencyKey: mark, Class: offering, Deadline: c.now + 5000})
+	effects := c.Step(c.now, &ledger.Event{Kind: ledger.RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: c.now + 5000})
 	first := effects[0]
-	if first.Kind != ledger.Admit || ends == "before" {
+	if first.Kind != ledger.Admit || ending == "before" {
 		return first.Kind
 	}
-	place := []string{"here", "there"}[executor-1]
+	zone := []string{"here", "there"}[executor-1]
 	if first.Prior.At != 0 {
 		if c.now > first.Prior.At+20000 {
-			return first.Kind // the module never sends it
-		}
-		if place = first.Prior.Zone; place == "there" {
-			executor = 2
-		} else {
-			executor = 1
+			return first.Kind // the scheduler never sends it
 		}
+		zone = first.Prior.Zone
+		executor = map[string]uint32{"here": 1, "there": 2}[zone]
 	}
 	effects = slices.Clone(c.Step(c.now, &ledger.Event{Kind: ledger.AttemptStarting, ID: id, Executor: executor}))
 	for len(effects) == 1 && effects[0].Kind == ledger.HoldAttempt {
-		ev := <-c.heard
+		ev := <-c.reports
 		effects = slices.Clone(c.Step(c.now, &ev))
 		if len(effects) == 0 {
 			effects = []ledger.Effect{{Kind: ledger.HoldAttempt}}
@@ -133,63 +130,63 @@
 		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Rejected})
 		return ledger.FailAttempt
 	}
-	if ends != "unrun" && mark != "" {
-		c.engine.run(mark, place)
+	if ending != "unrun" && key != "" {
+		c.engines.run(key, zone)
 	}
-	if ends != "" {
-		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: ends == "unrun"})
+	if ending != "" {
+		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: ending == "unrun"})
 	}
-	if ends == "handled" {
+	if ending == "handled" {
 		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Succeeded, Body: []byte("rows")})
 	}
 	return ledger.ReleaseAttempt
 }
 
-var gaps = []string{"handled", "", "unrun", "before"}
+var endings = []string{"handled", "", "unrun", "before"}
 
-// workload goes through every gap a few times; it gives the ids that were open when it ended.
-func (c *controller) workload(rounds int) (open []string) {
+// workload goes through every ending a few times and returns the ids that were open when it ended.
+func (c *testController) workload(rounds int) (open []string) {
 	for n := range rounds {
-		id, m, ends := fmt.Sprint("a", n), fmt.Sprint("m", n), gaps[n%len(gaps)]
-		if c.search(id, "mark", m, ends, 1) == ledger.ReleaseAttempt && ends == "" {
+		id, key, ending := fmt.Sprint("a", n), fmt.Sprint("m", n), endings[n%len(endings)]
+		if c.request(id, "mark", key, ending, 1) == ledger.ReleaseAttempt && ending == "" {
 			open = append(open, id)
 		}
-		c.search(fmt.Sprint("l", n), "look", "", "handled", 1)
+		c.request(fmt.Sprint("l", n), "look", "", "handled", 1)
 	}
 	return open
 }
 
-// retries is what clients do after a crash: each mark comes again, under a new id, and would go to the other place.
-func (c *controller) retries(rounds int) {
+// retries is what clients do after a crash: each key comes again, under a new id, and would go to the other zone.
+func (c *testController) retries(rounds int) {
 	for n := range rounds {
-		c.search(fmt.Sprint("b", n), "mark", fmt.Sprint("m", n), "handled", 2)
+		c.request(fmt.Sprint("b", n), "mark", fmt.Sprint("m", n), "handled", 2)
 	}
 }
 
-// copy gives engines that go on from here by themselves.
-func (e *engines) copy() *engines {
-	o := &engines{ran: map[string][]string{}}
-	for m, places := range e.ran {
-		o.ran[m] = slices.Clone(places)
+// copy returns engines that go on from here by themselves.
+func (e *testEngines) copy() *testEngines {
+	o := &testEngines{ran: map[string][]string{}}
+	for key, zones := range e.ran {
+		o.ran[key] = slices.Clone(zones)
 	}
 	return o
 }
 
-// box is an answer for a client that counts.
-type box struct {
+// answerRecorder is a client that records its answers.
+type answerRecorder struct {
 	mu      sync.Mutex
 	answers map[uint64]string
 }
 
-func (b *box) put(tag uint64, what string) {
+func (b *answerRecorder) add(tag uint64, what string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.answers[tag] += what
 }
-func (b *box) Succeeded(tag uint64, _ []byte) { b.put(tag, "handled") }
-func (b *box) Rejected(tag uint64, _ float64) { b.put(tag, "denied") }
-func (b *box) Failed(tag uint64)              { b.put(tag, "written off") }
-func (b *box) get(tag uint64) string {
+func (b *answerRecorder) Succeeded(tag uint64, _ []byte) { b.add(tag, "handled") }
+func (b *answerRecorder) Rejected(tag uint64, _ float64) { b.add(tag, "denied") }
+func (b *answerRecorder) Failed(tag uint64)              { b.add(tag, "written off") }
+func (b *answerRecorder) get(tag uint64) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.answers[tag]
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -1,13 +1,9 @@
-// Package ledgerstore carries what a ledger wants remembered to a store, and back to the desk what became of it. It decides
-// nothing, and never waits: the store has a goroutine of its own.
+// Package ledgerstore joins a ledger and a store: it carries the records that the ledger wants to persist to the store, and what
+// became of them back to the event loop. It decides nothing and never waits; the store has a goroutine of its own.
 package ledgerstore
 
 import (
-	"os"
-	"strconv"
-	"strings"
 	"sync/atomic"
-	"time"
 
 	"github.com/sirupsen/logrus"
 
@@ -17,149 +13,141 @@
 	"liftshift/scheduler"
 )
 
-// Store is a ledger with a store beneath. Step and WantsBeliefs belong to the desk's goroutine.
+// Store is a ledger whose records are kept by a store. Step and WantsExecutorViews belong to the event loop's goroutine.
 type Store struct {
-	store  *store.Store
-	ledger *ledger.Ledger
-	back   func(ledger.Event)
-	log    logrus.FieldLogger
-	batch  store.Batch
-	out    []ledger.Effect
-	first  []scheduler.Event // for the module, as of the start
-	notes  []ledger.Effect
-	now    func() float64
-
-	lost  atomic.Uint64 // records that nobody waited for and that could not be lined up
-	count atomic.Pointer[ledger.Counts]
+	store     *store.Store
+	ledger    *ledger.Ledger
+	now       func() float64
+	onStored  func(ledger.Event)
+	log       logrus.FieldLogger
+	batch     store.Batch
+	effects   []ledger.Effect
+	restored  []scheduler.Event
+	notes     []ledger.Effect
+	unwritten atomic.Uint64 // records without a Sync for which the store had no room
+	counts    atomic.Pointer[ledger.Counts]
 }
 
-// Open opens the store, ends what was open at the last crash, and gives what was found. Back gets what is heard of the
-// disk, from another goroutine; it must lead to Step.
-func Open(fs vfs.FS, bounds store.Options, settings ledger.Settings, now func() float64, back func(ledger.Event),
+// Open opens the store in a folder and closes the requests that were open at the last crash. The reports of the store go to
+// onStored, from another goroutine; each must reach Step.
+func Open(fs vfs.FS, options store.Options, settings ledger.Settings, now func() float64, onStored func(ledger.Event),
 	log logrus.FieldLogger) (*Store, store.Recovery, error) {
-	return OpenAt(fs, bounds, settings, now, ReadClocks(), back, log)
+	return OpenAt(fs, options, settings, now, ReadClocks(), onStored, log)
 }
 
-// OpenAt is Open at a moment of the machine's clocks.
-func OpenAt(fs vfs.FS, bounds store.Options, settings ledger.Settings, now func() float64, moment ledger.Clocks,
-	back func(ledger.Event), log logrus.FieldLogger) (*Store, store.Recovery, error) {
-	k := &Store{ledger: ledger.New(settings), back: back, log: log, now: now}
-	s, found, err := store.Open(fs, bounds, func(key store.Key, expires int64, value []byte) {
-		k.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
+// OpenAt is Open with a given reading of the machine's clocks.
+func OpenAt(fs vfs.FS, options store.Options, settings ledger.Settings, now func() float64, clocks ledger.Clocks,
+	onStored func(ledger.Event), log logrus.FieldLogger) (*Store, store.Recovery, error) {
+	s := &Store{ledger: ledger.New(settings), onStored: onStored, log: log, now: now}
+	opened, recovery, err := store.Open(fs, options, func(key store.Key, expires int64, value []byte) {
+		s.ledger.Step(0, &ledger.Event{Kind: ledger.RecordRead, Key: key, Expires: expires, Value: value})
 	})
 	if err != nil {
-		return nil, found, err
+		return nil, recovery, err
 	}
-	k.store = s
-	for _, e := range k.Step(now(), &ledger.Event{Kind: ledger.RecoveryDone, Clocks: moment, TailInDoubt: found.InDoubt}) {
+	s.store = opened
+	for _, e := range s.Step(now(), &ledger.Event{Kind: ledger.RecoveryDone, Clocks: clocks, TailInDoubt: recovery.InDoubt}) {
 		switch e.Kind {
 		case ledger.RestoreState:
-			k.first = append(k.first, e.SchedulerEvent)
+			s.restored = append(s.restored, e.SchedulerEvent)
 		case ledger.OperatorNote:
-			k.notes = append(k.notes, e)
+			s.notes = append(s.notes, e)
 		}
 	}
-	log.WithFields(logrus.Fields{"records": found.Records, "bytes": found.Bytes, "files": found.Files, "took_ms": found.TookMS,
-		"doubt": found.Reason}).Info("store: opened")
-	return k, found, nil
+	log.WithFields(logrus.Fields{"records": recovery.Records, "bytes": recovery.Bytes, "files": recovery.Files, "took_ms": recovery.TookMS,
+		"in_doubt": recovery.Reason}).Info("store: opened")
+	return s, recovery, nil
 }
 
-// RestoredEvents gives what the module is to be told before anything else.
-func (k *Store) RestoredEvents() []scheduler.Event { return k.first }
+// RestoredEvents returns what the scheduler must learn before anything else.
+func (s *Store) RestoredEvents() []scheduler.Event { return s.restored }
 
-// OperatorNotes gives what operators had set before the start.
-func (k *Store) OperatorNotes() []ledger.Effect { return k.notes }
+// OperatorNotes returns what operators set before the start.
+func (s *Store) OperatorNotes() []ledger.Effect { return s.notes }
 
-// WantsExecutorViews tells whether the ledger wants to hear what the module believes.
-func (k *Store) WantsExecutorViews(now float64) bool { return k.ledger.WantsExecutorViews(now) }
+// WantsExecutorViews tells whether the next Ticked should carry the scheduler's view of the executors.
+func (s *Store) WantsExecutorViews(now float64) bool { return s.ledger.WantsExecutorViews(now) }
 
-// Step tells the ledger of an event, lines up what it wants kept, and gives the other effects.
-func (k *Store) Step(now float64, ev *ledger.Event) []ledger.Effect {
-	k.out = k.out[:0]
-	k.step(now, ev)
+// Step takes an event, appends the records that the ledger wants to persist to the store, and returns the other effects, which
+// are valid until the next call.
+func (s *Store) Step(now float64, ev *ledger.Event) []ledger.Effect {
+	s.effects = s.effects[:0]
+	s.step(now, ev)
 	if ev.Kind == ledger.Ticked {
-		k.store.Advance(k.ledger.LogTime(now))
-		c := k.ledger.Counts()
-		k.count.Store(&c)
+		s.store.Advance(s.ledger.LogTime(now))
+		counts := s.ledger.Counts()
+		s.counts.Store(&counts)
 	}
-	return k.out
+	return s.effects
 }
 
-func (k *Store) step(now float64, ev *ledger.Event) {
+func (s *Store) step(now float64, ev *ledger.Event) {
 	token := uint64(0)
-	k.batch.Reset()
-	for _, e := range k.ledger.Step(now, ev) {
+	s.batch.Reset()
+	for _, e := range s.ledger.Step(now, ev) {
 		switch e.Kind {
 		case ledger.Persist:
-			k.batch.Put(e.Key, e.Expires, e.Value)
+			s.batch.Put(e.Key, e.Expires, e.Value)
 		case ledger.Delete:
-			k.batch.Delete(e.Key)
+			s.batch.Delete(e.Key)
 		case ledger.Sync:
 			token = e.Token
 		case ledger.LogMessage:
-			k.log.WithField("says", e.Text).Warn("ledger")
+			s.log.WithField("text", e.Text).Warn("ledger")
 		default:
-			k.out = append(k.out, e)
+			s.effects = append(s.effects, e)
 		}
 	}
-	if k.batch.Len() == 0 {
-		return
+	if s.batch.Len() > 0 {
+		s.append(now, token)
 	}
-	teller := store.Notifier(nil)
+}
+
+// append hands the batch to the store. A token that is not zero gets a report, at once where the store takes nothing.
+func (s *Store) append(now float64, token uint64) {
+	notifier := store.Notifier(nil)
 	if token != 0 {
-		teller = k
+		notifier = s
 	}
-	err := k.store.Append(k.ledger.LogTime(now), &k.batch, teller, token)
+	err := s.store.Append(s.ledger.LogTime(now), &s.batch, notifier, token)
 	switch {
 	case err == nil:
-	case token == 0:
-		if k.lost.Add(1) == 1 {
-			k.log.WithField("why", err).Warn("store: a record could not be lined up; further ones are counted")
-		}
-	default: // told at once; what follows from that keeps nothing that must last
-		k.step(now, &ledger.Event{Kind: ledger.RecordsStored, Token: token})
+	case token != 0: // what follows from this report persists nothing with a Sync
+		s.step(now, &ledger.Event{Kind: ledger.RecordsStored, Token: token})
+	case s.unwritten.Add(1) == 1:
+		s.log.WithField("error", err).Warn("store: a record could not be queued; further ones are counted")
 	}
 }
 
-// Stored hears from the store what became of a batch.
-func (k *Store) Stored(token uint64, err error) {
-	k.back(ledger.Event{Kind: ledger.RecordsStored, Token: token, OK: err == nil})
+// Stored implements store.Notifier.
+func (s *Store) Stored(token uint64, err error) {
+	s.onStored(ledger.Event{Kind: ledger.RecordsStored, Token: token, OK: err == nil})
 }
 
-// Close writes the end of a planned stop and closes the store. The desk must have ended.
-func (k *Store) Close() error {
-	k.Step(k.now(), &ledger.Event{Kind: ledger.ShutdownFinished})
-	return k.store.Close()
+// Close records a planned shutdown and closes the store. The event loop must have ended.
+func (s *Store) Close() error {
+	s.Step(s.now(), &ledger.Event{Kind: ledger.ShutdownFinished})
+	return s.store.Close()
 }
 
-// Fields are the counters for the log.
-func (k *Store) Fields() logrus.Fields {
-	f, c := k.store.Stats(), ledger.Counts{}
-	if p := k.count.Load(); p != nil {
-		c = *p
+// Fields returns the counters for the log.
+func (s *Store) Fields() logrus.Fields {
+	stats := s.store.Stats()
+	counts := ledger.Counts{}
+	if c := s.counts.Load(); c != nil {
+		counts = *c
 	}
-	mean := 0.0
-	if c.Held > 0 {
-		mean = c.HeldMS / float64(c.Held)
+	meanHeldMS := 0.0
+	if counts.AttemptsHeld > 0 {
+		meanHeldMS = counts.AttemptsHeldMS / float64(counts.AttemptsHeld)
 	}
-	return logrus.Fields{"records": f.Records, "commits": f.Commits, "syncs": f.Syncs, "failed": f.Failed, "lost": k.lost.Load(),
-		"rotations": f.Rotations, "snapshots": f.Snapshots, "snapshots_failed": f.SnapshotsFailed, "live": f.Live,
-		"live_bytes": f.LiveBytes, "disk_bytes": f.DiskBytes, "waiting": f.Waiting, "held": c.Held, "held_ms": mean,
-		"held_now": c.HeldNow, "refused": c.Refused, "barred": c.Blocked, "told": c.AnsweredFromRecord, "again": c.Again, "closed_at_start": c.Closed,
-		"searches": c.Requests, "marks": c.Keys, "sick": c.DiskFailing, "doubt": c.TailInDoubt}
-}
-
-// ReadClocks reads the clocks of the machine. Where the time since its start can't be read, that is left out, and windows are
-// reckoned on the safe side.
-func ReadClocks() ledger.Clocks {
-	m := ledger.Clocks{WallMS: float64(time.Now().UnixMicro()) / 1000}
-	up, err := os.ReadFile("/proc/uptime")
-	boot, err2 := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	if err == nil && err2 == nil {
-		text, _, _ := strings.Cut(string(up), " ")
-		if s, err := strconv.ParseFloat(text, 64); err == nil {
-			m.UpMS, m.Boot = s*1000, strings.TrimSpace(string(boot))
-		}
+	return logrus.Fields{
+		"records": stats.Records, "commits": stats.Commits, "syncs": stats.Syncs, "batches_failed": stats.Failed,
+		"records_unwritten": s.unwritten.Load(), "rotations": stats.Rotations, "snapshots": stats.Snapshots,
+		"snapshots_failed": stats.SnapshotsFailed, "live": stats.Live, "live_bytes": stats.LiveBytes, "disk_bytes": stats.DiskBytes,
+		"waiting_bytes": stats.Waiting, "attempts_held": counts.AttemptsHeld, "attempts_held_ms": meanHeldMS,
+		"attempts_held_now": counts.AttemptsHeldNow, "attempts_failed": counts.AttemptsFailed, "requests_blocked": counts.RequestsBlocked,
+		"answered_from_record": counts.AnsweredFromRecord, "keys_retried": counts.KeysRetried, "closed_at_start": counts.ClosedAtStart,
+		"requests": counts.Requests, "idempotency_keys": counts.Keys, "disk_failing": counts.DiskFailing, "tail_in_doubt": counts.TailInDoubt,
 	}
-	return m
 }
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -20,24 +20,24 @@
 
 const rounds = 12
 
-// after is what must hold after any damage: no mark runs a second time, and what was open has a final outcome.
-func after(t *testing.T, disk *vfs.MemoryFS, now float64, e *engines, open []string, what string) {
-	c, err := begin(disk, now, e)
+// requireRecovers checks what must hold after any damage: no key runs a second time, and what was open has a final outcome.
+func requireRecovers(t *testing.T, disk *vfs.MemoryFS, now float64, e *testEngines, open []string, what string) {
+	c, err := startController(disk, now, e)
 	require.NoError(t, err, what)
 	for _, id := range open {
 		got := c.Step(c.now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id})[0].Outcome
 		require.NotContains(t, []ledger.Outcome{ledger.Unknown, ledger.Open, ledger.Rejected}, got, what)
 	}
 	c.retries(rounds)
-	require.Empty(t, e.twice(), what)
+	require.Empty(t, e.ranTwice(), what)
 	require.NoError(t, c.store.Close(), what)
 }
 
-// The files of a workload are cut at every byte offset, and each byte of the last records, of the heads and of the snapshot
-// is flipped; then every client comes again. Engines count runs and do not all drop repeats.
-func TestNoMarkRunsTwiceHoweverTheFilesAreHurt(t *testing.T) {
-	disk, e := vfs.NewMemory(), &engines{ran: map[string][]string{}}
-	c, err := begin(disk, 1000, e)
+// TestStore_RunsNoKeyTwiceWhateverIsDamaged cuts the files of a workload at every byte and flips each byte of the last records, of the headers
+// and of the snapshot; then every client retries. Engines count runs and do not all drop repeats.
+func TestStore_RunsNoKeyTwiceWhateverIsDamaged(t *testing.T) {
+	disk, e := vfs.NewMemory(), &testEngines{ran: map[string][]string{}}
+	c, err := startController(disk, 1000, e)
 	require.NoError(t, err)
 	c.workload(rounds / 2)
 	require.NoError(t, c.store.Snapshot())
@@ -50,17 +50,17 @@
 	for _, name := range names {
 		bytes := disk.Bytes(name)
 		end := len(strings.TrimRight(string(bytes), "\x00"))
-		hurt := func(b []byte, what string, at int) {
+		damage := func(b []byte, what string, at int) {
 			tried++
 			d := disk.Clone()
 			d.Set(name, b)
-			after(t, d, 3000, e.copy(), open, fmt.Sprint(name, what, at))
+			requireRecovers(t, d, 3000, e.copy(), open, fmt.Sprint(name, what, at))
 		}
 		for at := 0; at < len(bytes); at++ {
 			if at > end+64 && at%509 != 0 {
 				continue // zeros, all alike
 			}
-			hurt(bytes[:at], " cut at ", at)
+			damage(bytes[:at], " cut at ", at)
 		}
 		for at := 0; at < end; at++ {
 			if at > 200 && at < end-600 && strings.HasSuffix(name, ".log") {
@@ -68,17 +68,18 @@
 			}
 			b := append([]byte(nil), bytes...)
 			b[at] ^= 1 << (at % 8)
-			hurt(b, " flipped at ", at)
+			damage(b, " flipped at ", at)
 		}
 	}
 	assert.Greater(t, tried, 4000)
 }
 
-// The machine goes down at each call on the file system in turn: between record and send, send and note, answer and record.
-func TestNoMarkRunsTwiceThroughACrashAtAnyCall(t *testing.T) {
-	run := func(disk *vfs.MemoryFS) (*engines, []string) {
-		e := &engines{ran: map[string][]string{}}
-		c, err := begin(disk, 1000, e)
+// TestStore_RunsNoKeyTwiceThroughACrashAtAnyCall crashes the machine at each call on the file system in turn: between record and send, send and
+// report, answer and record.
+func TestStore_RunsNoKeyTwiceThroughACrashAtAnyCall(t *testing.T) {
+	run := func(disk *vfs.MemoryFS) (*testEngines, []string) {
+		e := &testEngines{ran: map[string][]string{}}
+		c, err := startController(disk, 1000, e)
 		if err != nil {
 			return e, nil
 		}
@@ -94,58 +95,60 @@
 			disk := vfs.NewMemory()
 			disk.CrashAt = at
 			e, open := run(disk)
-			after(t, disk.Crash(loss, uint64(at)), 3000, e, open, fmt.Sprintf("crash at call %d, loss %d", at, loss))
+			requireRecovers(t, disk.Crash(loss, uint64(at)), 3000, e, open, fmt.Sprintf("crash at call %d, loss %d", at, loss))
 		}
 	}
 }
 
-// fleet is executors that answer at once, and count.
-type fleet struct {
-	desk *dispatch.Loop
+// testExecutors answer at once, and count.
+type testExecutors struct {
+	loop *dispatch.Loop
 	sent atomic.Int64
 }
 
-type flight struct {
-	f    *fleet
-	shot dispatch.Attempt
-	gone atomic.Bool
+type testAttempt struct {
+	executors *testExecutors
+	attempt   dispatch.Attempt
+	done      atomic.Bool
 }
 
-func (f *fleet) Send(s dispatch.Attempt) (dispatch.RunningAttempt, float64) {
-	r := &flight{f: f, shot: s}
+func (f *testExecutors) Send(s dispatch.Attempt) (dispatch.RunningAttempt, float64) {
+	r := &testAttempt{executors: f, attempt: s}
 	if !s.Held {
 		r.Release()
 	}
 	return r, 0
 }
 
-func (r *flight) Release() {
-	if r.gone.CompareAndSwap(false, true) {
-		r.f.sent.Add(1)
-		go r.f.desk.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: r.shot.Request.ID, Attempt: r.shot.Number}, Body: []byte("rows")})
+func (r *testAttempt) Release() {
+	if r.done.CompareAndSwap(false, true) {
+		r.executors.sent.Add(1)
+		go r.executors.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: r.attempt.Request.ID, Attempt: r.attempt.Number}, Body: []byte("rows")})
 	}
 }
 
-func (r *flight) Cancel() dispatch.CancelResult {
-	if r.gone.CompareAndSwap(false, true) {
+func (r *testAttempt) Cancel() dispatch.CancelResult {
+	if r.done.CompareAndSwap(false, true) {
 		return dispatch.CancelledUnsent
 	}
 	return dispatch.AlreadyEnded
 }
-func (r *flight) SetLevel(int)                                   { _ = r }
-func (f *fleet) HealthCheck(uint32, uint64) bool                 { return false }
-func (f *fleet) ForgetHealthCheck(uint32, uint64)                {}
-func (f *fleet) ConnectionState(uint32) dispatch.ConnectionState { return dispatch.ConnectionState{} }
-func (f *fleet) SendPeer(peer int, data []byte)                  {}
-func (f *fleet) Refresh()                                        {}
-
-// desks is a desk with the decision module, a keeper on a disk, and executors that answer.
-func desks(t *testing.T, disk *vfs.MemoryFS) (*dispatch.Loop, *fleet, *Store) {
+func (r *testAttempt) SetLevel(int)                       { _ = r }
+func (f *testExecutors) HealthCheck(uint32, uint64) bool  { return false }
+func (f *testExecutors) ForgetHealthCheck(uint32, uint64) {}
+func (f *testExecutors) ConnectionState(uint32) dispatch.ConnectionState {
+	return dispatch.ConnectionState{}
+}
+func (f *testExecutors) SendPeer(peer int, data []byte) {}
+func (f *testExecutors) Refresh()                       {}
+
+// startLoop runs an event loop with a scheduler, a Store on a disk, and executors that answer.
+func startLoop(t *testing.T, disk *vfs.MemoryFS) (*dispatch.Loop, *testExecutors, *Store) {
 	clock := dispatch.NewClock()
-	d := dispatch.New(clock, scheduler.New(7, testSettings()), silent())
-	k, _, err := Open(disk, bounds, ledgerSettings(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, silent())
+	d := dispatch.New(clock, scheduler.New(7, testSettings()), quietLogger())
+	k, _, err := Open(disk, testOptions, ledgerSettings(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, quietLogger())
 	require.NoError(t, err)
-	f := &fleet{desk: d}
+	f := &testExecutors{loop: d}
 	d.Executors, d.Peers, d.List, d.HealthCheckTimeoutMS = f, f, f, 250
 	d.Register(dispatch.LedgerExtension(k))
 	go d.Run()
@@ -157,57 +160,57 @@
 	return d, f, k
 }
 
-// A full disk, or one whose syncs fail, under load: labelled and irreversible work is denied, and none of it has run;
-// redoable work goes on; all is as before once the disk is well.
-func TestWorkGoesOnWhileTheDiskFails(t *testing.T) {
+// TestStore_ShedsDurableWorkWhileTheDiskFails has a full disk, or one whose syncs fail, under load: keyed and non-idempotent requests are rejected
+// and none of them has run; idempotent ones go on; all is as before once the disk is well.
+func TestStore_ShedsDurableWorkWhileTheDiskFails(t *testing.T) {
 	for _, call := range []string{"write", "sync", "rename"} {
 		disk := vfs.NewMemory()
-		var sickly atomic.Bool
+		var failing atomic.Bool
 		disk.Fail = func(op vfs.Op) error {
-			if sickly.Load() && (op.What == call || call == "rename" && op.What == "sync") {
+			if failing.Load() && (op.What == call || call == "rename" && op.What == "sync") {
 				return syscall.ENOSPC
 			}
 			return nil
 		}
-		d, f, k := desks(t, disk)
-		b, tag := &box{answers: map[uint64]string{}}, uint64(0)
-		ask := func(offering string) string {
+		d, f, k := startLoop(t, disk)
+		b, tag := &answerRecorder{answers: map[uint64]string{}}, uint64(0)
+		submit := func(class string) string {
 			tag++
 			at := tag
-			s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: offering, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
+			s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: class, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
 				Client: b, Tag: at}
-			if offering == "mark" {
+			if class == "mark" {
 				s.IdempotencyKey = fmt.Sprint("m", at)
 			}
 			d.Submit(s)
 			require.Eventually(t, func() bool { return b.get(at) != "" }, 5*time.Second, 200*time.Microsecond, call)
 			return b.get(at)
 		}
-		for _, offering := range []string{"mark", "once", "look"} {
-			require.Equal(t, "handled", ask(offering), call)
+		for _, class := range []string{"mark", "once", "look"} {
+			require.Equal(t, "handled", submit(class), call)
 		}
-		sickly.Store(true)
+		failing.Store(true)
 		ran := f.sent.Load()
 		for range 10 {
-			require.Equal(t, "denied", ask("mark"), call)
-			require.Equal(t, "denied", ask("once"), call)
+			require.Equal(t, "denied", submit("mark"), call)
+			require.Equal(t, "denied", submit("once"), call)
 		}
-		require.Equal(t, ran, f.sent.Load(), "none of them left")
-		require.Equal(t, "handled", ask("look"), call)
-		sickly.Store(false)
-		require.Eventually(t, func() bool { return ask("mark") == "handled" }, 5*time.Second, 50*time.Millisecond, call)
-		require.Equal(t, "handled", ask("once"), call)
+		require.Equal(t, ran, f.sent.Load(), "none of them was sent")
+		require.Equal(t, "handled", submit("look"), call)
+		failing.Store(false)
+		require.Eventually(t, func() bool { return submit("mark") == "handled" }, 5*time.Second, 50*time.Millisecond, call)
+		require.Equal(t, "handled", submit("once"), call)
 		d.Stop()
 		require.NoError(t, k.Close())
-		again, _, err := Open(disk, bounds, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
+		again, _, err := Open(disk, testOptions, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
 		require.NoError(t, err)
 		assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
 		require.NoError(t, again.store.Close())
 	}
 }
 
-// A labelled shot leaves once its record lasts, not before; a redoable one does not wait for the disk.
-func TestAShotLeavesOnlyOnceItsRecordLasts(t *testing.T) {
+// TestStore_SendsAnAttemptOnlyOnceItsRecordIsDurable: a keyed attempt waits for its record; an idempotent one does not wait for the disk.
+func TestStore_SendsAnAttemptOnlyOnceItsRecordIsDurable(t *testing.T) {
 	disk, gate := vfs.NewMemory(), make(chan struct{})
 	var closed atomic.Bool
 	disk.Fail = func(op vfs.Op) error {
@@ -216,8 +219,8 @@
 		}
 		return nil
 	}
-	d, f, k := desks(t, disk)
-	b := &box{answers: map[uint64]string{}}
+	d, f, k := startLoop(t, disk)
+	b := &answerRecorder{answers: map[uint64]string{}}
 	until := float64(time.Now().UnixMilli()) + 5000
 	d.Submit(&dispatch.Request{ID: "w", Class: "look", WorkMS: 1, Deadline: until, Client: b, Tag: 1})
 	require.Eventually(t, func() bool { return b.get(1) == "handled" }, 5*time.Second, time.Millisecond)
@@ -234,10 +237,10 @@
 	require.NoError(t, k.Close())
 }
 
-func TestTheMomentIsReadWhereThereIsOne(t *testing.T) {
+func TestReadClocks_ReadsTheMachinesClocks(t *testing.T) {
 	m := ReadClocks()
 	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
 	assert.Equal(t, m.UpMS > 0, m.Boot != "")
-	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, silent())
+	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
 	assert.NoError(t, err)
 }
