--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -131,7 +131,7 @@
 		require.NoError(t, err, folder)
 		require.NoError(t, s.Close())
 		fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.InDoubt,
-			found.Reason, found.Removed, found.Began, found.Snapshot)
+			found.Reason, found.Removed, found.Created, found.Snapshot)
 		golden(t, folder+".txt", []byte(text.String()))
 		assert.Equal(t, folder == "torn", found.InDoubt)
 		for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -13,75 +13,75 @@
 	"liftshift/internal/vfs"
 )
 
-func key(n int) (k Key) {
+func testKey(n int) (k Key) {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%d", n))
 	copy(k[:], sum[:])
 	return k
 }
 
-// content is what a store hands on at its opening.
-func content(fs vfs.FS, bounds Options) (*Store, Recovery, map[Key]string, error) {
-	held := map[Key]string{}
-	s, found, err := Open(fs, bounds, func(k Key, _ int64, v []byte) {
+// openContents opens a store and returns what it hands on.
+func openContents(fs vfs.FS, options Options) (*Store, Recovery, map[Key]string, error) {
+	contents := map[Key]string{}
+	s, recovery, err := Open(fs, options, func(k Key, _ int64, v []byte) {
 		if v == nil {
-			delete(held, k)
+			delete(contents, k)
 		} else {
-			held[k] = string(v)
+			contents[k] = string(v)
 		}
 	})
-	return s, found, held, err
+	return s, recovery, contents, err
 }
 
-// opened is an open store that must open.
-func opened(t require.TestingT, fs vfs.FS, bounds Options) (*Store, Recovery, map[Key]string) {
-	s, found, held, err := content(fs, bounds)
+// requireOpen opens a store that must open.
+func requireOpen(t require.TestingT, fs vfs.FS, options Options) (*Store, Recovery, map[Key]string) {
+	s, recovery, contents, err := openContents(fs, options)
 	require.NoError(t, err)
-	return s, found, held
+	return s, recovery, contents
 }
 
-func write(s *Store, n int, text string) error {
+func writeOne(s *Store, n int, text string) error {
 	b := &Batch{}
-	b.Put(key(n), 0, []byte(text))
+	b.Put(testKey(n), 0, []byte(text))
 	return s.Write(0, b)
 }
 
-// workload writes until the file system gives up: puts, ends, batches of two, and snapshots. It gives what must be
-// there after a crash, and what the batch that was told as failed last would have made of it.
-func workload(s *Store, steps int) (told, tried map[Key]string) {
-	told = map[Key]string{}
+// workload writes until the file system gives up: puts, deletions, batches of two, and snapshots. It returns what must be there after a
+// crash, and what the last batch, which was reported as failed, would have made of it.
+func workload(s *Store, steps int) (reported, tried map[Key]string) {
+	reported = map[Key]string{}
 	for n := range steps {
-		tried = maps.Clone(told)
+		tried = maps.Clone(reported)
 		b := &Batch{}
 		switch {
 		case n%7 == 6:
-			b.Delete(key(n - 3))
-			delete(tried, key(n-3))
+			b.Delete(testKey(n - 3))
+			delete(tried, testKey(n-3))
 		case n%5 == 4: // the same key again, and another with it
-			b.Put(key(0), 0, fmt.Appendf(nil, "again %d", n))
-			b.Put(key(n), 0, fmt.Appendf(nil, "both %d", n))
-			tried[key(0)], tried[key(n)] = fmt.Sprintf("again %d", n), fmt.Sprintf("both %d", n)
+			b.Put(testKey(0), 0, fmt.Appendf(nil, "again %d", n))
+			b.Put(testKey(n), 0, fmt.Appendf(nil, "both %d", n))
+			tried[testKey(0)], tried[testKey(n)] = fmt.Sprintf("again %d", n), fmt.Sprintf("both %d", n)
 		default:
-			b.Put(key(n), 0, fmt.Appendf(nil, "one %d", n))
-			tried[key(n)] = fmt.Sprintf("one %d", n)
+			b.Put(testKey(n), 0, fmt.Appendf(nil, "one %d", n))
+			tried[testKey(n)] = fmt.Sprintf("one %d", n)
 		}
 		if s.Write(int64(n), b) != nil {
-			return told, tried
+			return reported, tried
 		}
-		told = tried
+		reported = tried
 		if n%9 == 8 && s.Snapshot() != nil {
-			return told, told
+			return reported, reported
 		}
 	}
-	return told, told
+	return reported, reported
 }
 
-// resealed gives a head its checksum again.
-func resealed(h []byte) []byte {
-	binary.LittleEndian.PutUint32(h[headSize-4:], crc32.Checksum(h[:headSize-4], castagnoli))
+// withChecksum gives a header its checksum again.
+func withChecksum(h []byte) []byte {
+	binary.LittleEndian.PutUint32(h[headerSize-4:], crc32.Checksum(h[:headerSize-4], castagnoli))
 	return h
 }
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"errors"
 	"fmt"
 	"io"
@@ -11,87 +12,85 @@
 	"liftshift/internal/vfs"
 )
 
-// asideEnding is put behind the names of files that a repair took out of the store.
-const asideEnding = ".aside"
-
-// Repaired is what a repair did.
-type Repaired struct {
-	Needed  bool
-	Records int      // live ones that were saved
-	Skipped int64    // bytes that could not be read
-	Aside   []string // files taken out, under their new names
+// RepairResult is what a repair did.
+type RepairResult struct {
+	Needed  bool     `json:"Needed"`
+	Records int      `json:"Records"` // live ones that were saved
+	Skipped int64    `json:"Skipped"` // bytes that could not be read
+	Aside   []string `json:"Aside"`   // files taken out of the store, under their new names
 }
 
-// Repair makes a store that is damaged open again: whatever can be read in any file goes into a snapshot, the old files
-// are set aside, and the new log says that something may be lost. A store that opens is left as it is.
-func Repair(fs vfs.FS, bounds Options) (done Repaired, err error) {
+// Repair makes a store that is damaged open again: whatever can be read in any file goes into a snapshot, the old files are taken
+// out of the store, and the new log says that something may be lost. A store that opens is left as it is.
+func Repair(fs vfs.FS, options Options) (result RepairResult, err error) {
 	lock, err := fs.Lock(lockName)
 	if err != nil {
-		return done, fmt.Errorf("store: %w", err)
+		return result, fmt.Errorf("store: %w", err)
 	}
 	defer func() { err = errors.Join(err, lock.Close()) }()
-	look := &survey{fs: fs}
-	if err := look.look(func(record, place) {}); err != nil {
-		return done, err
+	survey := &surveyor{fs: fs}
+	if err := survey.read(func(record, location) {}); err != nil {
+		return result, err
 	}
-	if look.fatal == nil {
-		return done, nil
+	if survey.damage == nil {
+		return result, nil
 	}
-	if errors.Is(look.fatal, ErrNewer) {
-		return done, look.fatal
+	if errors.Is(survey.damage, ErrNewer) {
+		return result, survey.damage
 	}
-	done.Needed = true
+	result.Needed = true
+	files := survey.filesInOrder()
 	var table index.Table[[]byte]
-	var order []FileReport
-	for _, p := range look.report.Files {
-		if p.Length > 0 {
-			order = append(order, p)
-		}
-	}
-	slices.SortStableFunc(order, func(a, b FileReport) int { // the snapshot stands before the log file of its number
-		if a.ID != b.ID {
-			return int(int64(a.ID) - int64(b.ID))
-		}
-		return boolInt(b.Snapshot) - boolInt(a.Snapshot)
-	})
-	for _, p := range order {
-		skipped, err := salvage(fs, p, look, func(r record) {
-			if r.kind&^more == deleteRecord {
+	for _, p := range files {
+		skipped, err := survey.salvage(p, func(r record) {
+			if r.deletes() {
 				table.Delete(r.key)
-			} else {
-				v, _ := table.Put(r.key, r.expires)
-				*v = bytes.Clone(r.value)
+				return
 			}
+			v, _ := table.Put(r.key, r.expires)
+			*v = bytes.Clone(r.value)
 		})
 		if err != nil {
-			return done, err
+			return result, err
 		}
-		done.Skipped += skipped
+		result.Skipped += skipped
 	}
-	done.Records = table.Len()
-	if err := rebuild(fs, bounds.filled(), look.most+1, &table); err != nil {
-		return done, err
+	result.Records = table.Len()
+	if err := writeRepaired(fs, options.withDefaults(), survey.maxID+1, &table); err != nil {
+		return result, err
 	}
-	for _, p := range order {
-		if err := fs.Rename(p.Name, p.Name+asideEnding); err != nil {
-			return done, err
+	for _, p := range files {
+		if err := fs.Rename(p.Name, p.Name+quarantineSuffix); err != nil {
+			return result, err
 		}
-		done.Aside = append(done.Aside, p.Name+asideEnding)
+		result.Aside = append(result.Aside, p.Name+quarantineSuffix)
 	}
-	return done, fs.SyncDir()
+	return result, fs.SyncDir()
 }
 
-func boolInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
+// filesInOrder returns the files that are not empty in the order of their records: a snapshot stands before the log file of its
+// number.
+func (s *surveyor) filesInOrder() []FileReport {
+	files := slices.DeleteFunc(slices.Clone(s.report.Files), func(p FileReport) bool { return p.Length <= 0 })
+	slices.SortStableFunc(files, func(a, b FileReport) int {
+		switch {
+		case a.ID != b.ID:
+			return cmp.Compare(a.ID, b.ID)
+		case a.Snapshot == b.Snapshot:
+			return 0
+		case a.Snapshot:
+			return -1
+		default:
+			return 1
+		}
+	})
+	return files
 }
 
-// salvage hands on every record of a file that is good, wherever it stands, and tells how many bytes are not. Bytes
-// behind those that count are not believed: what stands there was reported as failed.
-func salvage(fs vfs.FS, p FileReport, look *survey, each func(record)) (skipped int64, err error) {
-	f, err := fs.Open(p.Name)
+// salvage hands on every valid record of a file, wherever it stands, and returns how many bytes are not of one. Bytes behind those
+// that the next file says are valid were reported as failed and are left out.
+func (s *surveyor) salvage(p FileReport, each func(record)) (skipped int64, err error) {
+	f, err := s.fs.Open(p.Name)
 	if err != nil {
 		return 0, err
 	}
@@ -102,58 +101,59 @@
 	}
 	file, end := p.ID, p.Length
 	if p.Snapshot {
-		file = uint64(uint32(p.ID) | ofSnapshot)
+		file = uint64(snapshotID(p.ID))
 	}
-	for _, h := range look.logs {
-		if !p.Snapshot && h.before == p.ID {
-			end = min(end, h.trusted)
+	for _, h := range s.chain {
+		if !p.Snapshot && h.previous == p.ID {
+			end = min(end, h.previousEnd)
 		}
 	}
-	for at := int64(headSize); at < end; {
-		r, ok := recordAt(all[at:end], file, at)
-		if !ok {
-			skipped += int64(boolInt(all[at] != 0))
-			at++
+	for offset := int64(headerSize); offset < end; {
+		if r, ok := decodeRecord(all[offset:end], file, offset); ok {
+			each(r)
+			offset += int64(r.size)
 			continue
 		}
-		each(r)
-		at += int64(r.size)
+		if all[offset] != 0 {
+			skipped++
+		}
+		offset++
 	}
 	return skipped, nil
 }
 
-// rebuild writes a store of a snapshot and an empty log file.
-func rebuild(fs vfs.FS, bounds Options, id uint64, table *index.Table[[]byte]) error {
-	s := &Store{fs: fs, bounds: bounds}
-	file, err := s.begin(fileName(id, logEnding), head{kind: logFile, doubt: true, id: id, length: bounds.SegmentBytes})
+// writeRepaired writes a store of a snapshot and an empty log file.
+func writeRepaired(fs vfs.FS, options Options, id uint64, table *index.Table[[]byte]) error {
+	file, err := createLog(fs, fileHeader{kind: kindLog, inDoubt: true, id: id, length: options.SegmentBytes})
 	if err != nil {
 		return err
 	}
 	_ = file.Close()
-	name := fileName(id, snapshotEnding)
-	_ = fs.Remove(name + newEnding)
-	if file, err = fs.Create(name + newEnding); err != nil {
+	name := fileName(id, snapshotSuffix)
+	_ = fs.Remove(name + temporarySuffix)
+	if file, err = fs.Create(name + temporarySuffix); err != nil {
 		return err
 	}
 	defer file.Close()
-	h := head{kind: snapshotFile, id: id, length: headSize}
+	h := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
 	var out []byte
-	for p := range table.Places() {
-		key, expires, value := table.Next(p)
+	for place := range table.Places() {
+		key, expires, value := table.Next(place)
 		if value == nil {
 			continue
 		}
 		out = appendRecord(out[:0], putRecord, key, expires, *value)
-		seal(out, uint64(uint32(id)|ofSnapshot), h.length)
+		sealRecord(out, uint64(snapshotID(id)), h.length)
 		if _, err := file.WriteAt(out, h.length); err != nil {
 			return err
 		}
-		h.length, h.records = h.length+int64(len(out)), h.records+1
+		h.length += int64(len(out))
+		h.records++
 	}
-	if _, err := file.WriteAt(h.bytes(), 0); err != nil {
+	if _, err := file.WriteAt(h.encode(), 0); err != nil {
 		return err
 	}
-	if err := errors.Join(file.Sync(), fs.Rename(name+newEnding, name)); err != nil {
+	if err := errors.Join(file.Sync(), fs.Rename(name+temporarySuffix, name)); err != nil {
 		return err
 	}
 	return fs.SyncDir()
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -1,182 +1,206 @@
 package store
 
 import (
+	"errors"
 	"fmt"
 
 	"liftshift/internal/vfs"
 )
 
-// overgrown tells whether a snapshot is due.
-func (s *Store) overgrown() bool {
+// Snapshot asks for a snapshot and waits until it is made, or could not be.
+func (s *Store) Snapshot() error {
 	s.mu.Lock()
-	busy := s.busy || s.closed
+	defer s.mu.Unlock()
+	if s.closed {
+		return ErrClosed
+	}
+	for s.snapshotRunning && !s.closed {
+		s.snapshotChanged.Wait()
+	}
+	before := s.snapshotsFailed()
+	s.snapshotWanted = true
+	s.wake.Signal()
+	for (s.snapshotWanted || s.snapshotRunning) && !s.closed {
+		s.snapshotChanged.Wait()
+	}
+	if s.snapshotsFailed() > before {
+		return errors.New("store: the snapshot could not be made")
+	}
+	return nil
+}
+
+func (s *Store) snapshotsFailed() uint64 {
+	s.stateMu.RLock()
+	defer s.stateMu.RUnlock()
+	return s.stats.SnapshotsFailed
+}
+
+// snapshotDue tells whether the files have outgrown the live records.
+func (s *Store) snapshotDue() bool {
+	s.mu.Lock()
+	blocked := s.snapshotRunning || s.closed
 	s.mu.Unlock()
-	s.state.RLock()
-	defer s.state.RUnlock()
-	return !busy && float64(s.diskBytes()) > s.bounds.SnapshotRatio*float64(s.live)+spareBytes
+	s.stateMu.RLock()
+	defer s.stateMu.RUnlock()
+	return !blocked && float64(s.diskBytes()) > s.options.SnapshotRatio*float64(s.liveBytes)+snapshotSlackBytes
 }
 
-// snapshot begins a new log file and copies, beside the work, all live records of the files before it to a snapshot,
-// which then takes their place. Whatever fails, the old files stay, and it is tried again when a file is full.
-func (s *Store) snapshot() {
+// startSnapshot begins a new log file and copies, in a goroutine, all live records of the files before it to a snapshot, which then
+// replaces those files. Whatever fails, they stay, and the next commit that finds a snapshot due tries again.
+func (s *Store) startSnapshot() {
 	err := s.rotate()
 	s.mu.Lock()
-	s.compact, s.busy = false, err == nil
-	s.idle.Broadcast()
+	s.snapshotWanted = false
+	s.snapshotRunning = err == nil
+	s.snapshotChanged.Broadcast()
 	s.mu.Unlock()
 	if err != nil {
-		s.snapshotEnds(err)
+		s.countSnapshot(err)
 		return
 	}
-	upTo := s.active.id
+	id := s.active.id
 	go func() {
-		err := s.copy(upTo)
-		s.snapshotEnds(err)
+		s.countSnapshot(s.writeSnapshot(id))
 		s.mu.Lock()
-		s.busy = false
-		s.idle.Broadcast()
+		s.snapshotRunning = false
+		s.snapshotChanged.Broadcast()
 		s.mu.Unlock()
 	}()
 }
 
-func (s *Store) snapshotEnds(err error) {
-	s.state.Lock()
-	defer s.state.Unlock()
+func (s *Store) countSnapshot(err error) {
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
 	if err != nil {
-		s.figures.SnapshotsFailed++
+		s.stats.SnapshotsFailed++
 	} else {
-		s.figures.Snapshots++
+		s.stats.Snapshots++
 	}
 }
 
-// copy makes the snapshot of all before a log file.
-func (s *Store) copy(upTo uint64) error {
-	name := fileName(upTo, snapshotEnding)
-	_ = s.fs.Remove(name + newEnding)
-	file, err := s.fs.Create(name + newEnding)
+// writeSnapshot makes the snapshot of all records before a log file, and lets it replace their files.
+func (s *Store) writeSnapshot(id uint64) error {
+	name := fileName(id, snapshotSuffix)
+	_ = s.fs.Remove(name + temporarySuffix)
+	file, err := s.fs.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
-	h, err := s.fill(file, upTo)
-	if err == nil {
-		_, err = file.WriteAt(h.bytes(), 0)
-	}
+	h, err := s.copyLive(file, id)
 	if err == nil {
-		err = file.Sync()
+		_, err = file.WriteAt(h.encode(), 0)
 	}
 	if err == nil {
-		err = s.fs.Rename(name+newEnding, name)
-	}
-	if err == nil {
-		err = s.fs.SyncDir()
+		err = publish(s.fs, file, name)
 	}
 	if err != nil {
 		_ = file.Close()
-		_ = s.fs.Remove(name + newEnding)
+		_ = s.fs.Remove(name + temporarySuffix)
 		return err
 	}
-	return s.replace(file, h)
+	return s.adoptSnapshot(file, h)
 }
 
-// fill writes the live records, a few at a time.
-func (s *Store) fill(file vfs.File, upTo uint64) (head, error) {
-	h := head{kind: snapshotFile, id: upTo, length: headSize}
-	id := uint32(upTo) | ofSnapshot
-	var out, room []byte
-	for at := uint32(0); ; at += copyStep {
-		out = out[:0]
-		err := func() error {
-			s.state.RLock()
-			defer s.state.RUnlock()
-			for p := at; p < min(at+copyStep, s.table.Places()); p++ {
-				key, expires, where := s.table.Next(p)
-				if where == nil || where.file&ofSnapshot == 0 && uint64(where.file) >= upTo {
-					continue
-				}
-				r, err := s.read(*where, room)
-				if err != nil {
-					return err // the only copy of it may be the bad one: nothing is given up for this snapshot
-				}
-				start := len(out)
-				out = appendRecord(out, putRecord, key, expires, r.value)
-				seal(out[start:], uint64(id), h.length+int64(start))
-				h.records++
-			}
-			return nil
-		}()
-		if err != nil {
+// copyLive writes the live records to a snapshot, a few at a time, and returns its header.
+func (s *Store) copyLive(file vfs.File, id uint64) (fileHeader, error) {
+	h := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
+	var out []byte
+	for place := uint32(0); ; place += entriesPerCopy {
+		var err error
+		if out, err = s.copyEntries(out[:0], &h, place); err != nil {
 			return h, err
 		}
 		if len(out) > 0 {
 			if h.length+int64(len(out)) > 1<<32-1 {
-				return h, fmt.Errorf("a snapshot of over 4 GiB")
+				return h, errors.New("a snapshot of over 4 GiB")
 			}
 			if _, err := file.WriteAt(out, h.length); err != nil {
 				return h, err
 			}
 			h.length += int64(len(out))
 		}
-		s.state.RLock()
-		done := at+copyStep >= s.table.Places()
-		s.state.RUnlock()
+		s.stateMu.RLock()
+		done := place+entriesPerCopy >= s.index.Places()
+		s.stateMu.RUnlock()
 		if done {
 			return h, nil
 		}
 	}
 }
 
-// replace lets records be found in the snapshot, then removes the files that it stands for.
-func (s *Store) replace(file vfs.File, h head) error {
-	id := uint32(h.id) | ofSnapshot
-	s.state.Lock()
-	s.files[id], s.used[id] = file, h.length
-	s.state.Unlock()
-	bytes := make([]byte, 0, 64<<10)
-	for at := int64(headSize); at < h.length; {
-		n := min(int64(cap(bytes)), h.length-at)
-		bytes = bytes[:n]
-		if _, err := file.ReadAt(bytes, at); err != nil {
-			return err
+// copyEntries appends the records of some places of the index, sealed for the end of the snapshot, and counts them in its header.
+func (s *Store) copyEntries(out []byte, h *fileHeader, first uint32) ([]byte, error) {
+	id := snapshotID(h.id)
+	s.stateMu.RLock()
+	defer s.stateMu.RUnlock()
+	for place := first; place < min(first+entriesPerCopy, s.index.Places()); place++ {
+		key, expires, at := s.index.Next(place)
+		if at == nil || isLogFrom(at.file, h.id) {
+			continue
 		}
-		used := int64(0)
-		s.state.Lock()
-		for {
-			r, ok := recordAt(bytes[used:], uint64(id), at+used)
-			if !ok {
-				break
-			}
-			if p := s.table.Get(r.key); p != nil && (p.file&ofSnapshot != 0 || uint64(p.file) < h.id) {
-				s.live += int64(r.size) - int64(p.size)
-				*p = place{id, uint32(at + used), uint32(r.size)}
-			}
-			used += int64(r.size)
+		r, err := s.read(*at)
+		if err != nil {
+			return out, err // the only copy may be the unreadable one, so nothing is replaced by this snapshot
 		}
-		s.state.Unlock()
-		if used == 0 {
-			if n < h.length-at { // a record longer than what was read
-				bytes = make([]byte, 0, 4*cap(bytes))
-				continue
-			}
-			return fmt.Errorf("%w: snapshot %x at %d", ErrDamaged, h.id, at)
+		start := len(out)
+		out = appendRecord(out, putRecord, key, expires, r.value)
+		sealRecord(out[start:], uint64(id), h.length+int64(start))
+		h.records++
+	}
+	return out, nil
+}
+
+// adoptSnapshot lets records be found in the snapshot, then removes the files that it replaces.
+func (s *Store) adoptSnapshot(file vfs.File, h fileHeader) error {
+	id := snapshotID(h.id)
+	s.stateMu.Lock()
+	s.files[id], s.fileBytes[id] = file, h.length
+	s.stateMu.Unlock()
+	buf := make([]byte, 0, 64<<10)
+	for offset := int64(headerSize); offset < h.length; {
+		n := min(int64(cap(buf)), h.length-offset)
+		buf = buf[:n]
+		if _, err := file.ReadAt(buf, offset); err != nil {
+			return err
+		}
+		used := s.relocate(buf, h.id, offset)
+		offset += used
+		switch {
+		case used > 0:
+		case n < h.length-offset: // a record longer than what was read
+			buf = make([]byte, 0, 4*cap(buf))
+		default:
+			return fmt.Errorf("%w: snapshot %x at %d", ErrDamaged, h.id, offset)
 		}
-		at += used
 	}
-	s.state.Lock()
-	defer s.state.Unlock()
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
 	for other, f := range s.files {
-		if other != id && (other&ofSnapshot != 0 || uint64(other) < h.id) {
+		if other != id && !isLogFrom(other, h.id) {
 			_ = f.Close()
 			delete(s.files, other)
-			delete(s.used, other)
-			_ = s.fs.Remove(nameOf(other)) // what stays is removed at the next opening
+			delete(s.fileBytes, other)
+			_ = s.fs.Remove(fileNameOf(other)) // what stays is removed at the next opening
 		}
 	}
 	return s.fs.SyncDir()
 }
 
-func nameOf(file uint32) string {
-	if file&ofSnapshot != 0 {
-		return fileName(uint64(file&^ofSnapshot), snapshotEnding)
+// relocate points the index to the records of a snapshot, from bytes that begin at an offset, and returns how many bytes they
+// have. Records that were written again since are left alone.
+func (s *Store) relocate(b []byte, snapshot uint64, offset int64) (used int64) {
+	id := snapshotID(snapshot)
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
+	for {
+		r, ok := decodeRecord(b[used:], uint64(id), offset+used)
+		if !ok {
+			return used
+		}
+		if at := s.index.Get(r.key); at != nil && !isLogFrom(at.file, snapshot) {
+			s.liveBytes += int64(r.size) - int64(at.size)
+			*at = location{id, uint32(offset + used), uint32(r.size)}
+		}
+		used += int64(r.size)
 	}
-	return fileName(uint64(file), logEnding)
 }
