--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -23,8 +23,8 @@
 	return k
 }
 
-// Whatever comes, goes and lapses, the table holds what a plain map holds, and each entry lapses in its time.
-func TestATableHoldsWhatAMapHolds(t *testing.T) {
+// TestTable_MatchesAMap: whatever is put, deleted and expires, the table holds what a plain map holds, and each entry expires in its time.
+func TestTable_MatchesAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[int]
 		plain := map[Key][2]int64{}
@@ -35,12 +35,12 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				at := int64(0)
-				if rapid.Bool().Draw(t, "lapses") {
+				if rapid.Bool().Draw(t, "expires") {
 					at = now + int64(rapid.SampledFrom([]int{1, 100, 9000, 600_000, 1 << 34, 1 << 40}).Draw(t, "span"))
 				}
-				v, fresh := table.Put(k, at)
+				v, added := table.Put(k, at)
 				_, there := plain[k]
-				assert.Equal(t, !there, fresh)
+				assert.Equal(t, !there, added)
 				*v++
 				plain[k] = [2]int64{at, plain[k][1] + 1}
 			case 2:
@@ -50,7 +50,7 @@
 			case 3:
 				now += int64(rapid.SampledFrom([]int{1, 128, 5000, 700_000, 1 << 35}).Draw(t, "later"))
 				table.Expire(now, func(k Key, v *int) {
-					assert.LessOrEqual(t, plain[k][0], now, "nothing lapses early")
+					assert.LessOrEqual(t, plain[k][0], now, "nothing expires early")
 					assert.Equal(t, plain[k][1], int64(*v))
 					delete(plain, k)
 				})
@@ -76,7 +76,8 @@
 	})
 }
 
-func TestPlacesAreUsedAgainAndTheOrdinaryPathAllocatesNothing(t *testing.T) {
+// TestTable_ReusesPlacesWithoutAllocating: a steady load of entries that expire allocates nothing once the pages are there.
+func TestTable_ReusesPlacesWithoutAllocating(t *testing.T) {
 	var table Table[int]
 	now := int64(1 << 40)
 	table.Expire(now, nil)
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -167,7 +167,7 @@
 		disk := vfs.NewMemory()
 		var failing atomic.Bool
 		disk.Fail = func(op vfs.Op) error {
-			if failing.Load() && (op.What == call || call == "rename" && op.What == "sync") {
+			if failing.Load() && (op.Call == call || call == "rename" && op.Call == "sync") {
 				return syscall.ENOSPC
 			}
 			return nil
@@ -214,7 +214,7 @@
 	disk, gate := vfs.NewMemory(), make(chan struct{})
 	var closed atomic.Bool
 	disk.Fail = func(op vfs.Op) error {
-		if op.What == "sync" && closed.Load() {
+		if op.Call == "sync" && closed.Load() {
 			<-gate
 		}
 		return nil
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -122,7 +122,7 @@
 		require.NoError(t, writeOne(s, 1, "before"))
 		failing := true
 		disk.Fail = func(op vfs.Op) error {
-			if failing && op.What == call {
+			if failing && op.Call == call {
 				return syscall.ENOSPC
 			}
 			return nil
--- a/internal/vfs/dir.go
+++ b/internal/vfs/dir.go
@@ -12,7 +12,7 @@
 // Dir is a folder of the real file system.
 type Dir struct{ path string }
 
-// OpenDir gives the folder at a path; with make, it is made where it is missing.
+// OpenDir returns the folder at a path. With create, it is made where it is missing.
 func OpenDir(path string, create bool) (Dir, error) {
 	if create {
 		if err := os.MkdirAll(path, 0o700); err != nil {
@@ -29,31 +29,31 @@
 	return Dir{path}, nil
 }
 
-func (d Dir) at(name string) string { return filepath.Join(d.path, name) }
+func (d Dir) join(name string) string { return filepath.Join(d.path, name) }
 
-// Create makes a file that is not there yet.
+// Create implements FS.
 func (d Dir) Create(name string) (File, error) {
-	return open(d.at(name), os.O_RDWR|os.O_CREATE|os.O_EXCL)
+	return openFile(d.join(name), os.O_RDWR|os.O_CREATE|os.O_EXCL)
 }
 
-// Open opens a file for reading.
-func (d Dir) Open(name string) (File, error) { return open(d.at(name), os.O_RDONLY) }
+// Open implements FS.
+func (d Dir) Open(name string) (File, error) { return openFile(d.join(name), os.O_RDONLY) }
 
-func open(path string, flags int) (File, error) {
+func openFile(path string, flags int) (File, error) {
 	f, err := os.OpenFile(path, flags, 0o600)
 	if err != nil {
-		return nil, err // never a File that holds no file
+		return nil, err // not a File around a nil *os.File
 	}
-	return file{f}, nil
+	return osFile{f}, nil
 }
 
-// Remove removes a file.
-func (d Dir) Remove(name string) error { return os.Remove(d.at(name)) }
+// Remove implements FS.
+func (d Dir) Remove(name string) error { return os.Remove(d.join(name)) }
 
-// Rename gives a file another name, in place of one that has it.
-func (d Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+// Rename implements FS.
+func (d Dir) Rename(from, to string) error { return os.Rename(d.join(from), d.join(to)) }
 
-// List gives the names of the files.
+// List implements FS.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	var names []string
@@ -65,7 +65,7 @@
 	return names, err
 }
 
-// SyncDir makes names lasting.
+// SyncDir implements FS.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(d.path)
 	if err != nil {
@@ -75,9 +75,9 @@
 	return errors.Join(err, f.Close())
 }
 
-// Lock takes the folder for this process until the Closer is closed, or the process ends, however it ends.
+// Lock implements FS. The lock ends with the process, however that ends.
 func (d Dir) Lock(name string) (io.Closer, error) {
-	f, err := os.OpenFile(d.at(name), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(d.join(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -91,10 +91,10 @@
 	return f, nil
 }
 
-type file struct{ *os.File }
+type osFile struct{ *os.File }
 
-// Size tells how long the file is.
-func (f file) Size() (int64, error) {
+// Size implements File.
+func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
 		return 0, err
@@ -102,10 +102,11 @@
 	return info.Size(), nil
 }
 
-// Allocate makes the file so long.
-func (f file) Allocate(size int64) error {
-	if err := reserve(f.File, size); !errors.Is(err, syscall.EOPNOTSUPP) && !errors.Is(err, errors.ErrUnsupported) {
-		return err
+// Allocate implements File. Where the system can't reserve space, the file is extended only.
+func (f osFile) Allocate(size int64) error {
+	err := reserve(f.File, size)
+	if errors.Is(err, syscall.EOPNOTSUPP) || errors.Is(err, errors.ErrUnsupported) {
+		return f.Truncate(size)
 	}
-	return f.Truncate(size)
+	return err
 }
--- a/internal/vfs/faults_off.go
+++ b/internal/vfs/faults_off.go
@@ -2,5 +2,5 @@
 
 package vfs
 
-// WithFaults gives what a store stands on: the folder itself. With the build tag faults, a layer that fails on command.
+// WithFaults returns the folder itself. With the build tag faults, it returns one whose calls fail on command.
 func WithFaults(d Dir) FS { return d }
--- a/internal/vfs/faults_on.go
+++ b/internal/vfs/faults_on.go
@@ -4,15 +4,14 @@
 
 import (
 	"errors"
-	"io"
 	"os"
 	"strings"
 	"syscall"
 	"time"
 )
 
-// FaultFile is the environment's name for the file that says how the disk is: "sound", "full", "failing", or "slow 300ms". It is read
-// at each call that changes something. This layer is for rehearsals alone; no other build has it.
+// FaultFile is the environment variable that names a file with the state of the disk: "sound", "full", "failing", or "slow 300ms". The
+// file is read at each call that changes something. Only builds for the chaos tests have this layer.
 const FaultFile = "LIFTSHIFT_DISK"
 
 // WithFaults returns a folder whose changing calls fail as the fault file says, or the folder itself where no fault file is named.
@@ -20,19 +19,20 @@
 	if os.Getenv(FaultFile) == "" {
 		return d
 	}
-	return sickly{d}
+	return faultyDir{d}
 }
 
-type sickly struct{ Dir }
+// faultyDir fails what changes the folder. Reading, removing and locking go on.
+type faultyDir struct{ Dir }
 
-// state waits or fails as the fault file says.
-func state() error {
+// injectFault waits or fails as the fault file says. Without such a file the disk is sound.
+func injectFault() error {
 	b, err := os.ReadFile(os.Getenv(FaultFile))
 	if err != nil {
-		return nil // nothing is said: sound
+		return nil
 	}
-	word, rest, _ := strings.Cut(strings.TrimSpace(string(b)), " ")
-	switch word {
+	state, rest, _ := strings.Cut(strings.TrimSpace(string(b)), " ")
+	switch state {
 	case "full":
 		return syscall.ENOSPC
 	case "failing":
@@ -45,64 +45,61 @@
 	return nil
 }
 
-func (s sickly) wrap(f File, err error) (File, error) {
+func withFileFaults(f File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return sickFile{f}, nil
+	return faultyFile{f}, nil
 }
 
-// Create fails where nothing more goes onto the disk.
-func (s sickly) Create(name string) (File, error) {
-	if err := state(); err != nil {
+// Create implements FS.
+func (d faultyDir) Create(name string) (File, error) {
+	if err := injectFault(); err != nil {
 		return nil, err
 	}
-	return s.wrap(s.Dir.Create(name))
+	return withFileFaults(d.Dir.Create(name))
 }
 
-// Open opens as ever: reading goes on.
-func (s sickly) Open(name string) (File, error) { return s.wrap(s.Dir.Open(name)) }
+// Open implements FS.
+func (d faultyDir) Open(name string) (File, error) { return withFileFaults(d.Dir.Open(name)) }
 
-// Rename fails as Create does.
-func (s sickly) Rename(from, to string) error {
-	if err := state(); err != nil {
+// Rename implements FS.
+func (d faultyDir) Rename(from, to string) error {
+	if err := injectFault(); err != nil {
 		return err
 	}
-	return s.Dir.Rename(from, to)
+	return d.Dir.Rename(from, to)
 }
 
-// SyncDir fails as Create does.
-func (s sickly) SyncDir() error {
-	if err := state(); err != nil {
+// SyncDir implements FS.
+func (d faultyDir) SyncDir() error {
+	if err := injectFault(); err != nil {
 		return err
 	}
-	return s.Dir.SyncDir()
+	return d.Dir.SyncDir()
 }
 
-// Lock locks as ever.
-func (s sickly) Lock(name string) (io.Closer, error) { return s.Dir.Lock(name) }
+type faultyFile struct{ File }
 
-type sickFile struct{ File }
-
-// WriteAt fails as the fault file says.
-func (f sickFile) WriteAt(b []byte, at int64) (int, error) {
-	if err := state(); errors.Is(err, syscall.EIO) {
-		return 0, err // room that was reserved can still be written to on a full disk
+// WriteAt implements File. On a full disk it goes on, into space that was reserved.
+func (f faultyFile) WriteAt(b []byte, offset int64) (int, error) {
+	if err := injectFault(); errors.Is(err, syscall.EIO) {
+		return 0, err
 	}
-	return f.File.WriteAt(b, at)
+	return f.File.WriteAt(b, offset)
 }
 
-// Sync fails as the fault file says.
-func (f sickFile) Sync() error {
-	if err := state(); err != nil {
+// Sync implements File.
+func (f faultyFile) Sync() error {
+	if err := injectFault(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-// Allocate fails as the fault file says.
-func (f sickFile) Allocate(size int64) error {
-	if err := state(); err != nil {
+// Allocate implements File.
+func (f faultyFile) Allocate(size int64) error {
+	if err := injectFault(); err != nil {
 		return err
 	}
 	return f.File.Allocate(size)
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -1,6 +1,6 @@
-// Package vfs is the little of a file system that a store needs: files of one folder, written in place, synced one by
-// one. Dir is the real one; Memory forgets, tears and reorders what was not synced, and fails calls on demand. It knows
-// nothing of what is stored.
+// Package vfs is the little of a file system that a store needs: the files of one folder, written in place and synced one by one.
+// Dir is a real folder. MemoryFS is one in memory that forgets, tears and reorders what was not synced, and fails calls on demand.
+// The package does not know what is stored.
 package vfs
 
 import (
@@ -8,27 +8,36 @@
 	"io"
 )
 
-// File is one open file. Writes are not lasting before Sync has returned without an error.
+// File is an open file. Writes are durable only after Sync has returned without an error.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
+	// Sync makes what was written durable.
 	Sync() error
+	// Size returns the length of the file.
 	Size() (int64, error)
-	// Allocate makes the file so long, with zeros, and reserves the room where the system can.
+	// Allocate extends the file to a length, with zeros, and reserves the space where the system can.
 	Allocate(size int64) error
 }
 
-// FS is one folder. Names are lasting only after SyncDir.
+// FS is a folder. Names are durable only after SyncDir.
 type FS interface {
-	Create(name string) (File, error) // must not be there yet
-	Open(name string) (File, error)   // for reading
+	// Create makes a file that must not be there yet.
+	Create(name string) (File, error)
+	// Open opens a file for reading.
+	Open(name string) (File, error)
+	// Remove removes a file.
 	Remove(name string) error
+	// Rename gives a file another name, replacing a file that has it.
 	Rename(from, to string) error
-	List() ([]string, error) // sorted
+	// List returns the names of the files in order.
+	List() ([]string, error)
+	// SyncDir makes the names of the files durable.
 	SyncDir() error
-	Lock(name string) (io.Closer, error) // ErrInUse where another holds it
+	// Lock locks the folder until the Closer is closed. It returns ErrInUse where another has it.
+	Lock(name string) (io.Closer, error)
 }
 
-// ErrInUse is what Lock gives while another process, or another store of this one, holds the folder.
+// ErrInUse is what Lock returns while another process, or another store of this one, has the folder.
 var ErrInUse = errors.New("in use by another process")
