--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -6,34 +6,34 @@
 	"hash/fnv"
 )
 
-// What goes over the wire. A datagram is at most mostDatagram bytes:
+// The wire format. A datagram has at most maxDatagramBytes bytes:
 //
-//	"LF" major minor  fleet  kind  number  target  life  hash  own record  records...
+//	"LF" major minor  fleet  kind  sequence  target  incarnation  view hash  sender's record  records...
 //
-// Texts are a byte of length and their bytes, numbers are uvarints, the hash is 8 bytes. A record is its length as a uvarint and
-// its fields; what stands behind the fields that are known here is of a later minor version and skipped.
+// A text is its length in one byte and its bytes, a number is a uvarint, the hash has 8 bytes. A record is its length as a uvarint and
+// its fields; bytes behind the known fields are from a later minor version and are skipped.
 const (
-	major        = 1
-	minor        = 0
-	mostDatagram = 1200
-	mostText     = 64
-	mostRecord   = 400
+	protocolMajor    = 1
+	protocolMinor    = 0
+	maxDatagramBytes = 1200
+	maxTextBytes     = 64
+	maxRecordBytes   = 400
 )
 
-// messageKind is what a message is for.
+// messageKind is the purpose of a message.
 type messageKind uint8
 
-// Message kinds. Their numbers go over the wire: they stay.
+// Message kinds. The numbers are part of the wire format.
 const (
-	ping     messageKind = 1
-	ack      messageKind = 2
-	request  messageKind = 3 // ask a third one for us
-	nack     messageKind = 4 // the third one did not answer so far; but I do
-	gossip   messageKind = 5
-	digest   messageKind = 6 // the first part of an exchange
-	same     messageKind = 7 // the views are equal
-	full     messageKind = 8
-	lastKind messageKind = 9 // the first number that is free
+	kindPing        messageKind = 1
+	kindAck         messageKind = 2
+	kindPingRequest messageKind = 3 // asks the recipient to probe a third member
+	kindNack        messageKind = 4 // the recipient of a ping request has no answer so far
+	kindGossip      messageKind = 5
+	kindDigest      messageKind = 6 // the first part of an exchange
+	kindSame        messageKind = 7 // the views are equal
+	kindFull        messageKind = 8
+	kindEnd         messageKind = 9 // the first unused number
 )
 
 var (
@@ -42,36 +42,38 @@
 	errMalformed = errors.New("malformed")
 )
 
-// message is what one member says to another.
+// message is a decoded message.
 type message struct {
-	kind   messageKind
-	number uint64
-	target string // name of who is meant; its address in a request
-	life   uint64
-	hash   uint64
-	own    Member
-	news   []Member
+	kind        messageKind
+	sequence    uint64
+	target      string // name of the intended recipient; in a ping request, the address to probe
+	incarnation uint64 // of the target
+	viewHash    uint64
+	sender      Member
+	members     []Member
 }
 
 func appendText(b []byte, s string) []byte {
-	s = s[:min(len(s), mostText)]
+	s = s[:min(len(s), maxTextBytes)]
 	return append(append(b, byte(len(s))), s...)
 }
 
-// header is all but the news.
-func (v *View) header(m *message) []byte {
-	b := append(make([]byte, 0, 256), 'L', 'F', major, minor)
+// encodeHeader writes a message without the records that follow the sender's.
+func (v *View) encodeHeader(msg *message) []byte {
+	b := append(make([]byte, 0, 256), 'L', 'F', protocolMajor, protocolMinor)
 	b = appendText(b, v.fleet)
-	b = binary.AppendUvarint(append(b, byte(m.kind)), m.number)
-	b = binary.AppendUvarint(appendText(b, m.target), m.life)
+	b = append(b, byte(msg.kind))
+	b = binary.AppendUvarint(b, msg.sequence)
+	b = appendText(b, msg.target)
+	b = binary.AppendUvarint(b, msg.incarnation)
 	b = binary.BigEndian.AppendUint64(b, v.hash)
 	return appendRecord(b, &v.self.Member)
 }
 
-// appendRecord writes a record; its length is one byte, or two.
+// appendRecord writes a member's record.
 func appendRecord(b []byte, m *Member) []byte {
-	var room [mostRecord]byte
-	r := appendText(room[:0], m.Name)
+	var buffer [maxRecordBytes]byte
+	r := appendText(buffer[:0], m.Name)
 	r = binary.AppendUvarint(r, m.Incarnation)
 	r = binary.AppendUvarint(r, m.Refutation)
 	r = append(r, byte(m.State), byte(m.Flags))
@@ -83,102 +85,119 @@
 	return append(binary.AppendUvarint(b, uint64(len(r))), r...)
 }
 
-// reader takes a message apart. After an error it gives nothing more.
+// reader decodes a message. After an error it returns zero values.
 type reader struct {
-	b   []byte
-	err error
+	data []byte
+	err  error
 }
 
-func (r *reader) take(n int) []byte {
-	if r.err != nil || n < 0 || n > len(r.b) {
+func (r *reader) bytes(n int) []byte {
+	if r.err != nil || n < 0 || n > len(r.data) {
 		r.err = errMalformed
 		return nil
 	}
-	head := r.b[:n]
-	r.b = r.b[n:]
+	head := r.data[:n]
+	r.data = r.data[n:]
 	return head
 }
 
 func (r *reader) byte() byte {
-	if b := r.take(1); b != nil {
+	if b := r.bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) number() uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *reader) uvarint() uint64 {
+	n, size := binary.Uvarint(r.data)
 	if size <= 0 {
 		r.err = errMalformed
 		return 0
 	}
-	r.take(size)
+	r.bytes(size)
 	return n
 }
 
 func (r *reader) text() string {
 	n := int(r.byte())
-	if n > mostText {
+	if n > maxTextBytes {
 		r.err = errMalformed
 	}
-	return string(r.take(n))
+	return string(r.bytes(n))
 }
 
 func (r *reader) record() (m Member) {
-	n := r.number()
-	if n > mostRecord {
+	size := r.uvarint()
+	if size > maxRecordBytes {
 		r.err = errMalformed
 	}
-	in := reader{b: r.take(int(min(n, mostRecord))), err: r.err}
-	m.Name, m.Incarnation, m.Refutation = in.text(), in.number(), in.number()
-	m.State, m.Flags = State(in.byte()), Flags(in.byte())
-	m.Version = uint32(in.number())
-	m.Address, m.Zone, m.Region, m.AccusedBy = in.text(), in.text(), in.text(), in.text()
-	if r.err = in.err; r.err == nil && (m.Name == "" || m.Address == "" || m.State == Unknown || m.State >= anyPhase) {
+	in := reader{data: r.bytes(int(min(size, maxRecordBytes))), err: r.err}
+	m.Name = in.text()
+	m.Incarnation = in.uvarint()
+	m.Refutation = in.uvarint()
+	m.State = State(in.byte())
+	m.Flags = Flags(in.byte())
+	m.Version = uint32(in.uvarint())
+	m.Address = in.text()
+	m.Zone = in.text()
+	m.Region = in.text()
+	m.AccusedBy = in.text()
+	r.err = in.err
+	if r.err == nil && !isValidRecord(&m) {
 		r.err = errMalformed
 	}
 	return m
 }
 
-// parse reads a message of this fleet. It is believed whole or not at all.
-func parse(fleet string, data []byte) (m message, err error) {
-	r := reader{b: data}
-	if head := r.take(4); r.err != nil || head[0] != 'L' || head[1] != 'F' {
-		return m, errForeign
-	} else if head[2] != major {
-		return m, errNewer
+func isValidRecord(m *Member) bool {
+	return m.Name != "" && m.Address != "" && m.State != Unknown && m.State < anyState
+}
+
+// parseMessage decodes a message of a fleet. A message with any error is rejected as a whole.
+func parseMessage(fleet string, data []byte) (msg message, err error) {
+	r := reader{data: data}
+	head := r.bytes(4)
+	if r.err != nil || head[0] != 'L' || head[1] != 'F' {
+		return msg, errForeign
+	}
+	if head[2] != protocolMajor {
+		return msg, errNewer
 	}
 	if r.text() != fleet || r.err != nil {
-		return m, errForeign
+		return msg, errForeign
 	}
-	m.kind = messageKind(r.byte())
-	m.number, m.target, m.life = r.number(), r.text(), r.number()
-	if h := r.take(8); h != nil {
-		m.hash = binary.BigEndian.Uint64(h)
+	msg.kind = messageKind(r.byte())
+	msg.sequence = r.uvarint()
+	msg.target = r.text()
+	msg.incarnation = r.uvarint()
+	if hash := r.bytes(8); hash != nil {
+		msg.viewHash = binary.BigEndian.Uint64(hash)
 	}
-	m.own = r.record()
-	for r.err == nil && len(r.b) > 0 {
-		m.news = append(m.news, r.record())
+	msg.sender = r.record()
+	for r.err == nil && len(r.data) > 0 {
+		msg.members = append(msg.members, r.record())
 	}
 	if r.err != nil {
 		return message{}, r.err
 	}
-	if m.kind == 0 || m.kind >= lastKind {
-		return message{}, errNewer // a kind that a later minor version knows
+	if msg.kind == 0 || msg.kind >= kindEnd {
+		return message{}, errNewer // a kind of a later minor version
 	}
-	return m, nil
+	return msg, nil
 }
 
-// hashOf is what a member adds to the hash of a view.
-func hashOf(m *Member) uint64 {
+// hashMember returns a member's contribution to the hash of a view.
+func hashMember(m *Member) uint64 {
 	h := fnv.New64a()
 	var b [18]byte
 	binary.BigEndian.PutUint64(b[:], m.Incarnation)
 	binary.BigEndian.PutUint64(b[8:], m.Refutation)
-	b[16], b[17] = byte(m.State), byte(m.Flags)
+	b[16] = byte(m.State)
+	b[17] = byte(m.Flags)
 	_, _ = h.Write([]byte(m.Name))
 	_, _ = h.Write(b[:])
-	x := h.Sum64() // FNV's high bits are near for near texts: mixed once more, as hashes are joined by exclusive or
+	x := h.Sum64()
+	// FNV's high bits are alike for similar names, and the hashes are combined by exclusive or: they are mixed once more.
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	return x ^ x>>33
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden holds bytes against a file of testdata/golden, and gives what the file has.
+// golden compares bytes with a file of testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -26,7 +26,7 @@
 	return want
 }
 
-// goldenMembers is one in each phase, with each mark.
+// goldenMembers returns members in each state and with each flag.
 func goldenMembers() []Member {
 	return []Member{
 		{Name: "b", Incarnation: 2, Refutation: 3, State: Joining, Flags: Ready, Version: 4, Address: "127.0.0.1:7001", Zone: "z2", Region: "r2"},
@@ -43,30 +43,30 @@
 	return New(0, "f", Member{Name: "a", Incarnation: 1, Refutation: 5, Flags: Ready | CanVote, Version: 6, Address: "127.0.0.1:7000", Zone: "z1", Region: "r1"}, nil, DefaultSettings(), 1)
 }
 
-// Every kind of datagram has the bytes that it had, and is read as it was.
-func TestGolden_MembersDatagrams(t *testing.T) {
-	for name, kind := range map[string]messageKind{"ping": ping, "ack": ack, "request": request, "nack": nack, "gossip": gossip, "digest": digest,
-		"same": same, "full": full} {
+// Every kind of datagram keeps its bytes and is decoded as before.
+func TestGolden_MembershipDatagrams(t *testing.T) {
+	for name, kind := range map[string]messageKind{"ping": kindPing, "ack": kindAck, "request": kindPingRequest, "nack": kindNack, "gossip": kindGossip, "digest": kindDigest,
+		"same": kindSame, "full": kindFull} {
 		v := goldenView()
-		m := message{kind: kind, number: 1000, target: "b", life: 2, news: goldenMembers()}
-		read, err := parse("f", golden(t, "datagram-"+name+".bin", v.pack(&m, nil)))
+		m := message{kind: kind, sequence: 1000, target: "b", incarnation: 2, members: goldenMembers()}
+		decoded, err := parseMessage("f", golden(t, "datagram-"+name+".bin", v.encodeMessage(&m, nil)))
 		require.NoError(t, err)
-		m.own, m.hash = v.Self(), v.Hash()
-		assert.Equal(t, m, read, name)
+		m.sender, m.viewHash = v.Self(), v.Hash()
+		assert.Equal(t, m, decoded, name)
 	}
 }
 
-// A whole view has the bytes that it had, and another controller takes it in.
-func TestGolden_MembersWholeView(t *testing.T) {
+// A full state keeps its bytes, and another controller merges it.
+func TestGolden_MembershipFullState(t *testing.T) {
 	v := goldenView()
 	list := goldenMembers()
 	for k := range list {
 		v.merge(&list[k], "x")
 	}
-	read, err := parse("f", golden(t, "view.bin", v.fullState()))
+	decoded, err := parseMessage("f", golden(t, "view.bin", v.encodeFullState()))
 	require.NoError(t, err)
-	assert.Equal(t, full, read.kind)
-	assert.Equal(t, v.Hash(), read.hash)
+	assert.Equal(t, kindFull, decoded.kind)
+	assert.Equal(t, v.Hash(), decoded.viewHash)
 	other := New(0, "f", Member{Name: "z", Incarnation: 1, Address: "127.0.0.1:7100"}, nil, DefaultSettings(), 2)
 	other.Step(1, &Event{Kind: ExchangeAnswered, From: "127.0.0.1:7000", Data: must(os.ReadFile("testdata/golden/view.bin"))})
 	for _, m := range v.Members() {
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -7,49 +7,49 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// pair gives two views that have not met.
-func pair() (a, b *View) {
+// newPair returns two views that do not know each other.
+func newPair() (a, b *View) {
 	return New(0, "f", Member{Name: "a", Address: "1", Incarnation: 2}, []string{"2"}, DefaultSettings(), 1),
 		New(0, "f", Member{Name: "b", Address: "2", Incarnation: 3}, []string{"1"}, DefaultSettings(), 2)
 }
 
-// meet lets two views hear of each other.
-func meet(a, b *View) {
-	a.Step(1, &Event{Kind: DatagramReceived, From: "2", Data: b.pack(&message{kind: gossip}, nil)})
-	b.Step(1, &Event{Kind: DatagramReceived, From: "1", Data: a.pack(&message{kind: gossip}, nil)})
+// introduce lets two views learn of each other.
+func introduce(a, b *View) {
+	a.Step(1, &Event{Kind: DatagramReceived, From: "2", Data: b.encodeMessage(&message{kind: kindGossip}, nil)})
+	b.Step(1, &Event{Kind: DatagramReceived, From: "1", Data: a.encodeMessage(&message{kind: kindGossip}, nil)})
 }
 
-// walked is a fleet of three whose messages wait until they are chosen.
-type walked struct {
-	now   float64
-	views [3]*View
-	links [3][3][]Event
-	lives [3]uint64
+// threeNodes is a fleet of three whose messages wait until a step delivers them.
+type threeNodes struct {
+	now          float64
+	views        [3]*View
+	links        [3][3][]Event
+	incarnations [3]uint64
 }
 
-const choices = 6 + 6 + 2 + 3 // deliver on a link, lose there, time, restart one
+const stepChoices = 6 + 6 + 2 + 3 // deliver on a link, lose on a link, let time pass, restart a node
 
-func newWalk() *walked {
-	w := &walked{}
+func newThreeNodes() *threeNodes {
+	w := &threeNodes{}
 	for k := range w.views {
 		w.start(k)
 	}
-	for range 4 { // they have met
+	for range 4 { // until all know each other
 		w.settle()
 		w.now += 100
 	}
 	return w
 }
 
-func (w *walked) start(k int) {
-	w.lives[k]++
+func (w *threeNodes) start(k int) {
+	w.incarnations[k]++
 	settings := DefaultSettings()
 	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 100, 40, 150
-	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.lives[k]}, []string{"0", "1", "2"}, settings, uint32(k))
-	w.play(k, -1, Event{Kind: Ticked})
+	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.incarnations[k]}, []string{"0", "1", "2"}, settings, uint32(k))
+	w.handle(k, -1, Event{Kind: Ticked})
 }
 
-func (w *walked) play(k, from int, ev Event) {
+func (w *threeNodes) handle(k, from int, ev Event) {
 	for _, e := range w.views[k].Step(w.now, &ev) {
 		to := -1
 		if len(e.To) == 1 {
@@ -66,19 +66,19 @@
 	}
 }
 
-func (w *walked) take(from, to int, deliver bool) bool {
+func (w *threeNodes) take(from, to int, deliver bool) bool {
 	q := w.links[from][to]
 	if len(q) == 0 {
 		return false
 	}
 	w.links[from][to] = q[1:]
 	if deliver {
-		w.play(to, from, q[0])
+		w.handle(to, from, q[0])
 	}
 	return true
 }
 
-func (w *walked) settle() {
+func (w *threeNodes) settle() {
 	for n := 0; n < 200; n++ {
 		moved := false
 		for k := range 9 {
@@ -89,14 +89,14 @@
 		}
 	}
 	for k := range w.views {
-		w.play(k, -1, Event{Kind: Ticked})
+		w.handle(k, -1, Event{Kind: Ticked})
 	}
 }
 
 var pairs = [6][2]int{{0, 1}, {0, 2}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
 
-// step makes one choice; false if there is nothing to do.
-func (w *walked) step(choice int) bool {
+// step takes one step; false if there is no message for it.
+func (w *threeNodes) step(choice int) bool {
 	switch {
 	case choice < 6:
 		return w.take(pairs[choice][0], pairs[choice][1], true)
@@ -105,7 +105,7 @@
 	case choice < 14:
 		w.now += []float64{60, 400}[choice-12]
 		for k := range w.views {
-			w.play(k, -1, Event{Kind: Ticked})
+			w.handle(k, -1, Event{Kind: Ticked})
 		}
 	default:
 		w.start(choice - 14)
@@ -113,18 +113,18 @@
 	return true
 }
 
-func (w *walked) check(t *testing.T, path []int) {
+func (w *threeNodes) check(t *testing.T, path []int) {
 	for k, v := range w.views {
 		for o, other := range w.views {
 			m, known := v.Find(fmt.Sprint(o))
 			if !known {
 				continue
 			}
-			good := m.Incarnation <= w.lives[o] && (m.Incarnation < other.Self().Incarnation || m.Refutation <= other.Self().Refutation)
+			good := m.Incarnation <= w.incarnations[o] && (m.Incarnation < other.Self().Incarnation || m.Refutation <= other.Self().Refutation)
 			if o == k {
 				good = m.State != Suspect && m.State != Dead
 			}
-			assert.True(t, good, "path %v: %d holds of %d %+v, which says %+v", path, k, o, m, other.Self())
+			assert.True(t, good, "path %v: node %d knows node %d as %+v, which announces %+v", path, k, o, m, other.Self())
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,49 +9,49 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A datagram that is cut at any byte, or has any byte spoilt, is believed whole or not at all, and never stops the view.
-func TestDatagramsCutAndSpoilt(t *testing.T) {
-	a, b := pair()
-	data := a.pack(&message{kind: gossip, number: 7, target: "b", life: 3}, nil)
-	m, err := parse("f", data)
+// A datagram that is truncated at any byte, or has any byte corrupted, is accepted as a whole or rejected, and never stops the view.
+func TestView_RejectsTruncatedAndCorruptedDatagrams(t *testing.T) {
+	a, b := newPair()
+	data := a.encodeMessage(&message{kind: kindGossip, sequence: 7, target: "b", incarnation: 3}, nil)
+	m, err := parseMessage("f", data)
 	require.NoError(t, err)
-	assert.Equal(t, a.self.Member.Name, m.own.Name)
+	assert.Equal(t, a.self.Member.Name, m.sender.Name)
 	before := b.Members()
 	for n := range len(data) {
-		if _, err := parse("f", data[:n]); err == nil {
-			assert.Len(t, m.news, 0, "cut at %d: only whole records were left out", n)
+		if _, err := parseMessage("f", data[:n]); err == nil {
+			assert.Len(t, m.members, 0, "truncated at %d: only whole records were left out", n)
 		}
 		b.Step(1, &Event{Kind: DatagramReceived, From: "x", Data: data[:n]})
 	}
 	assert.Len(t, b.Members(), len(before))
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 1_000_000 {
-		spoilt := append([]byte(nil), data...)
-		for range 1 + chance.IntN(4) {
-			spoilt[chance.IntN(len(spoilt))] = byte(chance.Uint32())
+		corrupted := append([]byte(nil), data...)
+		for range 1 + random.IntN(4) {
+			corrupted[random.IntN(len(corrupted))] = byte(random.Uint32())
 		}
-		b.Step(1, &Event{Kind: EventKind(1 + chance.IntN(3)), From: "x", Data: spoilt[:chance.IntN(len(spoilt)+1)]})
+		b.Step(1, &Event{Kind: EventKind(1 + random.IntN(3)), From: "x", Data: corrupted[:random.IntN(len(corrupted)+1)]})
 	}
-	assert.LessOrEqual(t, len(b.Members()), mostMembers)
+	assert.LessOrEqual(t, len(b.Members()), defaultMaxMembers)
 }
 
-func FuzzDatagram(f *testing.F) {
-	a, b := pair()
-	f.Add(a.pack(&message{kind: ping, number: 7, target: "b", life: 3}, nil))
-	f.Add(a.fullState())
+func FuzzView_Datagram(f *testing.F) {
+	a, b := newPair()
+	f.Add(a.encodeMessage(&message{kind: kindPing, sequence: 7, target: "b", incarnation: 3}, nil))
+	f.Add(a.encodeFullState())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b.Step(1, &Event{Kind: DatagramReceived, From: "x", Data: data})
 		b.Step(1, &Event{Kind: ExchangeRequested, From: "x", Data: data})
 	})
 }
 
-// What is of another fleet, of a later version, or spoilt is counted apart and changes nothing.
-func TestForeignAndNewer(t *testing.T) {
-	a, b := pair()
-	data := a.pack(&message{kind: gossip}, nil)
+// Messages of another fleet, of a later version, or malformed are counted apart and change nothing.
+func TestView_CountsForeignNewerAndMalformed(t *testing.T) {
+	a, b := newPair()
+	data := a.encodeMessage(&message{kind: kindGossip}, nil)
 	newer := append([]byte(nil), data...)
-	newer[2] = major + 1
-	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, DefaultSettings(), 1).pack(&message{kind: gossip}, nil)
+	newer[2] = protocolMajor + 1
+	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, DefaultSettings(), 1).encodeMessage(&message{kind: kindGossip}, nil)
 	for _, d := range [][]byte{newer, other, data[:len(data)-1], []byte("hello")} {
 		b.Step(1, &Event{Kind: DatagramReceived, Data: d})
 	}
@@ -60,36 +60,36 @@
 	assert.Zero(t, b.Size())
 }
 
-// A later minor version adds fields to records: they are skipped, the rest is understood.
-func TestOneVersionApart(t *testing.T) {
-	a, b := pair()
-	data := a.header(&message{kind: gossip})
+// A later minor version adds fields to records: they are skipped.
+func TestView_SkipsFieldsOfLaterMinorVersion(t *testing.T) {
+	a, b := newPair()
+	data := a.encodeHeader(&message{kind: kindGossip})
 	own := appendRecord(nil, &a.self.Member)
 	head := data[:len(data)-len(own)]
 	n, size := binary.Uvarint(own)
 	longer := binary.AppendUvarint(append([]byte(nil), head...), n+3)
 	longer = append(append(longer, own[size:]...), 1, 2, 3)
-	longer[3] = minor + 1
+	longer[3] = protocolMinor + 1
 	b.Step(1, &Event{Kind: DatagramReceived, Data: longer})
 	m, known := b.Find("a")
 	assert.True(t, known)
 	assert.Equal(t, a.self.Address, m.Address)
 }
 
-// The table: what a member says of itself goes before what is said of it, and an old life never comes back.
-func TestTable(t *testing.T) {
+// A member's own announcements go before reports about it, and an old incarnation never comes back.
+func TestView_MergeFollowsTransitions(t *testing.T) {
 	for _, c := range []struct {
-		phase       State
-		life, inc   uint64
-		news        State
-		nlife, ninc uint64
-		want        State
+		state                               State
+		incarnation, refutation             uint64
+		record                              State
+		recordIncarnation, recordRefutation uint64
+		want                                State
 	}{
-		{Alive, 5, 3, Suspect, 5, 2, Alive}, // it has said since that it is here
+		{Alive, 5, 3, Suspect, 5, 2, Alive}, // refuted since
 		{Alive, 5, 3, Suspect, 5, 3, Suspect},
-		{Alive, 5, 3, Dead, 5, 3, Suspect}, // it may still speak
+		{Alive, 5, 3, Dead, 5, 3, Suspect}, // it may still refute
 		{Suspect, 5, 3, Dead, 5, 3, Dead},
-		{Suspect, 5, 3, Alive, 5, 3, Suspect}, // nothing new
+		{Suspect, 5, 3, Alive, 5, 3, Suspect}, // known already
 		{Suspect, 5, 3, Alive, 5, 4, Alive},
 		{Dead, 5, 3, Alive, 5, 3, Dead},
 		{Dead, 5, 3, Alive, 5, 4, Alive},
@@ -102,44 +102,43 @@
 		{Dead, 5, 3, Left, 5, 3, Left},
 		{Alive, 5, 3, Dead, 4, 99, Alive},
 	} {
-		v, _ := pair()
-		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.life, Refutation: c.inc, State: c.phase}, "b")
-		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.nlife, Refutation: c.ninc, State: c.news}, "b")
+		v, _ := newPair()
+		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.incarnation, Refutation: c.refutation, State: c.state}, "b")
+		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.recordIncarnation, Refutation: c.recordRefutation, State: c.record}, "b")
 		m, _ := v.Find("x")
 		assert.Equal(t, c.want, m.State, "%+v", c)
 	}
 }
 
-// A controller that hears that it is thought gone says at once that it is here, and says why in its evidence.
-func TestRefutes(t *testing.T) {
-	a, b := pair()
-	meet(a, b)
-	was := b.Self().Refutation
-	b.Step(2, &Event{Kind: DatagramReceived, Data: a.pack(&message{kind: gossip, news: []Member{
-		{Name: "b", Address: "2", Incarnation: 3, Refutation: was, State: Dead}}}, nil)})
-	assert.Equal(t, was+1, b.Self().Refutation)
+// A controller that is reported dead refutes at once and keeps evidence of the report.
+func TestView_RefutesReportOfItsDeath(t *testing.T) {
+	a, b := newPair()
+	introduce(a, b)
+	before := b.Self().Refutation
+	b.Step(2, &Event{Kind: DatagramReceived, Data: a.encodeMessage(&message{kind: kindGossip, members: []Member{
+		{Name: "b", Address: "2", Incarnation: 3, Refutation: before, State: Dead}}}, nil)})
+	assert.Equal(t, before+1, b.Self().Refutation)
 	assert.Equal(t, uint64(1), b.Counts().Condemned)
 	require.NotEmpty(t, b.Explain("b"))
 }
 
-// All interleavings of three members to a depth: each link may deliver or lose its oldest message, time may go on, one may die and
-// start again. No view ever holds a later incarnation or life than its owner gave out, nor goes back to an older one; none holds
-// itself for anything but what it says.
-func TestWalk(t *testing.T) {
+// All interleavings of three members to a depth: each link may deliver or lose its oldest message, time may pass, a member may restart.
+// No view ever has a later incarnation or refutation of a member than the member itself, and none holds itself for Suspect or Dead.
+func TestView_AllInterleavingsOfThreeMembers(t *testing.T) {
 	const depth = 4
 	walks := 0
 	var walk func(path []int)
 	walk = func(path []int) {
-		w := newWalk()
+		w := newThreeNodes()
 		for _, step := range path {
 			if !w.step(step) {
-				return // nothing there to do: the same as a shorter path
+				return // no message on that link: equal to a shorter path
 			}
 		}
 		walks++
 		w.check(t, path)
 		if len(path) < depth {
-			for choice := range choices {
+			for choice := range stepChoices {
 				walk(append(path[:len(path):len(path)], choice))
 			}
 		}
@@ -148,9 +147,9 @@
 	assert.Greater(t, walks, 5000)
 	t.Logf("%d histories", walks)
 	for seed := range uint64(300) { // longer ones, drawn
-		chance, path, w := rand.New(rand.NewPCG(seed, 3)), []int{}, newWalk()
+		random, path, w := rand.New(rand.NewPCG(seed, 3)), []int{}, newThreeNodes()
 		for range 60 {
-			path = append(path, chance.IntN(choices))
+			path = append(path, random.IntN(stepChoices))
 			w.step(path[len(path)-1])
 			w.check(t, path)
 		}
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -1,16 +1,26 @@
 package membership
 
-// Settings are what a view goes by. Times are milliseconds.
+// Defaults for a fleet on one site.
+const (
+	defaultProbeMS    = 500
+	defaultAnswerMS   = 200 // less than half of defaultProbeMS, so that indirect probes fit into the rest
+	defaultSuspectMS  = 2500
+	defaultExchangeMS = 30000
+	defaultMaxMembers = 4096
+)
+
+// Settings configure a View. Times are milliseconds.
 type Settings struct {
 	ProbeMS         float64 // between two probes
-	AnswerMS        float64 // without an answer until others are asked to probe
+	AnswerMS        float64 // without an answer until other members are asked to probe
 	SuspectMS       float64 // least time in which a suspect may refute
-	ExchangeMS      float64 // between two exchanges of the whole view
+	ExchangeMS      float64 // between two exchanges of full states
 	MaxMembers      int
-	IgnoreOwnHealth bool // do not take this controller's own slowness into account: for measurements
+	IgnoreOwnHealth bool // disables the adjustment to this controller's own slowness; for measurements
 }
 
-// DefaultSettings returns what holds where the operators say nothing.
+// DefaultSettings returns the settings that apply where the operators' file has none.
 func DefaultSettings() Settings {
-	return Settings{ProbeMS: probeMS, AnswerMS: answerMS, SuspectMS: suspectMS, ExchangeMS: exchangeMS, MaxMembers: mostMembers}
+	return Settings{ProbeMS: defaultProbeMS, AnswerMS: defaultAnswerMS, SuspectMS: defaultSuspectMS, ExchangeMS: defaultExchangeMS,
+		MaxMembers: defaultMaxMembers}
 }
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -1,140 +1,144 @@
-// Package membership is one controller's view of the fleet: who is there, since when, in which zone and in what health. It hears
-// what others say and how probes went, with the time at which it heard it, and says what is to be sent and what has changed. It
-// owns no socket, clock or goroutine. What it holds is heard, not agreed: it is always there and may be wrong. Nothing that may
-// happen only once rests on it.
+// Package membership keeps one controller's view of the fleet: which controllers exist, since when, in which zone and in what health.
+// It is a SWIM failure detector with Lifeguard's refinements and anti-entropy exchanges of full states.
+//
+// A View is a state machine. It takes events with the time at which they happened and returns effects for its caller to carry out. It
+// owns no socket, clock or goroutine. The view is observed, not agreed: it is always available and may be wrong, so nothing that may
+// happen only once may depend on it.
 package membership
 
-// State is where a member stands.
+// State is the state of a member.
 type State uint8
 
-// Phases. What a member says of itself are Joining, Here, Leaving and Left; Suspect and Gone are what others say of it.
-// Their numbers go over the wire: they stay.
+// States. A member announces Joining, Alive, Leaving and Left itself; Suspect and Dead are what others conclude. The numbers are part
+// of the wire format.
 const (
 	Unknown  State = 0
-	Joining  State = 1 // started, and has not yet heard the whole view from anybody
+	Joining  State = 1 // started and without a full view yet
 	Alive    State = 2
-	Suspect  State = 3 // did not answer, and may still say that it is here
-	Dead     State = 4 // did not say so in time; comes back by a later incarnation alone
-	Leaving  State = 5 // stops as planned
+	Suspect  State = 3 // did not answer and may still refute
+	Dead     State = 4 // did not refute in time; only a later refutation or incarnation brings it back
+	Leaving  State = 5 // shutting down as planned
 	Left     State = 6
-	anyPhase State = 7 // past all of them, no phase itself
+	anyState State = 7 // the first unused number; in the transition table, a wildcard
 )
 
-var phaseNames = [...]string{"unknown", "joining", "here", "suspect", "gone", "leaving", "left"}
+// stateNames are printed by the control socket.
+var stateNames = [...]string{"unknown", "joining", "here", "suspect", "gone", "leaving", "left"}
 
-// String returns the name of the phase, or "unknown" for a value that has none.
-func (p State) String() string {
-	if int(p) < len(phaseNames) {
-		return phaseNames[p]
+// String returns the name of the state, or "unknown" for a value that has none.
+func (s State) String() string {
+	if int(s) < len(stateNames) {
+		return stateNames[s]
 	}
 	return "unknown"
 }
 
-// IsLive tells whether a member in this phase is asked and may be asked for help.
-func (p State) IsLive() bool { return p == Joining || p == Alive || p == Suspect || p == Leaving }
+// IsLive reports whether a member in this state is probed and may be asked to probe others.
+func (s State) IsLive() bool { return s == Joining || s == Alive || s == Suspect || s == Leaving }
 
-// Flags are small signs of health that a member tells of itself.
+// Flags are conditions that a member reports of itself.
 type Flags uint8
 
-// Marks. Their bits go over the wire: they stay.
+// Flags. The bits are part of the wire format.
 const (
 	Ready       Flags = 1 << 0
 	Draining    Flags = 1 << 1
 	DiskFailing Flags = 1 << 2
 	Overloaded  Flags = 1 << 3
-	Duplicated  Flags = 1 << 4 // another process bears its name: it takes no part in common work
-	Stalled     Flags = 1 << 5 // it stood still lately and does not trust its own view yet
-	CanVote     Flags = 1 << 6 // it has a disk for the council
+	Duplicated  Flags = 1 << 4 // another process has the same name; neither takes part in shared work
+	Stalled     Flags = 1 << 5 // it was paused lately and does not trust its own view yet
+	CanVote     Flags = 1 << 6 // it has a disk for the consensus group
 )
 
-var markNames = []string{"ready", "draining", "disk-sick", "full", "doubled", "stalled", "elector"}
+// flagNames are printed by the control socket, in the order of the bits.
+var flagNames = []string{"ready", "draining", "disk-sick", "full", "doubled", "stalled", "elector"}
 
-// Names gives the marks that are set.
-func (m Flags) Names() (names []string) {
-	for k, name := range markNames {
-		if m&(1<<k) != 0 {
+// Names returns the names of the flags that are set.
+func (f Flags) Names() (names []string) {
+	for bit, name := range flagNames {
+		if f&(1<<bit) != 0 {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Member is one life of a controller as the fleet knows it.
+// Member is one incarnation of a controller as the fleet knows it.
 type Member struct {
 	Name        string
-	Incarnation uint64 // grows at each start of that name
-	Refutation  uint64 // incarnation: raised by the member alone
+	Incarnation uint64 // grows with each start of the name
+	Refutation  uint64 // grows within an incarnation; only the member itself raises it
 	State       State
 	Flags       Flags
 	Version     uint32
 	Address     string
 	Zone        string
 	Region      string
-	AccusedBy   string  // who accuses it, while it is Suspect
-	Since       float64 // when this view took it to be so
+	AccusedBy   string  // the newest accuser of a member that is Suspect
+	Since       float64 // when this view put it into its state
 }
 
-// EventKind tells what an event is.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Events.
 const (
-	Ticked            EventKind = iota // the time that Next named has come
-	DatagramReceived                   // a datagram
-	ExchangeRequested                  // another one's part of an exchange: the Reply goes back
-	ExchangeAnswered                   // the reply to our part of one
-	ExchangeFailed                     // an exchange came to nothing
-	FlagsChanged                       // this controller's own marks are now these
-	IncarnationRaised                  // this controller goes on under a later life: the one it had has been declared lost
-	LeaveStarted                       // a planned stop begins
-	LeaveFinished                      // it ends: this is the last that is said
+	Ticked            EventKind = iota // the time that Next returned has come
+	DatagramReceived                   // a datagram arrived
+	ExchangeRequested                  // another member started an exchange; a Reply effect answers it
+	ExchangeAnswered                   // the answer to an Exchange effect arrived
+	ExchangeFailed                     // an Exchange effect came to nothing
+	FlagsChanged                       // this controller's own flags changed
+	IncarnationRaised                  // this controller goes on under a later incarnation, as the one before was declared lost
+	LeaveStarted                       // a planned shutdown begins
+	LeaveFinished                      // the shutdown ends; nothing is sent afterwards
 )
 
-// Event is something that the view hears.
+// Event is an input of a View.
 type Event struct {
 	Kind  EventKind
-	From  string // address
+	From  string // address of the sender
 	Data  []byte
-	Flags Flags
+	Flags Flags // FlagsChanged
 }
 
-// EffectKind tells what an effect is.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 // Effects.
 const (
-	Send                  EffectKind = iota // a datagram to an address
-	Exchange                                // Data to an address over a connection; what comes back is Answered, or it Failed
-	Reply                                   // what the one who Asked gets
-	MemberChanged                           // a member's phase or marks are others now
-	SelfIncarnationRaised                   // this controller's own life has been raised: to be kept
-	DuplicateName                           // another process bears this controller's name, or no longer
-	SelfStalled                             // this controller stood still
-	PartitionSuspected                      // many went at once: it may be this one that is cut off
+	Send                  EffectKind = iota // send Data to the address To as a datagram
+	Exchange                                // send Data to the address To over a connection; ExchangeAnswered or ExchangeFailed follows
+	Reply                                   // answer the ExchangeRequested event that is being handled
+	MemberChanged                           // a member's state or flags changed
+	SelfIncarnationRaised                   // this controller's own incarnation was raised and is to be persisted
+	DuplicateName                           // another process with this controller's name appeared or disappeared
+	SelfStalled                             // this controller was paused for MS milliseconds
+	PartitionSuspected                      // many members failed at once; this controller may be the one that is cut off
 )
 
-// Effect is what the view wants done, or says.
+// Effect is an output of a View: an action for the caller, or a notification.
 type Effect struct {
 	Kind   EffectKind
 	To     string
 	Data   []byte
 	Member Member // MemberChanged, SelfIncarnationRaised, DuplicateName
-	From   State  // MemberChanged
+	From   State  // MemberChanged: the state before
 	Reason string
 	MS     float64 // SelfStalled
 }
 
-// Counts are what the view counts.
+// Counts are the counters of a View since its start.
 type Counts struct {
 	Probes, Unanswered, Indirect, Refuted, Stalls     uint64
 	Sent, SentBytes, Heard, Foreign, Newer, Malformed uint64
 	Exchanges, Merged, Crowded, Stale, DuplicateNames uint64
-	Condemned                                         uint64 // this controller itself, by others
+	Condemned                                         uint64 // reports that this controller itself is dead
 }
 
-// Evidence is one thing that was noticed of a member.
+// Evidence is one observation about a member.
 type Evidence struct {
 	At          float64
 	Observation string
-	Reporter    string // who asked, said or answered it
+	Reporter    string // the member that observed or reported it
 }
