--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -11,10 +11,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// The table of the record: one life of a name at a time, and none comes back.
-func TestEntries(t *testing.T) {
-	in := func(life uint64) *entry { return &entry{Kind: "in", Name: "a", Life: life} }
-	lost := func(life uint64) *entry { return &entry{Kind: "lost", Name: "a", Life: life} }
+// One incarnation of a name is in the record at a time, and none comes back.
+func TestRecord_ApplyMembership(t *testing.T) {
+	admit := func(incarnation uint64) *entry { return &entry{Kind: EntryAdmit, Name: "a", Incarnation: incarnation} }
+	lost := func(incarnation uint64) *entry { return &entry{Kind: EntryLost, Name: "a", Incarnation: incarnation} }
 	r := Record{Members: map[string]Member{}}
 	for k, c := range []struct {
 		e       *entry
@@ -22,168 +22,168 @@
 		want    Member
 	}{
 		{lost(1), false, Member{}},
-		{in(1), true, Member{Incarnation: 1, Term: 1}},
-		{in(2), false, Member{Incarnation: 1, Term: 1}}, // the one before it first
+		{admit(1), true, Member{Incarnation: 1, Term: 1}},
+		{admit(2), false, Member{Incarnation: 1, Term: 1}}, // the one before has to be lost first
 		{lost(2), false, Member{Incarnation: 1, Term: 1}},
 		{lost(1), true, Member{Incarnation: 1, Term: 2, Lost: true}},
-		{lost(1), false, Member{Incarnation: 1, Term: 2, Lost: true}}, // told twice
-		{in(1), false, Member{Incarnation: 1, Term: 2, Lost: true}},
-		{in(2), true, Member{Incarnation: 2, Term: 3}},
-		{&entry{Kind: "left", Name: "a", Life: 2}, true, Member{Incarnation: 2, Term: 4, Lost: true, LeftGracefully: true}},
+		{lost(1), false, Member{Incarnation: 1, Term: 2, Lost: true}}, // committed twice
+		{admit(1), false, Member{Incarnation: 1, Term: 2, Lost: true}},
+		{admit(2), true, Member{Incarnation: 2, Term: 3}},
+		{&entry{Kind: EntryLeft, Name: "a", Incarnation: 2}, true, Member{Incarnation: 2, Term: 4, Lost: true, LeftGracefully: true}},
 	} {
-		p, changed := r.enter(c.e)
+		p, changed := r.applyMembership(c.e)
 		assert.Equal(t, c.changes, changed, "%d", k)
 		assert.Equal(t, c.want, p, "%d", k)
 	}
 	assert.Equal(t, uint64(2), r.DeclaredLost)
 }
 
-// A lease counts from when it was asked for, and ends by the holder's clock alone; an answer to an earlier asking counts for nothing.
-func TestALeaseCountsFromTheAsking(t *testing.T) {
-	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
-	asked := effect(c.Step(0, &Event{Kind: Ticked}), RequestLease)
-	require.Equal(t, "a", asked.To)
-	c.Step(500, &Event{Kind: LeaseReplied, Token: asked.Token + 1, Reply: LeaseReply{Verdict: Granted}})
-	assert.False(t, c.LeaseHeld(500))
-	c.Step(500, &Event{Kind: LeaseReplied, Token: asked.Token, Reply: LeaseReply{Verdict: Granted, Leader: "a"}})
-	assert.True(t, c.LeaseHeld(500))
-	assert.True(t, c.LeaseHeld(leaseMS*(1-drift)-1))
-	assert.False(t, c.LeaseHeld(leaseMS*(1-drift)), "before the granter, whose clock may run ahead, counts it as over")
-	lapsed := c.Step(leaseMS, &Event{Kind: Ticked})
-	assert.False(t, effect(lapsed, LeaseChanged).Held)
-	again := effect(lapsed, RequestLease)
-	c.Step(leaseMS+1, &Event{Kind: LeaseReplied, Token: again.Token, Reply: LeaseReply{Verdict: IncarnationLost}})
-	assert.False(t, c.LeaseHeld(leaseMS+1))
-	assert.Zero(t, effect(c.Step(2*leaseMS, &Event{Kind: Ticked}), RequestLease).Token, "a lost life asks no more")
-	c.Step(2*leaseMS, &Event{Kind: IncarnationChanged, Incarnation: 2})
-	assert.Equal(t, uint64(2), effect(c.effects, RequestLease).Incarnation, "the next life does")
+// A lease counts from when it was requested and ends by the holder's clock; the answer to an earlier request is ignored.
+func TestGroup_LeaseCountsFromRequest(t *testing.T) {
+	g := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
+	request := firstEffect(g.Step(0, &Event{Kind: Ticked}), RequestLease)
+	require.Equal(t, "a", request.To)
+	g.Step(500, &Event{Kind: LeaseReplied, Token: request.Token + 1, Reply: LeaseReply{Verdict: Granted}})
+	assert.False(t, g.LeaseHeld(500))
+	g.Step(500, &Event{Kind: LeaseReplied, Token: request.Token, Reply: LeaseReply{Verdict: Granted, Leader: "a"}})
+	assert.True(t, g.LeaseHeld(500))
+	assert.True(t, g.LeaseHeld(defaultLeaseMS*(1-maxClockDrift)-1))
+	assert.False(t, g.LeaseHeld(defaultLeaseMS*(1-maxClockDrift)), "ends before the leader, whose clock may run fast, takes it to be over")
+	expired := g.Step(defaultLeaseMS, &Event{Kind: Ticked})
+	assert.False(t, firstEffect(expired, LeaseChanged).Held)
+	renewed := firstEffect(expired, RequestLease)
+	g.Step(defaultLeaseMS+1, &Event{Kind: LeaseReplied, Token: renewed.Token, Reply: LeaseReply{Verdict: IncarnationLost}})
+	assert.False(t, g.LeaseHeld(defaultLeaseMS+1))
+	assert.Zero(t, firstEffect(g.Step(2*defaultLeaseMS, &Event{Kind: Ticked}), RequestLease).Token, "a lost incarnation requests no lease")
+	g.Step(2*defaultLeaseMS, &Event{Kind: IncarnationChanged, Incarnation: 2})
+	assert.Equal(t, uint64(2), firstEffect(g.effects, RequestLease).Incarnation, "the next incarnation does")
 }
 
-// One that gives its lease back acts on it no more, whatever answer is still on its way, and asks for no other.
-func TestALeaseGivenBackIsOver(t *testing.T) {
-	c := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
-	c.Step(1, &Event{Kind: LeaseReplied, Token: effect(c.Step(0, &Event{Kind: Ticked}), RequestLease).Token, Reply: LeaseReply{Verdict: Granted}})
-	require.True(t, c.LeaseHeld(2))
-	later := effect(c.Step(2500, &Event{Kind: Ticked}), RequestLease)
+// A member that returns its lease does not act on it any more, whatever answer is still under way, and requests no other.
+func TestGroup_ReturnedLeaseIsOver(t *testing.T) {
+	g := New(0, "x", 1, "", []string{"a"}, PersistedState{}, DefaultSettings(), 1)
+	g.Step(1, &Event{Kind: LeaseReplied, Token: firstEffect(g.Step(0, &Event{Kind: Ticked}), RequestLease).Token, Reply: LeaseReply{Verdict: Granted}})
+	require.True(t, g.LeaseHeld(2))
+	later := firstEffect(g.Step(2500, &Event{Kind: Ticked}), RequestLease)
 	require.NotZero(t, later.Token)
-	assert.False(t, effect(c.Step(2501, &Event{Kind: LeaseReturned}), LeaseChanged).Held)
-	c.Step(2502, &Event{Kind: LeaseReplied, Token: later.Token, Reply: LeaseReply{Verdict: Granted}})
-	assert.False(t, c.LeaseHeld(2503))
-	assert.Zero(t, effect(c.Step(9000, &Event{Kind: Ticked}), RequestLease).Token)
+	assert.False(t, firstEffect(g.Step(2501, &Event{Kind: LeaseReturned}), LeaseChanged).Held)
+	g.Step(2502, &Event{Kind: LeaseReplied, Token: later.Token, Reply: LeaseReply{Verdict: Granted}})
+	assert.False(t, g.LeaseHeld(2503))
+	assert.Zero(t, firstEffect(g.Step(9000, &Event{Kind: Ticked}), RequestLease).Token)
 }
 
-// Founders begin only once each has told its folder, and all with the same beginning; another folder is another voter.
-func TestFounding(t *testing.T) {
+// Founders form the group once each has told its data folder, with equal snapshots; another data folder is another voter.
+func TestGroup_Formation(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	a := New(0, "a", 1, "fa", names, PersistedState{}, DefaultSettings(), 1)
-	assert.Len(t, a.Step(0, &Event{Kind: Ticked}), 3, "greets two, and asks for its lease")
-	assert.Empty(t, kept(a.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})))
-	assert.Empty(t, kept(a.Step(2, &Event{Kind: HelloReceived, Hello: Hello{Name: "stranger", Folder: "fs"}})))
-	snap := kept(a.Step(3, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))
-	require.Len(t, snap, 1)
+	assert.Len(t, a.Step(0, &Event{Kind: Ticked}), 3, "asks two founders for their Hello and requests its lease")
+	assert.Empty(t, persistEffects(a.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})))
+	assert.Empty(t, persistEffects(a.Step(2, &Event{Kind: HelloReceived, Hello: Hello{Name: "stranger", Folder: "fs"}})))
+	formed := persistEffects(a.Step(3, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))
+	require.Len(t, formed, 1)
 	b := New(0, "b", 1, "fb", names, PersistedState{}, DefaultSettings(), 2)
-	other := kept(b.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()}))
-	require.Len(t, other, 1, "one that is there already tells who founded it")
-	assert.Equal(t, snap[0].Snapshot.GetData(), other[0].Snapshot.GetData())
-	assert.True(t, proto.Equal(snap[0].Snapshot.GetMetadata(), other[0].Snapshot.GetMetadata()))
-	forgot := New(0, "b", 2, "another folder", names, PersistedState{}, DefaultSettings(), 3)
-	assert.Empty(t, kept(forgot.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()})), "who has forgotten how it voted does not vote")
-	assert.False(t, forgot.Hello().Voter)
+	other := persistEffects(b.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()}))
+	require.Len(t, other, 1, "a group that exists tells its founders")
+	assert.Equal(t, formed[0].Snapshot.GetData(), other[0].Snapshot.GetData())
+	assert.True(t, proto.Equal(formed[0].Snapshot.GetMetadata(), other[0].Snapshot.GetMetadata()))
+	reinstalled := New(0, "b", 2, "another folder", names, PersistedState{}, DefaultSettings(), 3)
+	assert.Empty(t, persistEffects(reinstalled.Step(9, &Event{Kind: HelloReceived, Hello: a.Hello()})), "a member that has forgotten how it voted does not vote")
+	assert.False(t, reinstalled.Hello().Voter)
 	assert.NotEqual(t, NodeID("b", "fb"), NodeID("b", "another folder"))
 }
 
-// What is kept is kept before anything is said that follows from it; a disk that fails silences this voter, and nothing else.
-func TestKeepBeforeSay(t *testing.T) {
+// State is durable before a message that depends on it is sent; a disk that fails stops this voter and nothing else.
+func TestGroup_PersistsBeforeSending(t *testing.T) {
 	for _, fails := range []bool{false, true} {
-		c, _ := founder()
-		now, asked := 0.0, Effect{}
-		for ; asked.Data == nil && now < 5000; now += 50 {
-			asked = effect(c.Step(now, &Event{Kind: Ticked}), SendMessage)
+		g, _ := newFounder()
+		now, sent := 0.0, Effect{}
+		for ; sent.Data == nil && now < 5000; now += 50 {
+			sent = firstEffect(g.Step(now, &Event{Kind: Ticked}), SendMessage)
 		}
-		m := said(t, asked)
-		require.Equal(t, raftpb.MsgPreVote, m.GetType(), "which binds nobody")
-		yes, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgPreVoteResp.Enum(), To: proto.Uint64(c.id),
+		m := decodeMessage(t, sent)
+		require.Equal(t, raftpb.MsgPreVote, m.GetType(), "a pre-vote binds nobody")
+		vote, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgPreVoteResp.Enum(), To: proto.Uint64(g.nodeID),
 			From: proto.Uint64(NodeID("b", "fb")), Term: proto.Uint64(m.GetTerm())})
 		require.NoError(t, err)
-		votes := c.Step(now, &Event{Kind: MessageReceived, Name: "b", Data: yes})
-		assert.Nil(t, effect(votes, SendMessage).Data, "a vote for itself is on disk first")
-		require.Len(t, kept(votes), 1)
-		after := c.Step(now+1, &Event{Kind: Stored, Token: kept(votes)[0].Token, Failed: fails})
+		votes := g.Step(now, &Event{Kind: MessageReceived, Name: "b", Data: vote})
+		assert.Nil(t, firstEffect(votes, SendMessage).Data, "its vote for itself has to be durable first")
+		require.Len(t, persistEffects(votes), 1)
+		after := g.Step(now+1, &Event{Kind: Stored, Token: persistEffects(votes)[0].Token, Failed: fails})
 		if fails {
-			assert.NotEmpty(t, effect(after, VoterFailed).Reason)
-			assert.Nil(t, effect(after, SendMessage).Data)
+			assert.NotEmpty(t, firstEffect(after, VoterFailed).Reason)
+			assert.Nil(t, firstEffect(after, SendMessage).Data)
 		} else {
-			assert.Equal(t, raftpb.MsgVote, said(t, effect(after, SendMessage)).GetType())
+			assert.Equal(t, raftpb.MsgVote, decodeMessage(t, firstEffect(after, SendMessage)).GetType())
 		}
 	}
 }
 
-// What a voter says that can't be, or is for another folder, ends nothing.
-func TestWhatCanNotBe(t *testing.T) {
-	c, _ := founder()
-	wrong := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(c.id), From: proto.Uint64(NodeID("b", "fb")),
+// Messages that are truncated or for another node are ignored; one that contradicts the log stops this voter, not the process.
+func TestGroup_ContradictingMessageFailsVoterOnly(t *testing.T) {
+	g, _ := newFounder()
+	wrong := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(g.nodeID), From: proto.Uint64(NodeID("b", "fb")),
 		Term: proto.Uint64(9), Commit: proto.Uint64(1 << 40)}
 	data, err := proto.Marshal(wrong)
 	require.NoError(t, err)
 	for n := range data {
-		c.Step(10, &Event{Kind: MessageReceived, Name: "b", Data: data[:n]})
+		g.Step(10, &Event{Kind: MessageReceived, Name: "b", Data: data[:n]})
 	}
-	assert.False(t, c.Status(10).Failed)
+	assert.False(t, g.Status(10).Failed)
 	wrong.To = proto.Uint64(7)
 	foreign, err := proto.Marshal(wrong)
 	require.NoError(t, err)
-	c.Step(10, &Event{Kind: MessageReceived, Name: "b", Data: foreign})
-	assert.False(t, c.Status(10).Failed)
-	assert.NotEmpty(t, effect(c.Step(11, &Event{Kind: MessageReceived, Name: "b", Data: data}), VoterFailed).Reason, "its log and what it is told can't both be true")
-	c.Step(12, &Event{Kind: Ticked})
+	g.Step(10, &Event{Kind: MessageReceived, Name: "b", Data: foreign})
+	assert.False(t, g.Status(10).Failed)
+	assert.NotEmpty(t, firstEffect(g.Step(11, &Event{Kind: MessageReceived, Name: "b", Data: data}), VoterFailed).Reason, "the message contradicts its log")
+	g.Step(12, &Event{Kind: Ticked})
 }
 
-// A record that has grown to its bound takes no more names, and those that are in go on.
-func TestTheRecordIsBounded(t *testing.T) {
+// A full record admits no further names, and its members go on.
+func TestRecord_MembersAreBounded(t *testing.T) {
 	r := Record{Members: map[string]Member{}}
-	for n := range mostKept + 10 {
+	for n := range maxMembers + 10 {
 		name, err := json.Marshal(n)
 		require.NoError(t, err)
-		r.enter(&entry{Kind: "in", Name: string(name), Life: 1})
+		r.applyMembership(&entry{Kind: EntryAdmit, Name: string(name), Incarnation: 1})
 	}
-	assert.Len(t, r.Members, mostKept)
-	_, changed := r.enter(&entry{Kind: "lost", Name: "1", Life: 1})
+	assert.Len(t, r.Members, maxMembers)
+	_, changed := r.applyMembership(&entry{Kind: EntryLost, Name: "1", Incarnation: 1})
 	assert.True(t, changed)
 }
 
-// Plans follow one another by their numbers; orders stand until they are taken back, so many at most; both are in a snapshot.
-func TestPlansAndOrders(t *testing.T) {
+// Plans are applied in the order of their numbers; a bounded number of orders stand until they are revoked; both are in a snapshot.
+func TestRecord_ApplyPlan(t *testing.T) {
 	r := Record{Members: map[string]Member{}}
 	plan := func(n uint64, text string) *entry {
-		return &entry{Kind: "plan", Number: n, Data: json.RawMessage(text)}
+		return &entry{Kind: EntryPlan, Number: n, Data: json.RawMessage(text)}
 	}
-	assert.False(t, r.replan(plan(2, `{}`)), "there is no first")
-	assert.True(t, r.replan(plan(1, `{"a":1}`)))
-	assert.False(t, r.replan(plan(1, `{"a":2}`)), "told twice, or by a leader that was late")
-	assert.True(t, r.replan(plan(2, `{"a":3}`)))
-	assert.False(t, r.replan(plan(3, "")))
+	assert.False(t, r.applyPlan(plan(2, `{}`)), "there is no plan 1")
+	assert.True(t, r.applyPlan(plan(1, `{"a":1}`)))
+	assert.False(t, r.applyPlan(plan(1, `{"a":2}`)), "proposed twice, or by a stale leader")
+	assert.True(t, r.applyPlan(plan(2, `{"a":3}`)))
+	assert.False(t, r.applyPlan(plan(3, "")))
 	order := func(about, text string) *entry {
-		return &entry{Kind: "order", Name: about, Data: json.RawMessage(text)}
+		return &entry{Kind: EntryOrder, Name: about, Data: json.RawMessage(text)}
 	}
-	assert.True(t, r.replan(order("zone a", `{"Kind":"hold"}`)))
-	assert.True(t, r.replan(order("zone b", `{"Kind":"hold"}`)))
-	assert.True(t, r.replan(order("zone a", "")))
-	assert.False(t, r.replan(order("zone a", "")), "it is gone")
-	for k := range 2 * mostOrders {
-		r.replan(order("zone "+string(rune('c'+k)), `{}`))
+	assert.True(t, r.applyPlan(order("zone a", `{"Kind":"hold"}`)))
+	assert.True(t, r.applyPlan(order("zone b", `{"Kind":"hold"}`)))
+	assert.True(t, r.applyPlan(order("zone a", "")))
+	assert.False(t, r.applyPlan(order("zone a", "")), "it is revoked already")
+	for k := range 2 * maxOrders {
+		r.applyPlan(order("zone "+string(rune('c'+k)), `{}`))
 	}
-	assert.Len(t, r.Orders, mostOrders)
-	assert.True(t, r.replan(order("zone b", `{"Kind":"evacuate"}`)), "one that is there can be changed still")
+	assert.Len(t, r.Orders, maxOrders)
+	assert.True(t, r.applyPlan(order("zone b", `{"Kind":"evacuate"}`)), "an order that stands can be changed")
 	data, err := json.Marshal(&r)
 	require.NoError(t, err)
-	var again Record
-	require.NoError(t, json.Unmarshal(data, &again))
-	assert.Equal(t, r.PlanNumber, again.PlanNumber)
-	assert.JSONEq(t, `{"a":3}`, string(again.Plan))
-	assert.JSONEq(t, `{"Kind":"evacuate"}`, string(again.Orders["zone b"]))
+	var decoded Record
+	require.NoError(t, json.Unmarshal(data, &decoded))
+	assert.Equal(t, r.PlanNumber, decoded.PlanNumber)
+	assert.JSONEq(t, `{"a":3}`, string(decoded.Plan))
+	assert.JSONEq(t, `{"Kind":"evacuate"}`, string(decoded.Orders["zone b"]))
 	var e entry
 	require.NoError(t, json.Unmarshal(PlanProposal(7, []byte(`{"x":1}`)), &e))
 	assert.Equal(t, uint64(7), e.Number)
 	require.NoError(t, json.Unmarshal(OrderProposal("zone z", nil), &e))
-	assert.Equal(t, "order", e.Kind)
+	assert.Equal(t, EntryOrder, e.Kind)
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -17,9 +17,9 @@
 	"liftshift/internal/placement"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden holds bytes against a file of testdata/golden, and gives what the file has.
+// golden compares bytes with a file of testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -33,7 +33,7 @@
 	return want
 }
 
-// goldenJSON holds a value against its file in both directions; value is a pointer.
+// goldenJSON compares the encoding of a value with its file, and the decoded file with the value. The value is a pointer.
 func goldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	tagged(t, reflect.TypeOf(value))
@@ -44,7 +44,7 @@
 	assert.Equal(t, value, back.Interface(), name)
 }
 
-// tagged holds that each field of a type, and of what it is made of, has its name in JSON said by a tag.
+// tagged checks that each field of a type, and of the types in it, has a JSON tag.
 func tagged(t *testing.T, of reflect.Type) {
 	t.Helper()
 	switch of.Kind() {
@@ -60,26 +60,26 @@
 	}
 }
 
-// Every kind of entry of the replicated log has the bytes that it had, and does to the record what it did.
-func TestGolden_CouncilEntries(t *testing.T) {
+// Every kind of entry of the replicated log keeps its bytes and its effect on the record.
+func TestGolden_ConsensusEntries(t *testing.T) {
 	claim := placement.AdoptionClaim{Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 5}
-	c := &Group{record: Record{Members: map[string]Member{}}, doomed: map[string]uint64{}}
+	c := &Group{record: Record{Members: map[string]Member{}}, proposedLost: map[string]uint64{}}
 	for k, e := range []struct {
 		file string
-		data []byte // as the package makes it, if it is proposed by members
+		data []byte // as the package encodes it, if members propose it
 		want entry
 	}{
-		{"in", nil, entry{Kind: "in", Name: "a", Life: 1, Address: "127.0.0.1:7000", Zone: "z1"}},
-		{"in-second", nil, entry{Kind: "in", Name: "b", Life: 2, Address: "127.0.0.1:7001", Zone: "z2"}},
-		{"in-third", nil, entry{Kind: "in", Name: "c", Life: 3, Address: "127.0.0.1:7002"}},
+		{"in", nil, entry{Kind: "in", Name: "a", Incarnation: 1, Address: "127.0.0.1:7000", Zone: "z1"}},
+		{"in-second", nil, entry{Kind: "in", Name: "b", Incarnation: 2, Address: "127.0.0.1:7001", Zone: "z2"}},
+		{"in-third", nil, entry{Kind: "in", Name: "c", Incarnation: 3, Address: "127.0.0.1:7002"}},
 		{"copies", nil, entry{Kind: "copies", Copies: 1}},
-		{"ready", Proposal("ready", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Life: 1, Mask: 1<<32 - 1, Version: 1}},
-		{"lost", nil, entry{Kind: "lost", Name: "b", Life: 2}},
-		{"claim", Proposal("claim", claim, 0), entry{Kind: "claim", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 5}},
+		{"ready", Proposal("ready", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1<<32 - 1}, 1), entry{Kind: "ready", Name: "a", Incarnation: 1, Partitions: 1<<32 - 1, Version: 1}},
+		{"lost", nil, entry{Kind: "lost", Name: "b", Incarnation: 2}},
+		{"claim", Proposal("claim", claim, 0), entry{Kind: "claim", Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 5}},
 		{"settled", Proposal("settled", placement.AdoptionClaim{Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 4}, 0),
-			entry{Kind: "settled", Name: "b", Life: 2, Heir: "a", HeirLife: 1, Mask: 4}},
-		{"anew", Proposal("anew", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Life: 1, Mask: 1 << 31}},
-		{"left", nil, entry{Kind: "left", Name: "c", Life: 3}},
+			entry{Kind: "settled", Name: "b", Incarnation: 2, Successor: "a", SuccessorIncarnation: 1, Partitions: 4}},
+		{"anew", Proposal("anew", placement.AdoptionClaim{Name: "a", Incarnation: 1, Partitions: 1 << 31}, 0), entry{Kind: "anew", Name: "a", Incarnation: 1, Partitions: 1 << 31}},
+		{"left", nil, entry{Kind: "left", Name: "c", Incarnation: 3}},
 		{"plan", PlanProposal(1, []byte(`{"x":1}`)), entry{Kind: "plan", Number: 1, Data: []byte(`{"x":1}`)}},
 		{"order", OrderProposal("zone z1", []byte(`{"y":2}`)), entry{Kind: "order", Name: "zone z1", Data: []byte(`{"y":2}`)}},
 		{"order-other", OrderProposal("zone z2", []byte(`{}`)), entry{Kind: "order", Name: "zone z2", Data: []byte(`{}`)}},
@@ -90,7 +90,7 @@
 			golden(t, "entry-"+e.file+".json", e.data)
 		}
 		data := golden(t, "entry-"+e.file+".json", must(json.Marshal(&e.want)))
-		c.apply(&raftpb.Entry{Index: proto.Uint64(uint64(k + 1)), Type: raftpb.EntryNormal.Enum(), Data: data})
+		c.applyEntry(&raftpb.Entry{Index: proto.Uint64(uint64(k + 1)), Type: raftpb.EntryNormal.Enum(), Data: data})
 		golden(t, "after-"+e.file+".json", must(json.Marshal(&c.record)))
 	}
 }
@@ -102,8 +102,8 @@
 	return data
 }
 
-// What is kept of the record, and what members say of themselves and of leases, has the bytes that it had.
-func TestGolden_CouncilValues(t *testing.T) {
+// The record, the Hello and the replies to lease requests keep their bytes.
+func TestGolden_ConsensusValues(t *testing.T) {
 	voters := []Voter{{ID: NodeID("a", "fa"), Name: "a", Zone: "z1"}, {ID: NodeID("b", "fb"), Name: "b"}}
 	full := Record{
 		Members: map[string]Member{"a": {Incarnation: 1, Term: 2, Address: "127.0.0.1:7000", Zone: "z1"}, "b": {Incarnation: 3, Term: 4, Lost: true, LeftGracefully: true}},
@@ -121,24 +121,24 @@
 		goldenJSON(t, name+".json", value)
 	}
 	c := New(0, "x", 1, "", nil, PersistedState{}, DefaultSettings(), 1)
-	c.take(&raftpb.Snapshot{Data: must(os.ReadFile("testdata/golden/record.json")), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(9)}})
-	assert.Equal(t, full, c.record, "as a snapshot's data")
+	c.restoreSnapshot(&raftpb.Snapshot{Data: must(os.ReadFile("testdata/golden/record.json")), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(9)}})
+	assert.Equal(t, full, c.record, "the data of a snapshot")
 }
 
-// The snapshot and state with which a council is founded have the bytes that they had, and a voter goes on from them.
-func TestGolden_CouncilFounding(t *testing.T) {
-	c, e := founder()
+// The snapshot and state with which a group is formed keep their bytes, and a voter starts from them.
+func TestGolden_ConsensusFormation(t *testing.T) {
+	c, e := newFounder()
 	marshal := proto.MarshalOptions{Deterministic: true}
 	snap, state := &raftpb.Snapshot{}, &raftpb.HardState{}
 	require.NoError(t, proto.Unmarshal(golden(t, "founding-snapshot.pb", must(marshal.Marshal(e.Snapshot))), snap))
 	require.NoError(t, proto.Unmarshal(golden(t, "founding-state.pb", must(marshal.Marshal(e.State))), state))
-	again := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{Snapshot: snap, State: state}, DefaultSettings(), 1)
-	assert.Equal(t, c.record, again.record)
-	assert.Len(t, again.record.Voters, 3)
+	restarted := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{Snapshot: snap, State: state}, DefaultSettings(), 1)
+	assert.Equal(t, c.record, restarted.record)
+	assert.Len(t, restarted.record.Voters, 3)
 }
 
-// What the leader itself proposes, who is in, lost or has left, how many copies are kept and who learns to vote, has the bytes that it had.
-func TestGolden_CouncilLeader(t *testing.T) {
+// The entries that the leader itself proposes, and its configuration changes, keep their bytes.
+func TestGolden_ConsensusLeader(t *testing.T) {
 	only := []Voter{{ID: NodeID("a", "fa"), Name: "a"}}
 	snap := &raftpb.Snapshot{Data: must(json.Marshal(&Record{Members: map[string]Member{}, Voters: only, Founders: only})), Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{only[0].ID}}, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
@@ -147,33 +147,33 @@
 	c := New(0, "a", 1, "fa", []string{"a"}, PersistedState{Snapshot: snap, State: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}},
 		copying, 1)
 	now, logged := 0.0, map[string]bool{}
-	var play func(ev Event)
-	play = func(ev Event) {
+	var handle func(ev Event)
+	handle = func(ev Event) {
 		for _, e := range append([]Effect(nil), c.Step(now, &ev)...) {
 			for _, x := range e.Entries {
 				logged[string(x.GetData())] = true
 			}
 			if e.Kind == Persist && e.Token != 0 {
-				play(Event{Kind: Stored, Token: e.Token})
+				handle(Event{Kind: Stored, Token: e.Token})
 			}
 		}
 	}
 	run := func(until float64) {
 		for ; now < until; now += 50 {
-			play(Event{Kind: Ticked})
+			handle(Event{Kind: Ticked})
 		}
 	}
-	sights := []Observation{{Name: "a", Incarnation: 1, Alive: true, Address: "127.0.0.1:7000", Zone: "z1"},
+	observations := []Observation{{Name: "a", Incarnation: 1, Alive: true, Address: "127.0.0.1:7000", Zone: "z1"},
 		{Name: "b", Incarnation: 2, Alive: true, Address: "127.0.0.1:7001", Zone: "z2"}, {Name: "c", Incarnation: 3, Alive: true, Address: "127.0.0.1:7002"},
 		{Name: "d", Incarnation: 4, Alive: true, Address: "127.0.0.1:7003", Zone: "z3", CanVote: true}}
-	c.Observe(sights)
+	c.Observe(observations)
 	run(4000)
-	require.True(t, c.leads)
-	play(Event{Kind: LeaseRequested, Token: 1, Name: "c", Incarnation: 3, Release: true})
-	sights[1].Alive = false
-	c.Observe(sights)
+	require.True(t, c.isLeader)
+	handle(Event{Kind: LeaseRequested, Token: 1, Name: "c", Incarnation: 3, Release: true})
+	observations[1].Alive = false
+	c.Observe(observations)
 	run(30000)
-	play(Event{Kind: HelloReceived, Hello: Hello{Name: "d", Folder: "fd"}})
+	handle(Event{Kind: HelloReceived, Hello: Hello{Name: "d", Folder: "fd"}})
 	for _, file := range []string{"entry-in", "entry-in-second", "entry-in-third", "entry-copies", "entry-left", "entry-lost"} {
 		assert.Contains(t, logged, string(must(os.ReadFile("testdata/golden/"+file+".json"))), file)
 	}
--- a/internal/consensus/helpers_test.go
+++ b/internal/consensus/helpers_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// effect gives the first of a kind, or an empty one.
-func effect(list []Effect, kind EffectKind) Effect {
+// firstEffect returns the first effect of a kind, or an empty one.
+func firstEffect(list []Effect, kind EffectKind) Effect {
 	for _, e := range list {
 		if e.Kind == kind {
 			return e
@@ -18,8 +18,8 @@
 	return Effect{}
 }
 
-// kept gives what is to be kept.
-func kept(list []Effect) (out []Effect) {
+// persistEffects returns the Persist effects.
+func persistEffects(list []Effect) (out []Effect) {
 	for _, e := range list {
 		if e.Kind == Persist {
 			out = append(out, e)
@@ -28,15 +28,15 @@
 	return out
 }
 
-// founder is one of three that have founded the council.
-func founder() (*Group, Effect) {
-	c := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, DefaultSettings(), 1)
-	c.Step(0, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})
-	return c, kept(c.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))[0]
+// newFounder returns one of three founders that have formed the group, and the effect that persists the first snapshot.
+func newFounder() (*Group, Effect) {
+	g := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, DefaultSettings(), 1)
+	g.Step(0, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})
+	return g, persistEffects(g.Step(1, &Event{Kind: HelloReceived, Hello: Hello{Name: "c", Folder: "fc"}}))[0]
 }
 
-// said is what a voter is told.
-func said(t *testing.T, e Effect) *raftpb.Message {
+// decodeMessage decodes the message of a SendMessage effect.
+func decodeMessage(t *testing.T, e Effect) *raftpb.Message {
 	t.Helper()
 	require.Equal(t, SendMessage, e.Kind)
 	m := &raftpb.Message{}
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -5,204 +5,150 @@
 	"encoding/json"
 	"slices"
 
-	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
-
 	"liftshift/internal/placement"
 )
 
-// entry is one thing that is agreed.
-type entry struct {
-	Kind    string `json:"Kind"` // "in", "lost", "left"; of the chairs: "copies", "ready", "claim", "settled", "anew"; "plan", "order"
-	Name    string `json:"Name"`
-	Life    uint64 `json:"Life"`
-	Address string `json:"Address,omitempty"`
-	Zone    string `json:"Zone,omitempty"`
-	// Of the chairs alone.
-	Heir     string `json:"Heir,omitempty"`
-	HeirLife uint64 `json:"HeirLife,omitempty"`
-	Mask     uint32 `json:"Mask,omitempty"`
-	Version  uint64 `json:"Version,omitempty"`
-	Copies   int    `json:"Copies,omitempty"`
-	// Of a plan or an order: Name is what it is about; without Data it is taken back.
-	Number uint64          `json:"Number,omitempty"`
-	Data   json.RawMessage `json:"Data,omitempty"`
+const (
+	maxMembers        = 8192 // names in the record
+	maxOrders         = 64
+	maxPlanBytes      = 1 << 20
+	maxOrderNameBytes = 80
+)
+
+// Member is a controller in the record.
+type Member struct {
+	Incarnation    uint64 `json:"Life"`
+	Term           uint64 `json:"Term"` // grows with each incarnation of the name that is admitted or declared lost
+	Lost           bool   `json:"Lost"`
+	LeftGracefully bool   `json:"Left"` // it shut down as planned
+	Address        string `json:"Address"`
+	Zone           string `json:"Zone"`
 }
 
-// Proposal makes what a member may propose: that its chairs know all (ready), a claim, its end (settled), or that parts begin anew.
-func Proposal(kind string, c placement.AdoptionClaim, version uint64) []byte {
-	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Life: c.Incarnation, Heir: c.Successor, HeirLife: c.SuccessorIncarnation, Mask: c.Partitions, Version: version})
-	return data
+// Voter is a voter of the group, or a learner that is about to become one.
+type Voter struct {
+	ID   uint64 `json:"ID"`
+	Name string `json:"Name"`
+	Zone string `json:"Zone"`
 }
 
-// PlanProposal makes a plan that is to follow the one numbered one less; OrderMotion an operator's order, or takes it back.
-func PlanProposal(number uint64, plan []byte) []byte {
-	data, _ := json.Marshal(&entry{Kind: "plan", Number: number, Data: plan})
-	return data
+func sortVoters(list []Voter) {
+	slices.SortStableFunc(list, func(a, b Voter) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// OrderProposal makes an operator's order about something, or takes it back: no data.
-func OrderProposal(about string, order []byte) []byte {
-	data, _ := json.Marshal(&entry{Kind: "order", Name: about, Data: order})
-	return data
+// Record is the replicated state.
+type Record struct {
+	Members      map[string]Member          `json:"Places"`
+	Voters       []Voter                    `json:"Voters"` // learners included
+	Founders     []Voter                    `json:"Founding"`
+	DeclaredLost uint64                     `json:"Declared"` // incarnations declared lost so far
+	Placement    placement.Table            `json:"Chairs"`
+	Plan         json.RawMessage            `json:"Plan,omitempty"`   // for traffic between zones, in the locality package's format; not read here
+	PlanNumber   uint64                     `json:"Number,omitempty"` // grows by one with each plan
+	Orders       map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
 }
 
-// replan takes in a plan or an order, and tells whether that changed anything. A plan that follows another one than is there is late.
-func (r *Record) replan(e *entry) bool {
-	switch {
-	case e.Kind == "plan" && e.Number == r.PlanNumber+1 && len(e.Data) > 0 && len(e.Data) <= mostPlan:
-		r.Plan, r.PlanNumber = e.Data, e.Number
-		return true
-	case e.Kind != "order" || len(e.Name) > mostPlanText:
-		return false
-	case len(e.Data) == 0:
-		_, was := r.Orders[e.Name]
-		delete(r.Orders, e.Name)
-		return was
-	case r.Orders[e.Name] == nil && len(r.Orders) >= mostOrders:
-		return false
-	}
-	if r.Orders == nil {
-		r.Orders = map[string]json.RawMessage{}
-	}
-	r.Orders[e.Name] = e.Data
-	return true
+// Configuration returns the members and a copy of the placement table.
+func (g *Group) Configuration() ([]placement.Member, placement.Table) {
+	return g.record.Configuration()
 }
 
-// proposed takes what a member wants agreed. It is checked when it is applied.
-func (c *Group) proposed(data []byte) {
-	var e entry
-	if !c.leads || c.broken || json.Unmarshal(data, &e) != nil {
-		return
-	}
-	switch e.Kind {
-	case "ready", "claim", "settled", "anew", "plan", "order":
-		c.propose(e)
-	}
+// Configuration returns the members and a copy of the placement table.
+func (r *Record) Configuration() ([]placement.Member, placement.Table) {
+	return r.placementMembers(), r.Placement.Clone()
 }
 
-// places gives the record as the table of chairs wants it, in order.
-func (r *Record) places() []placement.Member {
+// placementMembers returns the members as the placement package wants them, sorted by name.
+func (r *Record) placementMembers() []placement.Member {
 	list := make([]placement.Member, 0, len(r.Members))
-	for name, p := range r.Members {
-		list = append(list, placement.Member{Name: name, Incarnation: p.Incarnation, Lost: p.Lost, Zone: p.Zone})
+	for name, m := range r.Members {
+		list = append(list, placement.Member{Name: name, Incarnation: m.Incarnation, Lost: m.Lost, Zone: m.Zone})
 	}
 	slices.SortFunc(list, func(a, b placement.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-// reseat has the table of chairs take in an entry, and tells whether that changed it.
-func (r *Record) reseat(e *entry) (changed bool) {
-	if e.Kind != "copies" && r.Placement.Copies == 0 {
-		return false // nobody has asked for chairs
-	}
-	places, t := r.places(), &r.Placement
-	claim := placement.AdoptionClaim{Name: e.Name, Incarnation: e.Life, Successor: e.Heir, SuccessorIncarnation: e.HeirLife, Partitions: e.Mask}
-	switch e.Kind {
-	case "in", "lost", "left":
-		t.Reassign(places, 0)
-		changed = true // who is lost counts, whoever sits
-	case "copies":
-		changed = t.Reassign(places, e.Copies)
-	case "ready":
-		changed = t.MarkReady(places, e.Name, e.Life, e.Mask, e.Version)
-	case "claim":
-		changed = t.Claim(places, claim)
-	case "settled":
-		changed = t.Settle(claim)
-	case "anew":
-		changed = t.Reinitialize(places, e.Mask)
-	}
-	if changed {
-		t.Step++
-	}
-	return changed
-}
-
-// entryTable has what an entry does to a name's place in the record. What is not in it does nothing: entries may come twice, or late.
+// applyMembership applies an entry to a member and reports whether the member changed. Entries may be committed twice or late; those
+// without a row in this table change nothing:
 //
-//	place                 entry            next place                  effect
-//	none, or lost         in, later life   that life, next term        Admitted
-//	a life                lost, that life  lost, next term             Declared
-//	a life                left, that life  lost and left, next term    Declared
-func (r *Record) enter(e *entry) (Member, bool) {
-	p, known := r.Members[e.Name]
+//	member                  entry                           member afterwards
+//	none, or lost           EntryAdmit, later incarnation   that incarnation, next term
+//	an incarnation          EntryLost, that incarnation     lost, next term
+//	an incarnation          EntryLeft, that incarnation     lost and left, next term
+func (r *Record) applyMembership(e *entry) (Member, bool) {
+	m, known := r.Members[e.Name]
+	isLater := !known || m.Lost && e.Incarnation > m.Incarnation
+	hasRoom := known || len(r.Members) < maxMembers
+	isCurrent := known && !m.Lost && e.Incarnation == m.Incarnation
 	switch {
-	case e.Kind == "in" && (!known || p.Lost && e.Life > p.Incarnation) && (known || len(r.Members) < mostKept):
-		p = Member{Incarnation: e.Life, Term: p.Term + 1, Address: e.Address, Zone: e.Zone}
-	case (e.Kind == "lost" || e.Kind == "left") && known && !p.Lost && e.Life == p.Incarnation:
-		p.Lost, p.LeftGracefully, p.Term = true, e.Kind == "left", p.Term+1
+	case e.Kind == EntryAdmit && isLater && hasRoom:
+		m = Member{Incarnation: e.Incarnation, Term: m.Term + 1, Address: e.Address, Zone: e.Zone}
+	case (e.Kind == EntryLost || e.Kind == EntryLeft) && isCurrent:
+		m.Lost = true
+		m.LeftGracefully = e.Kind == EntryLeft
+		m.Term++
 		r.DeclaredLost++
 	default:
-		return p, false
+		return m, false
 	}
-	r.Members[e.Name] = p
-	return p, true
+	r.Members[e.Name] = m
+	return m, true
 }
 
-// apply takes an entry that is agreed.
-func (c *Group) apply(e *raftpb.Entry) {
-	if e.GetIndex() <= c.applied {
-		return
+// applyPlacement applies an entry to the placement table and reports whether the table changed.
+func (r *Record) applyPlacement(e *entry) (changed bool) {
+	if e.Kind != EntryCopies && r.Placement.Copies == 0 {
+		return false // no copies are configured
 	}
-	c.applied = e.GetIndex()
-	switch e.GetType() {
-	case raftpb.EntryNormal:
-		var n entry
-		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &n) != nil {
-			return
-		}
-		if n.Kind == "plan" || n.Kind == "order" {
-			if c.record.replan(&n) {
-				c.do(Effect{Kind: PlanChanged})
-			}
-			return
-		}
-		p, changed := c.record.enter(&n)
-		if changed {
-			c.told(n.Name, p)
-		}
-		if (changed || n.ofChairs()) && c.record.reseat(&n) {
-			c.do(Effect{Kind: PlacementChanged})
-		}
-		if !n.ofChairs() && c.doomed[n.Name] == n.Life {
-			delete(c.doomed, n.Name)
-		}
-	case raftpb.EntryConfChange:
-		cc := &raftpb.ConfChange{}
-		c.must(proto.Unmarshal(e.GetData(), cc))
-		c.reform(cc, cc.GetContext())
-	case raftpb.EntryConfChangeV2:
-		cc := &raftpb.ConfChangeV2{}
-		c.must(proto.Unmarshal(e.GetData(), cc))
-		c.reform(cc, cc.GetContext())
+	members := r.placementMembers()
+	table := &r.Placement
+	claim := placement.AdoptionClaim{Name: e.Name, Incarnation: e.Incarnation, Successor: e.Successor,
+		SuccessorIncarnation: e.SuccessorIncarnation, Partitions: e.Partitions}
+	switch e.Kind {
+	case EntryAdmit, EntryLost, EntryLeft:
+		table.Reassign(members, 0)
+		changed = true // which members are lost matters even if no replica moves
+	case EntryCopies:
+		changed = table.Reassign(members, e.Copies)
+	case EntryReady:
+		changed = table.MarkReady(members, e.Name, e.Incarnation, e.Partitions, e.Version)
+	case EntryClaim:
+		changed = table.Claim(members, claim)
+	case EntrySettled:
+		changed = table.Settle(claim)
+	case EntryReinitialize:
+		changed = table.Reinitialize(members, e.Partitions)
 	}
+	if changed {
+		table.Step++
+	}
+	return changed
 }
 
-func (e *entry) ofChairs() bool { return e.Kind != "in" && e.Kind != "lost" && e.Kind != "left" }
-
-// reform changes who votes.
-func (c *Group) reform(cc raftpb.ConfChangeI, context []byte) {
-	c.conf = c.node.ApplyConfChange(cc)
-	var come []Voter
-	if len(context) > 0 {
-		_ = json.Unmarshal(context, &come)
-	}
-	all := append(c.record.Voters, come...)
-	c.record.Voters = c.record.Voters[:0:0]
-	for _, v := range all {
-		in := slices.Contains(c.conf.GetVoters(), v.ID) || slices.Contains(c.conf.GetLearners(), v.ID) ||
-			slices.Contains(c.conf.GetVotersOutgoing(), v.ID) || slices.Contains(c.conf.GetLearnersNext(), v.ID)
-		if in && !slices.ContainsFunc(c.record.Voters, func(o Voter) bool { return o.ID == v.ID }) {
-			c.record.Voters = append(c.record.Voters, v)
+// applyPlan applies a plan or an order and reports whether the record changed. A plan that does not follow the one in force is stale.
+func (r *Record) applyPlan(e *entry) bool {
+	if e.Kind == EntryPlan {
+		if e.Number != r.PlanNumber+1 || len(e.Data) == 0 || len(e.Data) > maxPlanBytes {
+			return false
 		}
+		r.Plan = e.Data
+		r.PlanNumber = e.Number
+		return true
 	}
-	sortVoters(c.record.Voters)
-	c.proposedAt, c.reformed = 0, true
-}
-
-// propose has something agreed; what comes of it is heard by apply, or it is proposed again.
-func (c *Group) propose(e entry) bool {
-	data, err := json.Marshal(&e)
-	return err == nil && c.node.Propose(data) == nil
+	if e.Kind != EntryOrder || len(e.Name) > maxOrderNameBytes {
+		return false
+	}
+	if len(e.Data) == 0 {
+		_, existed := r.Orders[e.Name]
+		delete(r.Orders, e.Name)
+		return existed
+	}
+	if r.Orders[e.Name] == nil && len(r.Orders) >= maxOrders {
+		return false
+	}
+	if r.Orders == nil {
+		r.Orders = map[string]json.RawMessage{}
+	}
+	r.Orders[e.Name] = e.Data
+	return true
 }
--- a/internal/consensus/settings.go
+++ b/internal/consensus/settings.go
@@ -1,6 +1,13 @@
 package consensus
 
-// Settings are what a member of the group goes by. Times are milliseconds.
+const (
+	defaultLeaseMS        = 6000 // two elections and a restart fit in
+	defaultDeclareLostMS  = 2000
+	defaultReplaceVoterMS = 15e3 // longer than a restart
+	defaultVoters         = 3
+)
+
+// Settings configure a member of the group. Times are milliseconds.
 type Settings struct {
 	Voters         int
 	LeaseMS        float64 // how long a controller may act on its lease
@@ -9,7 +16,7 @@
 	Copies         int     // of open requests that other controllers keep; 0: none
 }
 
-// DefaultSettings returns what holds where the operators say nothing.
+// DefaultSettings returns the settings that apply where the operators' file has none.
 func DefaultSettings() Settings {
-	return Settings{Voters: 3, LeaseMS: leaseMS, DeclareLostMS: declareMS, ReplaceVoterMS: replaceMS}
+	return Settings{Voters: defaultVoters, LeaseMS: defaultLeaseMS, DeclareLostMS: defaultDeclareLostMS, ReplaceVoterMS: defaultReplaceVoterMS}
 }
