--- /dev/null
+++ b/internal/raftnode/plan.go
@@ -0,0 +1,36 @@
+package raftnode
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"maps"
+)
+
+// AgreedPlan is the agreed plan for traffic between zones, as it was proposed, and the operators' orders by what they are about.
+type AgreedPlan struct {
+	Number uint64                     `json:"Number"`
+	Plan   json.RawMessage            `json:"Plan,omitempty"`
+	Orders map[string]json.RawMessage `json:"Orders,omitempty"`
+}
+
+func (n *Node) agreedPlan(now float64) AgreedPlan {
+	r := n.group.Status(now).Record
+	return AgreedPlan{Number: r.PlanNumber, Plan: r.Plan, Orders: maps.Clone(r.Orders)}
+}
+
+// FetchPlan asks the leader for a later plan than the one that is known.
+func (n *Node) FetchPlan(now float64, known uint64) {
+	leader := n.otherLeader(now)
+	if leader == "" {
+		return
+	}
+	n.request(now, leader, binary.AppendUvarint([]byte{messagePlan}, known), func(now float64, reply []byte, err error) {
+		var plan AgreedPlan
+		if err != nil || len(reply) == 0 || json.Unmarshal(reply, &plan) != nil {
+			return
+		}
+		if n.OnPlan != nil {
+			n.OnPlan(now, plan)
+		}
+	})
+}
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -19,43 +19,43 @@
 	"liftshift/internal/vfs"
 )
 
-// What a voter keeps is there again after a crash, whatever became of what was not synced; entries that lost against others are not.
-func TestAVotersDisk(t *testing.T) {
+// Durable state is recovered after a crash, whatever became of unsynced writes; overridden entries are not.
+func TestStorage_RecoversAfterCrash(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openDisk(fs, &Node{}, silent())
+	d, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
-	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
-	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: state(2, 9, 2)})
+	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
+	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: hardState(2, 9, 2)})
 	for seed, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LoseNothing} {
-		again, err := openDisk(fs.Clone().Crash(loss, uint64(seed)), &Node{}, silent())
+		reopened, err := openStorage(fs.Clone().Crash(loss, uint64(seed)), &Node{}, discardLog())
 		require.NoError(t, err)
-		assert.Equal(t, id, again.id)
-		assert.Equal(t, uint64(9), again.kept.State.GetVote())
-		require.Len(t, again.kept.Entries, 2, "the one at 4 lost")
-		assert.Equal(t, uint64(2), again.kept.Entries[1].GetTerm())
-		again.close()
+		assert.Equal(t, id, reopened.id)
+		assert.Equal(t, uint64(9), reopened.persisted.State.GetVote())
+		require.Len(t, reopened.persisted.Entries, 2, "entry 4 was overridden")
+		assert.Equal(t, uint64(2), reopened.persisted.Entries[1].GetTerm())
+		reopened.close()
 	}
-	write(t, d, consensus.Effect{Snapshot: snapAt(3)})
-	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
+	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(3)})
+	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
 	d.close()
-	again, err := openDisk(fs, &Node{}, silent())
+	reopened, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
-	defer again.close()
-	assert.Equal(t, uint64(3), again.kept.Snapshot.GetMetadata().GetIndex())
-	require.Len(t, again.kept.Entries, 1)
-	assert.Equal(t, uint64(4), again.kept.Entries[0].GetIndex())
+	defer reopened.close()
+	assert.Equal(t, uint64(3), reopened.persisted.Snapshot.GetMetadata().GetIndex())
+	require.Len(t, reopened.persisted.Entries, 1)
+	assert.Equal(t, uint64(4), reopened.persisted.Entries[0].GetIndex())
 }
 
-// A log whose end is torn may lack what was promised: the folder comes as another voter, with nothing of what it held.
-func TestATornLogIsAnotherVoter(t *testing.T) {
+// A log whose end is torn may lack durable state: the folder becomes another voter, without any state.
+func TestStorage_TornLogBecomesAnotherVoter(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openDisk(fs, &Node{}, silent())
+	d, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
 	id := d.id
-	write(t, d, consensus.Effect{Snapshot: snapAt(1), State: state(1, 7, 1)})
-	write(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
+	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
+	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
 	d.close()
 	names, err := fs.List()
 	require.NoError(t, err)
@@ -65,25 +65,25 @@
 			fs.Set(name, append(b[:end-5], make([]byte, 64)...))
 		}
 	}
-	again, err := openDisk(fs, &Node{}, silent())
+	reopened, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
-	defer again.close()
-	assert.NotEqual(t, id, again.id)
-	assert.Nil(t, again.kept.Snapshot)
-	assert.Empty(t, again.kept.Entries)
+	defer reopened.close()
+	assert.NotEqual(t, id, reopened.id)
+	assert.Nil(t, reopened.persisted.Snapshot)
+	assert.Empty(t, reopened.persisted.Entries)
 }
 
-// Three members found a council over real sockets. One's disk fills: it falls silent, the others go on, and its process too.
-func TestAFullDiskSilencesOneVoter(t *testing.T) {
+// Three members form a group over real sockets. One's disk fills up: it stops voting, the others go on, and so does its process.
+func TestNode_FullDiskStopsOneVoter(t *testing.T) {
 	var full atomic.Bool
 	names := []string{"a", "b", "c"}
-	seats := map[string]*Node{}
-	var broken atomic.Bool
+	nodes := map[string]*Node{}
+	var failed atomic.Bool
 	leader := ""
-	lead := func() string {
+	findLeader := func() string {
 		for _, n := range names {
-			s := seats[n]
-			s.carrier.Do(func(now float64, _ *membership.View) {
+			s := nodes[n]
+			s.transport.Do(func(now float64, _ *membership.View) {
 				if st := s.Status(now); st.Leader == n {
 					leader = n
 				}
@@ -91,7 +91,7 @@
 		}
 		return leader
 	}
-	at := addresses(t, 3)
+	at := freeAddresses(t, 3)
 	for k, name := range names {
 		fs := vfs.NewMemory()
 		if name == "b" {
@@ -102,37 +102,37 @@
 				return nil
 			}
 		}
-		c := clusternet.New(at[k], silent())
+		c := clusternet.New(at[k], discardLog())
 		v := membership.New(c.Now(), "f", membership.Member{Name: name, Incarnation: 1, Address: at[k]}, at, membership.DefaultSettings(), uint32(k))
-		s, err := New(c, v, fs, names, consensus.DefaultSettings(), uint32(k), silent())
+		s, err := New(c, v, fs, names, consensus.DefaultSettings(), uint32(k), discardLog())
 		require.NoError(t, err)
 		if name == "b" {
 			s.OnEffect = func(_ float64, e consensus.Effect) {
 				if e.Kind == consensus.VoterFailed {
-					broken.Store(true)
+					failed.Store(true)
 				}
 			}
 		}
 		require.NoError(t, c.Start(v, s))
-		seats[name] = s
+		nodes[name] = s
 		t.Cleanup(c.Stop)
 	}
-	held := func(n string) func() bool { return func() bool { return seats[n].LeaseHeld() } }
+	holdsLease := func(n string) func() bool { return func() bool { return nodes[n].LeaseHeld() } }
 	for _, n := range names {
-		require.Eventually(t, held(n), 20*time.Second, 20*time.Millisecond, n)
+		require.Eventually(t, holdsLease(n), 20*time.Second, 20*time.Millisecond, n)
 	}
 	full.Store(true)
-	s := seats[lead()] // something to be kept by all
-	require.True(t, s.carrier.Do(func(now float64, _ *membership.View) {
+	s := nodes[findLeader()] // an entry that all have to persist
+	require.True(t, s.transport.Do(func(now float64, _ *membership.View) {
 		s.step(now, consensus.Event{Kind: consensus.LeaseRequested, Name: "c", Incarnation: 1, Release: true})
 	}))
-	require.Eventually(t, broken.Load, 10*time.Second, 20*time.Millisecond)
-	require.Eventually(t, func() bool { leader = ""; return lead() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
+	require.Eventually(t, failed.Load, 10*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { leader = ""; return findLeader() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
 	time.Sleep(7 * time.Second)
-	assert.True(t, seats["b"].LeaseHeld(), "it asks the others for its lease")
+	assert.True(t, nodes["b"].LeaseHeld(), "it requests its lease from the others")
 }
 
-func silent() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
