--- /dev/null
+++ b/internal/clusternet/client.go
@@ -0,0 +1,118 @@
+package clusternet
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+)
+
+const (
+	callTimeout      = time.Second
+	maxOutgoingCalls = 24 // by Call, at a time
+	maxConnections   = 64
+	idleTimeout      = 20 * time.Second
+)
+
+// errTooManyCalls is the outcome of a Call past maxOutgoingCalls.
+var errTooManyCalls = errors.New("too many calls are under way")
+
+// Call calls another member and passes the reply to callback from another goroutine. Past maxOutgoingCalls it fails at once.
+func (t *Transport) Call(to, method string, data []byte, callback func(reply []byte, err error)) {
+	select {
+	case t.callSlots <- struct{}{}:
+	default:
+		t.Busy.Add(1)
+		go callback(nil, errTooManyCalls)
+		return
+	}
+	go func() {
+		reply, err := t.CallNow(to, method, data)
+		<-t.callSlots
+		if err != nil {
+			t.CallsLost.Add(1)
+		}
+		callback(reply, err)
+	}()
+}
+
+// CallNow calls another member and waits for the reply.
+func (t *Transport) CallNow(to, method string, data []byte) ([]byte, error) {
+	conn, err := t.clients.get(to)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
+	reply := &wrapperspb.BytesValue{}
+	if err := conn.Invoke(ctx, method, wrapperspb.Bytes(data), reply); err != nil {
+		t.clients.drop(to, conn)
+		return nil, err
+	}
+	return reply.GetValue(), nil
+}
+
+// connectionCache holds client connections by address.
+type connectionCache struct {
+	localAddr *net.TCPAddr // calls come from the address at which the member listens, as its datagrams do
+
+	mu    sync.Mutex
+	conns map[string]*grpc.ClientConn
+	order []string // addresses, the oldest connection first
+}
+
+// get returns the connection to an address and creates it if need be. Past maxConnections, the oldest one is closed.
+func (c *connectionCache) get(address string) (*grpc.ClientConn, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if conn := c.conns[address]; conn != nil {
+		return conn, nil
+	}
+	if len(c.order) >= maxConnections {
+		oldest := c.order[0]
+		c.order = slices.Delete(c.order, 0, 1)
+		_ = c.conns[oldest].Close()
+		delete(c.conns, oldest)
+	}
+	dial := func(ctx context.Context, address string) (net.Conn, error) {
+		return (&net.Dialer{LocalAddr: c.localAddr, KeepAlive: -1}).DialContext(ctx, "tcp", address)
+	}
+	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithIdleTimeout(idleTimeout), grpc.WithContextDialer(dial), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithWriteBufferSize(grpcBufferBytes), grpc.WithReadBufferSize(grpcBufferBytes))
+	if err != nil {
+		return nil, err
+	}
+	c.conns[address] = conn
+	c.order = append(c.order, address)
+	return conn, nil
+}
+
+// drop closes a connection on which a call failed, so that gRPC's backoff does not delay the next call.
+func (c *connectionCache) drop(address string, conn *grpc.ClientConn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns[address] != conn {
+		return
+	}
+	delete(c.conns, address)
+	if at := slices.Index(c.order, address); at >= 0 {
+		c.order = slices.Delete(c.order, at, at+1)
+	}
+	_ = conn.Close()
+}
+
+// close closes all connections.
+func (c *connectionCache) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, conn := range c.conns {
+		_ = conn.Close()
+	}
+}
--- /dev/null
+++ b/internal/clusternet/datagram.go
@@ -0,0 +1,104 @@
+package clusternet
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"net/netip"
+
+	"liftshift/internal/membership"
+)
+
+// Prefixes of datagrams. Those of the membership view begin with other letters. The values are part of the wire format.
+var (
+	handoffPrefix  = []byte("LE1")
+	localityPrefix = []byte("LZ1")
+)
+
+const (
+	maxDatagramBytes = 1200
+	prefixBytes      = 3
+)
+
+// MaxHandoffDatagram is the longest content for SendHandoff and SendLocality.
+const MaxHandoffDatagram = maxDatagramBytes - prefixBytes
+
+// SendHandoff sends a datagram about the hand-over of requests. It does not wait: what the system can't take is lost.
+func (t *Transport) SendHandoff(to netip.AddrPort, data []byte) {
+	t.sendPrefixed(to, handoffPrefix, data)
+}
+
+// SendLocality sends a datagram about traffic between zones in the same way.
+func (t *Transport) SendLocality(to netip.AddrPort, data []byte) {
+	t.sendPrefixed(to, localityPrefix, data)
+}
+
+func (t *Transport) sendPrefixed(to netip.AddrPort, prefix, data []byte) {
+	if len(data) > MaxHandoffDatagram {
+		t.Dropped.Add(1)
+		return
+	}
+	datagram := make([]byte, 0, len(prefix)+len(data))
+	datagram = append(datagram, prefix...)
+	datagram = append(datagram, data...)
+	if _, err := t.udpConn.WriteToUDPAddrPort(datagram, to); err != nil {
+		t.Dropped.Add(1)
+	}
+}
+
+// sendMembership sends a datagram of the membership view. It does not wait, either.
+func (t *Transport) sendMembership(to string, data []byte) {
+	address, err := netip.ParseAddrPort(to)
+	if err == nil {
+		_, err = t.udpConn.WriteToUDPAddrPort(data, address)
+	}
+	if err != nil {
+		t.Dropped.Add(1)
+	}
+}
+
+// receiveDatagrams takes datagrams until the socket is closed.
+func (t *Transport) receiveDatagrams() {
+	var buffer [maxDatagramBytes + 1]byte // a longer datagram is told by the last byte
+	for {
+		n, from, err := t.udpConn.ReadFromUDPAddrPort(buffer[:])
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil || n > maxDatagramBytes {
+			t.Dropped.Add(1)
+			continue
+		}
+		if !t.dispatchDatagram(from, append([]byte(nil), buffer[:n]...)) {
+			return
+		}
+	}
+}
+
+// dispatchDatagram passes a datagram to whom its prefix names. It returns false once the owner's goroutine has ended.
+func (t *Transport) dispatchDatagram(from netip.AddrPort, data []byte) bool {
+	if content, found := bytes.CutPrefix(data, handoffPrefix); found {
+		if t.HandoffDatagram != nil {
+			t.HandoffDatagram(from, content)
+		}
+		return true
+	}
+	if content, found := bytes.CutPrefix(data, localityPrefix); found {
+		if t.LocalityDatagram != nil {
+			t.LocalityDatagram(from, content)
+		}
+		return true
+	}
+	sender := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
+	call := func(now float64) {
+		t.step(now, &membership.Event{Kind: membership.DatagramReceived, From: sender, Data: data})
+	}
+	select {
+	case t.calls <- call:
+	case <-t.done:
+		return false
+	default:
+		t.Dropped.Add(1)
+	}
+	return true
+}
--- a/internal/clusternet/golden_test.go
+++ b/internal/clusternet/golden_test.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden holds bytes against a file of testdata/golden, and gives what the file has.
+// golden compares bytes with a file of testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -32,21 +32,21 @@
 	return want
 }
 
-// The service and its methods are called as they were, by the one who serves and by the one who calls.
-func TestGolden_FleetNames(t *testing.T) {
-	assert.Equal(t, "liftshift.Fleet", desc.ServiceName)
+// The service and its methods keep their names, on the server's side and on the client's.
+func TestGolden_ClusterNetServiceNames(t *testing.T) {
+	assert.Equal(t, "liftshift.Fleet", serviceDesc.ServiceName)
 	var names []string
-	for _, m := range desc.Methods {
+	for _, m := range serviceDesc.Methods {
 		names = append(names, m.MethodName)
 	}
 	assert.Equal(t, []string{"Exchange", "Council", "Estate"}, names)
-	assert.Empty(t, desc.Streams)
+	assert.Empty(t, serviceDesc.Streams)
 	assert.Equal(t, []string{"/liftshift.Fleet/Exchange", "/liftshift.Fleet/Council", "/liftshift.Fleet/Estate"},
 		[]string{exchangeMethod, ConsensusMethod, HandoffMethod})
 }
 
-// A call's bytes are wrapped as they were.
-func TestGolden_FleetCall(t *testing.T) {
+// The bytes of a call are wrapped as before.
+func TestGolden_ClusterNetCall(t *testing.T) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(wrapperspb.Bytes([]byte("what is said")))
 	require.NoError(t, err)
 	out := &wrapperspb.BytesValue{}
@@ -54,41 +54,41 @@
 	assert.Equal(t, "what is said", string(out.GetValue()))
 }
 
-// Datagrams of open work and of zones leave with the marks that they had, and by these are told apart where they come in.
-func TestGolden_FleetDatagrams(t *testing.T) {
+// Datagrams about the hand-over of requests and about zones keep their prefixes and are told apart by them.
+func TestGolden_ClusterNetDatagrams(t *testing.T) {
 	socket := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 		return c
 	}
-	far := socket()
-	defer far.Close()
+	peer := socket()
+	defer peer.Close()
 	c := New("", logrus.New())
-	c.udp = socket()
-	words, scouts := make(chan string, 1), make(chan string, 1)
-	c.HandoffDatagram = func(_ netip.AddrPort, data []byte) { words <- string(data) }
-	c.LocalityDatagram = func(_ netip.AddrPort, data []byte) { scouts <- string(data) }
+	c.udpConn = socket()
+	handoff, locality := make(chan string, 1), make(chan string, 1)
+	c.HandoffDatagram = func(_ netip.AddrPort, data []byte) { handoff <- string(data) }
+	c.LocalityDatagram = func(_ netip.AddrPort, data []byte) { locality <- string(data) }
 	ended := make(chan struct{})
-	go func() { c.listen(); close(ended) }()
+	go func() { c.receiveDatagrams(); close(ended) }()
 	for _, m := range []struct {
-		file string
-		send func(netip.AddrPort, []byte)
-		came chan string
-	}{{"datagram-open-work.bin", c.SendHandoff, words}, {"datagram-zones.bin", c.SendLocality, scouts}} {
-		m.send(far.LocalAddr().(*net.UDPAddr).AddrPort(), []byte("what is said"))
-		var b [mostDatagram]byte
-		n, err := far.Read(b[:])
+		file     string
+		send     func(netip.AddrPort, []byte)
+		received chan string
+	}{{"datagram-open-work.bin", c.SendHandoff, handoff}, {"datagram-zones.bin", c.SendLocality, locality}} {
+		m.send(peer.LocalAddr().(*net.UDPAddr).AddrPort(), []byte("what is said"))
+		var b [maxDatagramBytes]byte
+		n, err := peer.Read(b[:])
 		require.NoError(t, err)
-		_, err = far.WriteToUDP(golden(t, m.file, b[:n]), c.udp.LocalAddr().(*net.UDPAddr))
+		_, err = peer.WriteToUDP(golden(t, m.file, b[:n]), c.udpConn.LocalAddr().(*net.UDPAddr))
 		require.NoError(t, err)
 		select {
-		case got := <-m.came:
+		case got := <-m.received:
 			assert.Equal(t, "what is said", got)
 		case <-time.After(10 * time.Second):
 			t.Fatal("a datagram did not come: ", m.file)
 		}
 	}
-	require.NoError(t, c.udp.Close())
+	require.NoError(t, c.udpConn.Close())
 	<-ended
 }
