--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -2,10 +2,10 @@
 
 import "net/netip"
 
-// State is where a virtual router stands here.
+// State is the state of a virtual router on this host.
 type State uint8
 
-// The states.
+// States.
 const (
 	Initialize State = iota
 	Backup
@@ -15,108 +15,108 @@
 // String returns the name of the state.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
-// input is what happens.
+// input is what moves a Machine from one state to another.
 type input uint8
 
 const (
-	startOwner  input = iota // it starts, and owns the addresses
-	start                    // it starts
-	stop                     // it stops as planned
-	silence                  // nothing was heard for as long as an active one may be silent
-	turn                     // an advertisement is due
-	heardStop                // an active one stops
-	heardBetter              // one that goes before this one is active
-	heardWorse               // one that this one goes before
+	inputStartOwner       input = iota // it starts and owns the addresses
+	inputStart                         // it starts
+	inputStop                          // it stops as planned
+	inputActiveTimeout                 // the active router was silent for too long
+	inputAdvertisementDue              // an advertisement is due
+	inputActiveStopping                // the active router resigns
+	inputHigherPriority                // an advertisement of a router that takes precedence
+	inputLowerPriority                 // an advertisement of a router that does not
 )
 
-// Effect is what is to be done.
+// Effect is an action for the caller.
 type Effect uint8
 
-// The effects.
+// Effects.
 const (
-	Send    Effect = iota // advertise, at the present priority
-	Resign                // advertise that it stops
-	Take                  // the addresses are here now
-	Release               // they are no more
+	SendAdvertisement Effect = iota // send Advertisement(false)
+	SendResignation                 // send Advertisement(true)
+	AcquireAddresses                // the addresses belong to this host from now on
+	ReleaseAddresses                // they do not any more
 )
 
-// table is the state machine: at an input, the next state, what is to be done, and the timer that is set anew.
-var table = []struct {
+// timerKind is how a transition sets the one timer.
+type timerKind uint8
+
+const (
+	timerUnchanged     timerKind = iota
+	timerNone                    // stop it
+	timerAdvertisement           // this router's interval
+	timerActiveDown              // three intervals of the active router, and the skew
+	timerSkew                    // the skew alone
+)
+
+// transitions gives for a state and an input the next state, the effects and the timer. Inputs without a row change nothing.
+var transitions = []struct {
 	state   State
 	input   input
 	next    State
 	effects []Effect
-	timer   timer
+	timer   timerKind
 }{
-	{Initialize, startOwner, Active, []Effect{Send, Take}, adverTimer},
-	{Initialize, start, Backup, nil, downTimer},
-	{Backup, stop, Initialize, nil, noTimer},
-	{Backup, silence, Active, []Effect{Send, Take}, adverTimer},
-	{Backup, heardStop, Backup, nil, skewTimer},
-	{Backup, heardBetter, Backup, nil, downTimer},
-	{Backup, heardWorse, Backup, nil, keepTimer}, // its silence is waited for, then it is taken over from
-	{Active, stop, Initialize, []Effect{Resign, Release}, noTimer},
-	{Active, turn, Active, []Effect{Send}, adverTimer},
-	{Active, heardStop, Active, []Effect{Send}, adverTimer},
-	{Active, heardBetter, Backup, []Effect{Release}, downTimer},
-	{Active, heardWorse, Active, []Effect{Send}, adverTimer}, // told at once who is active
+	{Initialize, inputStartOwner, Active, []Effect{SendAdvertisement, AcquireAddresses}, timerAdvertisement},
+	{Initialize, inputStart, Backup, nil, timerActiveDown},
+	{Backup, inputStop, Initialize, nil, timerNone},
+	{Backup, inputActiveTimeout, Active, []Effect{SendAdvertisement, AcquireAddresses}, timerAdvertisement},
+	{Backup, inputActiveStopping, Backup, nil, timerSkew},
+	{Backup, inputHigherPriority, Backup, nil, timerActiveDown},
+	{Backup, inputLowerPriority, Backup, nil, timerUnchanged}, // it takes over once the timer ends
+	{Active, inputStop, Initialize, []Effect{SendResignation, ReleaseAddresses}, timerNone},
+	{Active, inputAdvertisementDue, Active, []Effect{SendAdvertisement}, timerAdvertisement},
+	{Active, inputActiveStopping, Active, []Effect{SendAdvertisement}, timerAdvertisement},
+	{Active, inputHigherPriority, Backup, []Effect{ReleaseAddresses}, timerActiveDown},
+	{Active, inputLowerPriority, Active, []Effect{SendAdvertisement}, timerAdvertisement}, // the other one learns at once who is active
 }
 
-// timer is which time is set at a row.
-type timer uint8
-
-const (
-	keepTimer  timer = iota // as it was
-	noTimer                 // none
-	adverTimer              // an interval of this one
-	downTimer               // three intervals of the active one, and the skew
-	skewTimer               // the skew alone
-)
-
 const (
-	intervalsDown = 3   // of silence
-	levels        = 256 // of priority, in the skew: who goes before waits less
+	activeDownIntervals = 3
+	priorityLevels      = 256 // in the skew, by which a higher priority waits less
 )
 
-// Router is one virtual router as it is set here.
+// Router configures a virtual router on this host. Times are milliseconds.
 type Router struct {
-	ID           uint8
-	Priority     uint8 // 1 to 254; Owner where it owns the addresses
-	Addresses    []netip.Addr
-	IntervalMS   float64
-	Preempt      bool    // it takes over from one that it goes before
-	PreemptAfter float64 // ms since its start until it does
+	ID             uint8
+	Priority       uint8 // 1 to 254, or PriorityOwner
+	Addresses      []netip.Addr
+	IntervalMS     float64 // between advertisements
+	Preempt        bool    // it takes over from an active router of lower priority
+	PreemptDelayMS float64 // from its start until it may do so
 }
 
-// Machine is the state of one virtual router here. Not safe for use by several goroutines.
+// Machine is the state machine of a virtual router. It is not safe for concurrent use.
 type Machine struct {
-	set      Router
-	local    netip.Addr // that advertisements come from: it decides between equals
-	state    State
-	priority uint8
-	interval float64 // of the active one, as learnt
-	due      float64 // of the one timer; 0: none
-	timer    timer
-	began    float64
-	since    float64 // of the state
-	peer     netip.Addr
-	out      []Effect
-	counts   Counts
+	router     Router
+	localAddr  netip.Addr // the source of advertisements; decides between equal priorities
+	state      State
+	priority   uint8
+	intervalMS float64 // of the active router, as its advertisements tell
+	dueAt      float64 // of the timer; 0: it is stopped
+	timer      timerKind
+	startedAt  float64
+	since      float64 // when the state began
+	peer       netip.Addr
+	effects    []Effect
+	counts     Counts
 }
 
-// Counts are what a machine counts, since its start.
-type Counts struct{ Sent, Heard, Foreign, BecameActive, BecameBackup, Stopped uint64 }
+// Counts are the counters of a Machine since its start.
+type Counts struct{ Sent, Received, Foreign, BecameActive, BecameBackup, Stopped uint64 }
 
-// New gives a machine that has not begun.
-func New(set Router, local netip.Addr) (*Machine, error) {
-	probe := Packet{Router: set.ID, Priority: set.Priority, IntervalMS: set.IntervalMS, Addresses: set.Addresses}
-	if _, err := probe.Append(nil, local, local); err != nil {
+// New returns a machine in state Initialize.
+func New(router Router, localAddr netip.Addr) (*Machine, error) {
+	p := Packet{RouterID: router.ID, Priority: router.Priority, IntervalMS: router.IntervalMS, Addresses: router.Addresses}
+	if _, err := p.Append(nil, localAddr, localAddr); err != nil {
 		return nil, err
 	}
-	if set.Priority == Stopping {
-		return nil, wrong("priority 0 is that of who stops")
+	if router.Priority == PriorityStop {
+		return nil, packetError("priority 0 is reserved for a router that stops")
 	}
-	return &Machine{set: set, local: local, priority: set.Priority, interval: set.IntervalMS}, nil
+	return &Machine{router: router, localAddr: localAddr, priority: router.Priority, intervalMS: router.IntervalMS}, nil
 }
 
 // State returns the present state.
@@ -125,137 +125,155 @@
 // Since returns the time at which the present state began.
 func (m *Machine) Since() float64 { return m.since }
 
-// Peer returns the address of the router that was heard last.
+// Peer returns the address of the router whose advertisement was received last.
 func (m *Machine) Peer() netip.Addr { return m.peer }
 
 // Priority returns the priority that this router sends.
 func (m *Machine) Priority() uint8 { return m.priority }
 
-// Counts returns what the machine has counted.
+// Counts returns the counters.
 func (m *Machine) Counts() Counts { return m.counts }
 
 // Interval returns the interval between advertisements that is in force, in milliseconds.
-func (m *Machine) Interval() float64 { return m.interval }
+func (m *Machine) Interval() float64 { return m.intervalMS }
 
-// Due is when Tick is to be called; 0: not at all.
-func (m *Machine) Due() float64 { return m.due }
+// Next returns when Tick is to be called; 0: not at all.
+func (m *Machine) Next() float64 { return m.dueAt }
 
-// Advert is the advertisement that Send stands for, or with resign that of Resign.
-func (m *Machine) Advert(resign bool) Packet {
-	p := Packet{Router: m.set.ID, Priority: m.priority, IntervalMS: m.set.IntervalMS, Addresses: m.set.Addresses}
+// Advertisement returns the packet for SendAdvertisement, or that for SendResignation.
+func (m *Machine) Advertisement(resign bool) Packet {
+	p := Packet{RouterID: m.router.ID, Priority: m.priority, IntervalMS: m.router.IntervalMS, Addresses: m.router.Addresses}
 	if resign {
-		p.Priority = Stopping
+		p.Priority = PriorityStop
 	}
 	return p
 }
 
-func (m *Machine) skew() float64 { return float64(levels-int(m.priority)) * m.interval / levels }
-func (m *Machine) down() float64 { return intervalsDown*m.interval + m.skew() }
+func (m *Machine) skewMS() float64 {
+	return float64(priorityLevels-int(m.priority)) * m.intervalMS / priorityLevels
+}
+
+func (m *Machine) activeDownMS() float64 { return activeDownIntervals*m.intervalMS + m.skewMS() }
 
-// play plays an input by the table. The effects hold until the next call.
-func (m *Machine) play(now float64, in input) []Effect {
-	m.out = m.out[:0]
-	for k := range table {
-		r := &table[k]
-		if r.state != m.state || r.input != in {
+// handleInput moves the machine by the transition table. The effects are valid until the next call.
+func (m *Machine) handleInput(now float64, in input) []Effect {
+	m.effects = m.effects[:0]
+	for k := range transitions {
+		t := &transitions[k]
+		if t.state != m.state || t.input != in {
 			continue
 		}
-		if r.next != m.state {
-			m.since = now
-			switch r.next {
-			case Active:
-				m.counts.BecameActive++
-				m.interval = m.set.IntervalMS
-			case Backup:
-				m.counts.BecameBackup++
-			}
-		}
-		m.state = r.next
-		if r.timer != keepTimer {
-			m.timer = r.timer
-		}
-		switch r.timer {
-		case noTimer:
-			m.due = 0
-		case adverTimer:
-			m.due = now + m.set.IntervalMS
-		case downTimer:
-			m.due = now + m.down()
-		case skewTimer:
-			m.due = now + m.skew()
-		}
-		m.out = append(m.out, r.effects...)
-		for _, e := range r.effects {
-			if e == Send || e == Resign {
+		m.enter(now, t.next)
+		m.setTimer(now, t.timer)
+		m.effects = append(m.effects, t.effects...)
+		for _, e := range t.effects {
+			if e == SendAdvertisement || e == SendResignation {
 				m.counts.Sent++
 			}
 		}
 		break
 	}
-	return m.out
+	return m.effects
 }
 
-// Start begins it.
+func (m *Machine) enter(now float64, next State) {
+	if next == m.state {
+		return
+	}
+	m.state = next
+	m.since = now
+	switch next {
+	case Active:
+		m.counts.BecameActive++
+		m.intervalMS = m.router.IntervalMS
+	case Backup:
+		m.counts.BecameBackup++
+	}
+}
+
+func (m *Machine) setTimer(now float64, kind timerKind) {
+	if kind == timerUnchanged {
+		return
+	}
+	m.timer = kind
+	switch kind {
+	case timerNone:
+		m.dueAt = 0
+	case timerAdvertisement:
+		m.dueAt = now + m.router.IntervalMS
+	case timerActiveDown:
+		m.dueAt = now + m.activeDownMS()
+	case timerSkew:
+		m.dueAt = now + m.skewMS()
+	}
+}
+
+// Start starts the virtual router.
 func (m *Machine) Start(now float64) []Effect {
-	m.began = now
-	if m.priority == Owner {
-		return m.play(now, startOwner)
+	m.startedAt = now
+	if m.priority == PriorityOwner {
+		return m.handleInput(now, inputStartOwner)
 	}
-	return m.play(now, start)
+	return m.handleInput(now, inputStart)
 }
 
-// Stop ends it as planned: who is active tells the others to take over at once.
+// Stop stops the virtual router as planned. An active one resigns, so that another takes over at once.
 func (m *Machine) Stop(now float64) []Effect {
 	m.counts.Stopped++
-	return m.play(now, stop)
+	return m.handleInput(now, inputStop)
 }
 
-// Tick is called when a timer is due.
+// Tick is to be called when the time that Next returned has come.
 func (m *Machine) Tick(now float64) []Effect {
-	if m.due == 0 || now < m.due {
+	if m.dueAt == 0 || now < m.dueAt {
 		return nil
 	}
 	if m.state == Active {
-		return m.play(now, turn)
+		return m.handleInput(now, inputAdvertisementDue)
 	}
-	return m.play(now, silence)
+	return m.handleInput(now, inputActiveTimeout)
 }
 
-// Reprice gives it another priority, as its health changes. An owner keeps its own; 0 is for stopping alone.
-func (m *Machine) Reprice(now float64, priority uint8) {
-	if m.set.Priority == Owner || priority == Stopping || priority == Owner {
+// SetPriority changes the priority, as this host's health changes. An owner's priority does not change, and the reserved priorities are
+// ignored.
+func (m *Machine) SetPriority(now float64, priority uint8) {
+	if m.router.Priority == PriorityOwner || priority == PriorityStop || priority == PriorityOwner {
 		return
 	}
-	before := m.skew()
+	skewBefore := m.skewMS()
 	m.priority = priority
-	if m.state == Backup && m.due > 0 && m.timer != keepTimer { // the skew is part of what runs
-		m.due = max(now, m.due+m.skew()-before)
+	if m.state == Backup && m.dueAt > 0 && m.timer != timerUnchanged { // the skew is a part of the timer
+		m.dueAt = max(now, m.dueAt+m.skewMS()-skewBefore)
 	}
 }
 
-// Heard takes an advertisement that came from an address.
-func (m *Machine) Heard(now float64, from netip.Addr, p Packet) []Effect {
-	if p.Router != m.set.ID || from == m.local || m.state == Initialize {
+// HandlePacket takes an advertisement.
+func (m *Machine) HandlePacket(now float64, from netip.Addr, p Packet) []Effect {
+	if p.RouterID != m.router.ID || from == m.localAddr || m.state == Initialize {
 		m.counts.Foreign++
 		return nil
 	}
-	m.counts.Heard++
+	m.counts.Received++
 	m.peer = from
-	in := heardWorse
-	switch {
-	case p.Priority == Stopping:
-		in = heardStop
-	case m.state == Backup && (p.Priority >= m.priority || !m.mayPreempt(now)):
-		in = heardBetter
-		m.interval = p.IntervalMS
-	case m.state == Active && (p.Priority > m.priority || p.Priority == m.priority && m.local.Less(from)):
-		in = heardBetter
-		m.interval = p.IntervalMS
+	if p.Priority == PriorityStop {
+		return m.handleInput(now, inputActiveStopping)
+	}
+	if !m.takesPrecedence(now, from, p.Priority) {
+		return m.handleInput(now, inputLowerPriority)
+	}
+	m.intervalMS = p.IntervalMS
+	return m.handleInput(now, inputHigherPriority)
+}
+
+// takesPrecedence reports whether this router is to be, or to stay, backup to the sender of an advertisement.
+func (m *Machine) takesPrecedence(now float64, from netip.Addr, priority uint8) bool {
+	if m.state == Active {
+		return priority > m.priority || priority == m.priority && m.localAddr.Less(from)
 	}
-	return m.play(now, in)
+	return priority >= m.priority || !m.mayPreempt(now)
 }
 
-// mayPreempt tells whether it may take over from an active one that it goes before.
+// mayPreempt reports whether this router may take over from an active one of lower priority.
 func (m *Machine) mayPreempt(now float64) bool {
-	return m.set.Preempt && now >= m.began+m.set.PreemptAfter
+	return m.router.Preempt && now >= m.startedAt+m.router.PreemptDelayMS
 }
--- a/internal/vrrp/packet.go
+++ b/internal/vrrp/packet.go
@@ -1,6 +1,8 @@
-// Package vrrp is the Virtual Router Redundancy Protocol, version 3 (RFC 9568; RFC 5798 where that says more): the form of its
-// advertisements, and its state machine for one virtual router. It is free of I/O, clock and goroutines: advertisements, timers and
-// a time in ms go in, effects come out. What the address stands for is its user's.
+// Package vrrp implements the Virtual Router Redundancy Protocol, version 3 (RFC 9568; RFC 5798 where that has more): the encoding of its
+// advertisements, and the state machine of one virtual router.
+//
+// It owns no socket, clock or goroutine: packets, timers and times in milliseconds go in, effects come out. What it means to acquire or
+// release an address is up to the caller.
 package vrrp
 
 import (
@@ -10,95 +12,101 @@
 	"net/netip"
 )
 
-// The wire.
+// The wire format.
 const (
-	version       = 3
-	advertisement = 1
-	headSize      = 8
-	protocol      = 112 // in the pseudo-header
-	mostAddresses = 255
-	mostInterval  = 1<<12 - 1 // centiseconds
-	msPerUnit     = 10
-	// Owner is the priority of who owns the addresses, Stopping that of an active one which stops.
-	Owner    = 255
-	Stopping = 0
-	// MostPacket is the longest advertisement.
-	MostPacket = headSize + 16*mostAddresses
+	version           = 3
+	typeAdvertisement = 1
+	headerBytes       = 8
+	checksumOffset    = 6
+	protocolNumber    = 112 // in the pseudo-header
+	maxAddresses      = 255
+	maxIntervalUnits  = 1<<12 - 1
+	intervalUnitMS    = 10
 )
 
+// Reserved priorities.
+const (
+	PriorityOwner = 255 // of the router that owns the addresses
+	PriorityStop  = 0   // of an active router that stops
+)
+
+// MaxPacketBytes is the size of the longest advertisement.
+const MaxPacketBytes = headerBytes + 16*maxAddresses
+
 // Packet is an advertisement.
 type Packet struct {
-	Router     uint8 // number of the virtual router, from 1
+	RouterID   uint8 // of the virtual router, from 1
 	Priority   uint8
-	IntervalMS float64 // between advertisements of the active one
+	IntervalMS float64 // between the active router's advertisements
 	Addresses  []netip.Addr
 }
 
-// ErrPacket is what an advertisement that can't be used gives.
-var ErrPacket = errors.New("no advertisement")
+// ErrInvalidPacket is wrapped by the errors about an invalid advertisement.
+var ErrInvalidPacket = errors.New("invalid VRRP advertisement")
 
-func wrong(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrPacket, fmt.Sprintf(format, args...))
+func packetError(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrInvalidPacket, fmt.Sprintf(format, args...))
 }
 
-// Append writes an advertisement from one address to another; both count in the checksum.
+// Append encodes an advertisement. The addresses of its source and destination are part of the checksum.
 func (p *Packet) Append(b []byte, from, to netip.Addr) ([]byte, error) {
-	units := int(p.IntervalMS / msPerUnit)
-	if p.Router == 0 || len(p.Addresses) == 0 || len(p.Addresses) > mostAddresses || units < 1 || units > mostInterval {
-		return b, wrong("router %d, %d addresses, interval %g ms", p.Router, len(p.Addresses), p.IntervalMS)
+	units := int(p.IntervalMS / intervalUnitMS)
+	if p.RouterID == 0 || len(p.Addresses) == 0 || len(p.Addresses) > maxAddresses || units < 1 || units > maxIntervalUnits {
+		return b, packetError("router %d, %d addresses, interval %g ms", p.RouterID, len(p.Addresses), p.IntervalMS)
 	}
 	start := len(b)
-	b = append(b, version<<4|advertisement, p.Router, p.Priority, byte(len(p.Addresses)))
+	b = append(b, version<<4|typeAdvertisement, p.RouterID, p.Priority, byte(len(p.Addresses)))
 	b = binary.BigEndian.AppendUint16(b, uint16(units))
-	b = append(b, 0, 0)
+	b = append(b, 0, 0) // the checksum
 	for _, a := range p.Addresses {
 		if a.Is4() != from.Is4() {
-			return b[:start], wrong("%s is of another family than %s", a, from)
+			return b[:start], packetError("%s is of another family than %s", a, from)
 		}
 		b = append(b, a.AsSlice()...)
 	}
-	binary.BigEndian.PutUint16(b[start+6:], checksum(b[start:], from, to))
+	binary.BigEndian.PutUint16(b[start+checksumOffset:], checksum(b[start:], from, to))
 	return b, nil
 }
 
-// Read reads an advertisement that came from one address to another. Every field is checked.
-func Read(b []byte, from, to netip.Addr) (p Packet, err error) {
-	from, to = from.Unmap(), to.Unmap()
-	size := 16
+// Parse decodes an advertisement with the addresses of its source and destination. It checks every field.
+func Parse(b []byte, from, to netip.Addr) (p Packet, err error) {
+	from = from.Unmap()
+	to = to.Unmap()
+	addressBytes := 16
 	if from.Is4() {
-		size = 4
+		addressBytes = 4
 	}
 	switch {
 	case !from.IsValid() || !to.IsValid() || from.Is4() != to.Is4():
-		return p, wrong("from %s to %s", from, to)
-	case len(b) < headSize:
-		return p, wrong("%d bytes", len(b))
+		return p, packetError("from %s to %s", from, to)
+	case len(b) < headerBytes:
+		return p, packetError("%d bytes", len(b))
 	case b[0]>>4 != version:
-		return p, wrong("version %d", b[0]>>4)
-	case b[0]&15 != advertisement:
-		return p, wrong("type %d", b[0]&15)
+		return p, packetError("version %d", b[0]>>4)
+	case b[0]&15 != typeAdvertisement:
+		return p, packetError("type %d", b[0]&15)
 	case b[1] == 0:
-		return p, wrong("router 0")
-	case b[3] == 0 || len(b) != headSize+size*int(b[3]):
-		return p, wrong("%d addresses in %d bytes", b[3], len(b))
+		return p, packetError("router 0")
+	case b[3] == 0 || len(b) != headerBytes+addressBytes*int(b[3]):
+		return p, packetError("%d addresses in %d bytes", b[3], len(b))
 	case checksum(b, from, to) != 0:
-		return p, wrong("checksum")
+		return p, packetError("checksum")
 	}
-	units := binary.BigEndian.Uint16(b[4:]) & mostInterval
+	units := binary.BigEndian.Uint16(b[4:]) & maxIntervalUnits
 	if units == 0 {
-		return p, wrong("interval 0")
+		return p, packetError("interval 0")
 	}
-	p = Packet{Router: b[1], Priority: b[2], IntervalMS: float64(units) * msPerUnit}
-	for at := headSize; at < len(b); at += size {
-		a, _ := netip.AddrFromSlice(b[at : at+size])
+	p = Packet{RouterID: b[1], Priority: b[2], IntervalMS: float64(units) * intervalUnitMS}
+	for at := headerBytes; at < len(b); at += addressBytes {
+		a, _ := netip.AddrFromSlice(b[at : at+addressBytes])
 		p.Addresses = append(p.Addresses, a)
 	}
 	return p, nil
 }
 
-// checksum is the Internet checksum over the pseudo-header and the advertisement; 0 where the one in it is right.
+// checksum returns the Internet checksum over the pseudo-header and an advertisement; 0 if the checksum in it is right.
 func checksum(b []byte, from, to netip.Addr) uint16 {
-	sum := uint32(protocol) + uint32(len(b))
+	sum := uint32(protocolNumber) + uint32(len(b))
 	add := func(b []byte) {
 		for ; len(b) > 1; b = b[2:] {
 			sum += uint32(b[0])<<8 | uint32(b[1])
