--- a/internal/handoff/golden_test.go
+++ b/internal/handoff/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
 // golden compares what was written with a golden file and gives that; with -update it writes the file first.
 func golden(t *testing.T, name string, got []byte) []byte {
@@ -29,16 +29,17 @@
 
 const goldenNow = 50000.0
 
-// goldenCopy has all fields set, and a standing and an outcome by its number.
+// goldenCopy has all fields set, and a run state and an outcome by its number.
 func goldenCopy(n int) Copy {
 	return Copy{RequestData: RequestData{ID: fmt.Sprint("id-", n), IdempotencyKey: fmt.Sprint("mark-", n), Class: "once", OrderKey: "key", Team: "model", Schema: "s1",
 		TableGroup: 12, MemoryMB: 1.5, WorkMS: 2.25, Body: []byte("body")}, Owner: Member{"a", 3}, Sequence: 17, Outcome: Outcome(n % 7), RunState: RunState(n % 3),
 		FirstAttemptAt: 40000, Zone: "here", Cell: -5, Deadline: 52000, Answer: []byte("answer"), Complete: true, Idempotent: true, Confirmed: true}
 }
 
+// goldenOps are the names of the golden files of the ops, in the order of their numbers.
 var goldenOps = []string{"register", "shoot", "close", "withdraw", "take", "ask", "pull", "mind", "kept", "known", "none", "lacking", "higher", "refused", "page"}
 
-// goldenBatches is one batch for each op with all fields set, one that has all outcomes and standings, and small ones.
+// goldenBatches is one batch for each op with all fields set, one that has all outcomes and run states, and small ones.
 func goldenBatches() map[string]Batch {
 	all := map[string]Batch{"bare": {From: Member{"a", 3}, Items: []Item{{Op: OpQuery}}}, "behind": {From: Member{"b", 4}, Version: 9, StalePlacement: true},
 		"empty-answer": {From: Member{"a", 3}, Items: []Item{{Op: OpClose, Answer: []byte{}}}}}
@@ -59,14 +60,14 @@
 	return all
 }
 
-// later is what a copy is read as: its first shot may have been made earlier by as long as its word may have taken.
+// later is what a copy is read as: its first attempt may have been made earlier by as long as its message may have taken.
 func later(c Copy) Copy {
-	c.FirstAttemptAt -= sureMS
+	c.FirstAttemptAt -= ageUncertaintyMS
 	return c
 }
 
-// Each kind of message between controllers is written as it always was, and read from that again.
-func TestGolden_EstateMessages(t *testing.T) {
+// Each kind of message between controllers is written as it always was, and can be read back.
+func TestGolden_Messages(t *testing.T) {
 	for name, b := range goldenBatches() {
 		data := golden(t, name+".bin", b.Append(nil, goldenNow))
 		got, err := ReadBatch(data, goldenNow)
@@ -74,7 +75,7 @@
 		for k := range b.Items {
 			it := &b.Items[k]
 			if it.FirstAttemptAt != 0 {
-				it.FirstAttemptAt -= sureMS
+				it.FirstAttemptAt -= ageUncertaintyMS
 			}
 			if it.Copy != nil {
 				c := later(*it.Copy)
@@ -88,8 +89,8 @@
 	}
 }
 
-// A copy on a disk is written as it always was, in each outcome, and read from that again.
-func TestGolden_EstateCopies(t *testing.T) {
+// A copy on a disk is written as it always was, in each outcome, and can be read back.
+func TestGolden_Copies(t *testing.T) {
 	for n := range 7 {
 		c := goldenCopy(n)
 		got, err := ReadCopy(golden(t, fmt.Sprintf("copy-%s.bin", c.Outcome), AppendCopy(nil, &c, goldenNow)), goldenNow)
@@ -98,8 +99,8 @@
 	}
 }
 
-// The names of ops and their numbers on the wire.
-func TestGolden_EstateOps(t *testing.T) {
+// The ops, outcomes and run states have the numbers on the wire that they always had.
+func TestGolden_Ops(t *testing.T) {
 	assert.Equal(t, []Op{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}, []Op{OpRegister, OpAttempt, OpClose, OpWithdraw, OpAdopt, OpQuery, OpFetch, OpMapID, OpStored, OpKnown,
 		OpUnknown, OpNeedCopy, OpNeedHigher, OpRefused, OpPage})
 	assert.Equal(t, []Outcome{0, 1, 2, 3, 4, 5, 6}, []Outcome{Open, Succeeded, Rejected, Failed, Abandoned, Withdrawn, Unknown})
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -11,162 +11,165 @@
 	"liftshift/scheduler"
 )
 
-// world is some estates that hear one another at once.
-type world struct {
-	t      *testing.T
-	now    float64
-	ends   []*Manager
-	places []placement.Member
-	table  placement.Table
-	down   map[int]bool
-	mute   func(from, to int, it *Item) bool // whether an item is lost on its way
-	got    []map[EffectKind][]Effect         // by member, what is not carried here
-	moves  []Effect
-	deaf   bool // answers that something is kept are lost on their way
-}
-
-func newWorld(t *testing.T, n, copies int, change func(*Settings)) *world {
-	w := &world{t: t, now: 1000, down: map[int]bool{}}
+// cluster is some managers whose messages arrive at once.
+type cluster struct {
+	t         *testing.T
+	now       float64
+	managers  []*Manager
+	members   []placement.Member
+	table     placement.Table
+	down      map[int]bool
+	drops     func(from, to int, it *Item) bool // whether an item is lost in transit
+	dropAcks  bool                              // replies that something is stored are lost in transit
+	effects   []map[EffectKind][]Effect         // by member, those that are not carried out here
+	proposals []Effect
+}
+
+func newCluster(t *testing.T, n, copies int, change func(*Settings)) *cluster {
+	c := &cluster{t: t, now: 1000, down: map[int]bool{}}
 	settings := DefaultSettings()
 	settings.Classes = []scheduler.RequestClass{
-		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
+		{Name: "keyed", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
 		{Name: "once", Effect: scheduler.NonIdempotent, DeadlineMS: 5e3},
-		{Name: "look", Effect: scheduler.Idempotent, DeadlineMS: 5e3},
+		{Name: "idempotent", Effect: scheduler.Idempotent, DeadlineMS: 5e3},
 	}
-	settings.AdoptClasses = []string{"look"}
+	settings.AdoptClasses = []string{"idempotent"}
 	if change != nil {
 		change(&settings)
 	}
 	for k := range n {
 		name := fmt.Sprint("n", k)
-		w.places = append(w.places, placement.Member{Name: name, Incarnation: 1})
-		w.ends = append(w.ends, New(Member{name, 1}, settings, uint32(k)))
-		w.got = append(w.got, map[EffectKind][]Effect{})
-	}
-	w.table.Reassign(w.places, copies)
-	require.NotEmpty(t, w.table.Partitions)
-	w.seat()
-	return w
+		c.members = append(c.members, placement.Member{Name: name, Incarnation: 1})
+		c.managers = append(c.managers, New(Member{name, 1}, settings, uint32(k)))
+		c.effects = append(c.effects, map[EffectKind][]Effect{})
+	}
+	c.table.Reassign(c.members, copies)
+	require.NotEmpty(t, c.table.Partitions)
+	c.announce()
+	return c
 }
 
-// seat tells all what is agreed.
-func (w *world) seat() {
-	w.table.Step++
-	for k := range w.ends {
-		table := w.table.Clone()
-		places := append([]placement.Member(nil), w.places...)
-		w.step(k, &Event{Kind: PlacementChanged, Members: places, Table: &table})
+// announce tells all members what is agreed.
+func (c *cluster) announce() {
+	c.table.Step++
+	for k := range c.managers {
+		c.announceTo(k)
 	}
 }
 
+func (c *cluster) announceTo(k int) {
+	table := c.table.Clone()
+	c.step(k, &Event{Kind: PlacementChanged, Members: slices.Clone(c.members), Table: &table})
+}
+
 // lose has it agreed that a member is lost.
-func (w *world) lose(k int) {
-	w.down[k] = true
-	w.places[k].Lost = true
-	w.table.Reassign(w.places, 0)
-	w.seat()
+func (c *cluster) lose(k int) {
+	c.down[k] = true
+	c.members[k].Lost = true
+	c.table.Reassign(c.members, 0)
+	c.announce()
 }
 
 // tick lets time go by, and agrees to what is proposed.
-func (w *world) tick(ms float64) {
-	for until := w.now + ms; w.now < until; {
-		w.now += 100
-		for k := range w.ends {
-			w.step(k, &Event{Kind: Ticked})
-		}
-		w.agree()
-	}
-}
-
-func (w *world) agree() {
-	for len(w.moves) > 0 {
-		m := w.moves[0]
-		w.moves = w.moves[1:]
-		changed := false
-		switch m.Proposal {
-		case "ready":
-			changed = w.table.MarkReady(w.places, m.Claim.Name, m.Claim.Incarnation, m.Claim.Partitions, m.Version)
-		case "claim":
-			changed = w.table.Claim(w.places, m.Claim)
-		case "settled":
-			changed = w.table.Settle(m.Claim)
-		case "anew":
-			changed = w.table.Reinitialize(w.places, m.Claim.Partitions)
+func (c *cluster) tick(ms float64) {
+	for until := c.now + ms; c.now < until; {
+		c.now += 100
+		for k := range c.managers {
+			c.step(k, &Event{Kind: Ticked})
 		}
-		if changed {
-			w.seat()
+		c.agree()
+	}
+}
+
+func (c *cluster) agree() {
+	for len(c.proposals) > 0 {
+		proposal := c.proposals[0]
+		c.proposals = c.proposals[1:]
+		if c.apply(proposal) {
+			c.announce()
 		}
 	}
 }
 
-func (w *world) step(k int, ev *Event) []Effect {
-	if w.down[k] {
+func (c *cluster) apply(proposal Effect) (changed bool) {
+	claim := proposal.Claim
+	switch proposal.Proposal {
+	case ProposalReady:
+		return c.table.MarkReady(c.members, claim.Name, claim.Incarnation, claim.Partitions, proposal.Version)
+	case ProposalClaim:
+		return c.table.Claim(c.members, claim)
+	case ProposalSettled:
+		return c.table.Settle(claim)
+	case ProposalReinitialize:
+		return c.table.Reinitialize(c.members, claim.Partitions)
+	}
+	return false
+}
+
+func (c *cluster) step(k int, ev *Event) []Effect {
+	if c.down[k] {
 		return nil
 	}
 	ev.LeaseHeld = true
-	effects := append([]Effect(nil), w.ends[k].Step(w.now, ev)...)
-	said := make([][]byte, len(effects)) // as it is at the end of the step: what is said goes on changing
+	effects := slices.Clone(c.managers[k].Step(c.now, ev))
+	batches := make([][]byte, len(effects)) // as they are at the end of the step: what they point at goes on changing
 	for n, e := range effects {
 		if e.Kind == SendBatch {
-			said[n] = e.Batch.Append(nil, w.now)
+			batches[n] = e.Batch.Append(nil, c.now)
 		}
 	}
 	for n, e := range effects {
 		switch e.Kind {
 		case SendBatch:
-			w.carry(k, e, said[n])
+			c.deliver(k, e, batches[n])
 		case Propose:
-			w.moves = append(w.moves, e)
+			c.proposals = append(c.proposals, e)
 		default:
-			w.got[k][e.Kind] = append(w.got[k][e.Kind], e)
+			c.effects[k][e.Kind] = append(c.effects[k][e.Kind], e)
 		}
 	}
 	return effects
 }
 
-// carry brings a batch to its member and the answer back, both as they go over the wire.
-func (w *world) carry(k int, e Effect, data []byte) {
+// deliver brings a batch to its member and the reply back, both as they go over the wire.
+func (c *cluster) deliver(from int, e Effect, data []byte) {
 	sent := e.Batch
-	back := func(b *Batch) { w.step(k, &Event{Kind: BatchAnswered, To: e.To, Sent: sent, Batch: b}) }
-	to := -1
-	for n := range w.ends {
-		if w.places[n].Name == e.To {
-			to = n
-		}
-	}
-	lost := to < 0 || w.down[to]
+	answer := func(reply *Batch) { c.step(from, &Event{Kind: BatchAnswered, To: e.To, Sent: sent, Batch: reply}) }
+	to := slices.IndexFunc(c.members[:len(c.managers)], func(m placement.Member) bool { return m.Name == e.To })
+	lost := to < 0 || c.down[to]
 	for n := range sent.Items {
-		lost = lost || w.mute != nil && w.mute(k, to, &sent.Items[n])
+		lost = lost || c.drops != nil && c.drops(from, to, &sent.Items[n])
 	}
 	if lost {
-		back(nil)
+		answer(nil)
 		return
 	}
-	b, err := ReadBatch(data, w.now)
-	require.NoError(w.t, err)
-	for n := range b.Items {
-		if it := &b.Items[n]; it.Op == OpRegister && it.Copy != nil {
-			require.Equal(w.t, it.Sequence, it.Copy.Sequence, "a word does not bear the number of a later one")
+	batch, err := ReadBatch(data, c.now)
+	require.NoError(c.t, err)
+	for n := range batch.Items {
+		if it := &batch.Items[n]; it.Op == OpRegister && it.Copy != nil {
+			require.Equal(c.t, it.Sequence, it.Copy.Sequence, "a message does not bear the sequence of a later one")
 		}
 	}
-	for _, f := range w.step(to, &Event{Kind: BatchReceived, Batch: b, Token: 1}) {
-		lost := w.deaf && f.Kind == ReplyBatch && slices.ContainsFunc(f.Batch.Items, func(it Item) bool { return it.Op == OpStored })
-		if f.Kind == ReplyBatch && !lost {
-			answer, err := ReadBatch(f.Batch.Append(nil, w.now), w.now)
-			require.NoError(w.t, err)
-			back(answer)
+	for _, f := range c.step(to, &Event{Kind: BatchReceived, Batch: batch, Token: 1}) {
+		if f.Kind != ReplyBatch || c.dropAcks && slices.ContainsFunc(f.Batch.Items, func(it Item) bool { return it.Op == OpStored }) {
+			continue
 		}
+		reply, err := ReadBatch(f.Batch.Append(nil, c.now), c.now)
+		require.NoError(c.t, err)
+		answer(reply)
 	}
 }
 
-// arrive has a search come in at a member.
-func (w *world) arrive(k int, offering, id, mark string) []Effect {
-	return w.step(k, &Event{Kind: RequestArriving, ID: id, Copy: &Copy{RequestData: RequestData{ID: id, IdempotencyKey: mark, Class: offering, Body: []byte("select")}, Deadline: w.now + 5000}})
+// arrive has a request arrive at a member.
+func (c *cluster) arrive(k int, class, id, idempotencyKey string) []Effect {
+	return c.step(k, &Event{Kind: RequestArriving, ID: id, Copy: &Copy{
+		RequestData: RequestData{ID: id, IdempotencyKey: idempotencyKey, Class: class, Body: []byte("select")}, Deadline: c.now + 5000}})
 }
 
-// said gives what a member was told to do of a kind with a search, so far.
-func (w *world) said(k int, kind EffectKind, id string) (list []Effect) {
-	for _, e := range w.got[k][kind] {
+// effectsFor returns a member's effects of a kind for a request, so far.
+func (c *cluster) effectsFor(k int, kind EffectKind, id string) (list []Effect) {
+	for _, e := range c.effects[k][kind] {
 		if e.ID == id || e.Copy != nil && e.Copy.ID == id && kind == Adopt {
 			list = append(list, e)
 		}
@@ -174,34 +177,35 @@
 	return list
 }
 
-// shoot has a shot of a search made, and tells whether it leaves.
-func (w *world) shoot(k int, id string) bool {
-	w.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
-	return len(w.said(k, ReleaseAttempt, id)) > 0
+// attempt has an attempt of a request made, and reports whether it leaves.
+func (c *cluster) attempt(k int, id string) bool {
+	c.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
+	return len(c.effectsFor(k, ReleaseAttempt, id)) > 0
 }
 
-func (w *world) end(k int, id string, out Outcome, answer string) (keptBack bool) {
-	for _, e := range w.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: out, Answer: []byte(answer)}) {
-		keptBack = keptBack || e.Kind == WithholdAnswer
+// finish ends a request, and reports whether its answer is withheld.
+func (c *cluster) finish(k int, id string, outcome Outcome, answer string) (withheld bool) {
+	for _, e := range c.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: outcome, Answer: []byte(answer)}) {
+		withheld = withheld || e.Kind == WithholdAnswer
 	}
-	w.step(k, &Event{Kind: RequestClosed, ID: id, Outcome: out, Answer: []byte(answer)})
-	return keptBack
+	c.step(k, &Event{Kind: RequestClosed, ID: id, Outcome: outcome, Answer: []byte(answer)})
+	return withheld
 }
 
-// balance checks that copies add up everywhere.
-func (w *world) balance() {
-	for k, e := range w.ends {
-		c := e.Counts()
-		require.Equal(w.t, c.CopiesReceived, c.Settled+c.Adopted+c.Failed+c.Dropped+c.Open, "n%d: %+v", k, c)
+// checkCounts checks that the counters of copies add up everywhere.
+func (c *cluster) checkCounts() {
+	for k, m := range c.managers {
+		n := m.Counts()
+		require.Equal(c.t, n.CopiesReceived, n.Settled+n.Adopted+n.Failed+n.Dropped+n.Open, "n%d: %+v", k, n)
 	}
 }
 
-// adopter gives who was told to adopt a search.
-func (w *world) adopter(id string) (who []int) {
-	for k := range w.ends {
-		if len(w.said(k, Adopt, id)) > 0 {
-			who = append(who, k)
+// adopters returns the members that were told to adopt a request.
+func (c *cluster) adopters(id string) (members []int) {
+	for k := range c.managers {
+		if len(c.effectsFor(k, Adopt, id)) > 0 {
+			members = append(members, k)
 		}
 	}
-	return who
+	return members
 }
--- /dev/null
+++ b/internal/handoff/replication.go
@@ -0,0 +1,221 @@
+package handoff
+
+import (
+	"slices"
+)
+
+// handleReplies takes what came back of a batch that was sent to another member.
+func (m *Manager) handleReplies(ev *Event) {
+	reply := ev.Batch
+	if reply == nil || !m.hasPlacement() {
+		m.counts.MessagesLost++
+		return
+	}
+	if reply.StalePlacement || reply.Version != m.table.Version {
+		if reply.Version > m.table.Version || reply.PlacementStep > m.table.Step {
+			m.emit(Effect{Kind: RefreshPlacement})
+		}
+		return
+	}
+	if len(reply.Items) != len(ev.Sent.Items) {
+		return
+	}
+	for i := range ev.Sent.Items {
+		m.handleReply(reply.From, &ev.Sent.Items[i], &reply.Items[i])
+	}
+}
+
+// handleReply takes a replica's reply to one item.
+func (m *Manager) handleReply(from Member, sent, reply *Item) {
+	switch sent.Op {
+	case OpQuery:
+		m.handleQueryReply(from, sent, reply)
+		return
+	case OpFetch:
+		m.handlePage(from, sent, reply)
+		return
+	case OpWithdraw:
+		m.handleWithdrawReply(from, sent, reply)
+		return
+	case OpMapID:
+		return
+	}
+	req := m.owned[sent.Key]
+	if req == nil || sent.Sequence != req.Sequence || req.phase == phaseDone {
+		return
+	}
+	if m.recordReply(req, from, sent, reply) {
+		m.evaluate(req)
+	}
+}
+
+// recordReply records a replica's reply to the latest message of a request, and reports whether it counts towards or against a quorum.
+func (m *Manager) recordReply(req *ownedRequest, from Member, sent, reply *Item) bool {
+	switch reply.Op {
+	case OpStored:
+		return recordAck(req, from, reply)
+	case OpNeedCopy:
+		m.sendCopy(req, from)
+		return false
+	case OpNeedHigher:
+		if req.phase == phaseRegistering {
+			req.Sequence = max(req.Sequence, reply.Sequence) + 1
+			m.replicate(req)
+		}
+		return false
+	case OpKnown:
+		if reply.Copy != nil && (req.known == nil || moreRecent(reply.Copy, req.known)) {
+			req.known = reply.Copy
+		}
+		if reply.Copy != nil && m.correctReplica(req, from, sent, reply.Copy) {
+			return false
+		}
+		req.refusals = append(req.refusals, from)
+	default:
+		if reply.Reason != reasonNoLease { // it may have one in a moment
+			req.refusals = append(req.refusals, from)
+		}
+	}
+	return true
+}
+
+// recordAck records that a replica has stored the latest message, and what it knows of earlier attempts.
+func recordAck(req *ownedRequest, from Member, reply *Item) bool {
+	if reply.Reason == reasonNotReady {
+		return false
+	}
+	earlier := &req.earlier
+	older := reply.RunState == earlier.RunState && reply.RunState != NotRun && reply.FirstAttemptAt < earlier.FirstAttemptAt
+	if reply.RunState > earlier.RunState || older {
+		*earlier = *reply
+	}
+	if !slices.Contains(req.acks, from) {
+		req.acks = append(req.acks, from)
+	}
+	return true
+}
+
+// sendCopy sends the whole copy of a request to a replica that has none.
+func (m *Manager) sendCopy(req *ownedRequest, to Member) {
+	switch {
+	case req.Complete && req.phase == phaseActive:
+		m.send(to.Name, Item{Op: OpRegister, Key: req.key, Sequence: req.Sequence, Copy: &req.Copy, From: req.Owner})
+	case req.phase == phaseClosing:
+		m.send(to.Name, m.currentItemWithCopy(req))
+	}
+}
+
+// correctReplica tells a replica what it missed, where it refused a message for a copy that is out of date. The message counts as
+// unanswered.
+func (m *Manager) correctReplica(req *ownedRequest, to Member, sent *Item, known *Copy) bool {
+	switch {
+	case missedAdoption(req, known):
+		c := req.Copy
+		c.Sequence, c.Outcome, c.Complete = req.Sequence-1, Open, req.phase == phaseActive
+		m.send(to.Name, Item{Op: OpAdopt, Key: req.key, Sequence: c.Sequence, Copy: &c, From: req.previousOwner, More: true})
+	case m.missedRegistration(req, sent, known), assumedFailure(req, sent, known):
+		m.send(to.Name, m.currentItemWithCopy(req))
+	default:
+		return false
+	}
+	return true
+}
+
+// missedAdoption reports whether a replica still takes an adopted request for its previous owner's.
+func missedAdoption(req *ownedRequest, known *Copy) bool {
+	return known.Outcome == Open && req.adopted && known.Owner == req.previousOwner && req.phase != phaseAdopting
+}
+
+// missedRegistration reports whether a replica has an open copy of a lost owner in place of a later request that now closes.
+func (m *Manager) missedRegistration(req *ownedRequest, sent *Item, known *Copy) bool {
+	return known.Outcome == Open && req.phase == phaseClosing && sent.Copy == nil && m.isLost(known.Owner) && known.Sequence < req.Sequence
+}
+
+// assumedFailure reports whether a successor recorded a request as failed, not knowing that it had succeeded under the lease of its owner.
+func assumedFailure(req *ownedRequest, sent *Item, known *Copy) bool {
+	return known.Outcome == Failed && known.ID == req.ID && req.phase == phaseClosing && req.Outcome == Succeeded && sent.Copy == nil
+}
+
+// evaluate does what follows from the replies so far.
+func (m *Manager) evaluate(req *ownedRequest) {
+	partition := req.key.Partition()
+	switch req.phase {
+	case phaseRegistering:
+		if m.hasQuorum(partition, req.acks) {
+			m.completeRegistration(req)
+		} else if m.quorumImpossible(partition, req.refusals) {
+			m.yieldToOwner(req)
+		}
+	case phaseAdopting:
+		if m.hasQuorum(partition, req.acks) {
+			m.completeAdoption(req)
+		} else if m.quorumImpossible(partition, req.refusals) {
+			m.cancelAdoption(req)
+		}
+	case phaseActive:
+		if m.hasQuorum(partition, req.acks) {
+			m.releaseAttempts(req)
+		}
+	case phaseClosing:
+		m.settleClose(req)
+	}
+}
+
+// resendUnacknowledged repeats messages that replicas have not answered, and ends what has waited for too long.
+func (m *Manager) resendUnacknowledged() {
+	remaining := m.unacknowledged[:0]
+	for _, req := range m.unacknowledged {
+		req.listed = false
+		if m.progress(req) {
+			req.listed = true
+			remaining = append(remaining, req)
+		}
+	}
+	clear(m.unacknowledged[len(remaining):])
+	m.unacknowledged = remaining
+}
+
+// progress looks at one unacknowledged request, and reports whether replicas are still expected to answer.
+func (m *Manager) progress(req *ownedRequest) bool {
+	if req.phase == phaseClosing {
+		m.settleClose(req)
+	}
+	if req.phase == phaseDone {
+		return false
+	}
+	m.expireHeldAttempts(req)
+	partition := req.key.Partition()
+	switch {
+	case m.registrationExpired(req):
+		m.expireRegistration(req)
+		return false
+	case req.phase == phaseAdopting && m.findInherited(req.previousOwner, partition) == nil:
+		m.abandonOwned(req) // another successor has it by now
+		return false
+	case req.phase == phaseActive && (req.bestEffort || req.sends > 3 && m.hasQuorum(partition, req.acks)):
+		return false
+	case req.bestEffort && req.sends > 2:
+		m.removeOwned(req)
+		return false
+	}
+	if m.now >= req.sentAt+resendBackoffMS(req.sends) {
+		m.resend(req)
+	}
+	return true
+}
+
+// resendBackoffMS is the time until a message that was sent so many times is repeated.
+func resendBackoffMS(sends int) float64 { return resendMS * float64(min(sends, 10)) }
+
+func (m *Manager) resend(req *ownedRequest) {
+	req.sentAt = m.now
+	req.sends++
+	req.refusals = req.refusals[:0]
+	it := m.currentItem(req)
+	if req.bestEffort {
+		return
+	}
+	for _, name := range m.notAcknowledged(req.key.Partition(), req.acks) {
+		m.send(name, it)
+	}
+}
--- a/internal/handoff/settings.go
+++ b/internal/handoff/settings.go
@@ -2,24 +2,30 @@
 
 import "liftshift/scheduler"
 
-// Settings are what a manager goes by.
+// Settings are what a Manager goes by.
 type Settings struct {
 	Classes      []scheduler.RequestClass
 	RetryBudget  scheduler.RetryBudget // for idempotent requests that a successor runs again
-	RetryAfterMS float64               // told with a rejection; 0: none
+	RetryAfterMS float64               // longest Retry-After of a rejection; 0: none
 
 	AdoptClasses        []string // idempotent classes that a successor runs again
 	AdoptAtOnce         int      // adopted requests in flight
-	CopyAfterMS         float64  // idempotent requests that take longer are copied
-	MaxCopies           int      // kept for other controllers
+	CopyAfterMS         float64  // idempotent requests that take longer are copied; 0: none are
+	MaxCopies           int      // stored for other controllers
 	MaxAnswerBytes      int      // longer answers are not copied
-	RememberMS          float64  // for which an idempotency key is kept past its window
+	RememberMS          float64  // for which an idempotency key is stored past its window
 	DoubtMS             float64  // for which keys of a partition that lost its quorum are rejected, if longer than the longest window
 	SendWithoutReplicas bool     // go on with what this controller has where too few replicas can be reached
 }
 
-// DefaultSettings returns what holds where the operators say nothing.
+// DefaultSettings returns the settings that hold where the operators say nothing.
 func DefaultSettings() Settings {
-	return Settings{RetryBudget: scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}, AdoptAtOnce: adoptAtOnce, CopyAfterMS: lagMS,
-		MaxCopies: usualKept, MaxAnswerBytes: usualAnswer, RememberMS: usualMemory}
+	return Settings{
+		RetryBudget:    scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1},
+		AdoptAtOnce:    defaultAdoptAtOnce,
+		CopyAfterMS:    defaultCopyAfterMS,
+		MaxCopies:      defaultMaxCopies,
+		MaxAnswerBytes: defaultMaxAnswerBytes,
+		RememberMS:     defaultKeyRetentionMS,
+	}
 }
--- a/internal/handoff/wire.go
+++ b/internal/handoff/wire.go
@@ -7,252 +7,247 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
+// errMalformed goes back to the peer that sent the batch: its text does not change.
 var errMalformed = errors.New("estate: a batch that can't be read")
 
-// writer writes fields of the protocol buffers' wire format; what is zero is left out.
-type writer []byte
+// The numbers of the fields are those of stored copies and of messages between controllers: they do not change.
+const (
+	copyID             protowire.Number = 1
+	copyIdempotencyKey protowire.Number = 2
+	copyClass          protowire.Number = 3
+	copyOrderKey       protowire.Number = 4
+	copyTeam           protowire.Number = 5
+	copySchema         protowire.Number = 6
+	copyTableGroup     protowire.Number = 7
+	copyMemoryMB       protowire.Number = 8
+	copyWorkMS         protowire.Number = 9
+	copyBody           protowire.Number = 10
+	copyOwner          protowire.Number = 11
+	copyIncarnation    protowire.Number = 12
+	copySequence       protowire.Number = 13
+	copyOutcome        protowire.Number = 14
+	copyRunState       protowire.Number = 15
+	copyFirstAttempt   protowire.Number = 16
+	copyZone           protowire.Number = 17
+	copyCell           protowire.Number = 18
+	copyDeadline       protowire.Number = 19
+	copyAnswer         protowire.Number = 20
+	copyComplete       protowire.Number = 21
+	copyIdempotent     protowire.Number = 22
+	copyConfirmed      protowire.Number = 23
 
-func (w *writer) number(field protowire.Number, v uint64) {
-	if v != 0 {
-		*w = protowire.AppendVarint(protowire.AppendTag(*w, field, protowire.VarintType), v)
-	}
-}
-
-func (w *writer) float(field protowire.Number, v float64) {
-	if v != 0 {
-		*w = protowire.AppendFixed64(protowire.AppendTag(*w, field, protowire.Fixed64Type), math.Float64bits(v))
-	}
-}
-
-func (w *writer) text(field protowire.Number, s string) {
-	if s != "" {
-		*w = protowire.AppendString(protowire.AppendTag(*w, field, protowire.BytesType), s)
-	}
-}
+	itemOp           protowire.Number = 1
+	itemKey          protowire.Number = 2
+	itemSequence     protowire.Number = 3
+	itemCopy         protowire.Number = 4
+	itemRunState     protowire.Number = 5
+	itemFirstAttempt protowire.Number = 6
+	itemZone         protowire.Number = 7
+	itemCell         protowire.Number = 8
+	itemOutcome      protowire.Number = 9
+	itemAnswer       protowire.Number = 10
+	itemFrom         protowire.Number = 11
+	itemIncarnation  protowire.Number = 12
+	itemPartition    protowire.Number = 13
+	itemAfter        protowire.Number = 14
+	itemMore         protowire.Number = 15
+	itemReason       protowire.Number = 16
+	itemCopies       protowire.Number = 17
 
-// bytes writes what may be empty, which is another thing than not there.
-func (w *writer) bytes(field protowire.Number, b []byte) {
-	if b != nil {
-		*w = protowire.AppendBytes(protowire.AppendTag(*w, field, protowire.BytesType), b)
-	}
-}
-
-func (w *writer) flag(field protowire.Number, b bool) {
-	if b {
-		w.number(field, 1)
-	}
-}
-
-// value is one field as it was read.
-type value struct {
-	number uint64
-	bytes  []byte
-}
-
-func (v value) float() float64 { return math.Float64frombits(v.number) }
-
-// fields reads all fields of a message.
-func fields(b []byte, each func(field protowire.Number, v value) error) error {
-	for len(b) > 0 {
-		field, kind, n := protowire.ConsumeTag(b)
-		if n < 0 {
-			return errMalformed
-		}
-		b = b[n:]
-		var v value
-		switch kind {
-		case protowire.VarintType:
-			v.number, n = protowire.ConsumeVarint(b)
-		case protowire.Fixed64Type:
-			v.number, n = protowire.ConsumeFixed64(b)
-		case protowire.BytesType:
-			v.bytes, n = protowire.ConsumeBytes(b)
-		default:
-			n = protowire.ConsumeFieldValue(field, kind, b)
-		}
-		if n < 0 {
-			return errMalformed
-		}
-		b = b[n:]
-		if err := each(field, v); err != nil {
-			return err
-		}
-	}
-	return nil
-}
+	batchFrom           protowire.Number = 1
+	batchIncarnation    protowire.Number = 2
+	batchVersion        protowire.Number = 3
+	batchPlacementStep  protowire.Number = 4
+	batchStalePlacement protowire.Number = 5
+	batchItem           protowire.Number = 6
+)
 
-func clone(b []byte) []byte { return append([]byte{}, b...) }
+// Bounds of what is read: of times, and of numbers that a peer may send as it likes.
+const (
+	maxTimeDistanceMS = 1e12
+	maxOp             = 255
+	maxPartition      = 1 << 16
+	minAgeMS          = 1e-3 // of an attempt: 0 stands for none
+)
 
-// ago is how a time goes over the wire: as ms before now. 0 stays 0.
-func ago(now, at float64) float64 {
+// age is how a time goes over the wire: as ms before now. 0 stays 0.
+func age(now, at float64) float64 {
 	if at == 0 {
 		return 0
 	}
-	return max(now-at, 1e-3)
+	return max(now-at, minAgeMS)
 }
 
-// back turns it into a time again, as early as it can have been.
-func back(now, ago float64) float64 {
-	if ago == 0 {
+// earliest is the earliest time that an age from the wire can stand for. 0 stays 0.
+func earliest(now, age float64) float64 {
+	if age == 0 {
 		return 0
 	}
-	return now - ago - sureMS
+	return now - age - ageUncertaintyMS
 }
 
 func (c *Copy) append(w *writer, now float64) {
-	w.text(1, c.ID)
-	w.text(2, c.IdempotencyKey)
-	w.text(3, c.Class)
-	w.text(4, c.OrderKey)
-	w.text(5, c.Team)
-	w.text(6, c.Schema)
-	w.number(7, c.TableGroup)
-	w.float(8, c.MemoryMB)
-	w.float(9, c.WorkMS)
-	w.bytes(10, c.Body)
-	w.text(11, c.Owner.Name)
-	w.number(12, c.Owner.Incarnation)
-	w.number(13, c.Sequence)
-	w.number(14, uint64(c.Outcome))
-	w.number(15, uint64(c.RunState))
-	w.float(16, ago(now, c.FirstAttemptAt))
-	w.text(17, c.Zone)
-	w.number(18, protowire.EncodeZigZag(c.Cell))
-	w.float(19, c.Deadline-now)
-	w.bytes(20, c.Answer)
-	w.flag(21, c.Complete)
-	w.flag(22, c.Idempotent)
-	w.flag(23, c.Confirmed)
+	w.text(copyID, c.ID)
+	w.text(copyIdempotencyKey, c.IdempotencyKey)
+	w.text(copyClass, c.Class)
+	w.text(copyOrderKey, c.OrderKey)
+	w.text(copyTeam, c.Team)
+	w.text(copySchema, c.Schema)
+	w.number(copyTableGroup, c.TableGroup)
+	w.float(copyMemoryMB, c.MemoryMB)
+	w.float(copyWorkMS, c.WorkMS)
+	w.bytes(copyBody, c.Body)
+	w.text(copyOwner, c.Owner.Name)
+	w.number(copyIncarnation, c.Owner.Incarnation)
+	w.number(copySequence, c.Sequence)
+	w.number(copyOutcome, uint64(c.Outcome))
+	w.number(copyRunState, uint64(c.RunState))
+	w.float(copyFirstAttempt, age(now, c.FirstAttemptAt))
+	w.text(copyZone, c.Zone)
+	w.number(copyCell, protowire.EncodeZigZag(c.Cell))
+	w.float(copyDeadline, c.Deadline-now)
+	w.bytes(copyAnswer, c.Answer)
+	w.flag(copyComplete, c.Complete)
+	w.flag(copyIdempotent, c.Idempotent)
+	w.flag(copyConfirmed, c.Confirmed)
 }
 
 func readCopy(b []byte, now float64) (c Copy, err error) {
-	err = fields(b, func(f protowire.Number, v value) error {
-		switch f {
-		case 1:
+	err = readFields(b, func(field protowire.Number, v value) error {
+		switch field {
+		case copyID:
 			c.ID = string(v.bytes)
-		case 2:
+		case copyIdempotencyKey:
 			c.IdempotencyKey = string(v.bytes)
-		case 3:
+		case copyClass:
 			c.Class = string(v.bytes)
-		case 4:
+		case copyOrderKey:
 			c.OrderKey = string(v.bytes)
-		case 5:
+		case copyTeam:
 			c.Team = string(v.bytes)
-		case 6:
+		case copySchema:
 			c.Schema = string(v.bytes)
-		case 7:
+		case copyTableGroup:
 			c.TableGroup = v.number
-		case 8:
+		case copyMemoryMB:
 			c.MemoryMB = v.float()
-		case 9:
+		case copyWorkMS:
 			c.WorkMS = v.float()
-		case 10:
+		case copyBody:
 			c.Body = clone(v.bytes)
-		case 11:
+		case copyOwner:
 			c.Owner.Name = string(v.bytes)
-		case 12:
+		case copyIncarnation:
 			c.Owner.Incarnation = v.number
-		case 13:
+		case copySequence:
 			c.Sequence = v.number
-		case 14:
+		case copyOutcome:
 			c.Outcome = Outcome(min(v.number, uint64(Unknown)))
-		case 15:
+		case copyRunState:
 			c.RunState = RunState(min(v.number, uint64(Ran)))
-		case 16:
-			c.FirstAttemptAt = back(now, v.float())
-		case 17:
+		case copyFirstAttempt:
+			c.FirstAttemptAt = earliest(now, v.float())
+		case copyZone:
 			c.Zone = string(v.bytes)
-		case 18:
+		case copyCell:
 			c.Cell = protowire.DecodeZigZag(v.number)
-		case 19:
+		case copyDeadline:
 			c.Deadline = now + v.float()
-		case 20:
+		case copyAnswer:
 			c.Answer = clone(v.bytes)
-		case 21:
+		case copyComplete:
 			c.Complete = v.number != 0
-		case 22:
+		case copyIdempotent:
 			c.Idempotent = v.number != 0
-		case 23:
+		case copyConfirmed:
 			c.Confirmed = v.number != 0
 		}
 		return nil
 	})
-	if !(c.Deadline >= now-1e12 && c.Deadline <= now+1e12) || math.IsNaN(c.FirstAttemptAt) || math.IsNaN(c.MemoryMB+c.WorkMS) {
+	if !c.plausible(now) {
 		return c, errMalformed
 	}
 	return c, err
 }
 
+// plausible reports whether the numbers of a copy that was read are numbers, and its deadline one that there can be.
+func (c *Copy) plausible(now float64) bool {
+	if math.IsNaN(c.FirstAttemptAt) || math.IsNaN(c.MemoryMB+c.WorkMS) {
+		return false
+	}
+	return c.Deadline >= now-maxTimeDistanceMS && c.Deadline <= now+maxTimeDistanceMS
+}
+
 func (it *Item) append(w *writer, now float64) {
-	w.number(1, uint64(it.Op))
+	w.number(itemOp, uint64(it.Op))
 	if it.Key != (Key{}) {
-		w.bytes(2, it.Key[:])
+		w.bytes(itemKey, it.Key[:])
 	}
-	w.number(3, it.Sequence)
+	w.number(itemSequence, it.Sequence)
 	if it.Copy != nil {
 		var c writer
 		it.Copy.append(&c, now)
-		w.bytes(4, c)
+		w.bytes(itemCopy, c)
 	}
-	w.number(5, uint64(it.RunState))
-	w.float(6, ago(now, it.FirstAttemptAt))
-	w.text(7, it.Zone)
-	w.number(8, protowire.EncodeZigZag(it.Cell))
-	w.number(9, uint64(it.Outcome))
-	w.bytes(10, it.Answer)
-	w.text(11, it.From.Name)
-	w.number(12, it.From.Incarnation)
-	w.number(13, uint64(it.Partition))
+	w.number(itemRunState, uint64(it.RunState))
+	w.float(itemFirstAttempt, age(now, it.FirstAttemptAt))
+	w.text(itemZone, it.Zone)
+	w.number(itemCell, protowire.EncodeZigZag(it.Cell))
+	w.number(itemOutcome, uint64(it.Outcome))
+	w.bytes(itemAnswer, it.Answer)
+	w.text(itemFrom, it.From.Name)
+	w.number(itemIncarnation, it.From.Incarnation)
+	w.number(itemPartition, uint64(it.Partition))
 	if it.After != (Key{}) {
-		w.bytes(14, it.After[:])
+		w.bytes(itemAfter, it.After[:])
 	}
-	w.flag(15, it.More)
-	w.text(16, it.Reason)
-	for k := range it.Copies {
+	w.flag(itemMore, it.More)
+	w.text(itemReason, it.Reason)
+	for i := range it.Copies {
 		var c writer
-		it.Copies[k].append(&c, now)
-		w.bytes(17, c)
+		it.Copies[i].append(&c, now)
+		w.bytes(itemCopies, c)
 	}
 }
 
 func readItem(b []byte, now float64) (it Item, err error) {
-	err = fields(b, func(f protowire.Number, v value) error {
-		switch f {
-		case 1:
-			it.Op = Op(min(v.number, 255))
-		case 2:
+	err = readFields(b, func(field protowire.Number, v value) error {
+		switch field {
+		case itemOp:
+			it.Op = Op(min(v.number, maxOp))
+		case itemKey:
 			copy(it.Key[:], v.bytes)
-		case 3:
+		case itemSequence:
 			it.Sequence = v.number
-		case 4:
+		case itemCopy:
 			c, err := readCopy(v.bytes, now)
 			it.Copy = &c
 			return err
-		case 5:
+		case itemRunState:
 			it.RunState = RunState(min(v.number, uint64(Ran)))
-		case 6:
-			it.FirstAttemptAt = back(now, v.float())
-		case 7:
+		case itemFirstAttempt:
+			it.FirstAttemptAt = earliest(now, v.float())
+		case itemZone:
 			it.Zone = string(v.bytes)
-		case 8:
+		case itemCell:
 			it.Cell = protowire.DecodeZigZag(v.number)
-		case 9:
+		case itemOutcome:
 			it.Outcome = Outcome(min(v.number, uint64(Unknown)))
-		case 10:
+		case itemAnswer:
 			it.Answer = clone(v.bytes)
-		case 11:
+		case itemFrom:
 			it.From.Name = string(v.bytes)
-		case 12:
+		case itemIncarnation:
 			it.From.Incarnation = v.number
-		case 13:
-			it.Partition = int(min(v.number, 1<<16))
-		case 14:
+		case itemPartition:
+			it.Partition = int(min(v.number, maxPartition))
+		case itemAfter:
 			copy(it.After[:], v.bytes)
-		case 15:
+		case itemMore:
 			it.More = v.number != 0
-		case 16:
+		case itemReason:
 			it.Reason = string(v.bytes)
-		case 17:
+		case itemCopies:
 			c, err := readCopy(v.bytes, now)
 			it.Copies = append(it.Copies, c)
 			return err
@@ -265,38 +260,38 @@
 	return it, err
 }
 
-// Append writes a batch, with times as so many ms from now.
+// Append appends the batch to out, with times in ms from now, and returns the result.
 func (b *Batch) Append(out []byte, now float64) []byte {
 	w := writer(out)
-	w.text(1, b.From.Name)
-	w.number(2, b.From.Incarnation)
-	w.number(3, b.Version)
-	w.number(4, b.PlacementStep)
-	w.flag(5, b.StalePlacement)
-	for k := range b.Items {
-		var it writer
-		b.Items[k].append(&it, now)
-		w.bytes(6, it)
+	w.text(batchFrom, b.From.Name)
+	w.number(batchIncarnation, b.From.Incarnation)
+	w.number(batchVersion, b.Version)
+	w.number(batchPlacementStep, b.PlacementStep)
+	w.flag(batchStalePlacement, b.StalePlacement)
+	for i := range b.Items {
+		var item writer
+		b.Items[i].append(&item, now)
+		w.bytes(batchItem, item)
 	}
 	return w
 }
 
-// ReadBatch reads one, which came now.
+// ReadBatch reads a batch that was received now.
 func ReadBatch(data []byte, now float64) (*Batch, error) {
 	b := &Batch{}
-	err := fields(data, func(f protowire.Number, v value) error {
-		switch f {
-		case 1:
+	err := readFields(data, func(field protowire.Number, v value) error {
+		switch field {
+		case batchFrom:
 			b.From.Name = string(v.bytes)
-		case 2:
+		case batchIncarnation:
 			b.From.Incarnation = v.number
-		case 3:
+		case batchVersion:
 			b.Version = v.number
-		case 4:
+		case batchPlacementStep:
 			b.PlacementStep = v.number
-		case 5:
+		case batchStalePlacement:
 			b.StalePlacement = v.number != 0
-		case 6:
+		case batchItem:
 			it, err := readItem(v.bytes, now)
 			b.Items = append(b.Items, it)
 			return err
@@ -306,12 +301,12 @@
 	return b, err
 }
 
-// AppendCopy writes a copy for a disk, with times as so many ms from now.
+// AppendCopy appends a copy to out for a disk, with times in ms from now, and returns the result.
 func AppendCopy(out []byte, c *Copy, now float64) []byte {
 	w := writer(out)
 	c.append(&w, now)
 	return w
 }
 
-// ReadCopy reads it, so many ms of now later than it was written.
+// ReadCopy reads what AppendCopy wrote, with its times counted from now.
 func ReadCopy(data []byte, now float64) (Copy, error) { return readCopy(data, now) }
