--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -130,7 +130,7 @@
 func parts(w io.Writer, report store.Report) {
 	fmt.Fprintln(w, "file\trecords\tbytes\tcount\tproblem")
 	for _, p := range report.Files {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", p.Name, p.Records, p.ValidBytes, p.Counts, p.Problem)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", p.Name, p.Records, p.ValidBytes, p.CountedBytes, p.Problem)
 	}
 	for _, name := range report.Leftover {
 		fmt.Fprintf(w, "%s\t\t\t\tleft over; removed at the next start\n", name)
@@ -187,8 +187,8 @@
 	case !done.Needed:
 		fmt.Fprintln(out, "not needed: the store opens")
 	default:
-		fmt.Fprintf(out, "%d records saved, %d bytes could not be read; the old files are kept as %s\n", done.Records, done.Skipped,
-			strings.Join(done.Aside, ", "))
+		fmt.Fprintf(out, "%d records saved, %d bytes could not be read; the old files are kept as %s\n", done.Records, done.SkippedBytes,
+			strings.Join(done.Quarantined, ", "))
 	}
 	return nil
 }
--- a/internal/assembly/admin.go
+++ b/internal/assembly/admin.go
@@ -21,7 +21,7 @@
 	x.routeHandoff(&router)
 	x.routeLocality(&router)
 	x.routeQuotas(&router)
-	return retry.For(retry.AtStart, func() (err error) {
+	return retry.Do(retry.StartTimeout, func() (err error) {
 		x.admin, err = adminapi.Serve(x.file.Control, router.Answer)
 		return err
 	}, adminapi.ErrInUse)
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -106,7 +106,7 @@
 	post := func(event ledger.Event) { x.loop.Put(dispatch.QueueItem{Message: &event}) }
 	var opened *ledgerstore.Store
 	var found store.Recovery
-	err = retry.For(retry.AtStart, func() error { // the process before this one may still be ending
+	err = retry.Do(retry.StartTimeout, func() error { // the process before this one may still be ending
 		opened, found, err = ledgerstore.Open(vfs.WithFaults(dir), options, *ledgerSettings(platform, block, x.file.Handoff), clock.Now, post, x.log)
 		return err
 	}, vfs.ErrInUse)
--- a/internal/assembly/cluster_admin.go
+++ b/internal/assembly/cluster_admin.go
@@ -51,7 +51,7 @@
 func (c *cluster) membersReply(now float64, v *membership.View) adminapi.MembersReply {
 	n := v.Counts()
 	reply := adminapi.MembersReply{Cluster: c.file.Name, Self: v.Self().Name, Present: v.Present(), Slowness: v.Health(),
-		Probes: n.Probes, Unanswered: n.Unanswered, Sent: n.Sent, SentBytes: n.SentBytes, Received: n.Heard,
+		Probes: n.Probes, Unanswered: n.Unanswered, Sent: n.Sent, SentBytes: n.SentBytes, Received: n.Received,
 		Hash: strconv.FormatUint(v.Hash(), 16)}
 	for _, m := range v.Members() {
 		reply.Members = append(reply.Members, adminapi.Member{Name: m.Name, Incarnation: strconv.FormatUint(m.Incarnation, 10),
--- a/internal/assembly/cluster_events.go
+++ b/internal/assembly/cluster_events.go
@@ -106,7 +106,7 @@
 		return
 	}
 	c.x.log.WithFields(logrus.Fields{"probes": n.Probes, "unanswered": n.Unanswered, "indirect": n.Indirect, "refuted": n.Refuted,
-		"condemned": n.Condemned, "stalls": n.Stalls, "sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Heard, "foreign": n.Foreign,
-		"newer": n.Newer, "malformed": n.Malformed, "exchanges": n.Exchanges, "merged": n.Merged, "crowded": n.Crowded,
+		"condemned": n.ReportedDead, "stalls": n.Stalls, "sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Received, "foreign": n.Foreign,
+		"newer": n.Newer, "malformed": n.Malformed, "exchanges": n.Exchanges, "merged": n.Merged, "crowded": n.RejectedForSpace,
 		"dropped": c.transport.Dropped.Load(), "calls_lost": c.transport.CallsLost.Load(), "declared_lost": c.declaredLost.Load()}).Info("cluster")
 }
--- a/internal/clusternet/transport.go
+++ b/internal/clusternet/transport.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return fmt.Errorf("cluster transport: %w", err)
 	}
-	err = retry.Listening(func() error {
+	err = retry.Listen(func() error {
 		t.udpConn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		return err
 	})
@@ -98,7 +98,7 @@
 		return fmt.Errorf("cluster transport: %w", err)
 	}
 	var listener net.Listener
-	err = retry.Listening(func() error {
+	err = retry.Listen(func() error {
 		listener, err = net.Listen("tcp", t.Listen)
 		return err
 	})
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -206,7 +206,7 @@
 	for _, nd := range f.Nodes {
 		assert.LessOrEqual(t, len(nd.View.Members()), 200)
 	}
-	assert.Positive(t, f.Nodes[0].View.Counts().Crowded)
+	assert.Positive(t, f.Nodes[0].View.Counts().RejectedForSpace)
 	f.Run(f.Now + 60_000)
 	f.Kill(3)
 	f.Run(f.Now + 100)
--- a/internal/membership/datagram.go
+++ b/internal/membership/datagram.go
@@ -7,7 +7,7 @@
 	msg, err := parseMessage(v.fleet, data)
 	switch {
 	case err == nil:
-		v.counts.Heard++
+		v.counts.Received++
 		return msg, true
 	case errors.Is(err, errForeign):
 		v.counts.Foreign++
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -56,7 +56,7 @@
 		b.Step(1, &Event{Kind: DatagramReceived, Data: d})
 	}
 	c := b.Counts()
-	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{c.Newer, c.Foreign, c.Malformed, c.Heard})
+	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{c.Newer, c.Foreign, c.Malformed, c.Received})
 	assert.Zero(t, b.Size())
 }
 
@@ -118,7 +118,7 @@
 	b.Step(2, &Event{Kind: DatagramReceived, Data: a.encodeMessage(&message{kind: kindGossip, members: []Member{
 		{Name: "b", Address: "2", Incarnation: 3, Refutation: before, State: Dead}}}, nil)})
 	assert.Equal(t, before+1, b.Self().Refutation)
-	assert.Equal(t, uint64(1), b.Counts().Condemned)
+	assert.Equal(t, uint64(1), b.Counts().ReportedDead)
 	require.NotEmpty(t, b.Explain("b"))
 }
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -126,7 +126,7 @@
 // insert adds a member that was not known, or returns nil where there is no room.
 func (v *View) insert(record *Member) *member {
 	if len(v.byName) >= v.settings.MaxMembers && !v.evictOldest() {
-		v.counts.Crowded++
+		v.counts.RejectedForSpace++
 		return nil
 	}
 	m := &member{Member: Member{Name: record.Name, Incarnation: record.Incarnation, Address: record.Address}}
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -92,7 +92,7 @@
 	}
 	v.counts.Refuted++
 	if record.State == Dead {
-		v.counts.Condemned++
+		v.counts.ReportedDead++
 	}
 	v.addEvidence(v.self, "said to be "+record.State.String()+", refuted", reporter)
 	v.adjustHealth(1)
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -130,10 +130,10 @@
 
 // Counts are the counters of a View since its start.
 type Counts struct {
-	Probes, Unanswered, Indirect, Refuted, Stalls     uint64
-	Sent, SentBytes, Heard, Foreign, Newer, Malformed uint64
-	Exchanges, Merged, Crowded, Stale, DuplicateNames uint64
-	Condemned                                         uint64 // reports that this controller itself is dead
+	Probes, Unanswered, Indirect, Refuted, Stalls              uint64
+	Sent, SentBytes, Received, Foreign, Newer, Malformed       uint64
+	Exchanges, Merged, RejectedForSpace, Stale, DuplicateNames uint64
+	ReportedDead                                               uint64 // reports that this controller itself is dead
 }
 
 // Evidence is one observation about a member.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// AtStart is how long a start retries: half of the time in which a restarted controller has to be ready.
-	AtStart = 5 * time.Second
+	// StartTimeout is how long a start retries: half of the time in which a restarted controller has to be ready.
+	StartTimeout = 5 * time.Second
 	// Pause is the time between two calls.
 	Pause = 50 * time.Millisecond
 )
 
 // Momentary lists the system's errors that may be gone at the next call.
-var Momentary = []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
+var Transient = []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
-// For repeats a call until it succeeds, fails with an error that is not in the transient ones, or the time is over. It returns the
+// Do repeats a call until it succeeds, fails with an error that is not in the transient ones, or the time is over. It returns the
 // last error.
-func For(timeout time.Duration, call func() error, transient ...error) error {
+func Do(timeout time.Duration, call func() error, transient ...error) error {
 	began := time.Now()
 	for {
 		err := call()
@@ -33,7 +33,7 @@
 	}
 }
 
-// Listening repeats a call that listens at an address: the process before this one may still be ending there.
-func Listening(call func() error) error {
-	return For(AtStart, call, append([]error{syscall.EADDRINUSE}, Momentary...)...)
+// Listen repeats a call that listens at an address: the process before this one may still be ending there.
+func Listen(call func() error) error {
+	return Do(StartTimeout, call, append([]error{syscall.EADDRINUSE}, Transient...)...)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,13 +21,13 @@
 			return nil
 		}
 	}
-	assert.NoError(t, Listening(fails(syscall.EADDRINUSE, syscall.ENFILE, syscall.ENOBUFS)))
+	assert.NoError(t, Listen(fails(syscall.EADDRINUSE, syscall.ENFILE, syscall.ENOBUFS)))
 	assert.Equal(t, 4, calls)
 	other := errors.New("no address")
-	assert.ErrorIs(t, Listening(fails(syscall.EADDRINUSE, other)), other)
+	assert.ErrorIs(t, Listen(fails(syscall.EADDRINUSE, other)), other)
 	assert.Equal(t, 2, calls)
-	assert.ErrorIs(t, For(2*Pause, func() error { return other }, other), other)
+	assert.ErrorIs(t, Do(2*Pause, func() error { return other }, other), other)
 	began := time.Now()
-	assert.ErrorIs(t, For(3*Pause, func() error { return syscall.EIO }, syscall.EIO), syscall.EIO)
+	assert.ErrorIs(t, Do(3*Pause, func() error { return syscall.EIO }, syscall.EIO), syscall.EIO)
 	assert.GreaterOrEqual(t, time.Since(began), 3*Pause)
 }
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -63,10 +63,10 @@
 
 // readWithRetries reads a file, and again after transient errors.
 func readWithRetries(path string, read func(string) ([]byte, error)) (text []byte, err error) {
-	err = retry.For(readRetryTime, func() error {
+	err = retry.Do(readRetryTime, func() error {
 		text, err = read(path)
 		return err
-	}, append([]error{syscall.EIO}, retry.Momentary...)...)
+	}, append([]error{syscall.EIO}, retry.Transient...)...)
 	return text, err
 }
 
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -20,7 +20,7 @@
 		if err := s.openRecovered(p); err != nil {
 			return recovery, err
 		}
-		recovery.Bytes += p.Counts
+		recovery.Bytes += p.CountedBytes
 	}
 	for _, name := range report.Leftover {
 		if err := s.fs.Remove(name); err != nil {
@@ -42,6 +42,6 @@
 	if p.Snapshot {
 		id = snapshotID(p.ID)
 	}
-	s.files[id], s.fileBytes[id] = file, p.Counts
+	s.files[id], s.fileBytes[id] = file, p.CountedBytes
 	return nil
 }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -14,10 +14,10 @@
 
 // RepairResult is what a repair did.
 type RepairResult struct {
-	Needed  bool     `json:"Needed"`
-	Records int      `json:"Records"` // live ones that were saved
-	Skipped int64    `json:"Skipped"` // bytes that could not be read
-	Aside   []string `json:"Aside"`   // files taken out of the store, under their new names
+	Needed       bool     `json:"Needed"`
+	Records      int      `json:"Records"` // live ones that were saved
+	SkippedBytes int64    `json:"Skipped"` // bytes that could not be read
+	Quarantined  []string `json:"Aside"`   // files taken out of the store, under their new names
 }
 
 // Repair makes a store that is damaged open again: whatever can be read in any file goes into a snapshot, the old files are taken
@@ -53,7 +53,7 @@
 		if err != nil {
 			return result, err
 		}
-		result.Skipped += skipped
+		result.SkippedBytes += skipped
 	}
 	result.Records = table.Len()
 	if err := writeRepaired(fs, options.withDefaults(), survey.maxID+1, &table); err != nil {
@@ -63,7 +63,7 @@
 		if err := fs.Rename(p.Name, p.Name+quarantineSuffix); err != nil {
 			return result, err
 		}
-		result.Aside = append(result.Aside, p.Name+quarantineSuffix)
+		result.Quarantined = append(result.Quarantined, p.Name+quarantineSuffix)
 	}
 	return result, fs.SyncDir()
 }
--- a/internal/store/survey.go
+++ b/internal/store/survey.go
@@ -11,15 +11,15 @@
 
 // FileReport is one file of a store, as read.
 type FileReport struct {
-	Name       string `json:"Name"`
-	Snapshot   bool   `json:"Snapshot"`
-	ID         uint64 `json:"ID"`
-	Length     int64  `json:"Length"`     // of the file
-	ValidBytes int64  `json:"ValidBytes"` // bytes that can be read
-	Counts     int64  `json:"Counts"`     // bytes that count: the file after it says so, or all that are valid in the last
-	Records    int    `json:"Records"`
-	InDoubt    bool   `json:"InDoubt"` // begun after a tail that was not as it was left
-	Problem    string `json:"Problem"` // empty: none
+	Name         string `json:"Name"`
+	Snapshot     bool   `json:"Snapshot"`
+	ID           uint64 `json:"ID"`
+	Length       int64  `json:"Length"`     // of the file
+	ValidBytes   int64  `json:"ValidBytes"` // bytes that can be read
+	CountedBytes int64  `json:"Counts"`     // bytes that count: the file after it says so, or all that are valid in the last
+	Records      int    `json:"Records"`
+	InDoubt      bool   `json:"InDoubt"` // begun after a tail that was not as it was left
+	Problem      string `json:"Problem"` // empty: none
 }
 
 // Report is what a survey of a folder found.
@@ -165,7 +165,7 @@
 		s.setDamage(p, err)
 		return nil, h, f.Close()
 	}
-	p.ValidBytes, p.Counts = headerSize, headerSize
+	p.ValidBytes, p.CountedBytes = headerSize, headerSize
 	p.InDoubt = h.inDoubt
 	return f, h, nil
 }
@@ -175,7 +175,7 @@
 	f, h, err := s.openFile(&p, kindSnapshot)
 	if f != nil {
 		p.ValidBytes, p.Records, err = scanRecords(f, uint64(snapshotID(id)), min(h.length, p.Length), each)
-		p.Counts = h.length
+		p.CountedBytes = h.length
 		if err == nil && (p.ValidBytes != h.length || uint64(p.Records) != h.records) {
 			s.setDamage(&p, fmt.Errorf("%w: %d bytes and %d records are valid of %d and %d", ErrDamaged, p.ValidBytes, p.Records,
 				h.length, h.records))
@@ -279,7 +279,7 @@
 	if p.ValidBytes, p.Records, err = scanRecords(f, h.id, p.Length, each); err != nil {
 		return err
 	}
-	p.Counts = p.ValidBytes
+	p.CountedBytes = p.ValidBytes
 	s.last = segment{id: h.id, end: p.ValidBytes, durable: p.ValidBytes}
 	return s.checkTail(f, p, h)
 }
@@ -289,7 +289,7 @@
 	if p.ValidBytes, p.Records, err = scanRecords(f, p.ID, min(p.Length, end), each); err != nil {
 		return err
 	}
-	p.Counts = end
+	p.CountedBytes = end
 	if p.ValidBytes < end {
 		s.setDamage(p, fmt.Errorf("%w: %d bytes are valid of the %d that count", ErrDamaged, p.ValidBytes, end))
 	}
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -88,7 +88,7 @@
 func NewClientServer(listen string, offerings map[string]ClassLimits, queue EventQueue, clock dispatch.Clock,
 	doors ServerLimits, log logrus.FieldLogger) (*ClientServer, error) {
 	var l net.Listener
-	err := retry.Listening(func() (err error) {
+	err := retry.Listen(func() (err error) {
 		l, err = net.Listen("tcp", listen)
 		return err
 	})
--- a/internal/wire/peers.go
+++ b/internal/wire/peers.go
@@ -60,7 +60,7 @@
 			return nil, err
 		}
 	}
-	err = retry.Listening(func() (err error) {
+	err = retry.Listen(func() (err error) {
 		p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 		return err
 	})
