--- /dev/null
+++ b/scheduler/orderkeys_test.go
@@ -0,0 +1,21 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestScheduler_RunsOrderKeyInTurnAndBlocksItAfterUnknownOutcome(t *testing.T) {
+	s := newTestScheduler(3, func(s *Settings) { s.Classes[0].InOrder = true; s.OrderKeyRestMS = 400 })
+	keyed := func(id string) []ActionKind {
+		ev := Event{Kind: RequestArrived, Request: id, Class: "read", OrderKey: "k", WorkMS: 9, Deadline: 9000}
+		return actionKinds(s.Step(1000, &ev, nil))
+	}
+	assert.Equal(t, []ActionKind{SetResources, Send}, keyed("a"))
+	assert.Empty(t, keyed("b"))
+	assert.Equal(t, []ActionKind{Cancel}, actionKinds(s.Step(1010, &Event{Kind: ClientLeft, Request: "a"}, nil)))
+	assert.Empty(t, actionKinds(endAttempt(s, 1020, "a", 0, Cancelled)), "the key is blocked")
+	assert.Empty(t, actionKinds(tickAt(s, 1400)))
+	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(tickAt(s, 1425)))
+}
