--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter plays the bench's batches, read from standard input, to instances of the decision
-// module, which share nothing, and writes what they decide to standard output. It decides nothing itself.
+// Command simadapter plays the batches of the simulator, read from standard input, to instances of the scheduler, and writes what
+// they decide to standard output. The instances share nothing. It decides nothing itself.
 package main
 
 import (
@@ -12,58 +12,71 @@
 	"liftshift/scheduler"
 )
 
-// hall hosts the instances of this process by number.
-type hall struct {
+// host runs the instances of this process, by number.
+type host struct {
 	instances map[int]scheduler.Policy
 	reply     []byte
 	actions   []scheduler.Action
 }
 
-func (h *hall) Attach(instance int, seed uint64, settings scheduler.Settings) error {
+// StartInstance implements simproto.Host.
+func (h *host) StartInstance(instance int, seed uint64, settings scheduler.Settings) error {
 	h.instances[instance] = scheduler.New(seed, settings)
 	return nil
 }
 
-func (h *hall) Stop(instance int) error {
-	if h.instances[instance] == nil {
-		return fmt.Errorf("instance %d does not run", instance)
+// StopInstance implements simproto.Host.
+func (h *host) StopInstance(instance int) error {
+	if _, err := h.running(instance); err != nil {
+		return err
 	}
 	delete(h.instances, instance)
 	return nil
 }
 
-func (h *hall) Event(instance int, now float64, ev *scheduler.Event) error {
-	one := h.instances[instance]
-	if one == nil {
-		return fmt.Errorf("instance %d does not run", instance)
+// HandleEvent implements simproto.Host: it appends the actions to the reply.
+func (h *host) HandleEvent(instance int, now float64, ev *scheduler.Event) error {
+	policy, err := h.running(instance)
+	if err != nil {
+		return err
 	}
-	h.actions = one.Step(now, ev, h.actions[:0])
+	h.actions = policy.Step(now, ev, h.actions[:0])
 	for i := range h.actions {
-		h.reply = simproto.Append(h.reply, instance, &h.actions[i])
+		h.reply = simproto.AppendAction(h.reply, instance, &h.actions[i])
 	}
 	return nil
 }
 
-func play(in io.Reader, out io.Writer) error {
-	h := &hall{instances: map[int]scheduler.Policy{}}
-	r := simproto.NewReader(in)
+// running returns an instance that runs.
+func (h *host) running(instance int) (scheduler.Policy, error) {
+	policy, ok := h.instances[instance]
+	if !ok {
+		return nil, fmt.Errorf("instance %d does not run", instance)
+	}
+	return policy, nil
+}
+
+// serve answers batches until the input ends.
+func serve(in io.Reader, out io.Writer) error {
+	h := &host{instances: map[int]scheduler.Policy{}}
+	reader := simproto.NewReader(in)
 	for {
 		h.reply = h.reply[:0]
-		seq, err := r.Batch(h)
+		number, err := reader.ReadBatch(h)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if _, err := out.Write(simproto.AppendEnd(h.reply, seq)); err != nil {
+		if _, err := out.Write(simproto.AppendBatchEnd(h.reply, number)); err != nil {
 			return err
 		}
 	}
 }
 
 func main() {
-	if err := play(os.Stdin, os.Stdout); err != nil {
+	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -10,7 +10,7 @@
 	"liftshift/scheduler"
 )
 
-// host keeps what it is told; instance 3 runs.
+// host records what it gets; only instance 3 runs.
 type host struct {
 	settings scheduler.Settings
 	seed     uint64
@@ -19,12 +19,17 @@
 	now      float64
 }
 
-func (h *host) Attach(_ int, seed uint64, settings scheduler.Settings) error {
+func (h *host) StartInstance(_ int, seed uint64, settings scheduler.Settings) error {
 	h.seed, h.settings = seed, settings
 	return nil
 }
-func (h *host) Stop(instance int) error { h.stopped = append(h.stopped, instance); return nil }
-func (h *host) Event(instance int, now float64, ev *scheduler.Event) error {
+
+func (h *host) StopInstance(instance int) error {
+	h.stopped = append(h.stopped, instance)
+	return nil
+}
+
+func (h *host) HandleEvent(instance int, now float64, ev *scheduler.Event) error {
 	if instance != 3 {
 		return io.ErrUnexpectedEOF
 	}
@@ -35,11 +40,11 @@
 func play(lines ...string) (*host, uint64, error) {
 	h := &host{}
 	text := "BEGIN_BATCH\tClock=1500\tseq=12\n" + strings.Join(lines, "\n") + "\nEOF_BATCH\n"
-	seq, err := NewReader(strings.NewReader(strings.ReplaceAll(text, "\n\n", "\n"))).Batch(h)
+	seq, err := NewReader(strings.NewReader(strings.ReplaceAll(text, "\n\n", "\n"))).ReadBatch(h)
 	return h, seq, err
 }
 
-func TestEvents(t *testing.T) {
+func TestReader_ReadsEvents(t *testing.T) {
 	h, seq, err := play("ARRIVAL\tI=3\tHandle=t/b\tTableGroup=11\tTable=91f0\tTierClass=look\tWantMb=384\t"+
 		"DropDead=8652250\tEstimate=12000\tNewThing=1", "TIMER\tI=3\tKeyBack=77",
 		"VERDICT\tI=3\tHandle=t/b\tExecutor=5\tCode=completed\tSpent=18500\tOver=1\tUsedUp=69728\tLoad=1,0.5",
@@ -56,7 +61,7 @@
 	assert.Equal(t, scheduler.Event{Kind: scheduler.ProgressReported, Request: "t/b", Attempt: 1, Progress: scheduler.Waiting, Value: 2}, h.events[3])
 }
 
-func TestBanksAreReusedWithinABatch(t *testing.T) {
+func TestReader_ReusesListNumbersWithinBatch(t *testing.T) {
 	h, _, err := play("SNAPSHOT_ROWS\tBank=2\tRecords=1", "ITEM\tExecutor=7\tType=a\tAvailability=active\tUpSince=2000",
 		"ENDPOINTS\tI=3\tKind=restored\tBank=2", "SNAPSHOT_ROWS\tBank=2", "ENDPOINTS\tI=3\tKind=replace\tBank=2",
 		"ENDPOINTS\tI=3\tKind=unavailable")
@@ -66,7 +71,7 @@
 	assert.Equal(t, scheduler.ListUnavailable, h.events[2].List)
 }
 
-func TestSettingsTakeOurNames(t *testing.T) {
+func TestReader_StartsInstanceWithTypedSettings(t *testing.T) {
 	h, _, err := play("STOP\tI=3", `ATTACH	I=3	Nonce64=9	Settings={"Siblings": 2, "Odd": [1], "Kinds": ["safe"], `+
 		`"Classes": [{"Name": "safe", "Idempotency": "keyed", "Aim": 2000, "KindsOpen": ["probe"]}], `+
 		`"FamilyInfo": {"ClassLoad": [true], "ClassThreads": [2]}}`)
@@ -82,7 +87,7 @@
 	assert.Equal(t, want, h.settings)
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestReader_NamesMalformedLines(t *testing.T) {
 	for line, want := range map[string]string{
 		"NONSENSE\tI=3":                                       "line 2: unknown event",
 		"TIMER\tI=3\tKeyBack=x":                               "line 2: TIMER: KeyBack",
@@ -104,17 +109,19 @@
 	} {
 		_, _, err := play(line)
 		assert.ErrorContains(t, err, want, line)
+		var wrong *LineError
+		assert.ErrorAs(t, err, &wrong, line)
 	}
 	for text, want := range map[string]string{"EOF_BATCH\n": "BEGIN_BATCH expected", "BEGIN_BATCH\tseq=1\n": "Clock is missing",
 		"BEGIN_BATCH\tClock=1\tseq=1\n": "no EOF_BATCH", "BEGIN_BATCH\tClock=1": "breaks off"} {
-		_, err := NewReader(strings.NewReader(text)).Batch(&host{})
+		_, err := NewReader(strings.NewReader(text)).ReadBatch(&host{})
 		assert.ErrorContains(t, err, want)
 	}
-	_, err := NewReader(strings.NewReader("")).Batch(&host{})
+	_, err := NewReader(strings.NewReader("")).ReadBatch(&host{})
 	assert.Equal(t, io.EOF, err)
 }
 
-func TestActions(t *testing.T) {
+func TestAppendAction_WritesLines(t *testing.T) {
 	for want, a := range map[string]scheduler.Action{
 		"ASSIGN\tI=3\tHandle=t/b\tExecutor=7\n":            {Kind: scheduler.Send, Request: "t/b", Executor: 7},
 		"RESOURCES\tI=3\tHandle=t/b\tGrantMb=64\tPrio=2\n": {Kind: scheduler.SetResources, Request: "t/b", GrantMB: 64, Level: 2},
@@ -129,7 +136,7 @@
 		"SHARE\tI=3\tDest=4\tData=AQ==\n":                  {Kind: scheduler.SendPeer, Peer: 4, Payload: []byte{1}},
 		"LOG\tI=3\tBodyText=two known\n":                   {Kind: scheduler.Log, Text: "two known"},
 	} {
-		assert.Equal(t, want, string(Append(nil, 3, &a)))
+		assert.Equal(t, want, string(AppendAction(nil, 3, &a)))
 	}
-	assert.Equal(t, "FINISHED\tseq=12\n", string(AppendEnd(nil, 12)))
+	assert.Equal(t, "FINISHED\tseq=12\n", string(AppendBatchEnd(nil, 12)))
 }
