--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -107,10 +107,12 @@
 		"ATTACH\tI=3":                                         "Settings is missing",
 		"MESSAGE\tI=3\tData=%":                                "MESSAGE: Data",
 	} {
-		_, _, err := play(line)
-		assert.ErrorContains(t, err, want, line)
-		var wrong *LineError
-		assert.ErrorAs(t, err, &wrong, line)
+		t.Run(want, func(t *testing.T) {
+			_, _, err := play(line)
+			assert.ErrorContains(t, err, want, line)
+			var wrong *LineError
+			assert.ErrorAs(t, err, &wrong, line)
+		})
 	}
 	for text, want := range map[string]string{"EOF_BATCH\n": "BEGIN_BATCH expected", "BEGIN_BATCH\tseq=1\n": "Clock is missing",
 		"BEGIN_BATCH\tClock=1\tseq=1\n": "no EOF_BATCH", "BEGIN_BATCH\tClock=1": "breaks off"} {
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,12 +1,11 @@
 package scheduler
 
-// Admission: which requests are taken in hand, which attempts may be sent, and which requests may be
-// rejected.
+// Admission: which requests are accepted, which attempts may be sent, and which requests may be rejected.
 //
-// It keeps these rules. Each request gets one final answer before its client gives up. Nothing takes effect
-// twice: what may have run is sent again only where its class permits it, for a keyed class only to executors
-// that drop the repeat, while they remember it. Requests with the same order key run one after another.
-// Requests stay within the kinds and zones of their class.
+// Every request is answered once, before its deadline. Effects are never duplicated: after an attempt that
+// may have run, a non-idempotent request gets no other, and a keyed one only on executors that deduplicate
+// it, within the dedup window. Requests with one order key are serialized. The placement constraints of a
+// class always hold.
 
 const (
 	answerMarginMS = 25 // before the deadline: a tick and a timer's delay
@@ -116,9 +115,8 @@
 	return s.now+zone.LatencyMS+class.minRunMS(r) > r.deadline-answerMarginMS
 }
 
-// mayReject is the one place that decides whether a request may be rejected. A rejection tells the client
-// that another try does no harm, so nothing of the request may have run unless a repeat of it is harmless
-// wherever it goes.
+// mayReject is the one place that decides whether a request may be rejected. Clients retry what is rejected,
+// so nothing of the request may have run unless a repeat of it is harmless wherever it goes.
 func (s *Scheduler) mayReject(r *request) bool {
 	class := &s.classes[r.class]
 	droppedEverywhere := class.effect == Keyed && class.dedupScope == DedupAll
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -24,18 +24,29 @@
 		outcome Outcome
 		want    []ActionKind
 	}{
-		{"read", ConnectionLost, []ActionKind{SetResources, Send}}, {"keyed", Errored, []ActionKind{SetResources, Send}},
-		{"unsafe", Errored, []ActionKind{Fail}}, {"unsafe", ConnectionLost, []ActionKind{Fail}},
-		{"unsafe", Overloaded, []ActionKind{SetResources, Send}}, {"unsafe", ConnectFailed, []ActionKind{SetResources, Send}},
+		{"read", ConnectionLost, []ActionKind{SetResources, Send}},
+		{"keyed", Errored, []ActionKind{SetResources, Send}},
+		{"unsafe", Errored, []ActionKind{Fail}},
+		{"unsafe", ConnectionLost, []ActionKind{Fail}},
+		{"unsafe", Overloaded, []ActionKind{SetResources, Send}},
+		{"unsafe", ConnectFailed, []ActionKind{SetResources, Send}},
 	} {
-		s := newTestScheduler(3, nil)
-		arrive(s, 1000, "a", c.class)
-		assert.Equal(t, c.want, actionKinds(endAttempt(s, 1010, "a", 0, c.outcome)), "%s after %d", c.class, c.outcome)
+		t.Run(c.class+" after "+c.outcome.String(), func(t *testing.T) {
+			s := newTestScheduler(3, nil)
+			arrive(s, 1000, "a", c.class)
+			assert.Equal(t, c.want, actionKinds(endAttempt(s, 1010, "a", 0, c.outcome)))
+		})
 	}
+}
+
+func TestScheduler_RejectsRepeatAfterDedupWindow(t *testing.T) {
 	s := newTestScheduler(3, nil)
 	arrive(s, 1000, "a", "keyed")
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(endAttempt(s, 5990, "a", 0, Errored)), "past the window")
-	s = newTestScheduler(3, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
+}
+
+func TestScheduler_SendsRetryOnlyWithinDedupZone(t *testing.T) {
+	s := newTestScheduler(3, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
 	arrive(s, 1000, "a", "keyed")
 	for index := range s.executors {
 		s.executors[index].zone = []string{"there", "here"}[min(1, (index+2-s.requests.entries[0].lastAttempt().executor)%3)]
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Drains while the endpoint list is out of reach. Nothing new may go to an executor later than a grace period
-// after this controller was told that it drains, and after a given time it counts as told whether it heard or
-// not. So while nobody tells, an executor is open only as long as no drain of it can have come into force.
+// Drains while the endpoint list is out of reach. A draining executor gets no new attempts once the grace
+// period after the notification is over, and after a while a controller counts as notified even if nothing
+// arrived. So without the list, an executor is open only as long as no drain of it can have come into force.
 
 import (
 	"math"
@@ -15,17 +15,17 @@
 // drainSafeUntil returns until when an executor surely may be sent new attempts. One that it took proves it
 // was not draining.
 func (s *Scheduler) drainSafeUntil(e *executor) float64 {
-	if s.listLastHeardAt <= 0 || s.settings.NotifiedWithinMS <= 0 {
+	if s.listContactAt <= 0 || s.settings.NotifiedWithinMS <= 0 {
 		return math.Inf(1)
 	}
-	activeAt := max(s.listLastHeardAt, e.acceptedAt)
-	toldAt := activeAt + s.settings.NotifiedWithinMS
+	activeAt := max(s.listContactAt, e.acceptedAt)
+	notifiedAt := activeAt + s.settings.NotifiedWithinMS
 	for _, at := range s.presumedNotifiedAt {
 		if at > activeAt {
-			toldAt = min(toldAt, at)
+			notifiedAt = min(notifiedAt, at)
 		}
 	}
-	return toldAt + s.settings.DrainGraceMS - answerMarginMS
+	return notifiedAt + s.settings.DrainGraceMS - answerMarginMS
 }
 
 // presumeNotified notes when pending news counts as known, and forgets the times that close nothing by
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -7,11 +7,11 @@
 func (s *Scheduler) updateEndpoints(ev *Event) {
 	if ev.List == ListUnavailable {
 		s.resubscribeAt = s.now + resubscribeMS
-		s.listLastHeardAt = ev.Deadline
+		s.listContactAt = ev.Deadline
 		s.presumeNotified(ev.PresumedAt)
 		return
 	}
-	s.listLastHeardAt = 0
+	s.listContactAt = 0
 	s.presumedNotifiedAt = s.presumedNotifiedAt[:0]
 	if ev.List != ListDelta {
 		for index := range s.executors {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -109,7 +109,7 @@
 // String returns the name of the kind.
 func (k ProgressKind) String() string { return nameOf(k, "none", "progress", "spilling", "waiting") }
 
-// Event is one thing that an instance is told. Only the fields of its kind are set. Times are milliseconds.
+// Event is one thing that happened. Only the fields of its kind are set. Times are milliseconds.
 type Event struct {
 	Kind     EventKind
 	Request  string
@@ -121,7 +121,7 @@
 	OrderKey    string // RequestArrived: empty for none
 	MemoryMB    float64
 	WorkMS      float64      // RequestArrived: the client's estimate
-	Deadline    float64      // RequestArrived, ShutdownStarted; EndpointsUpdated with ListUnavailable: when the list was last heard
+	Deadline    float64      // RequestArrived, ShutdownStarted; EndpointsUpdated with ListUnavailable: the last contact with the list
 	Retried     bool         // RequestArrived: the client says that it is a retry
 	Prior       PriorAttempt // RequestArrived
 	Blocked     bool         // RequestArrived, AttemptEnded: the request can't be put on record, so it must not run
--- a/scheduler/executors.go
+++ b/scheduler/executors.go
@@ -47,9 +47,9 @@
 	reportedThreads float64 // as last reported, and what this controller has sent since
 	reportedMB      float64
 	reportedAt      float64
-	peerThreads     float64 // the sums of what controllers told, at an aggregator
+	peerThreads     float64 // the sums over all controllers, at an aggregator
 	peerMemoryShare float64
-	loadLevel       float64 // as aggregators tell it
+	loadLevel       float64 // as aggregators publish it
 }
 
 // groupHolder is a table group that a request holds on an executor.
--- a/scheduler/loadmessage.go
+++ b/scheduler/loadmessage.go
@@ -20,7 +20,7 @@
 	levelsHeaderBytes = 2
 )
 
-// peerLoad is what another controller has in flight, as it last told.
+// peerLoad is what another controller has in flight, as it last reported.
 type peerLoad struct {
 	receivedAt float64
 	entries    []byte
--- a/scheduler/priority_test.go
+++ b/scheduler/priority_test.go
@@ -98,12 +98,14 @@
 // goes only where repeats are dropped.
 func TestScheduler_CapNeverRunsRequestTwice(t *testing.T) {
 	for class, want := range map[string]ActionKind{"unsafe": Fail, "keyed": Send} {
-		s := newTestScheduler(2, nil)
-		arrive(s, 2000, "a", class)
-		s.Step(2010, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 500, MemoryShare: 0.7}, nil)
-		a := endAttempt(s, 2010, "a", 0, ConnectionLost)
-		assert.Equal(t, want, a[len(a)-1].Kind, class)
-		a = s.Step(2011, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 0}, nil)
-		assert.NotContains(t, actionKinds(a), Send, class)
+		t.Run(class, func(t *testing.T) {
+			s := newTestScheduler(2, nil)
+			arrive(s, 2000, "a", class)
+			s.Step(2010, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 500, MemoryShare: 0.7}, nil)
+			a := endAttempt(s, 2010, "a", 0, ConnectionLost)
+			assert.Equal(t, want, a[len(a)-1].Kind)
+			a = s.Step(2011, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: 0}, nil)
+			assert.NotContains(t, actionKinds(a), Send)
+		})
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,9 +1,8 @@
 package scheduler
 
-// Retry budget: in any window of its length, the attempts beyond each request's first never outnumber a floor
-// and a share of the requests that arrived in that window. An attempt is cancelled to be sent anew only where
-// the budget has one for it and for each request that waits for its retry already; otherwise work that might
-// still succeed would be thrown away.
+// Retry budget: over a sliding window, the retries of a controller are bounded by a floor and a share of its
+// arrivals. An attempt is cancelled to be sent anew only where the budget covers it besides all requests that
+// wait for their retry already; otherwise work that might still succeed would be thrown away.
 
 const (
 	localRetryMS    = 25  // until the first retry after a failure on this side; twice as long each time
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -71,26 +71,31 @@
 // after a while, also for a non-idempotent request, since nothing ran.
 func TestScheduler_LocalFailureJudgesNoExecutor(t *testing.T) {
 	for _, class := range []string{"read", "unsafe"} {
-		s := newTestScheduler(4, func(s *Settings) {
-			s.Controllers = 300
-			s.RetryBudget.WindowMS = 10000
-			s.RetryBudget.Floor = 0
-			s.MaxAttempts = 2
+		t.Run(class, func(t *testing.T) {
+			s := newTestScheduler(4, func(s *Settings) {
+				s.Controllers = 300
+				s.RetryBudget.WindowMS = 10000
+				s.RetryBudget.Floor = 0
+				s.MaxAttempts = 2
+			})
+			arrive(s, 1000, "a", class)
+			for n := range 4 { // all executors, one after the other
+				at := 1000 + 500*float64(n)
+				assert.NotContains(t, actionKinds(endAttempt(s, at, "a", n, LocalFailure)), Send, "not in the same moment")
+				assert.Contains(t, actionKinds(tickAt(s, at+450)), Send, class)
+			}
+			for index := range s.executors {
+				assert.Equal(t, executorHealthy, s.executors[index].state)
+				assert.Zero(t, s.executors[index].failures)
+			}
+			assert.Zero(t, s.retries.count())
+			assert.Contains(t, actionKinds(endAttempt(s, 3000, "a", 4, ConnectFailed)), map[string]ActionKind{"read": Reject, "unsafe": Reject}[class],
+				"the next one would be beyond the first")
 		})
-		arrive(s, 1000, "a", class)
-		for n := range 4 { // all executors, one after the other
-			at := 1000 + 500*float64(n)
-			assert.NotContains(t, actionKinds(endAttempt(s, at, "a", n, LocalFailure)), Send, "not in the same moment")
-			assert.Contains(t, actionKinds(tickAt(s, at+450)), Send, class)
-		}
-		for index := range s.executors {
-			assert.Equal(t, executorHealthy, s.executors[index].state)
-			assert.Zero(t, s.executors[index].failures)
-		}
-		assert.Zero(t, s.retries.count())
-		assert.Contains(t, actionKinds(endAttempt(s, 3000, "a", 4, ConnectFailed)), map[string]ActionKind{"read": Reject, "unsafe": Reject}[class],
-			"the next one would be beyond the first")
 	}
+}
+
+func TestScheduler_LocalFailureOfHealthCheckJudgesNoExecutor(t *testing.T) {
 	s := newTestScheduler(2, nil)
 	arrive(s, 1000, "a", "read")
 	s.executors[0].probing = true
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
 // Package scheduler decides what becomes of each request: to which executor its attempts go, at which priority level they run,
-// when they are cancelled and what the client is told. It does no I/O, reads no clock and starts no goroutine: a caller
+// when they are cancelled and what the client gets. It does no I/O, reads no clock and starts no goroutine: a caller
 // makes an instance with New, hands it each event through Step with the time, and carries out the actions that Step appends.
 //
 // The interface is in events.go, actions.go and settings.go. Each decision has a file: admission.go, dispatch.go, selection.go,
@@ -65,7 +65,7 @@
 
 	// The endpoint list.
 	resubscribeAt      float64
-	listLastHeardAt    float64   // when it was last heard, while it is out of reach; 0: it is in reach, or nobody tells
+	listContactAt      float64   // the last contact with it, while it is out of reach; 0: it is in reach, or nobody reports
 	presumedNotifiedAt []float64 // when its pending news counts as known, while it is out of reach
 }
 
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -127,8 +127,8 @@
 	return c.rank > other.rank
 }
 
-// leavesToOthers reports whether a request keeps away from an executor by chance. What all controllers were
-// told at the same time would send all of them to the same one: the fuller it is, the fewer go.
+// leavesToOthers reports whether a request keeps away from an executor by chance. Levels reach all
+// controllers at the same time and would send all of them to the same one: the fuller it is, the fewer go.
 func (s *Scheduler) leavesToOthers(r *request, index int, load executorLoad, limit float64) bool {
 	e := &s.executors[index]
 	if !s.settings.MayMessagePeers || !s.sharesUnderOneThread(e) || !s.reportIsCurrent(e) {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -100,9 +100,9 @@
 	NamesRetryAfter  bool    // a rejection may say when to return
 	MaxRetryAfterMS  float64 // the latest time that it may say
 
-	WarmupMS         float64 // for which an executor that has started stays cold
+	WarmupMS         float64 // for which an executor warms up after its start
 	ColdCapacity     float64 // share of its capacity at the start
-	CollapseMultiple float64 // times its capacity within the window that make a cold executor collapse
+	CollapseMultiple float64 // times that capacity within the window from which on the executor collapses
 	CollapseWindowMS float64
 }
 
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,9 +1,8 @@
 package scheduler
 
-// Slow start. An executor that has just started can do only a part of its work, and collapses if all
-// controllers together send it more than a multiple of that part within a window. The shares of all
-// controllers add up to less, whatever each of them sends and though they agree on nothing, and also where
-// controllers have just been started again.
+// Slow start. An executor that warms up has little capacity, and collapses if it is overloaded then. Its
+// warm-up budget is divided among the controllers: without coordination the shares add up to less than the
+// budget, whatever is sent, and also after restarts of the controllers themselves.
 
 import "math"
 
--- a/scheduler/states.go
+++ b/scheduler/states.go
@@ -97,32 +97,27 @@
 	return nil
 }
 
-// applyToRequest applies an input to the request in a slot.
-func (s *Scheduler) applyToRequest(slot int, input requestInput) {
-	r := s.requests.at(slot)
-	row := findTransition(requestTransitions, r.state, requestAnyState, input)
+// apply applies an input to the request or executor at an index, of which state is the state.
+func apply[State, Input comparable](s *Scheduler, table []transition[State, Input], state *State, anyState State, input Input, index int) {
+	row := findTransition(table, *state, anyState, input)
 	if row == nil {
 		return
 	}
-	r.state = row.to
+	*state = row.to
 	if row.action != nil {
-		row.action(s, slot)
+		row.action(s, index)
 	}
 	s.dispatchNeeded = true
 }
 
+// applyToRequest applies an input to the request in a slot.
+func (s *Scheduler) applyToRequest(slot int, input requestInput) {
+	apply(s, requestTransitions, &s.requests.at(slot).state, requestAnyState, input, slot)
+}
+
 // applyToExecutor applies an input to the executor at an index.
 func (s *Scheduler) applyToExecutor(index int, input executorInput) {
-	e := &s.executors[index]
-	row := findTransition(executorTransitions, e.state, executorAnyState, input)
-	if row == nil {
-		return
-	}
-	e.state = row.to
-	if row.action != nil {
-		row.action(s, index)
-	}
-	s.dispatchNeeded = true
+	apply(s, executorTransitions, &s.executors[index].state, executorAnyState, input, index)
 }
 
 // nameOf returns the name of a numbered value.
