--- a/internal/wire/json.go
+++ b/internal/jsonrpc/json.go
@@ -1,42 +1,42 @@
-package wire
+package jsonrpc
 
 import (
 	"encoding/json"
 	"strconv"
 )
 
-// members calls each for every member of an object, with the bytes of its value as they stand. The text must be
-// valid JSON; false if it is no object. Nothing is copied: large values pass by untouched.
-func members(text []byte, each func(name, value []byte)) bool {
-	at := blank(text, 0)
+// forEachMember calls each for every member of an object, with the unparsed bytes of its value. The text must be valid JSON; false if
+// it is no object. Nothing is copied or unescaped.
+func forEachMember(text []byte, each func(name, value []byte)) bool {
+	at := skipSpace(text, 0)
 	if at >= len(text) || text[at] != '{' {
 		return false
 	}
-	for at = blank(text, at+1); text[at] != '}'; at = blank(text, at) {
+	for at = skipSpace(text, at+1); text[at] != '}'; at = skipSpace(text, at) {
 		if text[at] == ',' {
-			at = blank(text, at+1)
+			at = skipSpace(text, at+1)
 		}
 		name := at
-		at = value(text, at)
-		colon := blank(text, at)
-		start := blank(text, colon+1)
-		end := value(text, start)
+		at = skipValue(text, at)
+		colon := skipSpace(text, at)
+		start := skipSpace(text, colon+1)
+		end := skipValue(text, start)
 		each(text[name+1:at-1], text[start:end])
 		at = end
 	}
 	return true
 }
 
-// blank gives the place of what follows white space.
-func blank(text []byte, at int) int {
+// skipSpace returns the index behind white space.
+func skipSpace(text []byte, at int) int {
 	for at < len(text) && (text[at] == ' ' || text[at] == '\t' || text[at] == '\n' || text[at] == '\r') {
 		at++
 	}
 	return at
 }
 
-// value gives the place behind the value at a place.
-func value(text []byte, at int) int {
+// skipValue returns the index behind the value at an index.
+func skipValue(text []byte, at int) int {
 	for depth := 0; at < len(text); {
 		switch c := text[at]; c {
 		case '"':
@@ -67,8 +67,8 @@
 	return at
 }
 
-// quoted gives the text of a string value; without escapes, which are rare, it is a part of the value's bytes.
-func quoted(v []byte) (text []byte, ok bool) {
+// stringValue returns the text of a string value; without escapes, which are rare, it is a slice of the value's bytes.
+func stringValue(v []byte) (text []byte, ok bool) {
 	if len(v) < 2 || v[0] != '"' {
 		return nil, false
 	}
@@ -82,8 +82,8 @@
 	return v[1 : len(v)-1], true
 }
 
-// amount gives the figure of a number value.
-func amount(v []byte) (float64, bool) {
+// numberValue returns the number of a number value.
+func numberValue(v []byte) (float64, bool) {
 	n, err := strconv.ParseFloat(string(v), 64)
-	return n, err == nil && (v[0] == '-' || digit(v[0]))
+	return n, err == nil && (v[0] == '-' || isDigit(v[0]))
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,8 +13,12 @@
 
 	"github.com/sirupsen/logrus"
 
+	"liftshift/internal/discovery"
 	"liftshift/internal/dispatch"
-	"liftshift/internal/wire"
+	"liftshift/internal/gossip"
+	"liftshift/internal/jsonrpc"
+	"liftshift/internal/netconn"
+	"liftshift/internal/resp"
 	"liftshift/scheduler"
 )
 
@@ -32,7 +36,7 @@
 const (
 	balancerLeaveTime = 700 * time.Millisecond // after which the load balancer has stopped sending, and its last request has come
 	maxDeadlineWait   = 3 * time.Second        // the longest deadline that a shutdown waits for
-	notifiedWithin    = 7 * time.Second        // after which what the endpoint list has to tell counts as notified, heard or not
+	notifiedWithin    = 7 * time.Second        // after which a change of the endpoint list counts as known, notified or not
 )
 
 const (
@@ -47,14 +51,14 @@
 	log        *logrus.Logger
 	clock      dispatch.Clock
 	loop       *dispatch.Loop
-	clients    *wire.ClientServer
-	executors  *wire.ExecutorClient
-	peers      *wire.PeerNetwork
-	discovery  *wire.DiscoveryClient
+	clients    *jsonrpc.Server
+	executors  *resp.Client
+	peers      *gossip.Network
+	discovery  *discovery.Client
 
-	requestBytes *wire.ByteBudget // bodies of open requests
-	outputBytes  *wire.ByteBudget // what waits to be written
-	maxDeadline  time.Duration    // of all request classes
+	requestBytes *netconn.ByteBudget // bodies of open requests
+	outputBytes  *netconn.ByteBudget // what waits to be written
+	maxDeadline  time.Duration       // of all request classes
 
 	retryReload       <-chan time.Time // when a configuration that could not be read is read again; nil: not at all
 	reloadRetriesLeft int
@@ -95,8 +99,8 @@
 		log:          log,
 		clock:        clock,
 		loop:         dispatch.New(clock, scheduler.New(config.seed, config.settings.Scheduler), log),
-		requestBytes: wire.NewByteBudget(bufferBytes),
-		outputBytes:  wire.NewByteBudget(bufferBytes),
+		requestBytes: netconn.NewByteBudget(bufferBytes),
+		outputBytes:  netconn.NewByteBudget(bufferBytes),
 	}
 }
 
@@ -105,11 +109,11 @@
 	config, set := c.config, c.config.settings
 	classes, maxDeadline := classLimits(set.Scheduler.Classes)
 	c.maxDeadline = maxDeadline
-	c.clients, err = wire.NewClientServer(config.Listen, classes, c.loop, c.clock, wire.ServerLimits{
-		Clients:       share(config.Limits.Sockets, clientSocketShare),
-		MaxHeld:       set.MaxHeld,
-		BodyBudget:    c.requestBytes,
-		AnswerBudget:  c.outputBytes,
+	c.clients, err = jsonrpc.NewServer(config.Listen, classes, c.loop, c.clock, jsonrpc.Limits{
+		MaxConns:      share(config.Limits.Sockets, clientSocketShare),
+		MaxOpen:       set.MaxHeld,
+		RequestBudget: c.requestBytes,
+		OutputBudget:  c.outputBytes,
 		RetryAfterMS:  set.Scheduler.LongestRetryAfterMS(),
 		ServeOutcomes: c.loop.HasLedger(),
 		Arrival:       c.loop.Arrival,
@@ -117,20 +121,19 @@
 	if err != nil {
 		return err
 	}
-	c.executors = wire.NewExecutorClient(c.loop, c.clock, c.outputBytes, wire.ExecutorLimits{
+	c.executors = resp.NewClient(c.loop, c.clock, c.outputBytes, resp.Limits{
 		ConnectMS:   set.Executors.ConnectTimeoutMS,
 		IdleMS:      set.Executors.IdleCloseMS,
 		MaxPerConn:  set.Executors.StreamsPerConn,
 		MaxConns:    share(config.Limits.Sockets, executorSocketShare),
 		ReportNames: set.Scheduler.ReportNames,
-		Seed:        config.seed,
 	}, c.log)
 	c.executors.LeaseHeld = c.loop.LeaseHeld
-	c.peers, err = wire.NewPeerNetwork(config.PeerListen, config.Peers, config.AllPeers, c.loop, c.log)
+	c.peers, err = gossip.New(config.PeerListen, config.Peers, config.AllPeers, c.loop, c.log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	c.discovery, err = wire.NewDiscoveryClient(config.Discovery, config.Known, c.executors, c.loop, c.log)
+	c.discovery, err = discovery.NewClient(config.Discovery, config.Known, c.executors, c.clock, config.seed, c.loop, c.log)
 	if err != nil {
 		return err
 	}
@@ -200,7 +203,7 @@
 	for time.Since(began) < limit-flushReserve/2 {
 		select {
 		case <-time.After(drainPollInterval):
-		case <-reload: // the discovery address may still move: executors that begin to drain have to be heard of
+		case <-reload: // the discovery address may still move: executors that begin to drain have to be noticed
 			c.reload(0)
 		}
 		if time.Since(began) < balancerLeaveTime {
@@ -217,10 +220,10 @@
 func (c *controller) logCounters(message string) {
 	c.log.WithFields(logrus.Fields{
 		"accepted":              c.clients.Accepted.Load(),
-		"bad_requests":          c.clients.Bad.Load(),
-		"framing_errors":        c.clients.LostFraming.Load(),
-		"accept_pauses":         c.clients.Pauses.Load(),
-		"connections_rejected":  c.clients.Refused.Load(),
+		"bad_requests":          c.clients.BadRequests.Load(),
+		"framing_errors":        c.clients.FramingErrors.Load(),
+		"accept_pauses":         c.clients.AcceptPauses.Load(),
+		"connections_rejected":  c.clients.Rejected.Load(),
 		"connections_timed_out": c.clients.TimedOut.Load(),
 		"connections_evicted":   c.clients.Evicted.Load(),
 		"dials":                 c.executors.Dials.Load(),
@@ -234,9 +237,9 @@
 		"discovery_lost":        c.discovery.Lost.Load(),
 		"discovery_malformed":   c.discovery.Malformed.Load(),
 		"gossip_sent":           c.peers.Sent.Load(),
-		"gossip_received":       c.peers.Heard.Load(),
+		"gossip_received":       c.peers.Received.Load(),
 		"gossip_dropped":        c.peers.Dropped.Load(),
-		"gossip_unknown_sender": c.peers.Foreign.Load(),
+		"gossip_unknown_sender": c.peers.UnknownSender.Load(),
 		"request_bytes":         c.requestBytes.Held(),
 		"unwritten_bytes":       c.outputBytes.Held(),
 		"goroutines":            runtime.NumGoroutine(),
@@ -245,11 +248,11 @@
 }
 
 // classLimits returns what a client server has to know of each request class, and the longest deadline.
-func classLimits(classes []scheduler.RequestClass) (map[string]wire.ClassLimits, time.Duration) {
-	limits := map[string]wire.ClassLimits{}
+func classLimits(classes []scheduler.RequestClass) (map[string]jsonrpc.ClassLimits, time.Duration) {
+	limits := map[string]jsonrpc.ClassLimits{}
 	longest := 0.0
 	for _, c := range classes {
-		limits[c.Name] = wire.ClassLimits{Keyed: c.Effect == scheduler.Keyed, LimitMS: c.DeadlineMS}
+		limits[c.Name] = jsonrpc.ClassLimits{Keyed: c.Effect == scheduler.Keyed, MaxDeadlineMS: c.DeadlineMS}
 		longest = max(longest, c.DeadlineMS)
 	}
 	return limits, time.Duration(longest * float64(time.Millisecond))
