--- a/Makefile
+++ b/Makefile
@@ -17,8 +17,9 @@
 
 # Ten seconds for each parser of the wire.
 fuzz:
-	@for t in $$(grep -ho 'func Fuzz[A-Za-z]*' internal/wire/*_test.go | cut -c6-); do \
-	  go test ./internal/wire -run '^$$' -fuzz "^$$t$$" -fuzztime 10s || exit 1; done
+	@for p in jsonrpc resp discovery; do \
+	  for t in $$(grep -ho 'func Fuzz[A-Za-z]*' internal/$$p/*_test.go | cut -c6-); do \
+	    go test ./internal/$$p -run '^$$' -fuzz "^$$t$$" -fuzztime 10s || exit 1; done; done
 
 # What the store promises, in figures; SCRATCH is on the disk that is measured. Minutes; not part of CI.
 SCRATCH ?= $(or $(TMPDIR),/tmp)
