--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -20,119 +20,119 @@
 	return s
 }
 
-// world is a tree before executors of so many threads that run what is offered in the order of offers, as far as there is
-// room; it plays the module, which holds back what can't run.
-type world struct {
+// simulation is a tree before executors of so many threads, which run what is offered in the order of offers while there are threads. It
+// plays the scheduler, which holds back what can't run.
+type simulation struct {
 	*Tree
-	t       require.TestingT
-	now     float64
-	threads float64 // free
-	only    map[string]float64
-	at      []waiting // the module's
-	runs    []run
-	done    map[string]float64 // by team: work
-	waits   map[string][]float64
-	lost    map[string]int // whose time had passed
-	pressed map[string]int
-	info    map[string]ask
-	n       int
-	slow    float64
+	t            require.TestingT
+	now          float64
+	threads      float64 // free
+	classThreads map[string]float64
+	offers       []simOffer // the module's
+	runs         []simRun
+	done         map[string]float64 // work by team
+	waits        map[string][]float64
+	late         map[string]int // by team: requests whose deadline had passed
+	caps         map[string]int
+	requests     map[string]simRequest
+	count        int
+	slowdown     float64
 }
 
-type waiting struct {
-	id  string
-	now bool
+type simOffer struct {
+	id        string
+	immediate bool
 }
 
-type run struct {
+type simRun struct {
 	id  string
 	end float64
 }
 
-type ask struct {
-	team, offering string
-	work, at       float64
-	until          float64
+type simRequest struct {
+	team, class string
+	work, at    float64
+	deadline    float64
 }
 
-func before(t require.TestingT, threads float64, teams []Team, ageMS float64) *world {
+func newSimulation(t require.TestingT, threads float64, teams []Team, ageMS float64) *simulation {
 	tree, err := New(teams, "other", testSettings(ageMS))
 	require.NoError(t, err)
-	w := &world{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
-		lost: map[string]int{}, pressed: map[string]int{}, info: map[string]ask{}, slow: 1}
-	w.play(&Event{Kind: CapacityChanged, Cores: threads / perCore})
+	w := &simulation{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
+		late: map[string]int{}, caps: map[string]int{}, requests: map[string]simRequest{}, slowdown: 1}
+	w.play(&Event{Kind: CapacityChanged, Cores: threads / threadsPerCore})
 	return w
 }
 
 var threadsOf = map[string]float64{"look": 1, "report": 2, "load": 2}
 
-func (w *world) play(ev *Event) {
+func (w *simulation) play(ev *Event) {
 	for _, e := range w.Step(w.now, ev) {
 		switch e.Kind {
 		case Offer:
-			w.at = append(w.at, waiting{e.ID, e.Immediate})
+			w.offers = append(w.offers, simOffer{e.ID, e.Immediate})
 		case CapPriority:
-			w.pressed[e.ID]++
+			w.caps[e.ID]++
 		case UncapPriority:
-			w.pressed[e.ID]--
+			w.caps[e.ID]--
 		}
 	}
 }
 
-// ask takes a search of a team; the estimate may be false.
-func (w *world) ask(team, offering string, work, estimate, until float64) string {
-	w.n++
-	id := fmt.Sprint(team, "-", w.n)
-	w.info[id] = ask{team, offering, work, w.now, until}
-	w.play(&Event{Kind: RequestQueued, ID: id, Team: team, Class: offering, WorkMS: estimate, MemoryMB: 10, Deadline: until})
-	w.place()
+// submit enqueues a request of a team; the estimate may be wrong.
+func (w *simulation) submit(team, class string, work, estimate, deadline float64) string {
+	w.count++
+	id := fmt.Sprint(team, "-", w.count)
+	w.requests[id] = simRequest{team, class, work, w.now, deadline}
+	w.play(&Event{Kind: RequestQueued, ID: id, Team: team, Class: class, WorkMS: estimate, MemoryMB: 10, Deadline: deadline})
+	w.run()
 	return id
 }
 
-// place runs what is at the module, as far as threads go, and turns away what is too late.
-func (w *world) place() {
-	for k := 0; k < len(w.at); k++ {
-		id := w.at[k].id
-		a := w.info[id]
-		need := threadsOf[a.offering]
+// run runs what is at the scheduler, as far as threads go, and rejects what is too late.
+func (w *simulation) run() {
+	for k := 0; k < len(w.offers); k++ {
+		id := w.offers[k].id
+		a := w.requests[id]
+		need := threadsOf[a.class]
 		switch {
-		case w.now+a.work/need > a.until:
-			w.lost[a.team]++
-			w.at = append(w.at[:k], w.at[k+1:]...)
+		case w.now+a.work/need > a.deadline:
+			w.late[a.team]++
+			w.offers = append(w.offers[:k], w.offers[k+1:]...)
 			w.play(&Event{Kind: RequestClosed, ID: id})
 			k = -1
-		case w.threads >= need && (w.only == nil || w.only[a.offering] >= need):
+		case w.threads >= need && (w.classThreads == nil || w.classThreads[a.class] >= need):
 			w.threads -= need
-			if w.only != nil {
-				w.only[a.offering] -= need
+			if w.classThreads != nil {
+				w.classThreads[a.class] -= need
 			}
 			w.waits[a.team] = append(w.waits[a.team], w.now-a.at)
-			w.runs = append(w.runs, run{id, w.now + a.work/need*w.slow})
-			w.at = append(w.at[:k], w.at[k+1:]...)
+			w.runs = append(w.runs, simRun{id, w.now + a.work/need*w.slowdown})
+			w.offers = append(w.offers[:k], w.offers[k+1:]...)
 			w.play(&Event{Kind: AttemptStarted, ID: id})
 			k = -1
-		case w.at[k].now:
-			w.at = append(w.at[:k], w.at[k+1:]...)
+		case w.offers[k].immediate:
+			w.offers = append(w.offers[:k], w.offers[k+1:]...)
 			w.play(&Event{Kind: RequestReturned, ID: id})
 			k--
 		}
 	}
 }
 
-// until plays time up to a clock, in steps of 10 ms; each step calls what comes.
-func (w *world) until(clock float64, comes func()) {
+// advance plays time up to a clock, in steps of 10 ms; each step calls arrivals.
+func (w *simulation) advance(clock float64, arrivals func()) {
 	for w.now < clock {
 		w.now += 10
-		if comes != nil {
-			comes()
+		if arrivals != nil {
+			arrivals()
 		}
 		for k := 0; k < len(w.runs); k++ {
 			if r := w.runs[k]; r.end <= w.now {
-				a := w.info[r.id]
+				a := w.requests[r.id]
 				w.done[a.team] += a.work
-				w.threads += threadsOf[a.offering]
-				if w.only != nil {
-					w.only[a.offering] += threadsOf[a.offering]
+				w.threads += threadsOf[a.class]
+				if w.classThreads != nil {
+					w.classThreads[a.class] += threadsOf[a.class]
 				}
 				w.runs = append(w.runs[:k], w.runs[k+1:]...)
 				w.play(&Event{Kind: AttemptEnded, ID: r.id})
@@ -143,18 +143,18 @@
 		if math.Mod(w.now, 100) == 0 {
 			w.play(&Event{Kind: Ticked})
 		}
-		w.place()
+		w.run()
 	}
 }
 
-// keep holds a team's queue at a length: it saturates.
-func (w *world) keep(team, offering string, n int, work, estimate float64) {
+// saturate keeps a team's queue at a length.
+func (w *simulation) saturate(team, class string, n int, work, estimate float64) {
 	for w.nodes[w.byName[team]].queued < n {
-		w.ask(team, offering, work, estimate, w.now+1e6)
+		w.submit(team, class, work, estimate, w.now+1e6)
 	}
 }
 
-func (w *world) share(team string) float64 {
+func (w *simulation) share(team string) float64 {
 	all := 0.0
 	for _, x := range w.done {
 		all += x
@@ -169,7 +169,7 @@
 	return most
 }
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
