--- a/internal/locality/golden_test.go
+++ b/internal/locality/golden_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+// golden compares bytes with a file of testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -23,11 +23,11 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	assert.Equal(t, string(want), string(got), "%s is encoded differently", name)
 	return want
 }
 
-// goldenJSON checks that a value is written as in its golden file and read from that again.
+// goldenJSON compares the encoding of a value with its file, and the decoded file with the value.
 func goldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -37,11 +37,11 @@
 	assert.Equal(t, value, got, name)
 }
 
-// Reports, plans and orders are written as they always were, with all fields and with none, and read from that again.
-func TestGolden_ZonesWords(t *testing.T) {
-	goldenJSON(t, "report", letter{N: 7, Report: Report{Zone: "z0", Observers: 5, WithoutList: 1, DemandThreads: 12.5, Observations: []Observation{
+// Reports, plans and orders keep their bytes, with all fields and with none.
+func TestGolden_LocalityValues(t *testing.T) {
+	goldenJSON(t, "report", reportMessage{Sequence: 7, Report: Report{Zone: "z0", Observers: 5, WithoutList: 1, DemandThreads: 12.5, Observations: []Observation{
 		{Zone: "z0", Healthy: 3, Degraded: 1, Unreachable: 1, InFlight: 4.5}, {Zone: "z1", Healthy: 1, Degraded: 2, Unreachable: 2, InFlight: 0.25}}}})
-	goldenJSON(t, "report-empty", letter{})
+	goldenJSON(t, "report-empty", reportMessage{})
 	plan := Plan{Number: 9, Pairs: []Pair{{From: "z0", To: "z1", Cap: 3.5, Shares: []Share{{Name: "a", Threads: 1.5}, {Name: "b", Threads: 2}}}, {From: "z1", To: "z0"}},
 		Revoked: []RevokedShare{{From: "z0", To: "z1", Name: "c", Threads: 2.5, LeftMS: 1500}}}
 	for s, name := range []string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"} {
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -11,58 +11,58 @@
 	"liftshift/scheduler"
 )
 
-// site is a zone of a world: what its executors really are, and what its controllers want.
-type site struct {
+// testZone is a zone of a world: the true state of its executors, and its controllers' demand.
+type testZone struct {
 	cores   float64
-	up      float64 // share of them that answers
-	listed  float64 // share of them that the list has
-	wants   float64 // threads, of each controller
+	up      float64 // share of them that is reachable
+	listed  float64 // share of them in the endpoint list
+	wants   float64 // threads of each controller
 	region  string
 	kinds   []string
-	hidden  map[int]bool // controllers of its own that can't reach them all the same
-	foreign bool         // others can't reach them
+	hidden  map[int]bool // controllers of its own that can't reach them
+	foreign bool         // other zones' controllers can't reach them
 }
 
-// world is a fleet of watches with a council that needs a majority of its first three, and a network.
+// world is a simulated fleet: monitors, a consensus group with the first three controllers as voters, and a network.
 type world struct {
-	t       *testing.T
-	now     float64
-	unix    int64
-	sites   []*site
-	watches []*Monitor
-	zoneOf  []int
-	down    map[int]bool
-	away    map[int]bool // cut off from all others
-	deaf    bool         // the list is out of reach
-	leader  int
-	plan    Plan
-	orders  []Order
-	chance  *rand.Rand
-	late    []func()
-	at      []float64
-	loss    float64
-	reaches []map[string]scheduler.ZoneReach
-	applied map[int]uint64
-	outs    map[int]map[string]float64 // threads that controllers have out, where a test says so
-	caps    []granted                  // plans, with when they came into force
-	over    []string
-	bytes   int
+	t               *testing.T
+	now             float64
+	unix            int64
+	sites           []*testZone
+	monitors        []*Monitor
+	zoneOf          []int
+	down            map[int]bool
+	partitioned     map[int]bool // partitioned from all others
+	listUnavailable bool         // the endpoint list is unavailable
+	leader          int
+	plan            Plan
+	orders          []Order
+	random          *rand.Rand
+	deliveries      []func()
+	deliveryAt      []float64
+	loss            float64
+	reaches         []map[string]scheduler.ZoneReach
+	applied         map[int]uint64
+	inFlight        map[int]map[string]float64 // threads in flight by controller and zone, where a test sets them
+	plans           []agreedPlan               // that were agreed
+	violations      []string
+	bytes           int
 }
 
-type granted struct {
+type agreedPlan struct {
 	at   float64
 	plan Plan
 }
 
 func newWorld(t *testing.T, zones, each int, b Settings) *world {
-	w := &world{t: t, now: 1000, unix: 1, applied: map[int]uint64{}, outs: map[int]map[string]float64{}, down: map[int]bool{}, away: map[int]bool{}, chance: rand.New(rand.NewPCG(uint64(zones), uint64(each)))}
+	w := &world{t: t, now: 1000, unix: 1, applied: map[int]uint64{}, inFlight: map[int]map[string]float64{}, down: map[int]bool{}, partitioned: map[int]bool{}, random: rand.New(rand.NewPCG(uint64(zones), uint64(each)))}
 	for range zones {
-		w.sites = append(w.sites, &site{cores: 100, up: 1, listed: 1, region: "r", kinds: []string{"big"}, hidden: map[int]bool{}})
+		w.sites = append(w.sites, &testZone{cores: 100, up: 1, listed: 1, region: "r", kinds: []string{"big"}, hidden: map[int]bool{}})
 	}
 	for k := range zones * each {
 		z := k % zones
 		w.zoneOf = append(w.zoneOf, z)
-		w.watches = append(w.watches, New(w.name(k), fmt.Sprint("z", z), w.sites[z].region, b))
+		w.monitors = append(w.monitors, New(w.name(k), fmt.Sprint("z", z), w.sites[z].region, b))
 		w.reaches = append(w.reaches, nil)
 	}
 	return w
@@ -70,28 +70,28 @@
 
 func (w *world) name(k int) string { return fmt.Sprintf("c%03d", k) }
 
-func testBounds() Settings {
+func testSettings() Settings {
 	b := DefaultSettings()
 	b.LeaseMS, b.StageMS, b.RecoveryWaitMS = 3000, 1000, 1000
 	return b
 }
 
 func (w *world) send(from, to int, do func()) {
-	if w.down[to] || w.down[from] || w.away[from] != w.away[to] || w.away[from] && from != to || w.chance.Float64() < w.loss {
+	if w.down[to] || w.down[from] || w.partitioned[from] != w.partitioned[to] || w.partitioned[from] && from != to || w.random.Float64() < w.loss {
 		return
 	}
-	w.late, w.at = append(w.late, do), append(w.at, w.now+1+20*w.chance.Float64())
+	w.deliveries, w.deliveryAt = append(w.deliveries, do), append(w.deliveryAt, w.now+1+20*w.random.Float64())
 }
 
 func (w *world) index(name string) int {
-	return slices.IndexFunc(w.watches, func(x *Monitor) bool { return x.name == name })
+	return slices.IndexFunc(w.monitors, func(x *Monitor) bool { return x.name == name })
 }
 
 func (w *world) step(k int, ev *Event) {
 	if w.down[k] {
 		return
 	}
-	for _, e := range slices.Clone(w.watches[k].Step(w.now, ev)) {
+	for _, e := range slices.Clone(w.monitors[k].Step(w.now, ev)) {
 		switch e.Kind {
 		case SendReport:
 			w.bytes += len(e.Data)
@@ -103,14 +103,14 @@
 				w.send(k, to, func() { w.step(to, &Event{Kind: PlanAnnounced, From: w.name(k), PlanNumber: e.Number}) })
 			}
 		case FetchPlan:
-			w.send(k, w.leader, func() { w.send(w.leader, k, func() { w.planned(k) }) })
+			w.send(k, w.leader, func() { w.send(w.leader, k, func() { w.deliverPlan(k) }) })
 		case ProposePlan:
 			plan := *e.Plan
 			w.send(k, w.leader, func() {
-				if w.agreed() && plan.Number == w.plan.Number+1 {
+				if w.hasMajority() && plan.Number == w.plan.Number+1 {
 					w.plan = plan
-					w.caps = append(w.caps, granted{w.now, plan})
-					w.planned(w.leader)
+					w.plans = append(w.plans, agreedPlan{w.now, plan})
+					w.deliverPlan(w.leader)
 				}
 			})
 		case RequestLoan:
@@ -133,64 +133,64 @@
 	}
 }
 
-func (w *world) planned(k int) {
+func (w *world) deliverPlan(k int) {
 	plan := w.plan
 	w.step(k, &Event{Kind: PlanAgreed, Plan: &plan, Orders: w.orders})
 }
 
-// agreed tells whether the council has a majority of its three.
-func (w *world) agreed() bool {
+// hasMajority reports whether a majority of the voters is up and connected.
+func (w *world) hasMajority() bool {
 	n := 0
 	for k := range 3 {
-		if !w.down[k] && !w.away[k] {
+		if !w.down[k] && !w.partitioned[k] {
 			n++
 		}
 	}
 	return n >= 2
 }
 
-// run lets time go by.
+// run simulates some time.
 func (w *world) run(ms float64) {
 	for until := w.now + ms; w.now < until; {
 		w.now += 10
 		w.unix += 10
-		for n := 0; n < len(w.late); n++ {
-			if w.at[n] <= w.now {
-				do := w.late[n]
-				w.late, w.at = slices.Delete(w.late, n, n+1), slices.Delete(w.at, n, n+1)
+		for n := 0; n < len(w.deliveries); n++ {
+			if w.deliveryAt[n] <= w.now {
+				do := w.deliveries[n]
+				w.deliveries, w.deliveryAt = slices.Delete(w.deliveries, n, n+1), slices.Delete(w.deliveryAt, n, n+1)
 				n--
 				do()
 			}
 		}
 		if int(w.now)%50 == 0 {
-			w.beat()
+			w.tick()
 			w.check()
 		}
 	}
 }
 
-func (w *world) beat() {
-	if w.down[w.leader] || w.away[w.leader] {
+func (w *world) tick() {
+	if w.down[w.leader] || w.partitioned[w.leader] {
 		for k := range 3 {
-			if !w.down[k] && !w.away[k] && w.agreed() {
+			if !w.down[k] && !w.partitioned[k] && w.hasMajority() {
 				w.leader = k
 			}
 		}
 	}
-	for k, x := range w.watches {
+	for k, x := range w.monitors {
 		if w.down[k] {
 			continue
 		}
 		if int(w.now)%250 == 0 {
 			var list []Member
-			for o := range w.watches {
+			for o := range w.monitors {
 				list = append(list, Member{Name: w.name(o), Zone: fmt.Sprint("z", w.zoneOf[o]), Region: w.sites[w.zoneOf[o]].region,
-					Living: !w.down[o] && (w.away[o] == w.away[k] && !w.away[k] || o == k)})
+					Living: !w.down[o] && (w.partitioned[o] == w.partitioned[k] && !w.partitioned[k] || o == k)})
 			}
-			w.step(k, &Event{Kind: MembersChanged, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.agreed()})
-			w.step(k, &Event{Kind: Observed, Executors: w.sees(k), DemandThreads: w.wants(k), WithoutList: w.deaf, Applied: w.applied[k]})
+			w.step(k, &Event{Kind: MembersChanged, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.hasMajority()})
+			w.step(k, &Event{Kind: Observed, Executors: w.executorsSeenBy(k), DemandThreads: w.demandOf(k), WithoutList: w.listUnavailable, Applied: w.applied[k]})
 		}
-		if int(w.now)%1000 == k%20*50 && w.agreed() { // a lease is asked for, and granted by one who leads
+		if int(w.now)%1000 == k%20*50 && w.hasMajority() { // a lease is requested, and granted by the leader
 			asked, number := w.now, w.plan.Number
 			w.send(k, w.leader, func() {
 				w.send(w.leader, k, func() { w.step(k, &Event{Kind: PlanConfirmed, PlanNumber: number, At: asked}) })
@@ -201,9 +201,9 @@
 	}
 }
 
-// sees gives what a controller's list and module have: it uses those of its own zone, and has evidence of others only where it sends
-// there.
-func (w *world) sees(k int) (list []Executor) {
+// executorsSeenBy returns the executors as a controller sees them: it uses those of its own zone, and has evidence of others only where
+// it sends requests there.
+func (w *world) executorsSeenBy(k int) (list []Executor) {
 	for z, s := range w.sites {
 		for n := range 10 {
 			x := Executor{Zone: fmt.Sprint("z", z), Kind: s.kinds[n%len(s.kinds)], Cores: s.cores / 10, Listed: float64(n) < 10*s.listed}
@@ -212,7 +212,7 @@
 				x.Known, x.Ejected = true, !reach
 			}
 			if n == 0 {
-				x.InFlight = w.outs[k][x.Zone]
+				x.InFlight = w.inFlight[k][x.Zone]
 			}
 			list = append(list, x)
 		}
@@ -220,16 +220,16 @@
 	return list
 }
 
-// wants is what a controller's searches want: as its zone's do, unless a test says otherwise.
-func (w *world) wants(k int) float64 {
-	if out := w.outs[k]; out != nil {
+// demandOf returns a controller's demand: that of its zone, unless a test sets another.
+func (w *world) demandOf(k int) float64 {
+	if out := w.inFlight[k]; out != nil {
 		return out["wants"]
 	}
 	return w.sites[w.zoneOf[k]].wants
 }
 
-// check holds what all may send to each zone against the caps that can be in force: of the plan that is agreed, and of those before it
-// as long as parts of them are valid.
+// check compares what all controllers together may send to each zone with the caps that may be in force: those of the agreed plan, and of
+// earlier ones as long as their shares are valid.
 func (w *world) check() {
 	for z := range w.sites {
 		to := fmt.Sprint("z", z)
@@ -238,37 +238,37 @@
 				continue
 			}
 			sum, most := 0.0, 0.0
-			for k := range w.watches {
+			for k := range w.monitors {
 				if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
 					sum += w.reaches[k][to].Capacity
 				}
 			}
-			for n, g := range w.caps {
-				if n == len(w.caps)-1 || w.caps[n+1].at+3000 >= w.now {
+			for n, g := range w.plans {
+				if n == len(w.plans)-1 || w.plans[n+1].at+3000 >= w.now {
 					if p := g.plan.Pair(fmt.Sprint("z", from), to); p != nil {
 						most = max(most, p.Cap)
 					}
 				}
 			}
 			if sum > most {
-				w.over = append(w.over, fmt.Sprintf("at %.0f z%d may send %.0f threads to %s, the cap is %.0f", w.now, from, sum, to, most))
+				w.violations = append(w.violations, fmt.Sprintf("at %.0f z%d may send %.0f threads to %s, the cap is %.0f", w.now, from, sum, to, most))
 			}
 		}
 	}
 }
 
 func (w *world) state(z int) State {
-	if x := w.plan.zone(fmt.Sprint("z", z)); x != nil {
+	if x := w.plan.findZone(fmt.Sprint("z", z)); x != nil {
 		return x.State
 	}
-	return states
+	return stateCount
 }
 
-func (w *world) clean() { assert.Empty(w.t, w.over) }
+func (w *world) assertNoViolations() { assert.Empty(w.t, w.violations) }
 
-// may gives what all controllers of a zone may have out in another, together.
-func (w *world) may(from, to int) (sum float64) {
-	for k := range w.watches {
+// reachableThreads returns what all controllers of a zone together may use in another.
+func (w *world) reachableThreads(from, to int) (sum float64) {
+	for k := range w.monitors {
 		if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
 			sum += w.reaches[k][fmt.Sprint("z", to)].Capacity
 		}
--- a/internal/locality/loans.go
+++ b/internal/locality/loans.go
@@ -5,196 +5,245 @@
 	"slices"
 )
 
-// Parts are whole searches, and small where controllers are many: one's is full while another's is not. So controllers of a zone lend
-// one another what they do not use. A lender tells its module first that it may use less, and lends only once what its module has out is
-// seen to be within that; it does without for longer than the borrower may use a loan, which counts from when it asked. So what all may
-// have out of a cap stays within it, whatever becomes of messages.
+// Controllers of a zone lend one another what they do not use of their shares, as shares are whole requests and small where there are many
+// controllers. A lender first lowers its scheduler's limit and lends only once the scheduler is seen to be within it. It does without for
+// longer than the borrower may use the loan, whose time counts from the request. So what all may use of a cap stays within it, whatever
+// becomes of messages.
 
 const (
-	loanMS    = 1500 // for which a loan may be used, or a third of the time that a part is valid, if that is shorter
-	loanGrace = 300  // ms longer that a lender does without
-	loanAsk   = 150  // ms between two askings
-	loanMates = 2    // asked at a time, by turns
-	loanHeed  = 1000 // ms for which one that was asked keeps something to lend
-	mostLoans = 256
+	maxLoanMS         = 1500 // for which a loan may be used, or a third of the lease if that is shorter
+	loanGraceMS       = 300  // for which a lender does without in addition
+	loanRequestMS     = 150  // between two requests
+	loanPeers         = 2    // members that are asked at a time, by turns
+	reservationMS     = 1000 // for which a lender keeps a reservation without a request
+	maxLoans          = 256
+	maxLoanThreads    = 1024
+	loanLeaseDivisor  = 3
+	reservationFactor = 2 // a lender reserves or lends a half at a time
 )
 
-// loan is what was lent, or borrowed.
+// loan is what was lent or borrowed.
 type loan struct {
-	place   string
-	nonce   uint64
+	zone    string
+	id      uint64
 	threads float64
 	until   float64
 }
 
-// spare is what a controller keeps of its part of a place to lend.
-type spare struct {
-	threads float64
-	asked   float64 // when it was asked last
-	gen     uint64  // of what the module was told when it was kept
-	ripe    bool    // the module has no more out than what is left
+// reservation is what a controller does not use of its share of a zone, in order to lend it.
+type reservation struct {
+	threads      float64
+	requestedAt  float64
+	reachVersion uint64 // from which on the scheduler's limit is lower by the reservation
+	available    bool   // the scheduler is within the lower limit
 }
 
-// question is an asking that may still be answered.
-type question struct {
-	place string
-	at    float64
+// loanRequest is a request that may still be answered.
+type loanRequest struct {
+	zone string
+	at   float64
 }
 
-// loans is a controller's part in lending.
-type loans struct {
-	lent, got []loan
-	spares    map[string]*spare
-	asked     map[uint64]question
-	nonce     uint64
-	turn      int
-	askAt     float64
-	out       map[string]float64 // as seen last, by place
-	waits     float64            // threads that are wanted, and not out
-
-	Lent, Borrowed uint64
+// loanBook is a controller's record of loans.
+type loanBook struct {
+	lent, borrowed []loan
+	reservations   map[string]*reservation
+	requests       map[uint64]loanRequest
+	sequence       uint64
+	turn           int
+	requestAt      float64
+	inFlight       map[string]float64 // by zone, as observed last
+	waiting        float64            // threads that are needed and not in flight
+
+	lentCount, borrowedCount uint64
 }
 
-func newLoans() loans {
-	return loans{spares: map[string]*spare{}, asked: map[uint64]question{}, out: map[string]float64{}}
+func newLoanBook() loanBook {
+	return loanBook{reservations: map[string]*reservation{}, requests: map[uint64]loanRequest{}, inFlight: map[string]float64{}}
 }
 
-func (w *Monitor) loanMS() float64 { return min(loanMS, w.bounds.LeaseMS/3) }
+func (m *Monitor) loanMS() float64 { return min(maxLoanMS, m.settings.LeaseMS/loanLeaseDivisor) }
 
-// lendable is what of a part may be given on: as long as what confirms it outlives the loan.
-func (w *Monitor) lendable() bool {
-	return w.bounds.LeaseMS-(w.now-w.confirmedAt) > w.loanMS()+loanGrace && w.valid() == 1
+// loanUnit is the smallest loan.
+func (m *Monitor) loanUnit() float64 { return max(1, m.settings.MinShare) }
+
+// mayLend reports whether the confirmation of this controller's shares outlives a loan.
+func (m *Monitor) mayLend() bool {
+	return m.settings.LeaseMS-(m.now-m.confirmedAt) > m.loanMS()+loanGraceMS && m.validity() == 1
 }
 
-// room is what this controller's module may have out in a place: its part, without what is lent or kept to be, with what it borrowed.
-func (w *Monitor) room(place string, valid float64) float64 {
-	own := w.plan.Pair(w.zone, place).part(w.name)
-	for _, l := range w.loans.lent {
-		if l.place == place {
-			own -= l.threads
+// capacityOf returns the threads that this controller's scheduler may use in a zone: its share without what is lent or reserved, and what it
+// has borrowed.
+func (m *Monitor) capacityOf(zone string, validity float64) float64 {
+	threads := m.plan.Pair(m.zone, zone).threadsOf(m.name)
+	for _, l := range m.loans.lent {
+		if l.zone == zone {
+			threads -= l.threads
 		}
 	}
-	if s := w.loans.spares[place]; s != nil {
-		own -= s.threads
+	if r := m.loans.reservations[zone]; r != nil {
+		threads -= r.threads
 	}
-	own = math.Floor(max(0, own) * valid)
-	for _, l := range w.loans.got {
-		if l.place == place {
-			own += l.threads
+	threads = math.Floor(max(0, threads) * validity)
+	for _, l := range m.loans.borrowed {
+		if l.zone == zone {
+			threads += l.threads
 		}
 	}
-	return own
+	return threads
 }
 
-// lapse ends loans whose time has come, and questions that can't be answered any more.
-func (w *Monitor) lapse() {
-	over := func(l loan) bool { return w.now >= l.until }
-	w.loans.lent, w.loans.got = slices.DeleteFunc(w.loans.lent, over), slices.DeleteFunc(w.loans.got, over)
-	for nonce, q := range w.loans.asked {
-		if w.now >= q.at+w.loanMS() {
-			delete(w.loans.asked, nonce)
+// expireLoans ends loans whose time is over, and requests that can't be answered any more.
+func (m *Monitor) expireLoans() {
+	isOver := func(l loan) bool { return m.now >= l.until }
+	m.loans.lent = slices.DeleteFunc(m.loans.lent, isOver)
+	m.loans.borrowed = slices.DeleteFunc(m.loans.borrowed, isOver)
+	for id, request := range m.loans.requests {
+		if m.now >= request.at+m.loanMS() {
+			delete(m.loans.requests, id)
 		}
 	}
 }
 
-// weighLoans looks at what is out: what is kept to be lent ripens, is given up where it is wanted here, and is asked for where it is not
-// enough. Applied is what the module had been told when this was seen.
-func (w *Monitor) weighLoans(ev *Event) {
-	l := &w.loans
-	clear(l.out)
-	all := 0.0
+// reviewLoans takes what is in flight: reservations become available or are given up, and a loan is requested where shares do not suffice.
+func (m *Monitor) reviewLoans(ev *Event) {
+	b := &m.loans
+	clear(b.inFlight)
+	total := 0.0
 	for k := range ev.Executors {
-		l.out[ev.Executors[k].Zone] += ev.Executors[k].InFlight
-		all += ev.Executors[k].InFlight
+		b.inFlight[ev.Executors[k].Zone] += ev.Executors[k].InFlight
+		total += ev.Executors[k].InFlight
 	}
-	l.waits = max(0, ev.DemandThreads-all)
-	unit := max(1, w.bounds.MinShare)
-	for _, pair := range w.plan.Pairs {
-		if pair.From != w.zone {
-			continue
-		}
-		s := l.spares[pair.To]
-		switch {
-		case s == nil:
-		case l.waits >= unit || w.now > s.asked+loanHeed:
-			delete(l.spares, pair.To)
-		default:
-			s.ripe = s.threads > 0 && ev.Applied >= s.gen && l.out[pair.To] <= w.room(pair.To, 1)
-		}
+	b.waiting = max(0, ev.DemandThreads-total)
+	m.reviewReservations(ev.Applied)
+	if b.waiting < m.loanUnit() || m.now < b.requestAt || len(m.zoneMembers) < 2 {
+		return
 	}
-	if l.waits < unit || w.now < l.askAt || len(w.mates) < 2 {
+	b.requestAt = m.now + loanRequestMS
+	zone := m.exhaustedZone()
+	if zone == "" || len(b.requests) >= maxLoans || len(b.borrowed) >= maxLoans {
 		return
 	}
-	l.askAt = w.now + loanAsk
-	best, most := "", 0.0
-	for _, pair := range w.plan.Pairs {
-		if pair.From == w.zone && pair.Cap > most && l.out[pair.To]+unit > w.room(pair.To, 1) {
-			best, most = pair.To, pair.Cap
+	m.requestLoan(zone)
+}
+
+// reviewReservations gives reservations up that are needed here or not wanted any more, and finds out which may be lent.
+func (m *Monitor) reviewReservations(applied uint64) {
+	b := &m.loans
+	for _, pair := range m.plan.Pairs {
+		r := b.reservations[pair.To]
+		if pair.From != m.zone || r == nil {
+			continue
+		}
+		if b.waiting >= m.loanUnit() || m.now > r.requestedAt+reservationMS {
+			delete(b.reservations, pair.To)
+			continue
 		}
+		r.available = r.threads > 0 && applied >= r.reachVersion && b.inFlight[pair.To] <= m.capacityOf(pair.To, 1)
 	}
-	if best == "" || len(l.asked) >= mostLoans || len(l.got) >= mostLoans {
-		return
+}
+
+// exhaustedZone returns the zone with the largest cap in which this controller has no capacity left, or "".
+func (m *Monitor) exhaustedZone() (zone string) {
+	largest := 0.0
+	for _, pair := range m.plan.Pairs {
+		if pair.From != m.zone || pair.Cap <= largest {
+			continue
+		}
+		if m.loans.inFlight[pair.To]+m.loanUnit() > m.capacityOf(pair.To, 1) {
+			zone = pair.To
+			largest = pair.Cap
+		}
 	}
-	l.nonce++
-	nonce := uint64(rank(w.name, best))<<32 ^ l.nonce
-	l.asked[nonce] = question{best, w.now}
-	for range min(loanMates, len(w.mates)-1) {
-		if l.turn++; w.mates[l.turn%len(w.mates)] == w.name {
-			l.turn++
+	return zone
+}
+
+// requestLoan asks some members of this zone, by turns.
+func (m *Monitor) requestLoan(zone string) {
+	b := &m.loans
+	b.sequence++
+	id := uint64(rank(m.name, zone))<<32 ^ b.sequence
+	b.requests[id] = loanRequest{zone, m.now}
+	for range min(loanPeers, len(m.zoneMembers)-1) {
+		b.turn++
+		if m.zoneMembers[b.turn%len(m.zoneMembers)] == m.name {
+			b.turn++
 		}
-		w.do(Effect{Kind: RequestLoan, To: w.mates[l.turn%len(w.mates)], Zone: best, Number: nonce})
+		m.emit(Effect{Kind: RequestLoan, To: m.zoneMembers[b.turn%len(m.zoneMembers)], Zone: zone, Number: id})
 	}
 }
 
-// loanAsked answers a mate: with a loan of what is ripe; else it keeps something for the next time, if it has more than it uses.
-func (w *Monitor) loanAsked(ev *Event) {
-	l, unit := &w.loans, max(1, w.bounds.MinShare)
-	if !slices.Contains(w.mates, ev.From) || ev.From == w.name || !w.lendable() || l.waits >= unit || len(l.lent) >= mostLoans {
+// handleLoanRequest answers with a loan of what is reserved and available. Then it reserves something for the next request, if more is
+// unused.
+func (m *Monitor) handleLoanRequest(ev *Event) {
+	b := &m.loans
+	isPeer := slices.Contains(m.zoneMembers, ev.From) && ev.From != m.name
+	if !isPeer || !m.mayLend() || b.waiting >= m.loanUnit() || len(b.lent) >= maxLoans {
 		return
 	}
-	if slices.ContainsFunc(l.lent, func(x loan) bool { return x.nonce == ev.PlanNumber }) {
-		return // it came twice
+	if slices.ContainsFunc(b.lent, func(l loan) bool { return l.id == ev.PlanNumber }) {
+		return // a duplicate
 	}
-	s := l.spares[ev.Zone]
-	if s == nil {
-		if len(l.spares) >= mostZones {
+	r := b.reservations[ev.Zone]
+	if r == nil {
+		if len(b.reservations) >= maxZones {
 			return
 		}
-		s = &spare{}
-		l.spares[ev.Zone] = s
-	}
-	s.asked = w.now
-	if s.ripe && s.threads >= unit {
-		give := unit * math.Ceil(s.threads/unit/2)
-		s.threads -= give
-		l.lent = append(l.lent, loan{ev.Zone, ev.PlanNumber, give, w.now + w.loanMS() + loanGrace})
-		l.Lent++
-		w.do(Effect{Kind: GrantLoan, To: ev.From, Zone: ev.Zone, Number: ev.PlanNumber, Threads: give})
-	}
-	if idle := math.Floor((w.room(ev.Zone, 1)-l.out[ev.Zone])/unit) - 1; idle >= 1 { // one is left for what may come
-		own := w.plan.Pair(w.zone, ev.Zone).part(w.name)
-		if more := min(unit*math.Ceil(idle/2), math.Floor(own/2/unit)*unit-s.threads); more >= unit {
-			s.threads += more
-			s.ripe, s.gen = false, w.gen+1
-			w.open()
-		}
+		r = &reservation{}
+		b.reservations[ev.Zone] = r
+	}
+	r.requestedAt = m.now
+	if r.available && r.threads >= m.loanUnit() {
+		m.grantLoan(ev, r)
+	}
+	m.extendReservation(ev.Zone, r)
+}
+
+// grantLoan lends half of a reservation.
+func (m *Monitor) grantLoan(ev *Event, r *reservation) {
+	b := &m.loans
+	unit := m.loanUnit()
+	threads := unit * math.Ceil(r.threads/unit/reservationFactor)
+	r.threads -= threads
+	b.lent = append(b.lent, loan{ev.Zone, ev.PlanNumber, threads, m.now + m.loanMS() + loanGraceMS})
+	b.lentCount++
+	m.emit(Effect{Kind: GrantLoan, To: ev.From, Zone: ev.Zone, Number: ev.PlanNumber, Threads: threads})
+}
+
+// extendReservation reserves half of what is unused, but for one unit, and no more than half of the share.
+func (m *Monitor) extendReservation(zone string, r *reservation) {
+	unit := m.loanUnit()
+	unused := math.Floor((m.capacityOf(zone, 1)-m.loans.inFlight[zone])/unit) - 1
+	if unused < 1 {
+		return
 	}
+	share := m.plan.Pair(m.zone, zone).threadsOf(m.name)
+	most := math.Floor(share/reservationFactor/unit)*unit - r.threads
+	more := min(unit*math.Ceil(unused/reservationFactor), most)
+	if more < unit {
+		return
+	}
+	r.threads += more
+	r.available = false
+	r.reachVersion = m.reachVersion + 1
+	m.updateReach()
 }
 
-// loanGiven takes a loan in answer to a question, for what is left of its time since that was asked. Another's answer to the same one
-// comes beside it.
-func (w *Monitor) loanGiven(ev *Event) {
-	l := &w.loans
-	q, known := l.asked[ev.PlanNumber]
-	if !known || q.place != ev.Zone || !(ev.Threads > 0) || ev.Threads > mostOf || !slices.Contains(w.mates, ev.From) ||
-		w.now >= q.at+w.loanMS() || len(l.got) >= mostLoans {
+// handleLoan takes a loan in answer to a request, for what is left of its time since the request. Several members may answer one request.
+func (m *Monitor) handleLoan(ev *Event) {
+	b := &m.loans
+	request, known := b.requests[ev.PlanNumber]
+	if !known || request.zone != ev.Zone || m.now >= request.at+m.loanMS() {
+		return
+	}
+	if !(ev.Threads > 0) || ev.Threads > maxLoanThreads || !slices.Contains(m.zoneMembers, ev.From) || len(b.borrowed) >= maxLoans {
 		return
 	}
-	from := uint64(rank(ev.From, ""))<<32 | ev.PlanNumber&math.MaxUint32
-	if slices.ContainsFunc(l.got, func(x loan) bool { return x.nonce == from }) {
-		return // it came twice
+	id := uint64(rank(ev.From, ""))<<32 | ev.PlanNumber&math.MaxUint32
+	if slices.ContainsFunc(b.borrowed, func(l loan) bool { return l.id == id }) {
+		return // a duplicate
 	}
-	l.got = append(l.got, loan{ev.Zone, from, ev.Threads, q.at + w.loanMS()})
-	l.Borrowed++
-	w.open()
+	b.borrowed = append(b.borrowed, loan{ev.Zone, id, ev.Threads, request.at + m.loanMS()})
+	b.borrowedCount++
+	m.updateReach()
 }
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -1,93 +1,67 @@
-// Package locality decides, for a fleet that stands in several zones, how far searches may go from where they came in: who may use which
-// zone's executors, and for how many threads, while a zone is thinned, lost, evacuated or coming back. What controllers see is summed up
-// on its way to the one that leads the council; that one makes a plan, a pure function of what is seen and of the operators' orders; the
-// council holds the plan, and each controller hands its part of it to the decision module. Events and a time go in, effects come out;
-// the package owns no socket, disk, clock or goroutine, and chooses no executor.
+// Package locality decides, for a fleet in several zones, how far requests may go from where they came in: which controllers may use
+// which zone's executors, and for how many threads, while a zone is degraded, lost, evacuated or recovering.
 //
-// Two kinds of knowing are kept apart. What is seen may be wrong, late, doubled or made up: it makes plans. What is agreed is the plan:
-// a part in it may be used only as long as a lease that was asked for confirms it, and what was one controller's is another's only after
-// that time. So all parts of a zone's cap together are never over it, whoever is cut off.
+// Controllers' observations are aggregated on their way to the leader of the consensus group. The leader makes a plan, a function of the
+// observations and of the operators' orders; the group agrees on the plan, and each controller passes its share of it to the scheduler.
+// A Monitor is a state machine: events and a time go in, effects come out. The package owns no socket, disk, clock or goroutine, and
+// chooses no executor.
+//
+// Observations may be wrong, late, duplicated or forged: they only lead to plans. What is agreed is the plan: a share may be used only as
+// long as a lease that was requested after the plan confirms it, and a share that is revoked is granted to another controller only after
+// that time. So all shares of a zone's cap together never exceed it, whoever is partitioned.
 package locality
 
-import (
-	"slices"
-)
-
-const (
-	reportMS   = 250   // between two reports of a controller: a second choice of a report's age is below a second for three floors
-	staleMS    = 1200  // after which a report counts no more: four were lost
-	settleMS   = 2000  // ms from the start within which orders that are heard of may be old
-	planMS     = 250   // between two looks at whether another plan is wanted
-	fan        = 8     // whose reports one controller sums up, at most: 300 controllers are three floors
-	agree      = 2     // looks in a row that say the same, before a zone's state changes
-	goneShare  = 0.2   // share of a zone's cores in reach below which a voice calls it gone
-	thinShare  = 0.8   // the same for thinned
-	usualRoom  = 1.2   // threads a core that a zone's own searches may take: the module's bound
-	usualSpill = 0.8   // share of what is left of it that may go to others
-	usualStage = 3000  // ms of a stage of a return
-	usualWait  = 2000  // ms that a zone must be in reach before its return begins; doubles with each loss soon after
-	forgetMS   = 180e3 // after which a lost zone of which nothing is left is forgotten: it has been renamed, or given up
-	longWait   = 60e3  // the longest such time
-	flapMS     = 60e3  // a loss within this time of a return is one more of the same
-	confirmMS  = 6000  // a part is valid for so long after it was confirmed, where nothing else is given: the lease
-	mostZones  = 32
-	mostOrders = 64
-	mostOf     = 1024 // members that share a cap
-	mostText   = 64
-	standing   = 0.5 // part of what is left of a zone that the others of its region have before they need it
-	steady     = 0.4 // weight of the latest in what a zone wants: a second, mostly
-	steadyLow  = 0.7 // a cap stays as it is while what is due is no less than this of it
-	steadyHigh = 1.2 // and no more than this
-	wantsMost  = 4   // times the middle of all controllers that one controller's wants may count
-)
-
-// stages are the shares of a zone's room that are open while it returns; the last is followed by all.
-var stages = []float64{0.05, 0.15, 0.4, 0.7}
+import "slices"
 
-// State is how a zone stands, as agreed.
+// State is the agreed state of a zone.
 type State uint8
 
-// The states. Their numbers stand in plans that are agreed: they do not change.
+// States. The numbers are part of the plan's format.
 const (
 	Healthy    State = 0
-	Degraded   State = 1 // much of it is gone
-	Suspected  State = 2 // some see it gone, others don't
-	Lost       State = 3 // its executors are out of reach
-	Evacuated  State = 4 // an operator wants nothing new to go there
-	Recovering State = 5 // by stages
-	states     State = 6
+	Degraded   State = 1 // a large part of it is unreachable
+	Suspected  State = 2 // observers disagree on whether it is reachable
+	Lost       State = 3 // its executors are unreachable
+	Evacuated  State = 4 // by an operator's order, no new requests go there
+	Recovering State = 5 // it takes requests again, stage by stage
+	stateCount State = 6
 )
 
-var stateNames = [states]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
+// stateNames are printed by the control socket.
+var stateNames = [stateCount]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
 
 // String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Observation is what one controller sees of a zone's executors, or what several together do.
+// Observation is what one controller observes of a zone's executors, or the sum of several.
 type Observation struct {
 	Zone        string  `json:"Zone"`
-	Healthy     int     `json:"Fine"` // voices that see it so; one who has no evidence has none
+	Healthy     int     `json:"Fine"` // observers by their verdict; one without evidence has none
 	Degraded    int     `json:"Thin"`
 	Unreachable int     `json:"Gone"`
-	InFlight    float64 `json:"Out"` // threads of their shots there
+	InFlight    float64 `json:"Out"` // threads of their attempts there
 }
 
-// Report is what the controllers of one zone see, summed up.
+// verdicts returns the number of observers with a verdict.
+func (o *Observation) verdicts() int { return o.Healthy + o.Degraded + o.Unreachable }
+
+// Report is the sum of what the controllers of one zone observe.
 type Report struct {
-	Zone          string        `json:"Zone"` // theirs
+	Zone          string        `json:"Zone"` // of the controllers
 	Observers     int           `json:"Voices"`
-	WithoutList   int           `json:"Deaf"`  // of them, those to whom the list is out of reach
-	DemandThreads float64       `json:"Wants"` // threads that their searches in hand want, whether they run or wait
+	WithoutList   int           `json:"Deaf"`  // observers without access to the endpoint list
+	DemandThreads float64       `json:"Wants"` // threads that their requests need, running or waiting
 	Observations  []Observation `json:"Sights"`
 }
 
-// Share is how many threads of one controller may be out at once.
+// Share is how many threads of one controller may be in flight.
 type Share struct {
 	Name    string  `json:"Name"`
 	Threads float64 `json:"Threads"`
 }
 
-// Pair is what may go from the controllers of a zone to the executors of one, that of their own while it is not whole too.
+// Pair is the cap for what the controllers of one zone may send to the executors of another, or to those of their own zone while that is
+// not fully open.
 type Pair struct {
 	From   string  `json:"From"`
 	To     string  `json:"To"`
@@ -95,7 +69,7 @@
 	Shares []Share `json:"Parts,omitempty"`
 }
 
-// RevokedShare is what was somebody's part, and may still be used by one that has not heard otherwise.
+// RevokedShare is a share that was taken from a controller, which may still use it until it learns of that.
 type RevokedShare struct {
 	From    string  `json:"From"`
 	To      string  `json:"To"`
@@ -104,21 +78,21 @@
 	LeftMS  float64 `json:"LeftMS"`
 }
 
-// Zone is how one stands.
+// Zone is a zone in a plan.
 type Zone struct {
 	Name      string   `json:"Name"`
 	Region    string   `json:"Region,omitempty"`
 	State     State    `json:"State"`
-	Stage     int      `json:"Stage,omitempty"`
-	Flaps     int      `json:"Flaps,omitempty"`
-	Cores     float64  `json:"Cores"` // as it had them when it was whole
-	Kinds     []string `json:"Kinds,omitempty"`
+	Stage     int      `json:"Stage,omitempty"` // while it is Recovering
+	Flaps     int      `json:"Flaps,omitempty"` // losses in quick succession
+	Cores     float64  `json:"Cores"`           // when it was Healthy
+	Kinds     []string `json:"Kinds,omitempty"` // of its executors, when it was Healthy
 	Reason    string   `json:"Why,omitempty"`
-	InStateMS float64  `json:"ForMS,omitempty"` // it has been so, as of the plan
+	InStateMS float64  `json:"ForMS,omitempty"` // since it entered the state, as of the plan
 	Members   int      `json:"Members,omitempty"`
 }
 
-// Plan is what is agreed.
+// Plan is what the group agrees on.
 type Plan struct {
 	Number  uint64         `json:"Number"`
 	Zones   []Zone         `json:"Zones"`
@@ -126,45 +100,45 @@
 	Revoked []RevokedShare `json:"Held,omitempty"`
 }
 
-// OrderKind is what an operator wants.
+// OrderKind is the kind of an operator's order.
 type OrderKind string
 
-// The orders.
+// Orders.
 const (
-	Evacuate OrderKind = "evacuate" // nothing new to the zone
-	Hold     OrderKind = "hold"     // its stage does not change, but for the worse
-	Return   OrderKind = "return"   // an evacuation or a hold ends; a zone that waits for its return begins it
+	Evacuate OrderKind = "evacuate" // no new requests to the zone
+	Hold     OrderKind = "hold"     // its stage does not rise
+	Return   OrderKind = "return"   // an evacuation or a hold ends, and a lost zone that is reachable starts to recover
 )
 
-// Order is an operator's, until a time of all machines' clocks.
+// Order is an operator's order.
 type Order struct {
 	Kind   OrderKind `json:"Kind"`
 	Zone   string    `json:"Zone"`
 	Author string    `json:"Author"`
 	Reason string    `json:"Why,omitempty"`
-	Until  int64     `json:"Until"`            // Unix ms, for people; 0: until it is taken back
-	SpanMS float64   `json:"SpanMS,omitempty"` // for which it lasts from when it was agreed; 0: until that time of all clocks
+	Until  int64     `json:"Until"`            // Unix time in ms; 0: until it is revoked
+	SpanMS float64   `json:"SpanMS,omitempty"` // its duration from when it was agreed; 0: Until counts
 }
 
-// Member is a controller as the view has it.
+// Member is a controller in the membership view.
 type Member struct {
 	Name, Zone, Region string
 	Living             bool
 }
 
-// Executor is one, as this controller's list and module have it.
+// Executor is an executor as this controller's endpoint list and scheduler have it.
 type Executor struct {
 	Zone, Kind string
 	Cores      float64
-	Listed     bool // active
-	Known      bool // something was heard of it lately, or it is set aside
+	Listed     bool // the list has it as active
+	Known      bool // there is recent evidence of it, or it is ejected
 	Ejected    bool
 	WarmingUp  bool
 	InFlight   float64
 }
 
-// zone gives a zone of the plan, or nil.
-func (p *Plan) zone(name string) *Zone {
+// findZone returns a zone of the plan, or nil.
+func (p *Plan) findZone(name string) *Zone {
 	for k := range p.Zones {
 		if p.Zones[k].Name == name {
 			return &p.Zones[k]
@@ -173,7 +147,7 @@
 	return nil
 }
 
-// Pair gives the cap from one zone to another, or nil.
+// Pair returns the cap from one zone to another, or nil.
 func (p *Plan) Pair(from, to string) *Pair {
 	for k := range p.Pairs {
 		if p.Pairs[k].From == from && p.Pairs[k].To == to {
@@ -183,31 +157,13 @@
 	return nil
 }
 
-// part gives a member's threads.
-func (p *Pair) part(name string) float64 {
+// threadsOf returns a member's share. The pair may be nil.
+func (p *Pair) threadsOf(name string) float64 {
 	if p == nil {
 		return 0
 	}
-	if k := slices.IndexFunc(p.Shares, func(x Share) bool { return x.Name == name }); k >= 0 {
+	if k := slices.IndexFunc(p.Shares, func(s Share) bool { return s.Name == name }); k >= 0 {
 		return p.Shares[k].Threads
 	}
 	return 0
 }
-
-// Settings are what the operators' file says.
-type Settings struct {
-	ThreadsPerCore float64
-	SpillShare     float64
-	StageMS        float64
-	RecoveryWaitMS float64
-	LeaseMS        float64 // the lease
-	MinShare       float64 // threads of the largest search: no part is smaller
-	LatencyMS      map[[2]string]float64
-	MinDensity     map[[2]string]float64 // gain for its work that a search must have to go from a region to another
-}
-
-// DefaultSettings returns what holds where the operators say nothing.
-func DefaultSettings() Settings {
-	return Settings{ThreadsPerCore: usualRoom, SpillShare: usualSpill, StageMS: usualStage, RecoveryWaitMS: usualWait, LeaseMS: confirmMS, MinShare: 1,
-		LatencyMS: map[[2]string]float64{}, MinDensity: map[[2]string]float64{}}
-}
--- a/internal/locality/whatif.go
+++ b/internal/locality/whatif.go
@@ -6,58 +6,80 @@
 	"slices"
 )
 
-// WhatIf tells what would follow if a zone, or all zones of a region, were lost now: who goes where, which zone fills first, and for how
-// many threads there would be no room. It is made by the same rules as a plan, of what is wanted now or, at the peak, of the most that each zone
-// wanted in the last hour; nothing comes of it.
-func (w *Monitor) WhatIf(name string, peak bool) ([]string, error) {
-	plan := Plan{}
-	lost := map[string]bool{}
-	for _, z := range w.plan.Zones {
-		if z.Kinds = slices.Clone(z.Kinds); z.Name == name || z.Region == name && name != "" {
-			lost[z.Name] = true
-			z.State, z.Stage = Lost, 0
-		}
-		plan.Zones = append(plan.Zones, z)
-	}
+// WhatIf describes what would follow if a zone, or all zones of a region, were lost now: where requests would go, which zone would fill up
+// first, and how many threads would find no capacity. It uses the rules of a plan with the present demand or, with peak, with each zone's
+// highest demand in the last hour. Nothing changes by it.
+func (m *Monitor) WhatIf(name string, peak bool) ([]string, error) {
+	plan, lost := m.planWithout(name)
 	if len(lost) == 0 {
 		return nil, fmt.Errorf("no zone or region %q", name)
 	}
-	p, before := planner{memos: map[string]*memo{}}, map[string]float64{}
-	in := &seen{now: w.now, reports: w.reports(), members: w.members, orders: w.inForce(), bounds: &w.bounds}
+	in := m.planInput()
+	p := planner{memories: map[string]*zoneMemory{}}
+	demand := map[string]float64{}
 	for _, z := range plan.Zones {
-		wants := wantsOf(in, &z)
-		if m := w.planner.memos[z.Name]; peak && m != nil {
-			wants = m.peak()
+		demand[z.Name] = demandOf(in, &z)
+		if memory := m.planner.memories[z.Name]; peak && memory != nil {
+			demand[z.Name] = memory.peak()
 		}
-		p.memos[z.Name], before[z.Name] = &memo{since: w.now, wants: wants, fixed: true}, wants
+		p.memories[z.Name] = &zoneMemory{since: m.now, demand: demand[z.Name], demandIsGiven: true}
 	}
-	p.grant(&Plan{}, &plan, in)
+	p.allocate(&Plan{}, &plan, in)
 	var lines []string
 	for _, zone := range slices.Sorted(maps.Keys(lost)) {
-		carried, fullest, share := 0.0, "", 0.0
-		for _, x := range plan.Pairs {
-			if x.From != zone || x.To == zone {
-				continue
-			}
-			carried += x.Cap
-			z := plan.zone(x.To)
-			room := in.bounds.ThreadsPerCore * z.Cores
-			if s := (before[x.To] + x.Cap) / max(1, room); s > share {
-				fullest, share = x.To, s
-			}
-			lines = append(lines, fmt.Sprintf("%s to %s: %.0f threads, beside %.0f of its own, of %.0f", zone, x.To, x.Cap, before[x.To], room))
+		lines = append(lines, describeLoss(&plan, zone, demand, in.settings)...)
+		lines = append(lines, m.describeLostKinds(&plan, zone, lost)...)
+	}
+	return lines, nil
+}
+
+// planWithout returns the present zones with those of a name or region lost.
+func (m *Monitor) planWithout(name string) (plan Plan, lost map[string]bool) {
+	lost = map[string]bool{}
+	for _, z := range m.plan.Zones {
+		z.Kinds = slices.Clone(z.Kinds)
+		if z.Name == name || z.Region == name && name != "" {
+			lost[z.Name] = true
+			z.State = Lost
+			z.Stage = 0
 		}
-		lines = append(lines, fmt.Sprintf("%s: its searches want %.0f threads, %.0f find room elsewhere, for %.0f there is none: the least gain for work is denied", zone,
-			before[zone], carried, max(0, before[zone]-carried)))
-		if fullest != "" {
-			lines = append(lines, fmt.Sprintf("%s fills first: %.0f%% of its room", fullest, 100*share))
+		plan.Zones = append(plan.Zones, z)
+	}
+	return plan, lost
+}
+
+// describeLoss describes where a lost zone's requests go.
+func describeLoss(plan *Plan, zone string, demand map[string]float64, settings *Settings) (lines []string) {
+	moved := 0.0
+	fullest := ""
+	fullestShare := 0.0
+	for _, pair := range plan.Pairs {
+		if pair.From != zone || pair.To == zone {
+			continue
 		}
-		z := w.plan.zone(zone)
-		for _, kind := range z.Kinds {
-			if !slices.ContainsFunc(plan.Zones, func(o Zone) bool { return !lost[o.Name] && slices.Contains(o.Kinds, kind) }) {
-				lines = append(lines, fmt.Sprintf("%s alone has executors of kind %s: what runs on nothing else is denied with a time to return", zone, kind))
-			}
+		moved += pair.Cap
+		capacity := settings.ThreadsPerCore * plan.findZone(pair.To).Cores
+		if share := (demand[pair.To] + pair.Cap) / max(1, capacity); share > fullestShare {
+			fullest = pair.To
+			fullestShare = share
 		}
+		lines = append(lines, fmt.Sprintf("%s to %s: %.0f threads, beside %.0f of its own, of %.0f", zone, pair.To, pair.Cap, demand[pair.To], capacity))
 	}
-	return lines, nil
+	lines = append(lines, fmt.Sprintf("%s: its searches want %.0f threads, %.0f find room elsewhere, for %.0f there is none: the least gain for work is denied",
+		zone, demand[zone], moved, max(0, demand[zone]-moved)))
+	if fullest != "" {
+		lines = append(lines, fmt.Sprintf("%s fills first: %.0f%% of its room", fullest, 100*fullestShare))
+	}
+	return lines
+}
+
+// describeLostKinds describes the kinds of executors that only lost zones have.
+func (m *Monitor) describeLostKinds(plan *Plan, zone string, lost map[string]bool) (lines []string) {
+	for _, kind := range m.plan.findZone(zone).Kinds {
+		isElsewhere := func(z Zone) bool { return !lost[z.Name] && slices.Contains(z.Kinds, kind) }
+		if !slices.ContainsFunc(plan.Zones, isElsewhere) {
+			lines = append(lines, fmt.Sprintf("%s alone has executors of kind %s: what runs on nothing else is denied with a time to return", zone, kind))
+		}
+	}
+	return lines
 }
