--- a/internal/locality/reach.go
+++ b/internal/locality/reach.go
@@ -45,7 +45,7 @@
 	}
 	m.zoneUnknown = unknown
 	if unknown {
-		m.emit(Effect{Kind: LogWarning, Text: "no executor was ever listed in this controller's zone " + m.zone + ": all are taken for near"})
+		m.emit(Effect{Kind: LogWarning, Text: "no executor was ever listed in this controller's zone " + m.zone + ", all zones are treated as local"})
 	}
 }
 
--- /dev/null
+++ b/internal/localityagent/datagram.go
@@ -0,0 +1,125 @@
+package localityagent
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"net/netip"
+	"slices"
+
+	"liftshift/internal/consensus"
+	"liftshift/internal/locality"
+)
+
+// Kinds of datagrams. A datagram is its kind, the sender's name with its length in one byte ahead, and a content. The values are part of
+// the wire format.
+const (
+	datagramReport       = 'r' // a report
+	datagramAnnouncement = 'n' // the number of a plan, a uvarint
+	datagramLoanRequest  = 'q' // the request's ID in 8 bytes, the zone
+	datagramLoan         = 'l' // the request's ID in 8 bytes, the threads in 2 bytes, the zone
+)
+
+const (
+	maxNameBytes   = 64
+	loanIDBytes    = 8
+	loanThreadsEnd = loanIDBytes + 2
+)
+
+// step passes an event to the monitor and carries out the effects.
+func (a *Agent) step(now float64, ev *locality.Event) {
+	for _, e := range slices.Clone(a.Monitor.Step(now, ev)) {
+		a.execute(now, &e)
+	}
+}
+
+func (a *Agent) execute(now float64, e *locality.Effect) {
+	switch e.Kind {
+	case locality.SendReport:
+		a.send(e.To, datagramReport, e.Data)
+	case locality.AnnouncePlan:
+		a.send(e.To, datagramAnnouncement, binary.AppendUvarint(nil, e.Number))
+	case locality.RequestLoan:
+		content := binary.BigEndian.AppendUint64(nil, e.Number)
+		a.send(e.To, datagramLoanRequest, append(content, e.Zone...))
+	case locality.GrantLoan:
+		content := binary.BigEndian.AppendUint64(nil, e.Number)
+		content = binary.BigEndian.AppendUint16(content, uint16(e.Threads))
+		a.send(e.To, datagramLoan, append(content, e.Zone...))
+	case locality.FetchPlan:
+		a.node.FetchPlan(now, a.Monitor.Plan().Number)
+	case locality.ProposePlan:
+		if data, err := json.Marshal(e.Plan); err == nil {
+			a.node.Propose(consensus.PlanProposal(e.Plan.Number, data))
+		}
+	case locality.LogWarning:
+		a.log.Warn("locality: " + e.Text)
+	case locality.SetReach:
+		a.reach.Store(&reachUpdate{e.Reaches, e.Number})
+		select {
+		case a.reachChanged <- struct{}{}:
+		default: // an update is pending already and will take this one
+		}
+	}
+}
+
+// send sends a datagram to a member.
+func (a *Agent) send(to string, kind byte, content []byte) {
+	m, known := a.view.Find(to)
+	address, err := netip.ParseAddrPort(m.Address)
+	if !known || err != nil {
+		return
+	}
+	datagram := append([]byte{kind, byte(len(a.name))}, a.name...)
+	a.transport.SendLocality(address, append(datagram, content...))
+}
+
+// receiveDatagram takes a datagram, on the transport's receiving goroutine. Malformed ones are ignored.
+func (a *Agent) receiveDatagram(_ netip.AddrPort, data []byte) {
+	ev, ok := decodeDatagram(data)
+	if !ok {
+		return
+	}
+	a.transport.TryPost(func(now float64) { a.step(now, &ev) })
+}
+
+func decodeDatagram(data []byte) (ev locality.Event, ok bool) {
+	if len(data) < 2 {
+		return ev, false
+	}
+	nameBytes := int(data[1])
+	if nameBytes > maxNameBytes || len(data) < 2+nameBytes {
+		return ev, false
+	}
+	ev.From = string(data[2 : 2+nameBytes])
+	content := data[2+nameBytes:]
+	switch data[0] {
+	case datagramReport:
+		ev.Kind = locality.ReportReceived
+		ev.Data = content
+		return ev, true
+	case datagramAnnouncement:
+		ev.Kind = locality.PlanAnnounced
+		ev.PlanNumber, _ = binary.Uvarint(content)
+		return ev, true
+	case datagramLoanRequest:
+		return decodeLoan(ev, locality.LoanRequested, content, loanIDBytes)
+	case datagramLoan:
+		ev, ok = decodeLoan(ev, locality.LoanGranted, content, loanThreadsEnd)
+		if ok {
+			ev.Threads = float64(binary.BigEndian.Uint16(content[loanIDBytes:]))
+		}
+		return ev, ok
+	}
+	return ev, false
+}
+
+// decodeLoan decodes the ID and the zone of a loan or of the request for one.
+func decodeLoan(ev locality.Event, kind locality.EventKind, content []byte, headerBytes int) (locality.Event, bool) {
+	if len(content) <= headerBytes || len(content) > headerBytes+maxNameBytes {
+		return ev, false
+	}
+	ev.Kind = kind
+	ev.PlanNumber = binary.BigEndian.Uint64(content)
+	ev.Zone = string(content[headerBytes:])
+	return ev, true
+}
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -20,9 +20,9 @@
 	"liftshift/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+// golden compares bytes with a file of testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -32,18 +32,18 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	assert.Equal(t, string(want), string(got), "%s is encoded differently", name)
 	return want
 }
 
-// goldenCarrier starts a carrier for a member.
-func goldenCarrier(t *testing.T, name string, scout func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
+// startTransport starts a member's transport.
+func startTransport(t *testing.T, name string, receive func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	at, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	c, self := clusternet.New(at, log), membership.Member{Name: name, Incarnation: 1, Address: at}
-	c.LocalityDatagram = scout
+	c.LocalityDatagram = receive
 	settings := membership.DefaultSettings()
 	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 60e3, 30e3, 120e3
 	view := membership.New(c.Now(), "test", self, []string{at}, settings, 1)
@@ -54,58 +54,58 @@
 
 var goldenPlan = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80, Shares: []locality.Share{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
 
-func goldenSeen(out float64) []locality.Executor {
+func goldenExecutors(out float64) []locality.Executor {
 	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: out}}
 }
 
-// The datagrams between scouts are written as they always were.
-func TestGolden_ScoutDatagrams(t *testing.T) {
-	came := make(chan []byte, 64)
-	_, b := goldenCarrier(t, "b", func(_ netip.AddrPort, data []byte) { came <- append([]byte(nil), data...) })
-	carrier, _ := goldenCarrier(t, "a", nil)
+// The datagrams between agents keep their bytes.
+func TestGolden_LocalityAgentDatagrams(t *testing.T) {
+	received := make(chan []byte, 64)
+	_, b := startTransport(t, "b", func(_ netip.AddrPort, data []byte) { received <- append([]byte(nil), data...) })
+	transport, _ := startTransport(t, "a", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", b, nil, membership.DefaultSettings(), 1) // its own member is the one that is sent to
-	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", &scheduler.Settings{}, nil, carrier, view, nil, log)
+	view := membership.New(0, "test", b, nil, membership.DefaultSettings(), 1) // its only member is the recipient
+	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", &scheduler.Settings{}, nil, transport, view, nil, log)
 	for _, ev := range []locality.Event{
 		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
 		{Kind: locality.PlanAgreed, Plan: goldenPlan},
 		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
-		{Kind: locality.Observed, Executors: goldenSeen(40), DemandThreads: 50}, // asks for a loan
-		{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5},
+		{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50}, // leads to a loan request
+		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5},
 		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 7},
-		{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5, Applied: 100},
-		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // lends
-		{Kind: locality.Ticked, UnixMS: 1},                                                    // reports
+		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, Applied: 100},
+		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // leads to a loan
+		{Kind: locality.Ticked, UnixMS: 1},                                                    // leads to a report
 	} {
 		s.step(1000, &ev)
 	}
-	words := map[byte]string{'r': "report", 'n': "announce", 'q': "ask-loan", 'l': "give-loan"}
+	files := map[byte]string{'r': "report", 'n': "announce", 'q': "ask-loan", 'l': "give-loan"}
 	got := map[byte][]byte{}
-	for late := time.After(5 * time.Second); len(got) < len(words); {
+	for late := time.After(5 * time.Second); len(got) < len(files); {
 		select {
-		case data := <-came:
+		case data := <-received:
 			got[data[0]] = data
 		case <-late:
-			require.Len(t, got, len(words), "%q", got)
+			require.Len(t, got, len(files), "%q", got)
 		}
 	}
-	for kind, name := range words {
+	for kind, name := range files {
 		got[kind] = golden(t, name+".bin", got[kind])
 	}
-	assert.Len(t, got, len(words))
+	assert.Len(t, got, len(files))
 }
 
-// A report, a question for a loan and a loan are taken from the datagrams again. The loan bears the number of the question here.
-func TestGolden_ScoutDatagramsRead(t *testing.T) {
-	carrier, self := goldenCarrier(t, "b", nil)
+// A report, a loan request and a loan are decoded. The loan is given the ID of the request here.
+func TestGolden_LocalityAgentDatagramsDecoded(t *testing.T) {
+	transport, self := startTransport(t, "b", nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	view := membership.New(0, "test", self, nil, membership.DefaultSettings(), 1)
-	watch := func(name string) *Agent {
-		return New(locality.New(name, "z0", "r", locality.DefaultSettings()), name, &scheduler.Settings{}, nil, carrier, view, nil, log)
+	newAgent := func(name string) *Agent {
+		return New(locality.New(name, "z0", "r", locality.DefaultSettings()), name, &scheduler.Settings{}, nil, transport, view, nil, log)
 	}
-	step := func(s *Agent, ev locality.Event) { carrier.Post(func(float64) { s.step(1000, &ev) }) }
+	step := func(s *Agent, ev locality.Event) { transport.Post(func(float64) { s.step(1000, &ev) }) }
 	read := func(name string) []byte {
 		data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
 		require.NoError(t, err)
@@ -113,34 +113,34 @@
 	}
 	counts := func(s *Agent) locality.Counts {
 		got := make(chan locality.Counts, 1)
-		carrier.Post(func(float64) {
+		transport.Post(func(float64) {
 			s.step(1000, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
 			got <- s.Monitor.Counts
 		})
 		return <-got
 	}
-	begin := func(s *Agent) {
+	prepare := func(s *Agent) {
 		step(s, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
 		step(s, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
 		step(s, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
 	}
-	b := watch("b")
-	begin(b)
+	b := newAgent("b")
+	prepare(b)
 	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
-	b.heard(netip.AddrPort{}, read("report"))
-	step(b, locality.Event{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5})
-	b.heard(netip.AddrPort{}, read("ask-loan"))
-	step(b, locality.Event{Kind: locality.Observed, Executors: goldenSeen(2.5), DemandThreads: 2.5, Applied: 100})
-	b.heard(netip.AddrPort{}, read("ask-loan"))
+	b.receiveDatagram(netip.AddrPort{}, read("report"))
+	step(b, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5})
+	b.receiveDatagram(netip.AddrPort{}, read("ask-loan"))
+	step(b, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, Applied: 100})
+	b.receiveDatagram(netip.AddrPort{}, read("ask-loan"))
 	got := counts(b)
 	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.ReportsReceived, got.Malformed, got.Lent})
 
-	a := watch("a")
-	begin(a)
-	step(a, locality.Event{Kind: locality.Observed, Executors: goldenSeen(40), DemandThreads: 50})
+	a := newAgent("a")
+	prepare(a)
+	step(a, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50})
 	loan := read("give-loan")
 	copy(loan[3:11], read("ask-loan")[3:11])
 	loan[2] = 'b'
-	a.heard(netip.AddrPort{}, loan)
+	a.receiveDatagram(netip.AddrPort{}, loan)
 	assert.Equal(t, uint64(1), counts(a).Borrowed)
 }
