--- a/internal/placement/golden_test.go
+++ b/internal/placement/golden_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden holds bytes against a file of testdata/golden, and gives what the file has.
+// golden compares bytes with a file of testdata/golden, and returns what the file has.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -29,7 +29,7 @@
 	return want
 }
 
-// goldenJSON holds a value against its file in both directions; value is a pointer.
+// goldenJSON compares a value with its file in both directions; value is a pointer.
 func goldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	tagged(t, reflect.TypeOf(value))
@@ -40,7 +40,7 @@
 	assert.Equal(t, value, back.Interface(), name)
 }
 
-// tagged holds that each field of a type, and of what it is made of, has its name in JSON said by a tag.
+// tagged checks that each field of a type, and of the types in it, has a tag for its name in JSON.
 func tagged(t *testing.T, of reflect.Type) {
 	t.Helper()
 	switch of.Kind() {
@@ -56,21 +56,21 @@
 	}
 }
 
-// The table and what it is made of have the bytes that they had; who sits where is chosen as it was.
-func TestGolden_Chairs(t *testing.T) {
-	seated := Table{}
-	var places []Member
+// The table and the types in it have the bytes that they had; replicas are chosen as they were.
+func TestGolden_Table(t *testing.T) {
+	assigned := Table{}
+	var members []Member
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		places = append(places, Member{Name: name, Incarnation: 1, Zone: "z" + name})
+		members = append(members, Member{Name: name, Incarnation: 1, Zone: "z" + name})
 	}
-	require.True(t, seated.Reassign(places, 1))
-	places[1].Lost = true
-	require.True(t, seated.Reassign(places, 0))
+	require.True(t, assigned.Reassign(members, 1))
+	members[1].Lost = true
+	require.True(t, assigned.Reassign(members, 0))
 	claim := AdoptionClaim{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}
 	for name, value := range map[string]any{
 		"table": &Table{Version: 6, Step: 7, Copies: 1, Partitions: []Partition{{Current: []Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
 			Previous: []Replica{{Name: "b", Incarnation: 3}}}, {}}, Claims: []AdoptionClaim{claim}},
-		"table-empty": &Table{}, "table-seated": &seated, "claim": &claim, "claim-empty": &AdoptionClaim{}, "chair-empty": &Replica{},
+		"table-empty": &Table{}, "table-seated": &assigned, "claim": &claim, "claim-empty": &AdoptionClaim{}, "chair-empty": &Replica{},
 		"place": &Member{Name: "a", Incarnation: 1, Lost: true, Zone: "z1"}, "place-empty": &Member{},
 	} {
 		goldenJSON(t, name+".json", value)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,17 +17,17 @@
 	return list
 }
 
-func TestChairsSpreadOverZones(t *testing.T) {
+func TestTable_SpreadsReplicasOverZones(t *testing.T) {
 	var table Table
 	table.Reassign(members(4), 2)
 	assert.Empty(t, table.Partitions, "too few for two copies")
 	require.True(t, table.Reassign(members(9), 0))
-	sits := map[string]int{}
+	perMember := map[string]int{}
 	for _, p := range table.Partitions {
 		zones := map[string]int{}
 		for _, c := range p.Current {
 			assert.True(t, c.Ready)
-			sits[c.Name]++
+			perMember[c.Name]++
 			zones[fmt.Sprint("z", int(c.Name[1]-'0')%3)]++
 		}
 		assert.Len(t, p.Current, 5)
@@ -35,7 +35,7 @@
 			assert.LessOrEqual(t, n, 2)
 		}
 	}
-	for name, n := range sits {
+	for name, n := range perMember {
 		assert.InDelta(t, PartitionCount*5.0/9, n, 9, name)
 	}
 	small := table.Clone()
@@ -45,35 +45,35 @@
 	assert.NotEqual(t, "x", table.Partitions[0].Current[0].Name)
 }
 
-// Whoever is lost, comes back or learns, in any order: a later word's quorum shares a chair with an earlier one's, a chair that still
-// knows, as long as no part lost a majority of those that counted.
-func TestLaterQuorumsShareAChairWithEarlierOnes(t *testing.T) {
+// Whoever is lost, comes back or catches up, in any order: a later message's quorum shares a replica with an earlier one's that still knows
+// of it, as long as no partition lost a majority of those that counted.
+func TestTable_LaterQuorumsShareReadyReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := members(rapid.IntRange(5, 9).Draw(t, "members"))
+		agreed := members(rapid.IntRange(5, 9).Draw(t, "members"))
 		var table Table
-		table.Reassign(places, rapid.IntRange(1, 2).Draw(t, "copies"))
-		part := rapid.IntRange(0, PartitionCount-1).Draw(t, "part")
-		know := map[Replica]bool{} // lives that know of the word, as they keep it
-		plain := func(c Replica) Replica { c.Ready = false; return c }
-		by := func() map[string]*Member { return index(places) }
-		spoken := false
+		table.Reassign(agreed, rapid.IntRange(1, 2).Draw(t, "copies"))
+		partition := rapid.IntRange(0, PartitionCount-1).Draw(t, "part")
+		knows := map[Replica]bool{} // incarnations that store the message
+		identity := func(c Replica) Replica { c.Ready = false; return c }
+		index := func() memberIndex { return indexMembers(agreed) }
+		sent := false
 		quorum := func(label string) (who []Replica, ok bool) {
-			p := &table.Partitions[part]
+			p := &table.Partitions[partition]
 			for _, list := range [][]Replica{p.Current, p.Previous} {
-				var sit []Replica
+				var live []Replica
 				for _, c := range list {
-					if c.sits(by()) {
-						sit = append(sit, plain(c))
+					if index().hasReplica(c) {
+						live = append(live, identity(c))
 					}
 				}
-				if len(list) > 0 && len(sit) < Quorum(len(list)) {
+				if len(list) > 0 && len(live) < Quorum(len(list)) {
 					return nil, false
 				}
-				for len(sit) > Quorum(len(list)) && len(list) > 0 {
-					k := rapid.IntRange(0, len(sit)-1).Draw(t, label)
-					sit = slices.Delete(sit, k, k+1)
+				for len(live) > Quorum(len(list)) && len(list) > 0 {
+					k := rapid.IntRange(0, len(live)-1).Draw(t, label)
+					live = slices.Delete(live, k, k+1)
 				}
-				who = append(who, sit...)
+				who = append(who, live...)
 			}
 			return who, true
 		}
@@ -81,38 +81,38 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // one is lost
 				living := 0
-				for k := range places {
-					if !places[k].Lost {
+				for k := range agreed {
+					if !agreed[k].Lost {
 						living++
 					}
 				}
-				k := rapid.IntRange(0, len(places)-1).Draw(t, "lost")
-				places[k].Lost = places[k].Lost || living > 3
-				table.Reassign(places, 0)
+				k := rapid.IntRange(0, len(agreed)-1).Draw(t, "lost")
+				agreed[k].Lost = agreed[k].Lost || living > 3
+				table.Reassign(agreed, 0)
 			case 1: // one comes back, and knows nothing
-				k := rapid.IntRange(0, len(places)-1).Draw(t, "back")
-				if places[k].Lost {
-					places[k].Lost, places[k].Incarnation = false, places[k].Incarnation+1
-					table.Reassign(places, 0)
+				k := rapid.IntRange(0, len(agreed)-1).Draw(t, "back")
+				if agreed[k].Lost {
+					agreed[k].Lost, agreed[k].Incarnation = false, agreed[k].Incarnation+1
+					table.Reassign(agreed, 0)
 				}
-			case 2: // one that sits learns from a quorum of those before
-				p := &table.Partitions[part]
+			case 2: // a replica catches up from a quorum of the previous ones
+				p := &table.Partitions[partition]
 				for _, c := range p.Current {
-					if c.Ready || !c.sits(by()) || p.Previous == nil {
+					if c.Ready || !index().hasReplica(c) || p.Previous == nil {
 						continue
 					}
 					n, any := 0, false
 					for _, o := range p.Previous {
-						if o.sits(by()) {
+						if index().hasReplica(o) {
 							n++
-							any = any || know[plain(o)]
+							any = any || knows[identity(o)]
 						}
 					}
 					if n >= Quorum(len(p.Previous)) {
 						if any {
-							know[plain(c)] = true
+							knows[identity(c)] = true
 						}
-						table.MarkReady(places, c.Name, c.Incarnation, 1<<part, table.Version)
+						table.MarkReady(agreed, c.Name, c.Incarnation, 1<<partition, table.Version)
 					}
 					break
 				}
@@ -121,65 +121,65 @@
 				if !ok {
 					continue
 				}
-				if !spoken {
-					spoken = true
+				if !sent {
+					sent = true
 					for _, c := range who {
-						know[c] = true
+						knows[c] = true
 					}
 					continue
 				}
-				if !slices.ContainsFunc(who, func(c Replica) bool { return know[c] }) {
-					t.Fatalf("a quorum of %v that knows nothing; those that know: %v; part %+v", who, know, table.Partitions[part])
+				if !slices.ContainsFunc(who, func(c Replica) bool { return knows[c] }) {
+					t.Fatalf("a quorum of %v that knows nothing; those that know: %v; partition %+v", who, knows, table.Partitions[partition])
 				}
 			}
 		}
 	})
 }
 
-func TestClaims(t *testing.T) {
-	places := members(5)
+func TestTable_Claims(t *testing.T) {
+	agreed := members(5)
 	var table Table
-	table.Reassign(places, 1)
+	table.Reassign(agreed, 1)
 	claim := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 0b110}
-	assert.False(t, table.Claim(places, claim), "it is not lost")
-	places[0].Lost = true
-	table.Reassign(places, 0)
-	assert.True(t, table.Claim(places, claim))
-	assert.False(t, table.Claim(places, claim), "twice is once")
+	assert.False(t, table.Claim(agreed, claim), "it is not lost")
+	agreed[0].Lost = true
+	table.Reassign(agreed, 0)
+	assert.True(t, table.Claim(agreed, claim))
+	assert.False(t, table.Claim(agreed, claim), "a repeat changes nothing")
 	other := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b111}
-	assert.True(t, table.Claim(places, other), "what is left")
+	assert.True(t, table.Claim(agreed, other), "what is left")
 	who, _, _ := table.SuccessorOf("n0", 1, 2)
 	assert.Equal(t, "n1", who)
 	who, _, _ = table.SuccessorOf("n0", 1, 0)
 	assert.Equal(t, "n2", who)
-	places[1].Lost = true
-	table.Reassign(places, 0)
+	agreed[1].Lost = true
+	table.Reassign(agreed, 0)
 	_, _, claimed := table.SuccessorOf("n0", 1, 2)
-	assert.False(t, claimed, "the heir is lost, too")
-	assert.True(t, table.Claim(places, other))
+	assert.False(t, claimed, "the successor is lost, too")
+	assert.True(t, table.Claim(agreed, other))
 	assert.True(t, table.Settle(AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b011}))
 	_, _, claimed = table.SuccessorOf("n0", 1, 1)
 	assert.False(t, claimed)
-	assert.False(t, table.Claim(places, AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 1}), "a lost one claims nothing")
+	assert.False(t, table.Claim(agreed, AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 1}), "a lost member claims nothing")
 }
 
-// A part that has lost its chairs beyond a quorum begins anew only when it is said so, and once enough sit.
-func TestAnew(t *testing.T) {
-	places := members(5)
+// A partition that lost its quorum begins anew only when that is agreed, and once enough replicas are live.
+func TestTable_ReinitializesAfterQuorumLoss(t *testing.T) {
+	agreed := members(5)
 	var table Table
-	table.Reassign(places, 2)
+	table.Reassign(agreed, 2)
 	for k := range 3 {
-		places[k].Lost = true
+		agreed[k].Lost = true
 	}
-	table.Reassign(places, 0)
-	assert.False(t, table.Reinitialize(places, 1), "too few sit")
+	table.Reassign(agreed, 0)
+	assert.False(t, table.Reinitialize(agreed, 1), "too few are live")
 	for k := range 3 {
-		places[k].Lost, places[k].Incarnation = false, 2
+		agreed[k].Lost, agreed[k].Incarnation = false, 2
 	}
-	table.Reassign(places, 0)
+	table.Reassign(agreed, 0)
 	require.NotNil(t, table.Partitions[0].Previous)
-	assert.True(t, table.Reinitialize(places, 1))
+	assert.True(t, table.Reinitialize(agreed, 1))
 	assert.Nil(t, table.Partitions[0].Previous)
 	assert.NotNil(t, table.Partitions[1].Previous)
-	assert.False(t, table.Reinitialize(places, 1), "it is whole")
+	assert.False(t, table.Reinitialize(agreed, 1), "its quorum is live")
 }
