--- a/internal/assembly/cluster.go
+++ b/internal/assembly/cluster.go
@@ -147,7 +147,7 @@
 	if c == nil {
 		return
 	}
-	c.transport.SetFlag(c.flags(membership.Ready))
+	c.transport.SetFlags(c.flags(membership.Ready))
 	go c.forwardPresent()
 }
 
@@ -158,7 +158,7 @@
 		case n := <-c.present:
 			c.x.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ControllersCounted, Value: n}})
 			if q := c.x.quotas; q != nil {
-				c.x.loop.Put(dispatch.QueueItem{Call: func(float64) { q.shares.Owners(int(n)) }})
+				c.x.loop.Put(dispatch.QueueItem{Call: func(float64) { q.shares.SetControllers(int(n)) }})
 			}
 		case <-c.stopped:
 			return
@@ -170,7 +170,7 @@
 	if c == nil {
 		return
 	}
-	c.transport.SetFlag(c.flags(membership.Draining))
+	c.transport.SetFlags(c.flags(membership.Draining))
 	c.transport.Leave()
 }
 
--- a/internal/assembly/cluster_events.go
+++ b/internal/assembly/cluster_events.go
@@ -92,7 +92,7 @@
 	case consensus.VoterFailed:
 		log.WithField("reason", e.Reason).Error("consensus: this voter has failed; the others go on")
 		c.diskFailing.Store(true)
-		go c.transport.SetFlag(c.flags(membership.Ready))
+		go c.transport.SetFlags(c.flags(membership.Ready))
 	}
 }
 
--- a/internal/assembly/handoff.go
+++ b/internal/assembly/handoff.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"path/filepath"
 
+	"liftshift/internal/adminapi"
 	"liftshift/internal/dispatch"
 	"liftshift/internal/handoff"
 	"liftshift/internal/handoffnet"
@@ -29,17 +30,17 @@
 		}
 	}
 	s := handoff.Settings{
-		Classes:             platform.Scheduler.Classes,
-		RetryBudget:         platform.AdoptionBudget,
-		RetryAfterMS:        platform.Scheduler.LongestRetryAfterMS(),
-		AdoptClasses:        file.AdoptClasses,
-		AdoptAtOnce:         file.AdoptAtOnce,
-		CopyAfterMS:         file.CopyAfterMS,
-		MaxCopies:           file.MaxCopies,
-		MaxAnswerBytes:      file.MaxAnswerBytes,
-		RememberMS:          x.file.Store.RememberMS,
-		DoubtMS:             file.DoubtMS,
-		SendWithoutReplicas: file.SendWithoutReplicas,
+		Classes:              platform.Scheduler.Classes,
+		RetryBudget:          platform.AdoptionBudget,
+		RetryAfterMS:         platform.Scheduler.LongestRetryAfterMS(),
+		AdoptClasses:         file.AdoptClasses,
+		MaxAdoptionsInFlight: file.AdoptAtOnce,
+		CopyAfterMS:          file.CopyAfterMS,
+		MaxCopies:            file.MaxCopies,
+		MaxAnswerBytes:       file.MaxAnswerBytes,
+		KeyRetentionMS:       x.file.Store.RememberMS,
+		QuorumLossMS:         file.DoubtMS,
+		SendWithoutReplicas:  file.SendWithoutReplicas,
 	}
 	self := c.view.Self()
 	agent := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Incarnation}, s, seed, x.loop, c.clock, c.transport, x.log)
@@ -60,7 +61,7 @@
 
 func (h *handoffExtension) logCounters() {
 	if h != nil {
-		h.x.log.WithFields(h.agent.Counters()).Info("handoff")
+		h.x.log.WithFields(adminapi.Describe(h.counts())).Info("handoff")
 	}
 }
 
--- a/internal/assembly/handoff_admin.go
+++ b/internal/assembly/handoff_admin.go
@@ -96,11 +96,11 @@
 		MessagesSent:         c.MessagesSent,
 		MessagesLost:         c.MessagesLost,
 		CopiesFetched:        c.CopiesFetched,
-		Calls:                h.agent.Calls.Load(),
-		CallsFailed:          h.agent.Failed.Load(),
-		QueueDropped:         h.agent.Dropped.Load(),
-		Datagrams:            h.agent.Datagrams.Load(),
-		DatagramsUnanswered:  h.agent.Unanswered.Load(),
+		Calls:                c.Calls,
+		CallsFailed:          c.CallsFailed,
+		QueueDropped:         c.QueueDropped,
+		Datagrams:            c.Datagrams,
+		DatagramsUnanswered:  c.DatagramsUnanswered,
 	}
 }
 
--- a/internal/assembly/locality.go
+++ b/internal/assembly/locality.go
@@ -35,7 +35,7 @@
 
 func (l *localityExtension) logCounters() {
 	if l != nil {
-		l.x.log.WithFields(l.agent.Counters()).Info("zones")
+		l.x.log.WithFields(l.agent.Counters()).Info("locality")
 	}
 }
 
--- a/internal/assembly/locality_admin.go
+++ b/internal/assembly/locality_admin.go
@@ -102,7 +102,7 @@
 	span = cmp.Or(span, shortReturnOrder)
 	o.Until, o.SpanMS = time.Now().Add(span).UnixMilli(), float64(span.Milliseconds())
 	l.x.log.WithFields(logrus.Fields{"zone": o.Zone, "order": string(o.Kind), "author": o.Author, "until": formatUntil(o.Until)}).
-		Warn("zones: an operator's order")
+		Warn("locality: an operator's order")
 	if err := l.agent.SubmitOrder(o, false); err != nil {
 		return none, err
 	}
--- a/internal/assembly/quota.go
+++ b/internal/assembly/quota.go
@@ -113,7 +113,7 @@
 		return
 	}
 	m.share = share
-	m.tree.Part(share)
+	m.tree.SetCeilingShare(share)
 }
 
 // queued notes a request that waits from now on, with the estimate of this moment.
@@ -134,7 +134,7 @@
 
 // PeerMessages returns what other controllers are to hear of the use of ceilings.
 func (m *quotaManager) PeerMessages(now float64) []quotashare.Message {
-	used, waits := m.tree.Ceilings()
+	used, waits := m.tree.CeilingUse()
 	return m.shares.Tick(now, used, waits)
 }
 
--- a/internal/assembly/quota_admin.go
+++ b/internal/assembly/quota_admin.go
@@ -35,8 +35,8 @@
 		Overdue: c.Overdue, Overflow: c.Overflow, Unknown: c.Unknown, Queued: c.Queued, LongestMS: c.LongestMS}
 	for _, s := range m.tree.Statuses() {
 		reply.Teams = append(reply.Teams, adminapi.Team{Name: s.Team.Name, Parent: s.Team.Parent, Weight: s.Team.Weight,
-			Queued: s.Queued, InFlight: s.InFlight, Threads: s.Threads, FairShare: s.FairShare, MemoryMB: s.Memory,
-			WorkMS: math.Round(s.Work), Blocked: s.Blocked, OldestMS: s.OldestMS, BoundMS: s.BoundMS, Borrows: s.Borrows,
+			Queued: s.Queued, InFlight: s.InFlight, Threads: s.Threads, FairShare: s.FairShare, MemoryMB: s.MemoryMB,
+			WorkMS: math.Round(s.WorkMS), Blocked: s.Blocked, OldestMS: s.OldestMS, BoundMS: s.BoundMS, Borrows: s.Borrows,
 			Lends: s.Lends, Capped: s.Capped, Ceiling: s.Team.Ceiling, MaxInFlight: s.Team.MaxInFlight})
 	}
 	return reply
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -468,7 +468,7 @@
 	}
 	f, worst := newFair(16, 1000), 0.0
 	var bounds []float64
-	_, waits, _ := simulate(f, 60_000, 0, 1.2, func(float64) { bounds = append(bounds, f.tree.Bound()) })
+	_, waits, _ := simulate(f, 60_000, 0, 1.2, func(float64) { bounds = append(bounds, f.tree.MaxWaitMS()) })
 	for _, team := range []string{"model", "render"} {
 		worst = max(worst, quantile(waits[team], 1))
 	}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -58,7 +58,7 @@
 	if err := l.carrier.Start(view, l.seat); err != nil {
 		return nil, err
 	}
-	l.carrier.SetFlag(membership.Ready)
+	l.carrier.SetFlags(membership.Ready)
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if r := l.roll.Load(); r != nil && l.seat.LeaseHeld() && len(r.Table.Partitions) > 0 {
 			return l, nil
@@ -85,7 +85,7 @@
 					b.Items = append(b.Items, handoff.Item{Op: handoff.OpRegister, Key: handoff.KeyOf(w.IdempotencyKey, ""), Sequence: 1, From: l.self,
 						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
 				}
-				data, err := l.carrier.CallNow(f.Relay.Known(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
+				data, err := l.carrier.CallSync(f.Relay.Known(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
--- a/internal/clusternet/client.go
+++ b/internal/clusternet/client.go
@@ -33,7 +33,7 @@
 		return
 	}
 	go func() {
-		reply, err := t.CallNow(to, method, data)
+		reply, err := t.CallSync(to, method, data)
 		<-t.callSlots
 		if err != nil {
 			t.CallsLost.Add(1)
@@ -42,8 +42,8 @@
 	}()
 }
 
-// CallNow calls another member and waits for the reply.
-func (t *Transport) CallNow(to, method string, data []byte) ([]byte, error) {
+// CallSync calls another member and waits for the reply.
+func (t *Transport) CallSync(to, method string, data []byte) ([]byte, error) {
 	conn, err := t.clients.get(to)
 	if err != nil {
 		return nil, err
--- a/internal/clusternet/transport.go
+++ b/internal/clusternet/transport.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// SetFlag sets this controller's own flags.
-func (t *Transport) SetFlag(flags membership.Flags) {
+// SetFlags sets this controller's own flags.
+func (t *Transport) SetFlags(flags membership.Flags) {
 	t.Post(func(now float64) { t.step(now, &membership.Event{Kind: membership.FlagsChanged, Flags: flags}) })
 }
 
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -72,7 +72,7 @@
 	s := &Estates{Hall: NewHall(n, 3, seed), Runs: map[string]int{}, ran: map[string]float64{}, ids: map[string]int{}, Window: window}
 	s.Consensus.LeaseMS, s.Consensus.DeclareLostMS, s.Consensus.Copies = 2000, 500, copies
 	s.settings = handoff.DefaultSettings()
-	s.settings.RememberMS = 60e3
+	s.settings.KeyRetentionMS = 60e3
 	s.settings.Classes = []scheduler.RequestClass{
 		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: window, DeadlineMS: limitMS},
 		{Name: "once", Effect: scheduler.NonIdempotent, DeadlineMS: limitMS},
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -433,7 +433,7 @@
 func (p *betweenPlay) watch(look int) {
 	var list []locality.Member
 	for k := range p.watches {
-		list = append(list, locality.Member{Name: fmt.Sprintf("c%03d", k), Zone: zoneName(p.zoneOf(k)), Region: "r", Living: !p.cutOff(k)})
+		list = append(list, locality.Member{Name: fmt.Sprintf("c%03d", k), Zone: zoneName(p.zoneOf(k)), Region: "r", Live: !p.cutOff(k)})
 	}
 	leader := 1
 	for k := range p.watches {
--- a/internal/handoff/adoption_test.go
+++ b/internal/handoff/adoption_test.go
@@ -95,7 +95,7 @@
 func TestManager_LostOwnerReturning(t *testing.T) {
 	for name, adopted := range map[string]bool{"before adoption": false, "after adoption": true} {
 		t.Run(name, func(t *testing.T) {
-			c := newCluster(t, 6, 2, func(s *Settings) { s.AdoptAtOnce = 1000 })
+			c := newCluster(t, 6, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 1000 })
 			c.arrive(0, "keyed", "a", "m")
 			c.arrive(0, "keyed", "unsent", "m2")
 			require.True(t, c.attempt(0, "a"))
@@ -183,7 +183,7 @@
 // Twenty thousand orphans at once: never more in flight than there is room for, the nearest deadline first.
 func TestManager_PacesAdoptionByDeadline(t *testing.T) {
 	const n = 20_000
-	c := newCluster(t, 5, 2, func(s *Settings) { s.AdoptAtOnce = 50 })
+	c := newCluster(t, 5, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 50 })
 	for k := range n {
 		c.step(0, &Event{Kind: RequestArriving, ID: fmt.Sprint(k), Copy: &Copy{RequestData: RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "keyed"},
 			Deadline: c.now + 60e3 + float64(k%1000)}})
@@ -216,7 +216,7 @@
 
 // An operator gives a request up: it is recorded as failed, and queries are answered so.
 func TestManager_ReleasesOrphanOnRequest(t *testing.T) {
-	c := newCluster(t, 5, 2, func(s *Settings) { s.AdoptAtOnce = 0 })
+	c := newCluster(t, 5, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 0 })
 	c.arrive(0, "keyed", "a", "m")
 	c.lose(0)
 	c.tick(1000)
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -99,15 +99,15 @@
 func New(self Member, settings Settings, seed uint32) *Manager {
 	m := &Manager{
 		self:                self,
-		quorumLossMS:        settings.DoubtMS,
-		keyRetentionMS:      settings.RememberMS,
+		quorumLossMS:        settings.QuorumLossMS,
+		keyRetentionMS:      settings.KeyRetentionMS,
 		maxAnswerBytes:      settings.MaxAnswerBytes,
 		maxCopies:           settings.MaxCopies,
 		copyAfterMS:         settings.CopyAfterMS,
 		sendWithoutReplicas: settings.SendWithoutReplicas,
 		maxRetryAfterMS:     settings.RetryAfterMS,
 		retryBudget:         settings.RetryBudget,
-		pacer:               pacer{maxInFlight: float64(settings.AdoptAtOnce), started: map[string]pacedRequest{}},
+		pacer:               pacer{maxInFlight: float64(settings.MaxAdoptionsInFlight), started: map[string]pacedRequest{}},
 		seed:                seed,
 		outgoing:            map[string]*Batch{},
 		members:             map[string]*placement.Member{},
--- a/internal/handoffnet/agent.go
+++ b/internal/handoffnet/agent.go
@@ -135,21 +135,3 @@
 		a.copies.close(a.log)
 	}
 }
-
-// Counters returns the counters, for the log and for operators' tools, which know them by these names.
-func (a *Agent) Counters() logrus.Fields {
-	c := handoff.Counts{}
-	if p := a.counts.Load(); p != nil {
-		c = *p
-	}
-	return logrus.Fields{
-		"copies": c.CopiesStored, "open": c.Open, "held_copies": c.CopiesReceived, "settled": c.Settled, "adopted": c.Adopted,
-		"written_off": c.Failed, "dropped": c.Dropped,
-		"mine": c.OwnedRequests, "waiting": c.SuspendedRequests, "registered": c.Registered, "waited": c.Waited,
-		"told": c.AnsweredFromCopy, "refused": c.Refused, "withheld": c.Withheld, "alone": c.AttemptsUnreplicated,
-		"claims": c.AdoptionClaims, "taken": c.AdoptionsStarted, "taken_done": c.AdoptionsDone, "late": c.AdoptionsLate,
-		"words": c.MessagesSent, "lost": c.MessagesLost, "pulled": c.CopiesFetched,
-		"calls": a.calls.Load(), "calls_failed": a.callsFailed.Load(), "lined_up_too_long": a.dropped.Load(),
-		"datagrams": a.datagrams.Load(), "datagrams_unanswered": a.unanswered.Load(),
-	}
-}
--- a/internal/handoffnet/peerstream.go
+++ b/internal/handoffnet/peerstream.go
@@ -292,7 +292,7 @@
 		time.Sleep(noAddressWait)
 		return nil
 	}
-	received, err := a.transport.CallNow(s.address, clusternet.HandoffMethod, data)
+	received, err := a.transport.CallSync(s.address, clusternet.HandoffMethod, data)
 	if err != nil {
 		a.callsFailed.Add(1)
 		return nil
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -185,7 +185,7 @@
 			var list []Member
 			for o := range w.monitors {
 				list = append(list, Member{Name: w.name(o), Zone: fmt.Sprint("z", w.zoneOf[o]), Region: w.sites[w.zoneOf[o]].region,
-					Living: !w.down[o] && (w.partitioned[o] == w.partitioned[k] && !w.partitioned[k] || o == k)})
+					Live: !w.down[o] && (w.partitioned[o] == w.partitioned[k] && !w.partitioned[k] || o == k)})
 			}
 			w.step(k, &Event{Kind: MembersChanged, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.hasMajority()})
 			w.step(k, &Event{Kind: Observed, Executors: w.executorsSeenBy(k), DemandThreads: w.demandOf(k), WithoutList: w.listUnavailable, Applied: w.applied[k]})
--- a/internal/locality/monitor.go
+++ b/internal/locality/monitor.go
@@ -202,7 +202,7 @@
 	m.leads = ev.Leads
 	m.zoneMembers = m.zoneMembers[:0]
 	for _, member := range ev.Members {
-		if member.Living && member.Zone == m.zone {
+		if member.Live && member.Zone == m.zone {
 			m.zoneMembers = append(m.zoneMembers, member.Name)
 		}
 	}
@@ -231,7 +231,7 @@
 	firstOfZone := map[string]string{}
 	for _, member := range m.members {
 		first := firstOfZone[member.Zone]
-		if member.Living && (first == "" || member.Name < first) {
+		if member.Live && (first == "" || member.Name < first) {
 			firstOfZone[member.Zone] = member.Name
 		}
 	}
--- a/internal/locality/planner.go
+++ b/internal/locality/planner.go
@@ -164,7 +164,7 @@
 func (z *Zone) countMembers(members []Member) {
 	z.Members = 0
 	for _, m := range members {
-		if m.Zone == z.Name && m.Living {
+		if m.Zone == z.Name && m.Live {
 			z.Members++
 			z.Region = cmp.Or(m.Region, z.Region)
 		}
--- a/internal/locality/shares.go
+++ b/internal/locality/shares.go
@@ -51,7 +51,7 @@
 func membersByZone(list []Member) map[string][]string {
 	names := map[string][]string{}
 	for _, m := range list {
-		if m.Living && len(names[m.Zone]) < maxShareMembers {
+		if m.Live && len(names[m.Zone]) < maxShareMembers {
 			names[m.Zone] = append(names[m.Zone], m.Name)
 		}
 	}
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -123,7 +123,7 @@
 // Member is a controller in the membership view.
 type Member struct {
 	Name, Zone, Region string
-	Living             bool
+	Live               bool
 }
 
 // Executor is an executor as this controller's endpoint list and scheduler have it.
--- a/internal/localityagent/agent.go
+++ b/internal/localityagent/agent.go
@@ -140,7 +140,7 @@
 
 func (a *Agent) members() (list []locality.Member) {
 	for _, m := range a.view.Members() {
-		list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Living: m.State.IsLive()})
+		list = append(list, locality.Member{Name: m.Name, Zone: m.Zone, Region: m.Region, Live: m.State.IsLive()})
 	}
 	return list
 }
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -68,7 +68,7 @@
 	view := membership.New(0, "test", b, nil, membership.DefaultSettings(), 1) // its only member is the recipient
 	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", &scheduler.Settings{}, nil, transport, view, nil, log)
 	for _, ev := range []locality.Event{
-		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}},
+		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}},
 		{Kind: locality.PlanAgreed, Plan: goldenPlan},
 		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
 		{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50}, // leads to a loan request
@@ -120,13 +120,13 @@
 		return <-got
 	}
 	prepare := func(s *Agent) {
-		step(s, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+		step(s, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}})
 		step(s, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
 		step(s, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
 	}
 	b := newAgent("b")
 	prepare(b)
-	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Living: true}, {Name: "b", Zone: "z0", Living: true}}})
+	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}})
 	b.receiveDatagram(netip.AddrPort{}, read("report"))
 	step(b, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5})
 	b.receiveDatagram(netip.AddrPort{}, read("ask-loan"))
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -227,8 +227,8 @@
 	t.updateBlocked(i)
 }
 
-// Part sets the share of every ceiling that this controller may use, from 0 to 1.
-func (t *Tree) Part(share float64) { t.ceilingShare = min(1, max(0, share)) }
+// SetCeilingShare sets the share of every ceiling that this controller may use, from 0 to 1.
+func (t *Tree) SetCeilingShare(share float64) { t.ceilingShare = min(1, max(0, share)) }
 
 // fairThreads is a node's share of the threads that this controller has.
 func (t *Tree) fairThreads(n *node) float64 { return n.totalShare * t.totalThreads * t.ownShare }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -88,7 +88,7 @@
 	w.advance(60000, func() {
 		w.saturate("big", "look", 40, 100, 100)
 		w.saturate("tiny", "look", 3, 100, 100)
-		bound = max(bound, w.Bound())
+		bound = max(bound, w.MaxWaitMS())
 	})
 	assert.Greater(t, len(w.waits["tiny"]), 20)
 	assert.LessOrEqual(t, longest(w.waits["tiny"]), bound)
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -21,14 +21,14 @@
 
 // TeamStatus is how one team stands.
 type TeamStatus struct {
-	Team                       Team
-	Queued, InFlight           int
-	Threads, FairShare, Memory float64
-	Work                       float64 // done so far, ms of one thread
-	Blocked                    string
-	OldestMS, BoundMS          float64
-	Borrows, Lends             float64 // threads
-	Capped                     int
+	Team                         Team
+	Queued, InFlight             int
+	Threads, FairShare, MemoryMB float64
+	WorkMS                       float64 // done so far, ms of one thread
+	Blocked                      string
+	OldestMS, BoundMS            float64
+	Borrows, Lends               float64 // threads
+	Capped                       int
 }
 
 // Statuses returns how all teams stand, in their order.
@@ -38,8 +38,8 @@
 		n := &t.nodes[i]
 		fair := t.fairThreads(n)
 		status := TeamStatus{
-			Team: n.team, Queued: n.queued, InFlight: n.inFlight, Threads: n.threads, FairShare: fair, Memory: n.memoryMB, Work: n.workMS,
-			Blocked: n.blocked.String(), BoundMS: t.Bound(), Borrows: max(0, n.threads-fair), Capped: n.capped,
+			Team: n.team, Queued: n.queued, InFlight: n.inFlight, Threads: n.threads, FairShare: fair, MemoryMB: n.memoryMB, WorkMS: n.workMS,
+			Blocked: n.blocked.String(), BoundMS: t.MaxWaitMS(), Borrows: max(0, n.threads-fair), Capped: n.capped,
 		}
 		if n.queued == 0 {
 			status.Lends = max(0, fair-n.threads)
@@ -54,17 +54,17 @@
 	return list
 }
 
-// Bound returns the longest that a request which arrives now waits for its offer, as long as it may be offered at all and the
+// MaxWaitMS returns the longest that a request which arrives now waits for its offer, as long as it may be offered at all and the
 // executors do their work: past the age, a share of all work goes to the oldest.
-func (t *Tree) Bound() float64 {
+func (t *Tree) MaxWaitMS() float64 {
 	if t.slab.queued == 0 {
 		return 0
 	}
 	return t.ageMS + t.backlogMS/(agedShare*t.totalThreads*t.ownShare)
 }
 
-// Ceilings returns which share of its ceiling the busiest team uses, and whether a team waits at its ceiling.
-func (t *Tree) Ceilings() (used float64, waits bool) {
+// CeilingUse returns which share of its ceiling the busiest team uses, and whether a team waits at its ceiling.
+func (t *Tree) CeilingUse() (used float64, waits bool) {
 	for i := 1; i < len(t.nodes); i++ {
 		if n := &t.nodes[i]; n.hasCeiling() {
 			used = max(used, n.threads/max(1e-9, n.ceilingThreads(t)))
@@ -130,5 +130,5 @@
 		ahead++
 	}
 	return fmt.Sprintf("%s; %d of %s are ahead of it, %d in all; %.0f ms so far, at most %.0f", why, ahead, n.team.Name,
-		t.slab.queued-1, t.now-r.queuedAt, math.Ceil(t.Bound()))
+		t.slab.queued-1, t.now-r.queuedAt, math.Ceil(t.MaxWaitMS()))
 }
--- a/internal/quotashare/quotashare.go
+++ b/internal/quotashare/quotashare.go
@@ -77,9 +77,9 @@
 	return p
 }
 
-// Owners tells how many controllers own a part. More of them count at once; fewer never do, as one that is not heard may still use
+// SetControllers tells how many controllers own a part. More of them count at once; fewer never do, as one that is not heard may still use
 // its part.
-func (p *Shares) Owners(n int) {
+func (p *Shares) SetControllers(n int) {
 	if n > p.n {
 		p.n, p.home = n, whole/n
 	}
--- a/internal/raftnode/messages.go
+++ b/internal/raftnode/messages.go
@@ -143,7 +143,7 @@
 	if leaderAddress == "" {
 		return r, nil
 	}
-	data, err := n.transport.CallNow(leaderAddress, clusternet.ConsensusMethod, []byte{messageRecord})
+	data, err := n.transport.CallSync(leaderAddress, clusternet.ConsensusMethod, []byte{messageRecord})
 	if err == nil {
 		err = json.Unmarshal(data, &r)
 	}
--- a/internal/raftnode/peer_stream.go
+++ b/internal/raftnode/peer_stream.go
@@ -49,7 +49,7 @@
 			if !open {
 				return
 			}
-			if _, err := n.transport.CallNow(address, clusternet.ConsensusMethod, data); err != nil {
+			if _, err := n.transport.CallSync(address, clusternet.ConsensusMethod, data); err != nil {
 				n.Dropped.Add(1)
 			}
 		case <-n.stop:
