--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -230,16 +230,16 @@
 }
 
 // idle gives the processor time of a core, in percent, and the memory of each of some quiet controllers.
-func idle(f *chaostest.Fleet) (percent, mb float64) {
+func idle(f *chaostest.Cluster) (percent, mb float64) {
 	var cpu, rss []float64
 	before := map[int]float64{}
 	for k := range f.Controllers {
-		before[k] = cpuMS(f.Process(k))
+		before[k] = cpuMS(f.PID(k))
 	}
 	time.Sleep(quietTime)
 	for k := range f.Controllers {
-		cpu = append(cpu, (cpuMS(f.Process(k))-before[k])/float64(quietTime.Milliseconds())*100)
-		rss = append(rss, rssMB(f.Process(k)))
+		cpu = append(cpu, (cpuMS(f.PID(k))-before[k])/float64(quietTime.Milliseconds())*100)
+		rss = append(rss, rssMB(f.PID(k)))
 	}
 	return quantile(cpu, 0.5), quantile(rss, 0.5)
 }
@@ -247,9 +247,9 @@
 // real measures thirty real processes: how soon the views are settled after ten are killed, and what the block costs.
 func realFleet(dir, programs string) ([]Figure, error) {
 	program := filepath.Join(programs, "liftshift")
-	plan := chaostest.Plan{Program: program, Folder: filepath.Join(dir, "with"), Controllers: realOnes, Engines: 1, Zones: 3, Seed: 11}
+	plan := chaostest.Config{Program: program, Directory: filepath.Join(dir, "with"), Controllers: realOnes, Executors: 1, Zones: 3, Seed: 11}
 	plain := plan
-	plain.Folder, plain.NoFleet, plain.Controllers = filepath.Join(dir, "without"), true, 10
+	plain.Directory, plain.WithoutCluster, plain.Controllers = filepath.Join(dir, "without"), true, 10
 	without, err := chaostest.New(plain)
 	if err != nil {
 		return nil, err
@@ -269,19 +269,19 @@
 	if err = f.StartAll(); err != nil {
 		return nil, err
 	}
-	join, err := f.WhenSettled(60 * time.Second)
+	join, err := f.WaitUntilConverged(60 * time.Second)
 	if err != nil {
 		return nil, err
 	}
-	sent := f.Relay.Bytes.Load()
+	sent := f.Relay.DatagramBytes.Load()
 	cpu, mb := idle(f)
-	bytes := float64(f.Relay.Bytes.Load()-sent) / quietTime.Seconds() / realOnes
+	bytes := float64(f.Relay.DatagramBytes.Load()-sent) / quietTime.Seconds() / realOnes
 	var took []float64
 	for r := range realRounds {
 		for n := range 10 {
 			f.Kill((3*n + r) % realOnes)
 		}
-		t, err := f.WhenSettled(60 * time.Second)
+		t, err := f.WaitUntilConverged(60 * time.Second)
 		if err != nil {
 			return nil, err
 		}
@@ -289,7 +289,7 @@
 		if err := f.StartAll(); err != nil {
 			return nil, err
 		}
-		if _, err := f.WhenSettled(60 * time.Second); err != nil {
+		if _, err := f.WaitUntilConverged(60 * time.Second); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -40,16 +40,16 @@
 	roll    atomic.Pointer[raftnode.Configuration]
 }
 
-func joinLeaver(f *chaostest.Fleet, k int) (*leaver, error) {
+func joinLeaver(f *chaostest.Cluster, k int) (*leaver, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
-	l.carrier = clusternet.New(f.Relay.Listen(k), log)
+	l.carrier = clusternet.New(f.Relay.ListenAddress(k), log)
 	seen, agreed := membership.DefaultSettings(), consensus.DefaultSettings()
 	seen.ProbeMS, seen.AnswerMS, seen.SuspectMS = 200, 80, 800
 	agreed.LeaseMS, agreed.DeclareLostMS = 2000, 500
-	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.Known(k), Zone: "z0", Version: 1},
-		[]string{f.Relay.Known(0), f.Relay.Known(1)}, seen, 5)
+	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.AdvertiseAddress(k), Zone: "z0", Version: 1},
+		[]string{f.Relay.AdvertiseAddress(0), f.Relay.AdvertiseAddress(1)}, seen, 5)
 	var err error
 	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, agreed, 5, log); err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 }
 
 // keep has so many labelled searches kept by all that sit, none of them sent.
-func (l *leaver) keep(f *chaostest.Fleet, n int) error {
+func (l *leaver) keep(f *chaostest.Cluster, n int) error {
 	r := l.roll.Load()
 	var wait sync.WaitGroup
 	var failed atomic.Pointer[error]
@@ -85,7 +85,7 @@
 					b.Items = append(b.Items, handoff.Item{Op: handoff.OpRegister, Key: handoff.KeyOf(w.IdempotencyKey, ""), Sequence: 1, From: l.self,
 						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
 				}
-				data, err := l.carrier.CallSync(f.Relay.Known(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
+				data, err := l.carrier.CallSync(f.Relay.AdvertiseAddress(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
@@ -108,7 +108,7 @@
 }
 
 // own has clients look things up at all controllers, and gives a call that ends them and tells how long they took, with when each began.
-func own(f *chaostest.Fleet, controllers int) func() (at []time.Time, ms []float64, failed int) {
+func own(f *chaostest.Cluster, controllers int) func() (at []time.Time, ms []float64, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var at []time.Time
@@ -118,7 +118,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := testservers.Dial(f.Controllers[w%controllers].Client, time.Second)
+			c, err := testservers.Dial(f.Controllers[w%controllers].ClientAddress, time.Second)
 			for k := 0; err == nil; k++ {
 				select {
 				case <-stop:
@@ -150,7 +150,7 @@
 	figures, add := collect()
 	n := number("ORPHANS", orphansUsual)
 	p := heirsPlan(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
-	p.Controllers, p.Works, p.Cores, p.Room = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, engineCores, engineRoom
+	p.Controllers, p.WorkByClass, p.Cores, p.MaxInFlight = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, engineCores, engineRoom
 	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
@@ -162,14 +162,14 @@
 			return nil, err
 		}
 	}
-	if err := f.Ready(30 * time.Second); err != nil {
+	if err := f.WaitUntilHandoffReady(30 * time.Second); err != nil {
 		return nil, err
 	}
-	said := f.Relay.Bytes.Load() + f.Relay.Streamed.Load()
+	said := f.Relay.DatagramBytes.Load() + f.Relay.StreamBytes.Load()
 	if _, _, err := mill(f, "mark", "bytes"); err != nil {
 		return nil, err
 	}
-	add("bytes_a_labelled_search", float64(f.Relay.Bytes.Load()+f.Relay.Streamed.Load()-said)/millSearches, "B over all ways", ">=", 0)
+	add("bytes_a_labelled_search", float64(f.Relay.DatagramBytes.Load()+f.Relay.StreamBytes.Load()-said)/millSearches, "B over all ways", ">=", 0)
 	l, err := joinLeaver(f, heirs)
 	if err != nil {
 		return nil, err
@@ -180,12 +180,12 @@
 	}
 	ended := own(f, heirs)
 	time.Sleep(ownBefore)
-	for _, e := range f.Engines {
-		e.MostInFlight()
-		e.Full.Store(0)
+	for _, e := range f.Executors {
+		e.TakePeakInFlight()
+		e.RejectedFull.Store(0)
 	}
 	cut := time.Now()
-	f.Relay.Set(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == heirs || b == heirs} })
+	f.Relay.SetLinks(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == heirs || b == heirs} })
 	first, last, ran := adoption(f, n, cut)
 	at, ms, failed := ended()
 	var before, during []float64
@@ -198,10 +198,10 @@
 		}
 	}
 	most, full, times := 0, 0, map[string]int{}
-	for _, e := range f.Engines {
-		most, full = max(most, e.MostInFlight()), full+int(e.Full.Load())
+	for _, e := range f.Executors {
+		most, full = max(most, e.TakePeakInFlight()), full+int(e.RejectedFull.Load())
 	}
-	for _, r := range f.Memory.Runs() {
+	for _, r := range f.RunLog.Runs() {
 		if strings.HasPrefix(r.IdempotencyKey, "o") {
 			times[r.IdempotencyKey]++
 		}
@@ -223,10 +223,10 @@
 }
 
 // adoption waits until all orphans have run, or nothing has for some seconds, and tells when it began and ended.
-func adoption(f *chaostest.Fleet, n int, cut time.Time) (first, last time.Time, ran int) {
+func adoption(f *chaostest.Cluster, n int, cut time.Time) (first, last time.Time, ran int) {
 	for idle := time.Now(); time.Since(cut) < orphanLimit && time.Since(idle) < 20*time.Second && ran < n; time.Sleep(200 * time.Millisecond) {
 		seen := map[string]bool{}
-		for _, r := range f.Memory.Runs() {
+		for _, r := range f.RunLog.Runs() {
 			if !strings.HasPrefix(r.IdempotencyKey, "o") {
 				continue
 			}
@@ -247,9 +247,9 @@
 // first must run marks twice, or the rounds could not see it.
 func Control(dir, _ string) ([]Figure, error) {
 	figures, add := collect()
-	usual := chaostest.Takeovers
-	defer func() { chaostest.Takeovers = usual }()
-	chaostest.Takeovers = []string{"asleep"}
+	usual := chaostest.TakeoverFaults
+	defer func() { chaostest.TakeoverFaults = usual }()
+	chaostest.TakeoverFaults = []string{"asleep"}
 	n := number("CONTROL_ROUNDS", 12)
 	for _, tags := range []string{"faults lawless", "faults"} {
 		programs := filepath.Join(dir, strings.ReplaceAll(tags, " ", "-"))
@@ -262,7 +262,7 @@
 		}
 		twice := 0
 		for _, r := range all {
-			twice += len(r.Twice)
+			twice += len(r.RanTwice)
 		}
 		if unit := fmt.Sprintf("of %d rounds", len(all)); tags == "faults" {
 			add("real_ran_twice_asleep_with_a_slow_disk", float64(twice), unit, "==", 0)
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -77,23 +77,23 @@
 	return twice
 }
 
-func heirsPlan(dir, program, name string, drops time.Duration, seed uint64) chaostest.Plan {
-	return chaostest.Plan{Program: program, Folder: filepath.Join(dir, name), Controllers: 5, Engines: 3, Founders: 3, Store: true, Fleet: fastFleet,
-		Estate: "copies = 2", Drops: drops, WorkMS: 10, Seed: seed,
-		Works: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}}
+func heirsPlan(dir, program, name string, drops time.Duration, seed uint64) chaostest.Config {
+	return chaostest.Config{Program: program, Directory: filepath.Join(dir, name), Controllers: 5, Executors: 3, Founders: 3, Store: true, ClusterSettings: fastFleet,
+		HandoffSettings: "copies = 2", DedupWindow: drops, WorkMS: 10, Seed: seed,
+		WorkByClass: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}}
 }
 
 // opened starts a fleet and waits until it is ready.
-func opened(p chaostest.Plan) (*chaostest.Fleet, error) {
+func opened(p chaostest.Config) (*chaostest.Cluster, error) {
 	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
 	}
 	if err = f.StartAll(); err == nil {
-		_, err = f.WhenSettled(30 * time.Second)
+		_, err = f.WaitUntilConverged(30 * time.Second)
 	}
-	if err == nil && p.Estate != "" {
-		err = f.Ready(30 * time.Second)
+	if err == nil && p.HandoffSettings != "" {
+		err = f.WaitUntilHandoffReady(30 * time.Second)
 	}
 	if err != nil {
 		f.Close()
@@ -115,18 +115,18 @@
 			seed := uint64(100 + w)
 			f, wrong := opened(heirsPlan(dir, program, fmt.Sprint("rounds", w), drops, seed))
 			for k := 3; f != nil && disk != "" && k < 5 && wrong == nil; k++ {
-				wrong = f.Disk(k, disk)
+				wrong = f.SetDiskState(k, disk)
 			}
 			chance := rand.New(rand.NewPCG(seed, 3))
 			for k := w; k < n && wrong == nil; k += atOnce {
 				var r chaostest.Round
-				if r, wrong = f.Takeover(chaostest.Takeovers[k%len(chaostest.Takeovers)], fmt.Sprint("r", k), 24, chance); wrong != nil {
+				if r, wrong = f.PlayTakeover(chaostest.TakeoverFaults[k%len(chaostest.TakeoverFaults)], fmt.Sprint("r", k), 24, chance); wrong != nil {
 					break
 				}
 				mu.Lock()
 				all = append(all, r)
-				for _, b := range slices.Concat(r.Twice, r.Two, r.Without) {
-					fmt.Printf("# wrong: round %d, %s, drops %v: %s\n", k, r.Kind, drops, b)
+				for _, b := range slices.Concat(r.RanTwice, r.Contradictions, r.WithoutOutcome) {
+					fmt.Printf("# wrong: round %d, %s, drops %v: %s\n", k, r.Fault, drops, b)
 				}
 				mu.Unlock()
 			}
@@ -149,7 +149,7 @@
 func kills(dir, program string, with bool) (handled, twice, unsent, sent float64, first []float64, err error) {
 	p := heirsPlan(dir, program, fmt.Sprint("kills", with), 20*time.Second, 41)
 	if !with {
-		p.Estate, p.Drops = "", 100*time.Millisecond // and engines that soon forget, as before
+		p.HandoffSettings, p.DedupWindow = "", 100*time.Millisecond // and engines that soon forget, as before
 	}
 	f, err := opened(p)
 	if err != nil {
@@ -158,32 +158,32 @@
 	defer f.Close()
 	asked := 0.0
 	for r := range number("KILL_ROUNDS", killRounds) {
-		b, err := f.KilledInHand(fmt.Sprint("k", r), killSearches)
+		b, err := f.PlayKillInFlight(fmt.Sprint("k", r), killSearches)
 		if err != nil {
 			return 0, 0, 0, 0, nil, err
 		}
-		for _, n := range b.NotHandled {
+		for _, n := range b.RetriesNotHandled {
 			fmt.Println("# not handled:", n)
 		}
-		asked, handled, twice = asked+killSearches, handled+float64(b.Handled), twice+float64(len(b.Twice))
-		unsent, sent = unsent+float64(b.Unsent), sent+float64(b.Sent)
-		if b.FirstShot > 0 {
-			first = append(first, float64(b.FirstShot)/float64(time.Millisecond))
+		asked, handled, twice = asked+killSearches, handled+float64(b.RetriesHandled), twice+float64(len(b.RanTwice))
+		unsent, sent = unsent+float64(b.UnsentAtFault), sent+float64(b.SentLater)
+		if b.FirstAttempt > 0 {
+			first = append(first, float64(b.FirstAttempt)/float64(time.Millisecond))
 		}
 	}
 	return handled / asked, twice, unsent, sent, first, nil
 }
 
 // mill has clients search at a controller one after the other and gives the processor time a search, and how long shots were held.
-func mill(f *chaostest.Fleet, offering, tag string) (cpu, holdMS float64, err error) {
-	before := cpuMS(f.Process(0))
+func mill(f *chaostest.Cluster, offering, tag string) (cpu, holdMS float64, err error) {
+	before := cpuMS(f.PID(0))
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	for w := range millClients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, wrong := testservers.Dial(f.Controllers[0].Client, time.Second)
+			c, wrong := testservers.Dial(f.Controllers[0].ClientAddress, time.Second)
 			for k := 0; wrong == nil && k < millSearches/millClients; k++ {
 				id, mark := fmt.Sprintf("%s-%d-%d", tag, w, k), ""
 				if offering == "mark" {
@@ -205,7 +205,7 @@
 		}()
 	}
 	all.Wait()
-	cpu = (cpuMS(f.Process(0)) - before) / millSearches
+	cpu = (cpuMS(f.PID(0)) - before) / millSearches
 	if offering == "mark" {
 		holdMS = lastField(f.Controllers[0], "counters", "hold_ms")
 	}
@@ -238,7 +238,7 @@
 		}{{"", "mark", &a, false}, {"copies = 2\ncondition = \"disk and holders\"", "mark", &b, false}, {"copies = 2\ncondition = \"holders\"", "mark", &c, false},
 			{"", "look", &d, true}, {"copies = 2", "look", &e, true}} {
 			p := heirsPlan(dir, program, fmt.Sprintf("hold%d-%d", turn, n), 20*time.Second, uint64(60+turn*10+n))
-			p.Estate, p.WorkMS, p.Works, p.Direct = s.estate, 1, nil, true
+			p.HandoffSettings, p.WorkMS, p.WorkByClass, p.Direct = s.estate, 1, nil, true
 			f, wrong := opened(p)
 			if wrong != nil {
 				return 0, 0, 0, 0, 0, wrong
@@ -320,7 +320,7 @@
 func Takeover(dir, programs string) ([]Figure, error) {
 	figures, add := collect()
 	if kinds := os.Getenv("TAKEOVER_KINDS"); kinds != "" {
-		chaostest.Takeovers = strings.Split(kinds, ",")
+		chaostest.TakeoverFaults = strings.Split(kinds, ",")
 	}
 	all, err := rounds(dir, filepath.Join(programs, "liftshift"), number("TAKEOVER_ROUNDS", roundsUsual), "")
 	if err != nil {
@@ -328,11 +328,11 @@
 	}
 	real, played, settled := map[string]float64{}, map[string]int{}, 0.0
 	for _, r := range all {
-		settled = max(settled, r.Settled.Seconds())
-		played[r.Kind]++
-		real["twice"] += float64(len(r.Twice))
-		real["two"] += float64(len(r.Two))
-		real["without"] += float64(len(r.Without))
+		settled = max(settled, r.OutcomesAgreed.Seconds())
+		played[r.Fault]++
+		real["twice"] += float64(len(r.RanTwice))
+		real["two"] += float64(len(r.Contradictions))
+		real["without"] += float64(len(r.WithoutOutcome))
 	}
 	fmt.Println("# rounds by fault:", played)
 	unit := fmt.Sprintf("of %d rounds", len(all))
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -72,8 +72,8 @@
 func zonesRounds(dir, program string, add func(name string, value float64, unit, op string, want float64)) error {
 	var near, agreed, back, handled, own []float64
 	for r := range zonesReal {
-		p := chaostest.Plan{Program: program, Folder: filepath.Join(dir, fmt.Sprint("zones", r)), Controllers: 9, Engines: 12, Zones: 3, Founders: 3, Store: true,
-			Fleet: fastFleet, Between: "stage = \"700ms\"\n return_wait = \"700ms\"", WorkMS: 20, Cores: 4, Room: 64, Seed: uint64(90 + r)}
+		p := chaostest.Config{Program: program, Directory: filepath.Join(dir, fmt.Sprint("zones", r)), Controllers: 9, Executors: 12, Zones: 3, Founders: 3, Store: true,
+			ClusterSettings: fastFleet, LocalitySettings: "stage = \"700ms\"\n return_wait = \"700ms\"", WorkMS: 20, Cores: 4, MaxInFlight: 64, Seed: uint64(90 + r)}
 		f, err := opened(p)
 		if err != nil {
 			return err
@@ -81,26 +81,26 @@
 		err = func() error {
 			defer f.Close()
 			for z := range 3 {
-				if _, err := f.Agreed(20*time.Second, f.ZoneOf(z), "whole"); err != nil {
+				if _, err := f.WaitForZoneState(20*time.Second, f.ZoneOf(z), "whole"); err != nil {
 					return err
 				}
 			}
-			load := f.Traffic("t", 2, 20*time.Millisecond)
-			defer load.End()
+			load := f.StartTraffic("t", 2, 20*time.Millisecond)
+			defer load.Stop()
 			time.Sleep(time.Second)
 			began := time.Now()
 			time.Sleep(4 * time.Second)
 			cut := time.Now()
-			in, out := f.Spilled("t", began, cut)
-			f.CutZone("z1", true)
-			took, err := f.Agreed(15*time.Second, "z1", "lost")
+			in, out := f.CountRunsByLocality("t", began, cut)
+			f.SetZoneUnreachable("z1", true)
+			took, err := f.WaitForZoneState(15*time.Second, "z1", "lost")
 			if err != nil {
 				return err
 			}
 			time.Sleep(4 * time.Second)
-			f.CutZone("z1", false)
+			f.SetZoneUnreachable("z1", false)
 			again := time.Now()
-			if _, err := f.Agreed(30*time.Second, "z1", "whole"); err != nil {
+			if _, err := f.WaitForZoneState(30*time.Second, "z1", "whole"); err != nil {
 				return err
 			}
 			whole := time.Since(again)
@@ -109,13 +109,13 @@
 			for _, a := range load.Between(began, again) {
 				switch home := f.ZoneOf(a.Controller) == "z1"; {
 				case home && a.At.After(cut):
-					if all++; a.Outcome == "handled" {
+					if all++; a.Result == "handled" {
 						ok++
 					}
 				case !home && a.At.Before(cut):
-					before = append(before, a.Took.Seconds())
+					before = append(before, a.Latency.Seconds())
 				case !home:
-					during = append(during, a.Took.Seconds())
+					during = append(during, a.Latency.Seconds())
 				}
 			}
 			near, agreed, back = append(near, 100*float64(in)/float64(in+out)), append(agreed, took.Seconds()*1000), append(back, whole.Seconds()/(zonesStages+zonesWait).Seconds())
--- a/internal/chaostest/helpers_test.go
+++ b/internal/chaostest/helpers_test.go
@@ -17,8 +17,8 @@
 	err  error
 }
 
-// rehearsal starts a fleet of the real program.
-func rehearsal(t *testing.T, p Plan) *Fleet {
+// startCluster starts a fleet of the real program.
+func startCluster(t *testing.T, p Config) *Cluster {
 	t.Helper()
 	built.once.Do(func() {
 		dir, err := exec.Command("mktemp", "-d").Output()
@@ -28,7 +28,7 @@
 		}
 	})
 	require.NoError(t, built.err, string(built.out))
-	p.Program, p.Folder = filepath.Join(built.path, "liftshift"), t.TempDir()
+	p.Program, p.Directory = filepath.Join(built.path, "liftshift"), t.TempDir()
 	if p.Seed == 0 {
 		p.Seed = uint64(time.Now().UnixNano())
 	}
@@ -46,20 +46,20 @@
 	return f
 }
 
-func settles(t *testing.T, f *Fleet, what string) {
+func waitConverged(t *testing.T, f *Cluster, what string) {
 	t.Helper()
-	took, err := f.WhenSettled(15 * time.Second)
+	took, err := f.WaitUntilConverged(15 * time.Second)
 	require.NoError(t, err, what)
 	t.Logf("%s: settled in %v", what, took.Round(10*time.Millisecond))
 }
 
-// led waits until a controller other than one leads the council, and gives its number.
-func led(t *testing.T, f *Fleet, not int) (leader int) {
+// waitForLeader waits until a controller other than one leads the council, and gives its number.
+func waitForLeader(t *testing.T, f *Cluster, not int) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for k, c := range f.Controllers {
-			if c.Up() && k != not {
-				if a, err := f.Ask(k, "council", nil); err == nil && a["leader"] == c.Name {
+			if c.Running() && k != not {
+				if a, err := f.Call(k, "council", nil); err == nil && a["leader"] == c.Name {
 					leader = k
 					return true
 				}
@@ -70,24 +70,24 @@
 	return leader
 }
 
-func held(f *Fleet, k int) bool {
-	a, err := f.Ask(k, "council", nil)
+func holdsLease(f *Cluster, k int) bool {
+	a, err := f.Call(k, "council", nil)
 	return err == nil && a["held"] == true
 }
 
-// holding waits until all that run hold their leases.
-func holding(t *testing.T, f *Fleet) {
+// waitForLeases waits until all that run hold their leases.
+func waitForLeases(t *testing.T, f *Cluster) {
 	t.Helper()
 	for k, c := range f.Controllers {
-		if c.Up() {
-			require.Eventually(t, func() bool { return held(f, k) }, 15*time.Second, 20*time.Millisecond, "%s holds its lease", c.Name)
+		if c.Running() {
+			require.Eventually(t, func() bool { return holdsLease(f, k) }, 15*time.Second, 20*time.Millisecond, "%s holds its lease", c.Name)
 		}
 	}
 }
 
-// place gives how a name stands in the record, as one controller has it.
-func place(f *Fleet, k int, name string) string {
-	a, err := f.Ask(k, "council", nil)
+// agreedState gives how a name stands in the record, as one controller has it.
+func agreedState(f *Cluster, k int, name string) string {
+	a, err := f.Call(k, "council", nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -107,8 +107,8 @@
 }
 
 // voters gives who votes, or learns to, as one controller has it.
-func voters(f *Fleet, k int) (names []string) {
-	a, err := f.Ask(k, "council", nil)
+func voters(f *Cluster, k int) (names []string) {
+	a, err := f.Call(k, "council", nil)
 	if err != nil {
 		return nil
 	}
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -10,36 +10,36 @@
 )
 
 // Asked is one search as its client saw it.
-type Asked struct {
-	ID, Mark, Offering string
-	Controller         int
-	At                 time.Time
-	Took               time.Duration
-	Outcome            string // handled, denied, written off, cut off
+type SentRequest struct {
+	ID, IdempotencyKey, Class string
+	Controller                int
+	At                        time.Time
+	Latency                   time.Duration
+	Result                    string // handled, denied, written off, cut off
 }
 
 // History is what all clients saw.
 type History struct {
-	mu   sync.Mutex
-	list []Asked
+	mu       sync.Mutex
+	requests []SentRequest
 }
 
 // List gives it so far.
-func (h *History) List() []Asked {
+func (h *History) List() []SentRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Asked(nil), h.list...)
+	return append([]SentRequest(nil), h.requests...)
 }
 
-func (h *History) add(a Asked) {
+func (h *History) add(a SentRequest) {
 	h.mu.Lock()
-	h.list = append(h.list, a)
+	h.requests = append(h.requests, a)
 	h.mu.Unlock()
 }
 
-// Load has clients search, each at a controller of its own, so that one which stands still holds up its own clients alone, until the
+// StartLoad has clients search, each at a controller of its own, so that one which stands still holds up its own clients alone, until the
 // returned call ends them.
-func (f *Fleet) Load(clients int, pause time.Duration) (*History, func()) {
+func (f *Cluster) StartLoad(clients int, pause time.Duration) (*History, func()) {
 	h, stop := &History{}, make(chan struct{})
 	var all sync.WaitGroup
 	var number atomic.Uint64
@@ -61,7 +61,7 @@
 					return
 				case <-time.After(pause):
 				}
-				f.search(h, conns, w%len(f.Controllers), number.Add(1))
+				f.submit(h, conns, w%len(f.Controllers), number.Add(1))
 			}
 		}()
 	}
@@ -69,39 +69,39 @@
 	return h, func() { once.Do(func() { close(stop) }); all.Wait() }
 }
 
-// search has one search made. What is cut off is not sent again: whether it ran is for the engines to say.
-func (f *Fleet) search(h *History, conns []*testservers.Client, k int, number uint64) {
-	a := Asked{ID: fmt.Sprintf("%016x", number), Offering: []string{"look", "mark", "once"}[number%3], Controller: k, At: time.Now()}
-	if a.Offering == "mark" {
-		a.Mark = fmt.Sprintf("m%015x", number)
+// submit has one search made. What is cut off is not sent again: whether it ran is for the engines to say.
+func (f *Cluster) submit(h *History, conns []*testservers.Client, k int, number uint64) {
+	a := SentRequest{ID: fmt.Sprintf("%016x", number), Class: []string{"look", "mark", "once"}[number%3], Controller: k, At: time.Now()}
+	if a.Class == "mark" {
+		a.IdempotencyKey = fmt.Sprintf("m%015x", number)
 	}
 	if conns[k] == nil {
-		c, err := testservers.Dial(f.Controllers[k].Client, 50*time.Millisecond)
+		c, err := testservers.Dial(f.Controllers[k].ClientAddress, 50*time.Millisecond)
 		if err != nil {
 			return // nobody there: nothing was asked
 		}
 		conns[k] = c
 	}
-	answer, err := conns[k].Submit(a.Offering, a.ID, a.Mark, 2*time.Second)
-	a.Took = time.Since(a.At)
+	answer, err := conns[k].Submit(a.Class, a.ID, a.IdempotencyKey, 2*time.Second)
+	a.Latency = time.Since(a.At)
 	switch {
 	case err != nil:
-		a.Outcome = "cut off"
+		a.Result = "cut off"
 		conns[k].Close()
 		conns[k] = nil
 	case answer.Code == 0:
-		a.Outcome = "handled"
+		a.Result = "handled"
 	case answer.Code == testservers.CodeRejected:
-		a.Outcome = "denied"
+		a.Result = "denied"
 	default:
-		a.Outcome = "written off"
+		a.Result = "written off"
 	}
 	h.add(a)
 }
 
 // Check holds what clients saw against what engines ran and gives what is wrong: an effect twice, an answer for what never ran, a
 // denial of what did, or more further shots than the ration of all controllers allows.
-func Check(list []Asked, runs []testservers.Run, controllers int) (wrong []string) {
+func Check(list []SentRequest, runs []testservers.Run, controllers int) (wrong []string) {
 	byID, byMark := map[string]int{}, map[string]int{}
 	for _, r := range runs {
 		byID[r.ID]++
@@ -116,11 +116,11 @@
 		switch {
 		case seen[a.ID]:
 			wrong = append(wrong, fmt.Sprintf("search %s has two answers", a.ID))
-		case a.Offering == "once" && ran > 1, a.Mark != "" && byMark[a.Mark] > 1:
-			wrong = append(wrong, fmt.Sprintf("%s search %s ran %d times", a.Offering, a.ID, max(ran, byMark[a.Mark])))
-		case a.Outcome == "handled" && ran == 0:
+		case a.Class == "once" && ran > 1, a.IdempotencyKey != "" && byMark[a.IdempotencyKey] > 1:
+			wrong = append(wrong, fmt.Sprintf("%s search %s ran %d times", a.Class, a.ID, max(ran, byMark[a.IdempotencyKey])))
+		case a.Result == "handled" && ran == 0:
 			wrong = append(wrong, fmt.Sprintf("search %s is handled and never ran", a.ID))
-		case a.Outcome == "denied" && ran > 0 && a.Offering == "once":
+		case a.Result == "denied" && ran > 0 && a.Class == "once":
 			wrong = append(wrong, fmt.Sprintf("search %s is denied, ran, and may not run again", a.ID))
 		}
 		seen[a.ID] = true
--- a/internal/chaostest/relay.go
+++ b/internal/chaostest/relay.go
@@ -16,49 +16,51 @@
 
 // Link is how the way from one controller to another is.
 type Link struct {
-	Cut            bool
-	Loss, Doubling float64
-	DelayMS        float64 // at most: drawn for each datagram, so that they overtake one another
+	Cut               bool
+	Loss, Duplication float64
+	DelayMS           float64 // at most: drawn for each datagram, so that they overtake one another
 }
 
 // Relay carries what controllers say to one another. Each has an address that others know, in 127.2, and listens at one in 127.1.
 type Relay struct {
-	Messages, Bytes atomic.Uint64 // datagrams
-	Streamed        atomic.Uint64 // bytes over connections
-
-	mu     sync.Mutex
-	way    func(from, to int) Link
-	chance *rand.Rand
-	udp    []*net.UDPConn
-	tcp    []net.Listener
-	conns  map[net.Conn][2]int
-	port   int
-	direct bool // controllers reach one another without it
-	wait   sync.WaitGroup
+	Datagrams, DatagramBytes atomic.Uint64 // datagrams
+	StreamBytes              atomic.Uint64 // bytes over connections
+
+	mu      sync.Mutex
+	link    func(from, to int) Link
+	random  *rand.Rand
+	udp     []*net.UDPConn
+	tcp     []net.Listener
+	conns   map[net.Conn][2]int
+	port    int
+	direct  bool // controllers reach one another without it
+	running sync.WaitGroup
 }
 
-// Known gives the address by which others know a controller.
-func (r *Relay) Known(k int) string {
+// AdvertiseAddress gives the address by which others know a controller.
+func (r *Relay) AdvertiseAddress(k int) string {
 	if r.direct {
-		return r.Listen(k)
+		return r.ListenAddress(k)
 	}
 	return fmt.Sprintf("127.2.%d.%d:%d", k/200, 1+k%200, r.port)
 }
 
-// Listen gives the address at which a controller listens.
-func (r *Relay) Listen(k int) string { return fmt.Sprintf("127.1.%d.%d:%d", k/200, 1+k%200, r.port) }
+// ListenAddress gives the address at which a controller listens.
+func (r *Relay) ListenAddress(k int) string {
+	return fmt.Sprintf("127.1.%d.%d:%d", k/200, 1+k%200, r.port)
+}
 
-// numbered tells which controller an address is of.
-func numbered(a netip.Addr) int {
+// controllerAt tells which controller an address is of.
+func controllerAt(a netip.Addr) int {
 	b := a.Unmap().As4()
 	return int(b[2])*200 + int(b[3]) - 1
 }
 
 // NewRelay returns a relay for n controllers. A direct one is only the book of their addresses, for measurements: it carries nothing.
 func NewRelay(n int, seed uint64, direct bool) (*Relay, error) {
-	r := &Relay{direct: direct, chance: rand.New(rand.NewPCG(seed, 7)), conns: map[net.Conn][2]int{}, way: func(int, int) Link { return Link{} }}
+	r := &Relay{direct: direct, random: rand.New(rand.NewPCG(seed, 7)), conns: map[net.Conn][2]int{}, link: func(int, int) Link { return Link{} }}
 	for try := 0; ; try++ {
-		r.port = 10000 + int(r.chance.Uint32()%20000) // below those given to who calls: a listener that is killed finds its own again
+		r.port = 10000 + int(r.random.Uint32()%20000) // below those given to who calls: a listener that is killed finds its own again
 		err := r.listen(n)
 		if err == nil {
 			break
@@ -72,9 +74,9 @@
 		if direct {
 			break
 		}
-		r.wait.Add(2)
-		go r.datagrams(k)
-		go r.connections(k)
+		r.running.Add(2)
+		go r.forwardDatagrams(k)
+		go r.acceptConnections(k)
 	}
 	return r, nil
 }
@@ -92,7 +94,7 @@
 		}()
 	}
 	for k := range n {
-		at := netip.MustParseAddrPort(r.Known(k))
+		at := netip.MustParseAddrPort(r.AdvertiseAddress(k))
 		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 		if err != nil {
 			return err
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// Set changes the ways; connections over one that is cut now end.
-func (r *Relay) Set(way func(from, to int) Link) {
+// SetLinks changes the ways; connections over one that is cut now end.
+func (r *Relay) SetLinks(way func(from, to int) Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.way = way
+	r.link = way
 	for c, ends := range r.conns {
 		if way(ends[0], ends[1]).Cut || way(ends[1], ends[0]).Cut {
 			_ = c.Close()
@@ -132,31 +134,31 @@
 		_ = c.Close()
 	}
 	r.mu.Unlock()
-	r.wait.Wait()
+	r.running.Wait()
 }
 
-func (r *Relay) datagrams(k int) {
-	defer r.wait.Done()
+func (r *Relay) forwardDatagrams(k int) {
+	defer r.running.Done()
 	var b [2048]byte
-	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(r.Listen(k)))
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(r.ListenAddress(k)))
 	for {
 		n, at, err := r.udp[k].ReadFromUDPAddrPort(b[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		from := numbered(at.Addr())
+		from := controllerAt(at.Addr())
 		if err != nil || from < 0 || from >= len(r.udp) {
 			continue
 		}
-		r.Messages.Add(1)
-		r.Bytes.Add(uint64(n))
+		r.Datagrams.Add(1)
+		r.DatagramBytes.Add(uint64(n))
 		r.mu.Lock()
-		w := r.way(from, k)
-		times, lost := 1, w.Cut || r.chance.Float64() < w.Loss
-		if r.chance.Float64() < w.Doubling {
+		w := r.link(from, k)
+		times, lost := 1, w.Cut || r.random.Float64() < w.Loss
+		if r.random.Float64() < w.Duplication {
 			times = 2
 		}
-		delay := r.chance.Float64() * w.DelayMS
+		delay := r.random.Float64() * w.DelayMS
 		r.mu.Unlock()
 		if lost {
 			continue
@@ -173,36 +175,36 @@
 	}
 }
 
-func (r *Relay) connections(k int) {
-	defer r.wait.Done()
+func (r *Relay) acceptConnections(k int) {
+	defer r.running.Done()
 	for {
 		c, err := r.tcp[k].Accept()
 		if err != nil {
 			return
 		}
 		at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
-		go r.connection(numbered(at.Addr()), k, c)
+		go r.forwardConnection(controllerAt(at.Addr()), k, c)
 	}
 }
 
-// counted counts bytes.
-type counted struct{ n *atomic.Uint64 }
+// byteCounter counts bytes.
+type byteCounter struct{ n *atomic.Uint64 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c byteCounter) Write(b []byte) (int, error) {
 	c.n.Add(uint64(len(b)))
 	return len(b), nil
 }
 
-func (r *Relay) connection(from, k int, c net.Conn) {
+func (r *Relay) forwardConnection(from, k int, c net.Conn) {
 	defer c.Close()
 	r.mu.Lock()
-	cut := r.way(from, k).Cut || r.way(k, from).Cut
+	cut := r.link(from, k).Cut || r.link(k, from).Cut
 	r.mu.Unlock()
 	if cut {
 		return
 	}
-	back := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(netip.MustParseAddrPort(r.Known(from)).Addr().String())}}
-	on, err := back.Dial("tcp", r.Listen(k))
+	back := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(netip.MustParseAddrPort(r.AdvertiseAddress(from)).Addr().String())}}
+	on, err := back.Dial("tcp", r.ListenAddress(k))
 	if err != nil {
 		return
 	}
@@ -212,7 +214,7 @@
 	r.mu.Unlock()
 	done := make(chan struct{}, 2)
 	pass := func(a, b net.Conn) {
-		_, _ = io.Copy(a, io.TeeReader(b, counted{&r.Streamed}))
+		_, _ = io.Copy(a, io.TeeReader(b, byteCounter{&r.StreamBytes}))
 		done <- struct{}{}
 	}
 	go pass(on, c)
--- a/internal/chaostest/report.go
+++ b/internal/chaostest/report.go
@@ -31,7 +31,7 @@
 }
 
 // draw draws a plot as SVG.
-func drawing(title, y string, lines []line) (template.HTML, error) {
+func renderPlot(title, y string, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Y.Min = 0
@@ -72,12 +72,12 @@
 `))
 
 // Report writes an outcome as one HTML file: views over time, answers by outcome, messages.
-func Report(out io.Writer, o *Outcome) error {
+func Report(out io.Writer, o *DrillResult) error {
 	views, controllers := map[string]*line{}, []string{}
 	var messages line
 	messages.name = "datagrams a second, all links"
 	for k, s := range o.Samples {
-		for name, n := range s.Here {
+		for name, n := range s.Present {
 			if views[name] == nil {
 				views[name] = &line{name: name}
 				controllers = append(controllers, name)
@@ -87,7 +87,7 @@
 		if k > 0 {
 			before := o.Samples[k-1]
 			if gap := (s.At - before.At).Seconds(); gap > 0 {
-				messages.points = append(messages.points, plotter.XY{X: s.At.Seconds(), Y: float64(s.Messages-before.Messages) / gap})
+				messages.points = append(messages.points, plotter.XY{X: s.At.Seconds(), Y: float64(s.Datagrams-before.Datagrams) / gap})
 			}
 		}
 	}
@@ -99,12 +99,12 @@
 	outcomes := []string{"handled", "denied", "written off", "cut off"}
 	counts := map[string]map[int]int{}
 	last := 0
-	for _, a := range o.Asked {
-		s := int(a.At.Add(a.Took).Sub(o.Began) / time.Second)
-		if counts[a.Outcome] == nil {
-			counts[a.Outcome] = map[int]int{}
+	for _, a := range o.Requests {
+		s := int(a.At.Add(a.Latency).Sub(o.Start) / time.Second)
+		if counts[a.Result] == nil {
+			counts[a.Result] = map[int]int{}
 		}
-		counts[a.Outcome][s]++
+		counts[a.Result][s]++
 		last = max(last, s)
 	}
 	var answers []line
@@ -121,7 +121,7 @@
 		lines    []line
 	}{{"How many each controller holds for here", "members", seen}, {"Answers by outcome", "a second", answers},
 		{"Messages between controllers", "a second", []line{messages}}} {
-		svg, err := drawing(d.title, d.y, d.lines)
+		svg, err := renderPlot(d.title, d.y, d.lines)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
--- a/internal/chaostest/script.go
+++ b/internal/chaostest/script.go
@@ -29,7 +29,7 @@
 	Settled     string  `hcl:"settled,optional"`
 	Steps       []Step  `hcl:"step,block"`
 
-	length, settled time.Duration
+	length, convergeTimeout time.Duration
 }
 
 // Step is what is done at a time.
@@ -42,7 +42,7 @@
 	Go    []string   `hcl:"go,optional"`   // SIGCONT
 	Wipe  []string   `hcl:"wipe,optional"` // the folder of one that does not run
 	Parts [][]string `hcl:"parts,optional"`
-	From  []string   `hcl:"mute,optional"` // nobody hears these; they hear others
+	Mute  []string   `hcl:"mute,optional"` // nobody hears these; they hear others
 	Loss  float64    `hcl:"loss,optional"`
 	Twice float64    `hcl:"twice,optional"`
 	Delay string     `hcl:"delay,optional"`
@@ -71,7 +71,7 @@
 		}
 		return d
 	}
-	s.length, s.settled = span(s.Length, 0), span(s.Settled, 15*time.Second)
+	s.length, s.convergeTimeout = span(s.Length, 0), span(s.Settled, 15*time.Second)
 	before := time.Duration(0)
 	for k := range s.Steps {
 		p := &s.Steps[k]
@@ -80,15 +80,15 @@
 			err = fmt.Errorf("%s: step %q is out of order, or past the length", path, p.At)
 		}
 		before = p.at
-		for _, name := range slices.Concat(p.Kill, p.Start, p.Term, p.Stop, p.Go, p.Wipe, p.From, p.Disks, slices.Concat(p.Parts...)) {
-			if n := number(name); err == nil && (n < 0 || n >= s.Controllers) {
+		for _, name := range slices.Concat(p.Kill, p.Start, p.Term, p.Stop, p.Go, p.Wipe, p.Mute, p.Disks, slices.Concat(p.Parts...)) {
+			if n := controllerNumber(name); err == nil && (n < 0 || n >= s.Controllers) {
 				err = fmt.Errorf("%s: step %q: there is no controller %q; they are c0 to c%d", path, p.At, name, s.Controllers-1)
 			}
 		}
 	}
 	for _, p := range s.Steps {
 		for _, name := range p.Drain {
-			if n := number(strings.Replace(name, "s", "c", 1)); err == nil && (n < 0 || n >= max(1, s.Engines)) {
+			if n := controllerNumber(strings.Replace(name, "s", "c", 1)); err == nil && (n < 0 || n >= max(1, s.Engines)) {
 				err = fmt.Errorf("%s: step %q: there is no engine %q", path, p.At, name)
 			}
 		}
@@ -107,7 +107,7 @@
 	return s, err
 }
 
-func number(name string) int {
+func controllerNumber(name string) int {
 	n := -1
 	if _, err := fmt.Sscanf(name, "c%d", &n); err != nil || fmt.Sprint("c", n) != name {
 		return -1
@@ -117,39 +117,39 @@
 
 // Sample is how things stood at a time.
 type Sample struct {
-	At       time.Duration
-	Here     map[string]int // how many each controller holds for here
-	Messages uint64
-	Bytes    uint64
+	At        time.Duration
+	Present   map[string]int // how many each controller holds for here
+	Datagrams uint64
+	Bytes     uint64
 }
 
 // Outcome is what a rehearsal came to.
-type Outcome struct {
+type DrillResult struct {
 	Seed     uint64
 	Timeline []string
 	Samples  []Sample
-	Asked    []Asked
-	Began    time.Time
+	Requests []SentRequest
+	Start    time.Time
 	Wrong    []string
 }
 
 // Play plays a script with a program, in a scratch folder, and tells its timeline as it goes.
-func Play(s *Script, program, folder string, out io.Writer) (*Outcome, error) {
-	o := &Outcome{Seed: uint64(s.Seed), Began: time.Now()}
+func Play(s *Script, program, folder string, out io.Writer) (*DrillResult, error) {
+	o := &DrillResult{Seed: uint64(s.Seed), Start: time.Now()}
 	if o.Seed == 0 {
 		o.Seed = uint64(time.Now().UnixNano() % 1e9)
 	}
 	if sick := slices.ContainsFunc(s.Steps, func(p Step) bool { return len(p.Disks) > 0 }); sick && !hasFaults(program+"-full") {
 		return nil, fmt.Errorf("%s can't make its disk fail: build it with -tags faults", program)
 	}
-	f, err := New(Plan{Program: program, Folder: folder, Controllers: s.Controllers, Engines: max(1, s.Engines), Zones: max(1, s.Zones),
-		Founders: s.Founders, Store: s.Store, Seed: o.Seed, Fleet: s.Fleet, WorkMS: s.WorkMS})
+	f, err := New(Config{Program: program, Directory: folder, Controllers: s.Controllers, Executors: max(1, s.Engines), Zones: max(1, s.Zones),
+		Founders: s.Founders, Store: s.Store, Seed: o.Seed, ClusterSettings: s.Fleet, WorkMS: s.WorkMS})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	say := func(format string, args ...any) {
-		line := fmt.Sprintf("%7.2fs  ", time.Since(o.Began).Seconds()) + fmt.Sprintf(format, args...)
+		line := fmt.Sprintf("%7.2fs  ", time.Since(o.Start).Seconds()) + fmt.Sprintf(format, args...)
 		o.Timeline = append(o.Timeline, line)
 		fmt.Fprintln(out, line)
 	}
@@ -157,19 +157,19 @@
 	if err := f.StartAll(); err != nil {
 		return nil, err
 	}
-	took, err := f.WhenSettled(30 * time.Second)
+	took, err := f.WaitUntilConverged(30 * time.Second)
 	if err != nil {
 		return o, fmt.Errorf("before any fault: %w", err)
 	}
 	say("all views are settled after %.2fs", took.Seconds())
-	history, end := f.Load(s.Clients, 5*time.Millisecond)
+	history, end := f.StartLoad(s.Clients, 5*time.Millisecond)
 	defer end()
 	began := time.Now()
 	done, sampled := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(sampled)
 		for tick := time.NewTicker(250 * time.Millisecond); ; {
-			o.Samples = append(o.Samples, f.sample(time.Since(o.Began)))
+			o.Samples = append(o.Samples, f.takeSample(time.Since(o.Start)))
 			select {
 			case <-tick.C:
 			case <-done:
@@ -182,28 +182,28 @@
 		p := &s.Steps[k]
 		time.Sleep(time.Until(began.Add(p.at)))
 		say("%s", p)
-		if err := f.act(p); err != nil {
+		if err := f.apply(p); err != nil {
 			o.Wrong = append(o.Wrong, err.Error())
 		}
 	}
 	time.Sleep(time.Until(began.Add(s.length)))
 	close(done)
 	<-sampled
-	f.Relay.Set(func(int, int) Link { return Link{} })
+	f.Relay.SetLinks(func(int, int) Link { return Link{} })
 	for k, c := range f.Controllers {
 		if c.cmd != nil {
 			_ = f.Signal(k, syscall.SIGCONT)
 		}
 	}
-	if took, err = f.WhenSettled(s.settled); err != nil {
+	if took, err = f.WaitUntilConverged(s.convergeTimeout); err != nil {
 		o.Wrong = append(o.Wrong, err.Error())
 	} else {
 		say("healed: all views are settled after %.2fs", took.Seconds())
 	}
 	end()
-	o.Asked = history.List()
-	o.Wrong = append(o.Wrong, Check(o.Asked, f.Memory.Runs(), s.Controllers)...)
-	o.Wrong = append(o.Wrong, Undrained(f.Memory.Runs(), f.drained)...)
+	o.Requests = history.List()
+	o.Wrong = append(o.Wrong, Check(o.Requests, f.RunLog.Runs(), s.Controllers)...)
+	o.Wrong = append(o.Wrong, RunsAfterDrain(f.RunLog.Runs(), f.drained)...)
 	for _, c := range f.Controllers {
 		for _, word := range []string{"does not hold", "panic:", "DATA RACE"} {
 			if at := strings.Index(c.Log(), word); at >= 0 {
@@ -212,10 +212,10 @@
 		}
 	}
 	counts := map[string]int{}
-	for _, a := range o.Asked {
-		counts[a.Outcome]++
+	for _, a := range o.Requests {
+		counts[a.Result]++
 	}
-	say("%d searches: %d handled, %d denied, %d written off, %d cut off", len(o.Asked), counts["handled"], counts["denied"], counts["written off"], counts["cut off"])
+	say("%d searches: %d handled, %d denied, %d written off, %d cut off", len(o.Requests), counts["handled"], counts["denied"], counts["written off"], counts["cut off"])
 	for _, w := range o.Wrong {
 		say("WRONG: %s", w)
 	}
@@ -236,7 +236,7 @@
 	for _, x := range []struct {
 		what  string
 		names []string
-	}{{"kill", p.Kill}, {"start", p.Start}, {"end as planned", p.Term}, {"stop", p.Stop}, {"go on", p.Go}, {"wipe", p.Wipe}, {"mute", p.From}, {"drain", p.Drain}, {"disk " + p.Disk + ":", p.Disks}} {
+	}{{"kill", p.Kill}, {"start", p.Start}, {"end as planned", p.Term}, {"stop", p.Stop}, {"go on", p.Go}, {"wipe", p.Wipe}, {"mute", p.Mute}, {"drain", p.Drain}, {"disk " + p.Disk + ":", p.Disks}} {
 		if len(x.names) > 0 {
 			parts = append(parts, x.what+" "+strings.Join(x.names, " "))
 		}
@@ -253,18 +253,18 @@
 	return strings.Join(parts, "; ")
 }
 
-// act does what a step says.
-func (f *Fleet) act(p *Step) (err error) {
+// apply does what a step says.
+func (f *Cluster) apply(p *Step) (err error) {
 	each := func(names []string, do func(k int) error) {
 		for _, name := range names {
-			if e := do(number(name)); e != nil && err == nil {
+			if e := do(controllerNumber(name)); e != nil && err == nil {
 				err = e
 			}
 		}
 	}
 	each(p.Kill, func(k int) error { f.Kill(k); return nil })
 	each(p.Term, func(k int) error {
-		if code := f.Term(k); code != 0 {
+		if code := f.Terminate(k); code != 0 {
 			return fmt.Errorf("c%d ended with %d at a planned stop", k, code)
 		}
 		return nil
@@ -273,45 +273,45 @@
 		if f.Controllers[k].cmd != nil {
 			return fmt.Errorf("c%d runs: its folder is not wiped", k)
 		}
-		return os.RemoveAll(f.Controllers[k].Folder + "/store")
+		return os.RemoveAll(f.Controllers[k].Directory + "/store")
 	})
-	each(p.Disks, func(k int) error { return f.Disk(k, p.Disk) })
+	each(p.Disks, func(k int) error { return f.SetDiskState(k, p.Disk) })
 	each(p.Start, f.Start)
 	each(p.Stop, func(k int) error { return f.Signal(k, syscall.SIGSTOP) })
 	each(p.Go, func(k int) error { return f.Signal(k, syscall.SIGCONT) })
 	for _, name := range p.Drain {
-		if e := f.Drain(number(strings.Replace(name, "s", "c", 1))); e != nil && err == nil {
+		if e := f.DrainExecutor(controllerNumber(strings.Replace(name, "s", "c", 1))); e != nil && err == nil {
 			err = e
 		}
 	}
 	part := map[int]int{}
 	for n, group := range p.Parts {
 		for _, name := range group {
-			part[number(name)] = n + 1
+			part[controllerNumber(name)] = n + 1
 		}
 	}
-	if p.Heal || len(part) > 0 || len(p.From) > 0 || p.Loss > 0 || p.Twice > 0 || p.delay > 0 {
-		l := Link{Loss: p.Loss, Doubling: p.Twice, DelayMS: float64(p.delay.Milliseconds())}
-		f.Relay.Set(func(from, to int) Link {
+	if p.Heal || len(part) > 0 || len(p.Mute) > 0 || p.Loss > 0 || p.Twice > 0 || p.delay > 0 {
+		l := Link{Loss: p.Loss, Duplication: p.Twice, DelayMS: float64(p.delay.Milliseconds())}
+		f.Relay.SetLinks(func(from, to int) Link {
 			way := l
-			way.Cut = part[from] != part[to] || slices.Contains(p.From, fmt.Sprint("c", from))
+			way.Cut = part[from] != part[to] || slices.Contains(p.Mute, fmt.Sprint("c", from))
 			return way
 		})
 	}
 	return err
 }
 
-// sample asks each controller that answers how many it holds for here.
-func (f *Fleet) sample(at time.Duration) Sample {
-	s := Sample{At: at, Here: map[string]int{}, Messages: f.Relay.Messages.Load(), Bytes: f.Relay.Bytes.Load()}
+// takeSample asks each controller that answers how many it holds for here.
+func (f *Cluster) takeSample(at time.Duration) Sample {
+	s := Sample{At: at, Present: map[string]int{}, Datagrams: f.Relay.Datagrams.Load(), Bytes: f.Relay.DatagramBytes.Load()}
 	for k, c := range f.Controllers {
-		if _, err := os.Stat(c.Socket); err != nil {
+		if _, err := os.Stat(c.ControlSocket); err != nil {
 			continue
 		}
-		if view, err := f.View(k); err == nil {
+		if view, err := f.MembershipView(k); err == nil {
 			for _, p := range view {
 				if p == "here" {
-					s.Here[c.Name]++
+					s.Present[c.Name]++
 				}
 			}
 		}
--- a/internal/chaostest/takeover.go
+++ b/internal/chaostest/takeover.go
@@ -15,44 +15,44 @@
 )
 
 // Takeovers are the faults that a round of taking over knows, each of them while searches are in hand.
-var Takeovers = []string{"kill", "restart", "owner and heir", "heir at work", "asleep", "cut off", "clients cut", "holder wiped", "planned", "two of a zone", "council gone"}
+var TakeoverFaults = []string{"kill", "restart", "owner and heir", "heir at work", "asleep", "cut off", "clients cut", "holder wiped", "planned", "two of a zone", "council gone"}
 
 const (
-	wholeWithin   = 90 * time.Second
-	settledWithin = 5 * time.Second // after the fleet is whole
+	recoveryTimeout = 90 * time.Second
+	outcomeTimeout  = 5 * time.Second // after the fleet is whole
 )
 
 // Round is what came of one.
 type Round struct {
-	Kind              string
-	Searches          int
-	Twice             []string // marks and ids that ran twice
-	Two               []string // searches with two final answers that don't go together
-	Without           []string // searches that ran, or were in hand, and have no outcome
-	Cut               int      // searches whose connection broke
-	Returned, Handled int      // of those with a mark, once each elsewhere; and what came of it
-	Outcomes          map[string]int
-	FirstShot         time.Duration // from the fault to the first run of what was in hand and not yet sent; 0: there was none
-	Settled           time.Duration // from when the fleet was whole until the last outcome was told by all alike
-	NotHandled        []string      // that came again, and what they heard
-	Unsent, Sent      int           // labelled searches that had not been sent at a kill, and of those what ran by now
+	Fault                    string
+	Requests                 int
+	RanTwice                 []string // marks and ids that ran twice
+	Contradictions           []string // searches with two final answers that don't go together
+	WithoutOutcome           []string // searches that ran, or were in hand, and have no outcome
+	Disconnected             int      // searches whose connection broke
+	Retried, RetriesHandled  int      // of those with a mark, once each elsewhere; and what came of it
+	Outcomes                 map[string]int
+	FirstAttempt             time.Duration // from the fault to the first run of what was in hand and not yet sent; 0: there was none
+	OutcomesAgreed           time.Duration // from when the fleet was whole until the last outcome was told by all alike
+	RetriesNotHandled        []string      // that came again, and what they heard
+	UnsentAtFault, SentLater int           // labelled searches that had not been sent at a kill, and of those what ran by now
 }
 
-// inHand is a search of a round, as its client has it.
-type inHand struct {
-	id, mark, offering, first, second string
-	took                              time.Duration // the second time
+// roundRequest is a search of a round, as its client has it.
+type roundRequest struct {
+	id, key, class, result, retryResult string
+	retryLatency                        time.Duration // the second time
 }
 
-// Ready waits until all that run know who sits where, and hold their leases.
-func (f *Fleet) Ready(most time.Duration) error {
+// WaitUntilHandoffReady waits until all that run know who sits where, and hold their leases.
+func (f *Cluster) WaitUntilHandoffReady(most time.Duration) error {
 	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		why := ""
 		for k, c := range f.Controllers {
-			if !c.Up() {
+			if !c.Running() {
 				continue
 			}
-			switch a, err := f.Ask(k, "estate", nil); {
+			switch a, err := f.Call(k, "estate", nil); {
 			case err != nil:
 				why = c.Name + ": " + err.Error()
 			case a["held"] != true:
@@ -65,15 +65,15 @@
 			return nil
 		}
 		if time.Since(began) > most {
-			return fmt.Errorf("not ready within %v: %s (seed %d)", most, why, f.Plan.Seed)
+			return fmt.Errorf("not ready within %v: %s (seed %d)", most, why, f.Config.Seed)
 		}
 	}
 }
 
-// one makes a search and tells how it ended. Its connection breaks after a time, if that is not 0.
-func (f *Fleet) one(k int, offering, id, mark string, breaks time.Duration) string {
+// submitOnce makes a search and tells how it ended. Its connection breaks after a time, if that is not 0.
+func (f *Cluster) submitOnce(k int, offering, id, mark string, breaks time.Duration) string {
 	const patience = 5 * time.Second
-	c, err := testservers.Dial(f.Controllers[k].Client, 200*time.Millisecond)
+	c, err := testservers.Dial(f.Controllers[k].ClientAddress, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -94,8 +94,8 @@
 }
 
 // Outcome asks a controller what became of a search.
-func (f *Fleet) Outcome(k int, req, mark string) string {
-	c, err := testservers.Dial(f.Controllers[k].Client, 200*time.Millisecond)
+func (f *Cluster) QueryOutcome(k int, req, mark string) string {
+	c, err := testservers.Dial(f.Controllers[k].ClientAddress, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -111,20 +111,20 @@
 	return a.Outcome
 }
 
-// Takeover plays one round: searches of all offerings at one controller, a fault, clients that come again elsewhere once, and all made
+// PlayTakeover plays one round: searches of all offerings at one controller, a fault, clients that come again elsewhere once, and all made
 // whole. Tag must be another each time.
-func (f *Fleet) Takeover(kind, tag string, searches int, chance *rand.Rand) (r Round, err error) {
-	r = Round{Kind: kind, Searches: searches, Outcomes: map[string]int{}}
+func (f *Cluster) PlayTakeover(kind, tag string, searches int, chance *rand.Rand) (r Round, err error) {
+	r = Round{Fault: kind, Requests: searches, Outcomes: map[string]int{}}
 	owner := len(f.Controllers) - 1 - chance.IntN(2) // no founder: the council's own losses are faults of their own
-	ran := len(f.Memory.Runs())
-	list := make([]inHand, searches)
+	ran := len(f.RunLog.Runs())
+	list := make([]roundRequest, searches)
 	var all sync.WaitGroup
 	back := make(chan int, searches)
 	for n := range list {
 		s := &list[n]
-		s.offering = []string{"mark", "mark", "once", "look"}[n%4]
-		if s.id = fmt.Sprintf("%s-%d", tag, n); s.offering == "mark" {
-			s.mark = "m-" + s.id
+		s.class = []string{"mark", "mark", "once", "look"}[n%4]
+		if s.id = fmt.Sprintf("%s-%d", tag, n); s.class == "mark" {
+			s.key = "m-" + s.id
 		}
 		all.Add(1)
 		breaks := time.Duration(0)
@@ -136,11 +136,11 @@
 		go func() {
 			defer all.Done()
 			time.Sleep(wait)
-			if s.first = f.one(owner, s.offering, s.id, s.mark, breaks); s.first != "cut off" || s.mark == "" {
+			if s.result = f.submitOnce(owner, s.class, s.id, s.key, breaks); s.result != "cut off" || s.key == "" {
 				return
 			}
 			for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) { // whoever takes connections
-				if s.second = f.one(at, s.offering, s.id+"b", s.mark, 0); s.second != "cut off" {
+				if s.retryResult = f.submitOnce(at, s.class, s.id+"b", s.key, 0); s.retryResult != "cut off" {
 					break
 				}
 				at = (at + 1) % len(f.Controllers)
@@ -149,70 +149,70 @@
 		}()
 	}
 	time.Sleep(time.Duration(chance.IntN(700)) * time.Millisecond)
-	at, before := time.Now(), f.Memory.Runs()[ran:]
-	down, err := f.fault(kind, owner, chance)
+	at, before := time.Now(), f.RunLog.Runs()[ran:]
+	down, err := f.injectFault(kind, owner, chance)
 	if err != nil {
 		return r, err
 	}
 	all.Wait()
-	f.Relay.Set(func(int, int) Link { return Link{} })
+	f.Relay.SetLinks(func(int, int) Link { return Link{} })
 	for _, k := range down {
 		if err := f.Start(k); err != nil {
 			return r, err
 		}
 	}
-	if _, err := f.WhenSettled(wholeWithin); err != nil {
+	if _, err := f.WaitUntilConverged(recoveryTimeout); err != nil {
 		return r, err
 	}
-	if err := f.Ready(wholeWithin); err != nil {
+	if err := f.WaitUntilHandoffReady(recoveryTimeout); err != nil {
 		return r, err
 	}
-	f.judge(&r, list, ran, at, before)
+	f.checkRound(&r, list, ran, at, before)
 	return r, nil
 }
 
-// KilledInHand plays a round in which a controller is killed with so many labelled searches in hand, all entered by then; each client
+// PlayKillInFlight plays a round in which a controller is killed with so many labelled searches in hand, all entered by then; each client
 // comes again elsewhere once.
-func (f *Fleet) KilledInHand(tag string, searches int) (r Round, err error) {
-	owner, ran := len(f.Controllers)-1, len(f.Memory.Runs())
-	list := make([]inHand, searches)
+func (f *Cluster) PlayKillInFlight(tag string, searches int) (r Round, err error) {
+	owner, ran := len(f.Controllers)-1, len(f.RunLog.Runs())
+	list := make([]roundRequest, searches)
 	var all sync.WaitGroup
 	for n := range list {
 		s := &list[n]
-		s.id, s.offering = fmt.Sprintf("%s-%d", tag, n), "mark"
-		s.mark = "m-" + s.id
+		s.id, s.class = fmt.Sprintf("%s-%d", tag, n), "mark"
+		s.key = "m-" + s.id
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if s.first = f.one(owner, s.offering, s.id, s.mark, 0); s.first == "cut off" {
+			if s.result = f.submitOnce(owner, s.class, s.id, s.key, 0); s.result == "cut off" {
 				began := time.Now()
-				s.second = f.one(n%owner, s.offering, s.id+"b", s.mark, 0)
-				s.took = time.Since(began)
+				s.retryResult = f.submitOnce(n%owner, s.class, s.id+"b", s.key, 0)
+				s.retryLatency = time.Since(began)
 			}
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
-	at, before := time.Now(), f.Memory.Runs()[ran:]
+	at, before := time.Now(), f.RunLog.Runs()[ran:]
 	f.Kill(owner)
 	all.Wait()
 	if err := f.Start(owner); err != nil {
 		return r, err
 	}
-	if _, err := f.WhenSettled(wholeWithin); err != nil {
+	if _, err := f.WaitUntilConverged(recoveryTimeout); err != nil {
 		return r, err
 	}
-	if f.Plan.Estate != "" {
-		if err := f.Ready(wholeWithin); err != nil {
+	if f.Config.HandoffSettings != "" {
+		if err := f.WaitUntilHandoffReady(recoveryTimeout); err != nil {
 			return r, err
 		}
 	}
-	r = Round{Kind: "kill", Searches: searches, Outcomes: map[string]int{}}
-	f.judge(&r, list, ran, at, before)
+	r = Round{Fault: "kill", Requests: searches, Outcomes: map[string]int{}}
+	f.checkRound(&r, list, ran, at, before)
 	return r, nil
 }
 
-// fault does it, and gives the controllers that are to be started again.
-func (f *Fleet) fault(kind string, owner int, chance *rand.Rand) (down []int, err error) {
+// injectFault does it, and gives the controllers that are to be started again.
+func (f *Cluster) injectFault(kind string, owner int, chance *rand.Rand) (down []int, err error) {
 	kill := func(k int) {
 		f.Kill(k)
 		down = append(down, k)
@@ -230,7 +230,7 @@
 		kill(other)
 	case "heir at work":
 		kill(owner)
-		if heir := f.heirOf(owner, 6*time.Second); heir >= 0 {
+		if heir := f.waitForSuccessor(owner, 6*time.Second); heir >= 0 {
 			time.Sleep(time.Duration(chance.IntN(60)) * time.Millisecond)
 			kill(heir)
 		}
@@ -239,15 +239,15 @@
 		time.Sleep(4500 * time.Millisecond)
 		err = errors.Join(err, f.Signal(owner, syscall.SIGCONT))
 	case "cut off":
-		f.Relay.Set(func(a, b int) Link { return Link{Cut: a == owner || b == owner} })
+		f.Relay.SetLinks(func(a, b int) Link { return Link{Cut: a == owner || b == owner} })
 		time.Sleep(5 * time.Second)
 	case "clients cut":
 	case "holder wiped":
 		f.Kill(other)
-		err = errors.Join(os.RemoveAll(f.Controllers[other].Folder+"/store"), f.Start(other))
+		err = errors.Join(os.RemoveAll(f.Controllers[other].Directory+"/store"), f.Start(other))
 		kill(owner)
 	case "planned":
-		if code := f.Term(owner); code != 0 {
+		if code := f.Terminate(owner); code != 0 {
 			err = fmt.Errorf("c%d ended with %d at a planned stop", owner, code)
 		}
 		down = append(down, owner)
@@ -262,14 +262,14 @@
 	return down, err
 }
 
-// heirOf waits until somebody has claimed what a controller left, and gives who; below 0: nobody.
-func (f *Fleet) heirOf(owner int, most time.Duration) int {
+// waitForSuccessor waits until somebody has claimed what a controller left, and gives who; below 0: nobody.
+func (f *Cluster) waitForSuccessor(owner int, most time.Duration) int {
 	for began := time.Now(); time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
 		for k, c := range f.Controllers {
-			if k == owner || !c.Up() {
+			if k == owner || !c.Running() {
 				continue
 			}
-			a, err := f.Ask(k, "estate", nil)
+			a, err := f.Call(k, "estate", nil)
 			if err != nil {
 				continue
 			}
@@ -277,7 +277,7 @@
 			for _, x := range claims {
 				if m, _ := x.(map[string]any); m["member"] == f.Controllers[owner].Name {
 					for heir, o := range f.Controllers {
-						if o.Name == m["heir"] && o.Up() {
+						if o.Name == m["heir"] && o.Running() {
 							return heir
 						}
 					}
@@ -288,70 +288,70 @@
 	return -1
 }
 
-// judge holds what clients heard and what is told now against what ran.
-func (f *Fleet) judge(r *Round, list []inHand, ran int, at time.Time, before []testservers.Run) {
+// checkRound holds what clients heard and what is told now against what ran.
+func (f *Cluster) checkRound(r *Round, list []roundRequest, ran int, at time.Time, before []testservers.Run) {
 	times := map[string]int{}
-	for _, x := range f.Memory.Runs()[ran:] {
-		times[key(x.ID, x.IdempotencyKey)]++
+	for _, x := range f.RunLog.Runs()[ran:] {
+		times[requestName(x.ID, x.IdempotencyKey)]++
 	}
 	early := map[string]bool{}
 	for _, x := range before {
-		early[key(x.ID, x.IdempotencyKey)] = true
+		early[requestName(x.ID, x.IdempotencyKey)] = true
 	}
-	for _, x := range f.Memory.Runs()[ran:] {
-		if x.At.After(at) && x.IdempotencyKey != "" && !early[x.IdempotencyKey] && (r.FirstShot == 0 || x.At.Sub(at) < r.FirstShot) {
-			r.FirstShot = x.At.Sub(at)
+	for _, x := range f.RunLog.Runs()[ran:] {
+		if x.At.After(at) && x.IdempotencyKey != "" && !early[x.IdempotencyKey] && (r.FirstAttempt == 0 || x.At.Sub(at) < r.FirstAttempt) {
+			r.FirstAttempt = x.At.Sub(at)
 		}
 	}
 	began := time.Now()
 	for k := range list {
 		s := &list[k]
-		name := key(s.id, s.mark)
-		if s.offering != "look" && times[name] > 1 {
-			r.Twice = append(r.Twice, fmt.Sprintf("%s ran %d times", name, times[name]))
+		name := requestName(s.id, s.key)
+		if s.class != "look" && times[name] > 1 {
+			r.RanTwice = append(r.RanTwice, fmt.Sprintf("%s ran %d times", name, times[name]))
 		}
-		if s.first == "cut off" {
-			r.Cut++
+		if s.result == "cut off" {
+			r.Disconnected++
 		}
-		if s.second != "" {
-			if r.Returned++; s.second == "handled" {
-				r.Handled++
+		if s.retryResult != "" {
+			if r.Retried++; s.retryResult == "handled" {
+				r.RetriesHandled++
 			} else {
-				r.NotHandled = append(r.NotHandled, fmt.Sprintf("%s: %s, then %s after %v, ran %d times, began before the fault: %v", name, s.first, s.second,
-					s.took.Round(time.Millisecond), times[name], early[name]))
+				r.RetriesNotHandled = append(r.RetriesNotHandled, fmt.Sprintf("%s: %s, then %s after %v, ran %d times, began before the fault: %v", name, s.result, s.retryResult,
+					s.retryLatency.Round(time.Millisecond), times[name], early[name]))
 			}
 		}
-		r.Outcomes[s.offering+" "+s.first]++
-		if s.second != "" {
-			r.Outcomes[s.offering+" then "+s.second]++
+		r.Outcomes[s.class+" "+s.result]++
+		if s.retryResult != "" {
+			r.Outcomes[s.class+" then "+s.retryResult]++
 		}
-		if s.offering == "look" {
+		if s.class == "look" {
 			continue
 		}
-		told := f.settledOutcome(s, began.Add(cmp.Or(f.Plan.Within, settledWithin)))
-		r.Settled = max(r.Settled, time.Since(began))
-		r.Outcomes[s.offering+" is "+told]++
+		told := f.agreedOutcome(s, began.Add(cmp.Or(f.Config.OutcomeTimeout, outcomeTimeout)))
+		r.OutcomesAgreed = max(r.OutcomesAgreed, time.Since(began))
+		r.Outcomes[s.class+" is "+told]++
 		switch {
 		case told == "open":
-			r.Without = append(r.Without, fmt.Sprintf("%s (%s, %s, %s) is open still: %s", name, s.offering, s.first, s.second, f.explained(name)))
+			r.WithoutOutcome = append(r.WithoutOutcome, fmt.Sprintf("%s (%s, %s, %s) is open still: %s", name, s.class, s.result, s.retryResult, f.describeCopies(name)))
 		case told == "unknown" && times[name] > 0:
-			r.Without = append(r.Without, fmt.Sprintf("%s (%s, %s, %s) ran, and nobody knows of it", name, s.offering, s.first, s.second))
-		case (s.first == "handled" || s.second == "handled") && told != "handled",
-			s.offering == "once" && s.first == "denied" && told == "handled", told == "denied" && times[name] > 0:
-			r.Two = append(r.Two, fmt.Sprintf("%s (%s): a client heard %s and %s, told is %s, it ran %d times", name, s.offering, s.first, s.second, told, times[name]))
+			r.WithoutOutcome = append(r.WithoutOutcome, fmt.Sprintf("%s (%s, %s, %s) ran, and nobody knows of it", name, s.class, s.result, s.retryResult))
+		case (s.result == "handled" || s.retryResult == "handled") && told != "handled",
+			s.class == "once" && s.result == "denied" && told == "handled", told == "denied" && times[name] > 0:
+			r.Contradictions = append(r.Contradictions, fmt.Sprintf("%s (%s): a client heard %s and %s, told is %s, it ran %d times", name, s.class, s.result, s.retryResult, told, times[name]))
 		}
-		if s.mark != "" && s.first == "cut off" && !early[s.mark] {
-			if r.Unsent++; times[s.mark] > 0 {
-				r.Sent++
+		if s.key != "" && s.result == "cut off" && !early[s.key] {
+			if r.UnsentAtFault++; times[s.key] > 0 {
+				r.SentLater++
 			}
 		}
 	}
 }
 
-// explained gives what each controller has of a search, for a complaint.
-func (f *Fleet) explained(name string) (text string) {
+// describeCopies gives what each controller has of a search, for a complaint.
+func (f *Cluster) describeCopies(name string) (text string) {
 	for k, c := range f.Controllers {
-		a, err := f.Ask(k, "estate explain", map[string]any{"name": name})
+		a, err := f.Call(k, "estate explain", map[string]any{"name": name})
 		copies, _ := a["copies"].([]any)
 		if err != nil || len(copies) == 0 {
 			text += c.Name + " nothing; "
@@ -365,26 +365,26 @@
 	return text
 }
 
-func key(id, mark string) string {
+func requestName(id, mark string) string {
 	if mark != "" {
 		return mark
 	}
 	return id
 }
 
-// settledOutcome asks each controller what became of a search until they say the same, and that it is over: where its client heard that
+// agreedOutcome asks each controller what became of a search until they say the same, and that it is over: where its client heard that
 // it was handled by one that was cut off, until the late word of that has come.
-func (f *Fleet) settledOutcome(s *inHand, until time.Time) string {
+func (f *Cluster) agreedOutcome(s *roundRequest, until time.Time) string {
 	for {
 		var told []string
 		for k, c := range f.Controllers {
-			if c.Up() {
-				told = append(told, f.Outcome(k, s.id, s.mark))
+			if c.Running() {
+				told = append(told, f.QueryOutcome(k, s.id, s.key))
 			}
 		}
 		slices.Sort(told)
 		one := slices.Compact(told)
-		late := (s.first == "handled" || s.second == "handled") && one[0] != "handled"
+		late := (s.result == "handled" || s.retryResult == "handled") && one[0] != "handled"
 		if len(one) == 1 && one[0] != "open" && !late || time.Now().After(until) {
 			if len(one) > 1 {
 				return fmt.Sprint(one)
--- a/internal/chaostest/versions_store_test.go
+++ b/internal/chaostest/versions_store_test.go
@@ -38,24 +38,24 @@
 // assertStoreTakenOn plays one kill and one start of another version on the same folder.
 func assertStoreTakenOn(t *testing.T, from, to string, drops time.Duration) {
 	t.Helper()
-	f := versionsFleet(t, Plan{NoFleet: true, Direct: true, Drops: drops, Zones: 3}, from)
+	f := startVersions(t, Config{WithoutCluster: true, Direct: true, DedupWindow: drops, Zones: 3}, from)
 	done, open := numberedKeys("done", 6), numberedKeys("open", 60)
 	require.Empty(t, cutOff(t, sendAll(f, 0, "a", done)()))
 	first := sendAll(f, 0, "b", open)
 	waitForSteadyRuns(t, f, len(done)+1)
 	f.Kill(0)
-	ran := runsOf(f)
+	ran := runsByKey(f)
 	inHand := cutOff(t, first())
 	require.NotEmpty(t, inHand, "requests are in hand at the kill")
 	t.Logf("%d keys in hand, %d ran before the kill", len(inHand), len(ran)-len(done))
-	assertSameReading(t, filepath.Join(f.Controllers[0].Folder, "store"), ran, from, to)
+	assertSameReading(t, filepath.Join(f.Controllers[0].Directory, "store"), ran, from, to)
 	startAs(t, f, 0, to)
 	for key := range ran {
 		want := "written_off" // its answer was lost, and only its client may send it again
 		if !slices.Contains(inHand, key) {
 			want = "handled"
 		}
-		assert.Equal(t, want, f.Outcome(0, "", key), key)
+		assert.Equal(t, want, f.QueryOutcome(0, "", key), key)
 	}
 	second := sendAll(f, 0, "c", append(inHand, done...))()
 	for _, r := range second {
@@ -66,7 +66,7 @@
 		assert.NoError(t, r.err, r.key)
 		assert.Equal(t, want, r.answer.Code, "%s: %s", r.key, r.answer.Message)
 	}
-	assert.Equal(t, onceEach(append(open, done...)), runsOf(f))
+	assert.Equal(t, onceEach(append(open, done...)), runsByKey(f))
 	assertOutcomes(t, f, second)
 }
 
--- a/internal/chaostest/versions_test.go
+++ b/internal/chaostest/versions_test.go
@@ -25,21 +25,21 @@
 )
 
 // startAs starts a controller with a program and checks that its process runs that version.
-func startAs(t *testing.T, f *Fleet, k int, program string) {
+func startAs(t *testing.T, f *Cluster, k int, program string) {
 	t.Helper()
-	f.Plan.Program = program
+	f.Config.Program = program
 	require.NoError(t, f.Start(k))
 	require.Eventually(t, func() bool { // liftshift goes on as liftshift-full of the same folder
-		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", f.Process(k)))
+		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", f.PID(k)))
 		return err == nil && path == program+"-full"
 	}, 10*time.Second, 5*time.Millisecond, "controller %d runs %s", k, program)
 }
 
-// versionsFleet writes a fleet whose keyed requests may take longer than a takeover; it starts controller k with programs[k].
-func versionsFleet(t *testing.T, plan Plan, programs ...string) *Fleet {
+// startVersions writes a fleet whose keyed requests may take longer than a takeover; it starts controller k with programs[k].
+func startVersions(t *testing.T, plan Config, programs ...string) *Cluster {
 	t.Helper()
-	plan.Folder, plan.Seed, plan.Controllers, plan.Engines, plan.Store = t.TempDir(), 1, len(programs), 3, true
-	plan.Works = map[string]time.Duration{"mark": keyedWork}
+	plan.Directory, plan.Seed, plan.Controllers, plan.Executors, plan.Store = t.TempDir(), 1, len(programs), 3, true
+	plan.WorkByClass = map[string]time.Duration{"mark": keyedWork}
 	f, err := New(plan)
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -51,7 +51,7 @@
 		}
 	})
 	for k, c := range f.Controllers {
-		path := filepath.Join(c.Folder, "node.json")
+		path := filepath.Join(c.Directory, "node.json")
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		longer := bytes.ReplaceAll(text, []byte(`"HardLimit":5000000`), []byte(`"HardLimit":15000000`))
@@ -64,15 +64,15 @@
 
 // waitForMembers waits until all controllers that run know each other, hold their leases and know who keeps copies. It asks by the names
 // that both versions know.
-func waitForMembers(t *testing.T, f *Fleet) {
+func waitForMembers(t *testing.T, f *Cluster) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		if settled, _ := f.Settled(); !settled {
+		if settled, _ := f.Converged(); !settled {
 			return false
 		}
 		for k, c := range f.Controllers {
-			a, err := f.Ask(k, "estate", nil)
-			if c.Up() && (err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0) {
+			a, err := f.Call(k, "estate", nil)
+			if c.Running() && (err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0) {
 				return false
 			}
 		}
@@ -80,10 +80,10 @@
 	}, 20*time.Second, 20*time.Millisecond, "all that run know who keeps copies")
 }
 
-// figure gives a number that a controller tells of the work it keeps for others.
-func figure(t *testing.T, f *Fleet, k int, name string) int {
+// handoffFigure gives a number that a controller tells of the work it keeps for others.
+func handoffFigure(t *testing.T, f *Cluster, k int, name string) int {
 	t.Helper()
-	a, err := f.Ask(k, "estate", nil)
+	a, err := f.Call(k, "estate", nil)
 	require.NoError(t, err)
 	require.Contains(t, a, name)
 	return int(a[name].(float64))
@@ -118,7 +118,7 @@
 
 // sendAll has one client per key send its request to a controller, at once, and gives a function that waits for the answers. Clients that
 // are told to come again later do so.
-func sendAll(f *Fleet, k int, tag string, keys []string) func() []keyedRequest {
+func sendAll(f *Cluster, k int, tag string, keys []string) func() []keyedRequest {
 	out := make([]keyedRequest, len(keys))
 	var all sync.WaitGroup
 	for n, key := range keys {
@@ -127,7 +127,7 @@
 			defer all.Done()
 			until := time.Now().Add(requestPatience)
 			for attempt := 0; ; attempt++ {
-				out[n] = sendKeyed(f.Controllers[k].Client, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
+				out[n] = sendKeyed(f.Controllers[k].ClientAddress, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
 				if out[n].err != nil || out[n].answer.Code != testservers.CodeRejected || time.Now().After(until) {
 					return
 				}
@@ -159,10 +159,10 @@
 	return keys
 }
 
-// runsOf gives how often each key ran at an engine.
-func runsOf(f *Fleet) map[string]int {
+// runsByKey gives how often each key ran at an engine.
+func runsByKey(f *Cluster) map[string]int {
 	runs := map[string]int{}
-	for _, r := range f.Memory.Runs() {
+	for _, r := range f.RunLog.Runs() {
 		runs[r.IdempotencyKey]++
 	}
 	return runs
@@ -170,11 +170,11 @@
 
 // waitForSteadyRuns waits until there were so many runs at least and nothing more is sent for now, so that no attempt is between its
 // controller's store and its engine.
-func waitForSteadyRuns(t *testing.T, f *Fleet, least int) {
+func waitForSteadyRuns(t *testing.T, f *Cluster, least int) {
 	t.Helper()
 	count, since := 0, time.Now()
 	require.Eventually(t, func() bool {
-		if now := len(f.Memory.Runs()); now != count {
+		if now := len(f.RunLog.Runs()); now != count {
 			count, since = now, time.Now()
 		}
 		return count >= least && time.Since(since) > steadyTime
@@ -191,21 +191,21 @@
 }
 
 // assertOutcomes checks that every controller that runs tells the outcome that the client of each key heard.
-func assertOutcomes(t *testing.T, f *Fleet, list []keyedRequest) {
+func assertOutcomes(t *testing.T, f *Cluster, list []keyedRequest) {
 	t.Helper()
 	until := time.Now().Add(10 * time.Second)
 	for k, c := range f.Controllers {
 		for _, r := range list {
-			if !c.Up() {
+			if !c.Running() {
 				continue
 			}
-			want, told := "handled", f.Outcome(k, "", r.key)
+			want, told := "handled", f.QueryOutcome(k, "", r.key)
 			if r.answer.Code != 0 {
 				want = "written_off"
 			}
 			for told != want && time.Now().Before(until) {
 				time.Sleep(20 * time.Millisecond)
-				told = f.Outcome(k, "", r.key)
+				told = f.QueryOutcome(k, "", r.key)
 			}
 			if !assert.Equal(t, want, told, "%s as %s tells it", r.key, c.Name) && time.Now().After(until) {
 				return // the others aren't waited for
@@ -244,14 +244,14 @@
 func assertAdoption(t *testing.T, programs []string, drops time.Duration) {
 	t.Helper()
 	const killed, requests = 2, 30
-	f := versionsFleet(t, Plan{Zones: 3, Founders: 3, Fleet: quick, Estate: "copies = 1", Drops: drops}, programs[:3]...)
+	f := startVersions(t, Config{Zones: 3, Founders: 3, ClusterSettings: quickCluster, HandoffSettings: "copies = 1", DedupWindow: drops}, programs[:3]...)
 	waitForMembers(t, f)
 	keys := numberedKeys("m", requests)
 	first := sendAll(f, killed, "a", keys)
 	waitForSteadyRuns(t, f, 1)
-	assert.Equal(t, requests, figure(t, f, killed, "registered"), "successors have copies of all")
+	assert.Equal(t, requests, handoffFigure(t, f, killed, "registered"), "successors have copies of all")
 	f.Kill(killed)
-	ran := runsOf(f)
+	ran := runsByKey(f)
 	inHand := cutOff(t, first())
 	require.NotEmpty(t, inHand, "requests are in hand at the kill")
 	second := sendAll(f, 0, "b", inHand)()
@@ -265,15 +265,15 @@
 		handled++
 		assert.Zero(t, r.answer.Code, "%s: %s", r.key, r.answer.Message)
 	}
-	taken := figure(t, f, 0, "taken") + figure(t, f, 1, "taken")
+	taken := handoffFigure(t, f, 0, "taken") + handoffFigure(t, f, 1, "taken")
 	t.Logf("%d keys in hand, %d ran before the kill; successors adopted %d, handled %d", len(inHand), len(ran), taken, handled)
 	assert.NotZero(t, taken, "a successor has adopted a request")
 	assert.Less(t, len(ran), requests, "some begin at a successor")
 	assert.NotZero(t, handled)
-	assert.Equal(t, onceEach(keys), runsOf(f))
+	assert.Equal(t, onceEach(keys), runsByKey(f))
 	assertOutcomes(t, f, second)
 	startAs(t, f, killed, programs[3])
 	waitForMembers(t, f)
 	assertOutcomes(t, f, second)
-	assert.Equal(t, onceEach(keys), runsOf(f), "also after the killed one is back")
+	assert.Equal(t, onceEach(keys), runsByKey(f), "also after the killed one is back")
 }
--- a/internal/chaostest/zones.go
+++ b/internal/chaostest/zones.go
@@ -12,20 +12,20 @@
 
 // Traffic is what clients of all controllers heard, search by search.
 type Traffic struct {
-	mu    sync.Mutex
-	Asked []Asked
-	stop  chan struct{}
-	all   sync.WaitGroup
+	mu       sync.Mutex
+	Requests []SentRequest
+	stop     chan struct{}
+	clients  sync.WaitGroup
 }
 
-// Traffic has so many clients at each controller look things up, with a pause between, until it ends.
-func (f *Fleet) Traffic(tag string, each int, pause time.Duration) *Traffic {
+// StartTraffic has so many clients at each controller look things up, with a pause between, until it ends.
+func (f *Cluster) StartTraffic(tag string, each int, pause time.Duration) *Traffic {
 	t := &Traffic{stop: make(chan struct{})}
 	for k := range f.Controllers {
 		for w := range each {
-			t.all.Add(1)
+			t.clients.Add(1)
 			go func() {
-				defer t.all.Done()
+				defer t.clients.Done()
 				t.client(f, k, fmt.Sprint(tag, "-", k, "-", w), pause)
 			}()
 		}
@@ -33,7 +33,7 @@
 	return t
 }
 
-func (t *Traffic) client(f *Fleet, k int, tag string, pause time.Duration) {
+func (t *Traffic) client(f *Cluster, k int, tag string, pause time.Duration) {
 	var c *testservers.Client
 	for n := 0; ; n++ {
 		select {
@@ -46,35 +46,35 @@
 		}
 		if c == nil {
 			var err error
-			if c, err = testservers.Dial(f.Controllers[k].Client, 50*time.Millisecond); err != nil {
+			if c, err = testservers.Dial(f.Controllers[k].ClientAddress, 50*time.Millisecond); err != nil {
 				c = nil
 				continue
 			}
 		}
-		a := Asked{ID: fmt.Sprint(tag, "-", n), Offering: "look", Controller: k, At: time.Now(), Outcome: "cut off"}
-		got, err := c.Submit(a.Offering, a.ID, "", 3*time.Second)
-		switch a.Took = time.Since(a.At); {
+		a := SentRequest{ID: fmt.Sprint(tag, "-", n), Class: "look", Controller: k, At: time.Now(), Result: "cut off"}
+		got, err := c.Submit(a.Class, a.ID, "", 3*time.Second)
+		switch a.Latency = time.Since(a.At); {
 		case err != nil:
 			c.Close()
 			c = nil
 		case got.Code == 0:
-			a.Outcome = "handled"
+			a.Result = "handled"
 		case got.Code == testservers.CodeRejected:
-			a.Outcome = "denied"
+			a.Result = "denied"
 		default:
-			a.Outcome = "written off"
+			a.Result = "written off"
 		}
 		t.mu.Lock()
-		t.Asked = append(t.Asked, a)
+		t.Requests = append(t.Requests, a)
 		t.mu.Unlock()
 	}
 }
 
 // Between gives what began in a span of time.
-func (t *Traffic) Between(from, to time.Time) (list []Asked) {
+func (t *Traffic) Between(from, to time.Time) (list []SentRequest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, a := range t.Asked {
+	for _, a := range t.Requests {
 		if !a.At.Before(from) && a.At.Before(to) {
 			list = append(list, a)
 		}
@@ -82,39 +82,39 @@
 	return list
 }
 
-// End ends it.
-func (t *Traffic) End() {
+// Stop ends it.
+func (t *Traffic) Stop() {
 	close(t.stop)
-	t.all.Wait()
+	t.clients.Wait()
 }
 
 // ZoneOf gives the zone of a controller.
-func (f *Fleet) ZoneOf(k int) string { return fmt.Sprint("z", k%max(1, f.Plan.Zones)) }
+func (f *Cluster) ZoneOf(k int) string { return fmt.Sprint("z", k%max(1, f.Config.Zones)) }
 
-// CutZone has all engines of a zone out of reach, or in reach again.
-func (f *Fleet) CutZone(zone string, cut bool) {
-	for _, e := range f.Engines {
+// SetZoneUnreachable has all engines of a zone out of reach, or in reach again.
+func (f *Cluster) SetZoneUnreachable(zone string, cut bool) {
+	for _, e := range f.Executors {
 		if e.Zone == zone {
-			e.Cut(cut)
+			e.SetUnreachable(cut)
 		}
 	}
 }
 
-// CutZoneForSome has all engines of a zone out of reach for the controllers of Plan.Seconds, or in reach again.
-func (f *Fleet) CutZoneForSome(zone string, cut bool) {
-	for _, e := range f.Engines {
+// SetZoneUnreachableForSome has all engines of a zone out of reach for the controllers of Plan.Seconds, or in reach again.
+func (f *Cluster) SetZoneUnreachableForSome(zone string, cut bool) {
+	for _, e := range f.Executors {
 		if e.Zone == zone {
-			e.CutSecond(cut)
+			e.SetSecondUnreachable(cut)
 		}
 	}
 }
 
-// LoseList ends the list of engines.
-func (f *Fleet) LoseList() { f.list.Stop() }
+// StopDiscovery ends the list of engines.
+func (f *Cluster) StopDiscovery() { f.discovery.Stop() }
 
 // ZoneStates gives how a controller has all zones, and the number of the plan.
-func (f *Fleet) ZoneStates(k int) (states map[string]string, number float64) {
-	a, err := f.Ask(k, "zones", nil)
+func (f *Cluster) ZoneStates(k int) (states map[string]string, number float64) {
+	a, err := f.Call(k, "zones", nil)
 	if err != nil {
 		return nil, 0
 	}
@@ -129,12 +129,12 @@
 	return states, number
 }
 
-// Agreed waits until all that run have a zone in one of some states, and gives the time it took.
-func (f *Fleet) Agreed(most time.Duration, zone string, wanted ...string) (time.Duration, error) {
+// WaitForZoneState waits until all that run have a zone in one of some states, and gives the time it took.
+func (f *Cluster) WaitForZoneState(most time.Duration, zone string, wanted ...string) (time.Duration, error) {
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		why := ""
 		for k, c := range f.Controllers {
-			if !c.Up() {
+			if !c.Running() {
 				continue
 			}
 			if s, _ := f.ZoneStates(k); !slices.Contains(wanted, s[zone]) {
@@ -144,18 +144,18 @@
 		if took := time.Since(began); why == "" {
 			return took, nil
 		} else if took > most {
-			return took, fmt.Errorf("not agreed within %v on %s %v: %s (seed %d)", most, zone, wanted, why, f.Plan.Seed)
+			return took, fmt.Errorf("not agreed within %v on %s %v: %s (seed %d)", most, zone, wanted, why, f.Config.Seed)
 		}
 	}
 }
 
-// Spilled counts runs of traffic by whether they were in the zone of their controller, of those that began in a span of time.
-func (f *Fleet) Spilled(tag string, from, to time.Time) (near, far int) {
+// CountRunsByLocality counts runs of traffic by whether they were in the zone of their controller, of those that began in a span of time.
+func (f *Cluster) CountRunsByLocality(tag string, from, to time.Time) (near, far int) {
 	zone := map[string]string{}
-	for _, e := range f.Engines {
+	for _, e := range f.Executors {
 		zone[e.Name] = e.Zone
 	}
-	for _, r := range f.Memory.Runs() {
+	for _, r := range f.RunLog.Runs() {
 		parts := strings.Split(r.ID, "-")
 		if parts[0] != tag || len(parts) != 4 || r.At.Before(from) || !r.At.Before(to) {
 			continue
--- a/internal/chaostest/zones_test.go
+++ b/internal/chaostest/zones_test.go
@@ -8,23 +8,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-const swiftly = "stage = \"700ms\"\n return_wait = \"700ms\""
+const quickLocality = "stage = \"700ms\"\n return_wait = \"700ms\""
 
-// between starts nine controllers in three zones, with three engines each.
-func between(t *testing.T) *Fleet {
-	f := rehearsal(t, Plan{Seconds: []int{4}, Controllers: 9, Engines: 9, Zones: 3, Founders: 3, Store: true, Fleet: quick, Between: swiftly, WorkMS: 20, Cores: 4, Room: 64})
-	settles(t, f, "all join")
+// startZones starts nine controllers in three zones, with three engines each.
+func startZones(t *testing.T) *Cluster {
+	f := startCluster(t, Config{SecondAddressUsers: []int{4}, Controllers: 9, Executors: 9, Zones: 3, Founders: 3, Store: true, ClusterSettings: quickCluster, LocalitySettings: quickLocality, WorkMS: 20, Cores: 4, MaxInFlight: 64})
+	waitConverged(t, f, "all join")
 	for z := range 3 {
-		_, err := f.Agreed(20*time.Second, f.ZoneOf(z), "whole")
+		_, err := f.WaitForZoneState(20*time.Second, f.ZoneOf(z), "whole")
 		require.NoError(t, err)
 	}
 	return f
 }
 
-func outcomes(list []Asked) map[string]int {
+func countTraffic(list []SentRequest) map[string]int {
 	n := map[string]int{}
 	for _, a := range list {
-		n[a.Outcome]++
+		n[a.Result]++
 	}
 	return n
 }
@@ -32,19 +32,19 @@
 // A zone's engines are out of reach under load, and in reach again: traffic is near while that is safe, goes to the others within their
 // caps, and comes back by stages.
 func TestAZoneLostUnderLoad(t *testing.T) {
-	f := between(t)
+	f := startZones(t)
 	time.Sleep(time.Second)
-	load := f.Traffic("t", 2, 20*time.Millisecond)
-	defer load.End()
+	load := f.StartTraffic("t", 2, 20*time.Millisecond)
+	defer load.Stop()
 	began := time.Now()
 	time.Sleep(3 * time.Second)
-	near, far := f.Spilled("t", began, time.Now())
-	t.Logf("whole: %d near, %d far, %v", near, far, outcomes(load.Between(began, time.Now())))
+	near, far := f.CountRunsByLocality("t", began, time.Now())
+	t.Logf("whole: %d near, %d far, %v", near, far, countTraffic(load.Between(began, time.Now())))
 	assert.Greater(t, near, 100)
 	assert.LessOrEqual(t, far, near/50)
-	f.CutZone("z1", true)
+	f.SetZoneUnreachable("z1", true)
 	cut := time.Now()
-	took, err := f.Agreed(15*time.Second, "z1", "lost")
+	took, err := f.WaitForZoneState(15*time.Second, "z1", "lost")
 	require.NoError(t, err)
 	t.Logf("lost in all plans after %v", took)
 	time.Sleep(4 * time.Second)
@@ -52,54 +52,54 @@
 	mine := map[string]int{}
 	for _, a := range load.Between(settled, time.Now()) {
 		if f.ZoneOf(a.Controller) == "z1" {
-			mine[a.Outcome]++
+			mine[a.Result]++
 		}
 	}
-	t.Logf("while lost, its own clients: %v; since the cut, all: %v", mine, outcomes(load.Between(cut, time.Now())))
+	t.Logf("while lost, its own clients: %v; since the cut, all: %v", mine, countTraffic(load.Between(cut, time.Now())))
 	assert.Greater(t, mine["handled"], 9*(mine["denied"]+mine["written off"]+mine["cut off"]), "others have room for them")
-	f.CutZone("z1", false)
+	f.SetZoneUnreachable("z1", false)
 	back := time.Now()
-	_, err = f.Agreed(15*time.Second, "z1", "returning", "whole")
+	_, err = f.WaitForZoneState(15*time.Second, "z1", "returning", "whole")
 	require.NoError(t, err)
-	_, err = f.Agreed(25*time.Second, "z1", "whole")
+	_, err = f.WaitForZoneState(25*time.Second, "z1", "whole")
 	require.NoError(t, err)
 	t.Logf("whole again after %v", time.Since(back))
 	time.Sleep(time.Second)
 	began = time.Now()
 	time.Sleep(2 * time.Second)
-	near, far = f.Spilled("t", began, time.Now())
+	near, far = f.CountRunsByLocality("t", began, time.Now())
 	assert.LessOrEqual(t, far, near/50, "back near")
 }
 
 // A zone is emptied by an operator and the order lapses; the one who leads is killed meanwhile.
 func TestAnOrderOutlivesWhoGaveIt(t *testing.T) {
-	f := between(t)
-	_, err := f.Ask(4, "zones order", map[string]any{"kind": "evacuate", "zone": "z2", "for": "12s", "who": "kim"})
+	f := startZones(t)
+	_, err := f.Call(4, "zones order", map[string]any{"kind": "evacuate", "zone": "z2", "for": "12s", "who": "kim"})
 	require.NoError(t, err)
 	given := time.Now()
-	_, err = f.Agreed(8*time.Second, "z2", "evacuated")
+	_, err = f.WaitForZoneState(8*time.Second, "z2", "evacuated")
 	require.NoError(t, err)
 	f.Kill(4)
-	f.Kill(led(t, f, -1))
-	_, err = f.Agreed(3*time.Second, "z2", "evacuated")
+	f.Kill(waitForLeader(t, f, -1))
+	_, err = f.WaitForZoneState(3*time.Second, "z2", "evacuated")
 	require.NoError(t, err)
-	_, err = f.Agreed(30*time.Second, "z2", "returning", "whole")
+	_, err = f.WaitForZoneState(30*time.Second, "z2", "returning", "whole")
 	require.NoError(t, err)
 	assert.Greater(t, time.Since(given), 11900*time.Millisecond, "not before its time")
-	_, err = f.Ask(5, "zones order", map[string]any{"kind": "evacuate", "zone": "z9", "for": "6s"})
+	_, err = f.Call(5, "zones order", map[string]any{"kind": "evacuate", "zone": "z9", "for": "6s"})
 	assert.ErrorContains(t, err, "no zone")
-	_, err = f.Ask(5, "zones order", map[string]any{"kind": "evacuate", "zone": "z1"})
+	_, err = f.Call(5, "zones order", map[string]any{"kind": "evacuate", "zone": "z1"})
 	assert.ErrorContains(t, err, "for how long")
 }
 
 // Two zones that do not hear each other, one way or both, are not lost: their engines are in reach. One that is in reach and out again is
 // not followed each time. One that goes with its controllers, that of the council's leader, is lost all the same, and comes back.
 func TestZonesAndPartings(t *testing.T) {
-	f := between(t)
-	load := f.Traffic("t", 1, 30*time.Millisecond)
-	defer load.End()
+	f := startZones(t)
+	load := f.StartTraffic("t", 1, 30*time.Millisecond)
+	defer load.Stop()
 	for _, oneWay := range []bool{true, false} {
-		f.Relay.Set(func(a, b int) Link {
+		f.Relay.SetLinks(func(a, b int) Link {
 			return Link{Cut: a%3 == 1 && b%3 == 2 || !oneWay && a%3 == 2 && b%3 == 1}
 		})
 		for began := time.Now(); time.Since(began) < 4*time.Second; time.Sleep(100 * time.Millisecond) {
@@ -110,12 +110,12 @@
 				}
 			}
 		}
-		f.Relay.Set(func(int, int) Link { return Link{} })
-		settles(t, f, "healed")
+		f.Relay.SetLinks(func(int, int) Link { return Link{} })
+		waitConverged(t, f, "healed")
 	}
 	returns, was := 0, ""
 	for n := range 10 {
-		f.CutZone("z1", n%2 == 0)
+		f.SetZoneUnreachable("z1", n%2 == 0)
 		for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(50 * time.Millisecond) {
 			s, _ := f.ZoneStates(0)
 			if s["z1"] != was {
@@ -127,37 +127,37 @@
 	}
 	t.Logf("in reach five times for 2 s: its return began %d times", returns)
 	assert.LessOrEqual(t, returns, 3)
-	_, err := f.Agreed(90*time.Second, "z1", "whole")
+	_, err := f.WaitForZoneState(90*time.Second, "z1", "whole")
 	require.NoError(t, err)
-	leader := led(t, f, -1)
+	leader := waitForLeader(t, f, -1)
 	zone := f.ZoneOf(leader)
-	f.CutZone(zone, true)
+	f.SetZoneUnreachable(zone, true)
 	for k := range f.Controllers {
 		if f.ZoneOf(k) == zone {
 			f.Kill(k)
 		}
 	}
-	took, err := f.Agreed(25*time.Second, zone, "lost")
+	took, err := f.WaitForZoneState(25*time.Second, zone, "lost")
 	require.NoError(t, err)
 	t.Logf("with its controllers and the leader: lost in all plans after %v", took)
-	f.CutZone(zone, false)
+	f.SetZoneUnreachable(zone, false)
 	require.NoError(t, f.StartAll())
-	_, err = f.Agreed(60*time.Second, zone, "whole")
+	_, err = f.WaitForZoneState(60*time.Second, zone, "whole")
 	require.NoError(t, err)
 }
 
 // A zone that some of its controllers can't reach is not lost: those go elsewhere, the others stay. One that is lost together with the list is
 // not taken for lost by its own word alone; its searches go elsewhere all the same.
 func TestAZoneThatSomeCannotReach(t *testing.T) {
-	f := between(t)
-	load := f.Traffic("t", 2, 20*time.Millisecond)
-	defer load.End()
+	f := startZones(t)
+	load := f.StartTraffic("t", 2, 20*time.Millisecond)
+	defer load.Stop()
 	time.Sleep(2 * time.Second)
 	heard := func(from time.Time, some func(k int) bool) (n map[string]int) {
 		n = map[string]int{}
 		for _, a := range load.Between(from, time.Now().Add(-time.Second)) {
 			if some(a.Controller) {
-				n[a.Outcome]++
+				n[a.Result]++
 			}
 		}
 		return n
@@ -165,28 +165,28 @@
 	good := func(n map[string]int) bool {
 		return n["handled"] > 0 && n["handled"] > 9*(n["denied"]+n["written off"]+n["cut off"])
 	}
-	f.CutZoneForSome("z1", true)
-	_, err := f.Agreed(10*time.Second, "z1", "doubtful")
+	f.SetZoneUnreachableForSome("z1", true)
+	_, err := f.WaitForZoneState(10*time.Second, "z1", "doubtful")
 	require.NoError(t, err)
 	time.Sleep(2 * time.Second)
 	from := time.Now()
 	time.Sleep(4 * time.Second)
 	states, _ := f.ZoneStates(0)
 	assert.Equal(t, "doubtful", states["z1"])
-	near, far := f.Spilled("t", from, time.Now())
+	near, far := f.CountRunsByLocality("t", from, time.Now())
 	t.Logf("one of three can't reach it: %v of its searches, %v of the others', %d near and %d far of all", heard(from, func(k int) bool { return k == 4 }),
 		heard(from, func(k int) bool { return k == 1 || k == 7 }), near, far)
 	assert.True(t, good(heard(from, func(k int) bool { return k == 4 })), "elsewhere there is room")
 	assert.True(t, good(heard(from, func(k int) bool { return k == 1 || k == 7 })))
 	assert.Greater(t, far, 0)
-	f.CutZoneForSome("z1", false)
-	_, err = f.Agreed(20*time.Second, "z1", "whole")
+	f.SetZoneUnreachableForSome("z1", false)
+	_, err = f.WaitForZoneState(20*time.Second, "z1", "whole")
 	require.NoError(t, err)
 
-	f.LoseList()
+	f.StopDiscovery()
 	time.Sleep(3 * time.Second)
-	f.CutZone("z1", true)
-	_, err = f.Agreed(15*time.Second, "z1", "doubtful", "lost")
+	f.SetZoneUnreachable("z1", true)
+	_, err = f.WaitForZoneState(15*time.Second, "z1", "doubtful", "lost")
 	require.NoError(t, err)
 	time.Sleep(3 * time.Second)
 	from = time.Now()
--- a/internal/testservers/client.go
+++ b/internal/testservers/client.go
@@ -21,11 +21,11 @@
 	Data         string // base64, of a result
 	Outcome      string // of the method outcome
 	RetryAfterMS int
-	Waits        []Wait // told before the answer
+	Waits        []WaitEstimate // told before the answer
 }
 
-// Wait is a figure told of a search that waits.
-type Wait struct {
+// WaitEstimate is a figure told of a search that waits.
+type WaitEstimate struct {
 	Start, End float64
 	Unknown    bool
 	At         time.Time
@@ -71,7 +71,7 @@
 
 // Call makes one call.
 func (c *Client) Call(method string, params any, patience time.Duration) (a Answer, err error) {
-	var waits []Wait
+	var waits []WaitEstimate
 	defer func() { a.Waits = waits }()
 	c.id++
 	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.id, "method": method, "params": params})
@@ -89,7 +89,7 @@
 			return a, err
 		case m.Method == "wait":
 			m.Params.At = time.Now()
-			waits = append(waits, m.Params.Wait)
+			waits = append(waits, m.Params.WaitEstimate)
 		case m.ID != c.id:
 			return a, errors.New("an answer to something else")
 		default:
@@ -102,7 +102,7 @@
 type message struct {
 	ID     int
 	Method string
-	Params struct{ Wait }
+	Params struct{ WaitEstimate }
 	Result struct{ Data, Outcome string }
 	Error  struct {
 		Code    int
@@ -172,7 +172,7 @@
 	server  *http.Server
 	mu      sync.Mutex
 	events  []json.RawMessage
-	news    chan struct{} // closed by the next event
+	changed chan struct{} // closed by the next event
 }
 
 // NewDiscovery starts one.
@@ -181,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Discovery{Address: l.Addr().String(), news: make(chan struct{})}
+	c := &Discovery{Address: l.Addr().String(), changed: make(chan struct{})}
 	c.server = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(c.serve)}
 	go func() { _ = c.server.Serve(l) }()
 	return c, nil
@@ -205,8 +205,8 @@
 		return err
 	}
 	c.events = append(c.events, text)
-	close(c.news)
-	c.news = make(chan struct{})
+	close(c.changed)
+	c.changed = make(chan struct{})
 	return nil
 }
 
@@ -216,7 +216,7 @@
 	late := time.After(min(5*time.Second, time.Duration(ms)*time.Millisecond))
 	for {
 		c.mu.Lock()
-		news, last, later := c.news, len(c.events)+1, c.events[min(len(c.events), max(0, since-1)):]
+		news, last, later := c.changed, len(c.events)+1, c.events[min(len(c.events), max(0, since-1)):]
 		c.mu.Unlock()
 		if len(later) > 0 || since > last {
 			text, _ := json.Marshal(map[string]any{"seq": last, "results": later})
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -15,37 +15,37 @@
 )
 
 // Rows is what every engine answers.
-const Rows = "a\tb\tc\n"
+const ResultRows = "a\tb\tc\n"
 
 // Executor is one engine. It counts each run of a mark and of an id.
 type Executor struct {
-	Name        string
-	Zone        string
-	DedupWindow time.Duration // for how long it drops repeats of a mark: it answers, and nothing runs; 0: it drops none
-	Work        time.Duration
-	WorkByClass map[string]time.Duration // by offering, where that differs
-	Cores       int                      // that searches share by their priorities, 1 : 4 : 8 : 16; 0: any number
-	Memory      *Memory                  // what it and others of its group remember
-	MaxInFlight int                      // searches at a time, past which it answers that it is full, where it has Cores; 0: any number
-	Full        atomic.Uint64            // such answers
-	Hangs       atomic.Bool              // it takes searches, and answers nothing but probes
-	most        int
-	cut         bool
+	Name         string
+	Zone         string
+	DedupWindow  time.Duration // for how long it drops repeats of a mark: it answers, and nothing runs; 0: it drops none
+	Work         time.Duration
+	WorkByClass  map[string]time.Duration // by offering, where that differs
+	Cores        int                      // that searches share by their priorities, 1 : 4 : 8 : 16; 0: any number
+	Memory       *Memory                  // what it and others of its group remember
+	MaxInFlight  int                      // searches at a time, past which it answers that it is full, where it has Cores; 0: any number
+	RejectedFull atomic.Uint64            // such answers
+	Hangs        atomic.Bool              // it takes searches, and answers nothing but probes
+	peakJobs     int
+	unreachable  bool
 
-	jobs     map[*job]struct{}
-	stopped  chan struct{}
-	listener net.Listener
-	second   net.Listener // another address of it, which can be cut by itself
-	halfCut  bool
-	mu       sync.Mutex
-	conns    map[net.Conn]bool // whether they came by the second address
+	jobs              map[*job]struct{}
+	stopped           chan struct{}
+	listener          net.Listener
+	secondListener    net.Listener // another address of it, which can be cut by itself
+	secondUnreachable bool
+	mu                sync.Mutex
+	conns             map[net.Conn]bool // whether they came by the second address
 }
 
 // Run is one run of a search.
 type Run struct {
 	ID, IdempotencyKey, Executor string
 	At                           time.Time
-	Max                          time.Duration // how long its controller said to wait
+	WaitLimit                    time.Duration // how long its controller said to wait
 }
 
 // Memory counts runs, and knows repeats, for all engines that share it.
@@ -62,8 +62,8 @@
 	return append([]Run(nil), m.runs...)
 }
 
-// run books a run unless it is a repeat that the group drops.
-func (m *Memory) run(r Run, group string, drops time.Duration) {
+// record books a run unless it is a repeat that the group drops.
+func (m *Memory) record(r Run, group string, drops time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.last == nil {
@@ -89,14 +89,14 @@
 	e.stopped = make(chan struct{})
 	if e.Cores > 0 {
 		e.jobs = map[*job]struct{}{}
-		go e.share()
+		go e.runJobs()
 	}
-	if e.second, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if e.secondListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
 	e.listener, e.conns = l, map[net.Conn]bool{}
 	go e.accept(l, false)
-	go e.accept(e.second, true)
+	go e.accept(e.secondListener, true)
 	return nil
 }
 
@@ -108,7 +108,7 @@
 			return
 		}
 		e.mu.Lock()
-		cut := e.cut || e.halfCut && second
+		cut := e.unreachable || e.secondUnreachable && second
 		if !cut {
 			e.conns[c] = second
 		}
@@ -124,14 +124,14 @@
 // Address is where it listens.
 func (e *Executor) Address() string { return e.listener.Addr().String() }
 
-// Second is its other address.
-func (e *Executor) Second() string { return e.second.Addr().String() }
+// SecondAddress is its other address.
+func (e *Executor) SecondAddress() string { return e.secondListener.Addr().String() }
 
-// CutSecond has it out of reach by its other address alone, or in reach again.
-func (e *Executor) CutSecond(cut bool) {
+// SetSecondUnreachable has it out of reach by its other address alone, or in reach again.
+func (e *Executor) SetSecondUnreachable(cut bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.halfCut = cut
+	e.secondUnreachable = cut
 	for c, second := range e.conns {
 		if cut && second {
 			_ = c.Close()
@@ -140,11 +140,11 @@
 	}
 }
 
-// Cut has it out of reach, or in reach again: connections end, and new ones end at once. What runs there goes on.
-func (e *Executor) Cut(cut bool) {
+// SetUnreachable has it out of reach, or in reach again: connections end, and new ones end at once. What runs there goes on.
+func (e *Executor) SetUnreachable(cut bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cut = cut; cut {
+	if e.unreachable = cut; cut {
 		for c := range e.conns {
 			_ = c.Close()
 		}
@@ -155,7 +155,7 @@
 // Stop ends it and its connections.
 func (e *Executor) Stop() {
 	_ = e.listener.Close()
-	_ = e.second.Close()
+	_ = e.secondListener.Close()
 	e.mu.Lock()
 	if e.stopped != nil {
 		close(e.stopped)
@@ -175,12 +175,12 @@
 		out.Lock()
 		defer out.Unlock()
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
-		_, _ = c.Write(arrayOf(words))
+		_, _ = c.Write(encodeArray(words))
 	}
 	given, mine := map[string]bool{}, map[string]*job{}
 	var mu sync.Mutex
 	for r := bufio.NewReader(c); ; {
-		w, err := readWords(r)
+		w, err := readArray(r)
 		if err != nil || len(w) < 2 {
 			return
 		}
@@ -190,7 +190,7 @@
 		case "abort":
 			mu.Lock()
 			given[w[1]] = true
-			e.end(mine[w[1]])
+			e.endJob(mine[w[1]])
 			mu.Unlock()
 		case "renice":
 			if len(w) > 2 {
@@ -216,11 +216,11 @@
 					work = e.WorkByClass[v]
 				}
 			}
-			if e.filled() {
+			if e.rejectsForSpace() {
 				say(w[1], "full", "-")
 				break
 			}
-			e.Memory.run(Run{w[1], mark, e.Name, time.Now(), time.Duration(most) * time.Millisecond}, e.Zone, e.DedupWindow)
+			e.Memory.record(Run{w[1], mark, e.Name, time.Now(), time.Duration(most) * time.Millisecond}, e.Zone, e.DedupWindow)
 			if e.Hangs.Load() {
 				break
 			}
@@ -230,7 +230,7 @@
 				delete(mine, w[1])
 				mu.Unlock()
 				if !gone {
-					say(w[1], "data", "batches=1", Rows)
+					say(w[1], "data", "batches=1", ResultRows)
 				}
 			}
 			if e.Cores == 0 {
@@ -238,13 +238,13 @@
 				break
 			}
 			mu.Lock()
-			mine[w[1]] = e.enter(work, level, done)
+			mine[w[1]] = e.startJob(work, level, done)
 			mu.Unlock()
 		}
 	}
 }
 
-func arrayOf(words []string) []byte {
+func encodeArray(words []string) []byte {
 	b := fmt.Appendf(nil, "*%d\r\n", len(words))
 	for _, w := range words {
 		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(w), w)
@@ -252,7 +252,7 @@
 	return b
 }
 
-func readWords(r *bufio.Reader) ([]string, error) {
+func readArray(r *bufio.Reader) ([]string, error) {
 	count := func(sign byte) (int, error) {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -288,41 +288,41 @@
 
 // job is a search that runs on an engine with cores.
 type job struct {
-	left   float64 // ms of one core
-	weight float64
-	done   func()
+	remainingMS float64 // ms of one core
+	weight      float64
+	done        func()
 }
 
-var weights = map[string]float64{"0": 1, "1": 4, "2": 8, "3": 16}
+var priorityWeights = map[string]float64{"0": 1, "1": 4, "2": 8, "3": 16}
 
-func (e *Executor) enter(work time.Duration, level string, done func()) *job {
-	j := &job{float64(work) / float64(time.Millisecond), max(1, weights[level]), done}
+func (e *Executor) startJob(work time.Duration, level string, done func()) *job {
+	j := &job{float64(work) / float64(time.Millisecond), max(1, priorityWeights[level]), done}
 	e.mu.Lock()
 	e.jobs[j] = struct{}{}
 	e.mu.Unlock()
 	return j
 }
 
-// filled tells whether there is no room for one more.
-func (e *Executor) filled() bool {
+// rejectsForSpace tells whether there is no room for one more.
+func (e *Executor) rejectsForSpace() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.most = max(e.most, len(e.jobs)); e.MaxInFlight == 0 || len(e.jobs) < e.MaxInFlight {
+	if e.peakJobs = max(e.peakJobs, len(e.jobs)); e.MaxInFlight == 0 || len(e.jobs) < e.MaxInFlight {
 		return false
 	}
-	e.Full.Add(1)
+	e.RejectedFull.Add(1)
 	return true
 }
 
-// MostInFlight gives how many searches it had at a time at most, since it was asked last.
-func (e *Executor) MostInFlight() (n int) {
+// TakePeakInFlight gives how many searches it had at a time at most, since it was asked last.
+func (e *Executor) TakePeakInFlight() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n, e.most = e.most, len(e.jobs)
+	n, e.peakJobs = e.peakJobs, len(e.jobs)
 	return n
 }
 
-func (e *Executor) end(j *job) {
+func (e *Executor) endJob(j *job) {
 	e.mu.Lock()
 	delete(e.jobs, j)
 	e.mu.Unlock()
@@ -331,13 +331,13 @@
 func (e *Executor) renice(j *job, level string) {
 	e.mu.Lock()
 	if j != nil {
-		j.weight = max(1, weights[level])
+		j.weight = max(1, priorityWeights[level])
 	}
 	e.mu.Unlock()
 }
 
-// share gives each job its part of the cores, by weight and one core at most, as time goes by.
-func (e *Executor) share() {
+// runJobs gives each job its part of the cores, by weight and one core at most, as time goes by.
+func (e *Executor) runJobs() {
 	e.mu.Lock()
 	stopped := e.stopped
 	e.mu.Unlock()
@@ -350,15 +350,15 @@
 		case now := <-tick.C:
 			ms := float64(now.Sub(last)) / float64(time.Millisecond)
 			last = now
-			for _, done := range e.spend(ms) {
+			for _, done := range e.advance(ms) {
 				done()
 			}
 		}
 	}
 }
 
-// spend lets the jobs run for a time and gives those that end.
-func (e *Executor) spend(ms float64) (ended []func()) {
+// advance lets the jobs run for a time and gives those that end.
+func (e *Executor) advance(ms float64) (ended []func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cores, weight := float64(e.Cores), 0.0
@@ -380,7 +380,7 @@
 		if !whole[j] {
 			part = cores * j.weight / weight
 		}
-		if j.left -= ms * part; j.left <= 0 {
+		if j.remainingMS -= ms * part; j.remainingMS <= 0 {
 			delete(e.jobs, j)
 			ended = append(ended, j.done)
 		}
