--- a/internal/chaostest/chaostest.go
+++ b/internal/chaostest/chaostest.go
@@ -75,7 +75,7 @@
 // Running tells whether it runs.
 func (c *Controller) Running() bool { return c.cmd != nil }
 
-// Cluster is several real controllers, with engines and relays.
+// Fleet is several real controllers, with engines and relays.
 type Cluster struct {
 	Config      Config
 	Relay       *Relay
@@ -88,43 +88,43 @@
 }
 
 // New writes the files and starts the engines and the relay; no controller yet.
-func New(p Config) (f *Cluster, err error) {
-	f = &Cluster{Config: p, RunLog: &testservers.Memory{}, drained: map[string]time.Time{}}
+func New(config Config) (cl *Cluster, err error) {
+	cl = &Cluster{Config: config, RunLog: &testservers.Memory{}, drained: map[string]time.Time{}}
 	defer func() {
 		if err != nil {
-			f.Close()
+			cl.Close()
 		}
 	}()
-	if f.Relay, err = NewRelay(p.Controllers, p.Seed, p.Direct); err != nil {
+	if cl.Relay, err = NewRelay(config.Controllers, config.Seed, config.Direct); err != nil {
 		return nil, err
 	}
-	for k := range max(1, p.Executors) {
-		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: fmt.Sprint("z", k%max(1, p.Zones)), DedupWindow: 100 * time.Millisecond,
-			Work: time.Duration(p.WorkMS * float64(time.Millisecond)), WorkByClass: p.WorkByClass, Memory: f.RunLog, Cores: p.Cores, MaxInFlight: p.MaxInFlight}
-		if p.DedupWindow != 0 {
-			e.DedupWindow = max(0, p.DedupWindow)
+	for k := range max(1, config.Executors) {
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: fmt.Sprint("z", k%max(1, config.Zones)), DedupWindow: 100 * time.Millisecond,
+			Work: time.Duration(config.WorkMS * float64(time.Millisecond)), WorkByClass: config.WorkByClass, Memory: cl.RunLog, Cores: config.Cores, MaxInFlight: config.MaxInFlight}
+		if config.DedupWindow != 0 {
+			e.DedupWindow = max(0, config.DedupWindow)
 		}
 		if err = e.Start(); err != nil {
 			return nil, err
 		}
-		f.Executors = append(f.Executors, e)
+		cl.Executors = append(cl.Executors, e)
 	}
-	if f.discovery, err = testservers.NewDiscovery(); err != nil {
+	if cl.discovery, err = testservers.NewDiscovery(); err != nil {
 		return nil, err
 	}
-	f.onClose = append(f.onClose, f.discovery.Stop)
-	for k := range p.Controllers {
-		if err = f.writeController(k, f.discovery.Address); err != nil {
+	cl.onClose = append(cl.onClose, cl.discovery.Stop)
+	for k := range config.Controllers {
+		if err = cl.writeController(k, cl.discovery.Address); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return cl, nil
 }
 
 // writeController writes the files of a controller.
-func (f *Cluster) writeController(k int, list string) error {
-	c := &Controller{Name: fmt.Sprint("c", k), Directory: filepath.Join(f.Config.Directory, fmt.Sprint("c", k))}
-	f.Controllers = append(f.Controllers, c)
+func (cl *Cluster) writeController(k int, list string) error {
+	c := &Controller{Name: fmt.Sprint("c", k), Directory: filepath.Join(cl.Config.Directory, fmt.Sprint("c", k))}
+	cl.Controllers = append(cl.Controllers, c)
 	if err := os.MkdirAll(c.Directory, 0o700); err != nil {
 		return err
 	}
@@ -134,17 +134,17 @@
 	}
 	c.ControlSocket = filepath.Join(c.Directory, "sock")
 	seeds := []string{}
-	for s := range min(3, f.Config.Controllers) {
-		seeds = append(seeds, f.Relay.AdvertiseAddress(s))
+	for s := range min(3, cl.Config.Controllers) {
+		seeds = append(seeds, cl.Relay.AdvertiseAddress(s))
 	}
 	node := map[string]any{}
-	if err := json.Unmarshal(testservers.NodeConfig(c.ClientAddress, list, f.dedupWindow(), f.Executors...), &node); err != nil {
+	if err := json.Unmarshal(testservers.NodeConfig(c.ClientAddress, list, cl.dedupWindow(), cl.Executors...), &node); err != nil {
 		return err
 	}
 	node["name"] = c.Name
-	if slices.Contains(f.Config.SecondAddressUsers, k) { // it knows the engines by their other addresses
+	if slices.Contains(cl.Config.SecondAddressUsers, k) { // it knows the engines by their other addresses
 		text, _ := json.Marshal(node["known"])
-		for _, e := range f.Executors {
+		for _, e := range cl.Executors {
 			text = []byte(strings.ReplaceAll(string(text), `"`+e.Address()+`"`, `"`+e.SecondAddress()+`"`))
 		}
 		var known any
@@ -154,23 +154,23 @@
 		node["known"] = known
 	}
 	settings := node["settings"].(map[string]any)
-	settings["Siblings"], settings["SlotNo"] = f.Config.Controllers, k
+	settings["Siblings"], settings["SlotNo"] = cl.Config.Controllers, k
 	text, err := json.Marshal(node)
 	if err != nil {
 		return err
 	}
 	var hcl strings.Builder
 	fmt.Fprintf(&hcl, "control { socket = %q }\n", c.ControlSocket)
-	if !f.Config.WithoutCluster {
-		f.writeClusterBlock(&hcl, k, seeds)
+	if !cl.Config.WithoutCluster {
+		cl.writeClusterBlock(&hcl, k, seeds)
 	}
-	if f.Config.HandoffSettings != "" {
-		fmt.Fprintf(&hcl, "estate {\n%s\n}\n", f.Config.HandoffSettings)
+	if cl.Config.HandoffSettings != "" {
+		fmt.Fprintf(&hcl, "estate {\n%s\n}\n", cl.Config.HandoffSettings)
 	}
-	if f.Config.LocalitySettings != "" {
-		fmt.Fprintf(&hcl, "zones {\n%s\n}\n", f.Config.LocalitySettings)
+	if cl.Config.LocalitySettings != "" {
+		fmt.Fprintf(&hcl, "zones {\n%s\n}\n", cl.Config.LocalitySettings)
 	}
-	if f.Config.Store {
+	if cl.Config.Store {
 		fmt.Fprintf(&hcl, "store {\n  directory = %q\n  segment = \"256KiB\"\n}\n", filepath.Join(c.Directory, "store"))
 	}
 	file := filepath.Join(c.Directory, "office.hcl")
@@ -179,24 +179,24 @@
 }
 
 // dedupWindow is for how long the settings say that repeats are dropped.
-func (f *Cluster) dedupWindow() time.Duration {
+func (cl *Cluster) dedupWindow() time.Duration {
 	switch {
-	case f.Config.DedupWindow > 0:
-		return f.Config.DedupWindow
-	case f.Config.DedupWindow < 0:
+	case cl.Config.DedupWindow > 0:
+		return cl.Config.DedupWindow
+	case cl.Config.DedupWindow < 0:
 		return 0
 	}
 	return 20 * time.Second
 }
 
 // writeClusterBlock writes the block fleet.
-func (f *Cluster) writeClusterBlock(hcl *strings.Builder, k int, seeds []string) {
+func (cl *Cluster) writeClusterBlock(hcl *strings.Builder, k int, seeds []string) {
 	quoted, _ := json.Marshal(seeds)
 	fmt.Fprintf(hcl, "fleet {\n  name = \"rehearsal\"\n  address = %q\n  listen = %q\n  zone = \"z%d\"\n  seeds = %s\n  %s\n",
-		f.Relay.AdvertiseAddress(k), f.Relay.ListenAddress(k), k%max(1, f.Config.Zones), quoted, f.Config.ClusterSettings)
-	if f.Config.Founders > 0 {
+		cl.Relay.AdvertiseAddress(k), cl.Relay.ListenAddress(k), k%max(1, cl.Config.Zones), quoted, cl.Config.ClusterSettings)
+	if cl.Config.Founders > 0 {
 		var names []string
-		for n := range f.Config.Founders {
+		for n := range cl.Config.Founders {
 			names = append(names, fmt.Sprint("c", n))
 		}
 		quoted, _ = json.Marshal(names)
@@ -206,12 +206,12 @@
 }
 
 // Start starts a controller.
-func (f *Cluster) Start(k int) error {
-	c := f.Controllers[k]
+func (cl *Cluster) Start(k int) error {
+	c := cl.Controllers[k]
 	if c.cmd != nil {
 		return fmt.Errorf("%s runs already", c.Name)
 	}
-	cmd := exec.Command(f.Config.Program)
+	cmd := exec.Command(cl.Config.Program)
 	cmd.Env, cmd.Stderr = c.env, c
 	if err := cmd.Start(); err != nil {
 		return err
@@ -225,10 +225,10 @@
 }
 
 // StartAll starts all that do not run.
-func (f *Cluster) StartAll() error {
-	for k, c := range f.Controllers {
+func (cl *Cluster) StartAll() error {
+	for k, c := range cl.Controllers {
 		if c.cmd == nil {
-			if err := f.Start(k); err != nil {
+			if err := cl.Start(k); err != nil {
 				return err
 			}
 		}
@@ -237,16 +237,16 @@
 }
 
 // Signal sends a signal to a controller.
-func (f *Cluster) Signal(k int, s syscall.Signal) error {
-	if c := f.Controllers[k]; c.cmd != nil {
+func (cl *Cluster) Signal(k int, s syscall.Signal) error {
+	if c := cl.Controllers[k]; c.cmd != nil {
 		return c.cmd.Process.Signal(s)
 	}
-	return fmt.Errorf("%s does not run", f.Controllers[k].Name)
+	return fmt.Errorf("%s does not run", cl.Controllers[k].Name)
 }
 
 // Kill ends a controller without a word.
-func (f *Cluster) Kill(k int) {
-	if c := f.Controllers[k]; c.cmd != nil {
+func (cl *Cluster) Kill(k int) {
+	if c := cl.Controllers[k]; c.cmd != nil {
 		_ = c.cmd.Process.Kill()
 		<-c.exited
 		c.cmd = nil
@@ -255,23 +255,23 @@
 
 // SetDiskState says how the disk of a controller is from now on: "sound", "full", "failing" or "slow 300ms". It works with programs that were
 // built with the tag faults.
-func (f *Cluster) SetDiskState(k int, state string) error {
-	return os.WriteFile(filepath.Join(f.Controllers[k].Directory, "disk"), []byte(state), 0o600)
+func (cl *Cluster) SetDiskState(k int, state string) error {
+	return os.WriteFile(filepath.Join(cl.Controllers[k].Directory, "disk"), []byte(state), 0o600)
 }
 
 // DrainExecutor has the list tell that an engine is leaving. It goes on answering.
-func (f *Cluster) DrainExecutor(k int) error {
-	if err := f.discovery.Publish(f.Executors[k], "Terminating"); err != nil {
+func (cl *Cluster) DrainExecutor(k int) error {
+	if err := cl.discovery.Publish(cl.Executors[k], "Terminating"); err != nil {
 		return err
 	}
-	f.drained[f.Executors[k].Name] = time.Now()
+	cl.drained[cl.Executors[k].Name] = time.Now()
 	return nil
 }
 
 // RemoveExecutor has the list tell that an engine is gone, and ends it.
-func (f *Cluster) RemoveExecutor(k int) error {
-	defer f.Executors[k].Stop()
-	return f.discovery.Publish(f.Executors[k], "Gone")
+func (cl *Cluster) RemoveExecutor(k int) error {
+	defer cl.Executors[k].Stop()
+	return cl.discovery.Publish(cl.Executors[k], "Gone")
 }
 
 // RunsAfterDrain gives the runs that began at an engine past the grace after it was told to be leaving.
@@ -285,8 +285,8 @@
 }
 
 // Terminate ends a controller as planned, and gives its exit code.
-func (f *Cluster) Terminate(k int) int {
-	c := f.Controllers[k]
+func (cl *Cluster) Terminate(k int) int {
+	c := cl.Controllers[k]
 	if c.cmd == nil {
 		return -1
 	}
@@ -303,23 +303,23 @@
 }
 
 // PID gives the number of a controller's process; 0 if it does not run.
-func (f *Cluster) PID(k int) int {
-	if c := f.Controllers[k]; c.cmd != nil {
+func (cl *Cluster) PID(k int) int {
+	if c := cl.Controllers[k]; c.cmd != nil {
 		return c.cmd.Process.Pid
 	}
 	return 0
 }
 
 // Call asks a controller's control socket.
-func (f *Cluster) Call(k int, question string, fields map[string]any) (map[string]any, error) {
+func (cl *Cluster) Call(k int, question string, fields map[string]any) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return adminapi.Call(ctx, f.Controllers[k].ControlSocket, question, fields)
+	return adminapi.Call(ctx, cl.Controllers[k].ControlSocket, question, fields)
 }
 
 // MembershipView gives the phase of each member as a controller holds it.
-func (f *Cluster) MembershipView(k int) (map[string]string, error) {
-	a, err := f.Call(k, "members", nil)
+func (cl *Cluster) MembershipView(k int) (map[string]string, error) {
+	a, err := cl.Call(k, "members", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -334,16 +334,16 @@
 }
 
 // Converged tells whether each controller that runs holds those that run for here, and no other for living; else it says who does not.
-func (f *Cluster) Converged() (bool, string) {
-	for k, c := range f.Controllers {
+func (cl *Cluster) Converged() (bool, string) {
+	for k, c := range cl.Controllers {
 		if c.cmd == nil {
 			continue
 		}
-		view, err := f.MembershipView(k)
+		view, err := cl.MembershipView(k)
 		if err != nil {
 			return false, c.Name + ": " + err.Error()
 		}
-		for _, o := range f.Controllers {
+		for _, o := range cl.Controllers {
 			if p := view[o.Name]; (o.cmd != nil) != (p == "here") || o.cmd == nil && p != "" && p != "gone" && p != "left" {
 				return false, fmt.Sprintf("%s holds %s for %q", c.Name, o.Name, p)
 			}
@@ -353,29 +353,29 @@
 }
 
 // WaitUntilConverged waits until all views are settled and gives the time it took.
-func (f *Cluster) WaitUntilConverged(most time.Duration) (time.Duration, error) {
+func (cl *Cluster) WaitUntilConverged(most time.Duration) (time.Duration, error) {
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		good, why := f.Converged()
+		good, why := cl.Converged()
 		if took := time.Since(began); good {
 			return took, nil
 		} else if took > most {
-			return took, fmt.Errorf("not settled within %v: %s (seed %d)", most, why, f.Config.Seed)
+			return took, fmt.Errorf("not settled within %v: %s (seed %d)", most, why, cl.Config.Seed)
 		}
 	}
 }
 
 // Close ends all.
-func (f *Cluster) Close() {
-	for k := range f.Controllers {
-		f.Kill(k)
+func (cl *Cluster) Close() {
+	for k := range cl.Controllers {
+		cl.Kill(k)
 	}
-	for _, e := range f.Executors {
+	for _, e := range cl.Executors {
 		e.Stop()
 	}
-	if f.Relay != nil {
-		f.Relay.Close()
+	if cl.Relay != nil {
+		cl.Relay.Close()
 	}
-	for _, stop := range f.onClose {
+	for _, stop := range cl.onClose {
 		stop()
 	}
 }
--- a/internal/chaostest/chaostest_test.go
+++ b/internal/chaostest/chaostest_test.go
@@ -25,22 +25,22 @@
 
 // Twelve real processes join at once; a third is killed, then all but one, and started again: the views settle each time.
 func TestJoinAndKills(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 12, Executors: 2, Zones: 3, Store: true, ClusterSettings: quickCluster})
-	waitConverged(t, f, "all join")
+	cl := startCluster(t, Config{Controllers: 12, Executors: 2, Zones: 3, Store: true, ClusterSettings: quickCluster})
+	waitConverged(t, cl, "all join")
 	for _, k := range []int{1, 4, 7, 10} {
-		f.Kill(k)
+		cl.Kill(k)
 	}
-	waitConverged(t, f, "a third killed")
-	require.NoError(t, f.StartAll())
-	waitConverged(t, f, "started again")
+	waitConverged(t, cl, "a third killed")
+	require.NoError(t, cl.StartAll())
+	waitConverged(t, cl, "started again")
 	for k := 1; k < 12; k++ {
-		f.Kill(k)
+		cl.Kill(k)
 	}
-	waitConverged(t, f, "all but one killed")
-	require.NoError(t, f.StartAll())
-	waitConverged(t, f, "all again")
-	assert.Zero(t, f.Terminate(5))
-	took, err := f.WaitUntilConverged(2 * time.Second)
+	waitConverged(t, cl, "all but one killed")
+	require.NoError(t, cl.StartAll())
+	waitConverged(t, cl, "all again")
+	assert.Zero(t, cl.Terminate(5))
+	took, err := cl.WaitUntilConverged(2 * time.Second)
 	require.NoError(t, err, "nobody has to suspect one that said that it goes")
 	t.Logf("a planned stop: settled in %v", took)
 }
@@ -48,9 +48,9 @@
 // Parted in halves and healed under load, one cut off one way, and one that stands still for long enough to be given up: nobody's
 // search is answered twice or run twice for it.
 func TestPartedUnderLoad(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 6, Executors: 3, Zones: 3, Store: true, ClusterSettings: quickCluster, WorkMS: 3})
-	waitConverged(t, f, "all join")
-	history, end := f.StartLoad(6, 5*time.Millisecond)
+	cl := startCluster(t, Config{Controllers: 6, Executors: 3, Zones: 3, Store: true, ClusterSettings: quickCluster, WorkMS: 3})
+	waitConverged(t, cl, "all join")
+	history, end := cl.StartLoad(6, 5*time.Millisecond)
 	for _, parting := range []struct {
 		name  string
 		knows bool
@@ -61,126 +61,126 @@
 		{"one from all", true, func(a, b int) Link { return Link{Cut: a == 2 || b == 2} }},
 		{"one way only", false, func(a, _ int) Link { return Link{Cut: a == 2, Loss: 0.05, Duplication: 0.05, DelayMS: 20} }},
 	} {
-		f.Relay.SetLinks(parting.way)
+		cl.Relay.SetLinks(parting.way)
 		time.Sleep(2500 * time.Millisecond)
 		if parting.knows {
-			good, _ := f.Converged()
+			good, _ := cl.Converged()
 			assert.False(t, good, "%s know that they are parted", parting.name)
 		}
-		f.Relay.SetLinks(func(int, int) Link { return Link{} })
-		waitConverged(t, f, parting.name+" healed")
+		cl.Relay.SetLinks(func(int, int) Link { return Link{} })
+		waitConverged(t, cl, parting.name+" healed")
 	}
-	require.NoError(t, f.Signal(3, syscall.SIGSTOP))
+	require.NoError(t, cl.Signal(3, syscall.SIGSTOP))
 	time.Sleep(4 * time.Second)
-	view, err := f.MembershipView(0)
+	view, err := cl.MembershipView(0)
 	require.NoError(t, err)
 	assert.Equal(t, "gone", view["c3"])
-	require.NoError(t, f.Signal(3, syscall.SIGCONT))
-	waitConverged(t, f, "awake")
-	assert.Contains(t, f.Controllers[3].Log(), "this controller stalled")
+	require.NoError(t, cl.Signal(3, syscall.SIGCONT))
+	waitConverged(t, cl, "awake")
+	assert.Contains(t, cl.Controllers[3].Log(), "this controller stalled")
 	end()
 	list := history.List()
-	assert.Empty(t, Check(list, f.RunLog.Runs(), 6))
+	assert.Empty(t, Check(list, cl.RunLog.Runs(), 6))
 	assert.Greater(t, len(list), 300)
 }
 
 // At the usual figures, a process that stands still for 2 s stays; one that stands still for 30 s is given up, wakes up believing itself
 // alive, distrusts itself, judges nobody, and is taken back.
 func TestStandingStill(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 4, Executors: 1})
-	waitConverged(t, f, "all join")
-	require.NoError(t, f.Signal(3, syscall.SIGSTOP))
+	cl := startCluster(t, Config{Controllers: 4, Executors: 1})
+	waitConverged(t, cl, "all join")
+	require.NoError(t, cl.Signal(3, syscall.SIGSTOP))
 	time.Sleep(2 * time.Second)
-	require.NoError(t, f.Signal(3, syscall.SIGCONT))
-	waitConverged(t, f, "after 2 s")
-	require.NoError(t, f.Signal(3, syscall.SIGSTOP))
+	require.NoError(t, cl.Signal(3, syscall.SIGCONT))
+	waitConverged(t, cl, "after 2 s")
+	require.NoError(t, cl.Signal(3, syscall.SIGSTOP))
 	time.Sleep(30 * time.Second)
-	view, err := f.MembershipView(0)
+	view, err := cl.MembershipView(0)
 	require.NoError(t, err)
 	assert.Equal(t, "gone", view["c3"])
-	require.NoError(t, f.Signal(3, syscall.SIGCONT))
-	waitConverged(t, f, "after 30 s")
-	assert.Equal(t, 2, strings.Count(f.Controllers[3].Log(), "this controller stalled"))
-	assert.NotContains(t, f.Controllers[3].Log(), "cluster: gone", "it judged nobody by what it did not hear")
+	require.NoError(t, cl.Signal(3, syscall.SIGCONT))
+	waitConverged(t, cl, "after 30 s")
+	assert.Equal(t, 2, strings.Count(cl.Controllers[3].Log(), "this controller stalled"))
+	assert.NotContains(t, cl.Controllers[3].Log(), "cluster: gone", "it judged nobody by what it did not hear")
 }
 
 // A restart under the same name, at once and with its store lost, is a later life; two processes of one name are both named.
 func TestLivesAndTwins(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 4, Executors: 1, Store: true, ClusterSettings: quickCluster})
-	waitConverged(t, f, "all join")
+	cl := startCluster(t, Config{Controllers: 4, Executors: 1, Store: true, ClusterSettings: quickCluster})
+	waitConverged(t, cl, "all join")
 	lives := func() string {
-		a, err := f.Call(0, "members explain", map[string]any{"name": "c2"})
+		a, err := cl.Call(0, "members explain", map[string]any{"name": "c2"})
 		require.NoError(t, err)
 		life, _ := a["life"].(string)
 		return life
 	}
 	first := lives()
-	f.Kill(2)
-	require.NoError(t, f.Start(2))
-	waitConverged(t, f, "at once")
+	cl.Kill(2)
+	require.NoError(t, cl.Start(2))
+	waitConverged(t, cl, "at once")
 	require.Eventually(t, func() bool { return lives() > first }, 5*time.Second, 20*time.Millisecond)
 	second := lives()
-	f.Kill(2)
-	require.NoError(t, os.RemoveAll(filepath.Join(f.Controllers[2].Directory, "store")))
-	require.NoError(t, f.Start(2))
-	waitConverged(t, f, "its store lost")
+	cl.Kill(2)
+	require.NoError(t, os.RemoveAll(filepath.Join(cl.Controllers[2].Directory, "store")))
+	require.NoError(t, cl.Start(2))
+	waitConverged(t, cl, "its store lost")
 	require.Eventually(t, func() bool { return lives() > second }, 5*time.Second, 20*time.Millisecond)
-	file := filepath.Join(f.Controllers[3].Directory, "office.hcl")
+	file := filepath.Join(cl.Controllers[3].Directory, "office.hcl")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	f.Kill(3)
+	cl.Kill(3)
 	require.NoError(t, os.WriteFile(file, bytes.Replace(text, []byte("fleet {\n"), []byte("fleet {\n  member = \"c2\"\n"), 1), 0o600))
-	require.NoError(t, f.Start(3))
+	require.NoError(t, cl.Start(3))
 	for _, k := range []int{2, 3} {
-		require.Eventually(t, func() bool { return strings.Contains(f.Controllers[k].Log(), "duplicate member name") }, 10*time.Second,
+		require.Eventually(t, func() bool { return strings.Contains(cl.Controllers[k].Log(), "duplicate member name") }, 10*time.Second,
 			20*time.Millisecond, "controller %d names the other", k)
 	}
 	third := lives()
-	f.Kill(2)
-	f.Kill(3)
-	require.NoError(t, f.Start(3)) // the name of c2, with the address and the store of c3
+	cl.Kill(2)
+	cl.Kill(3)
+	require.NoError(t, cl.Start(3)) // the name of c2, with the address and the store of c3
 	require.Eventually(t, func() bool {
-		a, err := f.Call(0, "members explain", map[string]any{"name": "c2"})
-		return err == nil && a["address"] == f.Relay.AdvertiseAddress(3) && a["phase"] == "here" && lives() > third
+		a, err := cl.Call(0, "members explain", map[string]any{"name": "c2"})
+		return err == nil && a["address"] == cl.Relay.AdvertiseAddress(3) && a["phase"] == "here" && lives() > third
 	}, 10*time.Second, 20*time.Millisecond, "at another address, and no twin of the one that was killed")
 }
 
 // A council of real processes: founded, its leader killed, a voter's store lost and its place taken, a majority lost and back. No
 // controller acts on a lease once the council may count it out.
 func TestCouncilOfProcesses(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 5, Executors: 1, Zones: 3, Founders: 3, Store: true, ClusterSettings: quickCluster})
-	waitConverged(t, f, "all join")
-	leader := waitForLeader(t, f, -1)
-	waitForLeases(t, f)
-	assert.Equal(t, "in", agreedState(f, 4, "c0"), "one that does not vote shows the record, too")
-	f.Kill(leader)
+	cl := startCluster(t, Config{Controllers: 5, Executors: 1, Zones: 3, Founders: 3, Store: true, ClusterSettings: quickCluster})
+	waitConverged(t, cl, "all join")
+	leader := waitForLeader(t, cl, -1)
+	waitForLeases(t, cl)
+	assert.Equal(t, "in", agreedState(cl, 4, "c0"), "one that does not vote shows the record, too")
+	cl.Kill(leader)
 	began := time.Now()
-	next := waitForLeader(t, f, leader)
+	next := waitForLeader(t, cl, leader)
 	t.Logf("led again after %v", time.Since(began).Round(10*time.Millisecond))
 	lost := func(k int, state string) func() bool {
-		return func() bool { return agreedState(f, next, f.Controllers[k].Name) == state }
+		return func() bool { return agreedState(cl, next, cl.Controllers[k].Name) == state }
 	}
 	require.Eventually(t, lost(leader, "lost"), 10*time.Second, 50*time.Millisecond, "the one that was killed is declared lost")
-	require.NoError(t, f.Start(leader))
+	require.NoError(t, cl.Start(leader))
 	require.Eventually(t, lost(leader, "in"), 10*time.Second, 50*time.Millisecond, "its next life is let in")
-	waitForLeases(t, f)
+	waitForLeases(t, cl)
 	majority := []int{0, 1, 2}[:2]
 	for _, k := range majority {
-		f.Kill(k)
+		cl.Kill(k)
 	}
 	for k := 2; k < 5; k++ {
-		require.Eventually(t, func() bool { return !holdsLease(f, k) }, 5*time.Second, 20*time.Millisecond, "%d: its lease ends without a majority", k)
+		require.Eventually(t, func() bool { return !holdsLease(cl, k) }, 5*time.Second, 20*time.Millisecond, "%d: its lease ends without a majority", k)
 	}
-	require.NoError(t, f.StartAll())
-	waitForLeases(t, f)
-	next = waitForLeader(t, f, -1)
-	assert.Zero(t, f.Terminate(next), "a planned stop of the leader")
-	waitForLeader(t, f, next) // by another, before it is back: then anyone may lead
-	require.NoError(t, f.Start(next))
-	assert.Zero(t, f.Terminate(4))
-	next = waitForLeader(t, f, -1)
+	require.NoError(t, cl.StartAll())
+	waitForLeases(t, cl)
+	next = waitForLeader(t, cl, -1)
+	assert.Zero(t, cl.Terminate(next), "a planned stop of the leader")
+	waitForLeader(t, cl, next) // by another, before it is back: then anyone may lead
+	require.NoError(t, cl.Start(next))
+	assert.Zero(t, cl.Terminate(4))
+	next = waitForLeader(t, cl, -1)
 	require.Eventually(t, lost(4, "left"), 5*time.Second, 50*time.Millisecond, "one that left is told as such, at once")
-	for _, c := range f.Controllers {
+	for _, c := range cl.Controllers {
 		assert.NotContains(t, c.Log(), "voter has failed")
 	}
 }
@@ -188,21 +188,21 @@
 // The disk of a voter fills up, and one that only keeps searches fails, under load: labelled work is denied there and nowhere else, the
 // voter falls silent and says so in its marks, the council goes on, no process ends; all is as before once the disks are well.
 func TestDisksUnderLoad(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 5, Executors: 2, Zones: 2, Founders: 3, Store: true, ClusterSettings: quickCluster, WorkMS: 2})
-	waitConverged(t, f, "all join")
-	waitForLeases(t, f)
-	history, end := f.StartLoad(5, 3*time.Millisecond)
+	cl := startCluster(t, Config{Controllers: 5, Executors: 2, Zones: 2, Founders: 3, Store: true, ClusterSettings: quickCluster, WorkMS: 2})
+	waitConverged(t, cl, "all join")
+	waitForLeases(t, cl)
+	history, end := cl.StartLoad(5, 3*time.Millisecond)
 	defer end()
 	time.Sleep(time.Second)
-	require.NoError(t, f.SetDiskState(1, "full"))
-	require.NoError(t, f.SetDiskState(3, "failing"))
-	f.Kill(4) // something that the council has to keep
+	require.NoError(t, cl.SetDiskState(1, "full"))
+	require.NoError(t, cl.SetDiskState(3, "failing"))
+	cl.Kill(4) // something that the council has to keep
 	sick := time.Now()
-	leads := waitForLeader(t, f, 1)
-	require.Eventually(t, func() bool { return agreedState(f, leads, "c4") == "lost" }, 15*time.Second, 50*time.Millisecond, "two of three voters agree")
-	require.Eventually(t, func() bool { return strings.Contains(f.Controllers[1].Log(), "voter has failed") }, 10*time.Second, 20*time.Millisecond)
+	leads := waitForLeader(t, cl, 1)
+	require.Eventually(t, func() bool { return agreedState(cl, leads, "c4") == "lost" }, 15*time.Second, 50*time.Millisecond, "two of three voters agree")
+	require.Eventually(t, func() bool { return strings.Contains(cl.Controllers[1].Log(), "voter has failed") }, 10*time.Second, 20*time.Millisecond)
 	marked := func() bool {
-		a, err := f.Call(0, "members", nil)
+		a, err := cl.Call(0, "members", nil)
 		list, _ := a["members"].([]any)
 		for _, x := range list {
 			if m, _ := x.(map[string]any); err == nil && m["name"] == "c1" {
@@ -216,7 +216,7 @@
 	time.Sleep(time.Second)
 	well := time.Now()
 	for _, k := range []int{1, 3} {
-		require.NoError(t, f.SetDiskState(k, "sound"))
+		require.NoError(t, cl.SetDiskState(k, "sound"))
 	}
 	time.Sleep(2 * time.Second)
 	end()
@@ -234,32 +234,32 @@
 	for k := range 4 {
 		assert.Positive(t, after[k], "%d handles labelled work again", k)
 	}
-	assert.Empty(t, Check(history.List(), f.RunLog.Runs(), 5))
+	assert.Empty(t, Check(history.List(), cl.RunLog.Runs(), 5))
 	for k := range 4 {
-		assert.NotZero(t, f.PID(k))
+		assert.NotZero(t, cl.PID(k))
 	}
 }
 
 // A voter is lost, and another while its place is being taken, with real processes: others take both places, and all goes on.
 func TestVotersLostWhileOneIsReplaced(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 8, Executors: 1, Zones: 3, Founders: 5, Store: true, ClusterSettings: quickCluster + "replace = \"1500ms\"\nvoters = 5\n"})
-	waitConverged(t, f, "all join")
-	waitForLeases(t, f)
-	leader := waitForLeader(t, f, -1)
+	cl := startCluster(t, Config{Controllers: 8, Executors: 1, Zones: 3, Founders: 5, Store: true, ClusterSettings: quickCluster + "replace = \"1500ms\"\nvoters = 5\n"})
+	waitConverged(t, cl, "all join")
+	waitForLeases(t, cl)
+	leader := waitForLeader(t, cl, -1)
 	lost := []int{}
 	for k := 0; len(lost) < 2; k++ {
 		if k != leader {
 			lost = append(lost, k)
 		}
 	}
-	f.Kill(lost[0])
-	require.Eventually(t, func() bool { return len(voters(f, leader)) == 6 }, 20*time.Second, 5*time.Millisecond, "a newcomer learns")
-	f.Kill(lost[1])
+	cl.Kill(lost[0])
+	require.Eventually(t, func() bool { return len(voters(cl, leader)) == 6 }, 20*time.Second, 5*time.Millisecond, "a newcomer learns")
+	cl.Kill(lost[1])
 	require.Eventually(t, func() bool {
-		v := voters(f, waitForLeader(t, f, -1))
-		return len(v) == 5 && !slices.Contains(v, f.Controllers[lost[0]].Name) && !slices.Contains(v, f.Controllers[lost[1]].Name)
+		v := voters(cl, waitForLeader(t, cl, -1))
+		return len(v) == 5 && !slices.Contains(v, cl.Controllers[lost[0]].Name) && !slices.Contains(v, cl.Controllers[lost[1]].Name)
 	}, 40*time.Second, 50*time.Millisecond, "both places are taken")
-	waitForLeases(t, f)
+	waitForLeases(t, cl)
 }
 
 // A drill as an operator plays it, with its report; one that is broken is told as such.
@@ -273,9 +273,9 @@
 	}
 	s := write("controllers = 3\nengines = 2\nclients = 3\nlength = \"4s\"\nseed = 5\nfleet = \"probe = \\\"200ms\\\"\\nanswer = \\\"80ms\\\"\\nsuspect = \\\"800ms\\\"\"\n" +
 		"step \"1s\" { kill = [\"c1\"] }\nstep \"2s\" {\n parts = [[\"c0\"], [\"c2\"]]\n}\nstep \"3s\" {\n heal = true\n start = [\"c1\"]\n drain = [\"s1\"]\n disks = [\"c0\"]\n disk = \"slow 5ms\"\n}\n")
-	f := startCluster(t, Config{Controllers: 1, Executors: 1}) // builds the program
+	cl := startCluster(t, Config{Controllers: 1, Executors: 1}) // builds the program
 	var said bytes.Buffer
-	o, err := Play(s, f.Config.Program, t.TempDir(), &said)
+	o, err := Play(s, cl.Config.Program, t.TempDir(), &said)
 	require.NoError(t, err, said.String())
 	assert.Empty(t, o.Wrong)
 	var html bytes.Buffer
@@ -317,9 +317,9 @@
 // once the disk is sound it is handled too. So it goes the first time and after a kill with searches in hand.
 func TestStartsOnADiskThatIsSick(t *testing.T) {
 	for _, sick := range []string{"full", "failing"} {
-		f := startCluster(t, Config{Controllers: 1, Executors: 2, WithoutCluster: true, Store: true, WorkMS: 2})
+		cl := startCluster(t, Config{Controllers: 1, Executors: 2, WithoutCluster: true, Store: true, WorkMS: 2})
 		ask := func(offering, id, mark string) (string, error) {
-			c, err := testservers.Dial(f.Controllers[0].ClientAddress, 8*time.Second)
+			c, err := testservers.Dial(cl.Controllers[0].ClientAddress, 8*time.Second)
 			if err != nil {
 				return "", err
 			}
@@ -332,12 +332,12 @@
 			got, err := ask("once", id(0), "")
 			require.NoError(t, err, "%s, round %d", sick, round)
 			require.Equal(t, "handled", got)
-			f.Kill(0)
-			require.NoError(t, f.SetDiskState(0, sick))
-			require.NoError(t, f.Start(0))
+			cl.Kill(0)
+			require.NoError(t, cl.SetDiskState(0, sick))
+			require.NoError(t, cl.Start(0))
 			began := time.Now()
 			got, err = ask("look", id(1), "")
-			if !assert.NoError(t, err, "%s, round %d: ready within 8 s\n%.2000s", sick, round, f.Controllers[0].Log()) {
+			if !assert.NoError(t, err, "%s, round %d: ready within 8 s\n%.2000s", sick, round, cl.Controllers[0].Log()) {
 				return
 			}
 			assert.Equal(t, "handled", got, sick)
@@ -345,7 +345,7 @@
 			got, err = ask("once", id(2), "")
 			assert.NoError(t, err)
 			assert.Equal(t, "denied", got, "%s: it can't be put on record", sick)
-			require.NoError(t, f.SetDiskState(0, "sound"))
+			require.NoError(t, cl.SetDiskState(0, "sound"))
 			assert.Eventually(t, func() bool {
 				got, err := ask("once", fmt.Sprint(id(3), time.Now().UnixNano()), "")
 				return err == nil && got == "handled"
@@ -357,17 +357,17 @@
 // A controller may be started while the one before it under its name is still ending: it waits for what that holds, its addresses, its
 // folder and its socket, and is ready within 10 s.
 func TestStartsWhileTheOneBeforeItEnds(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 2, Executors: 2, Store: true, ClusterSettings: quickCluster, WorkMS: 2})
-	waitConverged(t, f, "both join")
-	f.Executors[0].Hangs.Store(true)
-	f.Executors[1].Hangs.Store(true)
-	c, err := testservers.Dial(f.Controllers[0].ClientAddress, time.Second)
+	cl := startCluster(t, Config{Controllers: 2, Executors: 2, Store: true, ClusterSettings: quickCluster, WorkMS: 2})
+	waitConverged(t, cl, "both join")
+	cl.Executors[0].Hangs.Store(true)
+	cl.Executors[1].Hangs.Store(true)
+	c, err := testservers.Dial(cl.Controllers[0].ClientAddress, time.Second)
 	require.NoError(t, err)
 	defer c.Close()
 	go func() { _, _ = c.Submit("look", "0000000000000001", "", 5*time.Second) }() // which the stop waits for
 	time.Sleep(200 * time.Millisecond)
-	one := f.Controllers[0]
-	require.NoError(t, f.Signal(0, syscall.SIGTERM))
+	one := cl.Controllers[0]
+	require.NoError(t, cl.Signal(0, syscall.SIGTERM))
 	before := one.exited
 	one.cmd = nil
 	time.Sleep(300 * time.Millisecond)
@@ -377,10 +377,10 @@
 	default:
 	}
 	began := time.Now()
-	require.NoError(t, f.Start(0))
+	require.NoError(t, cl.Start(0))
 	<-before
-	f.Executors[0].Hangs.Store(false)
-	f.Executors[1].Hangs.Store(false)
+	cl.Executors[0].Hangs.Store(false)
+	cl.Executors[1].Hangs.Store(false)
 	require.Eventually(t, func() bool {
 		next, err := testservers.Dial(one.ClientAddress, time.Second)
 		if err != nil {
@@ -391,7 +391,7 @@
 		return err == nil && a.Code == 0
 	}, 10*time.Second, 50*time.Millisecond, "ready in time")
 	t.Logf("ready %v after its start", time.Since(began))
-	waitConverged(t, f, "it is back")
+	waitConverged(t, cl, "it is back")
 }
 
 // An engine that joins under load gets no more within its window than it stands cold, whatever its wall clock says of its start.
@@ -399,19 +399,19 @@
 	const workMS, clients, warm = 200, 40, 3
 	cold := 3 * 0.3 * 8 * 2000 / float64(workMS) // requests of that work, at the settings' least capacity
 	for name, off := range map[string]time.Duration{"an hour behind": -time.Hour, "right": 0, "an hour ahead": time.Hour} {
-		f := startCluster(t, Config{Controllers: 1, Executors: warm, WithoutCluster: true, WorkMS: 5})
-		f.Kill(0)
-		path := filepath.Join(f.Controllers[0].Directory, "node.json")
+		cl := startCluster(t, Config{Controllers: 1, Executors: warm, WithoutCluster: true, WorkMS: 5})
+		cl.Kill(0)
+		path := filepath.Join(cl.Controllers[0].Directory, "node.json")
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		text = bytes.Replace(text, []byte(`"DrainGrace":500000`), []byte(`"DrainGrace":500000,"ColdFrom":0.3,"FallMultiple":3,"Fall":2000000,"WarmUp":10000000`), 1)
 		require.NoError(t, os.WriteFile(path, text, 0o600))
-		require.NoError(t, f.Start(0))
+		require.NoError(t, cl.Start(0))
 		var all sync.WaitGroup
 		stop := make(chan struct{})
 		for w := range clients {
 			all.Go(func() {
-				c, err := testservers.Dial(f.Controllers[0].ClientAddress, 5*time.Second)
+				c, err := testservers.Dial(cl.Controllers[0].ClientAddress, 5*time.Second)
 				for n := 0; err == nil; n++ {
 					select {
 					case <-stop:
@@ -426,15 +426,15 @@
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		joins := &testservers.Executor{Name: "s-new", Zone: "z0", Work: 5 * time.Millisecond, Memory: f.RunLog}
+		joins := &testservers.Executor{Name: "s-new", Zone: "z0", Work: 5 * time.Millisecond, Memory: cl.RunLog}
 		require.NoError(t, joins.Start())
 		t.Cleanup(joins.Stop)
-		require.NoError(t, f.discovery.PublishSince(joins, "Ready", time.Now().Add(off).UnixMilli()))
+		require.NoError(t, cl.discovery.PublishSince(joins, "Ready", time.Now().Add(off).UnixMilli()))
 		time.Sleep(2 * time.Second)
 		close(stop)
 		all.Wait()
 		n := 0
-		for _, r := range f.RunLog.Runs() {
+		for _, r := range cl.RunLog.Runs() {
 			if r.Executor == joins.Name {
 				n++
 			}
--- a/internal/chaostest/helpers_test.go
+++ b/internal/chaostest/helpers_test.go
@@ -18,7 +18,7 @@
 }
 
 // startCluster starts a fleet of the real program.
-func startCluster(t *testing.T, p Config) *Cluster {
+func startCluster(t *testing.T, config Config) *Cluster {
 	t.Helper()
 	built.once.Do(func() {
 		dir, err := exec.Command("mktemp", "-d").Output()
@@ -28,38 +28,38 @@
 		}
 	})
 	require.NoError(t, built.err, string(built.out))
-	p.Program, p.Directory = filepath.Join(built.path, "liftshift"), t.TempDir()
-	if p.Seed == 0 {
-		p.Seed = uint64(time.Now().UnixNano())
+	config.Program, config.Directory = filepath.Join(built.path, "liftshift"), t.TempDir()
+	if config.Seed == 0 {
+		config.Seed = uint64(time.Now().UnixNano())
 	}
-	f, err := New(p)
+	cl, err := New(config)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		f.Close()
+		cl.Close()
 		if t.Failed() {
-			for _, c := range f.Controllers {
+			for _, c := range cl.Controllers {
 				t.Logf("---- %s\n%.4000s", c.Name, c.Log())
 			}
 		}
 	})
-	require.NoError(t, f.StartAll())
-	return f
+	require.NoError(t, cl.StartAll())
+	return cl
 }
 
-func waitConverged(t *testing.T, f *Cluster, what string) {
+func waitConverged(t *testing.T, cl *Cluster, what string) {
 	t.Helper()
-	took, err := f.WaitUntilConverged(15 * time.Second)
+	took, err := cl.WaitUntilConverged(15 * time.Second)
 	require.NoError(t, err, what)
 	t.Logf("%s: settled in %v", what, took.Round(10*time.Millisecond))
 }
 
 // waitForLeader waits until a controller other than one leads the council, and gives its number.
-func waitForLeader(t *testing.T, f *Cluster, not int) (leader int) {
+func waitForLeader(t *testing.T, cl *Cluster, not int) (leader int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if c.Running() && k != not {
-				if a, err := f.Call(k, "council", nil); err == nil && a["leader"] == c.Name {
+				if a, err := cl.Call(k, "council", nil); err == nil && a["leader"] == c.Name {
 					leader = k
 					return true
 				}
@@ -70,24 +70,24 @@
 	return leader
 }
 
-func holdsLease(f *Cluster, k int) bool {
-	a, err := f.Call(k, "council", nil)
+func holdsLease(cl *Cluster, k int) bool {
+	a, err := cl.Call(k, "council", nil)
 	return err == nil && a["held"] == true
 }
 
 // waitForLeases waits until all that run hold their leases.
-func waitForLeases(t *testing.T, f *Cluster) {
+func waitForLeases(t *testing.T, cl *Cluster) {
 	t.Helper()
-	for k, c := range f.Controllers {
+	for k, c := range cl.Controllers {
 		if c.Running() {
-			require.Eventually(t, func() bool { return holdsLease(f, k) }, 15*time.Second, 20*time.Millisecond, "%s holds its lease", c.Name)
+			require.Eventually(t, func() bool { return holdsLease(cl, k) }, 15*time.Second, 20*time.Millisecond, "%s holds its lease", c.Name)
 		}
 	}
 }
 
 // agreedState gives how a name stands in the record, as one controller has it.
-func agreedState(f *Cluster, k int, name string) string {
-	a, err := f.Call(k, "council", nil)
+func agreedState(cl *Cluster, k int, name string) string {
+	a, err := cl.Call(k, "council", nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -107,8 +107,8 @@
 }
 
 // voters gives who votes, or learns to, as one controller has it.
-func voters(f *Cluster, k int) (names []string) {
-	a, err := f.Call(k, "council", nil)
+func voters(cl *Cluster, k int) (names []string) {
+	a, err := cl.Call(k, "council", nil)
 	if err != nil {
 		return nil
 	}
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -39,7 +39,7 @@
 
 // StartLoad has clients search, each at a controller of its own, so that one which stands still holds up its own clients alone, until the
 // returned call ends them.
-func (f *Cluster) StartLoad(clients int, pause time.Duration) (*History, func()) {
+func (cl *Cluster) StartLoad(clients int, pause time.Duration) (*History, func()) {
 	h, stop := &History{}, make(chan struct{})
 	var all sync.WaitGroup
 	var number atomic.Uint64
@@ -47,7 +47,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			conns := make([]*testservers.Client, len(f.Controllers))
+			conns := make([]*testservers.Client, len(cl.Controllers))
 			defer func() {
 				for _, c := range conns {
 					if c != nil {
@@ -61,7 +61,7 @@
 					return
 				case <-time.After(pause):
 				}
-				f.submit(h, conns, w%len(f.Controllers), number.Add(1))
+				cl.submit(h, conns, w%len(cl.Controllers), number.Add(1))
 			}
 		}()
 	}
@@ -70,13 +70,13 @@
 }
 
 // submit has one search made. What is cut off is not sent again: whether it ran is for the engines to say.
-func (f *Cluster) submit(h *History, conns []*testservers.Client, k int, number uint64) {
+func (cl *Cluster) submit(h *History, conns []*testservers.Client, k int, number uint64) {
 	a := SentRequest{ID: fmt.Sprintf("%016x", number), Class: []string{"look", "mark", "once"}[number%3], Controller: k, At: time.Now()}
 	if a.Class == "mark" {
 		a.IdempotencyKey = fmt.Sprintf("m%015x", number)
 	}
 	if conns[k] == nil {
-		c, err := testservers.Dial(f.Controllers[k].ClientAddress, 50*time.Millisecond)
+		c, err := testservers.Dial(cl.Controllers[k].ClientAddress, 50*time.Millisecond)
 		if err != nil {
 			return // nobody there: nothing was asked
 		}
--- a/internal/chaostest/script.go
+++ b/internal/chaostest/script.go
@@ -142,34 +142,34 @@
 	if sick := slices.ContainsFunc(s.Steps, func(p Step) bool { return len(p.Disks) > 0 }); sick && !hasFaults(program+"-full") {
 		return nil, fmt.Errorf("%s can't make its disk fail: build it with -tags faults", program)
 	}
-	f, err := New(Config{Program: program, Directory: folder, Controllers: s.Controllers, Executors: max(1, s.Engines), Zones: max(1, s.Zones),
+	cl, err := New(Config{Program: program, Directory: folder, Controllers: s.Controllers, Executors: max(1, s.Engines), Zones: max(1, s.Zones),
 		Founders: s.Founders, Store: s.Store, Seed: o.Seed, ClusterSettings: s.Fleet, WorkMS: s.WorkMS})
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer cl.Close()
 	say := func(format string, args ...any) {
 		line := fmt.Sprintf("%7.2fs  ", time.Since(o.Start).Seconds()) + fmt.Sprintf(format, args...)
 		o.Timeline = append(o.Timeline, line)
 		fmt.Fprintln(out, line)
 	}
 	say("seed %d: %d controllers start", o.Seed, s.Controllers)
-	if err := f.StartAll(); err != nil {
+	if err := cl.StartAll(); err != nil {
 		return nil, err
 	}
-	took, err := f.WaitUntilConverged(30 * time.Second)
+	took, err := cl.WaitUntilConverged(30 * time.Second)
 	if err != nil {
 		return o, fmt.Errorf("before any fault: %w", err)
 	}
 	say("all views are settled after %.2fs", took.Seconds())
-	history, end := f.StartLoad(s.Clients, 5*time.Millisecond)
+	history, end := cl.StartLoad(s.Clients, 5*time.Millisecond)
 	defer end()
 	began := time.Now()
 	done, sampled := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(sampled)
 		for tick := time.NewTicker(250 * time.Millisecond); ; {
-			o.Samples = append(o.Samples, f.takeSample(time.Since(o.Start)))
+			o.Samples = append(o.Samples, cl.takeSample(time.Since(o.Start)))
 			select {
 			case <-tick.C:
 			case <-done:
@@ -182,29 +182,29 @@
 		p := &s.Steps[k]
 		time.Sleep(time.Until(began.Add(p.at)))
 		say("%s", p)
-		if err := f.apply(p); err != nil {
+		if err := cl.apply(p); err != nil {
 			o.Wrong = append(o.Wrong, err.Error())
 		}
 	}
 	time.Sleep(time.Until(began.Add(s.length)))
 	close(done)
 	<-sampled
-	f.Relay.SetLinks(func(int, int) Link { return Link{} })
-	for k, c := range f.Controllers {
+	cl.Relay.SetLinks(func(int, int) Link { return Link{} })
+	for k, c := range cl.Controllers {
 		if c.cmd != nil {
-			_ = f.Signal(k, syscall.SIGCONT)
+			_ = cl.Signal(k, syscall.SIGCONT)
 		}
 	}
-	if took, err = f.WaitUntilConverged(s.convergeTimeout); err != nil {
+	if took, err = cl.WaitUntilConverged(s.convergeTimeout); err != nil {
 		o.Wrong = append(o.Wrong, err.Error())
 	} else {
 		say("healed: all views are settled after %.2fs", took.Seconds())
 	}
 	end()
 	o.Requests = history.List()
-	o.Wrong = append(o.Wrong, Check(o.Requests, f.RunLog.Runs(), s.Controllers)...)
-	o.Wrong = append(o.Wrong, RunsAfterDrain(f.RunLog.Runs(), f.drained)...)
-	for _, c := range f.Controllers {
+	o.Wrong = append(o.Wrong, Check(o.Requests, cl.RunLog.Runs(), s.Controllers)...)
+	o.Wrong = append(o.Wrong, RunsAfterDrain(cl.RunLog.Runs(), cl.drained)...)
+	for _, c := range cl.Controllers {
 		for _, word := range []string{"does not hold", "panic:", "DATA RACE"} {
 			if at := strings.Index(c.Log(), word); at >= 0 {
 				o.Wrong = append(o.Wrong, fmt.Sprintf("%s said: %.600s", c.Name, c.Log()[max(0, at-100):]))
@@ -254,7 +254,7 @@
 }
 
 // apply does what a step says.
-func (f *Cluster) apply(p *Step) (err error) {
+func (cl *Cluster) apply(p *Step) (err error) {
 	each := func(names []string, do func(k int) error) {
 		for _, name := range names {
 			if e := do(controllerNumber(name)); e != nil && err == nil {
@@ -262,25 +262,25 @@
 			}
 		}
 	}
-	each(p.Kill, func(k int) error { f.Kill(k); return nil })
+	each(p.Kill, func(k int) error { cl.Kill(k); return nil })
 	each(p.Term, func(k int) error {
-		if code := f.Terminate(k); code != 0 {
+		if code := cl.Terminate(k); code != 0 {
 			return fmt.Errorf("c%d ended with %d at a planned stop", k, code)
 		}
 		return nil
 	})
 	each(p.Wipe, func(k int) error {
-		if f.Controllers[k].cmd != nil {
+		if cl.Controllers[k].cmd != nil {
 			return fmt.Errorf("c%d runs: its folder is not wiped", k)
 		}
-		return os.RemoveAll(f.Controllers[k].Directory + "/store")
+		return os.RemoveAll(cl.Controllers[k].Directory + "/store")
 	})
-	each(p.Disks, func(k int) error { return f.SetDiskState(k, p.Disk) })
-	each(p.Start, f.Start)
-	each(p.Stop, func(k int) error { return f.Signal(k, syscall.SIGSTOP) })
-	each(p.Go, func(k int) error { return f.Signal(k, syscall.SIGCONT) })
+	each(p.Disks, func(k int) error { return cl.SetDiskState(k, p.Disk) })
+	each(p.Start, cl.Start)
+	each(p.Stop, func(k int) error { return cl.Signal(k, syscall.SIGSTOP) })
+	each(p.Go, func(k int) error { return cl.Signal(k, syscall.SIGCONT) })
 	for _, name := range p.Drain {
-		if e := f.DrainExecutor(controllerNumber(strings.Replace(name, "s", "c", 1))); e != nil && err == nil {
+		if e := cl.DrainExecutor(controllerNumber(strings.Replace(name, "s", "c", 1))); e != nil && err == nil {
 			err = e
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	if p.Heal || len(part) > 0 || len(p.Mute) > 0 || p.Loss > 0 || p.Twice > 0 || p.delay > 0 {
 		l := Link{Loss: p.Loss, Duplication: p.Twice, DelayMS: float64(p.delay.Milliseconds())}
-		f.Relay.SetLinks(func(from, to int) Link {
+		cl.Relay.SetLinks(func(from, to int) Link {
 			way := l
 			way.Cut = part[from] != part[to] || slices.Contains(p.Mute, fmt.Sprint("c", from))
 			return way
@@ -302,13 +302,13 @@
 }
 
 // takeSample asks each controller that answers how many it holds for here.
-func (f *Cluster) takeSample(at time.Duration) Sample {
-	s := Sample{At: at, Present: map[string]int{}, Datagrams: f.Relay.Datagrams.Load(), Bytes: f.Relay.DatagramBytes.Load()}
-	for k, c := range f.Controllers {
+func (cl *Cluster) takeSample(at time.Duration) Sample {
+	s := Sample{At: at, Present: map[string]int{}, Datagrams: cl.Relay.Datagrams.Load(), Bytes: cl.Relay.DatagramBytes.Load()}
+	for k, c := range cl.Controllers {
 		if _, err := os.Stat(c.ControlSocket); err != nil {
 			continue
 		}
-		if view, err := f.MembershipView(k); err == nil {
+		if view, err := cl.MembershipView(k); err == nil {
 			for _, p := range view {
 				if p == "here" {
 					s.Present[c.Name]++
--- a/internal/chaostest/soak_test.go
+++ b/internal/chaostest/soak_test.go
@@ -549,15 +549,15 @@
 			if p.handoff {
 				plan.Founders, plan.Zones, plan.ClusterSettings, plan.HandoffSettings = 3, 1, quickCluster, "copies = 2"
 			}
-			f, err := New(plan)
+			cl, err := New(plan)
 			require.NoError(t, err)
-			t.Cleanup(f.Close)
-			s := &soak{t: t, seed: seed, cluster: f, deadline: p.deadline, sent: map[string]soakRequest{}, outcomes: map[string]int{}, rejected: map[string]bool{}}
+			t.Cleanup(cl.Close)
+			s := &soak{t: t, seed: seed, cluster: cl, deadline: p.deadline, sent: map[string]soakRequest{}, outcomes: map[string]int{}, rejected: map[string]bool{}}
 			s.run(p, rng)
 			t.Logf("%+v: %d sent, %v", p, len(s.sent), s.outcomes)
 			if len(s.violations) > 0 {
 				err = errors.New(strings.Join(s.violations[:min(len(s.violations), 10)], "\n"))
-				t.Errorf("%d faults; again: LIFTSHIFT_SOAK_FIRST=%d LIFTSHIFT_SOAK_SEEDS=1\n%v\n%.3000s", len(s.violations), seed, err, f.Controllers[0].Log())
+				t.Errorf("%d faults; again: LIFTSHIFT_SOAK_FIRST=%d LIFTSHIFT_SOAK_SEEDS=1\n%v\n%.3000s", len(s.violations), seed, err, cl.Controllers[0].Log())
 			}
 		})
 	}
--- a/internal/chaostest/takeover.go
+++ b/internal/chaostest/takeover.go
@@ -45,14 +45,14 @@
 }
 
 // WaitUntilHandoffReady waits until all that run know who sits where, and hold their leases.
-func (f *Cluster) WaitUntilHandoffReady(most time.Duration) error {
+func (cl *Cluster) WaitUntilHandoffReady(most time.Duration) error {
 	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		why := ""
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if !c.Running() {
 				continue
 			}
-			switch a, err := f.Call(k, "estate", nil); {
+			switch a, err := cl.Call(k, "estate", nil); {
 			case err != nil:
 				why = c.Name + ": " + err.Error()
 			case a["held"] != true:
@@ -65,15 +65,15 @@
 			return nil
 		}
 		if time.Since(began) > most {
-			return fmt.Errorf("not ready within %v: %s (seed %d)", most, why, f.Config.Seed)
+			return fmt.Errorf("not ready within %v: %s (seed %d)", most, why, cl.Config.Seed)
 		}
 	}
 }
 
 // submitOnce makes a search and tells how it ended. Its connection breaks after a time, if that is not 0.
-func (f *Cluster) submitOnce(k int, offering, id, mark string, breaks time.Duration) string {
+func (cl *Cluster) submitOnce(k int, offering, id, mark string, breaks time.Duration) string {
 	const patience = 5 * time.Second
-	c, err := testservers.Dial(f.Controllers[k].ClientAddress, 200*time.Millisecond)
+	c, err := testservers.Dial(cl.Controllers[k].ClientAddress, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -94,8 +94,8 @@
 }
 
 // Outcome asks a controller what became of a search.
-func (f *Cluster) QueryOutcome(k int, req, mark string) string {
-	c, err := testservers.Dial(f.Controllers[k].ClientAddress, 200*time.Millisecond)
+func (cl *Cluster) QueryOutcome(k int, req, mark string) string {
+	c, err := testservers.Dial(cl.Controllers[k].ClientAddress, 200*time.Millisecond)
 	if err != nil {
 		return "cut off"
 	}
@@ -113,10 +113,10 @@
 
 // PlayTakeover plays one round: searches of all offerings at one controller, a fault, clients that come again elsewhere once, and all made
 // whole. Tag must be another each time.
-func (f *Cluster) PlayTakeover(kind, tag string, searches int, chance *rand.Rand) (r Round, err error) {
+func (cl *Cluster) PlayTakeover(kind, tag string, searches int, chance *rand.Rand) (r Round, err error) {
 	r = Round{Fault: kind, Requests: searches, Outcomes: map[string]int{}}
-	owner := len(f.Controllers) - 1 - chance.IntN(2) // no founder: the council's own losses are faults of their own
-	ran := len(f.RunLog.Runs())
+	owner := len(cl.Controllers) - 1 - chance.IntN(2) // no founder: the council's own losses are faults of their own
+	ran := len(cl.RunLog.Runs())
 	list := make([]roundRequest, searches)
 	var all sync.WaitGroup
 	back := make(chan int, searches)
@@ -132,49 +132,49 @@
 			breaks = time.Duration(100+chance.IntN(900)) * time.Millisecond
 		}
 		wait := time.Duration(chance.IntN(400)) * time.Millisecond
-		at := (owner + 1 + chance.IntN(len(f.Controllers)-1)) % len(f.Controllers)
+		at := (owner + 1 + chance.IntN(len(cl.Controllers)-1)) % len(cl.Controllers)
 		go func() {
 			defer all.Done()
 			time.Sleep(wait)
-			if s.result = f.submitOnce(owner, s.class, s.id, s.key, breaks); s.result != "cut off" || s.key == "" {
+			if s.result = cl.submitOnce(owner, s.class, s.id, s.key, breaks); s.result != "cut off" || s.key == "" {
 				return
 			}
 			for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(20 * time.Millisecond) { // whoever takes connections
-				if s.retryResult = f.submitOnce(at, s.class, s.id+"b", s.key, 0); s.retryResult != "cut off" {
+				if s.retryResult = cl.submitOnce(at, s.class, s.id+"b", s.key, 0); s.retryResult != "cut off" {
 					break
 				}
-				at = (at + 1) % len(f.Controllers)
+				at = (at + 1) % len(cl.Controllers)
 			}
 			back <- n
 		}()
 	}
 	time.Sleep(time.Duration(chance.IntN(700)) * time.Millisecond)
-	at, before := time.Now(), f.RunLog.Runs()[ran:]
-	down, err := f.injectFault(kind, owner, chance)
+	at, before := time.Now(), cl.RunLog.Runs()[ran:]
+	down, err := cl.injectFault(kind, owner, chance)
 	if err != nil {
 		return r, err
 	}
 	all.Wait()
-	f.Relay.SetLinks(func(int, int) Link { return Link{} })
+	cl.Relay.SetLinks(func(int, int) Link { return Link{} })
 	for _, k := range down {
-		if err := f.Start(k); err != nil {
+		if err := cl.Start(k); err != nil {
 			return r, err
 		}
 	}
-	if _, err := f.WaitUntilConverged(recoveryTimeout); err != nil {
+	if _, err := cl.WaitUntilConverged(recoveryTimeout); err != nil {
 		return r, err
 	}
-	if err := f.WaitUntilHandoffReady(recoveryTimeout); err != nil {
+	if err := cl.WaitUntilHandoffReady(recoveryTimeout); err != nil {
 		return r, err
 	}
-	f.checkRound(&r, list, ran, at, before)
+	cl.checkRound(&r, list, ran, at, before)
 	return r, nil
 }
 
 // PlayKillInFlight plays a round in which a controller is killed with so many labelled searches in hand, all entered by then; each client
 // comes again elsewhere once.
-func (f *Cluster) PlayKillInFlight(tag string, searches int) (r Round, err error) {
-	owner, ran := len(f.Controllers)-1, len(f.RunLog.Runs())
+func (cl *Cluster) PlayKillInFlight(tag string, searches int) (r Round, err error) {
+	owner, ran := len(cl.Controllers)-1, len(cl.RunLog.Runs())
 	list := make([]roundRequest, searches)
 	var all sync.WaitGroup
 	for n := range list {
@@ -184,70 +184,70 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if s.result = f.submitOnce(owner, s.class, s.id, s.key, 0); s.result == "cut off" {
+			if s.result = cl.submitOnce(owner, s.class, s.id, s.key, 0); s.result == "cut off" {
 				began := time.Now()
-				s.retryResult = f.submitOnce(n%owner, s.class, s.id+"b", s.key, 0)
+				s.retryResult = cl.submitOnce(n%owner, s.class, s.id+"b", s.key, 0)
 				s.retryLatency = time.Since(began)
 			}
 		}()
 	}
 	time.Sleep(300 * time.Millisecond)
-	at, before := time.Now(), f.RunLog.Runs()[ran:]
-	f.Kill(owner)
+	at, before := time.Now(), cl.RunLog.Runs()[ran:]
+	cl.Kill(owner)
 	all.Wait()
-	if err := f.Start(owner); err != nil {
+	if err := cl.Start(owner); err != nil {
 		return r, err
 	}
-	if _, err := f.WaitUntilConverged(recoveryTimeout); err != nil {
+	if _, err := cl.WaitUntilConverged(recoveryTimeout); err != nil {
 		return r, err
 	}
-	if f.Config.HandoffSettings != "" {
-		if err := f.WaitUntilHandoffReady(recoveryTimeout); err != nil {
+	if cl.Config.HandoffSettings != "" {
+		if err := cl.WaitUntilHandoffReady(recoveryTimeout); err != nil {
 			return r, err
 		}
 	}
 	r = Round{Fault: "kill", Requests: searches, Outcomes: map[string]int{}}
-	f.checkRound(&r, list, ran, at, before)
+	cl.checkRound(&r, list, ran, at, before)
 	return r, nil
 }
 
 // injectFault does it, and gives the controllers that are to be started again.
-func (f *Cluster) injectFault(kind string, owner int, chance *rand.Rand) (down []int, err error) {
+func (cl *Cluster) injectFault(kind string, owner int, chance *rand.Rand) (down []int, err error) {
 	kill := func(k int) {
-		f.Kill(k)
+		cl.Kill(k)
 		down = append(down, k)
 	}
-	n := len(f.Controllers)
+	n := len(cl.Controllers)
 	other := (owner + 1 + chance.IntN(n-1)) % n
 	switch kind {
 	case "kill":
 		kill(owner)
 	case "restart":
-		f.Kill(owner)
-		err = f.Start(owner)
+		cl.Kill(owner)
+		err = cl.Start(owner)
 	case "owner and heir", "two of a zone":
 		kill(owner)
 		kill(other)
 	case "heir at work":
 		kill(owner)
-		if heir := f.waitForSuccessor(owner, 6*time.Second); heir >= 0 {
+		if heir := cl.waitForSuccessor(owner, 6*time.Second); heir >= 0 {
 			time.Sleep(time.Duration(chance.IntN(60)) * time.Millisecond)
 			kill(heir)
 		}
 	case "asleep":
-		err = f.Signal(owner, syscall.SIGSTOP)
+		err = cl.Signal(owner, syscall.SIGSTOP)
 		time.Sleep(4500 * time.Millisecond)
-		err = errors.Join(err, f.Signal(owner, syscall.SIGCONT))
+		err = errors.Join(err, cl.Signal(owner, syscall.SIGCONT))
 	case "cut off":
-		f.Relay.SetLinks(func(a, b int) Link { return Link{Cut: a == owner || b == owner} })
+		cl.Relay.SetLinks(func(a, b int) Link { return Link{Cut: a == owner || b == owner} })
 		time.Sleep(5 * time.Second)
 	case "clients cut":
 	case "holder wiped":
-		f.Kill(other)
-		err = errors.Join(os.RemoveAll(f.Controllers[other].Directory+"/store"), f.Start(other))
+		cl.Kill(other)
+		err = errors.Join(os.RemoveAll(cl.Controllers[other].Directory+"/store"), cl.Start(other))
 		kill(owner)
 	case "planned":
-		if code := f.Terminate(owner); code != 0 {
+		if code := cl.Terminate(owner); code != 0 {
 			err = fmt.Errorf("c%d ended with %d at a planned stop", owner, code)
 		}
 		down = append(down, owner)
@@ -263,20 +263,20 @@
 }
 
 // waitForSuccessor waits until somebody has claimed what a controller left, and gives who; below 0: nobody.
-func (f *Cluster) waitForSuccessor(owner int, most time.Duration) int {
+func (cl *Cluster) waitForSuccessor(owner int, most time.Duration) int {
 	for began := time.Now(); time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if k == owner || !c.Running() {
 				continue
 			}
-			a, err := f.Call(k, "estate", nil)
+			a, err := cl.Call(k, "estate", nil)
 			if err != nil {
 				continue
 			}
 			claims, _ := a["claimed"].([]any)
 			for _, x := range claims {
-				if m, _ := x.(map[string]any); m["member"] == f.Controllers[owner].Name {
-					for heir, o := range f.Controllers {
+				if m, _ := x.(map[string]any); m["member"] == cl.Controllers[owner].Name {
+					for heir, o := range cl.Controllers {
 						if o.Name == m["heir"] && o.Running() {
 							return heir
 						}
@@ -289,16 +289,16 @@
 }
 
 // checkRound holds what clients heard and what is told now against what ran.
-func (f *Cluster) checkRound(r *Round, list []roundRequest, ran int, at time.Time, before []testservers.Run) {
+func (cl *Cluster) checkRound(r *Round, list []roundRequest, ran int, at time.Time, before []testservers.Run) {
 	times := map[string]int{}
-	for _, x := range f.RunLog.Runs()[ran:] {
+	for _, x := range cl.RunLog.Runs()[ran:] {
 		times[requestName(x.ID, x.IdempotencyKey)]++
 	}
 	early := map[string]bool{}
 	for _, x := range before {
 		early[requestName(x.ID, x.IdempotencyKey)] = true
 	}
-	for _, x := range f.RunLog.Runs()[ran:] {
+	for _, x := range cl.RunLog.Runs()[ran:] {
 		if x.At.After(at) && x.IdempotencyKey != "" && !early[x.IdempotencyKey] && (r.FirstAttempt == 0 || x.At.Sub(at) < r.FirstAttempt) {
 			r.FirstAttempt = x.At.Sub(at)
 		}
@@ -328,12 +328,12 @@
 		if s.class == "look" {
 			continue
 		}
-		told := f.agreedOutcome(s, began.Add(cmp.Or(f.Config.OutcomeTimeout, outcomeTimeout)))
+		told := cl.agreedOutcome(s, began.Add(cmp.Or(cl.Config.OutcomeTimeout, outcomeTimeout)))
 		r.OutcomesAgreed = max(r.OutcomesAgreed, time.Since(began))
 		r.Outcomes[s.class+" is "+told]++
 		switch {
 		case told == "open":
-			r.WithoutOutcome = append(r.WithoutOutcome, fmt.Sprintf("%s (%s, %s, %s) is open still: %s", name, s.class, s.result, s.retryResult, f.describeCopies(name)))
+			r.WithoutOutcome = append(r.WithoutOutcome, fmt.Sprintf("%s (%s, %s, %s) is open still: %s", name, s.class, s.result, s.retryResult, cl.describeCopies(name)))
 		case told == "unknown" && times[name] > 0:
 			r.WithoutOutcome = append(r.WithoutOutcome, fmt.Sprintf("%s (%s, %s, %s) ran, and nobody knows of it", name, s.class, s.result, s.retryResult))
 		case (s.result == "handled" || s.retryResult == "handled") && told != "handled",
@@ -349,9 +349,9 @@
 }
 
 // describeCopies gives what each controller has of a search, for a complaint.
-func (f *Cluster) describeCopies(name string) (text string) {
-	for k, c := range f.Controllers {
-		a, err := f.Call(k, "estate explain", map[string]any{"name": name})
+func (cl *Cluster) describeCopies(name string) (text string) {
+	for k, c := range cl.Controllers {
+		a, err := cl.Call(k, "estate explain", map[string]any{"name": name})
 		copies, _ := a["copies"].([]any)
 		if err != nil || len(copies) == 0 {
 			text += c.Name + " nothing; "
@@ -374,12 +374,12 @@
 
 // agreedOutcome asks each controller what became of a search until they say the same, and that it is over: where its client heard that
 // it was handled by one that was cut off, until the late word of that has come.
-func (f *Cluster) agreedOutcome(s *roundRequest, until time.Time) string {
+func (cl *Cluster) agreedOutcome(s *roundRequest, until time.Time) string {
 	for {
 		var told []string
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if c.Running() {
-				told = append(told, f.QueryOutcome(k, s.id, s.key))
+				told = append(told, cl.QueryOutcome(k, s.id, s.key))
 			}
 		}
 		slices.Sort(told)
--- a/internal/chaostest/takeover_test.go
+++ b/internal/chaostest/takeover_test.go
@@ -14,12 +14,12 @@
 )
 
 // waitForReplicas waits until all that run know who sits where, and hold their leases.
-func waitForReplicas(t *testing.T, f *Cluster) {
+func waitForReplicas(t *testing.T, cl *Cluster) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if c.Running() {
-				a, err := f.Call(k, "estate", nil)
+				a, err := cl.Call(k, "estate", nil)
 				if err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0 {
 					return false
 				}
@@ -36,7 +36,7 @@
 }
 
 // submitAll has so many clients make a search each at a controller, at once, and gives a call that waits for them.
-func submitAll(f *Cluster, k, n int, offering, tag string, marks bool) func() []clientResult {
+func submitAll(cl *Cluster, k, n int, offering, tag string, marks bool) func() []clientResult {
 	out := make([]clientResult, n)
 	var all sync.WaitGroup
 	for w := range n {
@@ -48,7 +48,7 @@
 				o.key = fmt.Sprintf("m%d", w)
 			}
 			began := time.Now()
-			if c, err := testservers.Dial(f.Controllers[k].ClientAddress, time.Second); err == nil {
+			if c, err := testservers.Dial(cl.Controllers[k].ClientAddress, time.Second); err == nil {
 				defer c.Close()
 				if a, err := c.Submit(offering, o.id, o.key, 5*time.Second); err == nil {
 					o.result = map[int]string{0: "handled", testservers.CodeRejected: "denied"}[a.Code]
@@ -73,9 +73,9 @@
 }
 
 // keysRunTwice gives the marks that ran more than once.
-func keysRunTwice(f *Cluster) (marks []string) {
+func keysRunTwice(cl *Cluster) (marks []string) {
 	n := map[string]int{}
-	for _, r := range f.RunLog.Runs() {
+	for _, r := range cl.RunLog.Runs() {
 		key := r.IdempotencyKey
 		if key == "" {
 			key = r.ID
@@ -88,26 +88,26 @@
 }
 
 func startHandoffCluster(t *testing.T, copies string, drops time.Duration) *Cluster {
-	f := startCluster(t, Config{Controllers: 5, Executors: 3, Founders: 3, Store: true, ClusterSettings: quickCluster, HandoffSettings: copies, DedupWindow: drops, WorkMS: 10, OutcomeTimeout: 20 * time.Second,
+	cl := startCluster(t, Config{Controllers: 5, Executors: 3, Founders: 3, Store: true, ClusterSettings: quickCluster, HandoffSettings: copies, DedupWindow: drops, WorkMS: 10, OutcomeTimeout: 20 * time.Second,
 		WorkByClass: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}})
-	waitConverged(t, f, "all join")
-	waitForReplicas(t, f)
-	return f
+	waitConverged(t, cl, "all join")
+	waitForReplicas(t, cl)
+	return cl
 }
 
 // A controller with thirty labelled searches in hand is killed, and its clients come again elsewhere at once, with their marks, thrice.
 // Engines that drop repeats: all are handled. Engines that drop none: what was sent is written off. Nothing runs twice.
 func TestKilledWithSearchesInHand(t *testing.T) {
 	for _, drops := range []time.Duration{20 * time.Second, -1} {
-		f := startHandoffCluster(t, "copies = 2", drops)
-		first := submitAll(f, 4, 30, "mark", "a", true)
+		cl := startHandoffCluster(t, "copies = 2", drops)
+		first := submitAll(cl, 4, 30, "mark", "a", true)
 		time.Sleep(300 * time.Millisecond)
-		f.Kill(4)
+		cl.Kill(4)
 		assert.Equal(t, 30, countResults(first())["cut off"])
-		second, third := submitAll(f, 0, 30, "mark", "b", true), submitAll(f, 1, 30, "mark", "c", true)
+		second, third := submitAll(cl, 0, 30, "mark", "b", true), submitAll(cl, 1, 30, "mark", "c", true)
 		counts := countResults(append(second(), third()...))
 		t.Logf("drops %v: %v", drops, counts)
-		assert.Empty(t, keysRunTwice(f))
+		assert.Empty(t, keysRunTwice(cl))
 		if drops < 0 { // what had not been sent yet was sent by heirs
 			assert.NotZero(t, counts["written off"])
 			assert.NotZero(t, counts["handled"])
@@ -115,7 +115,7 @@
 			assert.Greater(t, counts["handled"], 30, "%v: all, unless the machine is slow", counts)
 		}
 		assert.Zero(t, counts["cut off"])
-		f.Close()
+		cl.Close()
 	}
 }
 
@@ -132,10 +132,10 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			f := startHandoffCluster(t, "copies = 2", x.drops)
-			chance := rand.New(rand.NewPCG(f.Config.Seed, 5))
+			cl := startHandoffCluster(t, "copies = 2", x.drops)
+			chance := rand.New(rand.NewPCG(cl.Config.Seed, 5))
 			for n, kind := range x.kinds {
-				r, err := f.PlayTakeover(kind, fmt.Sprint(n), 24, chance)
+				r, err := cl.PlayTakeover(kind, fmt.Sprint(n), 24, chance)
 				require.NoError(t, err, kind)
 				assert.Empty(t, r.RanTwice, kind)
 				assert.Empty(t, r.Contradictions, kind)
@@ -149,59 +149,59 @@
 // Copies on holders' disks: one holder's disk is full, and nobody is held up by it; a controller is killed, and its searches go on. Then all
 // are killed at once: what was kept is known again by all, and nothing is sent a second time.
 func TestHoldersDisks(t *testing.T) {
-	f := startHandoffCluster(t, "copies = 2\ncondition = \"disk and holders' disks\"", 20*time.Second)
-	require.NoError(t, f.SetDiskState(1, "full"))
+	cl := startHandoffCluster(t, "copies = 2\ncondition = \"disk and holders' disks\"", 20*time.Second)
+	require.NoError(t, cl.SetDiskState(1, "full"))
 	time.Sleep(200 * time.Millisecond)
-	assert.Equal(t, 10, countResults(submitAll(f, 0, 10, "mark", "a", true)())["handled"])
-	first := submitAll(f, 4, 12, "once", "o", false)
+	assert.Equal(t, 10, countResults(submitAll(cl, 0, 10, "mark", "a", true)())["handled"])
+	first := submitAll(cl, 4, 12, "once", "o", false)
 	time.Sleep(400 * time.Millisecond)
-	require.NoError(t, f.SetDiskState(1, "sound"))
-	for k := range f.Controllers {
-		f.Kill(k)
+	require.NoError(t, cl.SetDiskState(1, "sound"))
+	for k := range cl.Controllers {
+		cl.Kill(k)
 	}
 	assert.Equal(t, 12, countResults(first())["cut off"])
-	require.NoError(t, f.StartAll())
-	waitConverged(t, f, "all again")
-	require.Eventually(t, func() bool { return f.QueryOutcome(2, "", "m3") == "handled" }, 20*time.Second, 100*time.Millisecond, "it is on holders' disks")
-	ran := len(f.RunLog.Runs())
-	counts := countResults(submitAll(f, 3, 10, "mark", "b", true)())
+	require.NoError(t, cl.StartAll())
+	waitConverged(t, cl, "all again")
+	require.Eventually(t, func() bool { return cl.QueryOutcome(2, "", "m3") == "handled" }, 20*time.Second, 100*time.Millisecond, "it is on holders' disks")
+	ran := len(cl.RunLog.Runs())
+	counts := countResults(submitAll(cl, 3, 10, "mark", "b", true)())
 	assert.Zero(t, counts["written off"]+counts["cut off"], "%v", counts)
-	assert.Empty(t, keysRunTwice(f))
-	assert.Len(t, f.RunLog.Runs(), ran, "nothing is sent again")
+	assert.Empty(t, keysRunTwice(cl))
+	assert.Len(t, cl.RunLog.Runs(), ran, "nothing is sent again")
 }
 
 // A controller is killed while the whole group of a third of its labelled searches begins to leave, and that of another third is gone from
 // the list. What may have run there is sent nowhere else; no run begins at one that leaves past its grace; what was never sent goes to
 // those that stay; all has one outcome.
 func TestAdoptedWorkAndLeavingGroups(t *testing.T) {
-	f := startCluster(t, Config{Controllers: 5, Executors: 3, Zones: 3, Founders: 3, Store: true, ClusterSettings: quickCluster, HandoffSettings: "copies = 2", DedupWindow: 20 * time.Second,
+	cl := startCluster(t, Config{Controllers: 5, Executors: 3, Zones: 3, Founders: 3, Store: true, ClusterSettings: quickCluster, HandoffSettings: "copies = 2", DedupWindow: 20 * time.Second,
 		WorkMS: 10, WorkByClass: map[string]time.Duration{"mark": 1500 * time.Millisecond}})
-	waitConverged(t, f, "all join")
-	waitForReplicas(t, f)
-	first := submitAll(f, 4, 30, "mark", "a", true)
+	waitConverged(t, cl, "all join")
+	waitForReplicas(t, cl)
+	first := submitAll(cl, 4, 30, "mark", "a", true)
 	time.Sleep(500 * time.Millisecond)
 	sent := map[string]string{}
-	for _, r := range f.RunLog.Runs() {
+	for _, r := range cl.RunLog.Runs() {
 		sent[r.IdempotencyKey] = r.Executor
 	}
-	f.Kill(4)
-	require.NoError(t, f.DrainExecutor(0))
-	require.NoError(t, f.RemoveExecutor(1))
+	cl.Kill(4)
+	require.NoError(t, cl.DrainExecutor(0))
+	require.NoError(t, cl.RemoveExecutor(1))
 	assert.Equal(t, 30, countResults(first())["cut off"])
-	counts := countResults(submitAll(f, 0, 30, "mark", "b", true)())
+	counts := countResults(submitAll(cl, 0, 30, "mark", "b", true)())
 	t.Logf("%d sent at the kill, clients that came again: %v", len(sent), counts)
 	assert.Zero(t, counts["cut off"])
-	assert.Empty(t, keysRunTwice(f))
-	assert.Empty(t, RunsAfterDrain(f.RunLog.Runs(), f.drained))
+	assert.Empty(t, keysRunTwice(cl))
+	assert.Empty(t, RunsAfterDrain(cl.RunLog.Runs(), cl.drained))
 	known := map[string]int{}
 	for w := range 30 {
-		told := f.QueryOutcome(1, "", fmt.Sprint("m", w))
+		told := cl.QueryOutcome(1, "", fmt.Sprint("m", w))
 		known[told]++
 		assert.Contains(t, []string{"handled", "written_off", "denied"}, told)
 	}
 	t.Logf("told: %v", known)
 	assert.GreaterOrEqual(t, known["handled"], counts["handled"])
-	for _, r := range f.RunLog.Runs() {
+	for _, r := range cl.RunLog.Runs() {
 		if at, before := sent[r.IdempotencyKey]; before {
 			assert.Equal(t, at, r.Executor, "it may have run there, and nowhere else")
 		}
--- a/internal/chaostest/versions_build_test.go
+++ b/internal/chaostest/versions_build_test.go
@@ -54,7 +54,7 @@
 	if versions.scratch, err = os.MkdirTemp("", "versions"); err != nil {
 		return err
 	}
-	root, err := run(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
+	root, err := run(ctx, ".", "go", "list", "-m", "-cl", "{{.Dir}}")
 	if err != nil {
 		return err
 	}
--- a/internal/chaostest/versions_store_test.go
+++ b/internal/chaostest/versions_store_test.go
@@ -38,26 +38,26 @@
 // assertStoreTakenOn plays one kill and one start of another version on the same folder.
 func assertStoreTakenOn(t *testing.T, from, to string, drops time.Duration) {
 	t.Helper()
-	f := startVersions(t, Config{WithoutCluster: true, Direct: true, DedupWindow: drops, Zones: 3}, from)
+	cl := startVersions(t, Config{WithoutCluster: true, Direct: true, DedupWindow: drops, Zones: 3}, from)
 	done, open := numberedKeys("done", 6), numberedKeys("open", 60)
-	require.Empty(t, cutOff(t, sendAll(f, 0, "a", done)()))
-	first := sendAll(f, 0, "b", open)
-	waitForSteadyRuns(t, f, len(done)+1)
-	f.Kill(0)
-	ran := runsByKey(f)
+	require.Empty(t, cutOff(t, sendAll(cl, 0, "a", done)()))
+	first := sendAll(cl, 0, "b", open)
+	waitForSteadyRuns(t, cl, len(done)+1)
+	cl.Kill(0)
+	ran := runsByKey(cl)
 	inHand := cutOff(t, first())
 	require.NotEmpty(t, inHand, "requests are in hand at the kill")
 	t.Logf("%d keys in hand, %d ran before the kill", len(inHand), len(ran)-len(done))
-	assertSameReading(t, filepath.Join(f.Controllers[0].Directory, "store"), ran, from, to)
-	startAs(t, f, 0, to)
+	assertSameReading(t, filepath.Join(cl.Controllers[0].Directory, "store"), ran, from, to)
+	startAs(t, cl, 0, to)
 	for key := range ran {
 		want := "written_off" // its answer was lost, and only its client may send it again
 		if !slices.Contains(inHand, key) {
 			want = "handled"
 		}
-		assert.Equal(t, want, f.QueryOutcome(0, "", key), key)
+		assert.Equal(t, want, cl.QueryOutcome(0, "", key), key)
 	}
-	second := sendAll(f, 0, "c", append(inHand, done...))()
+	second := sendAll(cl, 0, "c", append(inHand, done...))()
 	for _, r := range second {
 		want := 0
 		if drops < 0 && ran[r.key] > 0 && slices.Contains(inHand, r.key) {
@@ -66,8 +66,8 @@
 		assert.NoError(t, r.err, r.key)
 		assert.Equal(t, want, r.answer.Code, "%s: %s", r.key, r.answer.Message)
 	}
-	assert.Equal(t, onceEach(append(open, done...)), runsByKey(f))
-	assertOutcomes(t, f, second)
+	assert.Equal(t, onceEach(append(open, done...)), runsByKey(cl))
+	assertOutcomes(t, cl, second)
 }
 
 // assertSameReading checks that two programs read the same from copies of a store, in which the keys that ran must be.
--- a/internal/chaostest/versions_test.go
+++ b/internal/chaostest/versions_test.go
@@ -25,12 +25,12 @@
 )
 
 // startAs starts a controller with a program and checks that its process runs that version.
-func startAs(t *testing.T, f *Cluster, k int, program string) {
+func startAs(t *testing.T, cl *Cluster, k int, program string) {
 	t.Helper()
-	f.Config.Program = program
-	require.NoError(t, f.Start(k))
+	cl.Config.Program = program
+	require.NoError(t, cl.Start(k))
 	require.Eventually(t, func() bool { // liftshift goes on as liftshift-full of the same folder
-		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", f.PID(k)))
+		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", cl.PID(k)))
 		return err == nil && path == program+"-full"
 	}, 10*time.Second, 5*time.Millisecond, "controller %d runs %s", k, program)
 }
@@ -40,38 +40,38 @@
 	t.Helper()
 	plan.Directory, plan.Seed, plan.Controllers, plan.Executors, plan.Store = t.TempDir(), 1, len(programs), 3, true
 	plan.WorkByClass = map[string]time.Duration{"mark": keyedWork}
-	f, err := New(plan)
+	cl, err := New(plan)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		f.Close()
+		cl.Close()
 		if t.Failed() {
-			for _, c := range f.Controllers {
+			for _, c := range cl.Controllers {
 				t.Logf("---- %s\n%.4000s", c.Name, c.Log())
 			}
 		}
 	})
-	for k, c := range f.Controllers {
+	for k, c := range cl.Controllers {
 		path := filepath.Join(c.Directory, "node.json")
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		longer := bytes.ReplaceAll(text, []byte(`"HardLimit":5000000`), []byte(`"HardLimit":15000000`))
 		require.NotEqual(t, text, longer)
 		require.NoError(t, os.WriteFile(path, longer, 0o600))
-		startAs(t, f, k, programs[k])
+		startAs(t, cl, k, programs[k])
 	}
-	return f
+	return cl
 }
 
 // waitForMembers waits until all controllers that run know each other, hold their leases and know who keeps copies. It asks by the names
 // that both versions know.
-func waitForMembers(t *testing.T, f *Cluster) {
+func waitForMembers(t *testing.T, cl *Cluster) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		if settled, _ := f.Converged(); !settled {
+		if settled, _ := cl.Converged(); !settled {
 			return false
 		}
-		for k, c := range f.Controllers {
-			a, err := f.Call(k, "estate", nil)
+		for k, c := range cl.Controllers {
+			a, err := cl.Call(k, "estate", nil)
 			if c.Running() && (err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0) {
 				return false
 			}
@@ -81,9 +81,9 @@
 }
 
 // handoffFigure gives a number that a controller tells of the work it keeps for others.
-func handoffFigure(t *testing.T, f *Cluster, k int, name string) int {
+func handoffFigure(t *testing.T, cl *Cluster, k int, name string) int {
 	t.Helper()
-	a, err := f.Call(k, "estate", nil)
+	a, err := cl.Call(k, "estate", nil)
 	require.NoError(t, err)
 	require.Contains(t, a, name)
 	return int(a[name].(float64))
@@ -118,7 +118,7 @@
 
 // sendAll has one client per key send its request to a controller, at once, and gives a function that waits for the answers. Clients that
 // are told to come again later do so.
-func sendAll(f *Cluster, k int, tag string, keys []string) func() []keyedRequest {
+func sendAll(cl *Cluster, k int, tag string, keys []string) func() []keyedRequest {
 	out := make([]keyedRequest, len(keys))
 	var all sync.WaitGroup
 	for n, key := range keys {
@@ -127,7 +127,7 @@
 			defer all.Done()
 			until := time.Now().Add(requestPatience)
 			for attempt := 0; ; attempt++ {
-				out[n] = sendKeyed(f.Controllers[k].ClientAddress, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
+				out[n] = sendKeyed(cl.Controllers[k].ClientAddress, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
 				if out[n].err != nil || out[n].answer.Code != testservers.CodeRejected || time.Now().After(until) {
 					return
 				}
@@ -160,9 +160,9 @@
 }
 
 // runsByKey gives how often each key ran at an engine.
-func runsByKey(f *Cluster) map[string]int {
+func runsByKey(cl *Cluster) map[string]int {
 	runs := map[string]int{}
-	for _, r := range f.RunLog.Runs() {
+	for _, r := range cl.RunLog.Runs() {
 		runs[r.IdempotencyKey]++
 	}
 	return runs
@@ -170,11 +170,11 @@
 
 // waitForSteadyRuns waits until there were so many runs at least and nothing more is sent for now, so that no attempt is between its
 // controller's store and its engine.
-func waitForSteadyRuns(t *testing.T, f *Cluster, least int) {
+func waitForSteadyRuns(t *testing.T, cl *Cluster, least int) {
 	t.Helper()
 	count, since := 0, time.Now()
 	require.Eventually(t, func() bool {
-		if now := len(f.RunLog.Runs()); now != count {
+		if now := len(cl.RunLog.Runs()); now != count {
 			count, since = now, time.Now()
 		}
 		return count >= least && time.Since(since) > steadyTime
@@ -191,21 +191,21 @@
 }
 
 // assertOutcomes checks that every controller that runs tells the outcome that the client of each key heard.
-func assertOutcomes(t *testing.T, f *Cluster, list []keyedRequest) {
+func assertOutcomes(t *testing.T, cl *Cluster, list []keyedRequest) {
 	t.Helper()
 	until := time.Now().Add(10 * time.Second)
-	for k, c := range f.Controllers {
+	for k, c := range cl.Controllers {
 		for _, r := range list {
 			if !c.Running() {
 				continue
 			}
-			want, told := "handled", f.QueryOutcome(k, "", r.key)
+			want, told := "handled", cl.QueryOutcome(k, "", r.key)
 			if r.answer.Code != 0 {
 				want = "written_off"
 			}
 			for told != want && time.Now().Before(until) {
 				time.Sleep(20 * time.Millisecond)
-				told = f.QueryOutcome(k, "", r.key)
+				told = cl.QueryOutcome(k, "", r.key)
 			}
 			if !assert.Equal(t, want, told, "%s as %s tells it", r.key, c.Name) && time.Now().After(until) {
 				return // the others aren't waited for
@@ -244,17 +244,17 @@
 func assertAdoption(t *testing.T, programs []string, drops time.Duration) {
 	t.Helper()
 	const killed, requests = 2, 30
-	f := startVersions(t, Config{Zones: 3, Founders: 3, ClusterSettings: quickCluster, HandoffSettings: "copies = 1", DedupWindow: drops}, programs[:3]...)
-	waitForMembers(t, f)
+	cl := startVersions(t, Config{Zones: 3, Founders: 3, ClusterSettings: quickCluster, HandoffSettings: "copies = 1", DedupWindow: drops}, programs[:3]...)
+	waitForMembers(t, cl)
 	keys := numberedKeys("m", requests)
-	first := sendAll(f, killed, "a", keys)
-	waitForSteadyRuns(t, f, 1)
-	assert.Equal(t, requests, handoffFigure(t, f, killed, "registered"), "successors have copies of all")
-	f.Kill(killed)
-	ran := runsByKey(f)
+	first := sendAll(cl, killed, "a", keys)
+	waitForSteadyRuns(t, cl, 1)
+	assert.Equal(t, requests, handoffFigure(t, cl, killed, "registered"), "successors have copies of all")
+	cl.Kill(killed)
+	ran := runsByKey(cl)
 	inHand := cutOff(t, first())
 	require.NotEmpty(t, inHand, "requests are in hand at the kill")
-	second := sendAll(f, 0, "b", inHand)()
+	second := sendAll(cl, 0, "b", inHand)()
 	handled := 0
 	for _, r := range second {
 		assert.NoError(t, r.err, r.key)
@@ -265,15 +265,15 @@
 		handled++
 		assert.Zero(t, r.answer.Code, "%s: %s", r.key, r.answer.Message)
 	}
-	taken := handoffFigure(t, f, 0, "taken") + handoffFigure(t, f, 1, "taken")
+	taken := handoffFigure(t, cl, 0, "taken") + handoffFigure(t, cl, 1, "taken")
 	t.Logf("%d keys in hand, %d ran before the kill; successors adopted %d, handled %d", len(inHand), len(ran), taken, handled)
 	assert.NotZero(t, taken, "a successor has adopted a request")
 	assert.Less(t, len(ran), requests, "some begin at a successor")
 	assert.NotZero(t, handled)
-	assert.Equal(t, onceEach(keys), runsByKey(f))
-	assertOutcomes(t, f, second)
-	startAs(t, f, killed, programs[3])
-	waitForMembers(t, f)
-	assertOutcomes(t, f, second)
-	assert.Equal(t, onceEach(keys), runsByKey(f), "also after the killed one is back")
+	assert.Equal(t, onceEach(keys), runsByKey(cl))
+	assertOutcomes(t, cl, second)
+	startAs(t, cl, killed, programs[3])
+	waitForMembers(t, cl)
+	assertOutcomes(t, cl, second)
+	assert.Equal(t, onceEach(keys), runsByKey(cl), "also after the killed one is back")
 }
--- a/internal/chaostest/zones.go
+++ b/internal/chaostest/zones.go
@@ -19,21 +19,21 @@
 }
 
 // StartTraffic has so many clients at each controller look things up, with a pause between, until it ends.
-func (f *Cluster) StartTraffic(tag string, each int, pause time.Duration) *Traffic {
+func (cl *Cluster) StartTraffic(tag string, each int, pause time.Duration) *Traffic {
 	t := &Traffic{stop: make(chan struct{})}
-	for k := range f.Controllers {
+	for k := range cl.Controllers {
 		for w := range each {
 			t.clients.Add(1)
 			go func() {
 				defer t.clients.Done()
-				t.client(f, k, fmt.Sprint(tag, "-", k, "-", w), pause)
+				t.client(cl, k, fmt.Sprint(tag, "-", k, "-", w), pause)
 			}()
 		}
 	}
 	return t
 }
 
-func (t *Traffic) client(f *Cluster, k int, tag string, pause time.Duration) {
+func (t *Traffic) client(cl *Cluster, k int, tag string, pause time.Duration) {
 	var c *testservers.Client
 	for n := 0; ; n++ {
 		select {
@@ -46,7 +46,7 @@
 		}
 		if c == nil {
 			var err error
-			if c, err = testservers.Dial(f.Controllers[k].ClientAddress, 50*time.Millisecond); err != nil {
+			if c, err = testservers.Dial(cl.Controllers[k].ClientAddress, 50*time.Millisecond); err != nil {
 				c = nil
 				continue
 			}
@@ -89,11 +89,11 @@
 }
 
 // ZoneOf gives the zone of a controller.
-func (f *Cluster) ZoneOf(k int) string { return fmt.Sprint("z", k%max(1, f.Config.Zones)) }
+func (cl *Cluster) ZoneOf(k int) string { return fmt.Sprint("z", k%max(1, cl.Config.Zones)) }
 
 // SetZoneUnreachable has all engines of a zone out of reach, or in reach again.
-func (f *Cluster) SetZoneUnreachable(zone string, cut bool) {
-	for _, e := range f.Executors {
+func (cl *Cluster) SetZoneUnreachable(zone string, cut bool) {
+	for _, e := range cl.Executors {
 		if e.Zone == zone {
 			e.SetUnreachable(cut)
 		}
@@ -101,8 +101,8 @@
 }
 
 // SetZoneUnreachableForSome has all engines of a zone out of reach for the controllers of Plan.Seconds, or in reach again.
-func (f *Cluster) SetZoneUnreachableForSome(zone string, cut bool) {
-	for _, e := range f.Executors {
+func (cl *Cluster) SetZoneUnreachableForSome(zone string, cut bool) {
+	for _, e := range cl.Executors {
 		if e.Zone == zone {
 			e.SetSecondUnreachable(cut)
 		}
@@ -110,11 +110,11 @@
 }
 
 // StopDiscovery ends the list of engines.
-func (f *Cluster) StopDiscovery() { f.discovery.Stop() }
+func (cl *Cluster) StopDiscovery() { cl.discovery.Stop() }
 
 // ZoneStates gives how a controller has all zones, and the number of the plan.
-func (f *Cluster) ZoneStates(k int) (states map[string]string, number float64) {
-	a, err := f.Call(k, "zones", nil)
+func (cl *Cluster) ZoneStates(k int) (states map[string]string, number float64) {
+	a, err := cl.Call(k, "zones", nil)
 	if err != nil {
 		return nil, 0
 	}
@@ -130,39 +130,39 @@
 }
 
 // WaitForZoneState waits until all that run have a zone in one of some states, and gives the time it took.
-func (f *Cluster) WaitForZoneState(most time.Duration, zone string, wanted ...string) (time.Duration, error) {
+func (cl *Cluster) WaitForZoneState(most time.Duration, zone string, wanted ...string) (time.Duration, error) {
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		why := ""
-		for k, c := range f.Controllers {
+		for k, c := range cl.Controllers {
 			if !c.Running() {
 				continue
 			}
-			if s, _ := f.ZoneStates(k); !slices.Contains(wanted, s[zone]) {
+			if s, _ := cl.ZoneStates(k); !slices.Contains(wanted, s[zone]) {
 				why = fmt.Sprintf("%s has %s as %q", c.Name, zone, s[zone])
 			}
 		}
 		if took := time.Since(began); why == "" {
 			return took, nil
 		} else if took > most {
-			return took, fmt.Errorf("not agreed within %v on %s %v: %s (seed %d)", most, zone, wanted, why, f.Config.Seed)
+			return took, fmt.Errorf("not agreed within %v on %s %v: %s (seed %d)", most, zone, wanted, why, cl.Config.Seed)
 		}
 	}
 }
 
 // CountRunsByLocality counts runs of traffic by whether they were in the zone of their controller, of those that began in a span of time.
-func (f *Cluster) CountRunsByLocality(tag string, from, to time.Time) (near, far int) {
+func (cl *Cluster) CountRunsByLocality(tag string, from, to time.Time) (near, far int) {
 	zone := map[string]string{}
-	for _, e := range f.Executors {
+	for _, e := range cl.Executors {
 		zone[e.Name] = e.Zone
 	}
-	for _, r := range f.RunLog.Runs() {
+	for _, r := range cl.RunLog.Runs() {
 		parts := strings.Split(r.ID, "-")
 		if parts[0] != tag || len(parts) != 4 || r.At.Before(from) || !r.At.Before(to) {
 			continue
 		}
 		var k int
 		_, _ = fmt.Sscan(parts[1], &k)
-		if zone[r.Executor] == f.ZoneOf(k) {
+		if zone[r.Executor] == cl.ZoneOf(k) {
 			near++
 		} else {
 			far++
