--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -9,13 +9,49 @@
 	"liftshift/internal/testservers"
 )
 
-// Asked is one search as its client saw it.
+const (
+	loadDialTimeout = 50 * time.Millisecond
+	loadDeadline    = 2 * time.Second
+)
+
+// The request classes of the settings, by what may be done with a request.
+const (
+	classIdempotent    = "look"
+	classKeyed         = "mark" // idempotent with an idempotency key
+	classNonIdempotent = "once"
+)
+
+// Result is how a request ended for its client.
+type Result string
+
+// The results of a request.
+const (
+	ResultHandled      Result = "handled"
+	ResultRejected     Result = "rejected"
+	ResultFailed       Result = "failed"
+	ResultDisconnected Result = "disconnected" // the connection ended without a reply
+)
+
+// resultOf returns the result of a call.
+func resultOf(answer testservers.Answer, err error) Result {
+	switch {
+	case err != nil:
+		return ResultDisconnected
+	case answer.Code == 0:
+		return ResultHandled
+	case answer.Code == testservers.CodeRejected:
+		return ResultRejected
+	}
+	return ResultFailed
+}
+
+// SentRequest is one request as its client saw it.
 type SentRequest struct {
 	ID, IdempotencyKey, Class string
 	Controller                int
 	At                        time.Time
 	Latency                   time.Duration
-	Result                    string // handled, denied, written off, cut off
+	Result                    Result
 }
 
 // History is what all clients saw.
@@ -24,109 +60,87 @@
 	requests []SentRequest
 }
 
-// List gives it so far.
+// List returns the requests that have ended so far.
 func (h *History) List() []SentRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]SentRequest(nil), h.requests...)
 }
 
-func (h *History) add(a SentRequest) {
+func (h *History) add(r SentRequest) {
 	h.mu.Lock()
-	h.requests = append(h.requests, a)
-	h.mu.Unlock()
+	defer h.mu.Unlock()
+	h.requests = append(h.requests, r)
 }
 
-// StartLoad has clients search, each at a controller of its own, so that one which stands still holds up its own clients alone, until the
-// returned call ends them.
-func (cl *Cluster) StartLoad(clients int, pause time.Duration) (*History, func()) {
-	h, stop := &History{}, make(chan struct{})
-	var all sync.WaitGroup
-	var number atomic.Uint64
+// StartLoad starts clients that send requests until the returned function is called, which waits for them. Each client has one controller,
+// so that a controller that is suspended holds up its own clients alone.
+func (cl *Cluster) StartLoad(clients int, pause time.Duration) (history *History, stop func()) {
+	history = &History{}
+	stopping := make(chan struct{})
+	var running sync.WaitGroup
+	var lastNumber atomic.Uint64
 	for w := range clients {
-		all.Add(1)
+		c := &loadClient{cluster: cl, controller: w % len(cl.Controllers), history: history}
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			conns := make([]*testservers.Client, len(cl.Controllers))
-			defer func() {
-				for _, c := range conns {
-					if c != nil {
-						c.Close()
-					}
-				}
-			}()
+			defer running.Done()
+			defer c.close()
 			for {
 				select {
-				case <-stop:
+				case <-stopping:
 					return
 				case <-time.After(pause):
 				}
-				cl.submit(h, conns, w%len(cl.Controllers), number.Add(1))
+				c.submit(lastNumber.Add(1))
 			}
 		}()
 	}
 	var once sync.Once
-	return h, func() { once.Do(func() { close(stop) }); all.Wait() }
+	return history, func() {
+		once.Do(func() { close(stopping) })
+		running.Wait()
+	}
 }
 
-// submit has one search made. What is cut off is not sent again: whether it ran is for the engines to say.
-func (cl *Cluster) submit(h *History, conns []*testservers.Client, k int, number uint64) {
-	a := SentRequest{ID: fmt.Sprintf("%016x", number), Class: []string{"look", "mark", "once"}[number%3], Controller: k, At: time.Now()}
-	if a.Class == "mark" {
-		a.IdempotencyKey = fmt.Sprintf("m%015x", number)
-	}
-	if conns[k] == nil {
-		c, err := testservers.Dial(cl.Controllers[k].ClientAddress, 50*time.Millisecond)
-		if err != nil {
-			return // nobody there: nothing was asked
-		}
-		conns[k] = c
-	}
-	answer, err := conns[k].Submit(a.Class, a.ID, a.IdempotencyKey, 2*time.Second)
-	a.Latency = time.Since(a.At)
-	switch {
-	case err != nil:
-		a.Result = "cut off"
-		conns[k].Close()
-		conns[k] = nil
-	case answer.Code == 0:
-		a.Result = "handled"
-	case answer.Code == testservers.CodeRejected:
-		a.Result = "denied"
-	default:
-		a.Result = "written off"
+// loadClient is a client of one controller.
+type loadClient struct {
+	cluster    *Cluster
+	controller int
+	history    *History
+	conn       *testservers.Client // nil: not connected
+}
+
+func (c *loadClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
-	h.add(a)
 }
 
-// Check holds what clients saw against what engines ran and gives what is wrong: an effect twice, an answer for what never ran, a
-// denial of what did, or more further shots than the ration of all controllers allows.
-func Check(list []SentRequest, runs []testservers.Run, controllers int) (wrong []string) {
-	byID, byMark := map[string]int{}, map[string]int{}
-	for _, r := range runs {
-		byID[r.ID]++
-		if r.IdempotencyKey != "" {
-			byMark[r.IdempotencyKey]++
-		}
+// submit sends one request. One whose connection ends is not sent again: whether it ran is in the run log.
+func (c *loadClient) submit(number uint64) {
+	r := SentRequest{
+		ID:         fmt.Sprintf("%016x", number),
+		Class:      []string{classIdempotent, classKeyed, classNonIdempotent}[number%3],
+		Controller: c.controller,
+		At:         time.Now(),
+	}
+	if r.Class == classKeyed {
+		r.IdempotencyKey = fmt.Sprintf("m%015x", number)
 	}
-	seen, further := map[string]bool{}, 0
-	for _, a := range list {
-		ran := byID[a.ID]
-		further += max(0, ran-1)
-		switch {
-		case seen[a.ID]:
-			wrong = append(wrong, fmt.Sprintf("search %s has two answers", a.ID))
-		case a.Class == "once" && ran > 1, a.IdempotencyKey != "" && byMark[a.IdempotencyKey] > 1:
-			wrong = append(wrong, fmt.Sprintf("%s search %s ran %d times", a.Class, a.ID, max(ran, byMark[a.IdempotencyKey])))
-		case a.Result == "handled" && ran == 0:
-			wrong = append(wrong, fmt.Sprintf("search %s is handled and never ran", a.ID))
-		case a.Result == "denied" && ran > 0 && a.Class == "once":
-			wrong = append(wrong, fmt.Sprintf("search %s is denied, ran, and may not run again", a.ID))
+	if c.conn == nil {
+		conn, err := testservers.Dial(c.cluster.Controllers[c.controller].ClientAddress, loadDialTimeout)
+		if err != nil {
+			return // nothing was sent
 		}
-		seen[a.ID] = true
+		c.conn = conn
 	}
-	if most := 0.1*float64(len(list)) + 3*float64(controllers); float64(further) > most {
-		wrong = append(wrong, fmt.Sprintf("%d further shots ran, past the ration of %.0f", further, most))
+	answer, err := c.conn.Submit(r.Class, r.ID, r.IdempotencyKey, loadDeadline)
+	r.Latency = time.Since(r.At)
+	r.Result = resultOf(answer, err)
+	if err != nil {
+		c.close()
 	}
-	return wrong
+	c.history.add(r)
 }
--- a/internal/chaostest/report.go
+++ b/internal/chaostest/report.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"html/template"
 	"io"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -30,7 +31,7 @@
 	points plotter.XYs
 }
 
-// draw draws a plot as SVG.
+// renderPlot returns a plot as SVG.
 func renderPlot(title, y string, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -62,70 +63,82 @@
 }
 
 var page = template.Must(template.New("report").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>Rehearsal</title>
+<html lang="en"><head><meta charset="utf-8"><title>Drill</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:60em}pre{background:#f4f4f4;padding:1em;overflow:auto}.wrong{color:#b00020}</style></head>
-<body><h1>Rehearsal, seed {{.Seed}}</h1>
-{{if .Wrong}}<h2 class="wrong">Wrong</h2><ul class="wrong">{{range .Wrong}}<li>{{.}}</li>{{end}}</ul>{{else}}<p>All checks hold.</p>{{end}}
+<body><h1>Drill, seed {{.Seed}}</h1>
+{{if .Violations}}<h2 class="wrong">Violations</h2><ul class="wrong">{{range .Violations}}<li>{{.}}</li>{{end}}</ul>{{else}}<p>All checks hold.</p>{{end}}
 {{range .Plots}}<div>{{.}}</div>{{end}}
 <h2>Timeline</h2><pre>{{range .Timeline}}{{.}}
 {{end}}</pre></body></html>
 `))
 
-// Report writes an outcome as one HTML file: views over time, answers by outcome, messages.
-func Report(out io.Writer, o *DrillResult) error {
-	views, controllers := map[string]*line{}, []string{}
-	var messages line
-	messages.name = "datagrams a second, all links"
-	for k, s := range o.Samples {
-		for name, n := range s.Present {
-			if views[name] == nil {
-				views[name] = &line{name: name}
-				controllers = append(controllers, name)
-			}
-			views[name].points = append(views[name].points, plotter.XY{X: s.At.Seconds(), Y: float64(n)})
+// reportPlot is one plot of a report.
+type reportPlot struct {
+	title, y string
+	lines    []line
+}
+
+// Report writes the result of a drill as one HTML file: views over time, replies by result, datagrams.
+func Report(out io.Writer, result *DrillResult) error {
+	var plots []template.HTML
+	for _, p := range []reportPlot{
+		{"Members that each controller sees alive", "members", viewLines(result.Samples)},
+		{"Replies by result", "a second", resultLines(result)},
+		{"Messages between controllers", "a second", []line{datagramLine(result.Samples)}},
+	} {
+		svg, err := renderPlot(p.title, p.y, p.lines)
+		if err != nil {
+			return fmt.Errorf("report: %w", err)
 		}
-		if k > 0 {
-			before := o.Samples[k-1]
-			if gap := (s.At - before.At).Seconds(); gap > 0 {
-				messages.points = append(messages.points, plotter.XY{X: s.At.Seconds(), Y: float64(s.Datagrams-before.Datagrams) / gap})
-			}
+		plots = append(plots, svg)
+	}
+	return page.Execute(out, map[string]any{"Seed": result.Seed, "Violations": result.Wrong, "Timeline": result.Timeline, "Plots": plots})
+}
+
+// viewLines returns a line a controller: how many members it sees alive.
+func viewLines(samples []Sample) (lines []line) {
+	views := map[string]plotter.XYs{}
+	for _, s := range samples {
+		for name, n := range s.Present {
+			views[name] = append(views[name], plotter.XY{X: s.At.Seconds(), Y: float64(n)})
 		}
 	}
-	slices.Sort(controllers)
-	var seen []line
-	for _, name := range controllers {
-		seen = append(seen, *views[name])
+	for _, name := range slices.Sorted(maps.Keys(views)) {
+		lines = append(lines, line{name: name, points: views[name]})
 	}
-	outcomes := []string{"handled", "denied", "written off", "cut off"}
-	counts := map[string]map[int]int{}
-	last := 0
-	for _, a := range o.Requests {
-		s := int(a.At.Add(a.Latency).Sub(o.Start) / time.Second)
-		if counts[a.Result] == nil {
-			counts[a.Result] = map[int]int{}
+	return lines
+}
+
+// datagramLine returns the rate of datagrams over all links.
+func datagramLine(samples []Sample) line {
+	l := line{name: "datagrams a second, all links"}
+	for k := 1; k < len(samples); k++ {
+		last, s := samples[k-1], samples[k]
+		if gap := (s.At - last.At).Seconds(); gap > 0 {
+			l.points = append(l.points, plotter.XY{X: s.At.Seconds(), Y: float64(s.Datagrams-last.Datagrams) / gap})
 		}
-		counts[a.Result][s]++
-		last = max(last, s)
 	}
-	var answers []line
-	for _, name := range outcomes {
-		l := line{name: name}
-		for s := 0; s <= last; s++ {
-			l.points = append(l.points, plotter.XY{X: float64(s), Y: float64(counts[name][s])})
+	return l
+}
+
+// resultLines returns a line a result: how many requests ended with it in each second.
+func resultLines(result *DrillResult) (lines []line) {
+	counts := map[Result]map[int]int{}
+	lastSecond := 0
+	for _, r := range result.Requests {
+		second := int(r.At.Add(r.Latency).Sub(result.Start) / time.Second)
+		if counts[r.Result] == nil {
+			counts[r.Result] = map[int]int{}
 		}
-		answers = append(answers, l)
+		counts[r.Result][second]++
+		lastSecond = max(lastSecond, second)
 	}
-	var plots []template.HTML
-	for _, d := range []struct {
-		title, y string
-		lines    []line
-	}{{"How many each controller holds for here", "members", seen}, {"Answers by outcome", "a second", answers},
-		{"Messages between controllers", "a second", []line{messages}}} {
-		svg, err := renderPlot(d.title, d.y, d.lines)
-		if err != nil {
-			return fmt.Errorf("report: %w", err)
+	for _, name := range []Result{ResultHandled, ResultRejected, ResultFailed, ResultDisconnected} {
+		l := line{name: string(name)}
+		for second := 0; second <= lastSecond; second++ {
+			l.points = append(l.points, plotter.XY{X: float64(second), Y: float64(counts[name][second])})
 		}
-		plots = append(plots, svg)
+		lines = append(lines, l)
 	}
-	return page.Execute(out, map[string]any{"Seed": o.Seed, "Wrong": o.Wrong, "Timeline": o.Timeline, "Plots": plots})
+	return lines
 }
--- a/internal/chaostest/versions_build_test.go
+++ b/internal/chaostest/versions_build_test.go
@@ -19,10 +19,10 @@
 const (
 	oldCommit      = "394baa9" // the version before: its programs must work beside those of the current tree
 	oldProgramsEnv = "LIFTSHIFT_OLD_PROGRAMS"
-	buildPatience  = 5 * time.Minute
+	buildTimeout   = 5 * time.Minute
 )
 
-// versions holds the folders of both versions' programs, built once per test process.
+// versions holds the directories of both versions' programs, built once per test process.
 var versions struct {
 	once        sync.Once
 	scratch     string
@@ -30,31 +30,33 @@
 	err         error
 }
 
-// TestMain removes the programs of both versions after the last test.
+// TestMain removes all programs that were built after the last test.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if versions.scratch != "" {
-		_ = os.RemoveAll(versions.scratch)
+	for _, directory := range []string{versions.scratch, faultyPrograms.directory} {
+		if directory != "" {
+			_ = os.RemoveAll(directory)
+		}
 	}
 	os.Exit(code)
 }
 
-// bothVersions gives the paths of liftshift as of oldCommit and of the current tree. It fails the test where the old one can't be had.
+// bothVersions returns the paths of liftshift as of oldCommit and of the current tree. It fails the test where the old one can't be had.
 func bothVersions(t *testing.T) (before, now string) {
 	t.Helper()
 	versions.once.Do(func() { versions.err = buildVersions() })
-	require.NoError(t, versions.err, "programs of both versions are needed; %s may name a folder with liftshift and liftshift-full of %s", oldProgramsEnv, oldCommit)
+	require.NoError(t, versions.err, "programs of both versions are needed; %s may name a directory with liftshift and liftshift-full of %s", oldProgramsEnv, oldCommit)
 	return filepath.Join(versions.before, "liftshift"), filepath.Join(versions.now, "liftshift")
 }
 
 // buildVersions builds the current programs, and the old ones unless the environment names them.
 func buildVersions() (err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), buildPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), buildTimeout)
 	defer cancel()
 	if versions.scratch, err = os.MkdirTemp("", "versions"); err != nil {
 		return err
 	}
-	root, err := run(ctx, ".", "go", "list", "-m", "-cl", "{{.Dir}}")
+	root, err := run(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
 	if err != nil {
 		return err
 	}
@@ -93,11 +95,11 @@
 	return err
 }
 
-// run runs a program in a folder and gives what it prints.
-func run(ctx context.Context, folder, program string, arguments ...string) (string, error) {
+// run runs a program in a directory and returns its output.
+func run(ctx context.Context, directory, program string, arguments ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, program, arguments...)
 	var out, problems bytes.Buffer
-	cmd.Dir, cmd.Stdout, cmd.Stderr = folder, &out, &problems
+	cmd.Dir, cmd.Stdout, cmd.Stderr = directory, &out, &problems
 	if err := cmd.Run(); err != nil {
 		return "", fmt.Errorf("%s %s: %w: %s", program, strings.Join(arguments, " "), err, problems.String())
 	}
--- a/internal/chaostest/versions_test.go
+++ b/internal/chaostest/versions_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 	"sync"
 	"testing"
 	"time"
@@ -14,14 +13,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"liftshift/internal/adminapi"
 	"liftshift/internal/testservers"
 )
 
 const (
-	keyedWork         = 1500 * time.Millisecond // of a keyed request at its engine, so that a kill finds it there
-	deduplicationTime = 20 * time.Second        // for which engines drop repeats of a key
-	requestPatience   = 12 * time.Second        // of one client, retries included
-	steadyTime        = 200 * time.Millisecond  // without a new run: whatever was written to an engine has come there
+	keyedWork         = 1500 * time.Millisecond // of a keyed request at its executor, so that a kill finds it there
+	deduplicationTime = 20 * time.Second        // for which executors drop repeats of a key
+	retryTimeout      = 12 * time.Second        // of one client, retries included
+	steadyTime        = 200 * time.Millisecond  // without a new run: whatever was written to an executor has come there
 )
 
 // startAs starts a controller with a program and checks that its process runs that version.
@@ -29,29 +29,20 @@
 	t.Helper()
 	cl.Config.Program = program
 	require.NoError(t, cl.Start(k))
-	require.Eventually(t, func() bool { // liftshift goes on as liftshift-full of the same folder
+	require.Eventually(t, func() bool { // liftshift goes on as liftshift-full of the same directory
 		path, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", cl.PID(k)))
 		return err == nil && path == program+"-full"
 	}, 10*time.Second, 5*time.Millisecond, "controller %d runs %s", k, program)
 }
 
-// startVersions writes a fleet whose keyed requests may take longer than a takeover; it starts controller k with programs[k].
-func startVersions(t *testing.T, plan Config, programs ...string) *Cluster {
+// startVersions writes a cluster whose keyed requests may take longer than a takeover; it starts controller k with programs[k].
+func startVersions(t *testing.T, config Config, programs ...string) *Cluster {
 	t.Helper()
-	plan.Directory, plan.Seed, plan.Controllers, plan.Executors, plan.Store = t.TempDir(), 1, len(programs), 3, true
-	plan.WorkByClass = map[string]time.Duration{"mark": keyedWork}
-	cl, err := New(plan)
-	require.NoError(t, err)
-	t.Cleanup(func() {
-		cl.Close()
-		if t.Failed() {
-			for _, c := range cl.Controllers {
-				t.Logf("---- %s\n%.4000s", c.Name, c.Log())
-			}
-		}
-	})
+	config.Directory, config.Seed, config.Controllers, config.Executors, config.Store = t.TempDir(), 1, len(programs), 3, true
+	config.WorkByClass = map[string]time.Duration{classKeyed: keyedWork}
+	cl := newCluster(t, config)
 	for k, c := range cl.Controllers {
-		path := filepath.Join(c.Directory, "node.json")
+		path := c.nodeFile()
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		longer := bytes.ReplaceAll(text, []byte(`"HardLimit":5000000`), []byte(`"HardLimit":15000000`))
@@ -62,31 +53,29 @@
 	return cl
 }
 
-// waitForMembers waits until all controllers that run know each other, hold their leases and know who keeps copies. It asks by the names
-// that both versions know.
+// waitForMembers waits until all controllers that run know each other, hold their leases and know the replicas. It asks by the names that
+// both versions know.
 func waitForMembers(t *testing.T, cl *Cluster) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		if settled, _ := cl.Converged(); !settled {
-			return false
-		}
-		for k, c := range cl.Controllers {
-			a, err := cl.Call(k, "estate", nil)
-			if c.Running() && (err != nil || a["held"] != true || a["parts"] != 32.0 || a["parts_settled"] != 32.0) {
-				return false
-			}
-		}
-		return true
-	}, 20*time.Second, 20*time.Millisecond, "all that run know who keeps copies")
+		converged, _ := cl.Converged()
+		return converged && cl.handoffUnready() == ""
+	}, 20*time.Second, 20*time.Millisecond, "all that run know the replicas")
 }
 
-// handoffFigure gives a number that a controller tells of the work it keeps for others.
-func handoffFigure(t *testing.T, cl *Cluster, k int, name string) int {
+// The counts of handoff that tests read, by their names on the wire.
+const (
+	registeredCount = "registered"
+	adoptedCount    = "taken"
+)
+
+// handoffCount returns a count of handoff. The reply is in its wire form, so that a version that does not have the count fails the test.
+func handoffCount(t *testing.T, cl *Cluster, k int, name string) int {
 	t.Helper()
-	a, err := cl.Call(k, "estate", nil)
+	reply, err := cl.Call(k, adminapi.QuestionHandoff, nil)
 	require.NoError(t, err)
-	require.Contains(t, a, name)
-	return int(a[name].(float64))
+	require.Contains(t, reply, name)
+	return int(reply[name].(float64))
 }
 
 // keyedRequest is a request with an idempotency key, as its client sees it.
@@ -106,7 +95,7 @@
 		return r
 	}
 	defer c.Close()
-	if r.answer, r.err = c.Submit("mark", id, key, requestPatience); r.err != nil {
+	if r.answer, r.err = c.Submit(classKeyed, id, key, retryTimeout); r.err != nil {
 		r.err = fmt.Errorf("no answer: %w", r.err)
 		return r
 	}
@@ -116,8 +105,8 @@
 	return r
 }
 
-// sendAll has one client per key send its request to a controller, at once, and gives a function that waits for the answers. Clients that
-// are told to come again later do so.
+// sendAll has one client per key send its request to a controller, at once, and returns a function that waits for the replies. Clients that
+// are rejected retry.
 func sendAll(cl *Cluster, k int, tag string, keys []string) func() []keyedRequest {
 	out := make([]keyedRequest, len(keys))
 	var all sync.WaitGroup
@@ -125,7 +114,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			until := time.Now().Add(requestPatience)
+			until := time.Now().Add(retryTimeout)
 			for attempt := 0; ; attempt++ {
 				out[n] = sendKeyed(cl.Controllers[k].ClientAddress, fmt.Sprintf("%s-%d-%d", tag, n, attempt), key)
 				if out[n].err != nil || out[n].answer.Code != testservers.CodeRejected || time.Now().After(until) {
@@ -138,7 +127,7 @@
 	return func() []keyedRequest { all.Wait(); return out }
 }
 
-// numberedKeys gives so many idempotency keys.
+// numberedKeys returns so many idempotency keys.
 func numberedKeys(tag string, count int) (keys []string) {
 	for n := range count {
 		keys = append(keys, fmt.Sprint(tag, n))
@@ -146,8 +135,8 @@
 	return keys
 }
 
-// cutOff gives the keys of requests whose connection ended without an answer; the others must be handled.
-func cutOff(t *testing.T, list []keyedRequest) (keys []string) {
+// disconnectedKeys returns the keys of requests whose connection ended without an answer; the others must be handled.
+func disconnectedKeys(t *testing.T, list []keyedRequest) (keys []string) {
 	t.Helper()
 	for _, r := range list {
 		if r.err != nil {
@@ -159,7 +148,7 @@
 	return keys
 }
 
-// runsByKey gives how often each key ran at an engine.
+// runsByKey returns how often each key ran at an executor.
 func runsByKey(cl *Cluster) map[string]int {
 	runs := map[string]int{}
 	for _, r := range cl.RunLog.Runs() {
@@ -169,7 +158,7 @@
 }
 
 // waitForSteadyRuns waits until there were so many runs at least and nothing more is sent for now, so that no attempt is between its
-// controller's store and its engine.
+// controller's store and its executor.
 func waitForSteadyRuns(t *testing.T, cl *Cluster, least int) {
 	t.Helper()
 	count, since := 0, time.Now()
@@ -181,7 +170,7 @@
 	}, 5*time.Second, 5*time.Millisecond, "some run")
 }
 
-// onceEach gives the runs that are right: each key once.
+// onceEach returns the runs that are right: each key once.
 func onceEach(keys []string) map[string]int {
 	runs := map[string]int{}
 	for _, key := range keys {
@@ -190,7 +179,7 @@
 	return runs
 }
 
-// assertOutcomes checks that every controller that runs tells the outcome that the client of each key heard.
+// assertOutcomes checks that every controller that runs has the outcome that the client of each key got.
 func assertOutcomes(t *testing.T, cl *Cluster, list []keyedRequest) {
 	t.Helper()
 	until := time.Now().Add(10 * time.Second)
@@ -199,25 +188,25 @@
 			if !c.Running() {
 				continue
 			}
-			want, told := "handled", cl.QueryOutcome(k, "", r.key)
+			want, outcome := outcomeHandled, cl.QueryOutcome(k, "", r.key)
 			if r.answer.Code != 0 {
-				want = "written_off"
+				want = outcomeFailed
 			}
-			for told != want && time.Now().Before(until) {
+			for outcome != want && time.Now().Before(until) {
 				time.Sleep(20 * time.Millisecond)
-				told = cl.QueryOutcome(k, "", r.key)
+				outcome = cl.QueryOutcome(k, "", r.key)
 			}
-			if !assert.Equal(t, want, told, "%s as %s tells it", r.key, c.Name) && time.Now().After(until) {
+			if !assert.Equal(t, want, outcome, "%s at %s", r.key, c.Name) && time.Now().After(until) {
 				return // the others aren't waited for
 			}
 		}
 	}
 }
 
-// TestVersions_MixedFleetRunsEachKeyOnce kills one of three controllers that keep copies of each other's open work, with one or two of the
+// TestVersions_MixedClusterRunsEachKeyOnce kills one of three controllers that keep copies of each other's open work, with one or two of the
 // version before in each place. Clients send their requests to the successors again. Each key runs once, and each client gets one answer,
 // which all controllers confirm, also the killed one once it is back as the other version.
-func TestVersions_MixedFleetRunsEachKeyOnce(t *testing.T) {
+func TestVersions_MixedClusterRunsEachKeyOnce(t *testing.T) {
 	before, now := bothVersions(t)
 	for _, place := range []struct {
 		name     string
@@ -239,7 +228,7 @@
 	}
 }
 
-// assertAdoption plays one kill. Where engines drop repeats, all requests must be handled. Where they don't, a request that ran before the
+// assertAdoption plays one kill. Where executors drop repeats, all requests must be handled. Where they don't, a request that ran before the
 // kill must not be sent again and fails, and one that did not is handled by a successor.
 func assertAdoption(t *testing.T, programs []string, drops time.Duration) {
 	t.Helper()
@@ -249,12 +238,12 @@
 	keys := numberedKeys("m", requests)
 	first := sendAll(cl, killed, "a", keys)
 	waitForSteadyRuns(t, cl, 1)
-	assert.Equal(t, requests, handoffFigure(t, cl, killed, "registered"), "successors have copies of all")
+	assert.Equal(t, requests, handoffCount(t, cl, killed, registeredCount), "successors have copies of all")
 	cl.Kill(killed)
 	ran := runsByKey(cl)
-	inHand := cutOff(t, first())
-	require.NotEmpty(t, inHand, "requests are in hand at the kill")
-	second := sendAll(cl, 0, "b", inHand)()
+	inFlight := disconnectedKeys(t, first())
+	require.NotEmpty(t, inFlight, "requests are in flight at the kill")
+	second := sendAll(cl, 0, "b", inFlight)()
 	handled := 0
 	for _, r := range second {
 		assert.NoError(t, r.err, r.key)
@@ -265,8 +254,8 @@
 		handled++
 		assert.Zero(t, r.answer.Code, "%s: %s", r.key, r.answer.Message)
 	}
-	taken := handoffFigure(t, cl, 0, "taken") + handoffFigure(t, cl, 1, "taken")
-	t.Logf("%d keys in hand, %d ran before the kill; successors adopted %d, handled %d", len(inHand), len(ran), taken, handled)
+	taken := handoffCount(t, cl, 0, adoptedCount) + handoffCount(t, cl, 1, adoptedCount)
+	t.Logf("%d keys in flight, %d ran before the kill; successors adopted %d, handled %d", len(inFlight), len(ran), taken, handled)
 	assert.NotZero(t, taken, "a successor has adopted a request")
 	assert.Less(t, len(ran), requests, "some begin at a successor")
 	assert.NotZero(t, handled)
--- a/internal/testservers/runlog.go
+++ b/internal/testservers/runlog.go
@@ -9,7 +9,7 @@
 type Run struct {
 	ID, IdempotencyKey, Executor string
 	At                           time.Time
-	WaitLimit                    time.Duration // how long the controller was told to wait for it
+	WaitLimit                    time.Duration // the limit that the controller gave for it
 }
 
 // Memory records the runs of all executors that share it and recognizes repeats of an idempotency key.
