--- a/internal/locality/monitor.go
+++ b/internal/locality/monitor.go
@@ -235,7 +235,7 @@
 			firstOfZone[member.Zone] = member.Name
 		}
 	}
-	for _, name := range firstOfZone {
+	for _, name := range slices.Sorted(maps.Values(firstOfZone)) { // effects do not depend on the order of a map
 		if name != m.name {
 			m.emit(Effect{Kind: AnnouncePlan, To: name, Number: m.plan.Number})
 		}
--- a/internal/locality/reports.go
+++ b/internal/locality/reports.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"maps"
 	"math"
 	"slices"
 )
@@ -105,7 +106,8 @@
 	if m.now < m.ownReportAt+reportTimeoutMS {
 		sum.add(&m.ownReport)
 	}
-	for name, r := range m.childReports {
+	for _, name := range slices.Sorted(maps.Keys(m.childReports)) { // sums of floats do not depend on the order of a map
+		r := m.childReports[name]
 		if !r.isFresh(m.now) {
 			delete(m.childReports, name)
 			continue
