--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -45,7 +45,7 @@
 	return nameOf(k, "delta", "complete", "restored", "unavailable")
 }
 
-// Availability is what the endpoint list says of an executor.
+// Availability is what the endpoint list says of an executor. It has no String method, since log lines show its number.
 type Availability uint8
 
 // The availabilities.
@@ -55,9 +55,6 @@
 	Removed
 )
 
-// String returns the name of the availability.
-func (a Availability) String() string { return nameOf(a, "active", "draining", "removed") }
-
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Executor     uint32
