--- /dev/null
+++ b/cmd/simadapter/main_test.go
@@ -0,0 +1,29 @@
+package main
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestServe_AnswersBatches(t *testing.T) {
+	in := "BEGIN_BATCH\tClock=0\tseq=7\n" +
+		"ATTACH\tI=3\tNonce64=9\tSettings={}\n" +
+		"EOF_BATCH\n" +
+		"BEGIN_BATCH\tClock=1000\tseq=8\n" +
+		"ARRIVAL\tI=3\tHandle=a\tTierClass=unknown\tDropDead=9000\n" +
+		"STOP\tI=3\n" +
+		"EOF_BATCH\n"
+	var out bytes.Buffer
+	assert.NoError(t, serve(strings.NewReader(in), &out))
+	assert.Equal(t, "SLEEP\tI=3\tDelay=20000\tKeyBack=0\nFINISHED\tseq=7\nTURN_AWAY\tI=3\tHandle=a\nFINISHED\tseq=8\n", out.String())
+}
+
+func TestServe_NamesInstancesThatDoNotRun(t *testing.T) {
+	for _, line := range []string{"STOP\tI=3", "TIMER\tI=3"} {
+		err := serve(strings.NewReader("BEGIN_BATCH\tClock=0\tseq=7\n"+line+"\nEOF_BATCH\n"), &bytes.Buffer{})
+		assert.ErrorContains(t, err, "instance 3 does not run")
+	}
+}
