--- a/internal/assembly/quota.go
+++ b/internal/assembly/quota.go
@@ -43,7 +43,7 @@
 		file:      file,
 		estimator: waitestimate.New(),
 		settings:  settings,
-		shares:    quotashare.New(now, settings.Controllers, settings.Slot, settings.MayMessagePeers, uint64(now*1000)),
+		shares:    quotashare.New(now, settings.Controllers, settings.ControllerIndex, settings.MayMessagePeers, uint64(now*1000)),
 		cores:     map[uint32]float64{},
 		open:      map[string]*openRequest{},
 		observed:  map[string]struct{}{},
--- a/internal/clustersim/estates.go
+++ b/internal/clustersim/estates.go
@@ -292,7 +292,7 @@
 				reply(e.Batch)
 			}
 		case handoff.Propose:
-			data := consensus.Proposal(e.Proposal, e.Claim, e.Version)
+			data := consensus.Proposal(consensus.EntryKind(e.Proposal), e.Claim, e.Version)
 			for to := range s.Nodes { // whoever leads takes it up
 				s.later(k, to, func() { s.step(to, consensus.Event{Kind: consensus.ProposalReceived, Data: data}) }, nil)
 			}
--- a/internal/clustersim/zones.go
+++ b/internal/clustersim/zones.go
@@ -168,7 +168,7 @@
 	bounds.LeaseMS, bounds.StageMS, bounds.RecoveryWaitMS = simLease, simStage, simWait
 	for k := range b.Controllers {
 		own := settings
-		own.Slot = k
+		own.ControllerIndex = k
 		p.gates = append(p.gates, scheduler.New(b.Seed+uint64(k), own))
 		p.watches = append(p.watches, locality.New(fmt.Sprintf("c%03d", k), zoneName(p.zoneOf(k)), "r", bounds))
 		p.open, p.wants, p.reaches = append(p.open, map[string]*asked{}), append(p.wants, 0), append(p.reaches, nil)
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -60,8 +60,8 @@
 }
 
 // Proposal encodes an entry about placement: EntryReady, EntryClaim, EntrySettled or EntryReinitialize.
-func Proposal[Kind ~string](kind Kind, c placement.AdoptionClaim, version uint64) []byte {
-	data, _ := json.Marshal(&entry{Kind: EntryKind(kind), Name: c.Name, Incarnation: c.Incarnation, Successor: c.Successor,
+func Proposal(kind EntryKind, c placement.AdoptionClaim, version uint64) []byte {
+	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Incarnation: c.Incarnation, Successor: c.Successor,
 		SuccessorIncarnation: c.SuccessorIncarnation, Partitions: c.Partitions, Version: version})
 	return data
 }
--- a/internal/handoff/claims.go
+++ b/internal/handoff/claims.go
@@ -7,12 +7,15 @@
 	"liftshift/internal/placement"
 )
 
-// The kinds of proposals. They go to the consensus log: they do not change.
+// ProposalKind says what is to be agreed on. Its values go to the consensus log: they do not change.
+type ProposalKind string
+
+// The kinds of proposals.
 const (
-	ProposalReady        = "ready"   // this controller's replicas have all that those before them had
-	ProposalClaim        = "claim"   // this controller adopts what a lost owner left in some partitions
-	ProposalSettled      = "settled" // nothing of a claim is left to adopt
-	ProposalReinitialize = "anew"    // partitions that lost their quorum begin anew
+	ProposalReady        ProposalKind = "ready"   // this controller's replicas have all that those before them had
+	ProposalClaim        ProposalKind = "claim"   // this controller adopts what a lost owner left in some partitions
+	ProposalSettled      ProposalKind = "settled" // nothing of a claim is left to adopt
+	ProposalReinitialize ProposalKind = "anew"    // partitions that lost their quorum begin anew
 )
 
 // updateLostOwners tells copies that their owners are lost, and whether a successor has claimed them.
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -89,7 +89,7 @@
 
 // proposalKey tells proposals apart.
 type proposalKey struct {
-	kind        string
+	kind        ProposalKind
 	name        string
 	incarnation uint64
 	partitions  uint32
@@ -313,7 +313,7 @@
 }
 
 // propose asks the consensus group to agree on a change, at most once in proposalRetryMS.
-func (m *Manager) propose(kind string, claim placement.AdoptionClaim, version uint64) {
+func (m *Manager) propose(kind ProposalKind, claim placement.AdoptionClaim, version uint64) {
 	if !m.leaseHeld {
 		return
 	}
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -215,7 +215,7 @@
 	To       string
 	Batch    *Batch
 	Token    uint64
-	Proposal string // ProposalReady, ProposalClaim, ProposalSettled or ProposalReinitialize
+	Proposal ProposalKind
 	Claim    placement.AdoptionClaim
 	Version  uint64
 	Owner    string
--- a/internal/handoffnet/effects.go
+++ b/internal/handoffnet/effects.go
@@ -38,7 +38,7 @@
 	case handoff.Propose:
 		a.log.WithFields(logrus.Fields{"proposal": e.Proposal, "member": e.Claim.Name, "incarnation": e.Claim.Incarnation,
 			"partitions": e.Claim.Partitions}).Info("handoff: proposed")
-		a.node.Propose(consensus.Proposal(e.Proposal, e.Claim, e.Version))
+		a.node.Propose(consensus.Proposal(consensus.EntryKind(e.Proposal), e.Claim, e.Version))
 	case handoff.RefreshPlacement:
 		if now > a.refreshedAt+refreshMS {
 			a.refreshedAt = now
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -111,7 +111,7 @@
 	c.maxDeadline = maxDeadline
 	c.clients, err = jsonrpc.NewServer(config.Listen, classes, c.loop, c.clock, jsonrpc.Limits{
 		MaxConns:      share(config.Limits.Sockets, clientSocketShare),
-		MaxOpen:       set.MaxHeld,
+		MaxOpen:       set.MaxRequests,
 		RequestBudget: c.requestBytes,
 		OutputBudget:  c.outputBytes,
 		RetryAfterMS:  set.Scheduler.LongestRetryAfterMS(),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,7 @@
 // Settings are the platform's settings in the program's terms.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	MaxHeld        int // requests that the controller may have in hand; 0: any number
+	MaxRequests    int // requests that the controller may have in hand; 0: any number
 	Executors      ExecutorConnections
 	AdoptionBudget scheduler.RetryBudget
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Scheduler: scheduler.DefaultSettings(), MaxHeld: int(p.Bounds.MostHeld)}
+	s := &Settings{Scheduler: scheduler.DefaultSettings(), MaxRequests: int(p.Bounds.MostHeld)}
 	if err := p.deployment(&s.Scheduler); err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 // deployment sets what there is: classes, kinds and how the endpoint list and load reports come.
 func (p *platform) deployment(s *scheduler.Settings) error {
 	s.Controllers = int(number(p.Siblings, float64(s.Controllers)))
-	s.Slot = int(number(p.SlotNo, 0))
+	s.ControllerIndex = int(number(p.SlotNo, 0))
 	for k := range p.Classes {
 		c, err := p.class(k)
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,8 +35,8 @@
 	budget := scheduler.RetryBudget{WindowMS: 6, Floor: 5, Share: 0.2}
 	a, b := scheduler.DefaultKind("a"), scheduler.DefaultKind("b")
 	a.Cores, b.MemoryMB = 8, 64
-	assert.Equal(t, &Settings{MaxHeld: 9, AdoptionBudget: budget, Executors: ExecutorConnections{IdleCloseMS: 2, StreamsPerConn: 4},
-		Scheduler: scheduler.Settings{Controllers: 3, Slot: 2, SubscribesToList: true, Kinds: []scheduler.ExecutorKind{a, b},
+	assert.Equal(t, &Settings{MaxRequests: 9, AdoptionBudget: budget, Executors: ExecutorConnections{IdleCloseMS: 2, StreamsPerConn: 4},
+		Scheduler: scheduler.Settings{Controllers: 3, ControllerIndex: 2, SubscribesToList: true, Kinds: []scheduler.ExecutorKind{a, b},
 			ReportsByProbe: true, ReportNames: []string{scheduler.ReportInFlight, scheduler.ReportQueued, scheduler.ReportMemoryShare},
 			Classes: []scheduler.RequestClass{{Name: "load", Effect: scheduler.Keyed, DedupScope: scheduler.DedupCell, DedupWindowMS: 5,
 				SoftDeadlineMS: 1, SoftDeadlineStretch: 1.5, DeadlineMS: 7, LateShare: 0.1, InOrder: true, HoldsTableGroup: true,
--- a/scheduler/executors_test.go
+++ b/scheduler/executors_test.go
@@ -32,7 +32,7 @@
 
 // The share of an executor follows the counted controllers; the share of a warm-up budget stays that of the settings.
 func TestScheduler_CountedControllersSetShare(t *testing.T) {
-	s := newTestScheduler(1, func(s *Settings) { s.Controllers = 4; s.Slot = 1 })
+	s := newTestScheduler(1, func(s *Settings) { s.Controllers = 4; s.ControllerIndex = 1 })
 	assert.Equal(t, 0.25, s.trafficShare)
 	e, class := &s.executors[0], &s.classes[0]
 	class.usualWorkMS, e.warmupUntil = 100, 1e9
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -63,7 +63,7 @@
 // newSmallShareScheduler returns an instance whose share of each of n executors is far below one thread.
 func newSmallShareScheduler(n int, change func(*Settings)) *Scheduler {
 	s := newTestScheduler(n, change)
-	s.settings.Controllers, s.settings.Slot = 200, 0
+	s.settings.Controllers, s.settings.ControllerIndex = 200, 0
 	s.updateTrafficShare()
 	return s
 }
--- a/scheduler/loadexchange_test.go
+++ b/scheduler/loadexchange_test.go
@@ -8,7 +8,7 @@
 
 func TestScheduler_AggregatesLoadOfControllers(t *testing.T) {
 	aggregator, reporter := newSmallShareScheduler(3, func(s *Settings) { s.MayMessagePeers = true }), newSmallShareScheduler(3, func(s *Settings) { s.MayMessagePeers = true })
-	reporter.settings.Slot = 7
+	reporter.settings.ControllerIndex = 7
 	e := &reporter.executors[1]
 	e.threads, e.grantedMB = 8, e.memoryMB/2
 	reporter.exchangeLoad()
@@ -66,7 +66,12 @@
 // Messages between controllers fit a datagram, however many executors there are.
 func TestScheduler_LoadMessagesFitDatagram(t *testing.T) {
 	for _, n := range []int{80, 300, 508, 509, 3200} {
-		s := New(7, testSettings(func(s *Settings) { s.MayMessagePeers = true; s.Controllers = 900; s.Slot = 0; s.Classes[0].Threads = 1 }))
+		s := New(7, testSettings(func(s *Settings) {
+			s.MayMessagePeers = true
+			s.Controllers = 900
+			s.ControllerIndex = 0
+			s.Classes[0].Threads = 1
+		}))
 		s.startedAt = -1e6
 		var list []Endpoint
 		for index := range n {
--- a/scheduler/loadmessage.go
+++ b/scheduler/loadmessage.go
@@ -58,7 +58,7 @@
 func (s *Scheduler) sendToAggregators(n int) bool {
 	isAggregator := false
 	for peer := range min(n, s.settings.Controllers) {
-		if peer == s.settings.Slot {
+		if peer == s.settings.ControllerIndex {
 			isAggregator = true
 			s.receiveLoad(peer, s.loadMessage)
 			continue
@@ -124,7 +124,7 @@
 		}
 	}
 	s.emit(Action{Kind: SendPeer, Peer: -1, Payload: s.levelsMessage})
-	s.receiveLoad(s.settings.Slot, s.levelsMessage)
+	s.receiveLoad(s.settings.ControllerIndex, s.levelsMessage)
 }
 
 // decodeLoadMessage keeps a load message, or reads the levels of the executors that are listed here; it reports whether there are
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -104,7 +104,7 @@
 	}
 	group := r.tableGroup
 	if class.holdsGroup && s.sharesUnderOneThread(e) { // holders that don't know of each other keep apart
-		group += uint64(s.settings.Slot) << 32
+		group += uint64(s.settings.ControllerIndex) << 32
 	}
 	c.rank = rendezvousRank(group, e.id)
 	return c
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -76,10 +76,10 @@
 
 // Settings describe a deployment. Times are milliseconds. A limit or an ability that is not set is absent.
 type Settings struct {
-	Controllers int // that share the executors
-	Slot        int // index of this controller among them
-	Classes     []RequestClass
-	Kinds       []ExecutorKind
+	Controllers     int // that share the executors
+	ControllerIndex int // index of this controller among them
+	Classes         []RequestClass
+	Kinds           []ExecutorKind
 
 	SubscribesToList bool     // the endpoint list comes only after Subscribe
 	NotifiedWithinMS float64  // what the list has to tell counts as known after this time, received or not; 0: only once received
@@ -148,7 +148,7 @@
 			return fmt.Errorf("kind %d has no name", k)
 		}
 	}
-	if s.Slot < 0 {
+	if s.ControllerIndex < 0 {
 		return errors.New("the slot is below 0")
 	}
 	return nil
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -108,7 +108,7 @@
 	if largest <= budget/controllers {
 		return budget / controllers
 	}
-	turn := math.Mod(float64(s.settings.Slot)+float64(e.id), controllers)
+	turn := math.Mod(float64(s.settings.ControllerIndex)+float64(e.id), controllers)
 	share := 0.0
 	largePieces := max(1, min(controllers, math.Floor(budget/2/largest)))
 	piece := min(largest, maxWarmupPiece*budget)
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -55,7 +55,7 @@
 			for turn := range 5 {
 				sent, truth, count, kindsSent := 0.0, 0.0, 0.0, map[int]bool{}
 				for slot := range int(n) {
-					s := newTestScheduler(1, func(s *Settings) { s.Controllers = int(n); s.Slot = slot })
+					s := newTestScheduler(1, func(s *Settings) { s.Controllers = int(n); s.ControllerIndex = slot })
 					e := &s.executors[0]
 					e.warmupUntil, s.seed = 9000, uint64(turn)<<32+uint64(slot)
 					for k, ms := range usual {
@@ -116,7 +116,7 @@
 						if turn > 0 && slot%10 >= killed {
 							break
 						}
-						s := New(uint64(slot*3+turn+1), testSettings(func(s *Settings) { s.Controllers = n; s.Slot = slot }))
+						s := New(uint64(slot*3+turn+1), testSettings(func(s *Settings) { s.Controllers = n; s.ControllerIndex = slot }))
 						if s.startedAt = -1e6; turn > 0 {
 							s.Step(900, &Event{Kind: Started}, nil)
 						}
