--- a/internal/attribution/attribution.go
+++ b/internal/attribution/attribution.go
@@ -1,18 +1,19 @@
-// Package attribution tells whose a search is: by what the client says, by where it comes from, by offering or by schema, in the
-// order that the operators give. It is free of I/O, and keeps nothing of names that nobody configured.
+// Package attribution tells which team a request belongs to: by what the client says, by the client's address, by request class or by
+// schema, in the order that the operators give. It has no I/O, and keeps nothing of names that nobody configured.
 package attribution
 
 import (
 	"fmt"
 	"net/netip"
+	"slices"
 
 	"liftshift/internal/ipprefix"
 )
 
-// Source is a way to tell.
+// Source is what a team is told by. Its values are those of the operators' file.
 type Source string
 
-// The ways.
+// The sources.
 const (
 	Field   Source = "field"
 	Address Source = "address"
@@ -20,7 +21,7 @@
 	Schema  Source = "schema"
 )
 
-// Rules tell whose a search is. Empty ones know nobody.
+// Rules tell which team a request belongs to. The zero value knows none.
 type Rules struct {
 	Order     []Source
 	Teams     map[string]bool // those that a client may name
@@ -29,18 +30,16 @@
 	Schemas   map[string]string
 }
 
-// ParseOrder tells what is wrong with an order.
+// ParseOrder returns the sources of an order, or what is wrong with it.
 func ParseOrder(order []string) ([]Source, error) {
 	var list []Source
-	seen := map[Source]bool{}
 	for _, name := range order {
-		switch by := Source(name); by {
+		switch source := Source(name); source {
 		case Field, Address, Class, Schema:
-			if seen[by] {
+			if slices.Contains(list, source) {
 				return nil, fmt.Errorf("%q stands there twice", name)
 			}
-			seen[by] = true
-			list = append(list, by)
+			list = append(list, source)
 		default:
 			return nil, fmt.Errorf("%q is none of field, address, offering, schema", name)
 		}
@@ -48,25 +47,29 @@
 	return list, nil
 }
 
-// TeamOf gives the team of a search, or nothing: then it is the default team's.
-func (r *Rules) TeamOf(field string, from netip.Addr, offering, schema string) string {
-	for _, by := range r.Order {
-		team := ""
-		switch by {
-		case Field:
-			if r.Teams[field] {
-				team = field
-			}
-		case Address:
-			team, _ = r.Addresses.Get(from)
-		case Class:
-			team = r.Classes[offering]
-		case Schema:
-			team = r.Schemas[schema]
-		}
-		if team != "" {
+// TeamOf returns the team of a request, by the first source that knows one; empty where none does.
+func (r *Rules) TeamOf(field string, from netip.Addr, class, schema string) string {
+	for _, source := range r.Order {
+		if team := r.teamBy(source, field, from, class, schema); team != "" {
 			return team
 		}
 	}
 	return ""
 }
+
+func (r *Rules) teamBy(source Source, field string, from netip.Addr, class, schema string) string {
+	switch source {
+	case Field:
+		if r.Teams[field] {
+			return field
+		}
+	case Address:
+		team, _ := r.Addresses.Get(from)
+		return team
+	case Class:
+		return r.Classes[class]
+	case Schema:
+		return r.Schemas[schema]
+	}
+	return ""
+}
--- a/internal/ipprefix/ipprefix.go
+++ b/internal/ipprefix/ipprefix.go
@@ -1,5 +1,5 @@
-// Package ipprefix finds the longest address prefix that holds an address: a binary trie with paths pressed together, for IPv4
-// and IPv6. It knows nothing of who stands behind a prefix.
+// Package ipprefix finds the longest address prefix that contains an address: a path-compressed binary trie, for IPv4 and IPv6. It does
+// not know what a prefix stands for.
 package ipprefix
 
 import (
@@ -10,37 +10,38 @@
 // Table holds a value for each of some prefixes. Its zero value is empty and ready.
 type Table[V any] struct {
 	roots [2]*node[V] // IPv4, IPv6
-	n     int
+	count int
 }
 
-// node stands for the first length bits of key. Its children differ in the bit behind.
+// node stands for the first bits of key. Its children differ in the next bit.
 type node[V any] struct {
-	key    [16]byte
-	length int
-	set    bool
-	value  V
-	kids   [2]*node[V]
+	key      [16]byte
+	bits     int
+	set      bool
+	value    V
+	children [2]*node[V]
 }
 
-// Len tells how many prefixes there are.
-func (t *Table[V]) Len() int { return t.n }
+// Len returns the number of prefixes.
+func (t *Table[V]) Len() int { return t.count }
 
 func bit(key *[16]byte, at int) int { return int(key[at/8]>>(7-at%8)) & 1 }
 
-// shared tells how many of the first most bits two keys share.
-func shared(a, b *[16]byte, most int) int {
+// commonBits returns how many of the first limit bits two keys share.
+func commonBits(a, b *[16]byte, limit int) int {
 	for i := range a {
 		if d := a[i] ^ b[i]; d != 0 {
-			return min(most, 8*i+bits.LeadingZeros8(d))
+			return min(limit, 8*i+bits.LeadingZeros8(d))
 		}
-		if 8*(i+1) >= most {
+		if 8*(i+1) >= limit {
 			break
 		}
 	}
-	return most
+	return limit
 }
 
-func family(a netip.Addr) (root int, key [16]byte) {
+// rootAndKey returns the index of an address's root, and its bits.
+func rootAndKey(a netip.Addr) (root int, key [16]byte) {
 	a = a.Unmap()
 	if a.Is4() {
 		b := a.As4()
@@ -53,7 +54,7 @@
 // Put sets the value of a prefix.
 func (t *Table[V]) Put(p netip.Prefix, v V) {
 	p = p.Masked()
-	root, key := family(p.Addr())
+	root, key := rootAndKey(p.Addr())
 	length := p.Bits()
 	if p.Addr().Is4In6() {
 		length -= 96
@@ -62,50 +63,55 @@
 	for {
 		n := *at
 		if n == nil {
-			*at = &node[V]{key: key, length: length, set: true, value: v}
-			t.n++
+			*at = &node[V]{key: key, bits: length, set: true, value: v}
+			t.count++
 			return
 		}
-		same := shared(&key, &n.key, min(length, n.length))
+		common := commonBits(&key, &n.key, min(length, n.bits))
 		switch {
-		case same == n.length && same == length:
+		case common == n.bits && common == length:
 			if !n.set {
-				t.n++
+				t.count++
 			}
 			n.set, n.value = true, v
 			return
-		case same == n.length:
-			at = &n.kids[bit(&key, same)]
-		default: // they part within this node's path
-			up := &node[V]{key: key, length: same}
-			up.kids[bit(&n.key, same)] = n
-			*at = up
-			if same == length {
-				up.set, up.value = true, v
-			} else {
-				up.kids[bit(&key, same)] = &node[V]{key: key, length: length, set: true, value: v}
-			}
-			t.n++
+		case common == n.bits:
+			at = &n.children[bit(&key, common)]
+		default:
+			*at = split(n, common, &node[V]{key: key, bits: length, set: true, value: v})
+			t.count++
 			return
 		}
 	}
 }
 
-// Get gives the value of the longest prefix that holds an address.
+// split returns the parent of a node and a new one that shares only its first common bits; the new one itself where it has no more.
+func split[V any](n *node[V], common int, added *node[V]) *node[V] {
+	parent := added
+	if common < added.bits {
+		parent = &node[V]{key: added.key, bits: common}
+		parent.children[bit(&added.key, common)] = added
+	}
+	parent.children[bit(&n.key, common)] = n
+	return parent
+}
+
+// Get returns the value of the longest prefix that contains an address.
 func (t *Table[V]) Get(a netip.Addr) (v V, ok bool) {
 	if !a.IsValid() {
 		return v, false
 	}
-	root, key := family(a)
+	root, key := rootAndKey(a)
 	width := 32 + 96*root
-	for n := t.roots[root]; n != nil && shared(&key, &n.key, n.length) == n.length; {
+	n := t.roots[root]
+	for n != nil && commonBits(&key, &n.key, n.bits) == n.bits {
 		if n.set {
 			v, ok = n.value, true
 		}
-		if n.length == width {
+		if n.bits == width {
 			break
 		}
-		n = n.kids[bit(&key, n.length)]
+		n = n.children[bit(&key, n.bits)]
 	}
 	return v, ok
 }
--- a/internal/ipprefix/ipprefix_test.go
+++ b/internal/ipprefix/ipprefix_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// The trie finds what going through all prefixes finds.
-func TestTheLongestPrefixIsFound(t *testing.T) {
+// TestTable_FindsTheLongestPrefix compares with going through all prefixes.
+func TestTable_FindsTheLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		address := func(name string) netip.Addr {
 			b := rapid.SliceOfN(rapid.SampledFrom([]byte{0, 1, 128, 255}), 16, 16).Draw(t, name)
--- a/internal/quotashare/golden_test.go
+++ b/internal/quotashare/golden_test.go
@@ -26,16 +26,16 @@
 	return want
 }
 
-// A question for a loan and the loan are written as they always were, and what is read from them again is the loan.
-func TestGolden_PartsMessages(t *testing.T) {
-	asks, lends := New(0, 2, 0, true, 0x0123456789abcdef), New(0, 2, 1, true, 7)
-	question := asks.Tick(10000, 1, true)
+// TestGolden_ShareMessages checks that a question for a loan and the loan are written as they always were, and that the loan is read back.
+func TestGolden_ShareMessages(t *testing.T) {
+	borrower, lender := New(0, 2, 0, true, 0x0123456789abcdef), New(0, 2, 1, true, 7)
+	question := borrower.Tick(10000, 1, true)
 	require.Len(t, question, 1)
 	assert.Equal(t, -1, question[0].To)
-	lends.Tick(10000, 0.1, false)
-	given := lends.HandleMessage(10000, 0, golden(t, "ask.bin", question[0].Data))
-	require.Len(t, given, 1)
-	assert.Equal(t, 0, given[0].To)
-	asks.HandleMessage(10001, 1, golden(t, "loan.bin", given[0].Data))
-	assert.Equal(t, []float64{0.7, 0.3}, []float64{asks.Share(10001), lends.Share(10001)})
+	lender.Tick(10000, 0.1, false)
+	answer := lender.HandleMessage(10000, 0, golden(t, "ask.bin", question[0].Data))
+	require.Len(t, answer, 1)
+	assert.Equal(t, 0, answer[0].To)
+	borrower.HandleMessage(10001, 1, golden(t, "loan.bin", answer[0].Data))
+	assert.Equal(t, []float64{0.7, 0.3}, []float64{borrower.Share(10001), lender.Share(10001)})
 }
--- a/internal/quotashare/quotashare_test.go
+++ b/internal/quotashare/quotashare_test.go
@@ -9,29 +9,30 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases in every run, and no files left behind; the command line may say otherwise.
+// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-type letter struct {
+// delivery is a message on its way.
+type delivery struct {
 	at       float64
 	from, to int
 	data     []byte
 }
 
-// Messages are lost, late by seconds, doubled and out of order, controllers are cut off, die and start anew with nothing:
-// at no moment do the parts that may be used add up to more than one.
-func TestPartsAddUpToOneAtMostWhateverBecomesOfMessages(t *testing.T) {
+// TestShares_AddUpToOneAtMostWhateverBecomesOfMessages: messages are lost, late by seconds, doubled and out of order, controllers are cut off, die
+// and start anew with nothing. At no time do the shares that may be used add up to more than one.
+func TestShares_AddUpToOneAtMostWhateverBecomesOfMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "controllers")
-		list := make([]*Shares, n)
+		controllers := make([]*Shares, n)
 		now := 1000.0
-		for k := range list {
-			list[k] = New(now, n, k, true, uint64(k)*977)
+		for k := range controllers {
+			controllers[k] = New(now, n, k, true, uint64(k)*977)
 		}
-		var post []letter
+		var inTransit []delivery
 		send := func(from int, out []Message) {
 			for _, m := range out {
 				for to := range n {
@@ -39,7 +40,7 @@
 						continue
 					}
 					for range rapid.IntRange(1, 2).Draw(t, "copies") {
-						post = append(post, letter{now + rapid.SampledFrom([]float64{1, 30, 900, 2500, 5000}).Draw(t, "late"), from, to, m.Data})
+						inTransit = append(inTransit, delivery{now + rapid.SampledFrom([]float64{1, 30, 900, 2500, 5000}).Draw(t, "late"), from, to, m.Data})
 					}
 				}
 			}
@@ -47,24 +48,25 @@
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{1, 100, 250, 1500}).Draw(t, "gap")
 			k := rapid.IntRange(0, n-1).Draw(t, "who")
-			if list[k] != nil {
-				send(k, list[k].Tick(now, rapid.Float64Range(0, 1.2).Draw(t, "used"), rapid.Bool().Draw(t, "waits")))
+			if controllers[k] != nil {
+				send(k, controllers[k].Tick(now, rapid.Float64Range(0, 1.2).Draw(t, "used"), rapid.Bool().Draw(t, "waits")))
 			}
-			slices.SortStableFunc(post, func(a, b letter) int { return int(a.at - b.at) })
-			for len(post) > 0 && post[0].at <= now {
-				l := post[0]
-				if post = post[1:]; list[l.to] != nil {
-					send(l.to, list[l.to].HandleMessage(now, l.from, l.data))
+			slices.SortStableFunc(inTransit, func(a, b delivery) int { return int(a.at - b.at) })
+			for len(inTransit) > 0 && inTransit[0].at <= now {
+				d := inTransit[0]
+				inTransit = inTransit[1:]
+				if controllers[d.to] != nil {
+					send(d.to, controllers[d.to].HandleMessage(now, d.from, d.data))
 				}
 			}
 			switch {
-			case rapid.IntRange(0, 15).Draw(t, "dies") == 0 && list[k] != nil:
-				list[k] = nil
-			case list[k] == nil:
-				list[k] = New(now, n, k, true, uint64(now)*31+uint64(k))
+			case rapid.IntRange(0, 15).Draw(t, "dies") == 0 && controllers[k] != nil:
+				controllers[k] = nil
+			case controllers[k] == nil:
+				controllers[k] = New(now, n, k, true, uint64(now)*31+uint64(k))
 			}
 			sum := 0.0
-			for _, p := range list {
+			for _, p := range controllers {
 				if p != nil {
 					sum += p.Share(now)
 				}
@@ -74,8 +76,9 @@
 	})
 }
 
-// Who waits at a ceiling gets what another has to spare, keeps it as long as it asks, and gives it back.
-func TestWhatIsToSpareIsLentAndComesBack(t *testing.T) {
+// TestShares_LendsWhatIsSpareAndTakesItBack: a controller with a team at its ceiling gets what another has to spare, keeps it as long as it asks,
+// and gives it back.
+func TestShares_LendsWhatIsSpareAndTakesItBack(t *testing.T) {
 	a, b := New(-5000, 2, 0, true, 1), New(-5000, 2, 1, true, 2)
 	for now := 0.0; now < 10_000; now += 100 {
 		b.Tick(now, 0.1, false)
@@ -93,8 +96,8 @@
 	assert.InDelta(t, 0.5, b.Share(12_500), 1e-9)
 	assert.InDelta(t, 0.5, a.Share(12_500), 1e-9)
 	alone := New(0, 2, 0, false, 1)
-	assert.Empty(t, alone.Tick(0, 1, true), "where messages are not allowed, parts are fixed")
+	assert.Empty(t, alone.Tick(0, 1, true), "where messages are not allowed, shares are fixed")
 	assert.Equal(t, 0.5, alone.Share(0))
 	assert.Empty(t, a.HandleMessage(0, 1, []byte{Tag}))
-	assert.Empty(t, a.HandleMessage(0, 7, make([]byte, askLen)))
+	assert.Empty(t, a.HandleMessage(0, 7, make([]byte, askBytes)))
 }
--- a/internal/waitestimate/waitestimate.go
+++ b/internal/waitestimate/waitestimate.go
@@ -1,214 +1,149 @@
-// Package waitestimate estimates how long a search will wait: until its first shot, and until its end. It is free of I/O, clock
-// and goroutines. An estimate is a quantile of what was seen lately, against the work that was ahead, and is made longer or shorter
-// as it is found to be wrong, so that nine in ten waits stay within what was told. What can't be told is unknown.
+// Package waitestimate estimates how long a request will wait: until its first attempt, and until its end. It has no I/O, clock or
+// goroutine. An estimate is a quantile of what was seen lately, relative to the work that was ahead, and is corrected as it is found
+// to be wrong, so that nine in ten waits stay within it. Where too little was seen, there is none.
 package waitestimate
 
-import (
-	"math"
-
-	"github.com/DataDog/sketches-go/ddsketch"
-)
+import "math"
 
 const (
-	within   = 0.93  // of the waits are to stay within what is told: a little more than nine in ten
-	accuracy = 0.02  // of a sketch's quantiles
-	bins     = 256   // of a sketch: 2% apart they reach over a factor of 150
-	windowMS = 15000 // ms of a sketch; two are asked, the running one and the one before
-	least    = 12    // waits seen until any can be told
-	judged   = 25    // waits told under one correction until it is judged: those told before it say nothing of it
-	tooFew   = 0.92  // share of them within what was told below which it lengthens
-	tooMany  = 0.97  // and past which it shortens
-	longer   = 1.12  // by so much
-	shorter  = 0.985 // far less: what is too long errs on the honest side
-	spare    = 1.05  // what a sketch's accuracy, twice, and its binning take
-	mostOff  = 8     // times that the correction lengthens at most
-	leastOff = 0.5   // and shortens
-	floorMS  = 5     // ms below which a wait is none: what a message takes
-	changes  = 0.3   // part by which a figure must have changed to be told again
+	coverage        = 0.93 // of the waits are to stay within their estimate: a little more than nine in ten
+	sketchMargin    = 1.05 // for the accuracy of a sketch, twice, and its binning
+	minWaitMS       = 5    // what a message takes
+	quantileReadMS  = 250  // between readings of the quantiles, which move slowly and are costly to read
+	changeShare     = 0.3  // by which an estimate must have changed to be sent again
+	minChangeBaseMS = 100  // of which that share is taken at least
 )
 
-// sketch is a window of values: the running one, and the one before it.
-type sketch struct {
-	now, before *ddsketch.DDSketch
-	began       float64
-}
-
-func fresh() *ddsketch.DDSketch {
-	s, err := ddsketch.LogCollapsingLowestDenseDDSketch(accuracy, bins)
-	if err != nil {
-		return nil // of constants alone
-	}
-	return s
-}
-
-func (s *sketch) add(now, value float64) {
-	switch {
-	case s.now == nil || now-s.began > 2*windowMS:
-		s.now, s.before, s.began = fresh(), fresh(), now
-	case now-s.began > windowMS:
-		s.now, s.before, s.began = s.before, s.now, now
-		s.now.Clear()
-	}
-	_ = s.now.Add(value)
-}
-
-// at gives a quantile of both windows; false where too little was seen.
-func (s *sketch) at(q float64) (float64, bool) {
-	if s.now == nil || s.now.GetCount()+s.before.GetCount() < least {
-		return 0, false
-	}
-	all := s.now
-	if s.before.GetCount() > 0 {
-		all = s.now.Copy()
-		if all.MergeWith(s.before) != nil {
-			return 0, false
-		}
-	}
-	v, err := all.GetValueAtQuantile(q)
-	return v, err == nil
-}
-
-// kind is what is known of the waits of one team and offering.
-type kind struct {
-	start, end           sketch // waits against the reckoned ones
-	startFix, endFix     fix
-	told, kept           uint64
-	startTold, startKept uint64
-	quantile, endQuant   float64 // as last read
-	readAt               float64
-	known                bool
-}
-
-// fix is a correction, and what is seen of figures told under it.
-type fix struct {
-	off       float64
-	epoch     uint32
-	n, within int
+// history is what was seen of the waits of one team and request class.
+type history struct {
+	starts, ends                   window // waits over their base
+	startCorrection, endCorrection correction
+	startsEstimated, startsWithin  uint64
+	endsEstimated, endsWithin      uint64
+	startQuantile, endQuantile     float64 // as last read
+	readAt                         float64
+	known                          bool
 }
 
-// hear takes in how a figure told in an epoch held.
-func (f *fix) hear(epoch uint32, over bool) {
-	if epoch != f.epoch {
+// readQuantiles reads the quantiles anew where it is time for that.
+func (h *history) readQuantiles(now float64) {
+	if now-h.readAt <= quantileReadMS && h.known {
 		return
 	}
-	if f.n++; !over {
-		f.within++
-	}
-	if f.n < judged {
-		return
-	}
-	switch share := float64(f.within) / float64(f.n); {
-	case share < tooFew:
-		f.off = min(mostOff, f.off*longer)
-	case share > tooMany:
-		f.off = max(leastOff, f.off*shorter)
-	}
-	f.epoch, f.n, f.within = f.epoch+1, 0, 0
+	var startKnown, endKnown bool
+	h.startQuantile, startKnown = h.starts.quantile(coverage)
+	h.endQuantile, endKnown = h.ends.quantile(coverage)
+	h.known = startKnown && endKnown
+	h.readAt = now
 }
 
-// Backlog is what is ahead of a search when it comes.
+// Backlog is what is ahead of a request when it arrives.
 type Backlog struct {
 	AheadMS float64 // work ahead of it, ms of one thread
 	Threads float64 // that do it for its team
-	RunMS   float64 // that it will take itself
+	RunMS   float64 // that it will run itself
 }
 
-// reckon is the plain figure: the work ahead over the threads that do it.
-func (l Backlog) reckon() float64 { return l.AheadMS/max(0.1, l.Threads) + floorMS }
+// waitMS is the plain wait: the work ahead over the threads that do it.
+func (b Backlog) waitMS() float64 { return b.AheadMS/max(0.1, b.Threads) + minWaitMS }
 
-// Estimate is a figure that was given. The zero value is: nothing could be told.
+// Estimate is an estimate that was made. The zero value is that there is none.
 type Estimate struct {
-	Known          bool
-	At             float64
-	StartMS, EndMS float64 // from At on
-	reckoned       float64
-	run            float64
-	starts, ends   uint32 // epochs of the corrections
+	Known                bool
+	At                   float64
+	StartMS, EndMS       float64 // from At on
+	baseMS               float64 // the plain wait
+	runMS                float64
+	startEpoch, endEpoch uint32 // of the corrections
 }
 
-// Estimator keeps what was seen, by team and offering. Teams are bounded by who configures them.
+// historyKey names a history.
+type historyKey struct{ team, class string }
+
+// Estimator keeps what was seen, by team and request class. Teams are bounded by who configures them.
 type Estimator struct {
-	kinds map[[2]string]*kind
+	histories map[historyKey]*history
 }
 
-// New gives an empty book.
-func New() *Estimator { return &Estimator{kinds: map[[2]string]*kind{}} }
+// New returns an estimator that has seen nothing.
+func New() *Estimator { return &Estimator{histories: map[historyKey]*history{}} }
 
-func (b *Estimator) kind(team, offering string) *kind {
-	k := b.kinds[[2]string{team, offering}]
-	if k == nil {
-		k = &kind{startFix: fix{off: 1}, endFix: fix{off: 1}}
-		b.kinds[[2]string{team, offering}] = k
+func (e *Estimator) history(team, class string) *history {
+	h := e.histories[historyKey{team, class}]
+	if h == nil {
+		h = &history{startCorrection: correction{factor: 1}, endCorrection: correction{factor: 1}}
+		e.histories[historyKey{team, class}] = h
 	}
-	return k
+	return h
 }
 
-// Estimate gives the figures for a search that comes, or that still waits.
-func (b *Estimator) Estimate(now float64, team, offering string, line Backlog) Estimate {
-	k := b.kind(team, offering)
-	t := Estimate{At: now, reckoned: line.reckon(), run: max(1, line.RunMS), starts: k.startFix.epoch, ends: k.endFix.epoch}
-	if now-k.readAt > 250 || !k.known { // quantiles move slowly, and reading them is the dear part
-		var a, z bool
-		k.quantile, a = k.start.at(within)
-		k.endQuant, z = k.end.at(within)
-		k.known, k.readAt = a && z, now
+// Estimate returns the estimate for a request that arrives, or that still waits.
+func (e *Estimator) Estimate(now float64, team, class string, backlog Backlog) Estimate {
+	h := e.history(team, class)
+	estimate := Estimate{At: now, baseMS: backlog.waitMS(), runMS: max(1, backlog.RunMS), startEpoch: h.startCorrection.epoch,
+		endEpoch: h.endCorrection.epoch}
+	h.readQuantiles(now)
+	if !h.known {
+		return estimate
 	}
-	if !k.known {
-		return t
+	estimate.Known = true
+	estimate.StartMS = estimate.baseMS * h.startQuantile * sketchMargin * h.startCorrection.factor
+	estimate.EndMS = max(estimate.StartMS, (estimate.baseMS+estimate.runMS)*h.endQuantile*sketchMargin*h.endCorrection.factor)
+	return estimate
+}
+
+// Started takes in that the first attempt of a request was sent, which got an estimate on its arrival.
+func (e *Estimator) Started(now float64, team, class string, estimate Estimate) {
+	h := e.history(team, class)
+	took := max(minWaitMS, now-estimate.At)
+	h.starts.add(now, took/estimate.baseMS)
+	if !estimate.Known {
+		return
 	}
-	t.Known = true
-	t.StartMS = t.reckoned * k.quantile * spare * k.startFix.off
-	t.EndMS = max(t.StartMS, (t.reckoned+t.run)*k.endQuant*spare*k.endFix.off)
-	return t
-}
-
-// Started hears that the first shot has left, of a search that was told this on taking.
-func (b *Estimator) Started(now float64, team, offering string, t Estimate) {
-	k := b.kind(team, offering)
-	took := max(floorMS, now-t.At)
-	k.start.add(now, took/t.reckoned)
-	if t.Known {
-		k.startTold++
-		if took <= max(t.StartMS, floorMS) {
-			k.startKept++
-		}
-		k.startFix.hear(t.starts, took > max(t.StartMS, floorMS))
+	exceeded := took > max(estimate.StartMS, minWaitMS)
+	h.startsEstimated++
+	if !exceeded {
+		h.startsWithin++
 	}
+	h.startCorrection.observe(estimate.startEpoch, exceeded)
 }
 
-// Ended hears that it was handled.
-func (b *Estimator) Ended(now float64, team, offering string, t Estimate) {
-	k := b.kind(team, offering)
-	took := max(floorMS, now-t.At)
-	k.end.add(now, took/(t.reckoned+t.run))
-	if t.Known {
-		k.told++
-		if took <= t.EndMS {
-			k.kept++
-		}
-		k.endFix.hear(t.ends, took > t.EndMS)
+// Ended takes in that a request succeeded.
+func (e *Estimator) Ended(now float64, team, class string, estimate Estimate) {
+	h := e.history(team, class)
+	took := max(minWaitMS, now-estimate.At)
+	h.ends.add(now, took/(estimate.baseMS+estimate.runMS))
+	if !estimate.Known {
+		return
+	}
+	exceeded := took > estimate.EndMS
+	h.endsEstimated++
+	if !exceeded {
+		h.endsWithin++
 	}
+	h.endCorrection.observe(estimate.endEpoch, exceeded)
 }
 
-// Changed tells whether a figure is worth telling again: it has changed much, against what the client now believes.
+// Changed tells whether an estimate is worth sending again: it differs much from what the client now believes.
 func Changed(before, now Estimate) bool {
 	if before.Known != now.Known {
 		return true
 	}
 	left := before.StartMS - (now.At - before.At)
-	return now.Known && math.Abs(now.StartMS-left) > changes*max(left, now.StartMS, 100)
+	return now.Known && math.Abs(now.StartMS-left) > changeShare*max(left, now.StartMS, minChangeBaseMS)
 }
 
-// Accuracy is how many of the figures told were kept, for a team and offering.
+// Accuracy is how many waits stayed within their estimates, for a team and request class.
 type Accuracy struct {
 	Team, Class                            string
 	Starts, StartsWithin, Ends, EndsWithin uint64
 }
 
-// Accuracy gives these for all that were seen, in no order.
-func (b *Estimator) Accuracy() (list []Accuracy) {
-	for name, k := range b.kinds {
-		list = append(list, Accuracy{name[0], name[1], k.startTold, k.startKept, k.told, k.kept})
+// Accuracy returns these for all that were seen, in no order.
+func (e *Estimator) Accuracy() (list []Accuracy) {
+	for key, h := range e.histories {
+		list = append(list, Accuracy{Team: key.team, Class: key.class, Starts: h.startsEstimated, StartsWithin: h.startsWithin, Ends: h.endsEstimated,
+			EndsWithin: h.endsWithin})
 	}
 	return list
 }
