--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -75,25 +75,27 @@
 // TestGolden_LedgerRecords checks that each kind of record, and a request in each state, is written as it always was and read back.
 func TestGolden_LedgerRecords(t *testing.T) {
 	for _, r := range goldenRecords() {
-		l := New(testSettings())
-		l.now = goldenNow
-		r.write(l)
-		e := l.effects[0]
-		require.Equal(t, Persist, e.Kind, r.name)
-		assert.Equal(t, r.key, e.Key, r.name)
-		text := golden(t, r.name+".txt", fmt.Appendf(nil, "key %x\nexpires %d\nvalue %x\n", e.Key[:], e.Expires, e.Value))
-		var key, value string
-		var expires int64
-		_, err := fmt.Sscanf(string(text), "key %s\nexpires %d\nvalue %s\n", &key, &expires, &value)
-		require.NoError(t, err, r.name)
-		ev := Event{Kind: RecordRead, Expires: expires}
-		_, err = hex.Decode(ev.Key[:], []byte(key))
-		require.NoError(t, err, r.name)
-		ev.Value, err = hex.DecodeString(value)
-		require.NoError(t, err, r.name)
-		l = New(testSettings())
-		l.Step(0, &ev)
-		assert.Equal(t, r.want, r.read(l), r.name)
-		assert.Equal(t, goldenNow, l.now, r.name)
+		t.Run(r.name, func(t *testing.T) {
+			l := New(testSettings())
+			l.now = goldenNow
+			r.write(l)
+			e := l.effects[0]
+			require.Equal(t, Persist, e.Kind, r.name)
+			assert.Equal(t, r.key, e.Key, r.name)
+			text := golden(t, r.name+".txt", fmt.Appendf(nil, "key %x\nexpires %d\nvalue %x\n", e.Key[:], e.Expires, e.Value))
+			var key, value string
+			var expires int64
+			_, err := fmt.Sscanf(string(text), "key %s\nexpires %d\nvalue %s\n", &key, &expires, &value)
+			require.NoError(t, err, r.name)
+			ev := Event{Kind: RecordRead, Expires: expires}
+			_, err = hex.Decode(ev.Key[:], []byte(key))
+			require.NoError(t, err, r.name)
+			ev.Value, err = hex.DecodeString(value)
+			require.NoError(t, err, r.name)
+			l = New(testSettings())
+			l.Step(0, &ev)
+			assert.Equal(t, r.want, r.read(l), r.name)
+			assert.Equal(t, goldenNow, l.now, r.name)
+		})
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -26,31 +26,33 @@
 		{"once", "s", Failed, Unknown}, {"once", "sn", Rejected, Unknown}, {"look", "", Failed, Unknown},
 		{"look", "s", Failed, Unknown}, {"look", "sh", Succeeded, Unknown}, {"look", "d", Rejected, Unknown},
 	} {
-		l := newTestLedger(1000)
-		key := map[bool]string{true: "m"}[c.class == "mark"]
-		require.Equal(t, Admit, l.receive(1000, c.class, "a", key).Kind)
-		attempt := -1
-		for _, step := range c.steps {
-			switch step {
-			case 's':
-				attempt++
-				require.True(t, l.startAttempt(1010, "a", attempt, 1))
-			case 'n', 'f':
-				l.play(1020, Event{Kind: AttemptEnded, ID: "a", Attempt: attempt, NeverRan: step == 'n'})
-			default:
-				as := map[rune]Outcome{'h': Succeeded, 'd': Rejected, 'w': Failed, 'l': Abandoned}[step]
-				l.play(1030, Event{Kind: RequestClosed, ID: "a", Outcome: as, Body: []byte("rows")})
+		t.Run(c.class+" "+c.steps, func(t *testing.T) {
+			l := newTestLedger(1000)
+			key := map[bool]string{true: "m"}[c.class == "mark"]
+			require.Equal(t, Admit, l.receive(1000, c.class, "a", key).Kind)
+			attempt := -1
+			for _, step := range c.steps {
+				switch step {
+				case 's':
+					attempt++
+					require.True(t, l.startAttempt(1010, "a", attempt, 1))
+				case 'n', 'f':
+					l.play(1020, Event{Kind: AttemptEnded, ID: "a", Attempt: attempt, NeverRan: step == 'n'})
+				default:
+					as := map[rune]Outcome{'h': Succeeded, 'd': Rejected, 'w': Failed, 'l': Abandoned}[step]
+					l.play(1030, Event{Kind: RequestClosed, ID: "a", Outcome: as, Body: []byte("rows")})
+				}
 			}
-		}
-		after := startLedger(l.disk, 2000, clocksAt(2000), false)
-		id, ofKey := after.outcomes(2000, "a", "m")
-		assert.Equal(t, []Outcome{c.id, c.key}, []Outcome{id, ofKey}, "%s %s", c.class, c.steps)
-		again := startLedger(l.disk, 3000, clocksAt(3000), false) // and it stays so
-		id2, _ := again.outcomes(3000, "a", "m")
-		assert.Equal(t, id, id2, "%s %s", c.class, c.steps)
-		if id != Unknown {
-			assert.Equal(t, AnswerFromRecord, again.receive(3000, c.class, "a", key).Kind, "an id never runs a second time")
-		}
+			after := startLedger(l.disk, 2000, clocksAt(2000), false)
+			id, ofKey := after.outcomes(2000, "a", "m")
+			assert.Equal(t, []Outcome{c.id, c.key}, []Outcome{id, ofKey}, "%s %s", c.class, c.steps)
+			again := startLedger(l.disk, 3000, clocksAt(3000), false) // and it stays so
+			id2, _ := again.outcomes(3000, "a", "m")
+			assert.Equal(t, id, id2, "%s %s", c.class, c.steps)
+			if id != Unknown {
+				assert.Equal(t, AnswerFromRecord, again.receive(3000, c.class, "a", key).Kind, "an id never runs a second time")
+			}
+		})
 	}
 }
 
@@ -87,25 +89,27 @@
 		{"the same past the window", at(2, "long enough"), 21002, AnswerFromRecord, Succeeded, false},
 	} {
 		for _, crash := range []bool{false, true} {
-			l := &testLedger{Ledger: c.l.Ledger, disk: c.l.disk}
-			if crash {
-				d := &memoryDisk{records: map[Key]Effect{}}
-				for k, e := range c.l.disk.records {
-					d.records[k] = e
+			t.Run(fmt.Sprintf("%s, crash %v", c.what, crash), func(t *testing.T) {
+				l := &testLedger{Ledger: c.l.Ledger, disk: c.l.disk}
+				if crash {
+					d := &memoryDisk{records: map[Key]Effect{}}
+					for k, e := range c.l.disk.records {
+						d.records[k] = e
+					}
+					l = startLedger(d, c.after-1, clocksAt(c.after-1), false)
+					l.updateEndpoints(c.after-1, 1)
 				}
-				l = startLedger(d, c.after-1, clocksAt(c.after-1), false)
-				l.updateEndpoints(c.after-1, 1)
-			}
-			e := l.receive(c.after, "mark", fmt.Sprint("b", crash), "m")
-			assert.Equal(t, c.want, e.Kind, "%s, crash %v", c.what, crash)
-			assert.Equal(t, c.prior, e.Prior.At != 0, "%s, crash %v", c.what, crash)
-			if c.prior {
-				assert.Equal(t, "there", e.Prior.Zone, c.what)
-				assert.InDelta(t, 1000, e.Prior.At, 1.5, c.what)
-			}
-			if c.want == AnswerFromRecord {
-				assert.Equal(t, c.out, e.Outcome, c.what)
-			}
+				e := l.receive(c.after, "mark", fmt.Sprint("b", crash), "m")
+				assert.Equal(t, c.want, e.Kind, "%s, crash %v", c.what, crash)
+				assert.Equal(t, c.prior, e.Prior.At != 0, "%s, crash %v", c.what, crash)
+				if c.prior {
+					assert.Equal(t, "there", e.Prior.Zone, c.what)
+					assert.InDelta(t, 1000, e.Prior.At, 1.5, c.what)
+				}
+				if c.want == AnswerFromRecord {
+					assert.Equal(t, c.out, e.Outcome, c.what)
+				}
+			})
 		}
 	}
 }
@@ -126,22 +130,24 @@
 		{"the machine was started anew: nobody knows how long it took", Clocks{WallMS: 1e12 + 2000, UpMS: 50, Boot: "c"}, 2000, false},
 		{"no clock of the machine", Clocks{WallMS: 1e12 + 2000}, 2000, false},
 	} {
-		l := newTestLedger(1000)
-		l.updateEndpoints(1000, 1)
-		l.receive(1000, "mark", "a", "m")
-		l.startAttempt(1000, "a", 0, 1)
-		after := startLedger(l.disk, c.now, c.clocks, false)
-		after.updateEndpoints(c.now, 1)
-		e := after.receive(c.now+1, "mark", "b", "m")
-		assert.Equal(t, c.again, e.Kind == Admit && e.Prior.At != 0, c.what)
-		if !c.again {
-			assert.Equal(t, AnswerFromRecord, e.Kind, c.what)
-			assert.Equal(t, Failed, e.Outcome, c.what)
-		}
-		for step := 1; step <= 3; step++ { // after more restarts it is still no new key
-			after = startLedger(l.disk, c.now+float64(step), Clocks{}, false)
-			assert.Equal(t, AnswerFromRecord, after.receive(c.now+float64(step), "mark", fmt.Sprint("c", step), "m").Kind, c.what)
-		}
+		t.Run(c.what, func(t *testing.T) {
+			l := newTestLedger(1000)
+			l.updateEndpoints(1000, 1)
+			l.receive(1000, "mark", "a", "m")
+			l.startAttempt(1000, "a", 0, 1)
+			after := startLedger(l.disk, c.now, c.clocks, false)
+			after.updateEndpoints(c.now, 1)
+			e := after.receive(c.now+1, "mark", "b", "m")
+			assert.Equal(t, c.again, e.Kind == Admit && e.Prior.At != 0, c.what)
+			if !c.again {
+				assert.Equal(t, AnswerFromRecord, e.Kind, c.what)
+				assert.Equal(t, Failed, e.Outcome, c.what)
+			}
+			for step := 1; step <= 3; step++ { // after more restarts it is still no new key
+				after = startLedger(l.disk, c.now+float64(step), Clocks{}, false)
+				assert.Equal(t, AnswerFromRecord, after.receive(c.now+float64(step), "mark", fmt.Sprint("c", step), "m").Kind, c.what)
+			}
+		})
 	}
 }
 
@@ -165,39 +171,41 @@
 // requests go on, and all is as before once a trial write is durable.
 func TestLedger_ShedsDurableWorkWhileTheDiskFails(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		l := newTestLedger(1000)
-		l.receive(1000, "mark", "a", "m")
-		held := l.play(1000, Event{Kind: AttemptStarting, ID: "a", Executor: 1})
-		require.Equal(t, HoldAttempt, held[0].Kind)
-		var e []Effect
-		if slow {
-			e = l.play(1000+maxHoldMS+1, Event{Kind: Ticked})
-		} else {
-			e = l.play(1010, Event{Kind: RecordsStored, Token: held[0].Token})
-		}
-		require.Len(t, e, 1)
-		assert.Equal(t, []any{FailAttempt, "a", 0}, []any{e[0].Kind, e[0].ID, e[0].Attempt})
-		l.play(1350, Event{Kind: AttemptEnded, ID: "a", NeverRan: true})
-		l.play(1350, Event{Kind: RequestClosed, ID: "a", Outcome: Rejected})
-		assert.Equal(t, AdmitBlocked, l.receive(1350, "mark", "b", "m2").Kind)
-		assert.Equal(t, AdmitBlocked, l.receive(1350, "once", "c", "").Kind)
-		assert.Equal(t, Admit, l.receive(1350, "look", "d", "").Kind)
-		assert.True(t, l.Counts().DiskFailing)
-		if slow {
-			assert.Empty(t, l.play(1360, Event{Kind: RecordsStored, Token: held[0].Token, OK: true}), "too late: the attempt has failed")
-		} else {
-			token := l.lastToken
-			l.play(1700, Event{Kind: Ticked})
-			require.Equal(t, token+1, l.lastToken, "a trial write")
-			l.play(1710, Event{Kind: RecordsStored, Token: l.lastToken})
+		t.Run(fmt.Sprintf("slow %v", slow), func(t *testing.T) {
+			l := newTestLedger(1000)
+			l.receive(1000, "mark", "a", "m")
+			held := l.play(1000, Event{Kind: AttemptStarting, ID: "a", Executor: 1})
+			require.Equal(t, HoldAttempt, held[0].Kind)
+			var e []Effect
+			if slow {
+				e = l.play(1000+maxHoldMS+1, Event{Kind: Ticked})
+			} else {
+				e = l.play(1010, Event{Kind: RecordsStored, Token: held[0].Token})
+			}
+			require.Len(t, e, 1)
+			assert.Equal(t, []any{FailAttempt, "a", 0}, []any{e[0].Kind, e[0].ID, e[0].Attempt})
+			l.play(1350, Event{Kind: AttemptEnded, ID: "a", NeverRan: true})
+			l.play(1350, Event{Kind: RequestClosed, ID: "a", Outcome: Rejected})
+			assert.Equal(t, AdmitBlocked, l.receive(1350, "mark", "b", "m2").Kind)
+			assert.Equal(t, AdmitBlocked, l.receive(1350, "once", "c", "").Kind)
+			assert.Equal(t, Admit, l.receive(1350, "look", "d", "").Kind)
 			assert.True(t, l.Counts().DiskFailing)
-			l.play(2200, Event{Kind: Ticked})
-			l.play(2210, Event{Kind: RecordsStored, Token: l.lastToken, OK: true})
-		}
-		assert.False(t, l.Counts().DiskFailing)
-		e2 := l.receive(2300, "mark", "e", "m")
-		assert.Equal(t, Admit, e2.Kind)
-		assert.Zero(t, e2.Prior.At, "it never ran")
+			if slow {
+				assert.Empty(t, l.play(1360, Event{Kind: RecordsStored, Token: held[0].Token, OK: true}), "too late: the attempt has failed")
+			} else {
+				token := l.lastToken
+				l.play(1700, Event{Kind: Ticked})
+				require.Equal(t, token+1, l.lastToken, "a trial write")
+				l.play(1710, Event{Kind: RecordsStored, Token: l.lastToken})
+				assert.True(t, l.Counts().DiskFailing)
+				l.play(2200, Event{Kind: Ticked})
+				l.play(2210, Event{Kind: RecordsStored, Token: l.lastToken, OK: true})
+			}
+			assert.False(t, l.Counts().DiskFailing)
+			e2 := l.receive(2300, "mark", "e", "m")
+			assert.Equal(t, Admit, e2.Kind)
+			assert.Zero(t, e2.Prior.At, "it never ran")
+		})
 	}
 }
 
@@ -323,7 +331,7 @@
 				l.updateEndpoints(now, 1)
 				for _, id := range open {
 					a, _ := l.outcomes(now, id, "")
-					assert.NotContains(t, []Outcome{Unknown, Open}, a, "an open search has its outcome")
+					assert.NotContains(t, []Outcome{Unknown, Open}, a, "an open request has its outcome")
 				}
 				open = nil
 			case 1:
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -104,70 +104,72 @@
 // found in it: each record in its order, what is said of the tail, and what a controller makes of it.
 func TestGolden_StoreFolders(t *testing.T) {
 	for _, folder := range []string{"clean", "torn"} {
-		disk := goldenFolder(t, folder == "clean")
-		if *update {
-			require.NoError(t, os.RemoveAll(filepath.Join("testdata", "golden", folder)))
-		}
-		names, err := disk.List()
-		require.NoError(t, err)
-		var written []string
-		for _, name := range names {
-			if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
-				written = append(written, name)
-				golden(t, filepath.Join(folder, name), disk.Bytes(name))
+		t.Run(folder, func(t *testing.T) {
+			disk := goldenFolder(t, folder == "clean")
+			if *update {
+				require.NoError(t, os.RemoveAll(filepath.Join("testdata", "golden", folder)))
 			}
-		}
-		there, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
-		require.NoError(t, err)
-		assert.Len(t, there, len(written), folder)
+			names, err := disk.List()
+			require.NoError(t, err)
+			var written []string
+			for _, name := range names {
+				if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
+					written = append(written, name)
+					golden(t, filepath.Join(folder, name), disk.Bytes(name))
+				}
+			}
+			there, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
+			require.NoError(t, err)
+			assert.Len(t, there, len(written), folder)
 
-		var text strings.Builder
-		kinds := map[string]bool{}
-		s, found, err := store.Open(goldenCopy(t, folder), testOptions, func(k store.Key, expires int64, value []byte) {
-			fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
-			kind, _, _ := ledger.DescribeRecord(value)
-			kinds[kind] = true
-		})
-		require.NoError(t, err, folder)
-		require.NoError(t, s.Close())
-		fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.InDoubt,
-			found.Reason, found.Removed, found.Created, found.Snapshot)
-		golden(t, folder+".txt", []byte(text.String()))
-		assert.Equal(t, folder == "torn", found.InDoubt)
-		for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
-			assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
-		}
+			var text strings.Builder
+			kinds := map[string]bool{}
+			s, found, err := store.Open(goldenCopy(t, folder), testOptions, func(k store.Key, expires int64, value []byte) {
+				fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
+				kind, _, _ := ledger.DescribeRecord(value)
+				kinds[kind] = true
+			})
+			require.NoError(t, err, folder)
+			require.NoError(t, s.Close())
+			fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.InDoubt,
+				found.Reason, found.Removed, found.Created, found.Snapshot)
+			golden(t, folder+".txt", []byte(text.String()))
+			assert.Equal(t, folder == "torn", found.InDoubt)
+			for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
+				assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
+			}
 
-		const now = 30000
-		again := goldenCopy(t, folder)
-		k, _, err := OpenAt(again, testOptions, goldenSettings(), func() float64 { return now }, clocksAt(now), func(ledger.Event) {}, quietLogger())
-		require.NoError(t, err, folder)
-		var answers strings.Builder
-		for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
-			for _, round := range []string{"-1", "-2"} {
-				e := k.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
-				fmt.Fprintf(&answers, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
+			const now = 30000
+			again := goldenCopy(t, folder)
+			k, _, err := OpenAt(again, testOptions, goldenSettings(), func() float64 { return now }, clocksAt(now), func(ledger.Event) {}, quietLogger())
+			require.NoError(t, err, folder)
+			var answers strings.Builder
+			for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
+				for _, round := range []string{"-1", "-2"} {
+					e := k.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
+					fmt.Fprintf(&answers, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
+				}
 			}
-		}
-		for _, n := range k.OperatorNotes() {
-			fmt.Fprintf(&answers, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
-		}
-		restored := k.RestoredEvents()
-		for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"},
-			{Executor: 2, Zone: "there"}}}) {
-			restored = append(restored, e.SchedulerEvent)
-		}
-		for _, ev := range restored {
-			fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
-		}
-		golden(t, folder+"-told.txt", []byte(answers.String()))
-		require.NoError(t, k.store.Close())
-		next, err := again.Open("0000000000000003.log") // what this incarnation wrote; its header tells of the doubt
-		require.NoError(t, err)
-		data := make([]byte, testOptions.SegmentBytes)
-		_, err = next.ReadAt(data, 0)
-		require.NoError(t, err)
-		require.NoError(t, next.Close())
-		golden(t, folder+"-next.log", data)
+			for _, n := range k.OperatorNotes() {
+				fmt.Fprintf(&answers, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
+			}
+			restored := k.RestoredEvents()
+			for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"},
+				{Executor: 2, Zone: "there"}}}) {
+				restored = append(restored, e.SchedulerEvent)
+			}
+			for _, ev := range restored {
+				fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
+			}
+			golden(t, folder+"-told.txt", []byte(answers.String()))
+			require.NoError(t, k.store.Close())
+			next, err := again.Open("0000000000000003.log") // what this incarnation wrote; its header tells of the doubt
+			require.NoError(t, err)
+			data := make([]byte, testOptions.SegmentBytes)
+			_, err = next.ReadAt(data, 0)
+			require.NoError(t, err)
+			require.NoError(t, next.Close())
+			golden(t, folder+"-next.log", data)
+		})
 	}
 }
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -42,7 +42,7 @@
 	c.workload(rounds / 2)
 	require.NoError(t, c.store.Snapshot())
 	open := c.workload(rounds)
-	require.Len(t, open, 1, "the first half is known and told")
+	require.Len(t, open, 1, "the first half is on record")
 	open = []string{"a1", "a5", "a9"}
 	require.NoError(t, c.store.Close())
 	names, _ := disk.List()
@@ -164,48 +164,50 @@
 // and none of them has run; idempotent ones go on; all is as before once the disk is well.
 func TestStore_ShedsDurableWorkWhileTheDiskFails(t *testing.T) {
 	for _, call := range []string{"write", "sync", "rename"} {
-		disk := vfs.NewMemory()
-		var failing atomic.Bool
-		disk.Fail = func(op vfs.Op) error {
-			if failing.Load() && (op.Call == call || call == "rename" && op.Call == "sync") {
-				return syscall.ENOSPC
+		t.Run(call, func(t *testing.T) {
+			disk := vfs.NewMemory()
+			var failing atomic.Bool
+			disk.Fail = func(op vfs.Op) error {
+				if failing.Load() && (op.Call == call || call == "rename" && op.Call == "sync") {
+					return syscall.ENOSPC
+				}
+				return nil
 			}
-			return nil
-		}
-		d, f, k := startLoop(t, disk)
-		b, tag := &answerRecorder{answers: map[uint64]string{}}, uint64(0)
-		submit := func(class string) string {
-			tag++
-			at := tag
-			s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: class, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
-				Client: b, Tag: at}
-			if class == "mark" {
-				s.IdempotencyKey = fmt.Sprint("m", at)
+			d, f, k := startLoop(t, disk)
+			b, tag := &answerRecorder{answers: map[uint64]string{}}, uint64(0)
+			submit := func(class string) string {
+				tag++
+				at := tag
+				s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: class, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
+					Client: b, Tag: at}
+				if class == "mark" {
+					s.IdempotencyKey = fmt.Sprint("m", at)
+				}
+				d.Submit(s)
+				require.Eventually(t, func() bool { return b.get(at) != "" }, 5*time.Second, 200*time.Microsecond, call)
+				return b.get(at)
 			}
-			d.Submit(s)
-			require.Eventually(t, func() bool { return b.get(at) != "" }, 5*time.Second, 200*time.Microsecond, call)
-			return b.get(at)
-		}
-		for _, class := range []string{"mark", "once", "look"} {
-			require.Equal(t, "handled", submit(class), call)
-		}
-		failing.Store(true)
-		ran := f.sent.Load()
-		for range 10 {
-			require.Equal(t, "denied", submit("mark"), call)
-			require.Equal(t, "denied", submit("once"), call)
-		}
-		require.Equal(t, ran, f.sent.Load(), "none of them was sent")
-		require.Equal(t, "handled", submit("look"), call)
-		failing.Store(false)
-		require.Eventually(t, func() bool { return submit("mark") == "handled" }, 5*time.Second, 50*time.Millisecond, call)
-		require.Equal(t, "handled", submit("once"), call)
-		d.Stop()
-		require.NoError(t, k.Close())
-		again, _, err := Open(disk, testOptions, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
-		require.NoError(t, err)
-		assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
-		require.NoError(t, again.store.Close())
+			for _, class := range []string{"mark", "once", "look"} {
+				require.Equal(t, "handled", submit(class), call)
+			}
+			failing.Store(true)
+			ran := f.sent.Load()
+			for range 10 {
+				require.Equal(t, "denied", submit("mark"), call)
+				require.Equal(t, "denied", submit("once"), call)
+			}
+			require.Equal(t, ran, f.sent.Load(), "none of them was sent")
+			require.Equal(t, "handled", submit("look"), call)
+			failing.Store(false)
+			require.Eventually(t, func() bool { return submit("mark") == "handled" }, 5*time.Second, 50*time.Millisecond, call)
+			require.Equal(t, "handled", submit("once"), call)
+			d.Stop()
+			require.NoError(t, k.Close())
+			again, _, err := Open(disk, testOptions, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
+			require.NoError(t, err)
+			assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
+			require.NoError(t, again.store.Close())
+		})
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -20,15 +20,17 @@
 		modelOf, renderOf float64
 	}{{"alike", 1, "look", 100, 100}, {"long against short", 1, "report", 50, 3000}, {"estimates ten times too low", 0.1, "report", 100, 2000},
 		{"estimates ten times too high", 10, "report", 100, 2000}, {"no estimates", 0, "report", 100, 2000}} {
-		w := newSimulation(t, 16, twoTeams, 0)
-		both := func() {
-			w.saturate("model", "look", 20, c.modelOf, c.modelOf)
-			w.saturate("render", c.class, 20, c.renderOf, c.estimate*c.renderOf)
-		}
-		w.advance(11000, both) // until it is known what their searches take
-		w.done = map[string]float64{}
-		w.advance(71000, both)
-		assert.InDelta(t, 0.75, w.share("model"), 0.05*0.75, c.what)
+		t.Run(c.what, func(t *testing.T) {
+			w := newSimulation(t, 16, twoTeams, 0)
+			both := func() {
+				w.saturate("model", "look", 20, c.modelOf, c.modelOf)
+				w.saturate("render", c.class, 20, c.renderOf, c.estimate*c.renderOf)
+			}
+			w.advance(11000, both) // until it is known what their searches take
+			w.done = map[string]float64{}
+			w.advance(71000, both)
+			assert.InDelta(t, 0.75, w.share("model"), 0.05*0.75, c.what)
+		})
 	}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -117,34 +117,36 @@
 // the next batch goes to a new file.
 func TestStore_FailedWritesNeverBecomeDurable(t *testing.T) {
 	for _, call := range []string{"sync", "write", "allocate", "create", "rename", "syncdir"} {
-		disk := vfs.NewMemory()
-		s, _, _ := requireOpen(t, disk, smallOptions)
-		require.NoError(t, writeOne(s, 1, "before"))
-		failing := true
-		disk.Fail = func(op vfs.Op) error {
-			if failing && op.Call == call {
-				return syscall.ENOSPC
+		t.Run(call, func(t *testing.T) {
+			disk := vfs.NewMemory()
+			s, _, _ := requireOpen(t, disk, smallOptions)
+			require.NoError(t, writeOne(s, 1, "before"))
+			failing := true
+			disk.Fail = func(op vfs.Op) error {
+				if failing && op.Call == call {
+					return syscall.ENOSPC
+				}
+				return nil
 			}
-			return nil
-		}
-		var failed []int
-		for n := 2; n < 40; n++ { // enough to fill a file, so that a new one is needed
-			if err := writeOne(s, n, fmt.Sprint(n)); err != nil {
-				assert.ErrorIs(t, err, syscall.ENOSPC, call)
-				failed = append(failed, n)
+			var failed []int
+			for n := 2; n < 40; n++ { // enough to fill a file, so that a new one is needed
+				if err := writeOne(s, n, fmt.Sprint(n)); err != nil {
+					assert.ErrorIs(t, err, syscall.ENOSPC, call)
+					failed = append(failed, n)
+				}
 			}
-		}
-		assert.NotEmpty(t, failed, call)
-		failing = false
-		require.NoError(t, writeOne(s, 99, "after"), call)
-		require.NoError(t, s.Close())
-		s, _, contents := requireOpen(t, disk.Crash(vfs.LosePart, 3), smallOptions)
-		assert.Equal(t, "after", contents[testKey(99)], call)
-		assert.Equal(t, "before", contents[testKey(1)], call)
-		for _, n := range failed {
-			assert.NotContains(t, contents, testKey(n), call)
-		}
-		require.NoError(t, s.Close())
+			assert.NotEmpty(t, failed, call)
+			failing = false
+			require.NoError(t, writeOne(s, 99, "after"), call)
+			require.NoError(t, s.Close())
+			s, _, contents := requireOpen(t, disk.Crash(vfs.LosePart, 3), smallOptions)
+			assert.Equal(t, "after", contents[testKey(99)], call)
+			assert.Equal(t, "before", contents[testKey(1)], call)
+			for _, n := range failed {
+				assert.NotContains(t, contents, testKey(n), call)
+			}
+			require.NoError(t, s.Close())
+		})
 	}
 }
 
--- a/internal/waitestimate/waitestimate_test.go
+++ b/internal/waitestimate/waitestimate_test.go
@@ -48,14 +48,16 @@
 		{"slower from some time on", 0.5, func(now float64) float64 { return 1 + 0.6*float64(int(now/100_000)%2) }},
 		{"always half again as slow as expected", 0.6, func(float64) float64 { return 1.5 }},
 	} {
-		e, random := New(), rand.New(rand.NewPCG(7, 1))
-		within, estimated, ratios := simulateServer(e, random, 1000, 600_000, c.load, c.pace)
-		assert.Greater(t, float64(within)/float64(estimated), 0.9, c.what)
-		slices.Sort(ratios)
-		assert.LessOrEqual(t, ratios[len(ratios)/2], 2.0, c.what)
-		accuracy := e.Accuracy()
-		assert.Len(t, accuracy, 1)
-		assert.Greater(t, float64(accuracy[0].EndsWithin)/float64(accuracy[0].Ends), 0.9, c.what)
+		t.Run(c.what, func(t *testing.T) {
+			e, random := New(), rand.New(rand.NewPCG(7, 1))
+			within, estimated, ratios := simulateServer(e, random, 1000, 600_000, c.load, c.pace)
+			assert.Greater(t, float64(within)/float64(estimated), 0.9, c.what)
+			slices.Sort(ratios)
+			assert.LessOrEqual(t, ratios[len(ratios)/2], 2.0, c.what)
+			accuracy := e.Accuracy()
+			assert.Len(t, accuracy, 1)
+			assert.Greater(t, float64(accuracy[0].EndsWithin)/float64(accuracy[0].Ends), 0.9, c.what)
+		})
 	}
 }
 
