--- a/internal/handoff/adoption_test.go
+++ b/internal/handoff/adoption_test.go
@@ -67,7 +67,7 @@
 				require.Len(t, c.adopters("a"), 1)
 				first = c.adopters("a")[0]
 				require.True(t, c.attempt(first, "a"))
-			} else { // it claims, and is lost before it hears that it may
+			} else { // it claims, and is lost before it learns that the claim is agreed
 				require.NotEmpty(t, c.proposals)
 				for k := range c.managers {
 					if c.members[k].Name == c.proposals[0].Claim.Successor {
--- a/internal/handoff/batch.go
+++ b/internal/handoff/batch.go
@@ -52,7 +52,7 @@
 	return replies
 }
 
-// handleItem takes one item and returns the reply, marked where it may be wrong as this replica still learns from others.
+// handleItem takes one item and returns the reply, marked where it may be wrong as this replica is not ready.
 func (m *Manager) handleItem(from Member, it *Item) Item {
 	reply := m.process(from, it)
 	if reply.Op != OpRefused && !m.isReady(it.targetPartition()) {
@@ -108,7 +108,7 @@
 	return m.updateCopy(stored, owner, it)
 }
 
-// processFromLost takes an item of an incarnation that is over. Only the news that a request succeeded still counts.
+// processFromLost takes an item of an incarnation that is over. Only that a request succeeded still counts.
 func (m *Manager) processFromLost(stored *storedCopy, owner Member, it *Item) Item {
 	if stored == nil {
 		return refusal(reasonOwnerLost)
--- a/internal/handoff/claims.go
+++ b/internal/handoff/claims.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// unsettled returns the partitions in which something of a lost owner is still to be adopted, or to be told to replicas.
+// unsettled returns the partitions in which something of a lost owner is still to be adopted, or not yet acknowledged by replicas.
 func (m *Manager) unsettled(owner Member) (mask uint32) {
 	for _, in := range m.inherited {
 		if in.owner == owner && in.scannedAt == 0 {
@@ -163,15 +163,15 @@
 	}
 	mask |= m.openByOwner[owner].mask()
 	for _, req := range m.unacknowledged {
-		if req.adopted && req.previousOwner == owner && m.adoptionUntold(req) {
+		if req.adopted && req.previousOwner == owner && m.adoptionUnacknowledged(req) {
 			mask |= 1 << req.key.Partition()
 		}
 	}
 	return mask
 }
 
-// adoptionUntold reports whether replicas that answer have yet to hear who has adopted a request.
-func (m *Manager) adoptionUntold(req *ownedRequest) bool {
+// adoptionUnacknowledged reports whether replicas that answer have yet to learn who adopted a request.
+func (m *Manager) adoptionUnacknowledged(req *ownedRequest) bool {
 	if req.phase == phaseDone || len(req.acks) >= len(m.replicaNames(req.key.Partition())) {
 		return false
 	}
--- a/internal/handoff/closing.go
+++ b/internal/handoff/closing.go
@@ -82,7 +82,7 @@
 	m.replicate(req)
 }
 
-// settleClose looks at a request that closes: whether its answer may go out, and whether replicas still need to be told.
+// settleClose looks at a request that closes: whether its answer may go out, and whether replicas still have to be notified.
 func (m *Manager) settleClose(req *ownedRequest) {
 	quorum := m.hasQuorum(req.key.Partition(), req.acks)
 	m.closeOwnReplica(req, quorum)
--- a/internal/handoff/copystate.go
+++ b/internal/handoff/copystate.go
@@ -32,7 +32,7 @@
 	inputClaimed                    // a successor's claim is agreed
 	inputUnclaimed                  // the successor is lost, too, or has given its claim back
 	inputAdopted                    // the successor owns it
-	inputClosed                     // its owner, or a former one, has told its outcome
+	inputClosed                     // its owner, or a former one, has reported its outcome
 	inputRetired                    // it is withdrawn, or has expired
 	inputReopened                   // a new request of its key begins
 	copyInputCount
--- a/internal/handoff/copystore.go
+++ b/internal/handoff/copystore.go
@@ -26,7 +26,7 @@
 	count      int
 }
 
-// lossNotice is what all copies of an owner in a partition have been told of its loss.
+// lossNotice is what all copies of an owner in a partition have been notified of.
 type lossNotice uint8
 
 const (
@@ -264,7 +264,7 @@
 	if stored == nil {
 		stored = m.addCopy(it.Key, it.Copy)
 	} else {
-		if stored.state.open() { // a quorum has heard of the later one
+		if stored.state.open() { // a quorum knows of the later one
 			m.unindexOpen(stored)
 			m.counts.Dropped++
 		}
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// adopters returns the members that were told to adopt a request.
+// adopters returns the members that adopt a request.
 func (c *cluster) adopters(id string) (members []int) {
 	for k := range c.managers {
 		if len(c.effectsFor(k, Adopt, id)) > 0 {
--- a/internal/handoff/limits.go
+++ b/internal/handoff/limits.go
@@ -13,7 +13,7 @@
 	shutdownGraceMS       = 2000  // after which a controller that shuts down answers the requests that still wait
 	answerMarginMS        = 60    // before its deadline a waiting request is answered
 	adoptionGatherMS      = 1000  // for which a successor puts off adoption until it knows all that it has claimed
-	claimRetentionMS      = 3000  // for which a claim stays for replicas that have not heard what was adopted
+	claimRetentionMS      = 3000  // for which a claim stays for replicas that have not acknowledged what was adopted
 	proposalRetryMS       = 400   // between two proposals of the same change, and between two successors' claims
 	adoptionScanMS        = 1000  // between two looks at what of a claim is still to be adopted
 	queryTimeoutMS        = 800   // after which a query that too few replicas have answered is answered as unknown
@@ -32,7 +32,7 @@
 	pageItemBytes  = 200      // of an item besides body and answer, as estimated
 	replyPages     = 4        // pages in the reply to one batch
 	maxCopyBytes   = 64 << 20 // of bodies and answers that a replica stores
-	idReplicas     = 2        // replicas that are told which key an id stands for
+	idReplicas     = 2        // replicas that store which key an id stands for
 )
 
 const (
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -21,7 +21,7 @@
 // replicated reports whether requests of the class are registered with replicas before any attempt is made.
 func (c *requestClass) replicated() bool { return c.effect != scheduler.Idempotent }
 
-// Manager is one controller's part in replicating and adopting open requests. It is not safe for concurrent use.
+// Manager replicates and adopts open requests for one controller. It is not safe for concurrent use.
 type Manager struct {
 	self                Member
 	classes             []requestClass
--- a/internal/handoff/manager_test.go
+++ b/internal/handoff/manager_test.go
@@ -69,7 +69,7 @@
 	c.tick(200)
 	require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
 	assert.Equal(t, Rejected, c.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
-	// A request is registered by a quorum, and its owner never hears of that: it rejects it, and is lost.
+	// A request is registered by a quorum, and its owner never learns of that: it rejects it, and is lost.
 	c.drops = func(_, _ int, it *Item) bool { return it.Op == OpAttempt || it.Op == OpWithdraw }
 	c.arrive(0, "once", "b", "")
 	c.managers[0].owned[KeyOf("", "b")].phase = phaseDone
@@ -96,11 +96,11 @@
 	assert.Equal(t, Failed, c.effectsFor(3, AnswerSuspended, "c")[0].Outcome)
 }
 
-// A request that could not be registered is rejected; replicas that could not hear of its withdrawal hear of it later: whoever comes again
+// A request that could not be registered is rejected; replicas that missed its withdrawal receive it later: whoever comes again
 // with its key is not held up by one that nobody has.
 func TestManager_WithdrawsRegistrationEverywhere(t *testing.T) {
 	c := newCluster(t, 6, 2, nil)
-	c.drops = func(_, to int, it *Item) bool { return to != 1 && it.Op == OpRegister || it.Op == OpWithdraw } // no quorum, and nobody hears
+	c.drops = func(_, to int, it *Item) bool { return to != 1 && it.Op == OpRegister || it.Op == OpWithdraw } // no quorum, and no withdrawal arrives
 	c.arrive(0, "keyed", "a", "m")
 	c.tick(1500)
 	require.Len(t, c.effectsFor(0, AnswerSuspended, "a"), 1)
--- a/internal/handoff/query.go
+++ b/internal/handoff/query.go
@@ -61,7 +61,7 @@
 	if !m.hasQuorum(partition, q.replied) {
 		return false
 	}
-	// Fewer than a quorum are told which key an id stands for: that nothing is known of it takes the replies of all.
+	// Fewer than a quorum store which key an id stands for: that nothing is known of it takes the replies of all.
 	return q.best != nil || len(q.replied) >= len(m.replicaNames(partition))
 }
 
--- a/internal/handoff/registration.go
+++ b/internal/handoff/registration.go
@@ -74,7 +74,7 @@
 		m.mapIDToKey(req)
 	}
 	if class := m.class(req.Class); class != nil && class.effect != scheduler.Keyed {
-		req.Confirmed = true // a successor must not send what was never confirmed: its client was told that it would not be
+		req.Confirmed = true // a successor must not send what was never confirmed: its client was answered that it would not be
 		req.Sequence++
 		m.replicate(req)
 	}
@@ -164,7 +164,7 @@
 	return class != nil && m.now+sendAllowanceMS <= c.FirstAttemptAt+class.dedupWindowMS
 }
 
-// priorAttempt is what the decision module is told of an attempt that may have run.
+// priorAttempt returns what the decision module needs to know of an attempt that may have run.
 func priorAttempt(c *Copy) scheduler.PriorAttempt {
 	p := scheduler.PriorAttempt{At: c.FirstAttemptAt, Zone: c.Zone, Cell: c.Cell}
 	if p.At == 0 || math.IsInf(p.At, 0) {
--- a/internal/handoff/request.go
+++ b/internal/handoff/request.go
@@ -9,7 +9,7 @@
 	phaseRegistering requestPhase = iota // replicas are asked to register it
 	phaseAdopting                        // replicas are asked to let it be adopted
 	phaseActive                          // the decision module has it
-	phaseClosing                         // it has ended, and replicas are being told
+	phaseClosing                         // it has ended, and replicas are being notified
 	phaseDone
 )
 
--- a/internal/handoff/transfer.go
+++ b/internal/handoff/transfer.go
@@ -171,7 +171,7 @@
 	stored := m.copies[key]
 	if stored != nil && !moreRecent(c, &stored.Copy) {
 		if stored.Owner == c.Owner && stored.Sequence == c.Sequence && c.RunState != NotRun {
-			stored.FirstAttemptAt = min(stored.FirstAttemptAt, c.FirstAttemptAt) // a replica that heard late takes it for younger than it is
+			stored.FirstAttemptAt = min(stored.FirstAttemptAt, c.FirstAttemptAt) // a replica that was notified late takes it for younger than it is
 		}
 		return
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-// overwriteCopy replaces a stored copy by another replica's; an open one keeps the body that it has.
+// overwriteCopy replaces a stored copy by another replica's; an open one retains the body that it has.
 func (m *Manager) overwriteCopy(stored *storedCopy, c *Copy) {
 	if stored.state.open() {
 		m.unindexOpen(stored)
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -1,6 +1,6 @@
 // Package handoff decides what becomes of open requests when the controller that owns them is lost: which replicas store copies of them,
 // what a quorum must know before an attempt may leave, which successor adopts them once their owner is declared lost, and what a client is
-// told that comes again elsewhere.
+// answered that comes again elsewhere.
 //
 // Events and a time go in, effects come out. The package owns no socket, disk, clock or goroutine, and it chooses no executor: an adopted
 // request goes to the decision module like any other, with what may have run of it.
--- a/internal/handoff/withdrawal.go
+++ b/internal/handoff/withdrawal.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // withdrawal takes back the registration or adoption of a request that was never carried out. It is repeated until all replicas have
-// heard of it: else later requests of its key would wait for one that nobody has.
+// acknowledged it: else later requests of its key would wait for one that nobody has.
 type withdrawal struct {
 	id     withdrawalID
 	owner  Member
@@ -40,7 +40,7 @@
 	}
 }
 
-// handleWithdrawReply records a replica's reply. One without a lease, or one that still learns from others, has not heard.
+// handleWithdrawReply records a replica's reply. That of a replica without a lease, or of one that is not ready, does not count.
 func (m *Manager) handleWithdrawReply(from Member, sent, reply *Item) {
 	w := m.withdrawalsByID[withdrawalID{sent.Key, sent.Sequence}]
 	if w == nil || reply.Reason == reasonNotReady || reply.Reason == reasonNoLease {
@@ -51,11 +51,11 @@
 	}
 }
 
-// resendWithdrawals repeats withdrawals that not all replicas have heard.
+// resendWithdrawals repeats withdrawals that not all replicas have acknowledged.
 func (m *Manager) resendWithdrawals() {
 	remaining := m.withdrawals[:0]
 	for _, w := range m.withdrawals {
-		if m.heardByAll(w) || w.sends > maxCloseSends {
+		if m.acknowledgedByAll(w) || w.sends > maxCloseSends {
 			delete(m.withdrawalsByID, w.id)
 			continue
 		}
@@ -68,7 +68,7 @@
 	m.withdrawals = remaining
 }
 
-func (m *Manager) heardByAll(w *withdrawal) bool {
+func (m *Manager) acknowledgedByAll(w *withdrawal) bool {
 	partition := w.id.key.Partition()
 	for _, name := range m.replicaNames(partition) {
 		if !slices.Contains(w.acks, name) {
--- a/internal/handoffnet/copystore.go
+++ b/internal/handoffnet/copystore.go
@@ -83,7 +83,7 @@
 	return token
 }
 
-// Stored is told by the store what became of a batch. Any goroutine may call it.
+// Stored is called by the store with the outcome of a batch. Any goroutine may call it.
 func (c *copyStore) Stored(token uint64, err error) { c.post(copiesStored{token, err}) }
 
 // complete lets the reply go that waited for a batch.
--- a/internal/handoffnet/peerstream_test.go
+++ b/internal/handoffnet/peerstream_test.go
@@ -69,7 +69,7 @@
 	}
 	empty := true
 	a.agent.inFlight.Range(func(any, any) bool { empty = false; return false })
-	assert.True(t, empty, "no datagram is kept past its answer")
+	assert.True(t, empty, "no datagram stays past its answer")
 }
 
 // Where datagrams get lost, batches are sent again by calls, soon by calls alone, and as datagrams again once one gets through.
@@ -121,7 +121,7 @@
 	began := time.Now()
 	a.ask("long")
 	got := received.waits(t, 2)[1]
-	assert.Less(t, time.Since(began), 25*time.Millisecond*4, "it is told to call, and does so at once")
+	assert.Less(t, time.Since(began), 25*time.Millisecond*4, "it is asked to call, and does so at once")
 	require.NotNil(t, got.reply)
 	require.NotNil(t, got.reply.Items[0].Copy)
 	assert.Len(t, got.reply.Items[0].Copy.Answer, 3000)
