--- a/internal/assembly/handoff_admin.go
+++ b/internal/assembly/handoff_admin.go
@@ -130,8 +130,8 @@
 
 // runStates are what the socket says of whether a request may have run.
 var runStates = map[handoff.RunState]string{
-	handoff.NotRun:     "no shot of it can have run",
-	handoff.MayHaveRun: "a shot of it may have run",
+	handoff.NotRun:     "no attempt of it can have run",
+	handoff.MayHaveRun: "an attempt of it may have run",
 	handoff.Ran:        "it ran",
 }
 
--- a/internal/assembly/quota_test.go
+++ b/internal/assembly/quota_test.go
@@ -151,8 +151,8 @@
 		var stop atomic.Bool
 		crowd(t, &all, listen, "render", "look", 6, &stop, nil)
 		require.Eventually(t, func() bool {
-			return bytes.Contains([]byte(run(0, "quotas", "show")), []byte("searches in hand of render")) ||
-				bytes.Contains([]byte(run(0, "quotas", "show")), []byte("the limit of searches in hand"))
+			return bytes.Contains([]byte(run(0, "quotas", "show")), []byte("requests in flight of render")) ||
+				bytes.Contains([]byte(run(0, "quotas", "show")), []byte("the limit of requests in flight"))
 		}, 5*time.Second, 50*time.Millisecond)
 		assert.Contains(t, run(0, "quotas", "show", "--json"), `"queued"`)
 		why := run(0, "top", "--times", "1")
--- a/internal/locality/whatif.go
+++ b/internal/locality/whatif.go
@@ -65,10 +65,10 @@
 		}
 		lines = append(lines, fmt.Sprintf("%s to %s: %.0f threads, beside %.0f of its own, of %.0f", zone, pair.To, pair.Cap, demand[pair.To], capacity))
 	}
-	lines = append(lines, fmt.Sprintf("%s: its searches want %.0f threads, %.0f find room elsewhere, for %.0f there is none: the least gain for work is denied",
+	lines = append(lines, fmt.Sprintf("%s: its requests demand %.0f threads, %.0f find capacity elsewhere, for %.0f there is none: the least value for work is rejected",
 		zone, demand[zone], moved, max(0, demand[zone]-moved)))
 	if fullest != "" {
-		lines = append(lines, fmt.Sprintf("%s fills first: %.0f%% of its room", fullest, 100*fullestShare))
+		lines = append(lines, fmt.Sprintf("%s fills first: %.0f%% of its capacity", fullest, 100*fullestShare))
 	}
 	return lines
 }
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -12,7 +12,7 @@
 )
 
 // blockNames are shown by the control socket.
-var blockNames = [...]string{notBlocked: "", inFlightLimit: "the limit of searches in hand", threadLimit: "the limit of threads",
+var blockNames = [...]string{notBlocked: "", inFlightLimit: "the limit of requests in flight", threadLimit: "the limit of threads",
 	memoryLimit: "the limit of memory", ceilingLimit: "the ceiling"}
 
 // String returns the reason as it is shown to operators, empty for none.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -222,7 +222,7 @@
 	w := newSimulation(t, 1, []Team{{Name: "s", MaxInFlight: 1}, {Name: "model"}, {Name: "other"}}, 0)
 	w.submit("s", "look", 1000, 1000, 1e6)
 	id := w.submit("s", "look", 1000, 1000, 1e6)
-	assert.Contains(t, w.Explain(id), "the limit of searches in hand of s")
+	assert.Contains(t, w.Explain(id), "the limit of requests in flight of s")
 	for range 10 {
 		id = w.submit("model", "look", 100, 100, 1e6)
 	}
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -112,7 +112,7 @@
 	r := t.slab.at(p)
 	switch r.state {
 	case offered:
-		return "the module has it and finds no executor with room, or one that it should wait for"
+		return "the scheduler has it and finds no executor with capacity, or one that it should wait for"
 	case running:
 		return ""
 	}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -108,7 +108,7 @@
 // ReplaceVoter has a voter replaced by another member. It fails where this member does not lead.
 func (n *Node) ReplaceVoter(now float64, from, to string) error {
 	if leader := n.Leader(now); leader != n.name {
-		return fmt.Errorf("this member does not lead the council; %s does", leader)
+		return fmt.Errorf("this member does not lead the consensus group; %s does", leader)
 	}
 	n.step(now, consensus.Event{Kind: consensus.VoterMoveRequested, Name: from, To: to})
 	return nil
