--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -406,9 +406,9 @@
 		}
 		return ""
 	}
-	assert.Contains(t, find(now, "searches want"), "want 40 threads, 40 find room elsewhere, for 0")
-	assert.Contains(t, find(peak, "searches want"), "demand 100 threads")
-	assert.NotContains(t, find(peak, "searches want"), "for 0 there")
+	assert.Contains(t, find(now, "requests demand"), "demand 40 threads, 40 find capacity elsewhere, for 0")
+	assert.Contains(t, find(peak, "requests demand"), "demand 100 threads")
+	assert.NotContains(t, find(peak, "requests demand"), "for 0 there")
 	assert.NotEmpty(t, find(now, "fills first"))
 	assert.NotEmpty(t, find(now, "z0 to z2"))
 	_, err = leader.WhatIf("nowhere", false)
