--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -50,14 +50,14 @@
 }
 
 // joined is a simulated fleet whose views are settled.
-func joined(n int, seed uint64, settings membership.Settings) *clustersim.Fleet {
+func joined(n int, seed uint64, settings membership.Settings) *clustersim.Cluster {
 	f := clustersim.New(n, seed)
-	f.Membership = settings
+	f.MembershipSettings = settings
 	for k := range n {
 		f.Start(k)
 	}
-	f.WhenSettled(60_000, 500)
-	f.Run(f.Now + 10_000)
+	f.RunUntilConverged(60_000, 500)
+	f.RunUntil(f.Now + 10_000)
 	return f
 }
 
@@ -66,13 +66,13 @@
 	f := joined(n, uint64(n), membership.DefaultSettings())
 	f.Messages, f.Bytes = 0, 0
 	const quiet = 30_000
-	f.Run(f.Now + quiet)
+	f.RunUntil(f.Now + quiet)
 	messages = float64(f.Messages) / float64(n) / quiet * 1000
 	bytes = float64(f.Bytes) / float64(n) / quiet * 1000
 	for r := range rounds {
 		k := (r*7 + 3) % n
 		name, began, known, firstAt, lastAt := f.Nodes[k].Name, f.Now, 0, 0.0, 0.0
-		f.Saw = func(by int, e *membership.Effect) {
+		f.OnEffect = func(by int, e *membership.Effect) {
 			if e.Kind == membership.MemberChanged && e.Member.Name == name && e.Member.State == membership.Dead && by != k {
 				if known++; known == 1 {
 					firstAt = f.Now - began
@@ -82,15 +82,15 @@
 		}
 		f.Kill(k)
 		for known < n-1 && f.Now < began+60_000 {
-			f.Run(f.Now + 100)
+			f.RunUntil(f.Now + 100)
 		}
 		if known < n-1 {
 			lastAt = math.Inf(1)
 		}
 		first, all = append(first, firstAt), append(all, lastAt)
-		f.Saw = nil
+		f.OnEffect = nil
 		f.Start(k)
-		f.Run(f.Now + 5000)
+		f.RunUntil(f.Now + 5000)
 	}
 	return first, all, messages, bytes
 }
@@ -104,9 +104,9 @@
 		settings := membership.DefaultSettings()
 		settings.IgnoreOwnHealth = !aware
 		f := joined(shardMembers, uint64(s)+1000, settings)
-		f.Net.Loss = 0.1
+		f.Network.Loss = 0.1
 		last := map[string]float64{}
-		f.Saw = func(_ int, e *membership.Effect) {
+		f.OnEffect = func(_ int, e *membership.Effect) {
 			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead {
 				if at, before := last[e.Member.Name]; !before || f.Now-at > 10_000 { // all that hold it so: one mistake
 					counts[s]++
@@ -118,11 +118,11 @@
 			var again func()
 			again = func() {
 				f.Stall(k, 2000)
-				f.At(f.Now+20_000+20_000*f.Chance().Float64(), again)
+				f.Schedule(f.Now+20_000+20_000*f.Rand().Float64(), again)
 			}
-			f.At(f.Now+20_000*f.Chance().Float64(), again)
+			f.Schedule(f.Now+20_000*f.Rand().Float64(), again)
 		}
-		f.Run(f.Now + 600_000)
+		f.RunUntil(f.Now + 600_000)
 	})
 	sum := 0
 	for _, n := range counts {
@@ -141,10 +141,10 @@
 	took := make([]float64, len(shapes))
 	parallel(len(shapes), func(k int) {
 		f := joined(300, uint64(k)+50, membership.DefaultSettings())
-		f.Net.Cut = shapes[k]
-		f.Run(f.Now + 60_000)
-		f.Net.Cut = nil
-		if took[k] = f.WhenSettled(120_000, 50) / 500; took[k] < 0 {
+		f.Network.Blocked = shapes[k]
+		f.RunUntil(f.Now + 60_000)
+		f.Network.Blocked = nil
+		if took[k] = f.RunUntilConverged(120_000, 50) / 500; took[k] < 0 {
 			took[k] = math.Inf(1)
 		}
 	})
@@ -155,22 +155,22 @@
 func leaderless() (median float64) {
 	var times []float64
 	for seed := range uint64(20) {
-		h := clustersim.NewHall(5, 3, seed)
+		h := clustersim.NewConsensusCluster(5, 3, seed)
 		for k := range h.Nodes {
-			h.Open(k)
+			h.Start(k)
 		}
-		h.Run(15_000)
+		h.RunUntil(15_000)
 		at, was := h.Now, h.Leader
 		for k, nd := range h.Nodes {
 			if nd.Name == was {
 				h.Kill(k)
 			}
 		}
-		h.Run(h.Now + 20_000)
+		h.RunUntil(h.Now + 20_000)
 		if h.Leader == was {
 			times = append(times, math.Inf(1))
 		} else {
-			times = append(times, h.LedAt-at)
+			times = append(times, h.LeaderSince-at)
 		}
 	}
 	return quantile(times, 0.5)
@@ -180,20 +180,20 @@
 // the log is then at most.
 func entries() (rate, kept float64) {
 	const names = 4000
-	h := clustersim.NewHall(3, 3, 77)
+	h := clustersim.NewConsensusCluster(3, 3, 77)
 	for k := range h.Nodes {
-		h.Open(k)
+		h.Start(k)
 	}
-	h.Run(10_000)
+	h.RunUntil(10_000)
 	for n := range names {
-		h.Invented = append(h.Invented, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
+		h.Observations = append(h.Observations, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
 	}
 	began := h.Now
 	for h.Now < began+120_000 {
-		h.Run(h.Now + 20)
+		h.RunUntil(h.Now + 20)
 		least := names
-		for k, s := range h.Seats {
-			st := s.Council.Status(h.Local(k))
+		for k, s := range h.ConsensusNodes {
+			st := s.Group.Status(h.LocalTime(k))
 			kept, least = max(kept, float64(st.LogEntries)), min(least, len(st.Record.Members))
 		}
 		if least >= names {
@@ -344,13 +344,13 @@
 	var mu sync.Mutex
 	claims, declared, broken := 0, 0, 0
 	parallel(histories, func(k int) {
-		o := clustersim.Play(uint64(k), nil)
+		o := clustersim.RunConsensus(uint64(k), nil)
 		mu.Lock()
 		defer mu.Unlock()
-		claims, declared = claims+o.Claims, declared+o.Declared
-		if len(o.Broken) > 0 {
+		claims, declared = claims+o.Operations, declared+o.DeclaredLost
+		if len(o.Violations) > 0 {
 			broken++
-			fmt.Println("# broken:", o.Seed, o.Broken)
+			fmt.Println("# broken:", o.Seed, o.Violations)
 		}
 	})
 	add("council_histories_broken", float64(broken), fmt.Sprintf("of %d, %d claims, %d lives lost", histories, claims, declared), "==", 0)
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -40,18 +40,18 @@
 func tales(n int) (twice, two, without, other, adopted int) {
 	var mu sync.Mutex
 	parallel(n, func(k int) {
-		o := clustersim.PlayEstates(uint64(k), []float64{0, 6000, 20_000}[k%3], nil, false)
+		o := clustersim.RunHandoff(clustersim.HandoffScenario{Seed: uint64(k), DedupWindowMS: []float64{0, 6000, 20_000}[k%3]})
 		mu.Lock()
 		defer mu.Unlock()
 		adopted += o.Adopted
-		for _, b := range o.Broken {
-			fmt.Println("# broken:", o.Seed, b)
-			switch {
-			case strings.Contains(b, "times"):
+		for _, v := range o.Violations {
+			fmt.Println("# broken:", o.Seed, v)
+			switch v.Kind {
+			case clustersim.RanTwice:
 				twice++
-			case strings.Contains(b, "two answers"):
+			case clustersim.ContradictoryAnswers:
 				two++
-			case strings.Contains(b, "gone on with"), strings.Contains(b, "no answer"):
+			case clustersim.WithoutOutcome:
 				without++
 			default:
 				other++
@@ -65,9 +65,10 @@
 func lawless(n int) (twice int) {
 	var mu sync.Mutex
 	parallel(n, func(k int) {
-		faults := []clustersim.Fault{{At: 12_000 + 40*float64(k), Kind: "stall", Node: 4, MS: 24_000}, {At: 14_000, Kind: "stall", Node: 3, MS: 24_000}}
-		for _, b := range clustersim.PlayEstates(uint64(k), 10_000, faults, true).Broken {
-			if strings.Contains(b, "times") {
+		faults := []clustersim.Fault{{At: 12_000 + 40*float64(k), Kind: clustersim.FaultStall, Node: 4, DurationMS: 24_000}, {At: 14_000, Kind: clustersim.FaultStall, Node: 3, DurationMS: 24_000}}
+		scenario := clustersim.HandoffScenario{Seed: uint64(k), DedupWindowMS: 10_000, Faults: faults, IgnoreLeases: true}
+		for _, v := range clustersim.RunHandoff(scenario).Violations {
+			if v.Kind == clustersim.RanTwice {
 				mu.Lock()
 				twice++
 				mu.Unlock()
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -31,37 +31,37 @@
 			return figures, err
 		}
 	}
-	manners := []clustersim.Manner{clustersim.InCommon, clustersim.Before, clustersim.Nearest, clustersim.Even, clustersim.Alone}
+	policies := []clustersim.LocalityPolicy{clustersim.SharedPlan, clustersim.NoLocality, clustersim.LocalFirst, clustersim.RandomGroup, clustersim.Uncoordinated}
 	for _, load := range []float64{0.5, 0.65, 0.8} {
-		got := make([]clustersim.Figures, len(manners))
-		parallel(len(manners), func(k int) {
-			got[k] = clustersim.PlayBetween(clustersim.Between{Manner: manners[k], Zones: 3, Controllers: 9, Executors: 24, Load: load, Cores: 8, WayMS: 10,
-				Lost: 8000, Back: 20_000, End: 40_000, Seed: 7})
+		got := make([]clustersim.LocalityResult, len(policies))
+		parallel(len(policies), func(k int) {
+			got[k] = clustersim.RunLocality(clustersim.LocalityScenario{Policy: policies[k], Zones: 3, Controllers: 9, Executors: 24, Load: load, Cores: 8, CrossZoneRTTMS: 10,
+				LostAtMS: 8000, BackAtMS: 20_000, EndMS: 40_000, Seed: 7})
 		})
 		ours, at := got[0], fmt.Sprintf("at_%.0f_", 100*load)
 		for k, f := range got {
-			fmt.Printf("# sim, load %.2f, %s: gain %.4f, near %.4f, own p99 %.2f x, swings %d, falls %d, back after %.0f ms\n", load, manners[k], f.Gain, f.Near,
-				f.OwnLate, f.Swings, f.Falls, f.BackMS)
+			fmt.Printf("# sim, load %.2f, %s: gain %.4f, near %.4f, own p99 %.2f x, swings %d, falls %d, back after %.0f ms\n", load, policies[k], f.ValueShare, f.LocalShare,
+				f.OtherZonesP99Ratio, f.Oscillations, f.Collapses, f.RecoveryMS)
 			if k > 0 {
-				add("sim_gain_"+at+"against_"+[]string{"", "before", "nearest", "even", "alone"}[k], ours.Gain/f.Gain, "x", ">=", 1)
+				add("sim_gain_"+at+"against_"+[]string{"", "before", "nearest", "even", "alone"}[k], ours.ValueShare/f.ValueShare, "x", ">=", 1)
 			}
 		}
-		add("sim_over_cap_"+at[:len(at)-1], float64(ours.Over), "looks", "==", 0)
-		add("sim_falls_"+at[:len(at)-1], float64(ours.Falls), "", "==", 0)
-		add("sim_near_"+at[:len(at)-1], 100*ours.Near, "%", ">=", 99)
-		add("sim_own_p99_"+at[:len(at)-1], ours.OwnLate, "x before", "<=", 1.2)
-		add("sim_swings_"+at[:len(at)-1], float64(ours.Swings), "", "<=", 2)
+		add("sim_over_cap_"+at[:len(at)-1], float64(ours.CapViolations), "looks", "==", 0)
+		add("sim_falls_"+at[:len(at)-1], float64(ours.Collapses), "", "==", 0)
+		add("sim_near_"+at[:len(at)-1], 100*ours.LocalShare, "%", ">=", 99)
+		add("sim_own_p99_"+at[:len(at)-1], ours.OtherZonesP99Ratio, "x before", "<=", 1.2)
+		add("sim_swings_"+at[:len(at)-1], float64(ours.Oscillations), "", "<=", 2)
 	}
 	if number("ZONES_MANY", 1) > 0 {
 		per := map[int]float64{}
 		for _, n := range []int{30, 300} {
-			f := clustersim.PlayBetween(clustersim.Between{Manner: clustersim.InCommon, Zones: 3, Controllers: n, Executors: n * 2 / 3, Load: 0.5, Cores: 8, WayMS: 10,
-				Lost: 6000, Back: 12_000, End: 20_000, Seed: 9, Cut: 2})
+			f := clustersim.RunLocality(clustersim.LocalityScenario{Policy: clustersim.SharedPlan, Zones: 3, Controllers: n, Executors: n * 2 / 3, Load: 0.5, Cores: 8, CrossZoneRTTMS: 10,
+				LostAtMS: 6000, BackAtMS: 12_000, EndMS: 20_000, Seed: 9, CutOffControllers: 2})
 			fmt.Printf("# sim, %d controllers, %d executors: %+v\n", n, n*2/3, f)
-			per[n] = f.BytesASecond
-			add(fmt.Sprintf("sim_over_cap_of_%d", n), float64(f.Over), "looks", "==", 0)
-			add(fmt.Sprintf("sim_falls_of_%d", n), float64(f.Falls), "", "==", 0)
-			add(fmt.Sprintf("sim_in_force_of_%d", n), f.InForceMS, "ms at 95%", ">=", 0)
+			per[n] = f.ReportBytesPerSecond
+			add(fmt.Sprintf("sim_over_cap_of_%d", n), float64(f.CapViolations), "looks", "==", 0)
+			add(fmt.Sprintf("sim_falls_of_%d", n), float64(f.Collapses), "", "==", 0)
+			add(fmt.Sprintf("sim_in_force_of_%d", n), f.PlanInForceMS, "ms at 95%", ">=", 0)
 		}
 		add("sim_bytes_a_controller", per[300]/per[30], "x of 300 against 30", "<=", 1.5)
 	}
--- a/internal/clustersim/helpers_test.go
+++ b/internal/clustersim/helpers_test.go
@@ -8,29 +8,31 @@
 	"liftshift/internal/membership"
 )
 
-func started(t *testing.T, n int, seed uint64) *Fleet {
-	f := New(n, seed)
+// startCluster returns a cluster whose n nodes are started and have converged.
+func startCluster(t *testing.T, n int, seed uint64) *Cluster {
+	t.Helper()
+	c := New(n, seed)
 	for k := range n {
-		f.Start(k)
+		c.Start(k)
 	}
-	settles(t, f, 10_000, "start")
-	return f
+	requireConvergence(t, c, 10_000, "start")
+	return c
 }
 
-// settles waits until the views are what is.
-func settles(t *testing.T, f *Fleet, within float64, what string) {
+// requireConvergence waits until the views have converged.
+func requireConvergence(t *testing.T, c *Cluster, timeout float64, what string) {
 	t.Helper()
-	took := f.WhenSettled(within, 50)
-	require.GreaterOrEqual(t, took, 0.0, "%d nodes, %s: not settled after %.0f ms", len(f.Nodes), what, within)
-	t.Logf("%d nodes, %s: settled in %.0f ms", len(f.Nodes), what, took)
+	took := c.RunUntilConverged(timeout, 50)
+	require.GreaterOrEqual(t, took, 0.0, "%d nodes, %s: not converged after %.0f ms", len(c.Nodes), what, timeout)
+	t.Logf("%d nodes, %s: converged in %.0f ms", len(c.Nodes), what, took)
 }
 
-// falselyGone counts who is held for gone though it is up.
-func falselyGone(f *Fleet) *int {
+// countFalselyDead counts the nodes that are taken for dead though they are up.
+func countFalselyDead(c *Cluster) *int {
 	n := new(int)
-	f.Saw = func(_ int, e *membership.Effect) {
-		for _, nd := range f.Nodes {
-			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead && nd.Name == e.Member.Name && nd.Up {
+	c.OnEffect = func(_ int, e *membership.Effect) {
+		for _, node := range c.Nodes {
+			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead && node.Name == e.Member.Name && node.Up {
 				*n++
 			}
 		}
@@ -38,14 +40,29 @@
 	return n
 }
 
-// record gives what one node sends to another within two seconds.
-func record(f *Fleet, to, from int) (list [][]byte) {
-	f.Tap = func(a, b int, data []byte) {
+// recordDatagrams returns what one node sends to another within ten seconds.
+func recordDatagrams(c *Cluster, to, from int) (list [][]byte) {
+	c.OnDatagram = func(a, b int, data []byte) {
 		if a == from && b == to {
 			list = append(list, data)
 		}
 	}
-	f.Run(f.Now + 10_000)
-	f.Tap = nil
+	c.RunUntil(c.Now + 10_000)
+	c.OnDatagram = nil
 	return list
 }
+
+// startConsensusCluster returns a cluster whose n nodes are started and hold their leases.
+func startConsensusCluster(t *testing.T, n, initialVoters int, seed uint64) *ConsensusCluster {
+	t.Helper()
+	c := NewConsensusCluster(n, initialVoters, seed)
+	for k := range n {
+		c.Start(k)
+	}
+	c.RunUntil(c.Now + 8000)
+	require.NotEmpty(t, c.Leader, "seed %d", seed)
+	for k := range n {
+		require.True(t, c.ConsensusNodes[k].Group.LeaseHeld(c.LocalTime(k)), "seed %d: %d holds its lease: %+v", seed, k, c.ConsensusNodes[k].Group.Status(c.LocalTime(k)))
+	}
+	return c
+}
