--- a/internal/clustersim/locality.go
+++ b/internal/clustersim/locality.go
@@ -143,7 +143,7 @@
 	bounds.StageMS = localityStageMS
 	bounds.RecoveryWaitMS = recoveryWaitMS
 	for k := range s.Controllers {
-		settings.Slot = k
+		settings.ControllerIndex = k
 		s.controllers = append(s.controllers, &localityController{
 			scheduler: scheduler.New(s.Seed+uint64(k), settings),
 			monitor:   locality.New(controllerName(k), zoneName(s.zoneOf(k)), "r", bounds),
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -21,7 +21,7 @@
 // replicated reports whether requests of the class are registered with replicas before any attempt is made.
 func (c *requestClass) replicated() bool { return c.effect != scheduler.Idempotent }
 
-// Manager is one controller's part in replicating and adopting open requests. It is not safe for concurrent use.
+// Manager replicates and adopts open requests for one controller. It is not safe for concurrent use.
 type Manager struct {
 	self                Member
 	classes             []requestClass
@@ -89,7 +89,7 @@
 
 // proposalKey tells proposals apart.
 type proposalKey struct {
-	kind        string
+	kind        ProposalKind
 	name        string
 	incarnation uint64
 	partitions  uint32
@@ -313,7 +313,7 @@
 }
 
 // propose asks the consensus group to agree on a change, at most once in proposalRetryMS.
-func (m *Manager) propose(kind string, claim placement.AdoptionClaim, version uint64) {
+func (m *Manager) propose(kind ProposalKind, claim placement.AdoptionClaim, version uint64) {
 	if !m.leaseHeld {
 		return
 	}
