--- a/internal/benchmark/measure/main.go
+++ b/internal/benchmark/measure/main.go
@@ -12,8 +12,8 @@
 	"liftshift/internal/benchmark"
 )
 
-var measurements = map[string]func(dir, programs string) ([]benchmark.Figure, error){"store": benchmark.Store, "budgets": benchmark.Budgets, "fleet": benchmark.Fleet, "council": benchmark.Council, "takeover": benchmark.Takeover, "stories": benchmark.Stories,
-	"kills": benchmark.Kills, "holds": benchmark.Holds, "orphans": benchmark.Orphans, "control": benchmark.Control, "zones": benchmark.Zones}
+var measurements = map[string]func(dir, programs string) ([]benchmark.Figure, error){"store": benchmark.Store, "budgets": benchmark.Quotas, "fleet": benchmark.Cluster, "council": benchmark.Consensus, "takeover": benchmark.Takeovers, "stories": benchmark.HandoffHistories,
+	"kills": benchmark.ClientRetries, "holds": benchmark.AttemptHolds, "orphans": benchmark.OrphanedRequests, "control": benchmark.Control, "zones": benchmark.Locality}
 
 func main() {
 	if len(os.Args) != 4 || measurements[os.Args[1]] == nil {
--- /dev/null
+++ b/internal/benchmark/quota_queues.go
@@ -0,0 +1,178 @@
+package benchmark
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"slices"
+	"sort"
+	"strconv"
+
+	"liftshift/internal/quota"
+)
+
+type queueItem struct {
+	start float64
+	id    int
+}
+
+// sortedQueue is the plain structure: all that wait in one slice, in the order of their starts; heaped the same in one heap.
+type sortedQueue struct{ items []queueItem }
+
+func (s *sortedQueue) add(x queueItem) {
+	k := sort.Search(len(s.items), func(k int) bool { return s.items[k].start > x.start })
+	s.items = slices.Insert(s.items, k, x)
+}
+
+func (s *sortedQueue) removeFirst() { s.items = slices.Delete(s.items, 0, 1) }
+
+type heapQueue []queueItem
+
+// Len, Less, Swap, Push and Pop make a heap of it.
+func (h heapQueue) Len() int { return len(h) }
+
+func (h heapQueue) Less(a, b int) bool { return h[a].start < h[b].start }
+
+func (h heapQueue) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+
+// Push adds one.
+func (h *heapQueue) Push(x any) { *h = append(*h, x.(queueItem)) }
+
+// Pop takes out the last.
+func (h *heapQueue) Pop() any {
+	old := *h
+	x := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return x
+}
+
+// queueOffer is a request that the tree offers for an attempt.
+type queueOffer struct {
+	id        string
+	immediate bool // as soon as it came: it is returned to wait in the queue
+}
+
+// queueLoad keeps a number of requests waiting in a quota tree.
+type queueLoad struct {
+	tree       *quota.Tree
+	teams, ids []string
+	now        float64
+	submitted  int
+	offers     []queueOffer
+}
+
+func newQueueLoad(teams, waiting int) (*queueLoad, error) {
+	list := []quota.Team{{Name: "other"}}
+	names := make([]string, teams)
+	for k := range names {
+		names[k] = fmt.Sprint("t", k)
+		list = append(list, quota.Team{Name: names[k]})
+	}
+	tree, err := quota.New(list, "other", lookupSettings(1e12))
+	if err != nil {
+		return nil, err
+	}
+	l := &queueLoad{tree: tree, teams: names, ids: make([]string, waiting+20_000), now: 1}
+	for k := range l.ids {
+		l.ids[k] = strconv.Itoa(k)
+	}
+	return l, nil
+}
+
+func (l *queueLoad) step(ev *quota.Event) {
+	for _, e := range l.tree.Step(l.now, ev) {
+		if e.Kind == quota.Offer || e.Immediate {
+			l.offers = append(l.offers, queueOffer{e.ID, e.Immediate})
+		}
+	}
+}
+
+// submit adds a request.
+func (l *queueLoad) submit() {
+	n := l.submitted
+	l.submitted++
+	l.step(&quota.Event{Kind: quota.RequestQueued, ID: l.ids[n%len(l.ids)], Team: l.teams[n*7919%len(l.teams)], Class: "look", WorkMS: 10, Deadline: 1e15})
+}
+
+// turnOver adds a request, and has one run and close.
+func (l *queueLoad) turnOver() {
+	l.now++
+	l.submit()
+	for len(l.offers) > 0 {
+		offer := l.offers[0]
+		l.offers = l.offers[1:]
+		if offer.immediate {
+			l.step(&quota.Event{Kind: quota.RequestReturned, ID: offer.id})
+			continue
+		}
+		l.step(&quota.Event{Kind: quota.AttemptStarted, ID: offer.id})
+		l.step(&quota.Event{Kind: quota.AttemptEnded, ID: offer.id})
+		l.step(&quota.Event{Kind: quota.RequestClosed, ID: offer.id})
+		return
+	}
+}
+
+// measureQueues measures a decision with many requests waiting, against plain structures that order requests alone.
+func measureQueues(string, string) (figures []Figure, err error) {
+	for _, teams := range []int{10, 10_000} {
+		for _, waiting := range []int{1e3, 1e5, 1e6} {
+			measured, err := measureQueue(teams, waiting)
+			if err != nil {
+				return figures, err
+			}
+			figures = append(figures, measured...)
+		}
+	}
+	return figures, nil
+}
+
+func measureQueue(teams, waiting int) ([]Figure, error) {
+	load, err := newQueueLoad(teams, waiting)
+	if err != nil {
+		return nil, err
+	}
+	bytes, kept := heapBytes(func() any {
+		for load.submitted < waiting {
+			load.submit()
+		}
+		return load.tree
+	})
+	const rounds, sliceRounds = 2000, 200 // the slice is slow
+	inSlice, inHeap := &sortedQueue{}, &heapQueue{}
+	random := rand.New(rand.NewPCG(1, 1))
+	for k := range waiting {
+		inSlice.items = append(inSlice.items, queueItem{float64(k), k})
+		heap.Push(inHeap, queueItem{float64(k), k})
+	}
+	anywhere := func() queueItem { return queueItem{random.Float64() * float64(waiting), 0} }
+	ns := compareMedians(
+		func() float64 { return nanoseconds(rounds, load.turnOver) },
+		func() float64 {
+			return nanoseconds(sliceRounds, func() {
+				inSlice.add(anywhere())
+				inSlice.removeFirst()
+			})
+		},
+		func() float64 {
+			return nanoseconds(rounds, func() {
+				heap.Push(inHeap, anywhere())
+				heap.Pop(inHeap)
+			})
+		})
+	runtime.KeepAlive(kept)
+	at := fmt.Sprintf("%d_teams_%d", teams, waiting)
+	return []Figure{{"budgets.ns_a_search_" + at, ns[0], "ns", "<=", 20_000},
+		{"budgets.ns_against_sorted_slice_" + at, ns[0] / ns[1], "x", ">=", 0},
+		{"budgets.ns_against_heap_" + at, ns[0] / ns[2], "x", ">=", 0},
+		{"budgets.bytes_a_queued_search_" + at, bytes / float64(waiting), "B", "<=", 1000}}, nil
+}
+
+// nanoseconds returns how long one of n calls takes.
+func nanoseconds(n int, call func()) float64 {
+	return elapsedSeconds(func() {
+		for range n {
+			call()
+		}
+	}) / float64(n) * 1e9
+}
