--- a/internal/benchmark/benchmark.go
+++ b/internal/benchmark/benchmark.go
@@ -1,5 +1,5 @@
-// Package benchmark measures what subsystems promise. Each measurement compares sides within one run, in turns, and gives
-// figures with what is wanted of them. The daemon never uses it.
+// Package benchmark measures what subsystems promise, behind `make measure-*`. Each measurement compares sides within one run, in turns,
+// and returns figures with their targets. The names of figures stand in docs/results. The serving daemon must not use the package.
 package benchmark
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Figure is one measured value with its bar.
+// Figure is one measured value with its target.
 type Figure struct {
 	Name  string
 	Value float64
@@ -22,7 +22,7 @@
 	Want  float64
 }
 
-// Met tells whether the figure is what is wanted.
+// Met reports whether the figure meets its target.
 func (f Figure) Met() bool {
 	switch f.Op {
 	case ">=":
@@ -33,31 +33,31 @@
 	return f.Value == f.Want
 }
 
-// String is the figure's line.
+// String returns the figure on one line.
 func (f Figure) String() string {
 	return fmt.Sprintf("figure: %s %.4g %s want %s %g", f.Name, f.Value, f.Unit, f.Op, f.Want)
 }
 
-// Print writes figures and tells whether all hold.
+// Print writes figures and reports whether all meet their targets.
 func Print(out io.Writer, figures []Figure) bool {
-	good := true
+	allMet := true
 	for _, f := range figures {
 		fmt.Fprintln(out, f)
-		good = good && f.Met()
+		allMet = allMet && f.Met()
 	}
-	return good
+	return allMet
 }
 
-// turns is how often each side is measured.
+// measurementRounds is how often each side is measured.
 const measurementRounds = 7
 
-// median is the middle of some values.
+// median returns the middle of some values.
 func median(values []float64) float64 {
 	s := slices.Sorted(slices.Values(values))
 	return s[len(s)/2]
 }
 
-// compareMedians measures each side in turn and gives their medians.
+// compareMedians measures each side in turn and returns their medians.
 func compareMedians(measure ...func() float64) []float64 {
 	all := make([][]float64, len(measure))
 	for range measurementRounds {
@@ -72,17 +72,18 @@
 	return middle
 }
 
-// heapBytes is how many bytes something holds.
-func heapBytes(make func() any) (bytes float64, kept any) {
+// heapBytes returns how many bytes of the heap something takes, and the thing itself.
+func heapBytes(build func() any) (bytes float64, built any) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept = make()
+	built = build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return float64(after.HeapAlloc) - float64(before.HeapAlloc), kept
+	return float64(after.HeapAlloc) - float64(before.HeapAlloc), built
 }
 
+// elapsedSeconds returns how long some work takes.
 func elapsedSeconds(work func()) float64 {
 	began := time.Now()
 	work()
@@ -109,6 +110,7 @@
 	all.Wait()
 }
 
+// quantile returns a quantile of some values, which it sorts; NaN if there are none.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -13,7 +13,7 @@
 	"liftshift/internal/testservers"
 )
 
-// Quotas measures budgets and waits: before the real program, before simulated executors, and the structures alone.
+// Quotas measures quotas and wait estimates: with the real program, with simulated executors, and the queues alone.
 func Quotas(dir, programs string) ([]Figure, error) {
 	var all []Figure
 	for _, part := range []func(dir, programs string) ([]Figure, error){measureTeams, measureDisciplines, measureQueues} {
@@ -34,10 +34,10 @@
 }
 `
 
-// estimates are what clients say of their searches, in ms.
+// workEstimates are what clients say that their requests take, by class, in milliseconds.
 var workEstimates = map[string]float64{"look": 20, "mark": 100}
 
-// testBed is a controller before two engines of eight cores.
+// testBed is a controller with executors of eight cores.
 type testBed struct {
 	listen       string
 	cmd          *exec.Cmd
@@ -90,7 +90,7 @@
 	}
 }
 
-// clientAnswer is one answer as its client saw it.
+// clientAnswer is one answer as its client saw it. The estimate is of the wait, in milliseconds.
 type clientAnswer struct {
 	team                     string
 	sentAt                   time.Time
@@ -100,7 +100,7 @@
 	estimateFrom, estimateTo float64
 }
 
-// startClients has clients of a team ask, each after the other's pause, until stop.
+// startClients has clients of a team send requests, each with a pause after an answer, until stop.
 func (s *testBed) startClients(all *sync.WaitGroup, team, offering string, clients int, pause time.Duration, stop *atomic.Bool, put func(clientAnswer)) {
 	for range clients {
 		all.Add(1)
--- a/internal/benchmark/cluster_simulation.go
+++ b/internal/benchmark/cluster_simulation.go
@@ -15,80 +15,81 @@
 	shardMembers     = 100
 )
 
-// convergedCluster is a simulated fleet whose views are settled.
+// convergedCluster returns a simulated cluster whose views have converged.
 func convergedCluster(n int, seed uint64, settings membership.Settings) *clustersim.Cluster {
-	f := clustersim.New(n, seed)
-	f.MembershipSettings = settings
+	c := clustersim.New(n, seed)
+	c.MembershipSettings = settings
 	for k := range n {
-		f.Start(k)
+		c.Start(k)
 	}
-	f.RunUntilConverged(60_000, 500)
-	f.RunUntil(f.Now + 10_000)
-	return f
+	c.RunUntilConverged(60_000, 500)
+	c.RunUntil(c.Now + 10_000)
+	return c
 }
 
-// measureCrashes measures when the first and when all know of crashes, and what a quiet fleet says.
+// measureCrashes measures when the first and when all know of crashes, and what a quiet cluster sends.
 func measureCrashes(n, rounds int) (first, all []float64, messages, bytes float64) {
-	f := convergedCluster(n, uint64(n), membership.DefaultSettings())
-	f.Messages, f.Bytes = 0, 0
+	c := convergedCluster(n, uint64(n), membership.DefaultSettings())
+	c.Messages, c.Bytes = 0, 0
 	const quiet = 30_000
-	f.RunUntil(f.Now + quiet)
-	messages = float64(f.Messages) / float64(n) / quiet * 1000
-	bytes = float64(f.Bytes) / float64(n) / quiet * 1000
+	c.RunUntil(c.Now + quiet)
+	messages = float64(c.Messages) / float64(n) / quiet * 1000
+	bytes = float64(c.Bytes) / float64(n) / quiet * 1000
 	for r := range rounds {
 		k := (r*7 + 3) % n
-		name, began, known, firstAt, lastAt := f.Nodes[k].Name, f.Now, 0, 0.0, 0.0
-		f.OnEffect = func(by int, e *membership.Effect) {
+		name, began, known, firstAt, lastAt := c.Nodes[k].Name, c.Now, 0, 0.0, 0.0
+		c.OnEffect = func(by int, e *membership.Effect) {
 			if e.Kind == membership.MemberChanged && e.Member.Name == name && e.Member.State == membership.Dead && by != k {
-				if known++; known == 1 {
-					firstAt = f.Now - began
+				known++
+				if known == 1 {
+					firstAt = c.Now - began
 				}
-				lastAt = f.Now - began
+				lastAt = c.Now - began
 			}
 		}
-		f.Kill(k)
-		for known < n-1 && f.Now < began+60_000 {
-			f.RunUntil(f.Now + 100)
+		c.Kill(k)
+		for known < n-1 && c.Now < began+60_000 {
+			c.RunUntil(c.Now + 100)
 		}
 		if known < n-1 {
 			lastAt = math.Inf(1)
 		}
 		first, all = append(first, firstAt), append(all, lastAt)
-		f.OnEffect = nil
-		f.Start(k)
-		f.RunUntil(f.Now + 5000)
+		c.OnEffect = nil
+		c.Start(k)
+		c.RunUntil(c.Now + 5000)
 	}
 	return first, all, messages, bytes
 }
 
-// falselyDeadRate counts who is held for gone though it lives, in so many member-hours with a tenth of all messages lost and one in twenty
-// stalling for 2 s now and then.
+// falselyDeadRate returns how many members are taken for dead though they live, per 1000 member-hours, with a tenth of all messages lost
+// and one member in twenty stalling for 2 s now and then.
 func falselyDeadRate(hours float64, aware bool) float64 {
 	shards := int(math.Ceil(hours / shardMembers * 6))
 	counts := make([]int, shards)
 	parallel(shards, func(s int) {
 		settings := membership.DefaultSettings()
 		settings.IgnoreOwnHealth = !aware
-		f := convergedCluster(shardMembers, uint64(s)+1000, settings)
-		f.Network.Loss = 0.1
+		c := convergedCluster(shardMembers, uint64(s)+1000, settings)
+		c.Network.Loss = 0.1
 		last := map[string]float64{}
-		f.OnEffect = func(_ int, e *membership.Effect) {
+		c.OnEffect = func(_ int, e *membership.Effect) {
 			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead {
-				if at, before := last[e.Member.Name]; !before || f.Now-at > 10_000 { // all that hold it so: one mistake
+				if at, before := last[e.Member.Name]; !before || c.Now-at > 10_000 { // by whom ever: one mistake
 					counts[s]++
 				}
-				last[e.Member.Name] = f.Now
+				last[e.Member.Name] = c.Now
 			}
 		}
 		for k := 0; k < shardMembers; k += 20 {
 			var again func()
 			again = func() {
-				f.Stall(k, 2000)
-				f.Schedule(f.Now+20_000+20_000*f.Rand().Float64(), again)
+				c.Stall(k, 2000)
+				c.Schedule(c.Now+20_000+20_000*c.Rand().Float64(), again)
 			}
-			f.Schedule(f.Now+20_000*f.Rand().Float64(), again)
+			c.Schedule(c.Now+20_000*c.Rand().Float64(), again)
 		}
-		f.RunUntil(f.Now + 600_000)
+		c.RunUntil(c.Now + 600_000)
 	})
 	sum := 0
 	for _, n := range counts {
@@ -97,7 +98,7 @@
 	return float64(sum) / (float64(shards) * shardMembers / 6) * 1000
 }
 
-// partitionRecovery is how many probe intervals views need to be equal after a parting of 300, at the worst of some shapes.
+// partitionRecovery returns how many probe intervals the views of 300 nodes need to converge after a partition, at the worst of some shapes.
 func partitionRecovery() float64 {
 	shapes := []func(a, b int) bool{
 		func(a, b int) bool { return a%2 != b%2 }, func(a, b int) bool { return a%3 != b%3 },
@@ -106,11 +107,12 @@
 	}
 	took := make([]float64, len(shapes))
 	parallel(len(shapes), func(k int) {
-		f := convergedCluster(300, uint64(k)+50, membership.DefaultSettings())
-		f.Network.Blocked = shapes[k]
-		f.RunUntil(f.Now + 60_000)
-		f.Network.Blocked = nil
-		if took[k] = f.RunUntilConverged(120_000, 50) / 500; took[k] < 0 {
+		c := convergedCluster(300, uint64(k)+50, membership.DefaultSettings())
+		c.Network.Blocked = shapes[k]
+		c.RunUntil(c.Now + 60_000)
+		c.Network.Blocked = nil
+		took[k] = c.RunUntilConverged(120_000, 50) / 500
+		if took[k] < 0 {
 			took[k] = math.Inf(1)
 		}
 	})
--- a/internal/benchmark/consensus.go
+++ b/internal/benchmark/consensus.go
@@ -11,81 +11,83 @@
 
 const consensusHistories = 2000
 
-// leaderlessTime is how long a council is without a leader after that is killed.
-func leaderlessTime() (median float64) {
+// leaderlessTime returns how long a consensus group is without a leader after that is killed, in milliseconds.
+func leaderlessTime() float64 {
 	var times []float64
 	for seed := range uint64(20) {
-		h := clustersim.NewConsensusCluster(5, 3, seed)
-		for k := range h.Nodes {
-			h.Start(k)
+		c := clustersim.NewConsensusCluster(5, 3, seed)
+		for k := range c.Nodes {
+			c.Start(k)
 		}
-		h.RunUntil(15_000)
-		at, was := h.Now, h.Leader
-		for k, nd := range h.Nodes {
-			if nd.Name == was {
-				h.Kill(k)
+		c.RunUntil(15_000)
+		killedAt, first := c.Now, c.Leader
+		for k, node := range c.Nodes {
+			if node.Name == first {
+				c.Kill(k)
 			}
 		}
-		h.RunUntil(h.Now + 20_000)
-		if h.Leader == was {
+		c.RunUntil(c.Now + 20_000)
+		if c.Leader == first {
 			times = append(times, math.Inf(1))
 		} else {
-			times = append(times, h.LeaderSince-at)
+			times = append(times, c.LeaderSince-killedAt)
 		}
 	}
 	return quantile(times, 0.5)
 }
 
-// consensusThroughput is how many entries a second a council of three takes, disks of up to 5 ms and links of up to 2 ms simulated, and how long
-// the log is then at most.
-func consensusThroughput() (rate, kept float64) {
+// consensusThroughput returns how many entries a second a group of three voters takes, with simulated disks of up to 5 ms and links of up
+// to 2 ms, and how long the log is at most.
+func consensusThroughput() (rate, logEntries float64) {
 	const names = 4000
-	h := clustersim.NewConsensusCluster(3, 3, 77)
-	for k := range h.Nodes {
-		h.Start(k)
+	c := clustersim.NewConsensusCluster(3, 3, 77)
+	for k := range c.Nodes {
+		c.Start(k)
 	}
-	h.RunUntil(10_000)
+	c.RunUntil(10_000)
 	for n := range names {
-		h.Observations = append(h.Observations, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
+		c.Observations = append(c.Observations, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
 	}
-	began := h.Now
-	for h.Now < began+120_000 {
-		h.RunUntil(h.Now + 20)
+	began := c.Now
+	for c.Now < began+120_000 {
+		c.RunUntil(c.Now + 20)
 		least := names
-		for k, s := range h.ConsensusNodes {
-			st := s.Group.Status(h.LocalTime(k))
-			kept, least = max(kept, float64(st.LogEntries)), min(least, len(st.Record.Members))
+		for k, node := range c.ConsensusNodes {
+			status := node.Group.Status(c.LocalTime(k))
+			logEntries = max(logEntries, float64(status.LogEntries))
+			least = min(least, len(status.Record.Members))
 		}
 		if least >= names {
-			return names / (h.Now - began) * 1000, kept
+			return names / (c.Now - began) * 1000, logEntries
 		}
 	}
-	return 0, kept
+	return 0, logEntries
 }
 
-// Consensus measures what is agreed: histories under faults, the time without a leader, and how much it takes.
+// Consensus measures the consensus group: histories under faults, the time without a leader, and the throughput.
 func Consensus(string, string) ([]Figure, error) {
 	var figures []Figure
 	add := func(name string, value float64, unit, op string, want float64) {
 		figures = append(figures, Figure{"fleet." + name, value, unit, op, want})
 	}
 	var mu sync.Mutex
-	claims, declared, broken := 0, 0, 0
+	operations, declared, broken := 0, 0, 0
 	parallel(consensusHistories, func(k int) {
-		o := clustersim.RunConsensus(uint64(k), nil)
+		result := clustersim.RunConsensus(uint64(k), nil)
 		mu.Lock()
 		defer mu.Unlock()
-		claims, declared = claims+o.Operations, declared+o.DeclaredLost
-		if len(o.Violations) > 0 {
+		operations += result.Operations
+		declared += result.DeclaredLost
+		if len(result.Violations) > 0 {
 			broken++
-			fmt.Println("# broken:", o.Seed, o.Violations)
+			fmt.Println("# broken:", result.Seed, result.Violations)
 		}
 	})
-	add("council_histories_broken", float64(broken), fmt.Sprintf("of %d, %d claims, %d lives lost", consensusHistories, claims, declared), "==", 0)
-	gap := leaderlessTime()
-	rate, kept := consensusThroughput()
-	add("council_leaderless_median", gap/1000, "s", "<=", 3)
+	add("council_histories_broken", float64(broken), fmt.Sprintf("of %d, %d claims, %d lives lost", consensusHistories, operations, declared), "==", 0)
+	leaderless := leaderlessTime()
+	rate, logEntries := consensusThroughput()
+	add("council_leaderless_median", leaderless/1000, "s", "<=", 3)
 	add("council_entries_a_second", rate, "/s", ">=", 500)
-	add("council_log_kept", kept, "entries", "<=", 1024)
+	add("council_log_kept", logEntries, "entries", "<=", 1024)
 	return figures, nil
 }
--- a/internal/benchmark/handoff_simulation.go
+++ b/internal/benchmark/handoff_simulation.go
@@ -16,32 +16,43 @@
 	copyCount        = 100_000
 )
 
-// countHandoffViolations plays histories in simulated time and counts what is wrong, by kind.
-func countHandoffViolations(n int) (twice, two, without, other, adopted int) {
+// handoffCounts are the adoptions and violations of histories.
+type handoffCounts struct {
+	adopted    int
+	violations map[clustersim.ViolationKind]int
+}
+
+// runHandoffHistories runs histories in simulated time, with three windows of executors that drop repeats.
+func runHandoffHistories(n int) handoffCounts {
+	counts := handoffCounts{violations: map[clustersim.ViolationKind]int{}}
+	windowsMS := []float64{0, 6000, 20_000}
 	var mu sync.Mutex
 	parallel(n, func(k int) {
-		o := clustersim.RunHandoff(clustersim.HandoffScenario{Seed: uint64(k), DedupWindowMS: []float64{0, 6000, 20_000}[k%3]})
+		result := clustersim.RunHandoff(clustersim.HandoffScenario{Seed: uint64(k), DedupWindowMS: windowsMS[k%len(windowsMS)]})
 		mu.Lock()
 		defer mu.Unlock()
-		adopted += o.Adopted
-		for _, v := range o.Violations {
-			fmt.Println("# broken:", o.Seed, v)
-			switch v.Kind {
-			case clustersim.RanTwice:
-				twice++
-			case clustersim.ContradictoryAnswers:
-				two++
-			case clustersim.WithoutOutcome:
-				without++
-			default:
-				other++
-			}
+		counts.adopted += result.Adopted
+		for _, v := range result.Violations {
+			fmt.Println("# broken:", result.Seed, v)
+			counts.violations[v.Kind]++
 		}
 	})
-	return twice, two, without, other, adopted
+	return counts
+}
+
+// others counts the violations that have no figure of their own.
+func (c *handoffCounts) others() (sum int) {
+	for kind, n := range c.violations {
+		switch kind {
+		case clustersim.RanTwice, clustersim.ContradictoryAnswers, clustersim.WithoutOutcome:
+		default:
+			sum += n
+		}
+	}
+	return sum
 }
 
-// bytesPerCopy gives the bytes that a copy costs its holder, without its body.
+// bytesPerCopy returns the bytes that a copy costs its replica, without its body.
 func bytesPerCopy() float64 {
 	places := []placement.Member{{Name: "a", Incarnation: 1}, {Name: "b", Incarnation: 1}, {Name: "c", Incarnation: 1}}
 	var t placement.Table
@@ -63,7 +74,7 @@
 	return bytes / copyCount
 }
 
-// HandoffHistories measures what becomes of work in hand in simulated time. STORIES sets how many histories are played.
+// HandoffHistories measures what becomes of open requests in simulated time. STORIES sets how many histories are run.
 func HandoffHistories(string, string) ([]Figure, error) {
 	var figures []Figure
 	add := func(name string, value float64, unit, op string, want float64) {
@@ -73,12 +84,12 @@
 	add("bytes_a_copy", a, "B", "<=", 1500)
 	add("memory_of_1e5_copies", a*1e5/(1<<20), "MB", "<=", 143)
 	n := number("STORIES", handoffHistories)
-	twice, two, without, other, adopted := countHandoffViolations(n)
-	unit := fmt.Sprintf("of %d histories, %d adopted", n, adopted)
-	add("sim_ran_twice", float64(twice), unit, "==", 0)
-	add("sim_two_answers", float64(two), unit, "==", 0)
-	add("sim_without_outcome", float64(without), unit, "==", 0)
-	add("sim_otherwise_wrong", float64(other), unit, "==", 0)
+	counts := runHandoffHistories(n)
+	unit := fmt.Sprintf("of %d histories, %d adopted", n, counts.adopted)
+	add("sim_ran_twice", float64(counts.violations[clustersim.RanTwice]), unit, "==", 0)
+	add("sim_two_answers", float64(counts.violations[clustersim.ContradictoryAnswers]), unit, "==", 0)
+	add("sim_without_outcome", float64(counts.violations[clustersim.WithoutOutcome]), unit, "==", 0)
+	add("sim_otherwise_wrong", float64(counts.others()), unit, "==", 0)
 	add("sim_ran_twice_without_leases", float64(countRunsWithoutLeases(stalledHistories)), fmt.Sprintf("of %d histories", stalledHistories), ">=", 1)
 	return figures, nil
 }
--- a/internal/benchmark/holds.go
+++ b/internal/benchmark/holds.go
@@ -17,14 +17,14 @@
 	"liftshift/internal/testservers"
 )
 
-// controller is a real controller under measurement.
+// controller is a controller process under measurement.
 type controller struct {
 	cmd    *exec.Cmd
 	listen string
 	log    bytes.Buffer
 }
 
-// launch starts a controller before engines; file is the operators' file, or empty.
+// launch starts a controller with executors; file is the path of the operators' file, or empty.
 func launch(dir, program, file string, engines []*testservers.Executor) (*controller, error) {
 	list, _, err := testservers.EndpointList() // ends with this program
 	if err != nil {
@@ -48,7 +48,7 @@
 	return c.cmd.Wait()
 }
 
-// load has clients ask for a time; it gives how long answers took, by offering, in microseconds.
+// load has clients send requests for a time; it returns how long answers took, in microseconds.
 func (c *controller) load(clients int, span time.Duration, offering string, turn string) (*hdrhistogram.Histogram, error) {
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var all sync.WaitGroup
@@ -97,7 +97,30 @@
 
 var heldFieldPattern = regexp.MustCompile(`held_ms=([0-9.e+-]+)`)
 
-// measureLookupsAndHolds measures, over sockets, how long a labelled shot is held for its record, and what a lookup pays for the store.
+// compareLatencies measures, with the store on and off, the 99th percentile of lookups, and the median and 99th percentile of keyed requests,
+// in microseconds.
+func compareLatencies(on, off *controller) (lookup, keyed, keyedTail []float64, failed error) {
+	n := 0
+	latency := func(c *controller, class string, q float64) func() float64 {
+		return func() float64 {
+			n++
+			h, err := c.load(8, 1500*time.Millisecond, class, fmt.Sprint(n))
+			if err != nil {
+				failed = err
+				return 1
+			}
+			return float64(h.ValueAtQuantile(q))
+		}
+	}
+	latency(on, "look", 99)() // connections come up
+	latency(off, "look", 99)()
+	lookup = compareMedians(latency(on, "look", 99), latency(off, "look", 99))
+	keyed = compareMedians(latency(on, "mark", 50), latency(off, "mark", 50))
+	keyedTail = compareMedians(latency(on, "mark", 99), latency(off, "mark", 99))
+	return lookup, keyed, keyedTail, failed
+}
+
+// measureLookupsAndHolds measures, over sockets, how long a keyed attempt is held for its record, and what a lookup pays for the store.
 func measureLookupsAndHolds(dir, programs string) ([]Figure, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -124,24 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var failed error
-	n := 0
-	p99 := func(c *controller, offering string, q float64) func() float64 {
-		return func() float64 {
-			n++
-			h, err := c.load(8, 1500*time.Millisecond, offering, fmt.Sprint(n))
-			if err != nil {
-				failed = err
-				return 1
-			}
-			return float64(h.ValueAtQuantile(q))
-		}
-	}
-	p99(on, "look", 99)() // connections come up
-	p99(off, "look", 99)()
-	look := compareMedians(p99(on, "look", 99), p99(off, "look", 99))
-	mark := compareMedians(p99(on, "mark", 50), p99(off, "mark", 50))
-	tail := compareMedians(p99(on, "mark", 99), p99(off, "mark", 99))
+	lookup, keyed, keyedTail, failed := compareLatencies(on, off)
 	if err := on.stop(); err != nil {
 		return nil, fmt.Errorf("%w: %s", err, on.log.String())
 	}
@@ -155,8 +161,8 @@
 	if all := heldFieldPattern.FindAllStringSubmatch(on.log.String(), -1); len(all) > 0 {
 		held, _ = strconv.ParseFloat(all[len(all)-1][1], 64)
 	}
-	return []Figure{{"store.lookup_p99_on_against_off", look[0] / look[1], "x", "<=", 1.05},
+	return []Figure{{"store.lookup_p99_on_against_off", lookup[0] / lookup[1], "x", "<=", 1.05},
 		{"store.labelled_held_mean", held, "ms", "<=", 50},
-		{"store.labelled_held_median", (mark[0] - mark[1]) / 1000, "ms", "<=", 50},
-		{"store.labelled_held_p99", (tail[0] - tail[1]) / 1000, "ms", "<=", 250}}, nil
+		{"store.labelled_held_median", (keyed[0] - keyed[1]) / 1000, "ms", "<=", 50},
+		{"store.labelled_held_p99", (keyedTail[0] - keyedTail[1]) / 1000, "ms", "<=", 250}}, nil
 }
--- a/internal/benchmark/index.go
+++ b/internal/benchmark/index.go
@@ -9,7 +9,7 @@
 	"liftshift/internal/index"
 )
 
-// expiry and lapses are the plain structure that the index is compared with: a map, and a heap of times.
+// expiry is when a key of a plainIndex expires.
 type expiry struct {
 	at  int64
 	key string
@@ -17,17 +17,14 @@
 
 type expiryHeap []expiry
 
-// Len, Less, Swap, Push and Pop make a heap of it.
 func (h expiryHeap) Len() int { return len(h) }
 
 func (h expiryHeap) Less(a, b int) bool { return h[a].at < h[b].at }
 
 func (h expiryHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push adds one.
 func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
 
-// Pop takes out the last.
 func (h *expiryHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -37,6 +34,7 @@
 
 type indexValue struct{ a, b, c uint32 }
 
+// plainIndex is the structure that the index is compared with: a map, and a heap of times.
 type plainIndex struct {
 	values   map[string]indexValue
 	expiries expiryHeap
@@ -53,7 +51,7 @@
 	}
 }
 
-// measureIndex compares the index with a plain map and a heap of times, at a million marks.
+// measureIndex compares the index with a plain map and a heap of times, at a million keys.
 func measureIndex(string) ([]Figure, error) {
 	const n = 1_000_000
 	texts := make([]string, n)
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -8,7 +8,7 @@
 	"liftshift/scheduler"
 )
 
-// measureLedger measures what a lookup costs the desk's goroutine in the ledger.
+// measureLedger measures what a lookup costs the event loop in the ledger.
 func measureLedger(string) ([]Figure, error) {
 	g := ledger.DefaultSettings()
 	g.Classes = []scheduler.RequestClass{{Name: "look", Effect: scheduler.Idempotent, DeadlineMS: 5000}}
--- a/internal/benchmark/locality_cost.go
+++ b/internal/benchmark/locality_cost.go
@@ -6,7 +6,7 @@
 	"liftshift/scheduler"
 )
 
-// reachCost is what the choice of an executor costs with reaches, against without.
+// reachCost returns what the choice of an executor costs with reachable zones, against without.
 func reachCost() float64 {
 	cost := func(reaches []scheduler.ZoneReach) func() float64 {
 		settings := scheduler.DefaultSettings()
--- a/internal/benchmark/quota_queues.go
+++ b/internal/benchmark/quota_queues.go
@@ -12,12 +12,13 @@
 	"liftshift/internal/quota"
 )
 
+// queueItem is a request in a plain structure.
 type queueItem struct {
 	start float64
 	id    int
 }
 
-// sortedQueue is the plain structure: all that wait in one slice, in the order of their starts; heaped the same in one heap.
+// sortedQueue is a plain structure: all requests that wait in one slice, in the order of their starts.
 type sortedQueue struct{ items []queueItem }
 
 func (s *sortedQueue) add(x queueItem) {
@@ -27,19 +28,17 @@
 
 func (s *sortedQueue) removeFirst() { s.items = slices.Delete(s.items, 0, 1) }
 
+// heapQueue is a plain structure: all requests that wait in one heap.
 type heapQueue []queueItem
 
-// Len, Less, Swap, Push and Pop make a heap of it.
 func (h heapQueue) Len() int { return len(h) }
 
 func (h heapQueue) Less(a, b int) bool { return h[a].start < h[b].start }
 
 func (h heapQueue) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push adds one.
 func (h *heapQueue) Push(x any) { *h = append(*h, x.(queueItem)) }
 
-// Pop takes out the last.
 func (h *heapQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/internal/benchmark/quota_simulation.go
+++ b/internal/benchmark/quota_simulation.go
@@ -10,14 +10,14 @@
 	"liftshift/scheduler"
 )
 
-// queuedRequest is a search before simulated executors.
+// queuedRequest is a request that waits for a simulated executor.
 type queuedRequest struct {
 	id               string
 	team             string
 	queuedAt, workMS float64
 }
 
-// discipline orders what waits.
+// discipline orders the requests that wait.
 type discipline interface {
 	add(now float64, x queuedRequest)
 	next(now float64) (queuedRequest, bool)
@@ -25,21 +25,25 @@
 	tick(now float64)
 }
 
+// fifo serves first come, first served.
 type fifo struct{ queue []queuedRequest }
 
 func (f *fifo) add(_ float64, x queuedRequest) { f.queue = append(f.queue, x) }
 
 func (f *fifo) next(float64) (x queuedRequest, ok bool) {
 	if len(f.queue) > 0 {
-		x, ok, f.queue = f.queue[0], true, f.queue[1:]
+		x = f.queue[0]
+		f.queue = f.queue[1:]
+		return x, true
 	}
-	return x, ok
+	return x, false
 }
 
 func (f *fifo) finish(float64, queuedRequest) {}
 
 func (f *fifo) tick(float64) {}
 
+// strictPriority serves one team before all others.
 type strictPriority struct{ first, second fifo }
 
 func (s *strictPriority) add(now float64, x queuedRequest) {
@@ -61,6 +65,7 @@
 
 func (s *strictPriority) tick(float64) {}
 
+// quotaDiscipline serves by the quota tree.
 type quotaDiscipline struct {
 	tree   *quota.Tree
 	queued map[string]queuedRequest
@@ -120,15 +125,15 @@
 
 func (f *quotaDiscipline) tick(now float64) { f.step(now, &quota.Event{Kind: quota.Ticked}) }
 
-// runningRequest is a search under way.
+// runningRequest is a request at an executor.
 type runningRequest struct {
 	queuedRequest
 	endsAt float64
 }
 
-// simulate plays both teams before 16 threads: render keeps 200 waiting, model has come and go by chance from a time on.
+// simulate runs both teams on 16 threads: render keeps 200 requests waiting, model sends them at random from a time on.
 func simulate(d discipline, until, from, load float64, each func(now float64)) (work map[string]float64, waits map[string][]float64, takenBack float64) {
-	dice := rand.New(rand.NewPCG(7, 7))
+	random := rand.New(rand.NewPCG(7, 7))
 	work, waits = map[string]float64{}, map[string][]float64{}
 	n, queued, free := 0, map[string]int{}, 16
 	var runs []runningRequest
@@ -142,7 +147,7 @@
 		for queued["render"] < 200 {
 			put("render", 300)
 		}
-		for ; next <= now; next += dice.ExpFloat64() * 50 / (16 * load) {
+		for ; next <= now; next += random.ExpFloat64() * 50 / (16 * load) {
 			put("model", 50)
 		}
 		for k := 0; k < len(runs); k++ {
@@ -188,7 +193,7 @@
 	return work, waits, takenBack
 }
 
-// measureDisciplines compares budgets with first come, first served, and with strict priority, before simulated executors.
+// measureDisciplines compares quotas with first come, first served, and with strict priority, with simulated executors.
 func measureDisciplines(string, string) ([]Figure, error) {
 	var all []Figure
 	p99 := map[string]float64{}
@@ -199,7 +204,7 @@
 		{"strict", func() discipline { return &strictPriority{} }}} {
 		_, waits, _ := simulate(c.make(), 60_000, 5000, 0.5, nil)
 		over, _, back := simulate(c.make(), 60_000, 5000, 1.2, nil)
-		// Wanted of ours alone: the others show what it is compared with.
+		// Only quotas have targets: the others are what they are compared with.
 		taken, least := math.Inf(1), 0.0
 		if c.name == "budgets" {
 			taken, least = 2000, 0.2
--- a/internal/benchmark/store.go
+++ b/internal/benchmark/store.go
@@ -12,7 +12,7 @@
 	"liftshift/internal/vfs"
 )
 
-// Store measures the store, the index and the ledger in a folder. Dir is the file system that is measured.
+// Store measures the store, the index and the ledger in a directory, which is on the file system that is measured.
 func Store(dir string, programs string) ([]Figure, error) {
 	var all []Figure
 	for k, part := range []func(string) ([]Figure, error){measureGroupCommit, measureRecovery, measureChurn, measureIndex, measureLedger,
@@ -36,9 +36,9 @@
 	return k
 }
 
-const recordBytes = 120 // as a mark's record has
+const recordBytes = 120 // of an idempotency key's record
 
-// plainLog is the structure compared with: each writer's record is written and synced by itself.
+// plainLog is the structure that the store is compared with: each writer's record is written and synced by itself.
 type plainLog struct {
 	mu sync.Mutex
 	f  *os.File
@@ -53,7 +53,7 @@
 	return p.f.Sync()
 }
 
-// writeRate lets writers write for a time and gives records a second.
+// writeRate has writers write for a time and returns the records a second.
 func writeRate(writers int, write func(n uint64) error) (float64, error) {
 	const span = 250 * time.Millisecond
 	var all sync.WaitGroup
@@ -128,9 +128,10 @@
 	return all, nil
 }
 
-// unsyncedDir is a folder whose syncs do nothing: for filling it fast.
+// unsyncedDir is a directory whose syncs do nothing: for filling it fast.
 type unsyncedDir struct{ vfs.Dir }
 
+// unsyncedFile is a file whose syncs do nothing.
 type unsyncedFile struct{ vfs.File }
 
 // Sync does nothing.
@@ -200,7 +201,7 @@
 	return append(all, Figure{"store.recovery_growth_per_tenfold", took[2] / took[1], "x", "<=", 12}), nil
 }
 
-// measureChurn plays an hour of marks, each with its records, through the ledger's own expiry, and looks at the disk.
+// measureChurn writes and expires the records of an hour of requests, and looks at the disk.
 func measureChurn(dir string) ([]Figure, error) {
 	real, err := vfs.OpenDir(dir, true)
 	if err != nil {
@@ -215,7 +216,7 @@
 	value, b, peak := make([]byte, recordBytes), &store.Batch{}, 0.0
 	for now := int64(0); now < 3600_000; now += 1000 {
 		b.Reset()
-		for n := range aSecond { // a search and its mark, then both again with the outcome
+		for n := range aSecond { // a request and its key, then both again with the outcome
 			k := uint64(now)*1000 + uint64(n)
 			for range 2 {
 				b.Put(keyNumber(k), now+keptMS, value)
@@ -226,7 +227,7 @@
 			return nil, err
 		}
 		f := s.Stats()
-		// A second of the hour is some ms here: a snapshot that falls due gets its part of that second.
+		// A second of the hour takes some milliseconds here: a snapshot that falls due gets its part of that second.
 		for waited := 0; float64(f.DiskBytes) > 1.8*float64(f.LiveBytes)+256<<10 && waited < 5000; waited++ {
 			time.Sleep(200 * time.Microsecond)
 			f = s.Stats()
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -30,7 +30,7 @@
 	takeoverBoundMS = 2000*1.004 + 500 + 2*200 + 400 + 1000
 )
 
-// countRunsWithoutLeases counts marks that run twice where leases are not looked at.
+// countRunsWithoutLeases counts idempotency keys that run twice where leases are ignored.
 func countRunsWithoutLeases(n int) (twice int) {
 	var mu sync.Mutex
 	parallel(n, func(k int) {
