--- a/cmd/liftshift-full/chaos.go
+++ b/cmd/liftshift-full/chaos.go
@@ -47,7 +47,7 @@
 					return err
 				}
 			}
-			if len(o.Wrong) > 0 {
+			if len(o.Violations) > 0 {
 				fmt.Fprintf(cmd.OutOrStdout(), "again: liftshift chaos %s --seed %d\n", operands[0], o.Seed)
 				return errFaulty
 			}
--- a/internal/assembly/quota_test.go
+++ b/internal/assembly/quota_test.go
@@ -28,17 +28,17 @@
 `
 
 // served is a controller with an operators' file before engines of eight cores.
-func served(t *testing.T, file string, works map[string]time.Duration) (listen string, cmd *exec.Cmd, log *bytes.Buffer, runs *testservers.Memory) {
-	runs = &testservers.Memory{}
+func served(t *testing.T, file string, works map[string]time.Duration) (listen string, cmd *exec.Cmd, log *bytes.Buffer, runs *testservers.RunLog) {
+	runs = &testservers.RunLog{}
 	var engines []*testservers.Executor
 	for k := range 2 {
-		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, Memory: runs}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, RunLog: runs}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
 	}
 	dir := t.TempDir()
-	list, stop, err := testservers.EndpointList()
+	list, stop, err := testservers.StartEmptyDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, log = freePort(t), &bytes.Buffer{}
@@ -53,7 +53,7 @@
 }
 
 // crowd is clients of a team that ask without end until stop; it counts what was handled.
-func crowd(t *testing.T, all *sync.WaitGroup, listen, team, offering string, clients int, stop *atomic.Bool, each func(testservers.Answer, time.Time)) *atomic.Int64 {
+func crowd(t *testing.T, all *sync.WaitGroup, listen, team, offering string, clients int, stop *atomic.Bool, each func(testservers.Reply, time.Time)) *atomic.Int64 {
 	handled := &atomic.Int64{}
 	for w := range clients {
 		all.Add(1)
@@ -95,7 +95,7 @@
 	var stop atomic.Bool
 	var told, kept, answers atomic.Int64
 	began := time.Now()
-	each := func(a testservers.Answer, at time.Time) {
+	each := func(a testservers.Reply, at time.Time) {
 		answers.Add(1)
 		if len(a.Waits) == 0 || a.Waits[0].Unknown || a.Code != 0 || time.Since(began) < 2*time.Second {
 			return
@@ -186,7 +186,7 @@
 	listen, cmd, log, _ := served(t, twoTeams, map[string]time.Duration{"look": 30 * time.Millisecond})
 	var all sync.WaitGroup
 	var stop atomic.Bool
-	render := crowd(t, &all, listen, "render", "look", 40, &stop, func(a testservers.Answer, _ time.Time) { assert.Zero(t, a.Code) })
+	render := crowd(t, &all, listen, "render", "look", 40, &stop, func(a testservers.Reply, _ time.Time) { assert.Zero(t, a.Code) })
 	require.Eventually(t, func() bool { return render.Load() > 20 }, 10*time.Second, 5*time.Millisecond)
 	file := cmd.Args[len(cmd.Args)-1]
 	require.NoError(t, os.WriteFile(file, []byte("quotas {\n default = \"other\"\n team \"other\" {}\n}\n"), 0o600))
--- a/internal/assembly/store_test.go
+++ b/internal/assembly/store_test.go
@@ -36,7 +36,7 @@
 // setup writes the files of a controller before some engines, with a store, and gives what starts it.
 func setup(t *testing.T, program string, engines ...*testservers.Executor) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
 	dir := t.TempDir()
-	list, stop, err := testservers.EndpointList()
+	list, stop, err := testservers.StartEmptyDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	listen, folder = freePort(t), filepath.Join(dir, "store")
@@ -55,10 +55,10 @@
 // The real program is killed outright twenty times under load, and started again. Clients come again with their marks. No
 // mark runs twice, no search gets two answers, and what ran is never told as denied or unknown.
 func TestStore_RunsKeysOnceThroughKills(t *testing.T) {
-	memory := &testservers.Memory{}
+	memory := &testservers.RunLog{}
 	var engines []*testservers.Executor
 	for k, place := range []string{"here", "here", "there"} {
-		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: place, DedupWindow: 20 * time.Second, Work: 3 * time.Millisecond, Memory: memory}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: place, DedupWindow: 20 * time.Second, Work: 3 * time.Millisecond, RunLog: memory}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
 		engines = append(engines, e)
@@ -230,7 +230,7 @@
 	e := &testservers.Executor{Name: "s-0", Zone: "here"}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
-	list, stop, err := testservers.EndpointList()
+	list, stop, err := testservers.StartEmptyDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	for _, file := range []string{"", "control { socket = \"" + filepath.Join(t.TempDir(), "sock") + "\" }\n"} {
--- a/internal/benchmark/budgets.go
+++ b/internal/benchmark/budgets.go
@@ -42,20 +42,20 @@
 	listen       string
 	cmd          *exec.Cmd
 	executors    []*testservers.Executor
-	runLog       *testservers.Memory
+	runLog       *testservers.RunLog
 	requestCount atomic.Int64
 }
 
 func newTestBed(dir, programs, file string, works map[string]time.Duration, engines int) (*testBed, error) {
-	s := &testBed{runLog: &testservers.Memory{}}
+	s := &testBed{runLog: &testservers.RunLog{}}
 	for k := range engines {
-		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, Memory: s.runLog}
+		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: "here", DedupWindow: 20 * time.Second, Cores: 8, WorkByClass: works, RunLog: s.runLog}
 		if err := e.Start(); err != nil {
 			return nil, err
 		}
 		s.executors = append(s.executors, e)
 	}
-	list, _, err := testservers.EndpointList() // ends with this program
+	list, _, err := testservers.StartEmptyDiscovery() // ends with this program
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/holds.go
+++ b/internal/benchmark/holds.go
@@ -26,7 +26,7 @@
 
 // launch starts a controller with executors; file is the path of the operators' file, or empty.
 func launch(dir, program, file string, engines []*testservers.Executor) (*controller, error) {
-	list, _, err := testservers.EndpointList() // ends with this program
+	list, _, err := testservers.StartEmptyDiscovery() // ends with this program
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -127,7 +127,7 @@
 				case <-time.After(lookupPause):
 				}
 				began := time.Now()
-				var a testservers.Answer
+				var a testservers.Reply
 				a, err = c.Submit("look", fmt.Sprintf("own-%d-%d", w, k), "", 5*time.Second)
 				mu.Lock()
 				if at, ms = append(at, began), append(ms, time.Since(began).Seconds()*1000); err != nil || a.Code != 0 {
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -159,7 +159,7 @@
 				if offering == "mark" {
 					mark = "m" + id
 				}
-				var a testservers.Answer
+				var a testservers.Reply
 				if a, wrong = c.Submit(offering, id, mark, 5*time.Second); wrong == nil && a.Code != 0 {
 					wrong = fmt.Errorf("%s: %d %s", id, a.Code, a.Message)
 				}
--- a/internal/chaostest/cluster.go
+++ b/internal/chaostest/cluster.go
@@ -65,7 +65,7 @@
 	Relay       *Relay
 	Controllers []*Controller
 	Executors   []*testservers.Executor
-	RunLog      *testservers.Memory
+	RunLog      *testservers.RunLog
 	discovery   *testservers.Discovery
 	drained     map[string]time.Time // by executor: when it was published as terminating
 	onClose     []func()
@@ -73,7 +73,7 @@
 
 // New writes the controllers' files and starts the executors, the discovery service and the relay. No controller runs yet.
 func New(config Config) (cl *Cluster, err error) {
-	cl = &Cluster{Config: config, RunLog: &testservers.Memory{}, drained: map[string]time.Time{}}
+	cl = &Cluster{Config: config, RunLog: &testservers.RunLog{}, drained: map[string]time.Time{}}
 	defer func() {
 		if err != nil {
 			cl.Close()
@@ -106,7 +106,7 @@
 			DedupWindow: config.executorDedupWindow(),
 			Work:        time.Duration(config.WorkMS * float64(time.Millisecond)),
 			WorkByClass: config.WorkByClass,
-			Memory:      cl.RunLog,
+			RunLog:      cl.RunLog,
 			Cores:       config.Cores,
 			MaxInFlight: config.MaxInFlight,
 		}
--- a/internal/chaostest/controller_test.go
+++ b/internal/chaostest/controller_test.go
@@ -130,7 +130,7 @@
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		joining := &testservers.Executor{Name: "s-new", Zone: "z0", Work: 5 * time.Millisecond, Memory: cl.RunLog}
+		joining := &testservers.Executor{Name: "s-new", Zone: "z0", Work: 5 * time.Millisecond, RunLog: cl.RunLog}
 		require.NoError(t, joining.Start())
 		t.Cleanup(joining.Stop)
 		require.NoError(t, cl.discovery.PublishSince(joining, "Ready", time.Now().Add(off).UnixMilli()))
--- a/internal/chaostest/drill.go
+++ b/internal/chaostest/drill.go
@@ -31,12 +31,12 @@
 
 // DrillResult is the result of a drill.
 type DrillResult struct {
-	Seed     uint64
-	Timeline []string
-	Samples  []Sample
-	Requests []SentRequest
-	Start    time.Time
-	Wrong    []string
+	Seed       uint64
+	Timeline   []string
+	Samples    []Sample
+	Requests   []SentRequest
+	Start      time.Time
+	Violations []string
 }
 
 // drill is a drill that is being played.
@@ -103,7 +103,7 @@
 		time.Sleep(time.Until(start.Add(p.at)))
 		d.say("%s", p)
 		if err := d.cluster.apply(p); err != nil {
-			d.result.Wrong = append(d.result.Wrong, err.Error())
+			d.result.Violations = append(d.result.Violations, err.Error())
 		}
 	}
 	time.Sleep(time.Until(start.Add(d.script.length)))
@@ -141,7 +141,7 @@
 	}
 	elapsed, err := d.cluster.WaitUntilConverged(d.script.convergeTimeout)
 	if err != nil {
-		d.result.Wrong = append(d.result.Wrong, err.Error())
+		d.result.Violations = append(d.result.Violations, err.Error())
 		return
 	}
 	d.say("healed: all views have converged after %.2fs", elapsed.Seconds())
@@ -150,13 +150,13 @@
 // check checks what clients, executors and logs have, and adds the results to the timeline.
 func (d *drill) check() {
 	result, runs := d.result, d.cluster.RunLog.Runs()
-	result.Wrong = append(result.Wrong, Check(result.Requests, runs, d.script.Controllers)...)
-	result.Wrong = append(result.Wrong, RunsAfterDrain(runs, d.cluster.drained)...)
+	result.Violations = append(result.Violations, Check(result.Requests, runs, d.script.Controllers)...)
+	result.Violations = append(result.Violations, RunsAfterDrain(runs, d.cluster.drained)...)
 	for _, c := range d.cluster.Controllers {
 		log := c.Log()
 		for _, text := range faultTexts {
 			if at := strings.Index(log, text); at >= 0 {
-				result.Wrong = append(result.Wrong, fmt.Sprintf("%s logged: %.600s", c.Name, log[max(0, at-100):]))
+				result.Violations = append(result.Violations, fmt.Sprintf("%s logged: %.600s", c.Name, log[max(0, at-100):]))
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	d.say("%d requests: %d handled, %d rejected, %d failed, %d disconnected", len(result.Requests), counts[ResultHandled], counts[ResultRejected],
 		counts[ResultFailed], counts[ResultDisconnected])
-	for _, violation := range result.Wrong {
+	for _, violation := range result.Violations {
 		d.say("WRONG: %s", violation)
 	}
 }
--- a/internal/chaostest/drill_test.go
+++ b/internal/chaostest/drill_test.go
@@ -31,7 +31,7 @@
 	var output bytes.Buffer
 	result, err := Play(s, program, t.TempDir(), &output)
 	require.NoError(t, err, output.String())
-	assert.Empty(t, result.Wrong)
+	assert.Empty(t, result.Violations)
 	assert.NotContains(t, output.String(), "deprecated")
 	var html bytes.Buffer
 	require.NoError(t, Report(&html, result))
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -33,7 +33,7 @@
 )
 
 // resultOf returns the result of a call.
-func resultOf(answer testservers.Answer, err error) Result {
+func resultOf(answer testservers.Reply, err error) Result {
 	switch {
 	case err != nil:
 		return ResultDisconnected
--- a/internal/chaostest/report.go
+++ b/internal/chaostest/report.go
@@ -92,7 +92,7 @@
 		}
 		plots = append(plots, svg)
 	}
-	return page.Execute(out, map[string]any{"Seed": result.Seed, "Violations": result.Wrong, "Timeline": result.Timeline, "Plots": plots})
+	return page.Execute(out, map[string]any{"Seed": result.Seed, "Violations": result.Violations, "Timeline": result.Timeline, "Plots": plots})
 }
 
 // viewLines returns a line a controller: how many members it sees alive.
--- a/internal/chaostest/script_test.go
+++ b/internal/chaostest/script_test.go
@@ -74,7 +74,7 @@
 	var output bytes.Buffer
 	result, err := Play(s, program, t.TempDir(), &output)
 	require.NoError(t, err, output.String())
-	assert.Empty(t, result.Wrong)
+	assert.Empty(t, result.Violations)
 	assert.Equal(t, 1, strings.Count(output.String(), "deprecated"), output.String())
 	assert.Contains(t, output.String(), "warning: the drill uses deprecated names: engines (now executors), twice (now duplicate)\n")
 }
--- a/internal/chaostest/versions_test.go
+++ b/internal/chaostest/versions_test.go
@@ -81,7 +81,7 @@
 // keyedRequest is a request with an idempotency key, as its client sees it.
 type keyedRequest struct {
 	key    string
-	answer testservers.Answer
+	answer testservers.Reply
 	err    error // the connection ended without an answer, or there was a second answer
 }
 
--- a/internal/testservers/client.go
+++ b/internal/testservers/client.go
@@ -25,8 +25,8 @@
 	contentLengthKey = "Content-Length:"
 )
 
-// Answer is the reply to a call of a client.
-type Answer struct {
+// Reply is the reply to a call of a client.
+type Reply struct {
 	Code         int // of the error; 0: handled
 	Message      string
 	Data         string // base64, of a result
@@ -68,7 +68,7 @@
 func (c *Client) Close() { _ = c.conn.Close() }
 
 // Submit sends a request of a class with an idempotency key, which may be empty, and waits for the reply.
-func (c *Client) Submit(class, id, key string, timeout time.Duration) (Answer, error) {
+func (c *Client) Submit(class, id, key string, timeout time.Duration) (Reply, error) {
 	params := map[string]any{"req": id, "timeout": timeout.Milliseconds(), "ms": 5, "ram": 1, "data": "c2VsZWN0IDE="}
 	if key != "" {
 		params["opkey"] = key
@@ -77,29 +77,29 @@
 }
 
 // Call makes one call and waits for the reply.
-func (c *Client) Call(method string, params any, timeout time.Duration) (Answer, error) {
+func (c *Client) Call(method string, params any, timeout time.Duration) (Reply, error) {
 	c.lastID++
 	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.lastID, "method": method, "params": params})
 	if err != nil {
-		return Answer{}, err
+		return Reply{}, err
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := fmt.Fprintf(c.conn, "Content-Length: %d\r\n\r\n%s", len(text), text); err != nil {
-		return Answer{}, err
+		return Reply{}, err
 	}
 	var waits []WaitEstimate
 	for {
 		m, err := c.read()
 		switch {
 		case err != nil:
-			return Answer{Waits: waits}, err
+			return Reply{Waits: waits}, err
 		case m.Method == "wait":
 			m.Params.At = time.Now()
 			waits = append(waits, m.Params.WaitEstimate)
 		case m.ID != c.lastID:
-			return Answer{Waits: waits}, errors.New("an answer to something else")
+			return Reply{Waits: waits}, errors.New("an answer to something else")
 		default:
-			return Answer{Code: m.Error.Code, Message: m.Error.Message, Data: m.Result.Data, Outcome: m.Result.Outcome,
+			return Reply{Code: m.Error.Code, Message: m.Error.Message, Data: m.Result.Data, Outcome: m.Result.Outcome,
 				RetryAfterMS: m.Error.Data.HoldOff, Waits: waits}, nil
 		}
 	}
--- a/internal/testservers/discovery.go
+++ b/internal/testservers/discovery.go
@@ -13,8 +13,8 @@
 // maxPoll is the longest that a poll for events waits.
 const maxPoll = 5 * time.Second
 
-// EndpointList starts a discovery service that never publishes an event.
-func EndpointList() (address string, stop func(), err error) {
+// StartEmptyDiscovery starts a discovery service that never publishes an event.
+func StartEmptyDiscovery() (address string, stop func(), err error) {
 	d, err := NewDiscovery()
 	if err != nil {
 		return "", nil, err
--- a/internal/testservers/executor.go
+++ b/internal/testservers/executor.go
@@ -26,7 +26,7 @@
 	Work         time.Duration
 	WorkByClass  map[string]time.Duration // by request class, where it differs from Work
 	Cores        int                      // shared by the requests by their priorities, 1 : 4 : 8 : 16; 0: without limit
-	Memory       *Memory                  // the runs of this executor and of those that share it
+	RunLog       *RunLog                  // the runs of this executor and of those that share it
 	MaxInFlight  int                      // requests at a time, past which it answers that it is full, where it has Cores; 0: without limit
 	RejectedFull atomic.Uint64            // answers that it is full
 	Hangs        atomic.Bool              // it accepts requests and answers nothing but probes
@@ -49,8 +49,8 @@
 	if err != nil {
 		return err
 	}
-	if e.Memory == nil {
-		e.Memory = &Memory{}
+	if e.RunLog == nil {
+		e.RunLog = &RunLog{}
 	}
 	e.stopped = make(chan struct{})
 	if e.Cores > 0 {
@@ -223,7 +223,7 @@
 		c.write(id, "full", "-")
 		return
 	}
-	e.Memory.record(Run{ID: id, IdempotencyKey: options.key, Executor: e.Name, At: time.Now(), WaitLimit: options.waitLimit}, e.Zone, e.DedupWindow)
+	e.RunLog.record(Run{ID: id, IdempotencyKey: options.key, Executor: e.Name, At: time.Now(), WaitLimit: options.waitLimit}, e.Zone, e.DedupWindow)
 	if e.Hangs.Load() {
 		return
 	}
--- a/internal/testservers/runlog.go
+++ b/internal/testservers/runlog.go
@@ -12,8 +12,8 @@
 	WaitLimit                    time.Duration // the limit that the controller gave for it
 }
 
-// Memory records the runs of all executors that share it and recognizes repeats of an idempotency key.
-type Memory struct {
+// RunLog records the runs of all executors that share it and recognizes repeats of an idempotency key.
+type RunLog struct {
 	mu      sync.Mutex
 	runs    []Run
 	lastRun map[dedupKey]time.Time
@@ -23,14 +23,14 @@
 type dedupKey struct{ key, group string }
 
 // Runs returns all runs so far.
-func (m *Memory) Runs() []Run {
+func (m *RunLog) Runs() []Run {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]Run(nil), m.runs...)
 }
 
 // record adds a run unless it repeats one of its group within the deduplication window.
-func (m *Memory) record(run Run, group string, window time.Duration) {
+func (m *RunLog) record(run Run, group string, window time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lastRun == nil {
