--- a/internal/benchmark/fleet.go
+++ b/internal/benchmark/fleet.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	realOnes      = 30
+	processCount  = 30
 	processRounds = 20
-	quietTime     = 20 * time.Second
+	idleTime      = 20 * time.Second
 )
 
 // cpuMS gives the processor time of a process, rssMB what it holds.
@@ -44,16 +44,16 @@
 	return 0
 }
 
-// idle gives the processor time of a core, in percent, and the memory of each of some quiet controllers.
-func idle(f *chaostest.Cluster) (percent, mb float64) {
+// measureIdle gives the processor time of a core, in percent, and the memory of each of some quiet controllers.
+func measureIdle(f *chaostest.Cluster) (percent, mb float64) {
 	var cpu, rss []float64
 	before := map[int]float64{}
 	for k := range f.Controllers {
 		before[k] = cpuMS(f.PID(k))
 	}
-	time.Sleep(quietTime)
+	time.Sleep(idleTime)
 	for k := range f.Controllers {
-		cpu = append(cpu, (cpuMS(f.PID(k))-before[k])/float64(quietTime.Milliseconds())*100)
+		cpu = append(cpu, (cpuMS(f.PID(k))-before[k])/float64(idleTime.Milliseconds())*100)
 		rss = append(rss, rssMB(f.PID(k)))
 	}
 	return quantile(cpu, 0.5), quantile(rss, 0.5)
@@ -62,7 +62,7 @@
 // measureProcesses measures thirty real processes: how soon the views converge after ten are killed, and what membership costs.
 func measureProcesses(dir, programs string) ([]Figure, error) {
 	program := filepath.Join(programs, "liftshift")
-	plan := chaostest.Config{Program: program, Directory: filepath.Join(dir, "with"), Controllers: realOnes, Executors: 1, Zones: 3, Seed: 11}
+	plan := chaostest.Config{Program: program, Directory: filepath.Join(dir, "with"), Controllers: processCount, Executors: 1, Zones: 3, Seed: 11}
 	plain := plan
 	plain.Directory, plain.WithoutCluster, plain.Controllers = filepath.Join(dir, "without"), true, 10
 	without, err := chaostest.New(plain)
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	time.Sleep(2 * time.Second)
-	cpu0, mb0 := idle(without)
+	cpu0, mb0 := measureIdle(without)
 	without.Close()
 	f, err := chaostest.New(plan)
 	if err != nil {
@@ -89,12 +89,12 @@
 		return nil, err
 	}
 	sent := f.Relay.DatagramBytes.Load()
-	cpu, mb := idle(f)
-	bytes := float64(f.Relay.DatagramBytes.Load()-sent) / quietTime.Seconds() / realOnes
+	cpu, mb := measureIdle(f)
+	bytes := float64(f.Relay.DatagramBytes.Load()-sent) / idleTime.Seconds() / processCount
 	var took []float64
 	for r := range processRounds {
 		for n := range 10 {
-			f.Kill((3*n + r) % realOnes)
+			f.Kill((3*n + r) % processCount)
 		}
 		t, err := f.WaitUntilConverged(60 * time.Second)
 		if err != nil {
--- a/internal/benchmark/handoff_simulation.go
+++ b/internal/benchmark/handoff_simulation.go
@@ -83,7 +83,7 @@
 	a := bytesPerCopy()
 	add("bytes_a_copy", a, "B", "<=", 1500)
 	add("memory_of_1e5_copies", a*1e5/(1<<20), "MB", "<=", 143)
-	n := number("STORIES", handoffHistories)
+	n := envNumber("STORIES", handoffHistories)
 	counts := runHandoffHistories(n)
 	unit := fmt.Sprintf("of %d histories, %d adopted", n, counts.adopted)
 	add("sim_ran_twice", float64(counts.violations[clustersim.RanTwice]), unit, "==", 0)
--- a/internal/benchmark/measure/main.go
+++ b/internal/benchmark/measure/main.go
@@ -13,7 +13,7 @@
 )
 
 var measurements = map[string]func(dir, programs string) ([]benchmark.Figure, error){"store": benchmark.Store, "budgets": benchmark.Quotas, "fleet": benchmark.Cluster, "council": benchmark.Consensus, "takeover": benchmark.Takeovers, "stories": benchmark.HandoffHistories,
-	"kills": benchmark.ClientRetries, "holds": benchmark.AttemptHolds, "orphans": benchmark.OrphanedRequests, "control": benchmark.Control, "zones": benchmark.Locality}
+	"kills": benchmark.ClientRetries, "holds": benchmark.AttemptHolds, "orphans": benchmark.OrphanedRequests, "control": benchmark.LeaseControl, "zones": benchmark.Locality}
 
 func main() {
 	if len(os.Args) != 4 || measurements[os.Args[1]] == nil {
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -22,45 +22,45 @@
 )
 
 const (
-	defaultOrphans = 20_000
-	orphanLimit    = 90 * time.Second // the hard limit of orphans: nothing is lost for want of time
-	orphanBatch    = 100
-	lookupClients  = 10
-	lookupPause    = 5 * time.Millisecond
-	ownBefore      = 12 * time.Second
-	engineCores    = 8
-	engineRoom     = 4 * engineCores // as many as the settings' highest level allows of one thread's work
+	defaultOrphans      = 20_000
+	orphanLimit         = 90 * time.Second // the hard limit of orphans: nothing is lost for want of time
+	orphanBatch         = 100
+	lookupClients       = 10
+	lookupPause         = 5 * time.Millisecond
+	undisturbedTime     = 12 * time.Second
+	executorCores       = 8
+	executorMaxInFlight = 4 * executorCores // as many as the settings' highest level allows of one thread's work
 )
 
-// leaver is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
-type leaver struct {
-	carrier *clusternet.Transport
-	seat    *raftnode.Node
-	self    handoff.Member
-	roll    atomic.Pointer[raftnode.Configuration]
+// departingOwner is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
+type departingOwner struct {
+	transport     *clusternet.Transport
+	node          *raftnode.Node
+	self          handoff.Member
+	configuration atomic.Pointer[raftnode.Configuration]
 }
 
-func joinLeaver(f *chaostest.Cluster, k int) (*leaver, error) {
+func joinOwner(f *chaostest.Cluster, k int) (*departingOwner, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &leaver{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
-	l.carrier = clusternet.New(f.Relay.ListenAddress(k), log)
+	l := &departingOwner{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
+	l.transport = clusternet.New(f.Relay.ListenAddress(k), log)
 	seen, agreed := membership.DefaultSettings(), consensus.DefaultSettings()
 	seen.ProbeMS, seen.AnswerMS, seen.SuspectMS = 200, 80, 800
 	agreed.LeaseMS, agreed.DeclareLostMS = 2000, 500
-	view := membership.New(l.carrier.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.AdvertiseAddress(k), Zone: "z0", Version: 1},
+	view := membership.New(l.transport.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.AdvertiseAddress(k), Zone: "z0", Version: 1},
 		[]string{f.Relay.AdvertiseAddress(0), f.Relay.AdvertiseAddress(1)}, seen, 5)
 	var err error
-	if l.seat, err = raftnode.New(l.carrier, view, nil, []string{"c0", "c1", "c2"}, agreed, 5, log); err != nil {
+	if l.node, err = raftnode.New(l.transport, view, nil, []string{"c0", "c1", "c2"}, agreed, 5, log); err != nil {
 		return nil, err
 	}
-	l.seat.OnConfiguration = func(r raftnode.Configuration) { l.roll.Store(&r) }
-	if err := l.carrier.Start(view, l.seat); err != nil {
+	l.node.OnConfiguration = func(r raftnode.Configuration) { l.configuration.Store(&r) }
+	if err := l.transport.Start(view, l.node); err != nil {
 		return nil, err
 	}
-	l.carrier.SetFlags(membership.Ready)
+	l.transport.SetFlags(membership.Ready)
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		if r := l.roll.Load(); r != nil && l.seat.LeaseHeld() && len(r.Table.Partitions) > 0 {
+		if r := l.configuration.Load(); r != nil && l.node.LeaseHeld() && len(r.Table.Partitions) > 0 {
 			return l, nil
 		}
 		if time.Since(began) > 20*time.Second {
@@ -69,9 +69,9 @@
 	}
 }
 
-// keep has so many labelled searches kept by all that sit, none of them sent.
-func (l *leaver) keep(f *chaostest.Cluster, n int) error {
-	r := l.roll.Load()
+// registerRequests has so many labelled searches kept by all that sit, none of them sent.
+func (l *departingOwner) registerRequests(f *chaostest.Cluster, n int) error {
+	r := l.configuration.Load()
 	var wait sync.WaitGroup
 	var failed atomic.Pointer[error]
 	for to := range len(f.Controllers) - 1 {
@@ -83,9 +83,9 @@
 				for k := from; k < min(n, from+orphanBatch); k++ {
 					w := handoff.RequestData{ID: fmt.Sprintf("orphan-%d", k), IdempotencyKey: fmt.Sprintf("o%d", k), Class: "mark", TableGroup: uint64(k % 97), MemoryMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
 					b.Items = append(b.Items, handoff.Item{Op: handoff.OpRegister, Key: handoff.KeyOf(w.IdempotencyKey, ""), Sequence: 1, From: l.self,
-						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.carrier.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
+						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.transport.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
 				}
-				data, err := l.carrier.CallSync(f.Relay.AdvertiseAddress(to), clusternet.HandoffMethod, b.Append(nil, l.carrier.Now()))
+				data, err := l.transport.CallSync(f.Relay.AdvertiseAddress(to), clusternet.HandoffMethod, b.Append(nil, l.transport.Now()))
 				var back *handoff.Batch
 				if err == nil {
 					back, err = handoff.ReadBatch(data, 0)
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// own has clients look things up at all controllers, and gives a call that ends them and tells how long they took, with when each began.
-func own(f *chaostest.Cluster, controllers int) func() (at []time.Time, ms []float64, failed int) {
+// startLookups has clients look things up at all controllers, and gives a call that ends them and tells how long they took, with when each began.
+func startLookups(f *chaostest.Cluster, controllers int) func() (at []time.Time, ms []float64, failed int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var at []time.Time
@@ -147,10 +147,10 @@
 // OrphanedRequests measures what thousands of searches of a lost controller do to those of its heirs' own clients, and to the executors. ORPHANS
 // sets how many.
 func OrphanedRequests(dir, programs string) ([]Figure, error) {
-	figures, add := collect()
-	n := number("ORPHANS", defaultOrphans)
-	p := heirsPlan(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
-	p.Controllers, p.WorkByClass, p.Cores, p.MaxInFlight = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, engineCores, engineRoom
+	figures, add := takeoverFigures()
+	n := envNumber("ORPHANS", defaultOrphans)
+	p := handoffConfig(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
+	p.Controllers, p.WorkByClass, p.Cores, p.MaxInFlight = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, executorCores, executorMaxInFlight
 	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
@@ -166,27 +166,27 @@
 		return nil, err
 	}
 	said := f.Relay.DatagramBytes.Load() + f.Relay.StreamBytes.Load()
-	if _, _, err := mill(f, "mark", "bytes"); err != nil {
+	if _, _, err := runLoad(f, "mark", "bytes"); err != nil {
 		return nil, err
 	}
-	add("bytes_a_labelled_search", float64(f.Relay.DatagramBytes.Load()+f.Relay.StreamBytes.Load()-said)/millSearches, "B over all ways", ">=", 0)
-	l, err := joinLeaver(f, heirs)
+	add("bytes_a_labelled_search", float64(f.Relay.DatagramBytes.Load()+f.Relay.StreamBytes.Load()-said)/loadRequests, "B over all ways", ">=", 0)
+	l, err := joinOwner(f, heirs)
 	if err != nil {
 		return nil, err
 	}
-	defer l.carrier.Stop()
-	if err := l.keep(f, n); err != nil {
+	defer l.transport.Stop()
+	if err := l.registerRequests(f, n); err != nil {
 		return nil, err
 	}
-	ended := own(f, heirs)
-	time.Sleep(ownBefore)
+	ended := startLookups(f, heirs)
+	time.Sleep(undisturbedTime)
 	for _, e := range f.Executors {
 		e.TakePeakInFlight()
 		e.RejectedFull.Store(0)
 	}
 	cut := time.Now()
 	f.Relay.SetLinks(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == heirs || b == heirs} })
-	first, last, ran := adoption(f, n, cut)
+	first, last, ran := waitForAdoption(f, n, cut)
 	at, ms, failed := ended()
 	var before, during []float64
 	for k := range at {
@@ -217,13 +217,13 @@
 	add("orphans_a_second", float64(ran)/last.Sub(first).Seconds(), "1/s", ">=", 0)
 	add("own_late_p99_during", quantile(during, 0.99)/quantile(before, 0.99), "x before", "<=", 1.2)
 	add("own_not_handled", float64(failed), "", "==", 0)
-	add("executor_most_at_once", float64(most), fmt.Sprintf("of %d", engineRoom), "<=", engineRoom)
+	add("executor_most_at_once", float64(most), fmt.Sprintf("of %d", executorMaxInFlight), "<=", executorMaxInFlight)
 	add("executor_full_answers", float64(full), "", "==", 0)
 	return *figures, nil
 }
 
-// adoption waits until all orphans have run, or nothing has for some seconds, and tells when it began and ended.
-func adoption(f *chaostest.Cluster, n int, cut time.Time) (first, last time.Time, ran int) {
+// waitForAdoption waits until all orphans have run, or nothing has for some seconds, and tells when it began and ended.
+func waitForAdoption(f *chaostest.Cluster, n int, cut time.Time) (first, last time.Time, ran int) {
 	for idle := time.Now(); time.Since(cut) < orphanLimit && time.Since(idle) < 20*time.Second && ran < n; time.Sleep(200 * time.Millisecond) {
 		seen := map[string]bool{}
 		for _, r := range f.RunLog.Runs() {
@@ -242,21 +242,21 @@
 	return first, last, ran
 }
 
-// Control plays the fault in which a lease counts most, with a program that does not look at its lease, and with one that does: an owner
+// LeaseControl plays the fault in which a lease counts most, with a program that does not look at its lease, and with one that does: an owner
 // stands still while its shots wait for its own disk, which takes a quarter of a second, and goes on when its heirs have sent them. The
 // first must run marks twice, or the rounds could not see it.
-func Control(dir, _ string) ([]Figure, error) {
-	figures, add := collect()
+func LeaseControl(dir, _ string) ([]Figure, error) {
+	figures, add := takeoverFigures()
 	usual := chaostest.TakeoverFaults
 	defer func() { chaostest.TakeoverFaults = usual }()
 	chaostest.TakeoverFaults = []string{"asleep"}
-	n := number("CONTROL_ROUNDS", 12)
+	n := envNumber("CONTROL_ROUNDS", 12)
 	for _, tags := range []string{"faults lawless", "faults"} {
 		programs := filepath.Join(dir, strings.ReplaceAll(tags, " ", "-"))
 		if out, err := exec.Command("go", "build", "-tags", tags, "-o", programs+"/", "liftshift/cmd/liftshift", "liftshift/cmd/liftshift-full").CombinedOutput(); err != nil {
 			return nil, fmt.Errorf("%w: %s", err, out)
 		}
-		all, err := rounds(programs, filepath.Join(programs, "liftshift"), n, "slow 250ms")
+		all, err := runTakeovers(programs, filepath.Join(programs, "liftshift"), n, "slow 250ms")
 		if err != nil {
 			return nil, err
 		}
--- a/internal/benchmark/takeover.go
+++ b/internal/benchmark/takeover.go
@@ -20,9 +20,9 @@
 	defaultRounds    = 300
 	parallelClusters = 3 // fleets that play rounds side by side
 	killRounds       = 12
-	killSearches     = 40
-	millSearches     = 1500
-	millClients      = 4
+	killRequests     = 40
+	loadRequests     = 1500
+	loadClients      = 4
 
 	fastFleet = "probe = \"200ms\"\n answer = \"80ms\"\n suspect = \"800ms\"\n lease = \"2s\"\n declare = \"500ms\"\n"
 	// What is promised with these times: the lease, or else the suspicion, until one may be declared lost; the council's two looks; a
@@ -47,14 +47,14 @@
 	return twice
 }
 
-func heirsPlan(dir, program, name string, drops time.Duration, seed uint64) chaostest.Config {
+func handoffConfig(dir, program, name string, drops time.Duration, seed uint64) chaostest.Config {
 	return chaostest.Config{Program: program, Directory: filepath.Join(dir, name), Controllers: 5, Executors: 3, Founders: 3, Store: true, ClusterSettings: fastFleet,
 		HandoffSettings: "copies = 2", DedupWindow: drops, WorkMS: 10, Seed: seed,
 		WorkByClass: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}}
 }
 
-// opened starts a fleet and waits until it is ready.
-func opened(p chaostest.Config) (*chaostest.Cluster, error) {
+// startCluster starts a fleet and waits until it is ready.
+func startCluster(p chaostest.Config) (*chaostest.Cluster, error) {
 	f, err := chaostest.New(p)
 	if err != nil {
 		return nil, err
@@ -72,9 +72,9 @@
 	return f, nil
 }
 
-// rounds plays rounds of all faults with real processes, and gives them. Disk is how the disks of owners are, in builds with the tag
+// runTakeovers plays rounds of all faults with real processes, and gives them. Disk is how the disks of owners are, in builds with the tag
 // faults; empty: sound.
-func rounds(dir, program string, n int, disk string) (all []chaostest.Round, err error) {
+func runTakeovers(dir, program string, n int, disk string) (all []chaostest.Round, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for w := range parallelClusters {
@@ -83,7 +83,7 @@
 			defer wait.Done()
 			drops := []time.Duration{-1, 20 * time.Second}[w%2]
 			seed := uint64(100 + w)
-			f, wrong := opened(heirsPlan(dir, program, fmt.Sprint("rounds", w), drops, seed))
+			f, wrong := startCluster(handoffConfig(dir, program, fmt.Sprint("rounds", w), drops, seed))
 			for k := 3; f != nil && disk != "" && k < 5 && wrong == nil; k++ {
 				wrong = f.SetDiskState(k, disk)
 			}
@@ -114,28 +114,28 @@
 	return all, err
 }
 
-// kills has controllers killed with labelled searches in hand, whose clients come again elsewhere once. Without an estate: the program
+// runKills has controllers killed with labelled searches in hand, whose clients come again elsewhere once. Without an estate: the program
 // before.
-func kills(dir, program string, with bool) (handled, twice, unsent, sent float64, first []float64, err error) {
-	p := heirsPlan(dir, program, fmt.Sprint("kills", with), 20*time.Second, 41)
+func runKills(dir, program string, with bool) (handled, twice, unsent, sent float64, first []float64, err error) {
+	p := handoffConfig(dir, program, fmt.Sprint("kills", with), 20*time.Second, 41)
 	if !with {
 		p.HandoffSettings, p.DedupWindow = "", 100*time.Millisecond // and engines that soon forget, as before
 	}
-	f, err := opened(p)
+	f, err := startCluster(p)
 	if err != nil {
 		return 0, 0, 0, 0, nil, err
 	}
 	defer f.Close()
 	asked := 0.0
-	for r := range number("KILL_ROUNDS", killRounds) {
-		b, err := f.PlayKillInFlight(fmt.Sprint("k", r), killSearches)
+	for r := range envNumber("KILL_ROUNDS", killRounds) {
+		b, err := f.PlayKillInFlight(fmt.Sprint("k", r), killRequests)
 		if err != nil {
 			return 0, 0, 0, 0, nil, err
 		}
 		for _, n := range b.RetriesNotHandled {
 			fmt.Println("# not handled:", n)
 		}
-		asked, handled, twice = asked+killSearches, handled+float64(b.RetriesHandled), twice+float64(len(b.RanTwice))
+		asked, handled, twice = asked+killRequests, handled+float64(b.RetriesHandled), twice+float64(len(b.RanTwice))
 		unsent, sent = unsent+float64(b.UnsentAtFault), sent+float64(b.SentLater)
 		if b.FirstAttempt > 0 {
 			first = append(first, float64(b.FirstAttempt)/float64(time.Millisecond))
@@ -144,17 +144,17 @@
 	return handled / asked, twice, unsent, sent, first, nil
 }
 
-// mill has clients search at a controller one after the other and gives the processor time a search, and how long shots were held.
-func mill(f *chaostest.Cluster, offering, tag string) (cpu, holdMS float64, err error) {
+// runLoad has clients search at a controller one after the other and gives the processor time a search, and how long shots were held.
+func runLoad(f *chaostest.Cluster, offering, tag string) (cpu, holdMS float64, err error) {
 	before := cpuMS(f.PID(0))
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	for w := range millClients {
+	for w := range loadClients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			c, wrong := testservers.Dial(f.Controllers[0].ClientAddress, time.Second)
-			for k := 0; wrong == nil && k < millSearches/millClients; k++ {
+			for k := 0; wrong == nil && k < loadRequests/loadClients; k++ {
 				id, mark := fmt.Sprintf("%s-%d-%d", tag, w, k), ""
 				if offering == "mark" {
 					mark = "m" + id
@@ -175,7 +175,7 @@
 		}()
 	}
 	all.Wait()
-	cpu = (cpuMS(f.PID(0)) - before) / millSearches
+	cpu = (cpuMS(f.PID(0)) - before) / loadRequests
 	if offering == "mark" {
 		holdMS = lastField(f.Controllers[0], "counters", "hold_ms")
 	}
@@ -197,23 +197,23 @@
 	return 0
 }
 
-// holdsOf gives how long labelled shots are held, by condition, and the processor time of redoable searches with copies and without.
-func holdsOf(dir, program string) (disk, both, others, plain, copied float64, err error) {
+// measureHolds gives how long labelled shots are held, by condition, and the processor time of redoable searches with copies and without.
+func measureHolds(dir, program string) (disk, both, others, plain, copied float64, err error) {
 	var a, b, c, d, e []float64
-	for turn := range number("HOLD_TURNS", 5) {
+	for turn := range envNumber("HOLD_TURNS", 5) {
 		for n, s := range []struct {
 			estate, offering string
 			to               *[]float64
 			cpu              bool
 		}{{"", "mark", &a, false}, {"copies = 2\ncondition = \"disk and holders\"", "mark", &b, false}, {"copies = 2\ncondition = \"holders\"", "mark", &c, false},
 			{"", "look", &d, true}, {"copies = 2", "look", &e, true}} {
-			p := heirsPlan(dir, program, fmt.Sprintf("hold%d-%d", turn, n), 20*time.Second, uint64(60+turn*10+n))
+			p := handoffConfig(dir, program, fmt.Sprintf("hold%d-%d", turn, n), 20*time.Second, uint64(60+turn*10+n))
 			p.HandoffSettings, p.WorkMS, p.WorkByClass, p.Direct = s.estate, 1, nil, true
-			f, wrong := opened(p)
+			f, wrong := startCluster(p)
 			if wrong != nil {
 				return 0, 0, 0, 0, 0, wrong
 			}
-			cpu, held, wrong := mill(f, s.offering, fmt.Sprint("h", turn))
+			cpu, held, wrong := runLoad(f, s.offering, fmt.Sprint("h", turn))
 			f.Close()
 			if wrong != nil {
 				return 0, 0, 0, 0, 0, wrong
@@ -227,8 +227,8 @@
 	return median(a), median(b), median(c), median(d), median(e), nil
 }
 
-// collect gives figures of taking over, and a way to add one.
-func collect() (figures *[]Figure, add func(name string, value float64, unit, op string, want float64)) {
+// takeoverFigures gives figures of taking over, and a way to add one.
+func takeoverFigures() (figures *[]Figure, add func(name string, value float64, unit, op string, want float64)) {
 	figures = &[]Figure{}
 	return figures, func(name string, value float64, unit, op string, want float64) {
 		*figures = append(*figures, Figure{"takeover." + name, value, unit, op, want})
@@ -236,8 +236,8 @@
 	}
 }
 
-// number is one of the environment's, or what is usual.
-func number(name string, usual int) int {
+// envNumber is one of the environment's, or what is usual.
+func envNumber(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
@@ -246,11 +246,11 @@
 
 // Takeovers plays rounds of all faults with real processes. TAKEOVER_ROUNDS sets how many.
 func Takeovers(dir, programs string) ([]Figure, error) {
-	figures, add := collect()
+	figures, add := takeoverFigures()
 	if kinds := os.Getenv("TAKEOVER_KINDS"); kinds != "" {
 		chaostest.TakeoverFaults = strings.Split(kinds, ",")
 	}
-	all, err := rounds(dir, filepath.Join(programs, "liftshift"), number("TAKEOVER_ROUNDS", defaultRounds), "")
+	all, err := runTakeovers(dir, filepath.Join(programs, "liftshift"), envNumber("TAKEOVER_ROUNDS", defaultRounds), "")
 	if err != nil {
 		return nil, err
 	}
@@ -274,8 +274,8 @@
 // Holds measures how long labelled shots are held, by what is to stand before they leave, and what copies of redoable searches cost.
 // The controllers reach one another without a relay. HOLD_TURNS sets how often each side is measured.
 func AttemptHolds(dir, programs string) ([]Figure, error) {
-	figures, add := collect()
-	disk, both, others, plain, copied, err := holdsOf(dir, filepath.Join(programs, "liftshift"))
+	figures, add := takeoverFigures()
+	disk, both, others, plain, copied, err := measureHolds(dir, filepath.Join(programs, "liftshift"))
 	if err != nil {
 		return nil, err
 	}
@@ -288,13 +288,13 @@
 
 // ClientRetries measures what clients get whose controller is killed with their labelled searches in hand.
 func ClientRetries(dir, programs string) ([]Figure, error) {
-	figures, add := collect()
+	figures, add := takeoverFigures()
 	program := filepath.Join(programs, "liftshift")
-	handled, again, unsent, sent, first, err := kills(dir, program, true)
+	handled, again, unsent, sent, first, err := runKills(dir, program, true)
 	if err != nil {
 		return nil, err
 	}
-	before, wasted, _, _, _, err := kills(dir, program, false)
+	before, wasted, _, _, _, err := runKills(dir, program, false)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/zones.go
+++ b/internal/benchmark/zones.go
@@ -12,7 +12,7 @@
 const (
 	recoveryStages = 4 * 700 * time.Millisecond // of the real processes' return, and what it waits before
 	recoveryWait   = 700 * time.Millisecond
-	zonesReal      = 3 // rounds with real processes
+	zoneRounds     = 3 // rounds with real processes
 )
 
 // Locality measures what zones that fail over in common do to searches: in simulated time with the decision module, and with nine real
@@ -24,27 +24,27 @@
 		fmt.Println("#", figures[len(figures)-1])
 	}
 	add("cost_of_a_choice", reachCost(), "x without zones", "<=", 1.5)
-	if number("ZONES_REAL", zonesReal) > 0 {
-		if err := zonesRounds(dir, filepath.Join(programs, "liftshift"), add); err != nil {
+	if envNumber("ZONES_REAL", zoneRounds) > 0 {
+		if err := measureZoneLoss(dir, filepath.Join(programs, "liftshift"), add); err != nil {
 			return figures, err
 		}
 	}
 	for _, load := range []float64{0.5, 0.65, 0.8} {
 		simulatePolicies(load, add)
 	}
-	if number("ZONES_MANY", 1) > 0 {
+	if envNumber("ZONES_MANY", 1) > 0 {
 		simulateSizes(add)
 	}
 	return figures, nil
 }
 
-// zonesRounds has a zone of three out of reach, under load, with real processes.
-func zonesRounds(dir, program string, add func(name string, value float64, unit, op string, want float64)) error {
+// measureZoneLoss has a zone of three out of reach, under load, with real processes.
+func measureZoneLoss(dir, program string, add func(name string, value float64, unit, op string, want float64)) error {
 	var near, agreed, back, handled, own []float64
-	for r := range zonesReal {
+	for r := range zoneRounds {
 		p := chaostest.Config{Program: program, Directory: filepath.Join(dir, fmt.Sprint("zones", r)), Controllers: 9, Executors: 12, Zones: 3, Founders: 3, Store: true,
 			ClusterSettings: fastFleet, LocalitySettings: "stage = \"700ms\"\n return_wait = \"700ms\"", WorkMS: 20, Cores: 4, MaxInFlight: 64, Seed: uint64(90 + r)}
-		f, err := opened(p)
+		f, err := startCluster(p)
 		if err != nil {
 			return err
 		}
