--- a/internal/chaostest/outcomes.go
+++ b/internal/chaostest/outcomes.go
@@ -17,13 +17,15 @@
 	outcomeFailed   = "written_off"
 	outcomeOpen     = "open"
 	outcomeUnknown  = "unknown"
+
+	outcomeUnreachable = "unreachable" // the controller could not be dialled
 )
 
 // QueryOutcome asks a controller for the outcome of a request, by its idempotency key if it has one.
 func (cl *Cluster) QueryOutcome(k int, id, key string) string {
 	c, err := testservers.Dial(cl.Controllers[k].ClientAddress, roundDialTimeout)
 	if err != nil {
-		return "unreachable"
+		return outcomeUnreachable
 	}
 	defer c.Close()
 	params := map[string]any{"req": id}
