--- a/internal/benchwire/benchwire.go
+++ b/internal/benchwire/benchwire.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"liftshift/internal/given"
+	"liftshift/internal/settings"
 	"liftshift/rules"
 )
 
@@ -441,7 +441,7 @@
 	if text == "" {
 		return r.errorf("ATTACH: Settings is missing")
 	}
-	settings, err := given.Read([]byte(text))
+	settings, err := settings.Read([]byte(text))
 	if err != nil {
 		return r.errorf("ATTACH: Settings: %v", err)
 	}
--- a/internal/service/node.go
+++ b/internal/service/node.go
@@ -15,8 +15,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"liftshift/internal/given"
 	"liftshift/internal/retry"
+	"liftshift/internal/settings"
 	"liftshift/internal/wire"
 	"liftshift/rules"
 )
@@ -98,7 +98,7 @@
 	if n.seed, err = strconv.ParseUint(n.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed is not 16 hex digits: %q", n.Seed)
 	}
-	if n.given, err = given.Read(n.Settings); err != nil {
+	if n.given, err = settings.Read(n.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	if n.given.Text("offering.0.name") == "" {
--- a/internal/given/given.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package given turns the settings of the platform, as both adapters get them, into the plain map of names and
+// Package settings turns the settings of the platform, as both adapters get them, into the plain map of names and
 // values that package rules reads. The platform's names for them end here.
-package given
+package settings
 
 import (
 	"encoding/json"
--- a/internal/wire/executors.go
+++ b/internal/wire/executors.go
@@ -19,8 +19,8 @@
 	"github.com/sirupsen/logrus"
 
 	"liftshift/internal/dispatch"
-	"liftshift/internal/given"
 	"liftshift/internal/pool"
+	"liftshift/internal/settings"
 	"liftshift/rules"
 )
 
@@ -795,7 +795,7 @@
 		name, value, named := strings.Cut(part, ":")
 		if !named {
 			value = name
-		} else if k = slices.Index(names, given.Word(name)); k < 0 {
+		} else if k = slices.Index(names, settings.Word(name)); k < 0 {
 			continue // more than the settings name
 		}
 		n, err := figure(value)
