--- a/internal/lab/lab.go
+++ b/internal/benchmark/benchmark.go
@@ -1,6 +1,6 @@
-// Package lab measures what subsystems promise. Each measurement compares sides within one run, in turns, and gives
+// Package benchmark measures what subsystems promise. Each measurement compares sides within one run, in turns, and gives
 // figures with what is wanted of them. The daemon never uses it.
-package lab
+package benchmark
 
 import (
 	"fmt"
--- a/internal/lab/store.go
+++ b/internal/benchmark/store.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"container/heap"
