--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,44 +1,45 @@
 package scheduler
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// The kinds of Action.
 const (
-	Send          ActionKind = iota // send an attempt of Request to Executor
-	SetResources                    // set GrantMB and Level of Request
+	Send          ActionKind = iota // send an attempt at Request to Executor
+	SetResources                    // set the memory grant and the priority level of Request to GrantMB and Level
 	Cancel                          // stop waiting for Attempt of Request
-	Reject                          // final: reject Request; it may come back after AfterMS
+	Reject                          // final: reject Request; the client may retry it after AfterMS
 	Fail                            // final: fail Request
-	SetTimer                        // return Token after AfterMS
-	HealthCheck                     // check Executor
+	SetTimer                        // deliver TimerFired with Token after AfterMS
+	HealthCheck                     // send a health check to Executor
 	Subscribe                       // subscribe to the endpoint list
-	Log                             // Text for the operators
-	SendPeer                        // send Payload to the controller numbered Peer; below 0: to all
-	ReturnRequest                   // Request was to be sent immediately and can't be: it is not in hand any more
+	Log                             // log Text
+	SendPeer                        // send Payload to the controller with index Peer, or to all controllers if negative
+	ReturnRequest                   // hand back Request, which was to be sent immediately and can't be
 )
 
 // String returns the name of the kind.
 func (k ActionKind) String() string {
-	return nameOf(k, "send", "set resources", "cancel", "reject", "fail", "set timer", "health check", "subscribe", "log", "send peer",
-		"return request")
+	return nameOf(k, "send", "set resources", "cancel", "reject", "fail", "set timer", "health check", "subscribe",
+		"log", "send peer", "return request")
 }
 
-// Action is one thing that an instance wants done. Actions are to be carried out in the order given.
+// Action is one thing that a Scheduler asks its caller to do. The caller carries out actions in the order in which they
+// were appended. Only the fields of its kind are set.
 type Action struct {
 	Kind        ActionKind
 	Request     string
 	Executor    uint32
-	Attempt     int
+	Attempt     int // index among the attempts of Request
 	GrantMB     float64
 	Level       int
 	AfterMS     float64
-	LatestStart float64 // Send: the attempt must not begin after this time
+	LatestStart float64 // Send: the attempt must not start after this time
 	Token       uint64
 	Text        string
 	Peer        int
 	Payload     []byte // valid until the next Step
 }
 
-// emit appends an action to those of this step.
+// emit appends an action to the result of the current step.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
--- a/scheduler/classes.go
+++ b/scheduler/classes.go
@@ -1,10 +1,8 @@
 package scheduler
 
-import (
-	"math"
-)
+import "math"
 
-// classState is what is known of one request class: its settings, and what was learned from its requests.
+// classState holds the settings of a request class and the estimates learned from its requests.
 type classState struct {
 	name                string
 	effect              Effect
@@ -15,20 +13,21 @@
 	value               float64
 	lateShare           float64
 	inOrder             bool
-	holdsGroup          bool // holds its table group on its executor while it runs
-	blockedByHolders    bool // stands still behind a request that holds its table group
+	holdsGroup          bool // see RequestClass.HoldsTableGroup
+	blockedByHolders    bool // see RequestClass.BlockedByHolders
 	threads             int
 	kinds               []string
 	zones               []string
 
-	usualWorkMS     float64
-	arrivals        float64 // requests that the usual work was learned from
-	slowdown        float64 // recent running time over work per thread
-	memoryFactor    float64 // memory to grant for each MB estimated
-	actualWorkMS    float64 // work that answers named, a fading mean
-	estimatedWorkMS float64 // the estimates of the same requests, a fading mean
+	usualWorkMS     float64 // moving average of the expected work of a request
+	arrivals        float64 // number of samples in usualWorkMS
+	slowdown        float64 // moving average of the running time divided by the work per thread
+	memoryFactor    float64 // memory to grant per MB of the client's estimate
+	actualWorkMS    float64 // moving average of the work that answers reported
+	estimatedWorkMS float64 // moving average of the clients' estimates for the same requests
 }
 
+// newClassState returns the state of a class from which nothing has been learned yet.
 func newClassState(c *RequestClass) classState {
 	return classState{
 		name:                c.Name,
@@ -50,7 +49,7 @@
 	}
 }
 
-// classIndex returns the index of the class of a name, or -1.
+// classIndex returns the index of the class with a name, or -1.
 func (s *Scheduler) classIndex(name string) int {
 	for i := range s.classes {
 		if s.classes[i].name == name {
@@ -60,10 +59,10 @@
 	return -1
 }
 
-// minRunMS returns the least running time of a request: its work, spread over its threads.
+// minRunMS returns the shortest possible running time of a request: its work, divided by its threads.
 func (c *classState) minRunMS(r *request) float64 { return r.workMS / float64(c.threads) }
 
-// dropsRepeat reports whether an executor drops a repeat of an attempt that may have run.
+// dropsRepeat reports whether an executor is in the deduplication scope of a prior attempt, so that it drops a repeat.
 func (c *classState) dropsRepeat(prior PriorAttempt, e *executor) bool {
 	switch c.dedupScope {
 	case DedupZone:
@@ -74,22 +73,24 @@
 	return true
 }
 
-// meanWork returns the mean work of a request, in ms, over all classes; that of one class where nothing has arrived.
+// meanWork returns the mean work of a request over all classes, in ms. If no request has arrived yet, it returns the
+// mean of the given class.
 func (s *Scheduler) meanWork(class *classState) float64 {
 	work := 0.0
-	arrivals := 0.0
+	samples := 0.0
 	for i := range s.classes {
 		c := &s.classes[i]
 		work += c.usualWorkMS * c.arrivals
-		arrivals += c.arrivals
+		samples += c.arrivals
 	}
 	if work <= 0 {
 		return max(1, class.usualWorkMS)
 	}
-	return work / arrivals
+	return work / samples
 }
 
-// usualWorkRange returns the usual work of the smallest and of the largest class that has any.
+// usualWorkRange returns the smallest and the largest mean work of the classes whose mean work is positive. It returns
+// +Inf and 0 if there are none.
 func (s *Scheduler) usualWorkRange() (smallest, largest float64) {
 	smallest = math.Inf(1)
 	for i := range s.classes {
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,60 +1,82 @@
 package scheduler
 
-// testSettings is a deployment with one class of each effect.
+// testSettings returns the settings of a deployment with one class of each effect, after the given changes.
 func testSettings(changes ...func(*Settings)) Settings {
-	s := DefaultSettings()
-	s.MaxAttempts, s.MayCancel, s.MayHealthCheck = 4, true, true
-	s.HonorsGrants, s.ProgressEveryMS = true, 1000
-	s.WarmupMS, s.ColdCapacity, s.CollapseMultiple, s.CollapseWindowMS = 10000, 0.3, 3, 2000
-	s.NamesRetryAfter, s.MaxRetryAfterMS = true, 500
-	s.Kinds = []ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}, {Name: "odd", Cores: 8, MemoryMB: 16000}}
-	for _, c := range []RequestClass{{Name: "read", Effect: Idempotent}, {Name: "keyed", Effect: Keyed}, {Name: "unsafe", Effect: NonIdempotent}} {
-		c.DedupScope, c.DedupWindowMS = DedupAll, 5000
-		c.SoftDeadlineMS, c.Value, c.LateShare, c.Threads = 1000, 1, 0.5, 1
-		s.Classes = append(s.Classes, c)
+	settings := DefaultSettings()
+	settings.MaxAttempts = 4
+	settings.MayCancel = true
+	settings.MayHealthCheck = true
+	settings.HonorsGrants = true
+	settings.ProgressEveryMS = 1000
+	settings.WarmupMS = 10000
+	settings.ColdCapacity = 0.3
+	settings.CollapseMultiple = 3
+	settings.CollapseWindowMS = 2000
+	settings.NamesRetryAfter = true
+	settings.MaxRetryAfterMS = 500
+	settings.Kinds = []ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}, {Name: "odd", Cores: 8, MemoryMB: 16000}}
+	settings.Classes = []RequestClass{
+		testClass("read", Idempotent),
+		testClass("keyed", Keyed),
+		testClass("unsafe", NonIdempotent),
 	}
 	for _, change := range changes {
 		if change != nil {
-			change(&s)
+			change(&settings)
 		}
 	}
-	return s
+	return settings
 }
 
-// newTestScheduler returns an instance at 1000 ms that knows the executors 1 to n.
+// testClass returns a class with one thread per request and half of the value for late answers.
+func testClass(name string, effect Effect) RequestClass {
+	return RequestClass{
+		Name:           name,
+		Effect:         effect,
+		DedupScope:     DedupAll,
+		DedupWindowMS:  5000,
+		SoftDeadlineMS: 1000,
+		Value:          1,
+		LateShare:      0.5,
+		Threads:        1,
+	}
+}
+
+// newTestScheduler returns an instance that has received an endpoint list with the executors 1 to n at time 1000.
 func newTestScheduler(n int, changes ...func(*Settings)) *Scheduler {
 	s := New(7, testSettings(changes...))
 	s.startedAt = -1e6 // long ago
-	var list []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
-		list = append(list, Endpoint{Executor: uint32(i + 1), Zone: "here", Kind: "big"})
+		endpoints = append(endpoints, Endpoint{Executor: uint32(i + 1), Zone: "here", Kind: "big"})
 	}
-	s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
+	s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: endpoints}, nil)
 	return s
 }
 
-// arrive hands an instance a request of 100 ms with the deadline 9000.
+// arrive steps an instance with the arrival of a request of 100 ms of work and a deadline of 9000.
 func arrive(s *Scheduler, now float64, id, class string) []Action {
 	ev := Event{Kind: RequestArrived, Request: id, Class: class, MemoryMB: 100, WorkMS: 100, Deadline: 9000}
 	return s.Step(now, &ev, nil)
 }
 
-// endAttempt ends an attempt at a request.
-func endAttempt(s *Scheduler, now float64, id string, n int, o Outcome) []Action {
-	return s.Step(now, &Event{Kind: AttemptEnded, Request: id, Attempt: n, Outcome: o, Final: o == Succeeded}, nil)
+// endAttempt steps an instance with the outcome of an attempt at a request.
+func endAttempt(s *Scheduler, now float64, id string, attemptIndex int, outcome Outcome) []Action {
+	ev := Event{Kind: AttemptEnded, Request: id, Attempt: attemptIndex, Outcome: outcome, Final: outcome == Succeeded}
+	return s.Step(now, &ev, nil)
 }
 
-// actionKinds returns the kinds of actions, timers left out.
-func actionKinds(actions []Action) (k []ActionKind) {
-	for _, a := range actions {
-		if a.Kind != SetTimer {
-			k = append(k, a.Kind)
+// actionKinds returns the kinds of the actions except SetTimer.
+func actionKinds(actions []Action) (kinds []ActionKind) {
+	for _, action := range actions {
+		if action.Kind != SetTimer {
+			kinds = append(kinds, action.Kind)
 		}
 	}
-	return k
+	return kinds
 }
 
-// tickAt lets an instance tick as if the last tick had been one interval before.
+// tickAt steps an instance with a tick, as if the previous one had been one interval earlier.
 func tickAt(s *Scheduler, now float64) []Action {
 	s.tickedAt = now - tickMS
 	return s.Step(now, &Event{Kind: TimerFired}, nil)
@@ -63,7 +85,8 @@
 // newSmallShareScheduler returns an instance whose share of each of n executors is far below one thread.
 func newSmallShareScheduler(n int, change func(*Settings)) *Scheduler {
 	s := newTestScheduler(n, change)
-	s.settings.Controllers, s.settings.ControllerIndex = 200, 0
+	s.settings.Controllers = 200
+	s.settings.ControllerIndex = 0
 	s.updateTrafficShare()
 	return s
 }
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -5,11 +5,10 @@
 	"strings"
 )
 
-// Restart: what an instance takes over from the one before. The retries and arrivals of the last window keep
-// the retry budget from being spent twice; executors that were ejected, warming up or draining stay so;
-// estimates save learning them anew.
+// Restoring state after a restart. The retries and arrivals of the last window keep the retry budget from being spent
+// twice, executors remain ejected, warming up or draining, and estimates need not be learned again.
 
-// restoreState takes over what was known before a restart.
+// restoreState restores the state that was persisted before a restart.
 func (s *Scheduler) restoreState(ev *Event) {
 	for _, at := range ev.Arrivals {
 		s.arrivals.add(at, 1)
@@ -25,32 +24,32 @@
 	}
 }
 
-// restoreExecutor takes over what was known of one executor, if it is listed.
-func (s *Scheduler) restoreExecutor(known *ExecutorState) {
-	index := s.executorIndex(known.Executor)
+// restoreExecutor restores the state of one executor, if it is in the endpoint list.
+func (s *Scheduler) restoreExecutor(persisted *ExecutorState) {
+	index := s.executorIndex(persisted.Executor)
 	if index < 0 {
 		return
 	}
 	e := &s.executors[index]
-	if known.Draining && e.availability == Active {
+	if persisted.Draining && e.availability == Active {
 		e.availability = Draining
 	}
-	if known.WarmupUntil > max(s.now, e.warmupUntil) {
+	if persisted.WarmupUntil > max(s.now, e.warmupUntil) {
 		e.state = executorWarmingUp
-		e.warmupUntil = known.WarmupUntil
+		e.warmupUntil = persisted.WarmupUntil
 		e.proven = false
 	}
-	e.ejections = known.Ejections
-	if known.Ejected {
-		e.ejections-- // ejecting it counts it again
+	e.ejections = persisted.Ejections
+	if persisted.Ejected {
+		e.ejections-- // eject increments it again
 		s.applyToExecutor(index, inputUnresponsive)
 	}
 }
 
-// runEstimate is the name of the running time of a finished request among estimates.
-const runEstimate = "ran"
+// runTimeEstimate is the name of an Estimate that holds the running time of one finished request.
+const runTimeEstimate = "ran"
 
-// estimateFields are the estimates of a class, by the names under which they are stored.
+// estimateFields lists the estimates of a class with their names in storage.
 var estimateFields = [...]struct {
 	name  string
 	field func(*classState) *float64
@@ -62,7 +61,7 @@
 	{"estimated", func(c *classState) *float64 { return &c.estimatedWorkMS }},
 }
 
-// Estimates appends what an instance has learned, the last running times oldest first.
+// Estimates appends the estimates of all classes and the latest running times, oldest first, to out.
 func (s *Scheduler) Estimates(out []Estimate) []Estimate {
 	for i := range s.classes {
 		class := &s.classes[i]
@@ -72,17 +71,17 @@
 	}
 	runs := s.finishedRuns.live()
 	for _, ms := range runs[max(0, len(runs)-restoredRuns):] {
-		out = append(out, Estimate{Name: runEstimate, Value: ms})
+		out = append(out, Estimate{Name: runTimeEstimate, Value: ms})
 	}
 	return out
 }
 
-// restoreEstimate takes over one estimate. One that can't be is passed over.
+// restoreEstimate restores one estimate. It ignores values that are not positive and finite, and unknown names.
 func (s *Scheduler) restoreEstimate(estimate *Estimate) {
 	if !(estimate.Value > 0) || math.IsInf(estimate.Value, 0) {
 		return
 	}
-	if estimate.Name == runEstimate {
+	if estimate.Name == runTimeEstimate {
 		s.finishedRuns.add(s.now, estimate.Value)
 	}
 	for i := range s.classes {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,35 +1,36 @@
-// Package scheduler decides what becomes of each request: to which executor its attempts go, at which priority level they run,
-// when they are cancelled and what the client gets. It does no I/O, reads no clock and starts no goroutine: a caller
-// makes an instance with New, hands it each event through Step with the time, and carries out the actions that Step appends.
+// Package scheduler decides what happens to each request: which executors get its attempts, at which priority level the
+// attempts run, when they are cancelled, and what the client is answered. The package does no I/O, reads no clock and
+// starts no goroutine: a caller creates an instance with New, passes each event and the time to Step, and carries out
+// the actions that Step appends.
 //
-// The interface is in events.go, actions.go and settings.go. Each decision has a file: admission.go, dispatch.go, selection.go,
-// attempts.go, retry.go, priority.go, memory.go, estimates.go, ejection.go, slowstart.go, drains.go, endpoints.go,
-// loadexchange.go, statetables.go and tick.go. The other files hold state and decide nothing. docs/design.md names the
-// rules that the decisions keep, and when each departure from the ordinary path acts.
+// The interface is in events.go, actions.go and settings.go. Each decision has a file: admission.go, dispatch.go,
+// selection.go, attempts.go, retry.go, priority.go, memory.go, estimates.go, ejection.go, slowstart.go, drains.go,
+// endpoints.go, loadexchange.go, statetables.go and tick.go. The other files only hold state. docs/design.md describes
+// the rules behind the decisions and the conditions for each deviation from the ordinary path.
 package scheduler
 
 import "math"
 
-// Policy is what a caller drives: every event in the order in which it happened, with the clock in milliseconds. The actions
-// are appended to out, which the caller owns and may reuse. Instances share nothing.
+// Policy turns events into actions. The caller passes every event in the order of occurrence, with the time in
+// milliseconds. Step appends its actions to out, which the caller owns and may reuse. Instances share no state.
 type Policy interface {
 	Step(now float64, ev *Event, out []Action) []Action
 }
 
-// Scheduler is the Policy of one controller. Its times are milliseconds of the clock that Step is given.
+// Scheduler is the Policy of one controller. Its times are milliseconds of the clock passed to Step.
 type Scheduler struct {
 	settings         Settings
-	seed             uint64 // of its random numbers
+	seed             uint64 // of the random number generator
 	randomDraws      uint32 // random numbers drawn so far
 	startedAt        float64
-	shutdownDeadline float64 // infinite until a shutdown is planned
+	shutdownDeadline float64 // infinite until a shutdown starts
 
 	// The step in progress.
 	now      float64
 	actions  []Action
-	assignTo int // index of the executor for the request that is being assigned
+	assignTo int // index of the executor selected for the request being assigned
 
-	// Requests in hand.
+	// Open requests.
 	requests             requestTable
 	lastSequence         uint64
 	classes              []classState
@@ -37,39 +38,39 @@
 	arrivals             window
 	retries              window
 
-	// The dispatch of queued requests.
-	queue          []int         // slots of the queued requests, as of this pass
-	groupHolders   []groupHolder // as of this pass
-	dispatchNeeded bool          // something changed that may let a queued request go
+	// The dispatch of queued requests. A pass is one run of dispatch.
+	queue          []int         // slots of the queued requests in the current pass
+	groupHolders   []groupHolder // in the current pass
+	dispatchNeeded bool          // a change may allow a queued request to be sent
 	dispatchedAt   float64
-	saturated      bool // no executor has room for a single thread, as of this pass
+	saturated      bool // in the current pass, no executor has room for a single thread
 
 	// Running requests.
 	tickedAt         float64
-	finishedRuns     window // running times of finished requests, ms
+	finishedRuns     window // running times of finished requests, in ms
 	decayOnsetMS     float64
-	decayOnsetReadAt float64
+	decayOnsetReadAt float64 // time of the last update of decayOnsetMS
 
-	// Executors, and how busy they are beyond this controller's own attempts.
+	// Executors, and their load from all controllers.
 	executors          []executor
 	trafficShare       float64 // this controller's share of all requests
-	countedControllers float64 // controllers that share the executors, where they were counted; otherwise 0
+	countedControllers float64 // from ControllersCounted; 0 before the first such event
 	remoteZones        []remoteZone
 	reportedHolders    []groupHolder // from progress reports
-	probeTokens        float64       // health checks that may still be sent for load reports
-	reportedAt         float64       // when the last load report came
+	probeTokens        float64       // health checks that may still be sent to get load reports
+	reportedAt         float64       // time of the last load report
 	nextExchangeAt     float64
 	loadMessage        []byte
 	levelsMessage      []byte
-	peerLoads          []peerLoad // by controller, at an aggregator
+	peerLoads          []peerLoad // by controller index; only kept by an aggregator
 
 	// The endpoint list.
 	resubscribeAt      float64
-	listContactAt      float64   // the last contact with it, while it is out of reach; 0: it is in reach, or nobody reports
-	presumedNotifiedAt []float64 // when its pending news counts as known, while it is out of reach
+	listContactAt      float64   // time of the last contact while the list is unavailable; 0: none is known
+	presumedNotifiedAt []float64 // when pending changes are presumed known, while the list is unavailable
 }
 
-// New returns an instance that knows nothing but its settings and the seed of its random numbers.
+// New returns an instance without executors or requests. The seed determines its random numbers.
 func New(seed uint64, settings Settings) *Scheduler {
 	s := &Scheduler{
 		settings:             settings,
@@ -85,7 +86,7 @@
 	return s
 }
 
-// Step takes one event and appends what is to be done about it.
+// Step handles one event and appends the resulting actions to out.
 func (s *Scheduler) Step(now float64, ev *Event, out []Action) []Action {
 	s.now = now
 	s.actions = out
@@ -98,7 +99,7 @@
 	return out
 }
 
-// handle hands an event to the decision that it concerns.
+// handle dispatches an event to its handler.
 func (s *Scheduler) handle(ev *Event) {
 	switch ev.Kind {
 	case Started:
@@ -125,13 +126,13 @@
 		s.countedControllers = ev.Value
 		s.updateTrafficShare()
 	case ReachabilityChanged:
-		s.updateReach(ev.Reaches)
+		s.updateRemoteZones(ev.Reaches)
 	case PeerMessage:
 		s.receiveLoad(ev.FromPeer, ev.Payload)
 	}
 }
 
-// handleRequest takes an event about a request in hand.
+// handleRequest handles an event about an open request. Events about other requests are ignored.
 func (s *Scheduler) handleRequest(ev *Event) {
 	slot, ok := s.requests.find(ev.Request)
 	switch {
@@ -145,7 +146,7 @@
 	}
 }
 
-// handleAttempt takes an event about an attempt in flight.
+// handleAttempt handles an event about an attempt in flight. Events about other attempts are ignored.
 func (s *Scheduler) handleAttempt(ev *Event) {
 	slot, a := s.findAttempt(ev)
 	if a == nil {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -7,19 +7,21 @@
 )
 
 func TestScheduler_AllocatesNothingOnOrdinaryPath(t *testing.T) {
-	s, out := newTestScheduler(4, nil), make([]Action, 0, 64)
-	taken := Event{Kind: RequestArrived, Request: "a", Class: "read", MemoryMB: 100, WorkMS: 100, Deadline: 9e9}
-	done := Event{Kind: AttemptEnded, Request: "a", Outcome: Succeeded, Final: true}
-	rang, now := Event{Kind: TimerFired}, 1000.0
-	round := func() {
+	s := newTestScheduler(4, nil)
+	actions := make([]Action, 0, 64)
+	arrival := Event{Kind: RequestArrived, Request: "a", Class: "read", MemoryMB: 100, WorkMS: 100, Deadline: 9e9}
+	tick := Event{Kind: TimerFired}
+	answer := Event{Kind: AttemptEnded, Request: "a", Outcome: Succeeded, Final: true}
+	now := 1000.0
+	handleRequest := func() {
 		now += 100
-		out = s.Step(now, &taken, out[:0])
-		out = s.Step(now+50, &rang, out[:0])
-		done.Executor = s.executors[s.requests.entries[0].lastAttempt().executor].id
-		out = s.Step(now+90, &done, out[:0])
+		actions = s.Step(now, &arrival, actions[:0])
+		actions = s.Step(now+50, &tick, actions[:0])
+		answer.Executor = s.executors[s.requests.entries[0].lastAttempt().executor].id
+		actions = s.Step(now+90, &answer, actions[:0])
 	}
-	for range 500 {
-		round()
+	for range 500 { // until the buffers have reached their final size
+		handleRequest()
 	}
-	assert.Zero(t, testing.AllocsPerRun(500, round))
+	assert.Zero(t, testing.AllocsPerRun(500, handleRequest), "allocations per request")
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -1,18 +1,17 @@
 package scheduler
 
 import (
-	"errors"
 	"fmt"
 	"math"
 )
 
-// Effect says what a second run of a request of a class does.
+// Effect says whether a request of a class may run more than once.
 type Effect uint8
 
 // The effects. The zero value is the strictest one.
 const (
-	NonIdempotent Effect = iota // a second run is never allowed
-	Keyed                       // idempotent with an idempotency key: executors drop repeats within a scope and a window
+	NonIdempotent Effect = iota // must not run more than once
+	Keyed                       // idempotent by key: executors drop repeats within a deduplication scope and window
 	Idempotent                  // may run any number of times
 )
 
@@ -24,49 +23,49 @@
 
 // The scopes.
 const (
-	DedupNone DedupScope = iota
-	DedupAll             // all executors
-	DedupZone            // those of the zone of the first attempt
-	DedupCell            // those of the cell of the first attempt
+	DedupNone DedupScope = iota // no scope is configured
+	DedupAll                    // all executors
+	DedupZone                   // the executors in the zone of the first attempt
+	DedupCell                   // the executors in the cell of the first attempt
 )
 
 // String returns the name of the scope.
 func (s DedupScope) String() string { return nameOf(s, "none", "all", "zone", "cell") }
 
-// RequestClass is one class of requests.
+// RequestClass holds the settings of a class of requests.
 type RequestClass struct {
 	Name                string
 	Effect              Effect
 	DedupScope          DedupScope
 	DedupWindowMS       float64
-	SoftDeadlineMS      float64
-	SoftDeadlineStretch float64 // added to the soft deadline for each ms of work of a thread
-	DeadlineMS          float64 // the longest deadline that a client may set; 0: unknown
-	Value               float64 // earned by an answer in time
-	LateShare           float64 // share of the value that a late answer earns
-	InOrder             bool    // requests with the same order key run one after another
-	HoldsTableGroup     bool    // blocks others of its table group on its executor while it runs
-	BlockedByHolders    bool    // stands still behind a request that holds its table group
-	Threads             int     // on its executor
-	Kinds               []string
-	Zones               []string
+	SoftDeadlineMS      float64  // time from arrival after which an answer earns only a fraction of the value
+	SoftDeadlineStretch float64  // added to the soft deadline for each ms of work per thread
+	DeadlineMS          float64  // the longest deadline that a client may set; 0: unknown
+	Value               float64  // earned by an answer before the soft deadline
+	LateShare           float64  // fraction of the value that a later answer earns
+	InOrder             bool     // requests with the same order key run one after another
+	HoldsTableGroup     bool     // a request holds its table group on its executor while it runs
+	BlockedByHolders    bool     // a request waits on its executor while another one holds its table group there
+	Threads             int      // threads that a request occupies on its executor
+	Kinds               []string // kinds of executors that may run its requests; nil: all
+	Zones               []string // zones whose executors may run its requests; nil: all
 }
 
-// ExecutorKind is one kind of machine.
+// ExecutorKind describes a kind of machine that executors run on.
 type ExecutorKind struct {
 	Name     string
 	Cores    float64
 	MemoryMB float64
 }
 
-// RetryBudget bounds the retries of all requests together: within a window, a floor and a share of the arrivals.
+// RetryBudget limits the retries of all requests together within a window, to a floor plus a share of the arrivals.
 type RetryBudget struct {
-	WindowMS float64 // 0: retries are not bounded
-	Floor    float64
-	Share    float64
+	WindowMS float64 // 0: retries are not limited
+	Floor    float64 // retries
+	Share    float64 // retries per arrival
 }
 
-// The figures of a load report that the scheduler reads, by name.
+// Names of the values in a load report that the scheduler reads.
 const (
 	ReportInFlight    = "inflight"
 	ReportQueued      = "queue"
@@ -74,39 +73,46 @@
 	ReportDiskShare   = "x1"
 )
 
-// Settings describe a deployment. Times are milliseconds. A limit or an ability that is not set is absent.
+// Settings describe a deployment. Times are in milliseconds. An ability that is not set is absent.
 type Settings struct {
-	Controllers     int // that share the executors
+	Controllers     int // number of controllers that share the executors
 	ControllerIndex int // index of this controller among them
 	Classes         []RequestClass
 	Kinds           []ExecutorKind
 
-	SubscribesToList bool     // the endpoint list comes only after Subscribe
-	NotifiedWithinMS float64  // what the list has to tell counts as known after this time, received or not; 0: only once received
-	DrainGraceMS     float64  // for which a draining executor may still get attempts
-	ReportsByProbe   bool     // load reports come with the results of health checks alone
-	ReportNames      []string // the figures of a load report, in order
-	ProgressEveryMS  float64  // time between progress reports of an attempt; 0: there are none
-	HonorsGrants     bool     // executors keep to the memory that an attempt is granted
+	SubscribesToList bool // the endpoint list is sent only after a Subscribe action
+
+	// NotifiedWithinMS is the time after which this controller is presumed to know a change of the endpoint list, even
+	// if it has not received it. 0 means that it knows a change only once it has received it.
+	NotifiedWithinMS float64
+
+	DrainGraceMS    float64  // time for which a draining executor still accepts attempts
+	ReportsByProbe  bool     // load reports arrive only with the results of health checks
+	ReportNames     []string // names of the values in a load report, in order
+	ProgressEveryMS float64  // interval of the progress reports of an attempt; 0: there are none
+	HonorsGrants    bool     // executors limit the memory of an attempt to its grant
 
 	MayCancel        bool
 	MayHealthCheck   bool
 	MayMessagePeers  bool
-	MaxAttempts      int // for each request
+	MaxAttempts      int // per request
 	ConnectTimeoutMS float64
-	LargestShare     float64 // of the traffic that one controller may see, against its fair share
-	OrderKeyRestMS   float64 // an order key rests this long after an attempt of which it is not known whether it runs on
+	LargestShare     float64 // fraction of an executor's memory that one attempt may be granted
+	OrderKeyRestMS   float64 // time for which an order key is blocked after an attempt that may still be running
 	RetryBudget      RetryBudget
-	NamesRetryAfter  bool    // a rejection may say when to return
-	MaxRetryAfterMS  float64 // the latest time that it may say
+	NamesRetryAfter  bool    // rejections may tell the client when to retry
+	MaxRetryAfterMS  float64 // the longest such delay
+
+	WarmupMS     float64 // duration of an executor's warm-up after its start
+	ColdCapacity float64 // fraction of its capacity that an executor has at its start
 
-	WarmupMS         float64 // for which an executor warms up after its start
-	ColdCapacity     float64 // share of its capacity at the start
-	CollapseMultiple float64 // times that capacity within the window from which on the executor collapses
+	// An executor that warms up collapses if the work sent to it within CollapseWindowMS reaches CollapseMultiple times
+	// what its cold capacity can do in that time.
+	CollapseMultiple float64
 	CollapseWindowMS float64
 }
 
-// DefaultSettings returns what holds where a deployment says nothing.
+// DefaultSettings returns the settings of a deployment that configures nothing.
 func DefaultSettings() Settings {
 	return Settings{
 		Controllers:      1,
@@ -118,30 +124,30 @@
 	}
 }
 
-// DefaultClass returns a class of which only the name and the effect are known.
+// DefaultClass returns a class with default settings for all but the name and the effect.
 func DefaultClass(name string, effect Effect) RequestClass {
 	return RequestClass{Name: name, Effect: effect, Value: 1, Threads: 1}
 }
 
-// DefaultKind returns a kind of which only the name is known.
+// DefaultKind returns a kind with default settings for all but the name.
 func DefaultKind(name string) ExecutorKind {
 	return ExecutorKind{Name: name, Cores: 1, MemoryMB: math.MaxFloat64}
 }
 
-// Validate returns an error that names the first field that can't be worked with.
+// Validate returns an error that names the first invalid field.
 func (s *Settings) Validate() error {
 	seen := map[string]bool{}
 	for k := range s.Classes {
-		c := &s.Classes[k]
+		class := &s.Classes[k]
 		switch {
-		case c.Name == "":
+		case class.Name == "":
 			return fmt.Errorf("class %d has no name", k)
-		case seen[c.Name]:
-			return fmt.Errorf("class %q stands there twice", c.Name)
-		case c.Threads < 1:
-			return fmt.Errorf("class %q: Threads is %d, and must be 1 or more", c.Name, c.Threads)
+		case seen[class.Name]:
+			return fmt.Errorf("class %q stands there twice", class.Name)
+		case class.Threads < 1:
+			return fmt.Errorf("class %q: Threads is %d, must be at least 1", class.Name, class.Threads)
 		}
-		seen[c.Name] = true
+		seen[class.Name] = true
 	}
 	for k := range s.Kinds {
 		if s.Kinds[k].Name == "" {
@@ -149,12 +155,12 @@
 		}
 	}
 	if s.ControllerIndex < 0 {
-		return errors.New("the slot is below 0")
+		return fmt.Errorf("ControllerIndex is %d, must be at least 0", s.ControllerIndex)
 	}
 	return nil
 }
 
-// Class returns the class of a name, or nil.
+// Class returns the class with a name, or nil.
 func (s *Settings) Class(name string) *RequestClass {
 	for k := range s.Classes {
 		if s.Classes[k].Name == name {
@@ -164,7 +170,7 @@
 	return nil
 }
 
-// Kind returns the kind of a name, or the default one.
+// Kind returns the last kind with a name, or the default one.
 func (s *Settings) Kind(name string) ExecutorKind {
 	kind := DefaultKind(name)
 	for _, k := range s.Kinds {
@@ -175,7 +181,7 @@
 	return kind
 }
 
-// LongestRetryAfterMS is the longest time that a rejection may name; 0: none may be named.
+// LongestRetryAfterMS returns the longest retry delay that a rejection may name. 0 means that rejections name none.
 func (s *Settings) LongestRetryAfterMS() float64 {
 	if !s.NamesRetryAfter {
 		return 0
--- a/scheduler/states.go
+++ b/scheduler/states.go
@@ -1,14 +1,14 @@
 package scheduler
 
-// requestState is where a request stands.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
-	requestQueued     requestState = iota // it waits here for an executor
+	requestQueued     requestState = iota // the request waits in the scheduler for an executor
 	requestRunning                        // an attempt is in flight
-	requestCancelling                     // its attempt was cancelled and has no outcome yet
-	requestDone                           // it has its final answer
-	requestAnyState                       // in a table: every state
+	requestCancelling                     // the latest attempt was cancelled and has not reported its outcome yet
+	requestDone                           // the final answer has been decided
+	requestAnyState                       // wildcard in a state table: matches every state
 )
 
 // String returns the name of the state.
@@ -16,15 +16,15 @@
 	return nameOf(s, "queued", "running", "cancelling", "done", "any state")
 }
 
-// requestInput is what happens to a request.
+// requestInput is an input of the state machine of a request.
 type requestInput uint8
 
 const (
-	inputAssigned         requestInput = iota // an executor was found for it
-	inputAttemptFailed                        // its attempt ended without an answer
-	inputAttemptAbandoned                     // its attempt is lost or has a bad plan
-	inputUnservable                           // it can't be answered any more, or must not run
-	inputFinished                             // it was answered, or its client left
+	inputAssigned         requestInput = iota // an executor was selected for the request
+	inputAttemptFailed                        // the attempt ended without an answer
+	inputAttemptAbandoned                     // the attempt was given up, so that the request can be sent again
+	inputUnservable                           // the request can't be answered any more, or must not run
+	inputFinished                             // the request was answered, or its client disconnected
 )
 
 // String returns the name of the input.
@@ -32,14 +32,14 @@
 	return nameOf(i, "assigned", "attempt failed", "attempt abandoned", "unservable", "finished")
 }
 
-// executorState is how an executor is judged.
+// executorState is the health state of an executor.
 type executorState uint8
 
 const (
 	executorHealthy   executorState = iota
-	executorEjected                 // gets nothing until it has answered health checks
-	executorWarmingUp               // gets its share of a warm-up budget
-	executorAnyState                // in a table: every state
+	executorEjected                 // gets no attempts until it has passed health checks
+	executorWarmingUp               // gets attempts only within a warm-up budget
+	executorAnyState                // wildcard in a state table: matches every state
 )
 
 // String returns the name of the state.
@@ -47,14 +47,14 @@
 	return nameOf(s, "healthy", "ejected", "warming up", "any state")
 }
 
-// executorInput is what happens to an executor.
+// executorInput is an input of the health state machine of an executor.
 type executorInput uint8
 
 const (
-	inputUnresponsive   executorInput = iota // it shows no sign of work, or only failures
-	inputProbesAnswered                      // it has answered enough health checks
-	inputRestarted                           // the endpoint list names a new start
-	inputWarmedUp                            // its warm-up is over
+	inputUnresponsive   executorInput = iota // the executor shows no sign of work, or its attempts keep failing
+	inputProbesAnswered                      // the executor has passed enough health checks
+	inputRestarted                           // the endpoint list names a new start time
+	inputWarmedUp                            // the warm-up time is over
 )
 
 // String returns the name of the input.
@@ -62,14 +62,14 @@
 	return nameOf(i, "unresponsive", "probes answered", "restarted", "warmed up")
 }
 
-// sendVerdict says whether an attempt at a request may go to an executor.
+// sendVerdict says whether an attempt at a request may be sent to an executor.
 type sendVerdict uint8
 
 const (
 	sendAllowed   sendVerdict = iota
-	sendElsewhere             // not to this executor
-	sendLater                 // to no executor at this moment
-	sendNever                 // to no executor any more
+	sendElsewhere             // not to this executor, perhaps to another one
+	sendLater                 // to no executor at present
+	sendNever                 // to no executor, now or later
 )
 
 // String returns the name of the verdict.
@@ -77,8 +77,8 @@
 	return nameOf(v, "allowed", "elsewhere", "later", "never")
 }
 
-// transition is a row of a state table: in a state, an input leads to another state and then to an action on the request or
-// executor at an index.
+// transition is a row of a state table: in state from, an input leads to state to and then runs the action, if any.
+// The index passed to the action is the slot of the request or the index of the executor.
 type transition[State, Input comparable] struct {
 	from   State
 	input  Input
@@ -86,8 +86,11 @@
 	action func(s *Scheduler, index int)
 }
 
-// findTransition returns the first row for an input in a state, or nil: then the input changes nothing.
-func findTransition[State, Input comparable](table []transition[State, Input], state, anyState State, input Input) *transition[State, Input] {
+// findTransition returns the first row that matches a state and an input. It returns nil if there is none, which means
+// that the input has no effect in that state.
+func findTransition[State, Input comparable](
+	table []transition[State, Input], state, anyState State, input Input,
+) *transition[State, Input] {
 	for i := range table {
 		row := &table[i]
 		if row.input == input && (row.from == state || row.from == anyState) {
@@ -97,8 +100,11 @@
 	return nil
 }
 
-// apply applies an input to the request or executor at an index, of which state is the state.
-func apply[State, Input comparable](s *Scheduler, table []transition[State, Input], state *State, anyState State, input Input, index int) {
+// applyInput updates state as the table says for an input, and runs the action of the matching row on the request or
+// executor at an index.
+func applyInput[State, Input comparable](
+	s *Scheduler, table []transition[State, Input], state *State, anyState State, input Input, index int,
+) {
 	row := findTransition(table, *state, anyState, input)
 	if row == nil {
 		return
@@ -112,15 +118,15 @@
 
 // applyToRequest applies an input to the request in a slot.
 func (s *Scheduler) applyToRequest(slot int, input requestInput) {
-	apply(s, requestTransitions, &s.requests.at(slot).state, requestAnyState, input, slot)
+	applyInput(s, requestTransitions, &s.requests.at(slot).state, requestAnyState, input, slot)
 }
 
 // applyToExecutor applies an input to the executor at an index.
 func (s *Scheduler) applyToExecutor(index int, input executorInput) {
-	apply(s, executorTransitions, &s.executors[index].state, executorAnyState, input, index)
+	applyInput(s, executorTransitions, &s.executors[index].state, executorAnyState, input, index)
 }
 
-// nameOf returns the name of a numbered value.
+// nameOf returns the name of an enumerated value: the entry of names at that position, or "unknown".
 func nameOf[T ~uint8](value T, names ...string) string {
 	if int(value) >= len(names) {
 		return "unknown"
--- a/scheduler/states_test.go
+++ b/scheduler/states_test.go
@@ -23,6 +23,6 @@
 		"controllers counted": ControllersCounted,
 		"unknown":             EventKind(200),
 	} {
-		assert.Equal(t, want, value.String())
+		assert.Equal(t, want, value.String(), "name of %T %d", value, value)
 	}
 }
--- a/scheduler/statetables.go
+++ b/scheduler/statetables.go
@@ -1,14 +1,15 @@
 package scheduler
 
-// State tables: what follows from each input in each state. Each request ends once: whatever happens to one
-// that is done, its client gets no second answer.
+// The state tables of requests and executors. A request is finished exactly once: no input takes a request out of
+// requestDone or runs an action on it, so its client never gets a second answer.
 
 var (
 	requestTransitions  []transition[requestState, requestInput]
 	executorTransitions []transition[executorState, executorInput]
 )
 
-// The tables are filled here, since their actions use them in turn, which an initializer may not.
+// init fills the tables. A variable initializer can't, because the actions refer back to the tables, which the compiler
+// rejects as an initialization cycle.
 func init() {
 	requestTransitions = []transition[requestState, requestInput]{
 		{requestQueued, inputAssigned, requestRunning, (*Scheduler).startAttempt},
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// The tick: what time alone changes. Requests run out of time, priorities decay, executors that stay silent
-// come under suspicion.
+// The tick handles what changes with time alone: requests reach their deadlines, priorities decay, and silent executors
+// are ejected.
 
 import (
 	"cmp"
@@ -9,11 +9,12 @@
 )
 
 const (
-	tickMS        = 20  // a fifth of a decay quantum
-	stallMS       = 100 // between ticks: then this controller itself stood still
+	tickMS        = 20  // interval of the ticks: a fifth of a decay quantum
+	stallMS       = 100 // gap between ticks from which on this controller itself counts as stalled
 	resubscribeMS = 1000
 )
 
+// tick sets the timer of the next tick and updates requests and executors.
 func (s *Scheduler) tick() {
 	s.emit(Action{Kind: SetTimer, AfterMS: tickMS})
 	elapsedMS := s.now - cmp.Or(s.tickedAt, s.now-tickMS)
@@ -25,7 +26,8 @@
 		s.resubscribeAt = math.Inf(1)
 		s.emit(Action{Kind: Subscribe})
 	}
-	// After a stall of its own, signs of work may still wait behind this tick to be read: nobody is judged.
+	// After a stall of this controller, progress reports may still be waiting to be read, so neither attempts nor
+	// executors are checked for missing ones.
 	stalled := elapsedMS >= stallMS
 	for slot := range s.requests.entries {
 		s.tickRequest(slot, elapsedMS, stalled)
@@ -38,6 +40,8 @@
 	s.expireOrderKeys()
 }
 
+// tickRequest rejects or fails a request that reaches its deadline. Otherwise it advances a running attempt, and
+// abandons it if its progress report is missing.
 func (s *Scheduler) tickRequest(slot int, elapsedMS float64, stalled bool) {
 	r := s.requests.at(slot)
 	if !r.inUse || r.state == requestDone {
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// remoteZone is a zone that is not near, with the threads of this controller's attempts there.
+// remoteZone is a zone to which only limited traffic may be sent, with the threads in use there.
 type remoteZone struct {
 	ZoneReach
-	threads int
+	threads int // of this controller's attempts
 }
 
-// updateReach takes which zones are remote; all others are near.
-func (s *Scheduler) updateReach(reaches []ZoneReach) {
+// updateRemoteZones replaces the remote zones. All other zones are near.
+func (s *Scheduler) updateRemoteZones(reaches []ZoneReach) {
 	s.remoteZones = s.remoteZones[:0]
 	for _, reach := range reaches {
 		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: reach})
@@ -18,7 +18,7 @@
 	s.dispatchNeeded = true
 }
 
-// recountRemoteThreads counts the threads in remote zones anew: executors may have come, or moved.
+// recountRemoteThreads recounts the threads in remote zones after the set of zones or of executors has changed.
 func (s *Scheduler) recountRemoteThreads() {
 	for i := range s.remoteZones {
 		zone := &s.remoteZones[i]
@@ -31,7 +31,7 @@
 	}
 }
 
-// addRemoteThreads counts threads that went to a zone, or came back.
+// addRemoteThreads adds threads to those in use in a zone, if it is remote. A negative number releases threads.
 func (s *Scheduler) addRemoteThreads(name string, threads int) {
 	for i := range s.remoteZones {
 		if s.remoteZones[i].Zone == name {
@@ -40,7 +40,7 @@
 	}
 }
 
-// remoteZoneFor returns a zone if it is remote for a class, otherwise nil.
+// remoteZoneFor returns the zone with a name if it is remote for a class, otherwise nil.
 func (s *Scheduler) remoteZoneFor(class *classState, name string) *remoteZone {
 	for i := range s.remoteZones {
 		zone := &s.remoteZones[i]
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// tier returns the tier of a zone; that of nil, a near one, is 0.
+// tier returns the tier of a zone. Near zones, for which z is nil, have tier 0.
 func (z *remoteZone) tier() int {
 	if z == nil {
 		return 0
@@ -59,7 +59,7 @@
 	return z.Tier
 }
 
-// isNearFor reports whether a class runs only on kinds for which the zone counts as near.
+// isNearFor reports whether the zone counts as near for a class: all kinds of the class are exclusive to the zone.
 func (z *ZoneReach) isNearFor(class *classState) bool {
 	if class.kinds == nil || len(z.ExclusiveKinds) == 0 {
 		return false
@@ -72,5 +72,5 @@
 	return true
 }
 
-// allows reports whether a list of permitted names holds a name; nil permits all.
+// allows reports whether a list of permitted names contains a name. A nil list permits all names.
 func allows(names []string, name string) bool { return names == nil || slices.Contains(names, name) }
