--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,23 +1,25 @@
 package scheduler
 
-// Admission: which requests are accepted, which attempts may be sent, and which requests may be rejected.
+// Admission decides which requests are accepted, which attempts may be sent and which requests may be rejected.
 //
-// Every request is answered once, before its deadline. Effects are never duplicated: after an attempt that
-// may have run, a non-idempotent request gets no other, and a keyed one only on executors that deduplicate
-// it, within the dedup window. Requests with one order key are serialized. The placement constraints of a
-// class always hold.
+// Every accepted request gets exactly one final answer before its deadline. Effects are never duplicated: after an
+// attempt that may have run, a non-idempotent request gets no further attempt, and a keyed request gets one only on
+// executors that deduplicate it, within the dedup window. Requests with the same order key run one at a time. The
+// placement constraints of a class (executor kinds and zones) always hold.
 
 const (
-	answerMarginMS = 25 // before the deadline: a tick and a timer's delay
-	maxErrors      = 2  // then the request is taken to be at fault itself
+	answerMarginMS     = 25 // time before the deadline at which a request is answered: one tick and the timer delay
+	maxErroredAttempts = 2  // attempts that end in an error, after which the request itself is considered faulty
 )
 
+// admit adds a new request to the request table and rejects it at once if its class is unknown or it is blocked.
+// A request that is already in the table is ignored.
 func (s *Scheduler) admit(ev *Event) {
 	if _, known := s.requests.find(ev.Request); known {
 		return
 	}
 	index := s.classIndex(ev.Class)
-	if index < 0 { // nothing is known that would let it run
+	if index < 0 { // without a class, the effect and the placement constraints are unknown
 		s.emit(Action{Kind: Reject, Request: ev.Request})
 		return
 	}
@@ -25,17 +27,17 @@
 	r := s.requests.at(slot)
 	class := &s.classes[index]
 	r.workMS = class.expectedWorkMS(r.estimateMS)
-	class.learnArrival(r.workMS)
+	class.recordArrival(r.workMS)
 	r.deadline = min(r.deadline, s.shutdownDeadline)
 	r.softDeadline = s.now + class.softDeadlineMS + class.softDeadlineStretch*r.workMS/float64(class.threads)
 	s.addProbeTokens(probesPerRequest)
 	s.dispatchNeeded = true
-	if ev.Blocked { // after a crash a repeat of it could not be recognized
+	if ev.Blocked { // the request is not on record, so a repeat of it after a crash could not be recognized
 		s.applyToRequest(slot, inputUnservable)
 	}
 }
 
-// shutDown makes a planned end the deadline of all requests, those in hand and those to come.
+// shutDown limits the deadlines of all current and future requests to the deadline of a planned shutdown.
 func (s *Scheduler) shutDown(deadline float64) {
 	s.shutdownDeadline = deadline
 	s.dispatchNeeded = true
@@ -45,7 +47,8 @@
 	}
 }
 
-// maySend is the one place that decides whether an attempt at a request may go to the executor at an index.
+// maySend decides whether an attempt at a request may be sent to the executor at an index. No attempt is sent
+// without this check.
 func (s *Scheduler) maySend(r *request, index int) sendVerdict {
 	class := &s.classes[r.class]
 	e := &s.executors[index]
@@ -66,20 +69,23 @@
 	if r.startedCount() > 0 && !s.retryBudgetLeft(0) || s.orderKeyBlocked(r) {
 		return sendLater
 	}
-	if !s.accepts(r, class, e) {
+	if !s.isEligible(r, class, e) {
 		return sendElsewhere
 	}
 	return sendAllowed
 }
 
-// isReady reports whether a request waits for an attempt. It never gets a second one beside the first.
+// isReady reports whether a request is queued with no attempt in flight, past its local retry backoff and early
+// enough before its deadline. A request never has two attempts in flight.
 func (s *Scheduler) isReady(r *request) bool {
 	inTime := s.now >= r.retryNotBefore && s.now < r.deadline-answerMarginMS
 	return r.state == requestQueued && r.inFlight == 0 && inTime
 }
 
-// accepts reports whether an executor may get anything of a class at this moment.
-func (s *Scheduler) accepts(r *request, class *classState, e *executor) bool {
+// isEligible reports whether an executor may currently run a request of a class: its kind and zone satisfy the
+// placement constraints, its zone is within reach, its warm-up share has room, and it is neither ejected nor possibly
+// draining.
+func (s *Scheduler) isEligible(r *request, class *classState, e *executor) bool {
 	if !allows(class.kinds, e.kind) || !allows(class.zones, e.zone) {
 		return false
 	}
@@ -89,11 +95,11 @@
 	if s.now < e.warmupUntil && !s.fitsWarmupShare(class, e) {
 		return false
 	}
-	return !s.outOfReach(r, class, e.zone) && s.now <= s.drainSafeUntil(e)
+	return !s.zoneOutOfReach(r, class, e.zone) && s.now <= s.drainSafeUntil(e)
 }
 
-// latestStart returns when an attempt must have begun: later its client has its answer, or its repeats may
-// not be dropped.
+// latestStart returns the latest time at which an attempt at a request may start. Later the client already has its
+// final answer, or the dedup window of a prior attempt is over and executors may not drop the repeat.
 func (s *Scheduler) latestStart(r *request) float64 {
 	latest := r.deadline - answerMarginMS
 	for prior := range s.priorAttempts(r) {
@@ -102,9 +108,9 @@
 	return latest
 }
 
-// outOfReach reports whether a zone has no capacity left, or is too far for what a request is worth or for
-// its deadline.
-func (s *Scheduler) outOfReach(r *request, class *classState, name string) bool {
+// zoneOutOfReach reports whether a zone is remote for a class and has no capacity left, requires a higher value
+// density than the request has, or is too far away to answer before the deadline.
+func (s *Scheduler) zoneOutOfReach(r *request, class *classState, name string) bool {
 	zone := s.remoteZoneFor(class, name)
 	if zone == nil {
 		return false
@@ -115,15 +121,16 @@
 	return s.now+zone.LatencyMS+class.minRunMS(r) > r.deadline-answerMarginMS
 }
 
-// mayReject is the one place that decides whether a request may be rejected. Clients retry what is rejected,
-// so nothing of the request may have run unless a repeat of it is harmless wherever it goes.
+// mayReject decides whether a request may be rejected. Clients retry rejected requests, so nothing of the request
+// may have run unless every executor that a repeat can reach handles it without a second effect.
 func (s *Scheduler) mayReject(r *request) bool {
 	class := &s.classes[r.class]
 	droppedEverywhere := class.effect == Keyed && class.dedupScope == DedupAll
 	return class.effect == Idempotent || droppedEverywhere || !r.mayHaveRun()
 }
 
-// rejectOrFail gives a request its final answer without a result.
+// rejectOrFail gives a request its final answer without a result and cancels its attempts in flight. The request
+// fails where rejecting it could make the client run it twice.
 func (s *Scheduler) rejectOrFail(slot int) {
 	r := s.requests.at(slot)
 	if s.mayReject(r) {
@@ -134,7 +141,8 @@
 	s.cancelAttempts(slot)
 }
 
-// retryAfterMS returns when a rejected client is to come back: at random times, so that not all come at once.
+// retryAfterMS returns the delay after which a rejected client is asked to retry, or 0 to name none. The delay is
+// randomized so that rejected clients don't all return at once.
 func (s *Scheduler) retryAfterMS() float64 {
 	if !s.settings.NamesRetryAfter {
 		return 0
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -8,7 +8,7 @@
 
 func TestScheduler_AnswersBeforeDeadline(t *testing.T) {
 	s := newTestScheduler(0, nil)
-	assert.Empty(t, arrive(s, 1000, "a", "unsafe"), "no executor")
+	assert.Empty(t, arrive(s, 1000, "a", "unsafe"), "without an executor the request must stay queued")
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(tickAt(s, 8960)))
 	assert.Empty(t, s.requests.byID)
 	s = newTestScheduler(1, nil)
@@ -19,7 +19,7 @@
 }
 
 func TestScheduler_NeverRepeatsEffect(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class   string
 		outcome Outcome
 		want    []ActionKind
@@ -31,10 +31,10 @@
 		{"unsafe", Overloaded, []ActionKind{SetResources, Send}},
 		{"unsafe", ConnectFailed, []ActionKind{SetResources, Send}},
 	} {
-		t.Run(c.class+" after "+c.outcome.String(), func(t *testing.T) {
+		t.Run(test.class+" after "+test.outcome.String(), func(t *testing.T) {
 			s := newTestScheduler(3, nil)
-			arrive(s, 1000, "a", c.class)
-			assert.Equal(t, c.want, actionKinds(endAttempt(s, 1010, "a", 0, c.outcome)))
+			arrive(s, 1000, "a", test.class)
+			assert.Equal(t, test.want, actionKinds(endAttempt(s, 1010, "a", 0, test.outcome)))
 		})
 	}
 }
@@ -42,30 +42,35 @@
 func TestScheduler_RejectsRepeatAfterDedupWindow(t *testing.T) {
 	s := newTestScheduler(3, nil)
 	arrive(s, 1000, "a", "keyed")
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(endAttempt(s, 5990, "a", 0, Errored)), "past the window")
+	actions := endAttempt(s, 5990, "a", 0, Errored)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(actions), "no repeat may be sent past the dedup window")
 }
 
 func TestScheduler_SendsRetryOnlyWithinDedupZone(t *testing.T) {
 	s := newTestScheduler(3, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
 	arrive(s, 1000, "a", "keyed")
+	r := &s.requests.entries[0]
+	first := r.lastAttempt().executor
 	for index := range s.executors {
-		s.executors[index].zone = []string{"there", "here"}[min(1, (index+2-s.requests.entries[0].lastAttempt().executor)%3)]
+		s.executors[index].zone = []string{"there", "here"}[min(1, (index+2-first)%3)]
 	}
-	s.executors[s.requests.entries[0].lastAttempt().executor].availability = Removed
-	r := &s.requests.entries[0]
+	s.executors[first].availability = Removed
 	r.state, r.inFlight, r.attempts[0].inFlight = requestQueued, 0, false
-	assert.False(t, s.mayReject(r), "repeats are dropped in one zone alone")
+	assert.False(t, s.mayReject(r), "repeats are deduplicated only in the zone of the first attempt")
 	for index := range s.executors {
-		same := s.executors[index].zone == s.executors[r.attempts[0].executor].zone
-		assert.Equal(t, same && s.executors[index].availability == Active, s.maySend(r, index) == sendAllowed)
+		e := &s.executors[index]
+		want := e.zone == s.executors[first].zone && e.availability == Active
+		assert.Equal(t, want, s.maySend(r, index) == sendAllowed, "executor %d", e.id)
 	}
 }
 
-// A repeat leaves within the window in which it is dropped, also if it waits for a connection in between.
+// A repeat that waits for its connection must not start after the dedup window of the first attempt.
 func TestScheduler_BoundsStartOfRepeatByDedupWindow(t *testing.T) {
 	s := newTestScheduler(2, func(s *Settings) { s.Classes[1].DedupWindowMS = 700 })
-	assert.Equal(t, 8975.0, arrive(s, 1000, "a", "keyed")[1].LatestStart, "the first one is bound by its deadline alone")
-	assert.Equal(t, 1000.0+700-answerMarginMS, endAttempt(s, 1100, "a", 0, ConnectionLost)[1].LatestStart)
+	first := arrive(s, 1000, "a", "keyed")[1]
+	assert.Equal(t, 8975.0, first.LatestStart, "only the deadline bounds the first attempt")
+	repeat := endAttempt(s, 1100, "a", 0, ConnectionLost)[1]
+	assert.Equal(t, 1000.0+700-answerMarginMS, repeat.LatestStart)
 }
 
 func TestScheduler_KeepsPlacementWithAllElseDown(t *testing.T) {
@@ -77,52 +82,59 @@
 
 func TestScheduler_RejectsUnservableRequestWithRetryAfter(t *testing.T) {
 	s := newTestScheduler(1, nil)
-	out := s.Step(1000, &Event{Kind: RequestArrived, Request: "a", Class: "read", WorkMS: 5000, Deadline: 2000}, nil)
-	assert.Equal(t, Reject, out[0].Kind)
-	assert.InDelta(t, 375, out[0].AfterMS, 125)
+	actions := s.Step(1000, &Event{Kind: RequestArrived, Request: "a", Class: "read", WorkMS: 5000, Deadline: 2000}, nil)
+	assert.Equal(t, Reject, actions[0].Kind)
+	assert.InDelta(t, 375, actions[0].AfterMS, 125)
 }
 
-// A planned shutdown leaves no long request without an answer, and keeps none that can't be answered any more.
+// A planned shutdown must answer long requests too, and must not keep requests that can't end before it.
 func TestScheduler_AnswersAllBeforeShutdown(t *testing.T) {
 	s := newTestScheduler(1, nil)
 	arrive(s, 1000, "short", "read")
 	arrive(s, 1000, "unsafe", "unsafe")
 	s.Step(1100, &Event{Kind: ShutdownStarted, Deadline: 1500}, nil)
-	out := s.Step(1110, &Event{Kind: RequestArrived, Request: "long", Class: "read", WorkMS: 5000, Deadline: 9000}, nil)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(out), "what can't end in time is rejected at once")
+	long := Event{Kind: RequestArrived, Request: "long", Class: "read", WorkMS: 5000, Deadline: 9000}
+	actions := s.Step(1110, &long, nil)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(actions),
+		"a request that can't end before the shutdown must be rejected at once")
 	assert.Empty(t, actionKinds(tickAt(s, 1460)))
-	out = tickAt(s, 1480)
-	assert.Equal(t, []ActionKind{Reject, Cancel, Fail, Cancel}, actionKinds(out))
+	actions = tickAt(s, 1480)
+	assert.Equal(t, []ActionKind{Reject, Cancel, Fail, Cancel}, actionKinds(actions))
 }
 
-// What may have run with an idempotency key, in another request or before a crash, goes only where it is known as a repeat, and
-// only while it is known there. It is never rejected then, since another try might do harm.
+// A request whose idempotency key may have run in another request or before a crash must go only to executors that
+// drop the repeat, and only within the dedup window. It must not be rejected, since the client's retry could run it
+// twice.
 func TestScheduler_SendsRepeatToItsDedupScope(t *testing.T) {
 	s := newTestScheduler(1, func(s *Settings) { s.Classes[1].DedupScope = DedupZone })
 	s.Step(1000, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Zone: "there", Kind: "big"}}}, nil)
-	again := func(id, class string, p PriorAttempt) []Action {
-		return s.Step(2000, &Event{Kind: RequestArrived, Request: id, Class: class, WorkMS: 100, Deadline: 9000, Prior: p}, nil)
+	arriveWithPrior := func(id, class string, prior PriorAttempt) []Action {
+		ev := Event{Kind: RequestArrived, Request: id, Class: class, WorkMS: 100, Deadline: 9000, Prior: prior}
+		return s.Step(2000, &ev, nil)
 	}
-	for n, place := range []string{"there", "here"} {
-		a := again("a"+place, "keyed", PriorAttempt{At: 1900, Zone: place})
-		assert.Equal(t, Send, a[len(a)-1].Kind)
-		assert.Equal(t, uint32(2-n), a[len(a)-1].Executor)
+	for i, zone := range []string{"there", "here"} {
+		actions := arriveWithPrior("a"+zone, "keyed", PriorAttempt{At: 1900, Zone: zone})
+		assert.Equal(t, Send, actions[len(actions)-1].Kind)
+		assert.Equal(t, uint32(2-i), actions[len(actions)-1].Executor)
 	}
-	assert.Empty(t, actionKinds(again("b", "keyed", PriorAttempt{At: 1900, Zone: "lost"})), "it waits for its zone")
-	a := tickAt(s, 8990)
-	assert.Contains(t, actionKinds(a), Fail)
-	assert.NotContains(t, actionKinds(a), Reject)
-	assert.Equal(t, []ActionKind{Fail}, actionKinds(again("c", "keyed", PriorAttempt{At: -1e9, Zone: "here"})), "past the window")
-	assert.Equal(t, []ActionKind{Fail}, actionKinds(again("d", "unsafe", PriorAttempt{At: 1900, Zone: "here"})))
+	actions := arriveWithPrior("b", "keyed", PriorAttempt{At: 1900, Zone: "lost"})
+	assert.Empty(t, actionKinds(actions), "the request must wait for an executor of its dedup zone")
+	actions = tickAt(s, 8990)
+	assert.Contains(t, actionKinds(actions), Fail)
+	assert.NotContains(t, actionKinds(actions), Reject)
+	actions = arriveWithPrior("c", "keyed", PriorAttempt{At: -1e9, Zone: "here"})
+	assert.Equal(t, []ActionKind{Fail}, actionKinds(actions), "no repeat may be sent past the dedup window")
+	actions = arriveWithPrior("d", "unsafe", PriorAttempt{At: 1900, Zone: "here"})
+	assert.Equal(t, []ActionKind{Fail}, actionKinds(actions))
 }
 
-// What can't be put on record must not run: it is rejected at once, not sent to a second executor.
+// A request that can't be put on record must not run: it is rejected at once and not sent to another executor.
 func TestScheduler_RejectsBlockedRequestUnrun(t *testing.T) {
 	s := newTestScheduler(2, nil)
-	a := s.Step(2000, &Event{Kind: RequestArrived, Request: "a", Class: "unsafe", WorkMS: 100, Deadline: 9000, Blocked: true}, nil)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(a))
+	ev := Event{Kind: RequestArrived, Request: "a", Class: "unsafe", WorkMS: 100, Deadline: 9000, Blocked: true}
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(s.Step(2000, &ev, nil)))
 	arrive(s, 2000, "b", "keyed")
-	a = s.Step(2010, &Event{Kind: AttemptEnded, Request: "b", Outcome: NeverSent, Blocked: true}, nil)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(a))
+	ev = Event{Kind: AttemptEnded, Request: "b", Outcome: NeverSent, Blocked: true}
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(s.Step(2010, &ev, nil)))
 	assert.Empty(t, s.requests.byID)
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,20 +1,27 @@
 package scheduler
 
-// Attempts: how one starts, what its progress reports and its outcome lead to, and when it is cancelled to be
-// sent anew. An attempt starts at the top priority level, whatever its request (paper, 3.2), unless its team
-// is over its budget.
+// Attempts: how an attempt starts, how its progress reports and its outcome are handled, and when it is cancelled to
+// be replaced by another one. An attempt starts at the top priority (section 3.2 of the paper cited in priority.go)
+// unless the request's team is over its quota.
 
 import "math"
 
 const (
-	holderReportMS    = 2000 // that a reported holder of a table group is taken to go on
-	badPlanFactor     = 4.0  // times the expected running time
-	badPlanMinMS      = 400  // that an attempt runs before its plan is judged
-	badPlanLeftFactor = 2    // times the expected running time left: an estimate may be far too low
+	holderReportLifetimeMS = 2000 // time for which a reported holder is assumed to keep holding its table group
+	badPlanFactor          = 4.0  // multiple of the expected running time above which an attempt has a bad plan
+	badPlanMinRunMS        = 400  // running time before which an attempt isn't checked for a bad plan
 
-	waitsForHolder = 2 // value of a Waiting report: behind a holder of the table group
+	// badPlanRemainingFactor is the multiple of the expected running time that must remain for an attempt to have a
+	// bad plan. It keeps attempts whose work was estimated far too low but that are close to their end.
+	badPlanRemainingFactor = 2
+
+	// waitingForGroupHolder is the Value of a Waiting report of an attempt that waits for a request that holds its
+	// table group.
+	waitingForGroupHolder = 2
 )
 
+// startAttempt sends the next attempt at a request to the executor in assignTo, and counts it against the executor
+// until its next load report.
 func (s *Scheduler) startAttempt(slot int) {
 	r := s.requests.at(slot)
 	e := &s.executors[s.assignTo]
@@ -37,6 +44,8 @@
 	s.emit(Action{Kind: Send, Request: r.id, Executor: e.id, LatestStart: latest})
 }
 
+// recordProgress handles a progress report of an attempt in flight. It abandons an attempt that waits behind a
+// holder of its table group or has a bad plan, if another attempt can follow.
 func (s *Scheduler) recordProgress(slot int, a *attempt, ev *Event) {
 	r := s.requests.at(slot)
 	class := &s.classes[r.class]
@@ -47,18 +56,18 @@
 	case Waiting:
 		s.setQueued(a, true)
 		s.dispatchNeeded = true
-		if ev.Value == waitsForHolder {
-			holder := groupHolder{group: r.tableGroup, executor: a.executor, until: s.now + holderReportMS}
+		if ev.Value == waitingForGroupHolder {
+			holder := groupHolder{group: r.tableGroup, executor: a.executor, until: s.now + holderReportLifetimeMS}
 			s.reportedHolders = append(s.reportedHolders, holder)
-			if s.leavesHolder(r, class, a) {
+			if s.shouldLeaveHolder(r, class, a) {
 				s.applyToRequest(slot, inputAttemptAbandoned)
 			}
 		}
 	case Spilling:
-		class.learnSpilling(r, a, ev.Value)
+		class.recordSpilling(r, a, ev.Value)
 	case Progress:
-		if ev.Value > a.doneShare { // an attempt that stands still goes on reporting the share that it has
-			a.doneShare = ev.Value
+		if ev.Value > a.completedShare { // a queued attempt keeps reporting the share that it has already completed
+			a.completedShare = ev.Value
 			s.setQueued(a, false)
 		}
 		e.proven = e.proven || ev.Value > 0
@@ -68,32 +77,34 @@
 	}
 }
 
-// leavesHolder reports whether an attempt that stands still behind a holder is sent elsewhere: all that it
-// loses is the attempt.
-func (s *Scheduler) leavesHolder(r *request, class *classState, a *attempt) bool {
+// shouldLeaveHolder reports whether an attempt that waits behind a holder of its table group is sent to another
+// executor instead. That is so only for an idempotent request whose attempt has completed nothing yet.
+func (s *Scheduler) shouldLeaveHolder(r *request, class *classState, a *attempt) bool {
 	mayRunAgain := r.state == requestRunning && class.effect == Idempotent
-	return mayRunAgain && a.doneShare == 0 && s.mayReplaceAttempt(r)
+	return mayRunAgain && a.completedShare == 0 && s.mayReplaceAttempt(r)
 }
 
-// hasBadPlan reports whether an attempt is far slower than its class and executor: it has a bad plan, or was
-// forgotten there.
+// hasBadPlan reports whether an attempt is much slower than usual for its class and executor and may be replaced.
+// The executor has chosen a bad execution plan for it, or has lost it.
 func (s *Scheduler) hasBadPlan(r *request, class *classState, e *executor, a *attempt) bool {
-	if r.state != requestRunning || class.effect != Idempotent || a.ranMS <= badPlanMinMS {
+	if r.state != requestRunning || class.effect != Idempotent || a.ranMS <= badPlanMinRunMS {
 		return false
 	}
 	expected := class.minRunMS(r) * max(1, class.slowdown) * max(1, e.slowdown)
-	projected := a.ranMS / max(a.doneShare, 0.01)
-	if projected <= badPlanFactor*expected || projected-a.ranMS <= badPlanLeftFactor*expected {
+	projected := a.ranMS / max(a.completedShare, 0.01)
+	if projected <= badPlanFactor*expected || projected-a.ranMS <= badPlanRemainingFactor*expected {
 		return false
 	}
 	return s.mayReplaceAttempt(r)
 }
 
+// endAttempt handles the outcome of an attempt: it releases what the attempt had reserved, records the outcome, and
+// finishes the request or returns it to the queue.
 func (s *Scheduler) endAttempt(slot int, a *attempt, ev *Event) {
 	r := s.requests.at(slot)
 	s.releaseReservation(r, a, !ev.Outcome.NeverRan())
 	s.dispatchNeeded = true
-	s.judgeOutcome(r, a, ev)
+	s.recordOutcome(r, a, ev)
 	s.blockOrderKey(r, ev.Outcome)
 	switch {
 	case ev.Final:
@@ -106,7 +117,8 @@
 	s.releaseIfSettled(slot)
 }
 
-func (s *Scheduler) judgeOutcome(r *request, a *attempt, ev *Event) {
+// recordOutcome records the outcome of an attempt for its request, its class and its executor.
+func (s *Scheduler) recordOutcome(r *request, a *attempt, ev *Event) {
 	class := &s.classes[r.class]
 	e := &s.executors[a.executor]
 	switch ev.Outcome {
@@ -114,11 +126,11 @@
 		e.recordSign(s.now, a)
 		e.proven = true
 		e.failures = 0
-		s.learnFromAnswer(r, class, e, a, ev)
+		s.updateEstimates(r, class, e, a, ev)
 	case Overloaded:
 		e.avoidUntil = s.now + avoidMS
 	case LocalFailure:
-		e.avoidUntil = s.now + avoidMS // others may have a connection already
+		e.avoidUntil = s.now + avoidMS // another executor may already have an open connection
 		s.recordLocalFailure(r, a)
 	case Errored, ConnectFailed, ConnectionLost:
 		if ev.Outcome == Errored {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// Dispatch: the order in which queued requests get executors, and which of them have waited in vain. It is
-// the paper's wait queue (2.3); as values differ, it is ordered by the value that a request can still earn
-// for its work, which stands for the custom priorities of 3.2.
+// Dispatch goes through the queued requests, assigns executors to them and gives up on those that can't be answered
+// any more. The queue is the wait queue of the paper cited in priority.go (section 2.3). Since requests differ in
+// value, it is ordered by value density, which takes the place of the custom priorities of section 3.2.
 
 import (
 	"cmp"
@@ -10,15 +10,17 @@
 )
 
 const (
-	minLateShare = 0.25 // of the value: a request sure to be late waits only where a late answer earns more
-	longQueue    = 50   // requests: more are gone through once the clock has moved on, not at each event
+	minLateShare    = 0.25 // share of the value below which a late answer isn't worth keeping a request queued
+	longQueueLength = 50   // queue length from which on the queue is dispatched at most once per clock value
 )
 
+// dispatchDue reports whether the queue may be dispatched in this step. A long queue is dispatched only once the
+// clock has advanced since the last pass, not on every event.
 func (s *Scheduler) dispatchDue() bool {
-	return s.now > s.dispatchedAt || len(s.queue) < longQueue
+	return s.now > s.dispatchedAt || len(s.queue) < longQueueLength
 }
 
-// dispatch goes through the queue, the densest value first.
+// dispatch goes through the queue in order of decreasing value density, and of arrival where the density is equal.
 func (s *Scheduler) dispatch() {
 	s.collectQueue()
 	slices.SortFunc(s.queue, func(a, b int) int {
@@ -33,7 +35,8 @@
 	s.dispatchNeeded = false
 }
 
-// dispatchRequest sends a queued request, gives up on it, or leaves it in the queue.
+// dispatchRequest sends a queued request, rejects or fails it, or leaves it in the queue. An immediate request is
+// returned to the caller instead of waiting.
 func (s *Scheduler) dispatchRequest(slot int) {
 	r := s.requests.at(slot)
 	if s.isUnservable(r) {
@@ -53,13 +56,13 @@
 		s.requests.remove(slot)
 		return
 	}
-	if s.waitsForLittle(r) {
+	if s.isTooLateToQueue(r) {
 		s.applyToRequest(slot, inputUnservable)
 	}
 }
 
-// isUnservable reports whether a queued request can't be answered any more. Where it may be rejected and
-// lacks only the retry budget, its client's own retry is faster.
+// isUnservable reports whether a queued request can't be answered any more. A retry that may be rejected and only
+// lacks retry budget counts as unservable, because the client's own retry is faster than waiting for the budget.
 func (s *Scheduler) isUnservable(r *request) bool {
 	if r.density == 0 {
 		return true
@@ -71,19 +74,20 @@
 	return r.startedCount() > 0 && s.mayReject(r) && !s.retryBudgetLeft(0)
 }
 
-// waitsForLittle reports whether a request is sure to be late and then earns so little that it would only
-// fill the queue.
-func (s *Scheduler) waitsForLittle(r *request) bool {
+// isTooLateToQueue reports whether a request will miss its soft deadline in any case and its class earns too little
+// for a late answer to keep the request queued.
+func (s *Scheduler) isTooLateToQueue(r *request) bool {
 	class := &s.classes[r.class]
 	return class.lateShare < minLateShare && s.now+class.minRunMS(r) > r.softDeadline
 }
 
-// valueDensity returns the value that a request can still earn, for each ms of its work.
+// valueDensity returns the value that a request can still earn per millisecond of its work. It is 0 for a request
+// that can't end before its deadline or has had too many errors.
 func (s *Scheduler) valueDensity(r *request) float64 {
 	class := &s.classes[r.class]
 	earliestEnd := s.now + class.minRunMS(r)
 	switch {
-	case earliestEnd > r.deadline-answerMarginMS || r.errorCount >= maxErrors:
+	case earliestEnd > r.deadline-answerMarginMS || r.errorCount >= maxErroredAttempts:
 		return 0
 	case earliestEnd > r.softDeadline:
 		return class.value * class.lateShare / r.workMS
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -1,17 +1,19 @@
 package scheduler
 
-// Service-time estimates: what requests of a class cost, how much longer they run than their work says, and
-// how slow an executor is against the others. Each is a fading mean. A single figure far off moves it no more
-// than a bad plan would.
+// Service-time estimates: the work of a request of a class, the running time of a class relative to its work, and the
+// slowdown of an executor relative to the others. Each is an exponentially weighted moving average. New running times
+// and costs are limited to badPlanFactor times what is expected, so that a single outlier has little influence.
 
 import "cmp"
 
 const (
-	smoothing     = 0.1  // weight of the newest figure
-	costSmoothing = 0.02 // the same for costs: a class's estimates stay wrong in the same way
-	restoredRuns  = 64   // running times taken over through a restart: three times what the decay onset needs
+	smoothingFactor = 0.1  // weight of the newest value in a moving average
+	costSmoothing   = 0.02 // weight of the newest cost or work: the estimates of a class are wrong in a stable way
+	restoredRuns    = 64   // running times kept across a restart, enough to determine the decay onset
 )
 
+// expectedWorkMS returns the expected work of a request: the client's estimate, corrected by the ratio of actual to
+// estimated work of the class. Without an estimate it is the usual work of the class.
 func (c *classState) expectedWorkMS(estimateMS float64) float64 {
 	if c.estimatedWorkMS > 0 {
 		estimateMS *= c.actualWorkMS / c.estimatedWorkMS
@@ -19,16 +21,19 @@
 	return cmp.Or(max(0, estimateMS), c.usualWorkMS, 1)
 }
 
-func (c *classState) learnArrival(workMS float64) {
+// recordArrival updates the usual work of a class with that of a new request. The first arrivals are weighted equally.
+func (c *classState) recordArrival(workMS float64) {
 	c.arrivals++
 	c.usualWorkMS += max(costSmoothing, 1/c.arrivals) * (workMS - c.usualWorkMS)
 }
 
-func (s *Scheduler) learnFromAnswer(r *request, class *classState, e *executor, a *attempt, ev *Event) {
+// updateEstimates updates the estimates of a class and an executor with the running time and cost of an attempt that
+// succeeded.
+func (s *Scheduler) updateEstimates(r *request, class *classState, e *executor, a *attempt, ev *Event) {
 	s.finishedRuns.add(s.now, a.ranMS)
 	slowdown := a.ranMS / max(1, class.minRunMS(r))
-	class.slowdown += smoothing * (min(slowdown, badPlanFactor*class.slowdown+1) - class.slowdown)
-	e.slowdown += smoothing * (min(slowdown/max(class.slowdown, 0.1), badPlanFactor) - e.slowdown)
+	class.slowdown += smoothingFactor * (min(slowdown, badPlanFactor*class.slowdown+1) - class.slowdown)
+	e.slowdown += smoothingFactor * (min(slowdown/max(class.slowdown, 0.1), badPlanFactor) - e.slowdown)
 	if ev.CostMS > 0 && r.estimateMS > 0 {
 		class.actualWorkMS += costSmoothing * (min(ev.CostMS, badPlanFactor*r.workMS) - class.actualWorkMS)
 		class.estimatedWorkMS += costSmoothing * (r.estimateMS - class.estimatedWorkMS)
--- a/scheduler/memory_test.go
+++ b/scheduler/memory_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestScheduler_LeavesMemoryToShortRequestsPastBound(t *testing.T) {
+func TestScheduler_AdmitsOnlyShortRequestsPastMemoryBound(t *testing.T) {
 	s := newTestScheduler(1, nil)
 	e := &s.executors[0]
 	e.threads, e.grantedMB = 10, 0.8*e.memoryMB
@@ -21,19 +21,21 @@
 	a := s.requests.entries[0].lastAttempt()
 	assert.Equal(t, 100*initialMemoryFactor, a.grantMB)
 	s.recordProgress(0, a, &Event{Kind: ProgressReported, Progress: Spilling, Value: 250})
-	assert.InDelta(t, initialMemoryFactor+smoothing*(4*spillMemoryFactor-initialMemoryFactor), s.classes[0].memoryFactor, 1e-9)
+	want := initialMemoryFactor + smoothingFactor*(4*spillMemoryFactor-initialMemoryFactor)
+	assert.InDelta(t, want, s.classes[0].memoryFactor, 1e-9)
 }
 
-// A cap changes the memory of a running request, and what counts as granted on its executor.
+// A cap on a running request must change both the request's grant and the memory granted on its executor.
 func TestScheduler_CapChangesGrantOfRunningRequest(t *testing.T) {
 	s := newTestScheduler(1, nil)
-	a := arrive(s, 2000, "a", "read")
-	full := a[0].GrantMB
-	a = s.Step(2010, &Event{Kind: PriorityCapped, Request: "a", PriorityCap: topPriority, MemoryShare: 0.5}, nil)
-	assert.Equal(t, []ActionKind{SetResources}, actionKinds(a))
-	assert.Equal(t, []float64{full / 2, full / 2}, []float64{a[0].GrantMB, s.executors[0].grantedMB})
-	a = s.Step(2020, &Event{Kind: PriorityCapped, Request: "a"}, nil)
-	assert.Equal(t, full, a[0].GrantMB)
+	full := arrive(s, 2000, "a", "read")[0].GrantMB
+	ev := Event{Kind: PriorityCapped, Request: "a", PriorityCap: topPriority, MemoryShare: 0.5}
+	actions := s.Step(2010, &ev, nil)
+	assert.Equal(t, []ActionKind{SetResources}, actionKinds(actions))
+	assert.Equal(t, full/2, actions[0].GrantMB)
+	assert.Equal(t, full/2, s.executors[0].grantedMB)
+	actions = s.Step(2020, &Event{Kind: PriorityCapped, Request: "a"}, nil)
+	assert.Equal(t, full, actions[0].GrantMB)
 	endAttempt(s, 2030, "a", 0, Succeeded)
 	assert.Zero(t, s.executors[0].grantedMB)
 }
--- a/scheduler/orderkeys.go
+++ b/scheduler/orderkeys.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// orderKeyBlocked reports whether a request waits for its order key: an earlier request with it is in hand, or it is not known
-// yet whether an attempt of one still runs.
+// orderKeyBlocked reports whether a request has to wait because of its order key: an earlier request with the key is
+// open, or an attempt at one may still be running.
 func (s *Scheduler) orderKeyBlocked(r *request) bool {
 	if r.orderKey == "" {
 		return false
@@ -9,7 +9,7 @@
 	return s.now < s.orderKeyBlockedUntil[r.orderKey] || s.hasPredecessor(r)
 }
 
-// hasPredecessor reports whether an earlier request with the same order key is in hand.
+// hasPredecessor reports whether an earlier request with the same order key is still open.
 func (s *Scheduler) hasPredecessor(r *request) bool {
 	for slot := range s.requests.entries {
 		other := s.requests.at(slot)
@@ -20,7 +20,8 @@
 	return false
 }
 
-// blockOrderKey blocks the order key of a request after an attempt of which it is not known whether it runs on.
+// blockOrderKey blocks the order key of a request for the configured time after an attempt that may still be running
+// on its executor.
 func (s *Scheduler) blockOrderKey(r *request, outcome Outcome) {
 	if r.orderKey == "" || s.settings.OrderKeyRestMS <= 0 {
 		return
@@ -31,7 +32,7 @@
 	}
 }
 
-// expireOrderKeys forgets the order keys that are blocked no longer.
+// expireOrderKeys removes the order keys that are no longer blocked.
 func (s *Scheduler) expireOrderKeys() {
 	for key, until := range s.orderKeyBlockedUntil {
 		if s.now >= until {
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -6,70 +6,70 @@
 	"slices"
 )
 
-// attemptCapacity is the most attempts that a request may have, those that never left among them.
+// attemptCapacity is the largest number of attempts at a request, including those that were never sent.
 const attemptCapacity = 8
 
-// attempt is one attempt at a request.
+// attempt is one attempt at running a request on an executor.
 type attempt struct {
-	executor   int // index of its executor
-	sentAt     float64
-	progressAt float64 // of its last progress report, or of sending
-	ranMS      float64 // running time so far, without waiting
-	doneShare  float64 // as last reported
-	grantMB    float64
-	threads    int
-	queued     bool // it waits on its executor
-	inFlight   bool // it has no outcome yet
-	mayHaveRun bool // it is in flight, or ended without proof that it never ran
+	executor       int // index of its executor
+	sentAt         float64
+	progressAt     float64 // time of the last progress report, or of sending
+	ranMS          float64 // running time so far, without the time queued on the executor
+	completedShare float64 // share of the work that the last progress report named as done
+	grantMB        float64
+	threads        int
+	queued         bool // it waits on its executor
+	inFlight       bool // it has no outcome yet
+	mayHaveRun     bool // it is in flight, or ended without proof that it never ran
 }
 
-// request is a request in hand, in a slot of the request table.
+// request is an open request in a slot of the request table.
 type request struct {
-	inUse           bool
+	inUse           bool // false: the slot is free
 	id              string
 	sequence        uint64 // order of arrival
 	class           int    // index of its class
 	state           requestState
-	orderKey        string
-	prior           PriorAttempt
+	orderKey        string       // empty: none
+	prior           PriorAttempt // at another request with the same idempotency key
 	tableGroup      uint64
-	memoryMB        float64 // as the client estimated it
-	estimateMS      float64 // work, as the client estimated it
-	workMS          float64 // the same, corrected
+	memoryMB        float64 // the client's estimate
+	estimateMS      float64 // the client's estimate of the work
+	workMS          float64 // estimateMS corrected by what the class has learned
 	softDeadline    float64
 	deadline        float64
-	density         float64 // value that it can still earn for its work, as of this pass
-	immediate       bool    // sent in this pass, or given back
-	responseStarted bool    // its client has part of the answer, so it gets no other
+	density         float64 // value density as of the current dispatch pass
+	immediate       bool    // it is sent in the current dispatch pass or returned to the caller
+	responseStarted bool    // the client has part of the response, so it can't get another answer
 
 	priority      float64
-	startPriority float64 // 0: the top
+	startPriority float64 // 0: the top priority
 	priorityCap   float64 // 0: none
-	memoryShare   float64 // of the memory wanted; 0: all
-	quanta        int     // of running time that have been counted for its decay
-	level         int
+	memoryShare   float64 // share of the wanted memory that it may be granted; 0: all
+	elapsedQuanta int     // decay quanta of running time of the current attempt
+	level         int     // priority level on the executor
 
 	attempts       [attemptCapacity]attempt
 	attemptCount   int
-	unsentCount    int     // attempts that never left because of a failure on this side
-	retryNotBefore float64 // after such a failure
+	unsentCount    int     // attempts that were never sent because of a local failure
+	retryNotBefore float64 // end of the backoff after a local failure
 	inFlight       int     // attempts without an outcome
 	errorCount     int     // attempts that ended in an error
 }
 
-// requestTable keeps the requests in hand, and uses their slots again.
+// requestTable holds the open requests in slots. The slots of removed requests are reused.
 type requestTable struct {
 	entries []request
-	free    []int
+	free    []int // free slots
 	byID    map[string]int
 }
 
 func newRequestTable() requestTable { return requestTable{byID: make(map[string]int)} }
 
-// at returns the request in a slot.
+// at returns the request in a slot. The pointer is valid until the next insert.
 func (t *requestTable) at(slot int) *request { return &t.entries[slot] }
 
-// insert gives a request an empty slot.
+// insert adds a request and returns its slot.
 func (t *requestTable) insert(id string) int {
 	var slot int
 	if n := len(t.free); n > 0 {
@@ -84,20 +84,20 @@
 	return slot
 }
 
-// remove frees a slot.
+// remove deletes the request in a slot and frees the slot.
 func (t *requestTable) remove(slot int) {
 	delete(t.byID, t.entries[slot].id)
 	t.entries[slot] = request{}
 	t.free = append(t.free, slot)
 }
 
-// find returns the slot of a request.
+// find returns the slot of the request with an id, and whether there is one.
 func (t *requestTable) find(id string) (int, bool) {
 	slot, ok := t.byID[id]
 	return slot, ok
 }
 
-// addRequest takes a request of a class in hand and returns its slot.
+// addRequest inserts the request of a RequestArrived event and returns its slot.
 func (s *Scheduler) addRequest(ev *Event, class int) int {
 	slot := s.requests.insert(ev.Request)
 	s.lastSequence++
@@ -115,13 +115,13 @@
 	r.startPriority = ev.PriorityCap
 	r.memoryShare = ev.MemoryShare
 	r.immediate = ev.Immediate
-	if !r.immediate { // an immediate one counts for the retry budget once it is sent
+	if !r.immediate { // an immediate request counts as an arrival only once it is sent
 		s.arrivals.add(s.now, 1)
 	}
 	return slot
 }
 
-// releaseIfSettled frees the slot of a request that is done, once all its attempts have their outcome.
+// releaseIfSettled removes a request that has its final answer once all its attempts have an outcome.
 func (s *Scheduler) releaseIfSettled(slot int) {
 	r := s.requests.at(slot)
 	if r.inUse && r.state == requestDone && r.inFlight == 0 {
@@ -130,7 +130,8 @@
 	}
 }
 
-// findAttempt returns the attempt that an event is about, and the slot of its request; nil if it is not in flight.
+// findAttempt returns the attempt that an event names and the slot of its request. The attempt is nil if it isn't in
+// flight.
 func (s *Scheduler) findAttempt(ev *Event) (int, *attempt) {
 	slot, ok := s.requests.find(ev.Request)
 	if !ok {
@@ -143,8 +144,9 @@
 	return slot, &r.attempts[ev.Attempt]
 }
 
-// priorAttempts yields what may have run of a request: an attempt of another request with the same idempotency key, then its own.
-// The latter don't matter where a repeat is harmless.
+// priorAttempts yields the attempts that may have run and that a repeat must be dropped for: first the attempt at
+// another request with the same idempotency key, then the request's own attempts. The own attempts of an idempotent
+// request are left out, because repeating them is harmless.
 func (s *Scheduler) priorAttempts(r *request) iter.Seq[PriorAttempt] {
 	return func(yield func(PriorAttempt) bool) {
 		if r.prior.At != 0 && !yield(r.prior) || s.classes[r.class].effect == Idempotent {
@@ -163,24 +165,27 @@
 	}
 }
 
-// startedCount returns the number of attempts that left, or may have.
+// startedCount returns the number of attempts that were sent, or may have been.
 func (r *request) startedCount() int { return r.attemptCount - r.unsentCount }
 
-// lastAttempt returns the latest attempt; there must be one.
+// lastAttempt returns the latest attempt. The request must have one.
 func (r *request) lastAttempt() *attempt { return &r.attempts[r.attemptCount-1] }
 
-// mayHaveRun reports whether anything of a request may have run.
+// mayHaveRun reports whether an attempt at a request, or its prior attempt, may have run.
 func (r *request) mayHaveRun() bool {
-	return r.prior.At != 0 || slices.ContainsFunc(r.attempts[:r.attemptCount], func(a attempt) bool { return a.mayHaveRun })
+	ran := func(a attempt) bool { return a.mayHaveRun }
+	return r.prior.At != 0 || slices.ContainsFunc(r.attempts[:r.attemptCount], ran)
 }
 
-// collectQueue starts a pass: it collects the queued requests, and where table groups are held.
+// collectQueue starts a dispatch pass: it collects the queued requests with their value densities, and the holders of
+// table groups.
 func (s *Scheduler) collectQueue() {
 	s.dispatchNeeded = false
 	s.dispatchedAt = s.now
 	s.saturated = false
 	s.queue = s.queue[:0]
-	s.reportedHolders = slices.DeleteFunc(s.reportedHolders, func(holder groupHolder) bool { return holder.until <= s.now })
+	isExpired := func(holder groupHolder) bool { return holder.until <= s.now }
+	s.reportedHolders = slices.DeleteFunc(s.reportedHolders, isExpired)
 	s.groupHolders = append(s.groupHolders[:0], s.reportedHolders...)
 	for slot := range s.requests.entries {
 		r := s.requests.at(slot)
@@ -193,7 +198,7 @@
 	}
 }
 
-// awaitingRetry counts the requests whose attempt was lost or cancelled and that wait for the next one.
+// awaitingRetry returns the number of requests whose attempt has failed or was cancelled and that wait for another.
 func (s *Scheduler) awaitingRetry() int {
 	waiting := 0
 	for slot := range s.requests.entries {
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// reserve counts a new attempt at a request as in flight on an executor.
+// reserve adds an attempt in flight to a request, and counts its threads and memory grant on the executor at an
+// index. The attempt counts as a retry if an earlier attempt at the request has started.
 func (s *Scheduler) reserve(r *request, index int, grantMB float64) {
 	e := &s.executors[index]
 	threads := s.classes[r.class].threads
@@ -33,7 +34,7 @@
 	s.addRemoteThreads(e.zone, threads)
 }
 
-// releaseReservation counts an attempt as ended.
+// releaseReservation ends an attempt and releases what reserve has counted for it on its executor.
 func (s *Scheduler) releaseReservation(r *request, a *attempt, mayHaveRun bool) {
 	e := &s.executors[a.executor]
 	s.setQueued(a, false)
@@ -46,7 +47,7 @@
 	s.addRemoteThreads(e.zone, -a.threads)
 }
 
-// setQueued counts an attempt as waiting on its executor, or no longer.
+// setQueued records whether an attempt waits on its executor, and updates the executor's count of queued attempts.
 func (s *Scheduler) setQueued(a *attempt, queued bool) {
 	if a.queued == queued {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// updateGrant grants a running request what it is to have now.
+// updateGrant recomputes the memory grant of a running request and sends it to the executor if it has changed.
 func (s *Scheduler) updateGrant(r *request) {
 	a := r.lastAttempt()
 	e := &s.executors[a.executor]
@@ -72,12 +73,13 @@
 	}
 }
 
-// setResources names the memory grant and the level of a running request. A deployment that heeds neither loses nothing.
+// setResources emits the memory grant and the priority level of a running request. Callers whose executors support
+// neither may ignore the action.
 func (s *Scheduler) setResources(r *request) {
 	s.emit(Action{Kind: SetResources, Request: r.id, Level: r.level, GrantMB: math.Ceil(r.lastAttempt().grantMB)})
 }
 
-// cancelAttempts cancels what is in flight of a request.
+// cancelAttempts cancels the attempts of a request that are in flight, if the settings allow cancelling.
 func (s *Scheduler) cancelAttempts(slot int) {
 	r := s.requests.at(slot)
 	for i := range r.attemptCount {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,17 +1,17 @@
 package scheduler
 
-// Retry budget: over a sliding window, the retries of a controller are bounded by a floor and a share of its
-// arrivals. An attempt is cancelled to be sent anew only where the budget covers it besides all requests that
-// wait for their retry already; otherwise work that might still succeed would be thrown away.
+// The retry budget bounds the retries of a controller within a sliding window to a floor plus a share of its arrivals.
+// An attempt is cancelled to be replaced only where the budget also covers all requests that already wait for a
+// retry. Otherwise work that might still succeed would be discarded.
 
 const (
-	localRetryMS    = 25  // until the first retry after a failure on this side; twice as long each time
-	maxLocalRetryMS = 400 // descriptors and ports come back in such times
+	localRetryBackoffMS    = 25  // delay of the first retry after a local failure; it doubles with each further one
+	maxLocalRetryBackoffMS = 400 // longest such delay: file descriptors and ports become available again by then
 )
 
-// retryBudgetLeft reports whether the budget has one more retry besides the pending ones. A retry may begin
-// as late as its connection comes up, so they are counted from there, too: then no more than one is over the
-// budget.
+// retryBudgetLeft reports whether the budget covers one more retry besides the pending ones. A retry may start as
+// late as its connection is established, so the retries are also counted over a window that is longer by the connect
+// timeout. As a result, the retries that start within a window exceed the budget by one at most.
 func (s *Scheduler) retryBudgetLeft(pending int) bool {
 	budget := &s.settings.RetryBudget
 	s.retries.forget(s.now-budget.WindowMS-s.settings.ConnectTimeoutMS-tickMS, 0)
@@ -24,21 +24,24 @@
 	return float64(recent+pending+1) <= allowed && float64(s.retries.count()+pending) <= allowed
 }
 
-// mayReplaceAttempt reports whether an attempt may be cancelled because another one can follow it.
+// mayReplaceAttempt reports whether an attempt at a request may be cancelled so that another one can follow it.
 func (s *Scheduler) mayReplaceAttempt(r *request) bool {
 	return s.settings.MayCancel && s.attemptsLeft(r) && s.retryBudgetLeft(s.awaitingRetry())
 }
 
+// attemptsLeft reports whether a request may have another attempt. Attempts that were never sent because of a local
+// failure don't count towards MaxAttempts, but take up attempt capacity.
 func (s *Scheduler) attemptsLeft(r *request) bool {
 	return r.attemptCount < attemptCapacity && r.startedCount() < s.settings.MaxAttempts
 }
 
-// recordLocalFailure takes back what was counted for an attempt that never left, and has the next one wait a
-// while.
+// recordLocalFailure removes an attempt that was never sent from the retry count, and delays the next attempt at its
+// request with exponential backoff.
 func (s *Scheduler) recordLocalFailure(r *request, a *attempt) {
 	r.unsentCount++
 	if r.startedCount() > 0 {
 		s.retries.remove(a.sentAt)
 	}
-	r.retryNotBefore = s.now + min(maxLocalRetryMS, localRetryMS*float64(uint(1)<<(r.unsentCount-1)))
+	backoffMS := localRetryBackoffMS * float64(uint(1)<<(r.unsentCount-1))
+	r.retryNotBefore = s.now + min(maxLocalRetryBackoffMS, backoffMS)
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,46 +7,57 @@
 )
 
 func TestScheduler_KeepsToRetryBudget(t *testing.T) {
-	more := func(s *Settings) { s.RetryBudget.WindowMS = 10000; s.RetryBudget.Floor = 1; s.RetryBudget.Share = 0.1 }
-	s := newTestScheduler(3, more)
+	s := newTestScheduler(3, func(s *Settings) {
+		s.RetryBudget.WindowMS = 10000
+		s.RetryBudget.Floor = 1
+		s.RetryBudget.Share = 0.1
+	})
 	arrive(s, 1000, "a", "read")
-	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(endAttempt(s, 1010, "a", 0, Overloaded)), "the floor")
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(endAttempt(s, 1020, "a", 1, Overloaded)), "the client may retry")
+	actions := endAttempt(s, 1010, "a", 0, Overloaded)
+	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(actions), "the floor must allow one retry")
+	actions = endAttempt(s, 1020, "a", 1, Overloaded)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(actions), "beyond the budget the retry is left to the client")
 	for range 9 {
 		s.arrivals.add(1030, 1)
 	}
-	assert.True(t, s.retryBudgetLeft(0), "a tenth of ten")
+	assert.True(t, s.retryBudgetLeft(0), "a tenth of ten arrivals must allow one more retry")
 	s.now = 11025
-	assert.False(t, s.retryBudgetLeft(0), "the first arrived too long ago")
-	s = newTestScheduler(1, func(s *Settings) { s.RetryBudget.WindowMS = 10000; s.RetryBudget.Floor = 1; s.ConnectTimeoutMS = 250 })
+	assert.False(t, s.retryBudgetLeft(0), "an arrival that has left the window must not count")
+	s = newTestScheduler(1, func(s *Settings) {
+		s.RetryBudget.WindowMS = 10000
+		s.RetryBudget.Floor = 1
+		s.ConnectTimeoutMS = 250
+	})
 	s.retries.add(1000, 1)
 	s.now = 11200
-	assert.True(t, s.retryBudgetLeft(0), "one more where connections come up late")
+	assert.True(t, s.retryBudgetLeft(0), "one retry that may have connected late must leave room for one more")
 	s.retries.add(1000, 1)
-	assert.False(t, s.retryBudgetLeft(0), "both may have begun late")
+	assert.False(t, s.retryBudgetLeft(0), "two retries that may have connected late must use up the budget")
 }
 
 func TestScheduler_GivesUpAfterMaxAttempts(t *testing.T) {
 	s := newTestScheduler(3, func(s *Settings) { s.MaxAttempts = 2 })
 	arrive(s, 1000, "a", "read")
 	endAttempt(s, 1010, "a", 0, Overloaded)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(endAttempt(s, 1020, "a", 1, Overloaded)), "given up at once")
+	actions := endAttempt(s, 1020, "a", 1, Overloaded)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(actions), "the request must be rejected after its last attempt")
 }
 
-// A request that no executor can run must not use up the retry budget, nor go round all executors.
+// A request that fails on every executor must not use up the retry budget or be tried on all executors.
 func TestScheduler_GivesUpAfterTwoErrors(t *testing.T) {
 	s := newTestScheduler(4, nil)
 	arrive(s, 1000, "a", "read")
 	assert.Contains(t, actionKinds(endAttempt(s, 1100, "a", 0, Errored)), Send)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(endAttempt(s, 1200, "a", 1, Errored)), "the client hears so at once")
+	actions := endAttempt(s, 1200, "a", 1, Errored)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(actions), "the request must be rejected after its second error")
 	arrive(s, 1300, "b", "unsafe")
 	assert.Equal(t, []ActionKind{Fail}, actionKinds(endAttempt(s, 1400, "b", 0, Errored)))
-	arrive(s, 1500, "c", "read") // a lost connection is no error of the request
+	arrive(s, 1500, "c", "read") // a lost connection doesn't count as an error of the request
 	endAttempt(s, 1600, "c", 0, ConnectionLost)
 	assert.Contains(t, actionKinds(endAttempt(s, 1700, "c", 1, ConnectionLost)), Send)
 }
 
-// An attempt that was cancelled without another to follow might still have succeeded.
+// An attempt must not be cancelled without budget for another one, since it might still succeed.
 func TestScheduler_KeepsAttemptWithoutBudgetForAnother(t *testing.T) {
 	s := newTestScheduler(2, func(s *Settings) {
 		s.RetryBudget.WindowMS = 10000
@@ -56,19 +67,20 @@
 	for _, id := range []string{"a", "b"} {
 		arrive(s, 1000, id, "read")
 	}
-	for k := range s.executors { // nobody else has room, so that the first waits for its next attempt
-		s.executors[k].threads += 100
+	for index := range s.executors { // no executor has capacity left, so the first request has to wait for its retry
+		s.executors[index].threads += 100
 	}
-	behind := func(id string) []ActionKind {
-		return actionKinds(s.Step(1100, &Event{Kind: ProgressReported, Request: id, Progress: Waiting, Value: 2}, nil))
+	reportHolder := func(id string) []ActionKind {
+		ev := Event{Kind: ProgressReported, Request: id, Progress: Waiting, Value: 2}
+		return actionKinds(s.Step(1100, &ev, nil))
 	}
-	assert.Contains(t, behind("a"), Cancel)
+	assert.Contains(t, reportHolder("a"), Cancel)
 	assert.Equal(t, 1, s.awaitingRetry())
-	assert.NotContains(t, behind("b"), Cancel)
+	assert.NotContains(t, reportHolder("b"), Cancel)
 }
 
-// An attempt that never left because of a failure on this side judges no executor and uses up no retry budget. It is made again
-// after a while, also for a non-idempotent request, since nothing ran.
+// An attempt that was never sent because of a local failure must not count against its executor or the retry budget.
+// It is retried after a backoff, for a non-idempotent request too, since nothing ran.
 func TestScheduler_LocalFailureJudgesNoExecutor(t *testing.T) {
 	for _, class := range []string{"read", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -79,18 +91,19 @@
 				s.MaxAttempts = 2
 			})
 			arrive(s, 1000, "a", class)
-			for n := range 4 { // all executors, one after the other
-				at := 1000 + 500*float64(n)
-				assert.NotContains(t, actionKinds(endAttempt(s, at, "a", n, LocalFailure)), Send, "not in the same moment")
-				assert.Contains(t, actionKinds(tickAt(s, at+450)), Send, class)
+			for i := range 4 { // once per executor
+				now := 1000 + 500*float64(i)
+				actions := endAttempt(s, now, "a", i, LocalFailure)
+				assert.NotContains(t, actionKinds(actions), Send, "the retry must wait for its backoff")
+				assert.Contains(t, actionKinds(tickAt(s, now+450)), Send, class)
 			}
 			for index := range s.executors {
 				assert.Equal(t, executorHealthy, s.executors[index].state)
 				assert.Zero(t, s.executors[index].failures)
 			}
 			assert.Zero(t, s.retries.count())
-			assert.Contains(t, actionKinds(endAttempt(s, 3000, "a", 4, ConnectFailed)), map[string]ActionKind{"read": Reject, "unsafe": Reject}[class],
-				"the next one would be beyond the first")
+			actions := endAttempt(s, 3000, "a", 4, ConnectFailed)
+			assert.Contains(t, actionKinds(actions), Reject, "a retry after a sent attempt must need budget")
 		})
 	}
 }
@@ -100,5 +113,7 @@
 	arrive(s, 1000, "a", "read")
 	s.executors[0].probing = true
 	s.Step(1010, &Event{Kind: HealthChecked, Executor: 1, Outcome: LocalFailure}, nil)
-	assert.Equal(t, []any{false, false, 0.0}, []any{s.executors[0].probing, s.executors[0].probeFailed, s.executors[0].avoidUntil})
+	assert.False(t, s.executors[0].probing)
+	assert.False(t, s.executors[0].probeFailed)
+	assert.Zero(t, s.executors[0].avoidUntil)
 }
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -2,74 +2,74 @@
 
 import "slices"
 
-// compactAfter is the number of forgotten amounts from which a window may move the others down.
+// compactAfter is the number of evicted values above which a window may reclaim their space.
 const compactAfter = 64
 
-// window is a queue of dated amounts, oldest first, that forgets what is older than its caller needs.
+// slidingWindow is a queue of timestamped values, oldest first, from which old values are evicted.
 type window struct {
-	times   []float64
-	amounts []float64
-	head    int // index of the oldest amount that is not forgotten
-	sum     float64
-	scratch []float64 // of sorted
+	timestamps []float64
+	values     []float64
+	head       int       // index of the oldest value that is not evicted
+	sum        float64   // of the values from head on
+	sortBuffer []float64 // reused by sorted
 }
 
-// add appends an amount.
-func (w *window) add(now, amount float64) {
-	if w.head > compactAfter && w.head*2 > len(w.times) {
-		w.times = w.times[:copy(w.times, w.times[w.head:])]
-		w.amounts = w.amounts[:copy(w.amounts, w.amounts[w.head:])]
+// add appends a value. Timestamps must not decrease.
+func (w *window) add(now, value float64) {
+	if w.head > compactAfter && w.head*2 > len(w.timestamps) {
+		w.timestamps = w.timestamps[:copy(w.timestamps, w.timestamps[w.head:])]
+		w.values = w.values[:copy(w.values, w.values[w.head:])]
 		w.head = 0
 	}
-	w.times = append(w.times, now)
-	w.amounts = append(w.amounts, amount)
-	w.sum += amount
+	w.timestamps = append(w.timestamps, now)
+	w.values = append(w.values, value)
+	w.sum += value
 }
 
-// remove drops the latest amount with a date.
-func (w *window) remove(at float64) {
-	for i := len(w.times) - 1; i >= w.head; i-- {
-		if w.times[i] == at {
-			w.sum -= w.amounts[i]
-			w.times = slices.Delete(w.times, i, i+1)
-			w.amounts = slices.Delete(w.amounts, i, i+1)
+// remove drops the latest value with a timestamp, if there is one.
+func (w *window) remove(timestamp float64) {
+	for i := len(w.timestamps) - 1; i >= w.head; i-- {
+		if w.timestamps[i] == timestamp {
+			w.sum -= w.values[i]
+			w.timestamps = slices.Delete(w.timestamps, i, i+1)
+			w.values = slices.Delete(w.values, i, i+1)
 			return
 		}
 	}
 }
 
-// forget drops what is dated before a time, but keeps the last few amounts.
+// evictBefore drops the values from before a time, but keeps at least the last few.
 func (w *window) forget(before float64, keep int) {
-	for w.head < len(w.times)-keep && w.times[w.head] < before {
-		w.sum -= w.amounts[w.head]
+	for w.head < len(w.timestamps)-keep && w.timestamps[w.head] < before {
+		w.sum -= w.values[w.head]
 		w.head++
 	}
-	if w.head == len(w.times) {
-		w.times = w.times[:0]
-		w.amounts = w.amounts[:0]
+	if w.head == len(w.timestamps) {
+		w.timestamps = w.timestamps[:0]
+		w.values = w.values[:0]
 		w.head = 0
 		w.sum = 0
 	}
 }
 
-// sorted returns the amounts in increasing order. The next call uses the slice again.
+// sorted returns the values in increasing order. The slice is valid until the next call.
 func (w *window) sorted() []float64 {
-	w.scratch = append(w.scratch[:0], w.live()...)
-	slices.Sort(w.scratch)
-	return w.scratch
+	w.sortBuffer = append(w.sortBuffer[:0], w.live()...)
+	slices.Sort(w.sortBuffer)
+	return w.sortBuffer
 }
 
-// countSince returns the number of amounts dated at a time or later.
+// countSince returns the number of values with the given timestamp or a later one.
 func (w *window) countSince(from float64) int {
-	before, _ := slices.BinarySearch(w.times[w.head:], from)
+	before, _ := slices.BinarySearch(w.timestamps[w.head:], from)
 	return w.count() - before
 }
 
-// count returns the number of amounts.
-func (w *window) count() int { return len(w.times) - w.head }
+// count returns the number of values that are not evicted.
+func (w *window) count() int { return len(w.timestamps) - w.head }
 
-// live returns the amounts, oldest first.
-func (w *window) live() []float64 { return w.amounts[w.head:] }
+// live returns the values that are not evicted, oldest first.
+func (w *window) live() []float64 { return w.values[w.head:] }
 
-// total returns the sum of the amounts.
+// total returns the sum of the values that are not evicted.
 func (w *window) total() float64 { return w.sum }
