--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -5,7 +5,8 @@
 // Debug tells whether the program is built with the tag debug.
 const Debug = true
 
-func fail(claim string) {
-	count(claim)
-	panic("does not hold: " + claim)
+// reportViolation counts a violation and panics.
+func reportViolation(description string) {
+	countViolation(description)
+	panic("does not hold: " + description)
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant checks claims that must hold at run time. Built with the tag debug, a violated claim panics; without it, the
-// violation is counted under the claim's text and the program goes on. The package knows nothing of who checks.
+// Package invariant checks at run time that invariants hold. Built with the tag debug, a violation panics. Without the
+// tag, violations are counted by the description of the invariant and the program goes on.
 package invariant
 
 import (
@@ -12,23 +12,26 @@
 	violations   = map[string]uint64{}
 )
 
-// Check returns whether a claim holds. If it does not, it panics or counts the violation, as the build says.
-func Check(holds bool, claim string) bool {
+// Check returns whether an invariant holds. If it does not, Check panics or counts the violation, depending on the
+// build.
+func Check(holds bool, description string) bool {
 	if !holds {
-		fail(claim)
+		reportViolation(description)
 	}
 	return holds
 }
 
-// Violations returns how often each violated claim did not hold.
+// Violations returns the number of violations by the description of the invariant. Invariants that always held are left
+// out.
 func Violations() map[string]uint64 {
 	violationsMu.Lock()
 	defer violationsMu.Unlock()
 	return maps.Clone(violations)
 }
 
-func count(claim string) {
+// countViolation adds one violation of an invariant.
+func countViolation(description string) {
 	violationsMu.Lock()
-	violations[claim]++
+	violations[description]++
 	violationsMu.Unlock()
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestCheck_PanicsInDebugAndCountsInRelease(t *testing.T) {
-	assert.True(t, Check(true, "fine"))
+	assert.True(t, Check(true, "invariant that holds"))
 	if Debug {
-		assert.Panics(t, func() { Check(false, "odd") })
+		assert.Panics(t, func() { Check(false, "violated invariant") })
 	} else {
-		assert.False(t, Check(false, "odd"))
+		assert.False(t, Check(false, "violated invariant"))
 	}
-	assert.Equal(t, map[string]uint64{"odd": 1}, Violations())
+	assert.Equal(t, map[string]uint64{"violated invariant": 1}, Violations())
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -5,4 +5,5 @@
 // Debug tells whether the program is built with the tag debug.
 const Debug = false
 
-func fail(claim string) { count(claim) }
+// reportViolation counts a violation.
+func reportViolation(description string) { countViolation(description) }
