--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -5,134 +5,166 @@
 	"liftshift/scheduler"
 )
 
-// maxAttempts is the room for attempts of one request; the scheduler never sends more.
+// maxAttempts bounds the attempts of one request. The scheduler never sends more.
 const maxAttempts = 8
 
 // attempt is the state of one attempt of a request.
 type attempt struct {
-	running   RunningAttempt // nil: it has ended, or its end is pending
+	running   RunningAttempt // nil once the attempt has ended or its end is pending
 	executor  uint32
 	sentAt    float64
-	releaseAt float64 // when it may leave, as far as the transport is concerned
-	holds     int     // extensions that hold it
+	releaseAt float64 // earliest time at which the transport allows it to be sent
+	holds     int     // number of extensions that hold it
 	inFlight  bool
 }
 
-// startAttempt makes an attempt, unless an extension blocks it.
-func (l *Loop) startAttempt(now float64, r *request, a *scheduler.Action) {
-	if !invariant.Check(r.started < maxAttempts && !r.answered, "attempts start for open requests only") {
+// startAttempt hands an attempt to the transport. If an extension blocks it, it ends at once and is not sent.
+func (l *Loop) startAttempt(now float64, state *requestState, action *scheduler.Action) {
+	if !invariant.Check(state.started < maxAttempts && !state.answered, "attempts start for open requests only") {
 		return
 	}
-	n := r.started
-	d := l.notify(Event{Kind: AttemptStarting, Request: &r.Request, Attempt: n, Executor: a.Executor})
-	held := d.holds > 0
-	running, delayMS := l.Executors.Send(Attempt{Request: &r.Request, Number: n, Executor: a.Executor, GrantMB: r.grantMB,
-		Level: r.level, TimeoutMS: r.Deadline - now, LatestStart: a.LatestStart, Held: held})
-	r.attempts[n] = attempt{running: running, executor: a.Executor, sentAt: now, releaseAt: now + delayMS, holds: d.holds, inFlight: true}
-	r.started++
-	r.inFlight++
-	l.notify(Event{Kind: AttemptStarted, Request: &r.Request, Attempt: n, Executor: a.Executor, GrantMB: r.grantMB})
+	number := state.started
+	request, executor := &state.Request, action.Executor
+	decided := l.notify(Event{Kind: AttemptStarting, Request: request, Attempt: number, Executor: executor})
+	held := decided.holds > 0
+	running, delayMS := l.Executors.Send(Attempt{
+		Request:     request,
+		Number:      number,
+		Executor:    executor,
+		GrantMB:     state.grantMB,
+		Level:       state.level,
+		TimeoutMS:   state.Deadline - now,
+		LatestStart: action.LatestStart,
+		Held:        held,
+	})
+	state.attempts[number] = attempt{
+		running:   running,
+		executor:  executor,
+		sentAt:    now,
+		releaseAt: now + delayMS,
+		holds:     decided.holds,
+		inFlight:  true,
+	}
+	state.started++
+	state.inFlight++
+	l.notify(Event{
+		Kind:     AttemptStarted,
+		Request:  request,
+		Attempt:  number,
+		Executor: executor,
+		GrantMB:  state.grantMB,
+	})
 	switch {
 	case running == nil:
-		l.endAttempt(r, n, scheduler.LocalFailure)
-	case d.blockAttempt:
-		l.failAttempt(r.ID, n)
-	case held: // until ReleaseAttempt
+		l.endAttempt(state, number, scheduler.LocalFailure)
+	case decided.blockAttempt:
+		l.failAttempt(state.ID, number)
+	case held: // sent at ReleaseAttempt
 	case delayMS > 0:
 		l.timers.push(timer{at: now + delayMS, kind: releaseTimer, running: running})
 	}
 }
 
-// releaseAttempt lets an attempt leave once no extension holds it, and no sooner than its transport allows.
-func (l *Loop) releaseAttempt(id string, n int) {
-	r := l.requests[id]
-	if r == nil || n >= r.started || r.attempts[n].running == nil {
-		return // it was cancelled meanwhile
+// releaseAttempt drops one extension's hold on an attempt. When no hold is left, the attempt is sent, but not before
+// the time that the transport set.
+func (l *Loop) releaseAttempt(id string, number int) {
+	state := l.requests[id]
+	if state == nil || number >= state.started || state.attempts[number].running == nil {
+		return // cancelled while it was held
 	}
-	a := &r.attempts[n]
-	a.holds--
-	if a.holds > 0 {
+	held := &state.attempts[number]
+	held.holds--
+	if held.holds > 0 {
 		return // another extension still holds it
 	}
 	l.counters.heldAttempts++
-	l.counters.holdSum += l.clock.Now() - a.sentAt
-	if now := l.clock.Now(); now < a.releaseAt {
-		l.timers.push(timer{at: a.releaseAt, kind: releaseTimer, running: a.running})
+	l.counters.holdSumMS += l.clock.Now() - held.sentAt
+	if now := l.clock.Now(); now < held.releaseAt {
+		l.timers.push(timer{at: held.releaseAt, kind: releaseTimer, running: held.running})
 	} else {
-		a.running.Release()
+		held.running.Release()
 	}
 }
 
-// failAttempt ends an attempt that an extension forbids. It has not left, and the scheduler is told to send no other.
-func (l *Loop) failAttempt(id string, n int) {
-	r := l.requests[id]
-	if r == nil || n >= r.started || r.attempts[n].running == nil {
+// failAttempt ends a held attempt that an extension does not permit. The attempt was not sent, and its event tells the
+// scheduler to send no other attempt of the request.
+func (l *Loop) failAttempt(id string, number int) {
+	state := l.requests[id]
+	if state == nil || number >= state.started || state.attempts[number].running == nil {
 		return
 	}
 	first := len(l.pending)
-	l.cancelAttempt(r, n, scheduler.NeverSent)
+	l.cancelAttempt(state, number, scheduler.NeverSent)
 	for k := first; k < len(l.pending); k++ {
 		invariant.Check(l.pending[k].Event.Outcome == scheduler.NeverSent, "a held attempt has not left")
 		l.pending[k].Event.Blocked = true
 	}
 }
 
-// cancelAttempt cancels an attempt and queues its end, unless that is on its way.
-func (l *Loop) cancelAttempt(r *request, n int, outcome scheduler.Outcome) {
-	if r.attempts[n].running == nil {
+// cancelAttempt cancels an attempt and queues the event of its end, unless that event is queued already.
+func (l *Loop) cancelAttempt(state *requestState, number int, outcome scheduler.Outcome) {
+	if state.attempts[number].running == nil {
 		return // its end is pending
 	}
-	switch r.attempts[n].running.Cancel() {
+	switch state.attempts[number].running.Cancel() {
 	case CancelSent:
-		l.endAttempt(r, n, outcome)
+		l.endAttempt(state, number, outcome)
 	case CancelledUnsent:
-		l.endAttempt(r, n, scheduler.NeverSent)
+		l.endAttempt(state, number, scheduler.NeverSent)
 	case AlreadyEnded:
 	}
 }
 
-// endAttempt queues the end of an attempt.
-func (l *Loop) endAttempt(r *request, n int, outcome scheduler.Outcome) {
-	r.attempts[n].running = nil
-	event := scheduler.Event{Kind: scheduler.AttemptEnded, Request: r.ID, Attempt: n, Outcome: outcome}
+// endAttempt queues the event of an attempt's end.
+func (l *Loop) endAttempt(state *requestState, number int, outcome scheduler.Outcome) {
+	state.attempts[number].running = nil
+	event := scheduler.Event{Kind: scheduler.AttemptEnded, Request: state.ID, Attempt: number, Outcome: outcome}
 	l.pending = append(l.pending, QueueItem{Event: event})
 }
 
-// recordAttemptEnd records the end of an attempt and completes its event; nil if the attempt has ended before.
-func (l *Loop) recordAttemptEnd(event *scheduler.Event) *request {
-	r := l.requests[event.Request]
-	if !r.isInFlight(event.Attempt) {
+// recordAttemptEnd records the end of an attempt and completes the event for the scheduler. It returns nil if the
+// attempt had ended before.
+func (l *Loop) recordAttemptEnd(event *scheduler.Event) *requestState {
+	state := l.requests[event.Request]
+	if !state.isInFlight(event.Attempt) {
 		return nil
 	}
-	a := &r.attempts[event.Attempt]
-	a.inFlight = false
-	a.running = nil
-	r.inFlight--
-	event.Executor = a.executor
-	event.ElapsedMS = l.clock.Now() - a.sentAt
+	ended := &state.attempts[event.Attempt]
+	ended.inFlight = false
+	ended.running = nil
+	state.inFlight--
+	event.Executor = ended.executor
+	event.ElapsedMS = l.clock.Now() - ended.sentAt
 	l.counters.AttemptEnds[event.Outcome]++
-	l.notify(Event{Kind: AttemptEnded, Request: &r.Request, Attempt: event.Attempt, NeverRan: event.Outcome.NeverRan()})
-	return r
+	l.notify(Event{
+		Kind:     AttemptEnded,
+		Request:  &state.Request,
+		Attempt:  event.Attempt,
+		NeverRan: event.Outcome.NeverRan(),
+	})
+	return state
 }
 
-// isInFlight returns whether a request is open and its attempt has not ended.
-func (r *request) isInFlight(n int) bool { return r != nil && n < r.started && r.attempts[n].inFlight }
+// isInFlight returns whether an attempt was started and has not ended. A nil state has no attempts.
+func (r *requestState) isInFlight(number int) bool {
+	return r != nil && number < r.started && r.attempts[number].inFlight
+}
 
-// setMemory changes the memory of a request's attempts, where their protocol can.
-func (r *request) setMemory(mb float64) {
-	if r.grantMB == mb {
+// setMemory changes the memory grant of a request and of its running attempts, where their protocol supports that.
+func (r *requestState) setMemory(grantMB float64) {
+	if r.grantMB == grantMB {
 		return
 	}
-	r.grantMB = mb
+	r.grantMB = grantMB
 	for n := range r.started {
 		if setter, ok := r.attempts[n].running.(MemorySetter); ok {
-			setter.SetMemory(mb)
+			setter.SetMemory(grantMB)
 		}
 	}
 }
 
-// setLevel changes the level of a request's attempts.
-func (r *request) setLevel(level int) {
+// setLevel changes the priority level of a request and of its running attempts.
+func (r *requestState) setLevel(level int) {
 	if r.level == level {
 		return
 	}
--- a/internal/dispatch/command.go
+++ b/internal/dispatch/command.go
@@ -2,18 +2,18 @@
 
 import "liftshift/scheduler"
 
-// WaitListener is a Client that can be told how long its requests will wait. Below 0: not known.
+// WaitListener is a Client that accepts wait estimates of its requests. A time below 0 is unknown.
 type WaitListener interface {
 	WaitEstimated(tag uint64, startMS, endMS float64)
 }
 
-// decision is what the extensions together decide about an event.
+// decision combines what all extensions decide about one event.
 type decision struct {
-	answer         *Command // AnswerFromRecord, the first one
+	answer         *Command // the first AnswerFromRecord
 	prior          scheduler.PriorAttempt
 	blocked        bool
 	hold           bool
-	holds          int // extensions that hold the attempt
+	holds          int // number of extensions that hold the attempt
 	blockAttempt   bool
 	consumed       bool
 	suspend        bool
@@ -21,17 +21,17 @@
 	retryAfterMS   float64
 }
 
-// add adds a command that decides about the event at hand; false: it is another command.
-func (d *decision) add(c *Command) bool {
-	switch c.Kind {
+// add applies a command that decides about the current event. It returns false for any other command.
+func (d *decision) add(command *Command) bool {
+	switch command.Kind {
 	case AnswerFromRecord:
 		if d.answer == nil {
-			answer := *c
+			answer := *command
 			d.answer = &answer
 		}
 	case Admit:
-		d.prior = c.Prior
-		d.blocked = d.blocked || c.Blocked
+		d.prior = command.Prior
+		d.blocked = d.blocked || command.Blocked
 	case HoldRequest:
 		d.hold = true
 	case HoldAttempt:
@@ -43,7 +43,7 @@
 	case WithholdAnswer:
 		d.withholdAnswer = true
 	case SetRetryAfter:
-		d.retryAfterMS = c.AfterMS
+		d.retryAfterMS = command.AfterMS
 	case Consume:
 		d.consumed = true
 	default:
@@ -52,112 +52,120 @@
 	return true
 }
 
-// execute carries out commands in their order; those that decide about the event at hand are added to d.
-func (l *Loop) execute(list []Command, d *decision) {
+// execute carries out commands in their order. Those that decide about the current event are added to decided.
+func (l *Loop) execute(list []Command, decided *decision) {
 	for i := range list {
-		if c := &list[i]; !d.add(c) {
-			l.executeCommand(c)
+		if command := &list[i]; !decided.add(command) {
+			l.executeCommand(command)
 		}
 	}
 }
 
-func (l *Loop) executeCommand(c *Command) {
-	switch c.Kind {
+// executeCommand carries out a command that does not depend on the current event.
+func (l *Loop) executeCommand(command *Command) {
+	switch command.Kind {
 	case Resume:
-		if in := l.takeSuspended(c.ID); in != nil {
-			l.enterLater(in, scheduler.Event{Kind: scheduler.RequestArrived, Prior: c.Prior, Blocked: c.Blocked})
+		if request := l.takeSuspended(command.ID); request != nil {
+			event := scheduler.Event{Kind: scheduler.RequestArrived, Prior: command.Prior, Blocked: command.Blocked}
+			l.queueResumed(request, event)
 		}
 	case AnswerSuspended:
-		if in := l.takeSuspended(c.ID); in != nil {
-			l.answerFromRecord(in, c)
+		if request := l.takeSuspended(command.ID); request != nil {
+			l.answerFromRecord(request, command)
 		}
 	case Adopt:
 		l.openCount.Add(1)
-		l.enterLater(c.Request, scheduler.Event{Kind: scheduler.RequestArrived, Prior: c.Prior})
+		l.queueResumed(command.Request, scheduler.Event{Kind: scheduler.RequestArrived, Prior: command.Prior})
 	case Discard:
-		l.discard(c.ID)
+		l.discard(command.ID)
 	case DeliverAnswer:
-		l.deliverAnswer(c)
+		l.deliverAnswer(command)
 	case ForwardQuery:
-		l.forwardQuery(c.Query)
+		l.forwardQuery(command.Query)
 	case ReleaseAttempt:
-		l.releaseAttempt(c.ID, c.Attempt)
+		l.releaseAttempt(command.ID, command.Attempt)
 	case FailAttempt:
-		l.failAttempt(c.ID, c.Attempt)
+		l.failAttempt(command.ID, command.Attempt)
 	case RestoreState:
-		l.pending = append(l.pending, QueueItem{Event: c.Event})
+		l.pending = append(l.pending, QueueItem{Event: command.Event})
 	case OfferRequest, CapPriority:
-		l.offers = append(l.offers, *c)
+		l.offers = append(l.offers, *command)
 	case SendPeer:
-		l.Peers.SendPeer(c.Peer, c.Payload)
+		l.Peers.SendPeer(command.Peer, command.Payload)
 	case ReportWait:
-		l.reportWait(c)
+		l.reportWait(command)
 	}
 }
 
-// takeSuspended ends the suspension of a request; nil if it is not suspended.
+// takeSuspended ends the suspension of a request and returns the request. It returns nil if none is suspended by this
+// id.
 func (l *Loop) takeSuspended(id string) *Request {
-	in := l.suspended[id]
+	request := l.suspended[id]
 	delete(l.suspended, id)
-	return in
+	return request
 }
 
-// enterLater queues a request that was suspended or is adopted.
-func (l *Loop) enterLater(in *Request, event scheduler.Event) {
-	l.pending = append(l.pending, QueueItem{Event: event, Request: in, resumed: true})
+// queueResumed queues the arrival of a request that was suspended or is adopted.
+func (l *Loop) queueResumed(request *Request, event scheduler.Event) {
+	l.pending = append(l.pending, QueueItem{Event: event, Request: request, resumed: true})
 }
 
 // discard drops an open request as if its client had left.
 func (l *Loop) discard(id string) {
-	r := l.requests[id]
-	if r == nil {
+	state := l.requests[id]
+	if state == nil {
 		return
 	}
 	event := scheduler.Event{Kind: scheduler.ClientLeft, Request: id}
-	l.pending = append(l.pending, QueueItem{Event: event, Client: r.Client, Token: r.Tag})
+	l.pending = append(l.pending, QueueItem{Event: event, Client: state.Client, Token: state.Tag})
 }
 
-// reportWait tells a client that asked for it how long its request waits, as long as nothing was sent.
-func (l *Loop) reportWait(c *Command) {
-	r := l.requests[c.ID]
-	if r == nil || r.answered || r.started > 0 || !r.WantsWaitEstimate {
+// reportWait passes a wait estimate to a client that wants it, as long as no attempt of its request was started.
+func (l *Loop) reportWait(command *Command) {
+	state := l.requests[command.ID]
+	if state == nil || state.answered || state.started > 0 || !state.WantsWaitEstimate {
 		return
 	}
-	if listener, ok := r.Client.(WaitListener); ok {
-		listener.WaitEstimated(r.Tag, c.StartMS, c.EndMS)
+	if listener, ok := state.Client.(WaitListener); ok {
+		listener.WaitEstimated(state.Tag, command.StartMS, command.EndMS)
 	}
 }
 
-// handleOffer hands the scheduler a request that was held, or a new priority cap.
-func (l *Loop) handleOffer(c *Command) {
-	r := l.requests[c.ID]
-	if r == nil || r.answered {
-		return // it was answered meanwhile
+// handleOffer hands the scheduler a request that an extension held, or a new priority cap.
+func (l *Loop) handleOffer(command *Command) {
+	state := l.requests[command.ID]
+	if state == nil || state.answered {
+		return // answered before the command was handled
 	}
-	switch c.Kind {
+	switch command.Kind {
 	case OfferRequest:
-		if !r.queued {
+		if !state.queued {
 			return
 		}
-		r.queued = false
+		state.queued = false
 		l.step(&scheduler.Event{
 			Kind:        scheduler.RequestArrived,
-			Request:     r.ID,
-			Class:       r.Class,
-			TableGroup:  r.TableGroup,
-			OrderKey:    r.OrderKey,
-			MemoryMB:    r.MemoryMB,
-			WorkMS:      r.WorkMS,
-			Deadline:    r.Deadline,
-			Retried:     r.Retried,
-			Prior:       r.prior,
-			Blocked:     r.blocked || c.Blocked,
-			PriorityCap: c.PriorityCap,
-			MemoryShare: c.MemoryShare,
-			Immediate:   c.Immediate,
+			Request:     state.ID,
+			Class:       state.Class,
+			TableGroup:  state.TableGroup,
+			OrderKey:    state.OrderKey,
+			MemoryMB:    state.MemoryMB,
+			WorkMS:      state.WorkMS,
+			Deadline:    state.Deadline,
+			Retried:     state.Retried,
+			Prior:       state.prior,
+			Blocked:     state.blocked || command.Blocked,
+			PriorityCap: command.PriorityCap,
+			MemoryShare: command.MemoryShare,
+			Immediate:   command.Immediate,
 		})
 	case CapPriority:
-		l.step(&scheduler.Event{Kind: scheduler.PriorityCapped, Request: r.ID, PriorityCap: c.PriorityCap, MemoryShare: c.MemoryShare})
+		l.step(&scheduler.Event{
+			Kind:        scheduler.PriorityCapped,
+			Request:     state.ID,
+			PriorityCap: command.PriorityCap,
+			MemoryShare: command.MemoryShare,
+		})
 	}
-	l.releaseRequest(r)
+	l.releaseRequest(state)
 }
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -11,46 +11,50 @@
 	"liftshift/scheduler"
 )
 
-// Counters counts requests, attempts and the loop's own times, which are milliseconds.
+// Counters counts requests and attempts since the start of the loop. It also sums the times that queue items wait and
+// that scheduler steps take since the last log line; these times are milliseconds.
 type Counters struct {
 	Received, Succeeded, Rejected, Failed, ClientLeft uint64
-	Overdue                                           uint64 // not answered by their deadline
-	DuplicateIDs                                      uint64 // requests under an id that is known
-	FromRecord                                        uint64 // answered from the record
-	Stray                                             uint64 // events of attempts and health checks that had ended
-	HealthChecks                                      uint64
-	AttemptEnds                                       [scheduler.LocalFailure + 1]uint64
-
-	items, steps               uint64
-	queueWaitSum, queueWaitMax float64
-	stepSum, stepMax           float64
-	slowWaits, slowSteps       uint64
-	heldAttempts               uint64 // attempts that left after an extension held them
-	holdSum                    float64
+
+	Overdue      uint64                             // requests not answered by their deadline
+	DuplicateIDs uint64                             // requests with an id that was known already
+	FromRecord   uint64                             // requests answered by an extension, without an attempt
+	Stray        uint64                             // events of attempts or health checks that had ended before
+	HealthChecks uint64                             // health checks that were started
+	AttemptEnds  [scheduler.LocalFailure + 1]uint64 // ended attempts by outcome
+
+	items, steps                   uint64
+	queueWaitSumMS, queueWaitMaxMS float64
+	stepSumMS, stepMaxMS           float64
+	slowWaits, slowSteps           uint64
+	heldAttempts                   uint64 // attempts that all extensions released after holding them
+	holdSumMS                      float64
 }
 
-// slowMS is a long wait in the queue or a long step: a quarter of the scheduler's timer interval.
-const slowMS = 5
+// slowThresholdMS is the duration above which a wait in the queue or a scheduler step counts as slow: a quarter of the
+// scheduler's timer interval.
+const slowThresholdMS = 5
 
-func (c *Counters) recordQueueWait(ms float64) {
+func (c *Counters) recordQueueWait(waitMS float64) {
 	c.items++
-	c.queueWaitSum += ms
-	c.queueWaitMax = max(c.queueWaitMax, ms)
-	if ms > slowMS {
+	c.queueWaitSumMS += waitMS
+	c.queueWaitMaxMS = max(c.queueWaitMaxMS, waitMS)
+	if waitMS > slowThresholdMS {
 		c.slowWaits++
 	}
 }
 
-func (c *Counters) recordStep(ms float64) {
+func (c *Counters) recordStep(durationMS float64) {
 	c.steps++
-	c.stepSum += ms
-	c.stepMax = max(c.stepMax, ms)
-	if ms > slowMS {
+	c.stepSumMS += durationMS
+	c.stepMaxMS = max(c.stepMaxMS, durationMS)
+	if durationMS > slowThresholdMS {
 		c.slowSteps++
 	}
 }
 
-// recordRefusal counts a request that the scheduler rejects or fails; one whose client has most likely left counts as left.
+// recordRefusal counts a request that the scheduler rejects or fails. If its client has probably left, the request
+// counts under ClientLeft instead.
 func (c *Counters) recordRefusal(kind scheduler.ActionKind, clientLeft bool) {
 	switch {
 	case clientLeft:
@@ -62,15 +66,15 @@
 	}
 }
 
-// resetTimes starts the times anew.
+// resetTimes clears the wait and step times and what is counted along with them.
 func (c *Counters) resetTimes() {
 	c.items, c.steps = 0, 0
-	c.queueWaitSum, c.queueWaitMax = 0, 0
-	c.stepSum, c.stepMax = 0, 0
+	c.queueWaitSumMS, c.queueWaitMaxMS = 0, 0
+	c.stepSumMS, c.stepMaxMS = 0, 0
 	c.slowWaits, c.slowSteps = 0, 0
 }
 
-// outcomeNames are the log's names of attempts by outcome.
+// outcomeNames are the suffixes of the attempt counters' log fields by outcome.
 var outcomeNames = [...]string{
 	scheduler.Succeeded:      "succeeded",
 	scheduler.Errored:        "errored",
@@ -83,50 +87,49 @@
 	scheduler.LocalFailure:   "local_failure",
 }
 
-// logCounters logs the counters; the times start anew with each line.
+// logCounters logs the counters and then clears the times, which cover the interval between two log lines.
 func (l *Loop) logCounters(message string) {
-	c := &l.counters
+	counters := &l.counters
 	fields := logrus.Fields{
-		"received":          c.Received,
-		"succeeded":         c.Succeeded,
-		"rejected":          c.Rejected,
-		"failed":            c.Failed,
-		"client_left":       c.ClientLeft,
-		"overdue":           c.Overdue,
-		"duplicate_ids":     c.DuplicateIDs,
-		"from_record":       c.FromRecord,
-		"stray":             c.Stray,
-		"health_checks":     c.HealthChecks,
+		"received":          counters.Received,
+		"succeeded":         counters.Succeeded,
+		"rejected":          counters.Rejected,
+		"failed":            counters.Failed,
+		"client_left":       counters.ClientLeft,
+		"overdue":           counters.Overdue,
+		"duplicate_ids":     counters.DuplicateIDs,
+		"from_record":       counters.FromRecord,
+		"stray":             counters.Stray,
+		"health_checks":     counters.HealthChecks,
 		"open":              l.OpenRequests(),
 		"closed_ids":        len(l.closedIDs),
 		"queue":             len(l.queue),
-		"queue_wait_ms":     c.queueWaitSum / float64(max(1, c.items)),
-		"queue_wait_max_ms": c.queueWaitMax,
-		"slow_waits":        c.slowWaits,
-		"step_ms":           c.stepSum / float64(max(1, c.steps)),
-		"step_max_ms":       c.stepMax,
-		"slow_steps":        c.slowSteps,
-		"steps":             c.steps,
+		"queue_wait_ms":     counters.queueWaitSumMS / float64(max(1, counters.items)),
+		"queue_wait_max_ms": counters.queueWaitMaxMS,
+		"slow_waits":        counters.slowWaits,
+		"step_ms":           counters.stepSumMS / float64(max(1, counters.steps)),
+		"step_max_ms":       counters.stepMaxMS,
+		"slow_steps":        counters.slowSteps,
+		"steps":             counters.steps,
 	}
-	if c.heldAttempts > 0 {
-		fields["held_attempts"] = c.heldAttempts
-		fields["hold_ms"] = c.holdSum / float64(c.heldAttempts)
+	if counters.heldAttempts > 0 {
+		fields["held_attempts"] = counters.heldAttempts
+		fields["hold_ms"] = counters.holdSumMS / float64(counters.heldAttempts)
 	}
-	for outcome, n := range c.AttemptEnds {
-		if n > 0 {
-			fields["attempts_"+outcomeNames[outcome]] = n
+	for outcome, count := range counters.AttemptEnds {
+		if count > 0 {
+			fields["attempts_"+outcomeNames[outcome]] = count
 		}
 	}
 	violations := invariant.Violations()
-	for _, claim := range slices.Sorted(maps.Keys(violations)) {
-		fields["violated: "+claim] = violations[claim]
+	for _, description := range slices.Sorted(maps.Keys(violations)) {
+		fields["violated: "+description] = violations[description]
 	}
 	l.log.WithFields(fields).Info(message)
-	c.resetTimes()
+	counters.resetTimes()
 }
 
-// stateReporter and estimateReporter are what a scheduler.Policy may have besides. They are found by type assertion, as a
-// policy need not have them.
+// stateReporter and estimateReporter are optional interfaces of a scheduler.Policy, detected by type assertion.
 type (
 	stateReporter interface {
 		ExecutorViews(now float64, out []scheduler.ExecutorView) []scheduler.ExecutorView
@@ -136,13 +139,13 @@
 	}
 )
 
-// The scheduler has both: a method renamed on one side only must not switch them off unseen.
+// Ensures at compile time that the scheduler implements both, because a failed type assertion would go unnoticed.
 var (
 	_ stateReporter    = (*scheduler.Scheduler)(nil)
 	_ estimateReporter = (*scheduler.Scheduler)(nil)
 )
 
-// schedulerState returns the scheduler's state of executors and what it has learnt, in slices that the next call reuses.
+// schedulerState returns the scheduler's view of the executors and its estimates, in slices that the next call reuses.
 func (l *Loop) schedulerState() ([]scheduler.ExecutorView, []scheduler.Estimate) {
 	if reporter, ok := l.policy.(stateReporter); ok {
 		l.executorViews = reporter.ExecutorViews(l.clock.Now(), l.executorViews[:0])
@@ -153,11 +156,11 @@
 	return l.executorViews, l.estimates
 }
 
-// maxExecutorLines is how many executors are logged at a time: the log must not grow with the fleet.
+// maxExecutorLines bounds the executors that are logged at a time, whatever the number of executors.
 const maxExecutorLines = 100
 
-// logExecutorStates logs the scheduler's view of each executor in use beside the state of its connections. The two may differ by
-// ends of attempts that are in the queue, no further.
+// logExecutorStates logs the scheduler's view of each executor in use, together with the state of its connections. The
+// two may differ only by attempts whose end is still in the queue.
 func (l *Loop) logExecutorStates() {
 	reporter, ok := l.policy.(stateReporter)
 	if !ok {
@@ -165,8 +168,8 @@
 	}
 	lines := 0
 	for _, view := range reporter.ExecutorViews(l.clock.Now(), nil) {
-		state := l.Executors.ConnectionState(view.Executor)
-		if isUnremarkable(view, state) {
+		connection := l.Executors.ConnectionState(view.Executor)
+		if isIdleAndHealthy(view, connection) {
 			continue
 		}
 		lines++
@@ -175,12 +178,12 @@
 			return
 		}
 		l.log.WithFields(logrus.Fields{
-			"executor":             state.Name,
+			"executor":             connection.Name,
 			"id":                   view.Executor,
 			"in_flight":            view.InFlight,
-			"connection_attempts":  state.Attempts,
-			"connections":          state.Connections,
-			"idle_ms":              math.Round(state.IdleMS),
+			"connection_attempts":  connection.Attempts,
+			"connections":          connection.Connections,
+			"idle_ms":              math.Round(connection.IdleMS),
 			"threads":              view.Threads,
 			"consecutive_failures": view.ConsecutiveFailures,
 			"availability":         view.Availability,
@@ -192,8 +195,8 @@
 	}
 }
 
-// isUnremarkable returns whether an executor is unused and nothing is wrong with it.
-func isUnremarkable(view scheduler.ExecutorView, state ConnectionState) bool {
-	inUse := view.InFlight != 0 || state.Attempts != 0 || state.Connections != 0
+// isIdleAndHealthy returns whether an executor has neither attempts nor connections and shows no failure.
+func isIdleAndHealthy(view scheduler.ExecutorView, connection ConnectionState) bool {
+	inUse := view.InFlight != 0 || connection.Attempts != 0 || connection.Connections != 0
 	return !inUse && view.ConsecutiveFailures == 0 && !view.Ejected && !view.WarmingUp
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,9 +1,10 @@
 // Package dispatch is the event loop that owns all request state: the open requests with their attempts, the timers,
 // the scheduler and its clock.
 //
-// One goroutine (Loop.Run) owns that state. Protocol code reaches it through the queue alone (Put, TryPut, Submit, Call).
-// What the loop asks of the protocols must not block: it is queued there. Subsystems take part through Extension.
-// The package does no I/O and takes no scheduling decision of its own.
+// A single goroutine, Loop.Run, owns that state. Protocol code reaches it only through the queue (Put, TryPut,
+// Submit, Call). The interfaces that the loop calls in turn (ExecutorTransport, PeerSender, ListWatcher, Client) must
+// not block; their implementations queue the work. Subsystems take part in the handling of requests through
+// Extension. The package does no I/O and makes no scheduling decisions.
 package dispatch
 
 import (
@@ -16,24 +17,25 @@
 )
 
 const (
-	queueCapacity      = 1024  // items in the queue before protocol code waits
-	countersIntervalMS = 10000 // between two lines of counters
-	tickIntervalMS     = 100   // between two ticks of the extensions
+	queueCapacity      = 1024  // items that fit into the queue before Put blocks
+	countersIntervalMS = 10000 // between two log lines with counters
+	tickIntervalMS     = 100   // between two Ticked events for the extensions
 )
 
-// QueueItem is one item of the loop's queue: an event for the scheduler and what belongs to it, or one of Message, Query and Call.
+// QueueItem is one item of the loop's queue: an event for the scheduler with the data that belongs to it, or a Message,
+// a Query or a Call.
 type QueueItem struct {
 	Event   scheduler.Event
 	Request *Request // RequestArrived
-	Body    []byte   // AttemptEnded: the answer
-	Client  Client   // ClientLeft: who left
-	Token   uint64   // HealthChecked: which health check; ClientLeft: the tag of the request
-	Message any      // for the extension that knows its type
+	Body    []byte   // AttemptEnded: the answer of the executor
+	Client  Client   // ClientLeft: the client that left
+	Token   uint64   // HealthChecked: the token of the health check; ClientLeft: the tag of the request
+	Message any      // delivered to all extensions as MessagePosted
 	Query   *OutcomeQuery
-	Call    func(now float64) // runs on the loop's goroutine and must not wait
+	Call    func(now float64) // runs on the loop's goroutine and must not block
 
 	queuedAt float64
-	resumed  bool // RequestArrived: it was suspended before, or is adopted
+	resumed  bool // RequestArrived: the request was suspended before, or is adopted from another controller
 }
 
 // Loop owns the scheduler and the state of all requests.
@@ -41,8 +43,10 @@
 	Executors            ExecutorTransport
 	Peers                PeerSender
 	List                 ListWatcher
-	HealthCheckTimeoutMS float64     // how long the answer of a health check is waited for
-	LeaseHeld            func() bool // asked at the last step before an attempt that was held leaves; nil: it may
+	HealthCheckTimeoutMS float64 // after which an unanswered health check counts as timed out
+	// LeaseHeld tells whether an attempt that an extension held may still be sent. The executor client calls it right
+	// before sending. Nil permits every attempt.
+	LeaseHeld func() bool
 
 	clock         Clock
 	policy        scheduler.Policy
@@ -50,26 +54,26 @@
 	queue         chan QueueItem
 	stop          chan struct{}
 	done          chan struct{}
-	requests      map[string]*request
-	suspended     map[string]*Request // by id; they wait for Resume or AnswerSuspended
-	closedIDs     map[string]struct{} // ids of closed requests, until their deadline
-	freeRequests  []*request
+	requests      map[string]*requestState
+	suspended     map[string]*Request // by id; each waits for Resume or AnswerSuspended
+	closedIDs     map[string]struct{} // ids of closed requests, kept until their deadline
+	freeRequests  []*requestState     // released states for reuse
 	timers        timers
-	healthChecks  map[uint32]uint64 // by executor: the token of the check that is out
+	healthChecks  map[uint32]uint64 // token of the outstanding health check by executor
 	lastToken     uint64
-	pending       []QueueItem // events that come of the loop's own actions
+	pending       []QueueItem // events caused by the loop's own actions, not yet handled
 	actions       []scheduler.Action
 	counters      Counters
-	offers        []Command // offers and priority caps that are still to be handed to the scheduler, in order
+	offers        []Command // OfferRequest and CapPriority commands that the scheduler does not have yet, in order
 	extensions    []Extension
-	commands      []Command // scratch of notifyExtensions
+	commands      []Command // buffer that notifyExtensions reuses
 	executorViews []scheduler.ExecutorView
 	estimates     []scheduler.Estimate
 	openCount     atomic.Int64
 	stalls        stallDetector
 }
 
-// New returns a loop for one scheduler. Its exported fields are set and its extensions registered before Run.
+// New returns a loop for one scheduler. Set its exported fields and register its extensions before Run.
 func New(clock Clock, policy scheduler.Policy, log logrus.FieldLogger) *Loop {
 	return &Loop{
 		clock:        clock,
@@ -78,14 +82,14 @@
 		queue:        make(chan QueueItem, queueCapacity),
 		stop:         make(chan struct{}),
 		done:         make(chan struct{}),
-		requests:     map[string]*request{},
+		requests:     map[string]*requestState{},
 		suspended:    map[string]*Request{},
 		closedIDs:    map[string]struct{}{},
 		healthChecks: map[uint32]uint64{},
 	}
 }
 
-// Put queues an item. It waits while the queue is full and drops the item once the loop has ended.
+// Put queues an item. It blocks while the queue is full and drops the item once the loop has ended.
 func (l *Loop) Put(item QueueItem) {
 	item.queuedAt = l.clock.Now()
 	select {
@@ -94,7 +98,7 @@
 	}
 }
 
-// TryPut queues an item and returns whether there was room. It never waits.
+// TryPut queues an item unless the queue is full, and returns whether it did. It never blocks.
 func (l *Loop) TryPut(item QueueItem) bool {
 	item.queuedAt = l.clock.Now()
 	select {
@@ -105,18 +109,19 @@
 	}
 }
 
-// Submit queues a request.
+// Submit queues a request and counts it as open.
 func (l *Loop) Submit(r *Request) {
 	l.openCount.Add(1)
 	l.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: r})
 }
 
-// BeginShutdown tells the scheduler that this controller stops: all that was taken must be answered by the deadline.
+// BeginShutdown tells the scheduler that this controller shuts down and that all open requests must be answered by the
+// deadline.
 func (l *Loop) BeginShutdown(deadline float64) {
 	l.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.ShutdownStarted, Deadline: deadline}})
 }
 
-// Call runs a function on the loop's goroutine and waits for it; false if the loop has ended.
+// Call runs a function on the loop's goroutine and waits until it returns. It returns false if the loop has ended.
 func (l *Loop) Call(call func(now float64)) bool {
 	called := make(chan struct{})
 	l.Put(QueueItem{Call: func(now float64) { call(now); close(called) }})
@@ -128,24 +133,26 @@
 	}
 }
 
-// OpenRequests returns how many requests are taken and not answered, those still in the queue included. It is safe for concurrent use.
+// OpenRequests returns the number of requests that were submitted and not answered, including those in the queue. It is
+// safe for concurrent use.
 func (l *Loop) OpenRequests() int { return int(l.openCount.Load()) }
 
-// Arrival returns the earliest time at which what is read now may have come. It is safe for concurrent use.
+// Arrival returns the earliest time at which data that is read now may have arrived. It is earlier than now during and
+// shortly after a stall of this process. It is safe for concurrent use.
 func (l *Loop) Arrival(now float64) float64 { return l.stalls.earliestArrival(now) }
 
-// Stop ends Run and waits for it.
+// Stop ends Run and waits until it has returned.
 func (l *Loop) Stop() {
 	close(l.stop)
 	<-l.done
 }
 
-// Run processes the queue and the timers until Stop. Queued items go before due timers: a timer must not take for silence
-// what is in the queue already.
+// Run processes the queue and the timers until Stop. Queued items are processed before due timers, so that no timeout
+// fires while the answer that it waits for is in the queue.
 func (l *Loop) Run() {
 	defer close(l.done)
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeUp := time.NewTimer(time.Hour)
+	defer wakeUp.Stop()
 	armedFor := 0.0
 	l.start()
 	for {
@@ -156,12 +163,12 @@
 		l.fireTimers()
 		if next := l.timers[0].at; next != armedFor {
 			armedFor = next
-			alarm.Reset(l.clock.until(next))
+			wakeUp.Reset(l.clock.until(next))
 		}
 		select {
 		case item := <-l.queue:
 			l.process(item)
-		case <-alarm.C:
+		case <-wakeUp.C:
 			armedFor = 0
 		case <-l.stop:
 			l.logCounters("counters: end")
@@ -180,7 +187,7 @@
 	}
 }
 
-// fireTimers runs the timers that are due.
+// fireTimers fires the timers that are due.
 func (l *Loop) fireTimers() {
 	now := l.clock.Now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
@@ -188,16 +195,17 @@
 	}
 }
 
-func (l *Loop) fire(now float64, t timer) {
-	switch t.kind {
+// fire handles one timer that is due; periodic timers are set again.
+func (l *Loop) fire(now float64, due timer) {
+	switch due.kind {
 	case schedulerTimer:
-		l.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired, Token: t.token}, queuedAt: t.at})
+		l.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired, Token: due.token}, queuedAt: due.at})
 	case deadlineTimer:
-		l.expireRequest(t.request)
+		l.expireRequest(due.request)
 	case releaseTimer:
-		t.running.Release()
+		due.running.Release()
 	case healthCheckTimer:
-		l.expireHealthCheck(now, t)
+		l.expireHealthCheck(now, due)
 	case tickTimer:
 		l.timers.push(timer{at: now + tickIntervalMS, kind: tickTimer})
 		l.tick()
@@ -208,7 +216,7 @@
 	}
 }
 
-// process handles an item of the queue, then all that comes of it.
+// process handles an item of the queue and then all events that it causes.
 func (l *Loop) process(item QueueItem) {
 	l.counters.recordQueueWait(l.clock.Now() - item.queuedAt)
 	switch {
@@ -225,12 +233,12 @@
 	l.processPending()
 }
 
-// consumedByExtension offers a peer's message to the extensions and returns whether one of them took it.
+// consumedByExtension offers a message from another controller to the extensions and returns whether one consumed it.
 func (l *Loop) consumedByExtension(event *scheduler.Event) bool {
 	return l.notify(Event{Kind: PeerMessage, Peer: event.FromPeer, Payload: event.Payload}).consumed
 }
 
-// processPending handles the events and offers that come of the loop's own actions, events first.
+// processPending handles the events and offers that the loop's own actions cause, events first, until none are left.
 func (l *Loop) processPending() {
 	for {
 		switch {
@@ -248,7 +256,7 @@
 	}
 }
 
-// tick gives the extensions their time.
+// tick sends the periodic Ticked event to the extensions and handles what it causes.
 func (l *Loop) tick() {
 	l.notify(Event{Kind: Ticked, SchedulerState: l.schedulerState})
 	l.processPending()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -14,47 +14,50 @@
 	"liftshift/scheduler"
 )
 
-// fakePolicy records its events and answers each kind with fixed actions.
+// actionsByEvent are the actions with which a fakePolicy answers each kind of event.
+type actionsByEvent = map[scheduler.EventKind][]scheduler.Action
+
+// fakePolicy records its events and answers each kind of event with fixed actions.
 type fakePolicy struct {
-	actions map[scheduler.EventKind][]scheduler.Action
+	actions actionsByEvent
 	events  []scheduler.Event
 }
 
-func (s *fakePolicy) ExecutorViews(float64, []scheduler.ExecutorView) []scheduler.ExecutorView {
+func (p *fakePolicy) ExecutorViews(float64, []scheduler.ExecutorView) []scheduler.ExecutorView {
 	return []scheduler.ExecutorView{{Executor: 7, InFlight: 3, Ejected: true}}
 }
 
-func (s *fakePolicy) Step(_ float64, ev *scheduler.Event, out []scheduler.Action) []scheduler.Action {
-	s.events = append(s.events, *ev)
-	return append(out, s.actions[ev.Kind]...)
+func (p *fakePolicy) Step(_ float64, event *scheduler.Event, out []scheduler.Action) []scheduler.Action {
+	p.events = append(p.events, *event)
+	return append(out, p.actions[event.Kind]...)
 }
 
-// lastEvent returns the last event of a kind.
-func (s *fakePolicy) lastEvent(kind scheduler.EventKind) *scheduler.Event {
-	for k := len(s.events) - 1; k >= 0; k-- {
-		if s.events[k].Kind == kind {
-			return &s.events[k]
+// lastEvent returns the last event of a kind, or nil if there was none.
+func (p *fakePolicy) lastEvent(kind scheduler.EventKind) *scheduler.Event {
+	for i := len(p.events) - 1; i >= 0; i-- {
+		if p.events[i].Kind == kind {
+			return &p.events[i]
 		}
 	}
 	return nil
 }
 
-// fakeTransport plays executors, attempt and client, and records calls.
+// fakeTransport is an ExecutorTransport, a RunningAttempt and a Client at once, and records the calls of their methods.
 type fakeTransport struct {
 	cancelResult CancelResult
-	heldMS       float64
+	delayMS      float64
 	refuseSends  bool
 	sent         []Attempt
 	calls        []string
 	body         string
 }
 
-func (t *fakeTransport) Send(s Attempt) (RunningAttempt, float64) {
-	t.sent = append(t.sent, s)
+func (t *fakeTransport) Send(attempt Attempt) (RunningAttempt, float64) {
+	t.sent = append(t.sent, attempt)
 	if t.refuseSends {
 		return nil, 0
 	}
-	return t, t.heldMS
+	return t, t.delayMS
 }
 func (t *fakeTransport) Release() { t.calls = append(t.calls, "release") }
 func (t *fakeTransport) HealthCheck(uint32, uint64) bool {
@@ -72,55 +75,82 @@
 	return t.cancelResult
 }
 func (t *fakeTransport) SetLevel(int) { t.calls = append(t.calls, "set level") }
-func (t *fakeTransport) Succeeded(_ uint64, b []byte) {
-	t.calls, t.body = append(t.calls, "succeeded"), string(b)
+func (t *fakeTransport) Succeeded(_ uint64, body []byte) {
+	t.calls, t.body = append(t.calls, "succeeded"), string(body)
 }
 func (t *fakeTransport) Rejected(uint64, float64) { t.calls = append(t.calls, "rejected") }
 func (t *fakeTransport) Failed(uint64)            { t.calls = append(t.calls, "failed") }
 
-// newLoopWithAttempt returns a loop whose scheduler has sent request a to executor 7 at level 3.
-func newLoopWithAttempt(transport *fakeTransport, on map[scheduler.EventKind][]scheduler.Action) (*Loop, *fakePolicy) {
+// sendToExecutor7 makes a fakePolicy send request a to executor 7 at level 3 when it arrives.
+func sendToExecutor7() actionsByEvent {
+	return actionsByEvent{scheduler.RequestArrived: {
+		{Kind: scheduler.SetResources, Request: "a", GrantMB: 64, Level: 3},
+		{Kind: scheduler.Send, Request: "a", Executor: 7},
+	}}
+}
+
+// newLoopWithAttempt returns a loop whose scheduler has sent request a to executor 7 at level 3. The given actions are
+// added to those of its policy.
+func newLoopWithAttempt(transport *fakeTransport, actions actionsByEvent) (*Loop, *fakePolicy) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	policy := &fakePolicy{actions: map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {
-		{Kind: scheduler.SetResources, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
-	for k, v := range on {
-		policy.actions[k] = v
+	policy := &fakePolicy{actions: sendToExecutor7()}
+	for kind, list := range actions {
+		policy.actions[kind] = list
 	}
 	loop := New(NewClock(), policy, log)
 	loop.Executors, loop.HealthCheckTimeoutMS = transport, 250
 	loop.openCount.Add(1)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, transport)})
+	loop.process(requestArrived(newRequest(loop, transport)))
 	return loop, policy
 }
 
-func newRequest(loop *Loop, transport *fakeTransport) *Request {
-	return &Request{ID: "a", Class: "look", Deadline: loop.clock.Now() + 1000, Client: transport, Tag: 5}
+// newRequest returns request a of a client, with tag 5 and a deadline in 1000 ms.
+func newRequest(loop *Loop, client *fakeTransport) *Request {
+	return &Request{ID: "a", Class: "read", Deadline: loop.clock.Now() + 1000, Client: client, Tag: 5}
+}
+
+func requestArrived(request *Request) QueueItem {
+	return QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: request}
+}
+
+// attemptEnded returns the end of the first attempt of request a.
+func attemptEnded(outcome scheduler.Outcome) QueueItem {
+	event := scheduler.Event{Kind: scheduler.AttemptEnded, Request: "a", Outcome: outcome}
+	return QueueItem{Event: event, Body: []byte("rows")}
+}
+
+// progressReported returns a progress report of the first attempt of request a.
+func progressReported() QueueItem {
+	return QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}}
 }
 
-func attemptEnded(o scheduler.Outcome) QueueItem {
-	return QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: "a", Outcome: o}, Body: []byte("rows")}
+// clientLeft returns the event that a client has left request a.
+func clientLeft(client Client, tag uint64) QueueItem {
+	event := scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}
+	return QueueItem{Event: event, Client: client, Token: tag}
 }
 
 func TestLoop_SendsAnswersAndReleasesRequest(t *testing.T) {
 	transport := &fakeTransport{}
 	loop, policy := newLoopWithAttempt(transport, nil)
-	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{transport.sent[0].Executor, transport.sent[0].GrantMB, transport.sent[0].Level, transport.sent[0].Number})
-	assert.InDelta(t, 1000, transport.sent[0].TimeoutMS, 900)
+	sent := transport.sent[0]
+	assert.Equal(t, []any{uint32(7), 64.0, 3, 0}, []any{sent.Executor, sent.GrantMB, sent.Level, sent.Number})
+	assert.InDelta(t, 1000, sent.TimeoutMS, 900)
 	loop.process(attemptEnded(scheduler.Succeeded))
 	assert.Equal(t, "rows", transport.body)
-	ev := policy.lastEvent(scheduler.AttemptEnded)
-	assert.True(t, ev.Final)
-	assert.Equal(t, uint32(7), ev.Executor)
+	ended := policy.lastEvent(scheduler.AttemptEnded)
+	assert.True(t, ended.Final)
+	assert.Equal(t, uint32(7), ended.Executor)
 	assert.Zero(t, loop.OpenRequests())
 	assert.Empty(t, loop.requests)
-	loop.process(attemptEnded(scheduler.Succeeded)) // nothing is answered twice
-	assert.Equal(t, []string{"succeeded"}, transport.calls)
+	loop.process(attemptEnded(scheduler.Succeeded))
+	assert.Equal(t, []string{"succeeded"}, transport.calls, "the second end of an attempt does not answer again")
 	assert.Equal(t, uint64(1), loop.counters.Stray)
 }
 
 func TestLoop_ReleasesDelayedAttempt(t *testing.T) {
-	transport := &fakeTransport{heldMS: 40}
+	transport := &fakeTransport{delayMS: 40}
 	loop, _ := newLoopWithAttempt(transport, nil)
 	loop.fireTimers()
 	assert.Empty(t, transport.calls)
@@ -132,22 +162,29 @@
 	assert.Equal(t, []string{"release"}, transport.calls)
 }
 
-// An answer that is in the queue when its attempt is cancelled counts, as long as nothing was answered.
+// An answer that is in the queue when its attempt is cancelled still answers the request.
 func TestLoop_QueuedAnswerPrecedesCancellation(t *testing.T) {
 	transport := &fakeTransport{cancelResult: AlreadyEnded}
-	loop, policy := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"}}})
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
-	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "its end comes by itself")
+	loop, policy := newLoopWithAttempt(transport, actionsByEvent{
+		scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"}},
+	})
+	loop.process(progressReported())
+	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "the cancellation queues no second end of the attempt")
 	loop.process(attemptEnded(scheduler.Succeeded))
 	assert.Equal(t, []string{"cancel", "succeeded"}, transport.calls)
 }
 
 func TestLoop_CancelResultGivesOutcome(t *testing.T) {
-	for stopped, want := range map[CancelResult]scheduler.Outcome{CancelSent: scheduler.Cancelled, CancelledUnsent: scheduler.NeverSent} {
-		transport := &fakeTransport{cancelResult: stopped}
-		loop, policy := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Cancel, Request: "a"},
-			{Kind: scheduler.SetResources, Request: "a", Level: 1}}}) // resources for an attempt whose end is pending
-		loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	for cancelResult, want := range map[CancelResult]scheduler.Outcome{
+		CancelSent:      scheduler.Cancelled,
+		CancelledUnsent: scheduler.NeverSent,
+	} {
+		transport := &fakeTransport{cancelResult: cancelResult}
+		loop, policy := newLoopWithAttempt(transport, actionsByEvent{scheduler.ProgressReported: {
+			{Kind: scheduler.Cancel, Request: "a"},
+			{Kind: scheduler.SetResources, Request: "a", Level: 1}, // ignored: the end of the attempt is pending
+		}})
+		loop.process(progressReported())
 		assert.Equal(t, want, policy.lastEvent(scheduler.AttemptEnded).Outcome)
 		assert.Equal(t, []string{"cancel"}, transport.calls)
 	}
@@ -158,12 +195,12 @@
 	assert.Equal(t, scheduler.LocalFailure, policy.lastEvent(scheduler.AttemptEnded).Outcome)
 }
 
-// The deadline ends an attempt that shows no sign, also where the scheduler set no timer.
+// The deadline ends an attempt without any answer, even if the scheduler set no timer.
 func TestLoop_DeadlineEndsSilentAttempt(t *testing.T) {
 	transport := &fakeTransport{}
 	loop, policy := newLoopWithAttempt(transport, nil)
 	loop.expireRequest("a")
-	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "not before it")
+	assert.Nil(t, policy.lastEvent(scheduler.AttemptEnded), "the deadline has not passed yet")
 	loop.requests["a"].Deadline = loop.clock.Now() - 1
 	loop.expireRequest("a")
 	assert.Equal(t, scheduler.TimedOut, policy.lastEvent(scheduler.AttemptEnded).Outcome)
@@ -172,9 +209,11 @@
 
 func TestLoop_RejectsOnce(t *testing.T) {
 	transport := &fakeTransport{}
-	loop, _ := newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.ProgressReported: {{Kind: scheduler.Reject, Request: "a"},
-		{Kind: scheduler.Cancel, Request: "a"}}})
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ProgressReported, Request: "a"}})
+	loop, _ := newLoopWithAttempt(transport, actionsByEvent{scheduler.ProgressReported: {
+		{Kind: scheduler.Reject, Request: "a"},
+		{Kind: scheduler.Cancel, Request: "a"},
+	}})
+	loop.process(progressReported())
 	loop.process(attemptEnded(scheduler.Succeeded))
 	assert.Equal(t, []string{"rejected", "cancel"}, transport.calls)
 	assert.Zero(t, loop.OpenRequests())
@@ -183,10 +222,10 @@
 func TestLoop_ClientEndsOnlyItsOwnRequests(t *testing.T) {
 	transport := &fakeTransport{}
 	loop, policy := newLoopWithAttempt(transport, nil)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: &fakeTransport{}, Token: 5})
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 4})
+	loop.process(clientLeft(&fakeTransport{}, 5))
+	loop.process(clientLeft(transport, 4))
 	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft))
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 5})
+	loop.process(clientLeft(transport, 5))
 	assert.NotNil(t, policy.lastEvent(scheduler.ClientLeft))
 	assert.Zero(t, loop.OpenRequests())
 }
@@ -194,35 +233,36 @@
 func TestLoop_FailsDuplicateID(t *testing.T) {
 	transport, other := &fakeTransport{}, &fakeTransport{}
 	loop, _ := newLoopWithAttempt(transport, nil)
-	s := newRequest(loop, other)
+	duplicate := newRequest(loop, other)
 	loop.openCount.Add(1)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
+	loop.process(requestArrived(duplicate))
 	assert.Equal(t, []string{"failed"}, other.calls)
 	assert.Equal(t, 1, loop.OpenRequests())
 	assert.Len(t, transport.sent, 1)
 	loop.process(attemptEnded(scheduler.Succeeded))
 	loop.openCount.Add(1)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, other)})
-	assert.Len(t, transport.sent, 1, "nor once the first is closed: its attempt would be one more")
+	loop.process(requestArrived(newRequest(loop, other)))
+	assert.Len(t, transport.sent, 1, "a duplicate of a closed request is not sent either")
 	assert.Len(t, loop.closedIDs, 1)
 	loop.expireRequest("a")
-	assert.Empty(t, loop.closedIDs, "ids are kept no longer than their deadline")
+	assert.Empty(t, loop.closedIDs, "an id is forgotten at the deadline of its request")
 }
 
 func TestLoop_HealthChecks(t *testing.T) {
-	probe := map[scheduler.EventKind][]scheduler.Action{scheduler.TimerFired: {{Kind: scheduler.HealthCheck, Executor: 7}}}
+	checkOnTimer := actionsByEvent{scheduler.TimerFired: {{Kind: scheduler.HealthCheck, Executor: 7}}}
+	timerFired := QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}}
 	transport := &fakeTransport{}
-	loop, policy := newLoopWithAttempt(transport, probe)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	loop, policy := newLoopWithAttempt(transport, checkOnTimer)
+	loop.process(timerFired)
 	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.HealthChecked, Executor: 7}, Token: 9})
-	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked), "the answer of an older check")
+	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked), "the result of an older health check is ignored")
 	loop.HealthCheckTimeoutMS = 0
 	for loop.timers[0].kind != healthCheckTimer {
 		loop.timers.pop()
 	}
-	loop.timers[0].at = loop.clock.Now() - 2*stallMS // this process stalled: the answer may be there and not be read yet
+	loop.timers[0].at = loop.clock.Now() - 2*stallThresholdMS
 	loop.fireTimers()
-	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked))
+	assert.Nil(t, policy.lastEvent(scheduler.HealthChecked), "after a stall the answer may not have been read yet")
 	for loop.timers[0].kind != healthCheckTimer {
 		loop.timers.pop()
 	}
@@ -230,28 +270,30 @@
 	loop.fireTimers()
 	assert.Equal(t, scheduler.TimedOut, policy.lastEvent(scheduler.HealthChecked).Outcome)
 	assert.Equal(t, []string{"health check", "forget health check"}, transport.calls)
-	loop, policy = newLoopWithAttempt(&fakeTransport{refuseSends: true}, probe)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.TimerFired}})
+	loop, policy = newLoopWithAttempt(&fakeTransport{refuseSends: true}, checkOnTimer)
+	loop.process(timerFired)
 	assert.Equal(t, scheduler.LocalFailure, policy.lastEvent(scheduler.HealthChecked).Outcome)
 }
 
 func TestTimers_PopInOrder(t *testing.T) {
-	var h timers
+	var heap timers
 	for k := range 200 {
-		h.push(timer{at: float64(k * 7919 % 200)})
+		heap.push(timer{at: float64(k * 7919 % 200)})
 	}
 	for k := range 200 {
-		assert.Equal(t, float64(k), h.pop().at)
+		assert.Equal(t, float64(k), heap.pop().at)
 	}
 }
 
 func TestLoop_PutReturnsAfterStop(t *testing.T) {
-	loop, policy := newLoopWithAttempt(&fakeTransport{}, map[scheduler.EventKind][]scheduler.Action{scheduler.Started: {{Kind: scheduler.SetTimer, AfterMS: 1, Token: 3}}})
+	loop, policy := newLoopWithAttempt(&fakeTransport{}, actionsByEvent{
+		scheduler.Started: {{Kind: scheduler.SetTimer, AfterMS: 1, Token: 3}},
+	})
 	go loop.Run()
 	for range 2 * queueCapacity {
 		loop.Put(QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage}})
 	}
-	assert.Eventually(t, func() bool { return len(loop.queue) == 0 }, 5e9, 1e6)
+	assert.Eventually(t, func() bool { return len(loop.queue) == 0 }, 5*time.Second, time.Millisecond)
 	loop.Stop()
 	assert.Equal(t, uint64(3), policy.lastEvent(scheduler.TimerFired).Token)
 	for range 2 * queueCapacity {
@@ -260,14 +302,14 @@
 }
 
 func TestClock_StartsAtUnixTime(t *testing.T) {
-	c := NewClock()
-	a := c.Now()
-	assert.InDelta(t, float64(c.start.UnixMilli()), a, 1000)
-	assert.GreaterOrEqual(t, c.Now(), a)
-	assert.Zero(t, c.until(a-5))
+	clock := NewClock()
+	first := clock.Now()
+	assert.InDelta(t, float64(clock.start.UnixMilli()), first, 1000)
+	assert.GreaterOrEqual(t, clock.Now(), first)
+	assert.Zero(t, clock.until(first-5))
 }
 
-// The scheduler's view of an executor is logged beside the state of its connections.
+// The scheduler's view of an executor and the state of its connections are in the same log line.
 func TestLoop_LogsExecutorViewBesideConnectionState(t *testing.T) {
 	loop, _ := newLoopWithAttempt(&fakeTransport{}, nil)
 	var text bytes.Buffer
@@ -275,10 +317,12 @@
 	log.SetOutput(&text)
 	loop.log = log
 	loop.logExecutorStates()
-	assert.Regexp(t, `msg=executor .*connection_attempts=2 .*ejected=true executor=s-7 id=7 .*in_flight=3`, text.String())
+	want := `msg=executor .*connection_attempts=2 .*ejected=true executor=s-7 id=7 .*in_flight=3`
+	assert.Regexp(t, want, text.String())
 }
 
-// Ids are always new: nothing is kept of a request past its deadline, however it ended.
+// Guards against a leak: every request has a new id, so the loop must drop all state of a request at its deadline,
+// however the request ended.
 func TestLoop_KeepsNothingPastDeadline(t *testing.T) {
 	transport := &fakeTransport{cancelResult: CancelSent}
 	log := logrus.New()
@@ -286,57 +330,66 @@
 	loop := New(NewClock(), &fakePolicy{}, log)
 	loop.Executors = transport
 	for n := range 300 {
-		s := newRequest(loop, transport)
-		s.ID, s.Deadline = fmt.Sprint("a", n), loop.clock.Now()+200
+		request := newRequest(loop, transport)
+		request.ID, request.Deadline = fmt.Sprint("a", n), loop.clock.Now()+200
 		loop.openCount.Add(1)
-		loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s})
-		loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Send, Request: s.ID, Executor: uint32(n)})
+		loop.process(requestArrived(request))
+		send := &scheduler.Action{Kind: scheduler.Send, Request: request.ID, Executor: uint32(n)}
+		loop.apply(loop.clock.Now(), send)
 		switch n % 3 {
 		case 0:
-			loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: s.ID, Outcome: scheduler.Succeeded}})
+			loop.process(QueueItem{Event: scheduler.Event{
+				Kind:    scheduler.AttemptEnded,
+				Request: request.ID,
+				Outcome: scheduler.Succeeded,
+			}})
 		case 1:
-			loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: s.ID}, Client: transport, Token: s.Tag})
-			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Cancel, Request: s.ID})
+			left := scheduler.Event{Kind: scheduler.ClientLeft, Request: request.ID}
+			loop.process(QueueItem{Event: left, Client: transport, Token: request.Tag})
+			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Cancel, Request: request.ID})
 			loop.processPending()
 		default:
-			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Reject, Request: s.ID})
+			loop.apply(loop.clock.Now(), &scheduler.Action{Kind: scheduler.Reject, Request: request.ID})
 		}
 	}
-	time.Sleep(250 * time.Millisecond) // all deadlines pass
+	time.Sleep(250 * time.Millisecond) // until all deadlines have passed
 	loop.timers.push(timer{at: loop.clock.Now() + 1e6, kind: countersTimer})
 	loop.fireTimers()
-	assert.Equal(t, []int{0, 0, 1, 0}, []int{len(loop.requests), len(loop.closedIDs), len(loop.timers), loop.OpenRequests()})
+	assert.Empty(t, loop.requests)
+	assert.Empty(t, loop.closedIDs)
+	assert.Len(t, loop.timers, 1, "only the counters timer is left")
+	assert.Zero(t, loop.OpenRequests())
 }
 
-// An attempt was not sent as its client had gone: the scheduler learns that the request is over before ClientLeft has come through
-// the queue, and sends it nowhere else.
+// If an attempt was not sent because its client is gone, the scheduler learns that the request is over before
+// ClientLeft is read from the queue, and sends no other attempt.
 func TestLoop_AttemptNotSentForGoneClientIsFinal(t *testing.T) {
 	transport := &fakeTransport{}
 	loop, policy := newLoopWithAttempt(transport, nil)
-	s := loop.requests["a"]
-	s.ClientGone = &atomic.Bool{}
-	s.ClientGone.Store(true)
+	state := loop.requests["a"]
+	state.ClientGone = &atomic.Bool{}
+	state.ClientGone.Store(true)
 	loop.process(attemptEnded(scheduler.NeverSent))
 	assert.True(t, policy.lastEvent(scheduler.AttemptEnded).Final)
 	assert.Zero(t, loop.OpenRequests())
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 5})
-	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft), "told once")
+	loop.process(clientLeft(transport, 5))
+	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft), "the scheduler knows already that the request is over")
 	assert.Equal(t, uint64(1), loop.counters.ClientLeft)
 	assert.Empty(t, transport.calls)
 	assert.Len(t, transport.sent, 1)
 }
 
-// What is read during a stall of this process, or just after it, may have come as that began.
+// Data that is read during a stall of this process, or shortly after it, may have arrived when the stall began.
 func TestStallDetector_EarliestArrival(t *testing.T) {
-	var p stallDetector
-	assert.Equal(t, 500.0, p.earliestArrival(500), "no turn was recorded yet")
-	p.recordTurn(1000)
-	assert.Equal(t, 1040.0, p.earliestArrival(1040))
-	assert.Equal(t, 1000.0, p.earliestArrival(1600))
-	p.recordTurn(1600)
-	assert.Equal(t, 1000.0, p.earliestArrival(1620))
-	p.recordTurn(1620)
-	p.recordTurn(1640)
-	p.recordTurn(1655)
-	assert.Equal(t, 1655.0, p.earliestArrival(1655))
+	var detector stallDetector
+	assert.Equal(t, 500.0, detector.earliestArrival(500), "no turn was recorded yet")
+	detector.recordTurn(1000)
+	assert.Equal(t, 1040.0, detector.earliestArrival(1040))
+	assert.Equal(t, 1000.0, detector.earliestArrival(1600))
+	detector.recordTurn(1600)
+	assert.Equal(t, 1000.0, detector.earliestArrival(1620))
+	detector.recordTurn(1620)
+	detector.recordTurn(1640)
+	detector.recordTurn(1655)
+	assert.Equal(t, 1655.0, detector.earliestArrival(1655))
 }
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -6,16 +6,17 @@
 	"liftshift/scheduler"
 )
 
-// handleEvent brings the loop's state up to date with an event and hands it to the scheduler, unless it concerns nothing any more.
+// handleEvent updates the loop's state for an event and hands the event to the scheduler, unless it is outdated or an
+// extension keeps it from the scheduler.
 func (l *Loop) handleEvent(item QueueItem) {
 	event := &item.Event
-	r, deliver := l.prepare(&item)
+	state, deliver := l.prepare(&item)
 	if !deliver {
 		return
 	}
 	l.step(event)
-	if r != nil {
-		l.releaseRequest(r)
+	if state != nil {
+		l.releaseRequest(state)
 	}
 	switch {
 	case event.Kind == scheduler.EndpointsUpdated && event.List == scheduler.ListUnavailable:
@@ -27,9 +28,9 @@
 	}
 }
 
-// prepare updates the loop's state and completes the event. It returns the request concerned, if any, and whether the scheduler
-// gets the event.
-func (l *Loop) prepare(item *QueueItem) (r *request, deliver bool) {
+// prepare updates the loop's state and completes the event. It returns the state of the request that the event is
+// about, if any, and whether the scheduler gets the event.
+func (l *Loop) prepare(item *QueueItem) (state *requestState, deliver bool) {
 	event := &item.Event
 	switch event.Kind {
 	case scheduler.RequestArrived:
@@ -41,82 +42,87 @@
 	case scheduler.HealthChecked:
 		return nil, l.prepareHealthCheck(event.Executor, item.Token)
 	case scheduler.ProgressReported:
-		r = l.requests[event.Request]
-		if !r.isInFlight(event.Attempt) {
+		state = l.requests[event.Request]
+		if !state.isInFlight(event.Attempt) {
 			l.counters.Stray++
 			return nil, false
 		}
-		return r, true
+		return state, true
 	}
 	return nil, true
 }
 
-func (l *Loop) prepareArrival(item *QueueItem) (r *request, deliver bool) {
-	r = l.admit(item.Request, &item.Event, item.resumed)
-	if r == nil {
+// prepareArrival admits a request. The scheduler gets it later if an extension holds it.
+func (l *Loop) prepareArrival(item *QueueItem) (state *requestState, deliver bool) {
+	state = l.admit(item.Request, &item.Event, item.resumed)
+	if state == nil {
 		return nil, false
 	}
-	if l.notify(Event{Kind: RequestEntered, Request: &r.Request}).hold {
-		r.queued = true
+	if l.notify(Event{Kind: RequestEntered, Request: &state.Request}).hold {
+		state.queued = true
 		return nil, false
 	}
-	return r, true
+	return state, true
 }
 
-func (l *Loop) prepareClientLeft(item *QueueItem) (r *request, deliver bool) {
+// prepareClientLeft closes the request of a client that has left. If the client closed only its writing side, the
+// request still gets an answer.
+func (l *Loop) prepareClientLeft(item *QueueItem) (state *requestState, deliver bool) {
 	event := &item.Event
-	in := l.suspended[event.Request]
-	if in != nil && in.Client == item.Client && in.Tag == item.Token {
-		l.abandonSuspended(in, event.HalfClosed)
+	request := l.suspended[event.Request]
+	if request != nil && request.Client == item.Client && request.Tag == item.Token {
+		l.abandonSuspended(request, event.HalfClosed)
 		return nil, false
 	}
-	r = l.requests[event.Request]
-	if r == nil || r.Client != item.Client || r.Tag != item.Token || r.answered {
+	state = l.requests[event.Request]
+	if state == nil || state.Client != item.Client || state.Tag != item.Token || state.answered {
 		return nil, false
 	}
-	if event.HalfClosed && r.queued { // the scheduler gets it, to reject it
-		l.handleOffer(&Command{Kind: OfferRequest, ID: r.ID, Blocked: true})
+	if event.HalfClosed && state.queued { // offered as blocked, so that the scheduler rejects it
+		l.handleOffer(&Command{Kind: OfferRequest, ID: state.ID, Blocked: true})
 		return nil, false
 	}
-	if !event.HalfClosed { // otherwise the scheduler gives it its answer
-		l.abandonRequest(r)
+	if !event.HalfClosed { // a half-closed client gets its answer from the scheduler
+		l.abandonRequest(state)
 	}
-	return r, true
+	return state, true
 }
 
 // abandonSuspended drops a suspended request whose client has left.
-func (l *Loop) abandonSuspended(in *Request, halfClosed bool) {
-	delete(l.suspended, in.ID)
+func (l *Loop) abandonSuspended(request *Request, halfClosed bool) {
+	delete(l.suspended, request.ID)
 	l.openCount.Add(-1)
 	l.counters.ClientLeft++
-	l.notify(Event{Kind: SuspendedClientLeft, Request: in})
+	l.notify(Event{Kind: SuspendedClientLeft, Request: request})
 	if halfClosed {
-		in.Client.Failed(in.Tag)
+		request.Client.Failed(request.Tag)
 	}
 }
 
-func (l *Loop) prepareAttemptEnd(event *scheduler.Event, body []byte) (r *request, deliver bool) {
-	r = l.recordAttemptEnd(event)
-	if r == nil {
+// prepareAttemptEnd records the end of an attempt and answers the client if the attempt succeeded.
+func (l *Loop) prepareAttemptEnd(event *scheduler.Event, body []byte) (state *requestState, deliver bool) {
+	state = l.recordAttemptEnd(event)
+	if state == nil {
 		l.counters.Stray++
 		return nil, false
 	}
-	if event.Outcome == scheduler.NeverSent && !r.answered && r.Abandoned() { // its ClientLeft is still in the queue
-		if r.halfClosed() {
+	// The attempt was not sent because the client is gone; the ClientLeft event is still in the queue.
+	if event.Outcome == scheduler.NeverSent && !state.answered && state.Abandoned() {
+		if state.halfClosed() {
 			event.Blocked = true
 		} else {
-			l.abandonRequest(r)
+			l.abandonRequest(state)
 		}
 	}
-	if event.Outcome == scheduler.Succeeded && !r.answered {
-		l.answerRequest(r, ledger.Succeeded, body, 0, event.CostMS)
+	if event.Outcome == scheduler.Succeeded && !state.answered {
+		l.answerRequest(state, ledger.Succeeded, body, 0, event.CostMS)
 		l.counters.Succeeded++
 	}
-	event.Final = r.answered
-	return r, true
+	event.Final = state.answered
+	return state, true
 }
 
-// prepareHealthCheck returns whether a result belongs to the check that is out.
+// prepareHealthCheck returns whether a result belongs to the outstanding health check of its executor.
 func (l *Loop) prepareHealthCheck(executor uint32, token uint64) bool {
 	if l.healthChecks[executor] != token {
 		l.counters.Stray++
@@ -126,7 +132,7 @@
 	return true
 }
 
-// step hands an event to the scheduler and applies the actions that it returns.
+// step hands an event to the scheduler and carries out the actions that it returns.
 func (l *Loop) step(event *scheduler.Event) {
 	now := l.clock.Now()
 	l.actions = l.policy.Step(now, event, l.actions[:0])
@@ -136,61 +142,62 @@
 	}
 }
 
-// apply carries out an action of the scheduler.
-func (l *Loop) apply(now float64, a *scheduler.Action) {
-	switch a.Kind {
+// apply carries out one action of the scheduler.
+func (l *Loop) apply(now float64, action *scheduler.Action) {
+	switch action.Kind {
 	case scheduler.SetTimer:
-		l.timers.push(timer{at: now + a.AfterMS, kind: schedulerTimer, token: a.Token})
+		l.timers.push(timer{at: now + action.AfterMS, kind: schedulerTimer, token: action.Token})
 	case scheduler.HealthCheck:
-		l.startHealthCheck(now, a.Executor)
+		l.startHealthCheck(now, action.Executor)
 	case scheduler.Subscribe:
 		l.List.Refresh()
 	case scheduler.SendPeer:
-		l.Peers.SendPeer(a.Peer, a.Payload)
+		l.Peers.SendPeer(action.Peer, action.Payload)
 	case scheduler.Log:
-		l.log.WithField("text", a.Text).Info("scheduler")
+		l.log.WithField("text", action.Text).Info("scheduler")
 	default:
-		r := l.requests[a.Request]
-		if invariant.Check(r != nil, "the scheduler names open requests only") {
-			l.applyToRequest(now, r, a)
+		state := l.requests[action.Request]
+		if invariant.Check(state != nil, "the scheduler names open requests only") {
+			l.applyToRequest(now, state, action)
 		}
 	}
 }
 
-func (l *Loop) applyToRequest(now float64, r *request, a *scheduler.Action) {
-	switch a.Kind {
+// applyToRequest carries out an action that concerns one request.
+func (l *Loop) applyToRequest(now float64, state *requestState, action *scheduler.Action) {
+	switch action.Kind {
 	case scheduler.Send:
-		l.startAttempt(now, r, a)
+		l.startAttempt(now, state, action)
 	case scheduler.ReturnRequest:
-		r.queued = true
-		l.notify(Event{Kind: RequestReturned, Request: &r.Request})
+		state.queued = true
+		l.notify(Event{Kind: RequestReturned, Request: &state.Request})
 	case scheduler.SetResources:
-		r.setMemory(a.GrantMB)
-		r.setLevel(a.Level)
+		state.setMemory(action.GrantMB)
+		state.setLevel(action.Level)
 	case scheduler.Cancel:
-		if r.isInFlight(a.Attempt) {
-			l.cancelAttempt(r, a.Attempt, scheduler.Cancelled)
+		if state.isInFlight(action.Attempt) {
+			l.cancelAttempt(state, action.Attempt, scheduler.Cancelled)
 		}
 	case scheduler.Reject, scheduler.Fail:
-		l.refuse(r, a)
+		l.refuse(state, action)
 	}
 }
 
 // refuse closes a request that the scheduler rejects or fails.
-func (l *Loop) refuse(r *request, a *scheduler.Action) {
-	if r.answered {
+func (l *Loop) refuse(state *requestState, action *scheduler.Action) {
+	if state.answered {
 		return
 	}
-	l.counters.recordRefusal(a.Kind, r.halfClosed())
-	if a.Kind == scheduler.Fail {
-		l.answerRequest(r, ledger.Failed, nil, 0, 0)
+	l.counters.recordRefusal(action.Kind, state.halfClosed())
+	if action.Kind == scheduler.Fail {
+		l.answerRequest(state, ledger.Failed, nil, 0, 0)
 		return
 	}
-	d := l.notify(Event{Kind: RequestRejecting, Request: &r.Request, AfterMS: a.AfterMS})
-	l.answerRequest(r, ledger.Rejected, nil, d.retryAfterMS, 0)
+	decided := l.notify(Event{Kind: RequestRejecting, Request: &state.Request, RetryAfterMS: action.AfterMS})
+	l.answerRequest(state, ledger.Rejected, nil, decided.retryAfterMS, 0)
 }
 
-// startHealthCheck sends a health check and sets the timer that counts it as missed.
+// startHealthCheck sends a health check and sets its timeout.
 func (l *Loop) startHealthCheck(now float64, executor uint32) {
 	l.lastToken++
 	l.counters.HealthChecks++
@@ -199,21 +206,31 @@
 		event := scheduler.Event{Kind: scheduler.HealthChecked, Executor: executor, Outcome: scheduler.LocalFailure}
 		l.pending = append(l.pending, QueueItem{Event: event, Token: l.lastToken})
 	}
-	l.timers.push(timer{at: now + l.HealthCheckTimeoutMS, kind: healthCheckTimer, token: l.lastToken, executor: executor})
+	l.timers.push(timer{
+		at:       now + l.HealthCheckTimeoutMS,
+		kind:     healthCheckTimer,
+		token:    l.lastToken,
+		executor: executor,
+	})
 }
 
-// expireHealthCheck counts a health check as missed. Where this process stalled, the answer may be there and not be read yet:
-// it gets a little more time.
-func (l *Loop) expireHealthCheck(now float64, t timer) {
-	if l.healthChecks[t.executor] != t.token {
+// expireHealthCheck reports an unanswered health check as timed out. If this process stalled, the answer may have
+// arrived without being read yet, so the check gets additional time.
+func (l *Loop) expireHealthCheck(now float64, due timer) {
+	if l.healthChecks[due.executor] != due.token {
 		return
 	}
-	if now-t.at > stallMS {
-		t.at = now + stallMS
-		l.timers.push(t)
+	if now-due.at > stallThresholdMS {
+		due.at = now + stallThresholdMS
+		l.timers.push(due)
 		return
 	}
-	l.Executors.ForgetHealthCheck(t.executor, t.token)
-	event := scheduler.Event{Kind: scheduler.HealthChecked, Executor: t.executor, Outcome: scheduler.TimedOut, ElapsedMS: l.HealthCheckTimeoutMS}
-	l.process(QueueItem{Event: event, Token: t.token, queuedAt: t.at})
+	l.Executors.ForgetHealthCheck(due.executor, due.token)
+	event := scheduler.Event{
+		Kind:      scheduler.HealthChecked,
+		Executor:  due.executor,
+		Outcome:   scheduler.TimedOut,
+		ElapsedMS: l.HealthCheckTimeoutMS,
+	}
+	l.process(QueueItem{Event: event, Token: due.token, queuedAt: due.at})
 }
--- a/internal/dispatch/extension.go
+++ b/internal/dispatch/extension.go
@@ -5,8 +5,8 @@
 	"liftshift/scheduler"
 )
 
-// Extension is a subsystem that takes part in the handling of requests beside the scheduler. Handle gets each event, in order, and
-// appends its commands to out. It runs on the loop's goroutine and never waits.
+// Extension is a subsystem that takes part in the handling of requests beside the scheduler. Handle gets every event in
+// order and appends its commands to out. It runs on the loop's goroutine and must not block.
 type Extension interface {
 	Handle(now float64, event *Event, out []Command) []Command
 }
@@ -14,81 +14,131 @@
 // EventKind tells what an Event is about.
 type EventKind uint8
 
-// Kinds of events. The first eleven come in this order for one request.
+// Kinds of events. Those up to RequestClosed are about one request and occur in this order. The comments name the
+// commands that decide about an event.
 const (
-	RequestArriving     EventKind = iota // an extension may Suspend it; it is then left alone until Resume or AnswerSuspended
-	SuspendedClientLeft                  // the client of a suspended request has left
-	RequestReceived                      // before it is entered, with the Prior that is known: AnswerFromRecord or Admit
-	RequestEntered                       // before the scheduler has it: HoldRequest
-	AttemptStarting                      // an attempt is about to be made: HoldAttempt or BlockAttempt
-	AttemptStarted                       // it has been made, and may be on its way
-	AttemptEnded                         // it has its outcome
-	RequestReturned                      // the scheduler does not have the request any more
-	RequestRejecting                     // it is about to be rejected: SetRetryAfter
-	RequestEnding                        // it is about to be answered: WithholdAnswer
-	RequestClosed                        // it has its final answer, or its client left
-	EndpointsUpdated                     // the scheduler has a change of the endpoint list
-	ListUnavailable                      // the endpoint list is out of reach
-	ShutdownStarted                      // a graceful shutdown has begun
-	Ticked                               // every 100 ms
-	PeerMessage                          // Payload from the controller numbered Peer: Consume, or the scheduler gets it
-	MessagePosted                        // Message, from an extension's own goroutines
-	OutcomeQueried                       // Query: the extension that replies, now or later, answers Consume, and no other is asked
+	// RequestArriving says that a request has arrived. After Suspend it waits for Resume or AnswerSuspended.
+	RequestArriving EventKind = iota
+	// SuspendedClientLeft says that the client of a suspended request has left.
+	SuspendedClientLeft
+	// RequestReceived says that a request is about to be admitted, with the Prior known so far. AnswerFromRecord answers
+	// it instead; Admit adds what an extension knows of it.
+	RequestReceived
+	// RequestEntered says that a request was admitted. HoldRequest keeps it from the scheduler until OfferRequest.
+	RequestEntered
+	// AttemptStarting says that an attempt is about to be handed to the transport. HoldAttempt delays it until
+	// ReleaseAttempt; BlockAttempt ends it unsent.
+	AttemptStarting
+	// AttemptStarted says that an attempt was handed to the transport. Unless it is held, it may have been sent.
+	AttemptStarted
+	// AttemptEnded says that an attempt has its outcome.
+	AttemptEnded
+	// RequestReturned says that the scheduler returned a request, which it gets again at OfferRequest.
+	RequestReturned
+	// RequestRejecting says that a request is about to be rejected. SetRetryAfter changes when the client may retry.
+	RequestRejecting
+	// RequestEnding says that a request is about to be answered. WithholdAnswer delays the answer until DeliverAnswer.
+	RequestEnding
+	// RequestClosed says that a request has its final answer or that its client has left.
+	RequestClosed
+	// EndpointsUpdated says that the scheduler has handled an update of the endpoint list.
+	EndpointsUpdated
+	// ListUnavailable says that the endpoint list cannot be reached.
+	ListUnavailable
+	// ShutdownStarted says that a graceful shutdown has begun.
+	ShutdownStarted
+	// Ticked occurs every 100 ms.
+	Ticked
+	// PeerMessage carries Payload from the controller numbered Peer. The scheduler gets it unless an extension returns
+	// Consume.
+	PeerMessage
+	// MessagePosted carries a Message that a goroutine of an extension put into the queue.
+	MessagePosted
+	// OutcomeQueried carries a Query for the outcome of a request. The extension that replies, at once or later, returns
+	// Consume; the extensions behind it do not get the event.
+	OutcomeQueried
 )
 
-// Event is what an extension is told. Only the fields of its kind are set.
+// Event is something that happened in the loop. Only the fields of its kind are set.
 type Event struct {
-	Kind     EventKind
-	Request  *Request
-	Attempt  int
-	Executor uint32                 // AttemptStarting, AttemptStarted
-	GrantMB  float64                // AttemptStarted
-	NeverRan bool                   // AttemptEnded: the outcome proves that it never ran
-	Prior    scheduler.PriorAttempt // RequestReceived
-	Outcome  ledger.Outcome         // RequestEnding, RequestClosed
-	Body     []byte                 // RequestEnding, RequestClosed: the answer
-	CostMS   float64                // RequestClosed
-	AfterMS  float64                // RequestRejecting: as the scheduler has it
-	List     *scheduler.Event       // EndpointsUpdated
-	Peer     int
-	Payload  []byte
-	Message  any
-	Query    *OutcomeQuery
-
-	// SchedulerState returns the scheduler's state of executors and what it has learnt, on Ticked. The slices are valid during the call.
+	Kind         EventKind
+	Request      *Request
+	Attempt      int
+	Executor     uint32                 // AttemptStarting, AttemptStarted
+	GrantMB      float64                // AttemptStarted
+	NeverRan     bool                   // AttemptEnded: the outcome proves that the attempt never ran
+	Prior        scheduler.PriorAttempt // RequestReceived
+	Outcome      ledger.Outcome         // RequestEnding, RequestClosed
+	Body         []byte                 // RequestEnding, RequestClosed: the answer
+	CostMS       float64                // RequestClosed: the work that the request took; 0: unknown
+	RetryAfterMS float64                // RequestRejecting: when the client may retry, as the scheduler chose it
+	List         *scheduler.Event       // EndpointsUpdated: the event that the scheduler got
+	Peer         int                    // PeerMessage
+	Payload      []byte                 // PeerMessage
+	Message      any                    // MessagePosted
+	Query        *OutcomeQuery          // OutcomeQueried
+
+	// SchedulerState is set on Ticked. It returns the scheduler's view of the executors and its estimates; the slices
+	// are valid only until Handle returns.
 	SchedulerState func() ([]scheduler.ExecutorView, []scheduler.Estimate)
 }
 
 // CommandKind tells what a Command asks for.
 type CommandKind uint8
 
-// Kinds of commands, with the event that they answer, or what they do at any time.
+// Kinds of commands. The comment of a command that decides about an event begins with that event; the other commands
+// may be returned at any time.
 const (
-	Suspend          CommandKind = iota // RequestArriving
-	Resume                              // the suspended request ID goes on, with Prior
-	AnswerSuspended                     // the suspended request ID is answered: Outcome, Body, AfterMS
-	Adopt                               // Request is taken over, with Prior
-	Discard                             // request ID belongs to another controller now, or is over: it is dropped as if its client had left
-	WithholdAnswer                      // RequestEnding: the client gets its answer at DeliverAnswer
-	DeliverAnswer                       // request ID gets the answer that was withheld: Outcome, Body
-	ForwardQuery                        // Query goes to the extensions behind the first one
-	AnswerFromRecord                    // RequestReceived: Outcome, Body, AfterMS
-	Admit                               // RequestReceived: with Prior; Blocked: nothing may be sent for it
-	HoldRequest                         // RequestEntered: the scheduler gets it at OfferRequest
-	HoldAttempt                         // AttemptStarting: it leaves only at ReleaseAttempt
-	BlockAttempt                        // AttemptStarting: it must not leave, and no other may now
-	SetRetryAfter                       // RequestRejecting: AfterMS
-	Consume                             // PeerMessage, OutcomeQueried
-	ReleaseAttempt                      // Attempt of request ID may leave
-	FailAttempt                         // Attempt of request ID must not leave
-	RestoreState                        // Event is for the scheduler
-	OfferRequest                        // the scheduler gets request ID with PriorityCap and MemoryShare; Blocked: to reject it; Immediate: to start or return it
-	CapPriority                         // request ID is kept below PriorityCap
-	SendPeer                            // Payload to the controller numbered Peer, or to all below 0
-	ReportWait                          // the client of request ID, if it asked: StartMS and EndMS from now; below 0: not known
+	// Suspend answers RequestArriving: the request waits for Resume or AnswerSuspended.
+	Suspend CommandKind = iota
+	// Resume continues the suspended request ID, with Prior.
+	Resume
+	// AnswerSuspended answers the suspended request ID with Outcome, Body and AfterMS.
+	AnswerSuspended
+	// Adopt takes over Request from another controller, with Prior.
+	Adopt
+	// Discard drops request ID as if its client had left, because another controller owns or has answered the request.
+	Discard
+	// WithholdAnswer answers RequestEnding: the client gets its answer at DeliverAnswer.
+	WithholdAnswer
+	// DeliverAnswer gives the client of request ID, whose answer was withheld, the answer of Outcome and Body.
+	DeliverAnswer
+	// ForwardQuery passes Query to the extensions behind the first one.
+	ForwardQuery
+	// AnswerFromRecord answers RequestReceived: the request gets Outcome, Body and AfterMS without being admitted.
+	AnswerFromRecord
+	// Admit answers RequestReceived: the request is admitted with Prior; if Blocked, no attempt of it may be sent.
+	Admit
+	// HoldRequest answers RequestEntered: the scheduler gets the request at OfferRequest.
+	HoldRequest
+	// HoldAttempt answers AttemptStarting: the attempt is not sent before ReleaseAttempt.
+	HoldAttempt
+	// BlockAttempt answers AttemptStarting: the attempt must not be sent, and no other attempt of the request either. It
+	// is returned along with HoldAttempt.
+	BlockAttempt
+	// SetRetryAfter answers RequestRejecting: the rejection tells the client to retry after AfterMS.
+	SetRetryAfter
+	// Consume answers PeerMessage and OutcomeQueried: the extension handles the message or the query.
+	Consume
+	// ReleaseAttempt permits sending Attempt of request ID after HoldAttempt.
+	ReleaseAttempt
+	// FailAttempt forbids sending Attempt of request ID after HoldAttempt.
+	FailAttempt
+	// RestoreState passes Event, which carries recovered state, to the scheduler.
+	RestoreState
+	// OfferRequest hands request ID to the scheduler with PriorityCap and MemoryShare. If Blocked, the scheduler
+	// rejects it; if Immediate, the scheduler sends an attempt in the same step or returns the request.
+	OfferRequest
+	// CapPriority keeps the priority of request ID below PriorityCap and its memory within MemoryShare.
+	CapPriority
+	// SendPeer sends Payload to the controller numbered Peer, or to all controllers if Peer is below 0.
+	SendPeer
+	// ReportWait tells the client of request ID, if it wants to know, that the request is expected to start and to end
+	// StartMS and EndMS from now. Below 0: unknown.
+	ReportWait
 )
 
-// Command is what an extension asks the loop to do. Only the fields of its kind are set.
+// Command is something that an extension asks the loop to do. Only the fields of its kind are set.
 type Command struct {
 	Kind        CommandKind
 	ID          string
@@ -97,7 +147,7 @@
 	Blocked     bool
 	Outcome     ledger.Outcome
 	Body        []byte
-	AfterMS     float64
+	AfterMS     float64 // when a rejected client may retry
 	PriorityCap float64
 	MemoryShare float64
 	Immediate   bool
@@ -110,60 +160,63 @@
 	Query       *OutcomeQuery
 }
 
-// OutcomeQuery asks what became of a request, by its id or its idempotency key. Reply runs on the loop's goroutine and must not wait.
+// OutcomeQuery asks for the outcome of a request, by its id or its idempotency key. Reply runs on the loop's goroutine
+// and must not block.
 type OutcomeQuery struct {
 	ID, IdempotencyKey string
 	Reply              func(ledger.Effect)
 }
 
-// Register adds an extension. It is called before Run. Extensions get events in the order of their registration.
+// Register adds an extension. Call it before Run. Extensions get events in the order of their registration.
 func (l *Loop) Register(e Extension) { l.extensions = append(l.extensions, e) }
 
-// Execute carries out commands outside of an event. It is called on the loop's goroutine (see Call).
+// Execute carries out commands outside of an event. Call it on the loop's goroutine only (see Call).
 func (l *Loop) Execute(list []Command) { l.execute(list, &decision{}) }
 
-// notify tells all extensions of an event, carries out their commands and returns what they decide about it. Without extensions it
-// costs nothing.
+// notify passes an event to all extensions, carries out their commands and returns what they decide about the event.
+// Without extensions it does not allocate.
 func (l *Loop) notify(event Event) decision {
 	if len(l.extensions) == 0 {
-		return decision{retryAfterMS: event.AfterMS}
+		return decision{retryAfterMS: event.RetryAfterMS}
 	}
 	return l.notifyExtensions(event)
 }
 
-// notifyExtensions is apart from notify so that the event escapes to the heap only where there are extensions.
+// notifyExtensions is separate from notify so that the event escapes to the heap only if there are extensions.
 func (l *Loop) notifyExtensions(event Event) decision {
-	d := decision{retryAfterMS: event.AfterMS}
+	decided := decision{retryAfterMS: event.RetryAfterMS}
 	list := l.commands[:0]
-	l.commands = nil // commands may cause further events
+	l.commands = nil // in use: executing the commands may notify again
 	for _, e := range l.extensions {
 		list = e.Handle(l.clock.Now(), &event, list)
 		if event.Kind == OutcomeQueried && len(list) > 0 {
 			break
 		}
 	}
-	l.execute(list, &d)
+	l.execute(list, &decided)
 	l.commands = list
-	return d
+	return decided
 }
 
-// answerQuery answers what became of a request. One that is open here has no outcome yet, whatever is on record.
-func (l *Loop) answerQuery(q *OutcomeQuery) {
-	if q.ID != "" && l.requests[q.ID] != nil && !l.requests[q.ID].answered {
-		q.Reply(ledger.Effect{Outcome: ledger.Open})
+// answerQuery replies to a query for the outcome of a request, or passes it to the extensions. A request that is open
+// in this controller has no outcome yet, whatever the extensions have on record.
+func (l *Loop) answerQuery(query *OutcomeQuery) {
+	if query.ID != "" && l.requests[query.ID] != nil && !l.requests[query.ID].answered {
+		query.Reply(ledger.Effect{Outcome: ledger.Open})
 		return
 	}
-	if !l.notify(Event{Kind: OutcomeQueried, Query: q}).consumed {
-		q.Reply(ledger.Effect{})
+	if !l.notify(Event{Kind: OutcomeQueried, Query: query}).consumed {
+		query.Reply(ledger.Effect{})
 	}
 }
 
-// forwardQuery asks the extensions behind the first one, which does not know.
-func (l *Loop) forwardQuery(q *OutcomeQuery) {
+// forwardQuery passes a query that the first extension could not answer to the extensions behind it.
+func (l *Loop) forwardQuery(query *OutcomeQuery) {
 	for k := 1; k < len(l.extensions); k++ {
-		if commands := l.extensions[k].Handle(l.clock.Now(), &Event{Kind: OutcomeQueried, Query: q}, nil); len(commands) > 0 {
+		event := &Event{Kind: OutcomeQueried, Query: query}
+		if commands := l.extensions[k].Handle(l.clock.Now(), event, nil); len(commands) > 0 {
 			return
 		}
 	}
-	q.Reply(ledger.Effect{})
+	query.Reply(ledger.Effect{})
 }
--- a/internal/dispatch/extension_test.go
+++ b/internal/dispatch/extension_test.go
@@ -13,79 +13,95 @@
 	"liftshift/scheduler"
 )
 
-// newExtendedLoop returns a loop with request a and an extension that answers events with the given commands and records their kinds.
-func newExtendedLoop(transport *fakeTransport, at map[EventKind][]Command) (loop *Loop, policy *fakePolicy, heard *[]EventKind) {
+// extensionFunc is an Extension without state.
+type extensionFunc func(event *Event, out []Command) []Command
+
+func (f extensionFunc) Handle(_ float64, event *Event, out []Command) []Command { return f(event, out) }
+
+// commandsByEvent are the commands with which an extension answers each kind of event.
+type commandsByEvent = map[EventKind][]Command
+
+// newExtendedLoop returns a loop with request a and an extension that answers events with the given commands. The
+// extension appends the kind of each event to received.
+func newExtendedLoop(transport *fakeTransport, commands commandsByEvent) (
+	loop *Loop, policy *fakePolicy, received *[]EventKind,
+) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	policy = &fakePolicy{actions: map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {{Kind: scheduler.SetResources, Request: "a", GrantMB: 64, Level: 3}, {Kind: scheduler.Send, Request: "a", Executor: 7}}}}
+	policy = &fakePolicy{actions: sendToExecutor7()}
 	loop = New(NewClock(), policy, log)
 	loop.Executors, loop.HealthCheckTimeoutMS = transport, 250
-	heard = &[]EventKind{}
-	loop.Register(extensionFunc(func(h *Event, out []Command) []Command {
-		*heard = append(*heard, h.Kind)
-		return append(out, at[h.Kind]...)
+	received = &[]EventKind{}
+	loop.Register(extensionFunc(func(event *Event, out []Command) []Command {
+		*received = append(*received, event.Kind)
+		return append(out, commands[event.Kind]...)
 	}))
 	loop.openCount.Add(1)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, transport)})
-	return loop, policy, heard
+	loop.process(requestArrived(newRequest(loop, transport)))
+	return loop, policy, received
 }
 
 var suspendCommands = []Command{{Kind: Suspend}}
 
 func TestLoop_SuspendedRequestIsResumedOrAnswered(t *testing.T) {
+	answer := func(outcome ledger.Outcome, body []byte) Command {
+		return Command{Kind: AnswerSuspended, ID: "a", Outcome: outcome, Body: body}
+	}
 	for name, c := range map[string]struct {
-		follow Command
-		did    []string
-		prior  float64
+		followUp    Command // ends the suspension
+		calls       []string
+		wantPriorAt float64 // 0: the scheduler does not get the request
 	}{
 		"resumed":  {Command{Kind: Resume, ID: "a", Prior: scheduler.PriorAttempt{At: 7}}, nil, 7},
-		"answered": {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Succeeded, Body: []byte("rows")}, []string{"succeeded"}, 0},
-		"rejected": {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Rejected}, []string{"rejected"}, 0},
-		"failed":   {Command{Kind: AnswerSuspended, ID: "a", Outcome: ledger.Succeeded}, []string{"failed"}, 0},
+		"answered": {answer(ledger.Succeeded, []byte("rows")), []string{"succeeded"}, 0},
+		"rejected": {answer(ledger.Rejected, nil), []string{"rejected"}, 0},
+		"failed":   {answer(ledger.Succeeded, nil), []string{"failed"}, 0},
 	} {
-		for _, atOnce := range []bool{false, true} { // in the same step, or later
-			transport, at := &fakeTransport{}, map[EventKind][]Command{RequestArriving: suspendCommands}
-			if atOnce {
-				at[RequestArriving] = append(suspendCommands[:1:1], c.follow)
+		for _, sameStep := range []bool{false, true} { // whether the follow-up comes in the same step as Suspend
+			transport, commands := &fakeTransport{}, commandsByEvent{RequestArriving: suspendCommands}
+			if sameStep {
+				commands[RequestArriving] = append(suspendCommands[:1:1], c.followUp)
 			}
-			loop, policy, heard := newExtendedLoop(transport, at)
-			if !atOnce {
-				assert.Nil(t, policy.lastEvent(scheduler.RequestArrived), "the scheduler does not have it yet")
-				assert.Equal(t, 1, loop.OpenRequests())
-				loop.Execute([]Command{c.follow})
+			loop, policy, received := newExtendedLoop(transport, commands)
+			if !sameStep {
+				assert.Nil(t, policy.lastEvent(scheduler.RequestArrived), "%s: not scheduled yet", name)
+				assert.Equal(t, 1, loop.OpenRequests(), name)
+				loop.Execute([]Command{c.followUp})
 				loop.processPending()
 			}
 			assert.Empty(t, loop.suspended, name)
-			assert.Equal(t, c.did, transport.calls, name)
-			if c.prior != 0 {
+			assert.Equal(t, c.calls, transport.calls, name)
+			if c.wantPriorAt != 0 {
 				require.NotNil(t, policy.lastEvent(scheduler.RequestArrived), name)
-				assert.Equal(t, c.prior, policy.lastEvent(scheduler.RequestArrived).Prior.At)
-				assert.Contains(t, *heard, RequestReceived)
+				assert.Equal(t, c.wantPriorAt, policy.lastEvent(scheduler.RequestArrived).Prior.At, name)
+				assert.Contains(t, *received, RequestReceived, name)
 			} else {
-				assert.Nil(t, policy.lastEvent(scheduler.RequestArrived))
-				assert.Zero(t, loop.OpenRequests())
+				assert.Nil(t, policy.lastEvent(scheduler.RequestArrived), name)
+				assert.Zero(t, loop.OpenRequests(), name)
 			}
 		}
 	}
 }
 
-func TestLoop_SuspendedClientLeaves(t *testing.T) {
+func TestLoop_DropsSuspendedRequestOfClientThatLeft(t *testing.T) {
 	transport := &fakeTransport{}
-	loop, policy, heard := newExtendedLoop(transport, map[EventKind][]Command{RequestArriving: suspendCommands})
+	loop, policy, received := newExtendedLoop(transport, commandsByEvent{RequestArriving: suspendCommands})
 	loop.openCount.Add(1)
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: newRequest(loop, transport)})
-	assert.Equal(t, []string{"failed"}, transport.calls, "its id came twice")
-	loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a"}, Client: transport, Token: 5})
-	assert.Equal(t, SuspendedClientLeft, (*heard)[len(*heard)-1])
+	loop.process(requestArrived(newRequest(loop, transport)))
+	assert.Equal(t, []string{"failed"}, transport.calls, "a second request with the id of a suspended one fails")
+	loop.process(clientLeft(transport, 5))
+	assert.Equal(t, SuspendedClientLeft, (*received)[len(*received)-1])
 	assert.Zero(t, loop.OpenRequests())
 	loop.Execute([]Command{{Kind: Resume, ID: "a"}})
 	loop.processPending()
 	assert.Nil(t, policy.lastEvent(scheduler.RequestArrived))
 }
 
-func TestLoop_AttemptLeavesOnceAllExtensionsReleaseIt(t *testing.T) {
+func TestLoop_SendsHeldAttemptOnceAllExtensionsReleaseIt(t *testing.T) {
 	transport := &fakeTransport{}
-	loop, _, _ := newExtendedLoop(transport, map[EventKind][]Command{AttemptStarting: {{Kind: HoldAttempt}, {Kind: HoldAttempt}}})
+	loop, _, _ := newExtendedLoop(transport, commandsByEvent{
+		AttemptStarting: {{Kind: HoldAttempt}, {Kind: HoldAttempt}},
+	})
 	require.Len(t, transport.sent, 1)
 	assert.True(t, transport.sent[0].Held)
 	loop.Execute([]Command{{Kind: ReleaseAttempt, ID: "a"}})
@@ -96,26 +112,29 @@
 
 func TestLoop_WithheldAnswerIsDeliveredOnce(t *testing.T) {
 	transport := &fakeTransport{}
-	loop, _, heard := newExtendedLoop(transport, map[EventKind][]Command{RequestEnding: {{Kind: WithholdAnswer}}})
+	loop, _, received := newExtendedLoop(transport, commandsByEvent{RequestEnding: {{Kind: WithholdAnswer}}})
 	loop.process(attemptEnded(scheduler.Succeeded))
 	assert.Empty(t, transport.calls)
-	assert.Equal(t, 1, loop.OpenRequests(), "a graceful shutdown waits for it")
-	assert.Contains(t, *heard, RequestClosed)
+	assert.Equal(t, 1, loop.OpenRequests(), "a graceful shutdown waits for the withheld answer")
+	assert.Contains(t, *received, RequestClosed)
 	loop.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Succeeded, Body: []byte("rows")}})
 	assert.Equal(t, []string{"succeeded"}, transport.calls)
 	assert.Zero(t, loop.OpenRequests())
 	assert.Empty(t, loop.requests)
 	loop.Execute([]Command{{Kind: DeliverAnswer, ID: "a", Outcome: ledger.Rejected}})
-	assert.Len(t, transport.calls, 1, "once")
+	assert.Len(t, transport.calls, 1, "the answer is delivered once")
 }
 
 func TestLoop_AdoptsAndDiscardsRequest(t *testing.T) {
 	transport := &fakeTransport{cancelResult: CancelSent}
-	loop, policy, heard := newExtendedLoop(transport, map[EventKind][]Command{RequestArriving: {{Kind: Suspend}, {Kind: AnswerSuspended, ID: "a", Outcome: ledger.Rejected}}})
-	*heard = nil
-	loop.Execute([]Command{{Kind: Adopt, Request: newRequest(loop, transport), Prior: scheduler.PriorAttempt{At: 9}}})
+	loop, policy, received := newExtendedLoop(transport, commandsByEvent{
+		RequestArriving: {{Kind: Suspend}, {Kind: AnswerSuspended, ID: "a", Outcome: ledger.Rejected}},
+	})
+	*received = nil
+	adopted := newRequest(loop, transport)
+	loop.Execute([]Command{{Kind: Adopt, Request: adopted, Prior: scheduler.PriorAttempt{At: 9}}})
 	loop.processPending()
-	assert.NotContains(t, *heard, RequestArriving, "its extension has it already")
+	assert.NotContains(t, *received, RequestArriving, "the extension that adopts a request knows it already")
 	assert.Equal(t, 9.0, policy.lastEvent(scheduler.RequestArrived).Prior.At)
 	loop.Execute([]Command{{Kind: Discard, ID: "a"}})
 	loop.processPending()
@@ -123,38 +142,64 @@
 	assert.Zero(t, loop.OpenRequests())
 }
 
-// A client that closed its writing side only gets its answer whether its request is suspended, queued, or was stopped at the last
-// check before its attempt left.
+// A client that closed only its writing side gets an answer whether its request is suspended, queued, or was blocked at
+// the last check before its attempt was sent.
 func TestLoop_AnswersHalfClosedClientInEveryState(t *testing.T) {
-	half := func(loop *Loop, c Client) {
-		loop.process(QueueItem{Event: scheduler.Event{Kind: scheduler.ClientLeft, Request: "a", HalfClosed: true}, Client: c, Token: 5})
+	halfClose := func(loop *Loop, client Client) {
+		event := scheduler.Event{Kind: scheduler.ClientLeft, Request: "a", HalfClosed: true}
+		loop.process(QueueItem{Event: event, Client: client, Token: 5})
 	}
+	rejectA := []scheduler.Action{{Kind: scheduler.Reject, Request: "a"}}
+
 	transport := &fakeTransport{}
-	loop, policy, _ := newExtendedLoop(transport, map[EventKind][]Command{RequestArriving: suspendCommands})
-	half(loop, transport)
-	assert.Equal(t, []string{"failed"}, transport.calls, "what other controllers know of it is not known here")
+	loop, policy, _ := newExtendedLoop(transport, commandsByEvent{RequestArriving: suspendCommands})
+	halfClose(loop, transport)
+	assert.Equal(t, []string{"failed"}, transport.calls, "a suspended request may have run on another controller")
 	assert.Nil(t, policy.lastEvent(scheduler.RequestArrived))
 	assert.Zero(t, loop.OpenRequests())
 
 	transport = &fakeTransport{}
-	loop, policy, _ = newExtendedLoop(transport, map[EventKind][]Command{RequestEntered: {{Kind: HoldRequest}}})
-	policy.actions = map[scheduler.EventKind][]scheduler.Action{scheduler.RequestArrived: {{Kind: scheduler.Reject, Request: "a"}}}
-	half(loop, transport)
-	assert.True(t, policy.lastEvent(scheduler.RequestArrived).Blocked, "the scheduler gets it to reject it")
+	loop, policy, _ = newExtendedLoop(transport, commandsByEvent{RequestEntered: {{Kind: HoldRequest}}})
+	policy.actions = actionsByEvent{scheduler.RequestArrived: rejectA}
+	halfClose(loop, transport)
+	assert.True(t, policy.lastEvent(scheduler.RequestArrived).Blocked, "the scheduler gets the request to reject it")
 	assert.Equal(t, []string{"rejected"}, transport.calls)
 	assert.Zero(t, loop.OpenRequests())
 
 	transport = &fakeTransport{}
-	loop, policy = newLoopWithAttempt(transport, map[scheduler.EventKind][]scheduler.Action{scheduler.AttemptEnded: {{Kind: scheduler.Reject, Request: "a"}}})
-	s := loop.requests["a"]
-	s.ClientGone, s.HalfClosed = &atomic.Bool{}, &atomic.Bool{}
-	s.HalfClosed.Store(true)
-	s.ClientGone.Store(true)
+	loop, policy = newLoopWithAttempt(transport, actionsByEvent{scheduler.AttemptEnded: rejectA})
+	state := loop.requests["a"]
+	state.ClientGone, state.HalfClosed = &atomic.Bool{}, &atomic.Bool{}
+	state.HalfClosed.Store(true)
+	state.ClientGone.Store(true)
 	loop.process(attemptEnded(scheduler.NeverSent))
-	assert.Equal(t, []bool{true, false}, []bool{policy.lastEvent(scheduler.AttemptEnded).Blocked, policy.lastEvent(scheduler.AttemptEnded).Final})
+	assert.True(t, policy.lastEvent(scheduler.AttemptEnded).Blocked)
+	assert.False(t, policy.lastEvent(scheduler.AttemptEnded).Final)
 	assert.Equal(t, []string{"rejected"}, transport.calls)
-	half(loop, transport)
-	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft), "told once")
+	halfClose(loop, transport)
+	assert.Nil(t, policy.lastEvent(scheduler.ClientLeft), "the scheduler knows already that the request is over")
 	assert.Zero(t, loop.OpenRequests())
-	assert.Equal(t, []uint64{1, 0}, []uint64{loop.counters.ClientLeft, loop.counters.Rejected}, "most likely it has gone")
+	assert.Equal(t, uint64(1), loop.counters.ClientLeft, "a half-closed client has probably left")
+	assert.Zero(t, loop.counters.Rejected, "the request counts under ClientLeft instead")
+}
+
+// Extensions get events in the order of their registration and decide together. Without extensions nothing is
+// allocated.
+func TestLoop_NotifiesExtensionsInOrder(t *testing.T) {
+	loop, _ := newLoopWithAttempt(&fakeTransport{}, nil)
+	assert.Zero(t, testing.AllocsPerRun(100, func() { loop.notify(Event{Kind: Ticked}) }))
+	var notified []string
+	loop.Register(extensionFunc(func(_ *Event, out []Command) []Command {
+		notified = append(notified, "first")
+		return append(out, Command{Kind: Admit, Blocked: true}, Command{Kind: HoldAttempt})
+	}))
+	loop.Register(extensionFunc(func(_ *Event, out []Command) []Command {
+		notified = append(notified, "second")
+		prior := scheduler.PriorAttempt{At: 7}
+		return append(out, Command{Kind: Admit, Prior: prior}, Command{Kind: SetRetryAfter, AfterMS: 3})
+	}))
+	decided := loop.notify(Event{Kind: RequestReceived, RetryAfterMS: 9})
+	assert.Equal(t, []string{"first", "second"}, notified)
+	want := decision{blocked: true, prior: scheduler.PriorAttempt{At: 7}, holds: 1, retryAfterMS: 3}
+	assert.Equal(t, want, decided)
 }
--- a/internal/dispatch/quota_extension.go
+++ b/internal/dispatch/quota_extension.go
@@ -7,59 +7,66 @@
 	"liftshift/scheduler"
 )
 
-// QuotaManager decides which queued request the scheduler gets next. Its methods run on the loop's goroutine and never wait.
+// QuotaManager decides which queued request the scheduler gets next. Its methods run on the loop's goroutine and must
+// not block.
 type QuotaManager interface {
-	Step(now float64, ev *quota.Event) []quota.Effect
-	// TeamOf returns the team that a request counts for.
-	TeamOf(s *Request) string
+	Step(now float64, event *quota.Event) []quota.Effect
+	// TeamOf returns the team whose quota a request counts against.
+	TeamOf(request *Request) string
 	EndpointsUpdated(now float64, list scheduler.ListKind, entries []scheduler.Endpoint) []quota.Effect
-	// WaitEstimate returns when a queued request will start and end, from now; below 0: not known.
+	// WaitEstimate returns the times from now until a queued request starts and ends. Below 0: unknown.
 	WaitEstimate(now float64, id string) (startMS, endMS float64)
-	// PeerMessages returns what other controllers are to be sent now.
+	// PeerMessages returns the messages that are due to other controllers.
 	PeerMessages(now float64) []quotashare.Message
+	// HandlePeerMessage handles a message from another controller and returns the replies to it.
 	HandlePeerMessage(now float64, from int, data []byte) []quotashare.Message
-	// ChangedEstimates calls each for the estimates that changed much since they were reported.
-	ChangedEstimates(now float64, each func(id string, startMS, endMS float64))
+	// ChangedEstimates calls report for each wait estimate that differs much from the one reported last.
+	ChangedEstimates(now float64, report func(id string, startMS, endMS float64))
 }
 
-// QuotaExtension returns the extension that queues requests by quota.
-func QuotaExtension(m QuotaManager) Extension { return quotaExtension{m} }
+// QuotaExtension returns the extension that queues requests until their team's quota permits them.
+func QuotaExtension(manager QuotaManager) Extension { return quotaExtension{manager} }
 
 type quotaExtension struct{ QuotaManager }
 
 // Handle implements Extension.
 func (q quotaExtension) Handle(now float64, event *Event, out []Command) []Command {
-	r := event.Request
+	request := event.Request
 	switch event.Kind {
 	case RequestEntered:
 		out = append(out, Command{Kind: HoldRequest})
 		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{
 			Kind:     quota.RequestQueued,
-			ID:       r.ID,
-			Team:     q.TeamOf(r),
-			Class:    r.Class,
-			WorkMS:   r.WorkMS,
-			MemoryMB: r.MemoryMB,
-			Deadline: r.Deadline,
-			Ordered:  r.OrderKey != "",
+			ID:       request.ID,
+			Team:     q.TeamOf(request),
+			Class:    request.Class,
+			WorkMS:   request.WorkMS,
+			MemoryMB: request.MemoryMB,
+			Deadline: request.Deadline,
+			Ordered:  request.OrderKey != "",
 		}))
-		if r.WantsWaitEstimate {
-			start, end := q.WaitEstimate(now, r.ID)
-			out = append(out, Command{Kind: ReportWait, ID: r.ID, StartMS: start, EndMS: end})
+		if request.WantsWaitEstimate {
+			startMS, endMS := q.WaitEstimate(now, request.ID)
+			out = append(out, Command{Kind: ReportWait, ID: request.ID, StartMS: startMS, EndMS: endMS})
 		}
 	case AttemptStarted:
-		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.AttemptStarted, ID: r.ID, GrantMB: event.GrantMB}))
+		started := &quota.Event{Kind: quota.AttemptStarted, ID: request.ID, GrantMB: event.GrantMB}
+		out = AppendQuotaCommands(out, q.Step(now, started))
 	case AttemptEnded:
-		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.AttemptEnded, ID: r.ID}))
+		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.AttemptEnded, ID: request.ID}))
 	case RequestReturned:
-		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.RequestReturned, ID: r.ID}))
+		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.RequestReturned, ID: request.ID}))
 	case RequestClosed:
-		succeeded := event.Outcome == ledger.Succeeded
-		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.RequestClosed, ID: r.ID, CostMS: event.CostMS, Succeeded: succeeded}))
+		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{
+			Kind:      quota.RequestClosed,
+			ID:        request.ID,
+			CostMS:    event.CostMS,
+			Succeeded: event.Outcome == ledger.Succeeded,
+		}))
 	case RequestRejecting:
-		// When the request would have started, where that is known, but at most twice what the scheduler says.
-		if start, _ := q.WaitEstimate(now, r.ID); event.AfterMS > 0 && start > 0 {
-			out = append(out, Command{Kind: SetRetryAfter, AfterMS: min(start, 2*event.AfterMS)})
+		// The client may retry when the request would have started, but after at most twice the scheduler's time.
+		if startMS, _ := q.WaitEstimate(now, request.ID); event.RetryAfterMS > 0 && startMS > 0 {
+			out = append(out, Command{Kind: SetRetryAfter, AfterMS: min(startMS, 2*event.RetryAfterMS)})
 		}
 	case EndpointsUpdated:
 		out = AppendQuotaCommands(out, q.EndpointsUpdated(now, event.List.List, event.List.Endpoints))
@@ -76,28 +83,29 @@
 	return out
 }
 
+// tick advances the quotas, then reports changed wait estimates to clients and sends due messages to other controllers.
 func (q quotaExtension) tick(now float64, out []Command) []Command {
 	out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.Ticked}))
-	q.ChangedEstimates(now, func(id string, start, end float64) {
-		out = append(out, Command{Kind: ReportWait, ID: id, StartMS: start, EndMS: end})
+	q.ChangedEstimates(now, func(id string, startMS, endMS float64) {
+		out = append(out, Command{Kind: ReportWait, ID: id, StartMS: startMS, EndMS: endMS})
 	})
 	return appendPeerMessages(out, q.PeerMessages(now))
 }
 
-// AppendQuotaCommands appends the commands for the effects of a quota tree.
+// AppendQuotaCommands appends the commands for the effects of a quota step.
 func AppendQuotaCommands(out []Command, effects []quota.Effect) []Command {
-	for _, e := range effects {
+	for _, effect := range effects {
 		kind := CapPriority
-		if e.Kind == quota.Offer {
+		if effect.Kind == quota.Offer {
 			kind = OfferRequest
 		}
 		out = append(out, Command{
 			Kind:        kind,
-			ID:          e.ID,
-			PriorityCap: e.PriorityCap,
-			MemoryShare: e.MemoryShare,
-			Blocked:     e.QueueFull,
-			Immediate:   e.Immediate,
+			ID:          effect.ID,
+			PriorityCap: effect.PriorityCap,
+			MemoryShare: effect.MemoryShare,
+			Blocked:     effect.QueueFull,
+			Immediate:   effect.Immediate,
 		})
 	}
 	return out
@@ -105,8 +113,8 @@
 
 // appendPeerMessages appends the commands that send messages to other controllers.
 func appendPeerMessages(out []Command, messages []quotashare.Message) []Command {
-	for _, m := range messages {
-		out = append(out, Command{Kind: SendPeer, Peer: m.To, Payload: m.Data})
+	for _, message := range messages {
+		out = append(out, Command{Kind: SendPeer, Peer: message.To, Payload: message.Data})
 	}
 	return out
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,226 +9,241 @@
 	"liftshift/scheduler"
 )
 
-// Client gets the answer of a request. Tag is the client's own name for the request. Its methods never wait.
+// Client receives the answers of its requests. A tag is the client's own number of a request. The methods must not
+// block.
 type Client interface {
 	Succeeded(tag uint64, body []byte)
-	Rejected(tag uint64, afterMS float64)
+	Rejected(tag uint64, retryAfterMS float64)
 	Failed(tag uint64)
 }
 
-// Request is what a client server hands over.
+// Request is a request as a client server submits it.
 type Request struct {
 	ID                string
 	Class             string
-	OrderKey          string // requests of one key run in order
+	OrderKey          string // requests with the same key run in order
 	IdempotencyKey    string
 	TableGroup        uint64
 	MemoryMB          float64
 	WorkMS            float64
-	Deadline          float64 // clock at which the client gives up
-	Team              string  // as the client says
+	Deadline          float64 // time at which the client gives up
+	Team              string  // as the client claims
 	ClientAddr        netip.Addr
 	Schema            string
-	WantsWaitEstimate bool // the client wants to be told how long it will wait
+	WantsWaitEstimate bool // the client accepts estimates of how long the request will wait
 	Retried           bool
 	Body              []byte // passed on unchanged
 	Client            Client
 	Tag               uint64
-	ClientGone        *atomic.Bool // set once its client is known to have left, before ClientLeft comes through the queue; nil: not known
-	HalfClosed        *atomic.Bool // set before ClientGone where the client closed its writing side only and may still read its answer
+	// ClientGone is set once the client is known to have left, which may be before ClientLeft is read from the queue.
+	// Nil if that is not tracked.
+	ClientGone *atomic.Bool
+	// HalfClosed is set before ClientGone if the client closed only its writing side and may still read its answer.
+	HalfClosed *atomic.Bool
 }
 
 // Abandoned returns whether the client is known to have left.
 func (r *Request) Abandoned() bool { return r.ClientGone != nil && r.ClientGone.Load() }
 
-// halfClosed returns whether the client closed its writing side only and still gets an answer.
+// halfClosed returns whether the client closed only its writing side and still gets an answer.
 func (r *Request) halfClosed() bool { return r.HalfClosed != nil && r.HalfClosed.Load() }
 
-// request is the state of an open request.
-type request struct {
+// requestState is the loop's state of an admitted request.
+type requestState struct {
 	Request
-	prior          scheduler.PriorAttempt // what may have run under its idempotency key
-	blocked        bool                   // nothing may be sent for it
-	queued         bool                   // held by an extension: the scheduler does not have it
+	prior          scheduler.PriorAttempt // an earlier attempt with the same idempotency key that may have run
+	blocked        bool                   // no attempt may be sent
+	queued         bool                   // held by an extension; the scheduler does not have the request
 	attempts       [maxAttempts]attempt
-	started        int // attempts
-	inFlight       int // attempts
+	started        int // attempts that were started
+	inFlight       int // attempts that have not ended
 	level          int
 	grantMB        float64
 	answered       bool
-	answerWithheld bool // answered, but an extension still withholds the answer from the client
+	answerWithheld bool // answered, but an extension withholds the answer from the client
 }
 
-// isKnown returns whether an id belongs to a request that is open or suspended.
+// isKnown returns whether an id belongs to a request that is admitted or suspended.
 func (l *Loop) isKnown(id string) bool { return l.requests[id] != nil || l.suspended[id] != nil }
 
-// admit enters a request and completes its event for the scheduler; nil if the request is suspended or answered instead.
-// A duplicate of an id fails and the first one goes on, also if that is closed, up to its deadline: a copy that ran
-// anew would count as one more attempt.
-func (l *Loop) admit(in *Request, event *scheduler.Event, resumed bool) *request {
-	_, closed := l.closedIDs[in.ID]
+// admit creates the state of a request and completes its event for the scheduler. It returns nil if the request is
+// suspended or answered instead.
+//
+// A request with a known id fails, and the first request with that id goes on. An id stays known until the deadline of
+// its request even after that is closed, because running it again would count as another attempt.
+func (l *Loop) admit(request *Request, event *scheduler.Event, resumed bool) *requestState {
+	_, closed := l.closedIDs[request.ID]
 	if !resumed {
 		l.counters.Received++
-		if len(l.extensions) > 0 && !closed && !l.isKnown(in.ID) && l.suspend(in) {
+		if len(l.extensions) > 0 && !closed && !l.isKnown(request.ID) && l.suspend(request) {
 			return nil
 		}
 	}
-	if !l.isKnown(in.ID) && l.receive(in, event, resumed) {
+	if !l.isKnown(request.ID) && l.receive(request, event, resumed) {
 		return nil
 	}
-	if closed || l.isKnown(in.ID) {
-		l.failDuplicate(in, resumed)
+	if closed || l.isKnown(request.ID) {
+		l.failDuplicate(request, resumed)
 		return nil
 	}
-	r := l.newRequest()
-	*r = request{Request: *in, prior: event.Prior, blocked: event.Blocked}
-	l.requests[in.ID] = r
-	event.Request = in.ID
-	event.Class = in.Class
-	event.TableGroup = in.TableGroup
-	event.OrderKey = in.OrderKey
-	event.MemoryMB = in.MemoryMB
-	event.WorkMS = in.WorkMS
-	event.Deadline = in.Deadline
-	event.Retried = in.Retried
-	l.timers.push(timer{at: in.Deadline, kind: deadlineTimer, request: in.ID})
-	return r
-}
-
-// suspend returns whether an extension suspends a request, or has had it answered already.
-func (l *Loop) suspend(in *Request) bool {
-	l.suspended[in.ID] = in // before the event: a command may resume or answer it at once
-	if l.notify(Event{Kind: RequestArriving, Request: in}).suspend || l.suspended[in.ID] == nil {
+	state := l.newRequestState()
+	*state = requestState{Request: *request, prior: event.Prior, blocked: event.Blocked}
+	l.requests[request.ID] = state
+	event.Request = request.ID
+	event.Class = request.Class
+	event.TableGroup = request.TableGroup
+	event.OrderKey = request.OrderKey
+	event.MemoryMB = request.MemoryMB
+	event.WorkMS = request.WorkMS
+	event.Deadline = request.Deadline
+	event.Retried = request.Retried
+	l.timers.push(timer{at: request.Deadline, kind: deadlineTimer, request: request.ID})
+	return state
+}
+
+// suspend returns whether an extension suspends a request, or has answered or resumed it already.
+func (l *Loop) suspend(request *Request) bool {
+	l.suspended[request.ID] = request // set before the event, because a command may resume or answer it at once
+	if l.notify(Event{Kind: RequestArriving, Request: request}).suspend || l.suspended[request.ID] == nil {
 		return true
 	}
-	delete(l.suspended, in.ID)
+	delete(l.suspended, request.ID)
 	return false
 }
 
-// receive lets the extensions answer a request from their records; if none does, it adds what they know of it to its event.
-func (l *Loop) receive(in *Request, event *scheduler.Event, resumed bool) (answered bool) {
-	d := l.notify(Event{Kind: RequestReceived, Request: in, Prior: event.Prior})
-	if d.answer != nil {
-		l.answerFromRecord(in, d.answer)
+// receive lets the extensions answer a request from their records. If none does, it adds to the event what they know of
+// earlier attempts.
+func (l *Loop) receive(request *Request, event *scheduler.Event, resumed bool) (answered bool) {
+	decided := l.notify(Event{Kind: RequestReceived, Request: request, Prior: event.Prior})
+	if decided.answer != nil {
+		l.answerFromRecord(request, decided.answer)
 		if resumed {
-			l.notify(Event{Kind: RequestClosed, Request: in, Outcome: d.answer.Outcome, Body: d.answer.Body})
+			l.notify(Event{
+				Kind:    RequestClosed,
+				Request: request,
+				Outcome: decided.answer.Outcome,
+				Body:    decided.answer.Body,
+			})
 		}
 		return true
 	}
-	event.Blocked = event.Blocked || d.blocked
-	if d.prior.At != 0 && (event.Prior.At == 0 || d.prior.At < event.Prior.At) {
-		event.Prior = d.prior
+	event.Blocked = event.Blocked || decided.blocked
+	if decided.prior.At != 0 && (event.Prior.At == 0 || decided.prior.At < event.Prior.At) {
+		event.Prior = decided.prior
 	}
 	return false
 }
 
-func (l *Loop) failDuplicate(in *Request, resumed bool) {
-	in.Client.Failed(in.Tag)
+// failDuplicate fails a request whose id is known already.
+func (l *Loop) failDuplicate(request *Request, resumed bool) {
+	request.Client.Failed(request.Tag)
 	l.openCount.Add(-1)
 	l.counters.DuplicateIDs++
 	if resumed {
-		l.notify(Event{Kind: RequestClosed, Request: in, Outcome: ledger.Failed})
+		l.notify(Event{Kind: RequestClosed, Request: request, Outcome: ledger.Failed})
 	}
 }
 
-// newRequest returns a request that was released, or a new one.
-func (l *Loop) newRequest() *request {
+// newRequestState returns a released state for reuse, or a new one.
+func (l *Loop) newRequestState() *requestState {
 	last := len(l.freeRequests) - 1
 	if last < 0 {
-		return &request{}
+		return &requestState{}
 	}
-	r := l.freeRequests[last]
+	state := l.freeRequests[last]
 	l.freeRequests = l.freeRequests[:last]
-	return r
+	return state
 }
 
-// answerRequest closes a request with its final answer. Where an extension withholds the answer, the client gets it at DeliverAnswer.
-func (l *Loop) answerRequest(r *request, outcome ledger.Outcome, body []byte, afterMS, costMS float64) {
+// answerRequest closes a request with its final answer. If an extension withholds the answer, the client gets it at
+// DeliverAnswer.
+func (l *Loop) answerRequest(state *requestState, outcome ledger.Outcome, body []byte, retryAfterMS, costMS float64) {
+	ending := Event{Kind: RequestEnding, Request: &state.Request, Outcome: outcome, Body: body}
 	switch {
-	case l.notify(Event{Kind: RequestEnding, Request: &r.Request, Outcome: outcome, Body: body}).withholdAnswer:
-		r.answerWithheld = true
+	case l.notify(ending).withholdAnswer:
+		state.answerWithheld = true
 		l.openCount.Add(1) // until it is delivered
 	case outcome == ledger.Succeeded:
-		r.Client.Succeeded(r.Tag, body)
+		state.Client.Succeeded(state.Tag, body)
 	default:
-		reply(&r.Request, outcome, body, afterMS)
+		reply(&state.Request, outcome, body, retryAfterMS)
 	}
-	l.closeRequest(r, outcome, body, costMS)
+	l.closeRequest(state, outcome, body, costMS)
 }
 
-// deliverAnswer gives a client the answer that was withheld, or what has become of the request instead.
-func (l *Loop) deliverAnswer(c *Command) {
-	r := l.requests[c.ID]
-	if r == nil || !r.answerWithheld {
+// deliverAnswer gives a client the answer of a command, in place of the answer that was withheld.
+func (l *Loop) deliverAnswer(command *Command) {
+	state := l.requests[command.ID]
+	if state == nil || !state.answerWithheld {
 		return
 	}
-	r.answerWithheld = false
+	state.answerWithheld = false
 	l.openCount.Add(-1)
-	reply(&r.Request, c.Outcome, c.Body, c.AfterMS)
-	l.releaseRequest(r)
+	reply(&state.Request, command.Outcome, command.Body, command.AfterMS)
+	l.releaseRequest(state)
 }
 
-// answerFromRecord answers a request that was never entered.
-func (l *Loop) answerFromRecord(in *Request, c *Command) {
-	reply(in, c.Outcome, c.Body, c.AfterMS)
+// answerFromRecord answers a request that was never admitted.
+func (l *Loop) answerFromRecord(request *Request, command *Command) {
+	reply(request, command.Outcome, command.Body, command.AfterMS)
 	l.openCount.Add(-1)
 	l.counters.FromRecord++
 }
 
-// reply gives a client its answer.
-func reply(r *Request, outcome ledger.Outcome, body []byte, afterMS float64) {
+// reply gives a client its answer. A success without a body is reported as failed, because there is nothing to return.
+func reply(request *Request, outcome ledger.Outcome, body []byte, retryAfterMS float64) {
 	switch {
 	case outcome == ledger.Succeeded && body != nil:
-		r.Client.Succeeded(r.Tag, body)
+		request.Client.Succeeded(request.Tag, body)
 	case outcome == ledger.Rejected:
-		r.Client.Rejected(r.Tag, afterMS)
+		request.Client.Rejected(request.Tag, retryAfterMS)
 	default:
-		r.Client.Failed(r.Tag)
+		request.Client.Failed(request.Tag)
 	}
 }
 
 // closeRequest marks a request as answered.
-func (l *Loop) closeRequest(r *request, outcome ledger.Outcome, body []byte, costMS float64) {
-	if !invariant.Check(!r.answered, "a request is answered once") {
+func (l *Loop) closeRequest(state *requestState, outcome ledger.Outcome, body []byte, costMS float64) {
+	if !invariant.Check(!state.answered, "a request is answered once") {
 		return
 	}
-	r.answered = true
+	state.answered = true
 	l.openCount.Add(-1)
-	l.notify(Event{Kind: RequestClosed, Request: &r.Request, Outcome: outcome, Body: body, CostMS: costMS})
+	l.notify(Event{Kind: RequestClosed, Request: &state.Request, Outcome: outcome, Body: body, CostMS: costMS})
 }
 
 // abandonRequest closes a request whose client has left.
-func (l *Loop) abandonRequest(r *request) {
-	l.closeRequest(r, ledger.Abandoned, nil, 0)
+func (l *Loop) abandonRequest(state *requestState) {
+	l.closeRequest(state, ledger.Abandoned, nil, 0)
 	l.counters.ClientLeft++
 }
 
 // releaseRequest drops the state of a request that is answered and has no attempt in flight.
-func (l *Loop) releaseRequest(r *request) {
-	if !r.answered || r.answerWithheld || r.inFlight > 0 || l.requests[r.ID] != r {
+func (l *Loop) releaseRequest(state *requestState) {
+	if !state.answered || state.answerWithheld || state.inFlight > 0 || l.requests[state.ID] != state {
 		return
 	}
-	delete(l.requests, r.ID)
-	if l.clock.Now() < r.Deadline { // its deadline timer is still to come and deletes the id
-		l.closedIDs[r.ID] = struct{}{}
+	delete(l.requests, state.ID)
+	if l.clock.Now() < state.Deadline { // its deadline timer has not fired yet and will delete the id
+		l.closedIDs[state.ID] = struct{}{}
 	}
-	*r = request{}
-	l.freeRequests = append(l.freeRequests, r)
+	*state = requestState{}
+	l.freeRequests = append(l.freeRequests, state)
 }
 
-// expireRequest ends the attempts of a request whose deadline has come.
+// expireRequest cancels the attempts of a request whose deadline has passed.
 func (l *Loop) expireRequest(id string) {
 	delete(l.closedIDs, id)
-	r := l.requests[id]
-	if r == nil || l.clock.Now() < r.Deadline {
+	state := l.requests[id]
+	if state == nil || l.clock.Now() < state.Deadline {
 		return
 	}
-	if !r.answered {
+	if !state.answered {
 		l.counters.Overdue++
 	}
-	for n := range r.started {
-		if r.attempts[n].inFlight {
-			l.cancelAttempt(r, n, scheduler.TimedOut)
+	for n := range state.started {
+		if state.attempts[n].inFlight {
+			l.cancelAttempt(state, n, scheduler.TimedOut)
 		}
 	}
 	l.processPending()
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Clock is the time base of a controller: Unix milliseconds, read once at the start and monotonic from then on.
+// Clock is the time base of a controller in Unix milliseconds. It reads the wall clock once, in NewClock, and is
+// monotonic from then on.
 type Clock struct{ start time.Time }
 
 // NewClock returns a clock that starts now.
@@ -13,70 +14,80 @@
 	return float64(c.start.UnixMicro())/1000 + float64(time.Since(c.start))/float64(time.Millisecond)
 }
 
-// until returns how long it is to a time of the clock, at least 0.
+// until returns the duration until a time of the clock, or 0 if that has passed.
 func (c Clock) until(at float64) time.Duration {
 	return max(0, time.Duration((at-c.Now())*float64(time.Millisecond)))
 }
 
+// timerKind tells what happens when a timer fires.
 type timerKind uint8
 
 const (
-	schedulerTimer   timerKind = iota // the scheduler set it
-	deadlineTimer                     // the deadline of a request
-	healthCheckTimer                  // an unanswered health check counts as missed
-	releaseTimer                      // a delayed attempt leaves
-	countersTimer                     // counters are logged
-	tickTimer                         // extensions get their Ticked
+	schedulerTimer   timerKind = iota // the scheduler gets its TimerFired event
+	deadlineTimer                     // the deadline of a request has passed
+	healthCheckTimer                  // an unanswered health check times out
+	releaseTimer                      // a delayed attempt is released
+	countersTimer                     // the counters are logged
+	tickTimer                         // the extensions get Ticked
 )
 
-var timerKindNames = [...]string{schedulerTimer: "scheduler", deadlineTimer: "deadline", healthCheckTimer: "health check",
-	releaseTimer: "release", countersTimer: "counters", tickTimer: "tick"}
+var timerKindNames = [...]string{
+	schedulerTimer:   "scheduler",
+	deadlineTimer:    "deadline",
+	healthCheckTimer: "health check",
+	releaseTimer:     "release",
+	countersTimer:    "counters",
+	tickTimer:        "tick",
+}
 
 // String returns the name of the kind.
 func (k timerKind) String() string { return timerKindNames[k] }
 
+// timer is a timer of the loop. Only the fields of its kind are set.
 type timer struct {
 	at       float64
 	kind     timerKind
 	token    uint64         // schedulerTimer, healthCheckTimer
-	request  string         // deadlineTimer
+	request  string         // deadlineTimer: the id of the request
 	executor uint32         // healthCheckTimer
 	running  RunningAttempt // releaseTimer
 }
 
-// timers is a binary heap, the earliest first.
+// timers is a binary min-heap by time.
 type timers []timer
 
-func (h *timers) push(t timer) {
-	list := append(*h, t)
-	i := len(list) - 1
-	for i > 0 && list[(i-1)/2].at > t.at {
-		list[i] = list[(i-1)/2]
+// push adds a timer.
+func (h *timers) push(added timer) {
+	heap := append(*h, added)
+	i := len(heap) - 1
+	for i > 0 && heap[(i-1)/2].at > added.at {
+		heap[i] = heap[(i-1)/2]
 		i = (i - 1) / 2
 	}
-	list[i] = t
-	*h = list
+	heap[i] = added
+	*h = heap
 }
 
+// pop removes the earliest timer and returns it. The heap must not be empty.
 func (h *timers) pop() timer {
-	list := *h
-	n := len(list) - 1
-	first, last := list[0], list[n]
-	list[n] = timer{} // keeps nothing alive
+	heap := *h
+	length := len(heap) - 1 // after the removal
+	first, last := heap[0], heap[length]
+	heap[length] = timer{} // drops the references that the slot holds
 	i := 0
-	for k := 1; k < n; k = 2*i + 1 {
-		if k+1 < n && list[k+1].at < list[k].at {
-			k++
+	for child := 1; child < length; child = 2*i + 1 {
+		if child+1 < length && heap[child+1].at < heap[child].at {
+			child++
 		}
-		if list[k].at >= last.at {
+		if heap[child].at >= last.at {
 			break
 		}
-		list[i] = list[k]
-		i = k
+		heap[i] = heap[child]
+		i = child
 	}
-	if n > 0 {
-		list[i] = last
+	if length > 0 {
+		heap[i] = last
 	}
-	*h = list[:n]
+	*h = heap[:length]
 	return first
 }
