--- a/internal/dispatch/extension.go
+++ b/internal/dispatch/extension.go
@@ -21,8 +21,8 @@
 	RequestArriving EventKind = iota
 	// SuspendedClientLeft says that the client of a suspended request has left.
 	SuspendedClientLeft
-	// RequestReceived says that a request is about to be admitted, with the Prior known so far. AnswerFromRecord answers
-	// it instead; Admit adds what an extension knows of it.
+	// RequestReceived says that a request is about to be admitted, with the Prior known so far. AnswerFromRecord
+	// answers it instead; Admit adds what an extension knows of it.
 	RequestReceived
 	// RequestEntered says that a request was admitted. HoldRequest keeps it from the scheduler until OfferRequest.
 	RequestEntered
@@ -54,8 +54,8 @@
 	PeerMessage
 	// MessagePosted carries a Message that a goroutine of an extension put into the queue.
 	MessagePosted
-	// OutcomeQueried carries a Query for the outcome of a request. The extension that replies, at once or later, returns
-	// Consume; the extensions behind it do not get the event.
+	// OutcomeQueried carries a Query for the outcome of a request. The extension that replies, at once or later,
+	// returns Consume; the extensions behind it do not get the event.
 	OutcomeQueried
 )
 
@@ -93,7 +93,7 @@
 	Suspend CommandKind = iota
 	// Resume continues the suspended request ID, with Prior.
 	Resume
-	// AnswerSuspended answers the suspended request ID with Outcome, Body and AfterMS.
+	// AnswerSuspended answers the suspended request ID with Outcome, Body and RetryAfterMS.
 	AnswerSuspended
 	// Adopt takes over Request from another controller, with Prior.
 	Adopt
@@ -105,18 +105,18 @@
 	DeliverAnswer
 	// ForwardQuery passes Query to the extensions behind the first one.
 	ForwardQuery
-	// AnswerFromRecord answers RequestReceived: the request gets Outcome, Body and AfterMS without being admitted.
+	// AnswerFromRecord answers RequestReceived: the request gets Outcome, Body and RetryAfterMS without being admitted.
 	AnswerFromRecord
 	// Admit answers RequestReceived: the request is admitted with Prior; if Blocked, no attempt of it may be sent.
 	Admit
-	// HoldRequest answers RequestEntered: the scheduler gets the request at OfferRequest.
+	// HoldRequest answers RequestAdmitted: the scheduler gets the request at OfferRequest.
 	HoldRequest
 	// HoldAttempt answers AttemptStarting: the attempt is not sent before ReleaseAttempt.
 	HoldAttempt
-	// BlockAttempt answers AttemptStarting: the attempt must not be sent, and no other attempt of the request either. It
-	// is returned along with HoldAttempt.
+	// BlockAttempt answers AttemptStarting: the attempt must not be sent, and no other attempt of the request either.
+	// It is returned along with HoldAttempt.
 	BlockAttempt
-	// SetRetryAfter answers RequestRejecting: the rejection tells the client to retry after AfterMS.
+	// SetRetryAfter answers RequestRejecting: the rejection tells the client to retry after RetryAfterMS.
 	SetRetryAfter
 	// Consume answers PeerMessage and OutcomeQueried: the extension handles the message or the query.
 	Consume
