--- a/cmd/liftshift/main.go
+++ b/cmd/liftshift/main.go
@@ -1,6 +1,8 @@
-// Command liftshift is one controller. Without arguments it serves with the platform's configuration, which RELAY_CONFIG names, and
-// contains nothing else: what the platform does not use costs it no memory. With any argument, or where LIFTSHIFT_FILE names an
-// operators' file, it replaces itself by the program liftshift-full in the same folder.
+// Command liftshift runs one controller.
+//
+// Without arguments it serves with the platform's configuration, the file that the environment variable RELAY_CONFIG
+// names. It links only what this needs, to keep the process small. With any argument, or if LIFTSHIFT_FILE names an
+// operators' file, it replaces itself with the program liftshift-full in the same directory.
 package main
 
 import (
@@ -17,9 +19,9 @@
 const fullProgram = "liftshift-full"
 
 func main() {
-	reload := make(chan os.Signal, 1) // first of all: unhandled, SIGHUP would end the process
-	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // the reader of the log may go: that must not end the process
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the process
+	signal.Ignore(syscall.SIGPIPE)        // a write to a log that nobody reads any more must not end the process
 	var err error
 	if len(os.Args) > 1 || os.Getenv("LIFTSHIFT_FILE") != "" {
 		err = execFull()
@@ -32,16 +34,16 @@
 	}
 }
 
-// execFull replaces this program by the full one, under the same process id.
+// execFull replaces this process with the full program. It returns only if that fails.
 func execFull() error {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(self), fullProgram)
-	signal.Ignore(syscall.SIGHUP) // stays ignored until the other program handles it
+	path := filepath.Join(filepath.Dir(executable), fullProgram)
+	signal.Ignore(syscall.SIGHUP) // exec keeps it ignored until the full program installs its handler
 	if err := syscall.Exec(path, os.Args, os.Environ()); err != nil {
-		return fmt.Errorf("commands and the operators' file need %s beside this program: %w", fullProgram, err)
+		return fmt.Errorf("commands and LIFTSHIFT_FILE need the program %s: %w", path, err)
 	}
 	return nil
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter plays the batches of the simulator, read from standard input, to instances of the scheduler, and writes what
-// they decide to standard output. The instances share nothing. It decides nothing itself.
+// Command simadapter connects the simulator to the scheduler. It reads batches of events from standard input, feeds
+// each event to the scheduler instance that it is for, and writes the resulting actions to standard output. The
+// instances share no state.
 package main
 
 import (
@@ -12,20 +13,20 @@
 	"liftshift/scheduler"
 )
 
-// host runs the instances of this process, by number.
+// host holds the scheduler instances of this process by number. It implements simproto.Host.
 type host struct {
 	instances map[int]scheduler.Policy
-	reply     []byte
-	actions   []scheduler.Action
+	reply     []byte             // encoded actions of the current batch
+	actions   []scheduler.Action // reused by HandleEvent
 }
 
-// StartInstance implements simproto.Host.
+// StartInstance creates an instance, in place of any earlier one with the same number.
 func (h *host) StartInstance(instance int, seed uint64, settings scheduler.Settings) error {
 	h.instances[instance] = scheduler.New(seed, settings)
 	return nil
 }
 
-// StopInstance implements simproto.Host.
+// StopInstance discards a running instance.
 func (h *host) StopInstance(instance int) error {
 	if _, err := h.running(instance); err != nil {
 		return err
@@ -34,29 +35,29 @@
 	return nil
 }
 
-// HandleEvent implements simproto.Host: it appends the actions to the reply.
-func (h *host) HandleEvent(instance int, now float64, ev *scheduler.Event) error {
+// HandleEvent feeds an event to a running instance and appends the actions that it returns to the reply.
+func (h *host) HandleEvent(instance int, now float64, event *scheduler.Event) error {
 	policy, err := h.running(instance)
 	if err != nil {
 		return err
 	}
-	h.actions = policy.Step(now, ev, h.actions[:0])
+	h.actions = policy.Step(now, event, h.actions[:0])
 	for i := range h.actions {
 		h.reply = simproto.AppendAction(h.reply, instance, &h.actions[i])
 	}
 	return nil
 }
 
-// running returns an instance that runs.
+// running returns the running instance with a number.
 func (h *host) running(instance int) (scheduler.Policy, error) {
 	policy, ok := h.instances[instance]
 	if !ok {
-		return nil, fmt.Errorf("instance %d does not run", instance)
+		return nil, fmt.Errorf("instance %d is not running", instance)
 	}
 	return policy, nil
 }
 
-// serve answers batches until the input ends.
+// serve replies to each batch until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := &host{instances: map[int]scheduler.Policy{}}
 	reader := simproto.NewReader(in)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestServe_AnswersBatches(t *testing.T) {
+func TestServe_RepliesToEachBatch(t *testing.T) {
 	in := "BEGIN_BATCH\tClock=0\tseq=7\n" +
 		"ATTACH\tI=3\tNonce64=9\tSettings={}\n" +
 		"EOF_BATCH\n" +
@@ -16,14 +16,18 @@
 		"ARRIVAL\tI=3\tHandle=a\tTierClass=unknown\tDropDead=9000\n" +
 		"STOP\tI=3\n" +
 		"EOF_BATCH\n"
+	want := "SLEEP\tI=3\tDelay=20000\tKeyBack=0\n" +
+		"FINISHED\tseq=7\n" +
+		"TURN_AWAY\tI=3\tHandle=a\n" +
+		"FINISHED\tseq=8\n"
 	var out bytes.Buffer
 	assert.NoError(t, serve(strings.NewReader(in), &out))
-	assert.Equal(t, "SLEEP\tI=3\tDelay=20000\tKeyBack=0\nFINISHED\tseq=7\nTURN_AWAY\tI=3\tHandle=a\nFINISHED\tseq=8\n", out.String())
+	assert.Equal(t, want, out.String())
 }
 
-func TestServe_NamesInstancesThatDoNotRun(t *testing.T) {
+func TestServe_RejectsUnknownInstance(t *testing.T) {
 	for _, line := range []string{"STOP\tI=3", "TIMER\tI=3"} {
 		err := serve(strings.NewReader("BEGIN_BATCH\tClock=0\tseq=7\n"+line+"\nEOF_BATCH\n"), &bytes.Buffer{})
-		assert.ErrorContains(t, err, "instance 3 does not run")
+		assert.ErrorContains(t, err, "instance 3 is not running")
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,10 +1,11 @@
 // Package gossip carries messages between the controllers of a tier as UDP datagrams, which may be lost.
 //
-// It owns one socket and knows the peers by their place in the configuration. It does not look into messages.
+// It owns one socket and numbers its peers by their position in the configuration. Messages are opaque to it.
 package gossip
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"net/netip"
 	"sync/atomic"
@@ -20,53 +21,57 @@
 const (
 	maxDatagramBytes   = 256
 	maxQueuedDatagrams = 256
-	retryInterval      = 5 * time.Millisecond // after a read that failed
+	readRetryInterval  = 5 * time.Millisecond // after a failed read of the socket
 )
 
-// EventQueue takes the messages that come.
+// EventQueue receives each message from a peer as an event of kind scheduler.PeerMessage.
 type EventQueue interface{ Put(dispatch.QueueItem) }
 
-// datagram is a message that is queued.
+// datagram is a queued outgoing message. Its buffer is part of it, so that queueing a message allocates nothing.
 type datagram struct {
 	to   netip.AddrPort
 	size int
 	data [maxDatagramBytes]byte
 }
 
-// Network sends and receives datagrams. Without an address to listen at, it drops what it is to send.
+// Network sends and receives datagrams. Without a listen address it drops every outgoing message.
 type Network struct {
-	conn     *net.UDPConn
+	conn     *net.UDPConn // nil without a listen address
 	queue    EventQueue
 	log      logrus.FieldLogger
-	peers    []netip.AddrPort
-	all      netip.AddrPort
+	peers    []netip.AddrPort // by peer number
+	allPeers netip.AddrPort   // reaches every peer; invalid if not configured
 	outgoing chan datagram
 
+	// Sent and Received count datagrams. Dropped counts outgoing messages that were not sent; UnknownSender counts
+	// incoming datagrams that were discarded because no peer has their source address or they were too large.
 	Sent, Received, Dropped, UnknownSender atomic.Uint64
 }
 
-// New returns a network that listens at an address, if that is not empty. Peers are the addresses of the controllers by their number;
-// all reaches every one of them.
-func New(listen string, peers []string, all string, queue EventQueue, log logrus.FieldLogger) (*Network, error) {
+// New returns a network that is bound to the address listen, or to none if listen is empty. The addresses in peers are
+// those of the controllers in the order of their numbers; the address allPeers reaches every one of them.
+func New(
+	listen string, peers []string, allPeers string, queue EventQueue, log logrus.FieldLogger,
+) (*Network, error) {
 	n := &Network{queue: queue, log: log, outgoing: make(chan datagram, maxQueuedDatagrams)}
 	if listen == "" {
 		return n, nil
 	}
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listen address: %w", err)
 	}
-	for _, text := range peers {
+	for number, text := range peers {
 		peer, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("address of peer %d: %w", number, err)
 		}
 		n.peers = append(n.peers, peer)
 	}
-	if all != "" {
-		n.all, err = netip.ParseAddrPort(all)
+	if allPeers != "" {
+		n.allPeers, err = netip.ParseAddrPort(allPeers)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("address of all peers: %w", err)
 		}
 	}
 	err = retry.Listen(func() (err error) {
@@ -76,40 +81,41 @@
 	return n, err
 }
 
-// SendPeer queues a message for the controller numbered peer, or for all below 0. It never waits.
+// SendPeer queues a message for the controller numbered peer, or for all of them if peer is negative. It never blocks:
+// a message that does not fit into the queue is dropped.
 func (n *Network) SendPeer(peer int, data []byte) {
-	d := datagram{to: n.addressOf(peer), size: len(data)}
-	if n.conn == nil || !d.to.IsValid() || len(data) > maxDatagramBytes {
+	message := datagram{to: n.addressOf(peer), size: len(data)}
+	if n.conn == nil || !message.to.IsValid() || len(data) > maxDatagramBytes {
 		n.Dropped.Add(1)
 		return
 	}
-	copy(d.data[:], data)
+	copy(message.data[:], data)
 	select {
-	case n.outgoing <- d:
+	case n.outgoing <- message:
 	default:
 		n.Dropped.Add(1)
 	}
 }
 
-// addressOf returns where messages for a peer go; not valid if there is no such peer.
+// addressOf returns the destination of messages for a peer. It is invalid if there is no such peer.
 func (n *Network) addressOf(peer int) netip.AddrPort {
 	switch {
 	case peer < 0:
-		return n.all
+		return n.allPeers
 	case peer < len(n.peers):
 		return n.peers[peer]
 	}
 	return netip.AddrPort{}
 }
 
-// Run sends what is queued and receives, until Stop.
+// Run receives datagrams and sends the queued ones until Stop.
 func (n *Network) Run() {
 	if n.conn == nil {
 		return
 	}
 	go n.receive()
-	for d := range n.outgoing {
-		if _, err := n.conn.WriteToUDPAddrPort(d.data[:d.size], d.to); err != nil {
+	for message := range n.outgoing {
+		if _, err := n.conn.WriteToUDPAddrPort(message.data[:message.size], message.to); err != nil {
 			n.Dropped.Add(1)
 		} else {
 			n.Sent.Add(1)
@@ -125,32 +131,34 @@
 	}
 }
 
-// receive hands on what comes, until the socket is closed.
+// receive puts the messages of peers into the event queue until the socket is closed.
 func (n *Network) receive() {
-	var buffer [maxDatagramBytes + 1]byte
+	var buffer [maxDatagramBytes + 1]byte // one byte more than the limit, to recognize a datagram that exceeds it
 	for {
 		size, from, err := n.conn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(retryInterval) // whatever failed, it must not be tried in a tight loop
+			time.Sleep(readRetryInterval) // a persistent error must not become a busy loop
 			continue
 		}
 		peer := n.peerNumber(from)
 		if peer < 0 || size > maxDatagramBytes {
 			if n.UnknownSender.Add(1) == 1 {
-				n.log.WithFields(logrus.Fields{"from": from, "bytes": size}).Warn("gossip: datagram from an unknown sender or too large")
+				n.log.WithFields(logrus.Fields{"from": from, "bytes": size}).
+					Warn("gossip: datagram from an unknown sender or too large")
 			}
 			continue
 		}
 		n.Received.Add(1)
 		payload := append([]byte(nil), buffer[:size]...)
-		n.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.PeerMessage, FromPeer: peer, Payload: payload}})
+		event := scheduler.Event{Kind: scheduler.PeerMessage, FromPeer: peer, Payload: payload}
+		n.queue.Put(dispatch.QueueItem{Event: event})
 	}
 }
 
-// peerNumber returns the number of the controller at an address, or -1.
+// peerNumber returns the number of the controller with the source address from, or -1.
 func (n *Network) peerNumber(from netip.AddrPort) int {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	for number, peer := range n.peers {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,52 +12,52 @@
 )
 
 func TestNetwork_SendsAndReceives(t *testing.T) {
-	other, err := net.ListenPacket("udp", "127.0.0.1:0")
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer other.Close()
+	defer peer.Close()
 	free, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	here := free.LocalAddr()
+	listen := free.LocalAddr()
 	free.Close()
 	queue := make(fakeQueue, 10)
-	network, err := New(here.String(), []string{here.String(), other.LocalAddr().String()}, other.LocalAddr().String(), queue,
-		discardLog())
+	peerAddress := peer.LocalAddr().String()
+	network, err := New(listen.String(), []string{listen.String(), peerAddress}, peerAddress, queue, discardLog())
 	require.NoError(t, err)
 	go network.Run()
 	defer network.Stop()
 	network.SendPeer(1, []byte("one"))
 	network.SendPeer(-1, []byte("all"))
-	network.SendPeer(7, []byte("nobody"))
+	network.SendPeer(7, []byte("no such peer"))
 	network.SendPeer(1, make([]byte, maxDatagramBytes+1))
-	var b [300]byte
+	var buffer [300]byte
 	for _, want := range []string{"one", "all"} {
-		_ = other.SetReadDeadline(time.Now().Add(3 * time.Second))
-		n, _, err := other.ReadFrom(b[:])
+		_ = peer.SetReadDeadline(time.Now().Add(3 * time.Second))
+		size, _, err := peer.ReadFrom(buffer[:])
 		assert.NoError(t, err)
-		assert.Equal(t, want, string(b[:n]))
+		assert.Equal(t, want, string(buffer[:size]))
 	}
 	assert.Equal(t, uint64(2), network.Dropped.Load())
-	stranger, err := net.ListenPacket("udp", "127.0.0.1:0")
+	unknownSender, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer stranger.Close()
-	_, _ = stranger.WriteTo([]byte("x"), here)
-	_, _ = other.WriteTo(make([]byte, maxDatagramBytes+1), here)
-	_, _ = other.WriteTo([]byte("hi"), here)
-	it := queue.next(t)
-	assert.Equal(t, []any{scheduler.PeerMessage, 1, "hi"}, []any{it.Event.Kind, it.Event.FromPeer, string(it.Event.Payload)})
+	defer unknownSender.Close()
+	_, _ = unknownSender.WriteTo([]byte("x"), listen)
+	_, _ = peer.WriteTo(make([]byte, maxDatagramBytes+1), listen)
+	_, _ = peer.WriteTo([]byte("hi"), listen)
+	event := queue.next(t).Event
+	assert.Equal(t, []any{scheduler.PeerMessage, 1, "hi"}, []any{event.Kind, event.FromPeer, string(event.Payload)})
 	assert.Equal(t, uint64(2), network.UnknownSender.Load())
-	quiet, err := New("", nil, "", queue, discardLog())
+	unbound, err := New("", nil, "", queue, discardLog())
 	assert.NoError(t, err)
-	quiet.SendPeer(-1, []byte("x"))
-	assert.Equal(t, uint64(1), quiet.Dropped.Load())
+	unbound.SendPeer(-1, []byte("x"))
+	assert.Equal(t, uint64(1), unbound.Dropped.Load(), "without a listen address every message is dropped")
 }
 
-// An address that is still in use at the start is tried again.
+// A previous process may still hold the listen address for a moment at the start.
 func TestNew_RetriesAddressInUse(t *testing.T) {
-	held, err := net.ListenPacket("udp", "127.0.0.1:0")
+	previous, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
-	time.AfterFunc(100*time.Millisecond, func() { held.Close() })
-	network, err := New(held.LocalAddr().String(), nil, "", make(fakeQueue, 1), discardLog())
+	time.AfterFunc(100*time.Millisecond, func() { previous.Close() })
+	network, err := New(previous.LocalAddr().String(), nil, "", make(fakeQueue, 1), discardLog())
 	if assert.NoError(t, err) {
 		network.Stop()
 	}
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -11,17 +11,18 @@
 	"liftshift/internal/dispatch"
 )
 
-// fakeQueue is an event queue that a test reads.
+// fakeQueue is an EventQueue whose items a test takes with next.
 type fakeQueue chan dispatch.QueueItem
 
-func (m fakeQueue) Put(it dispatch.QueueItem) { m <- it }
+func (q fakeQueue) Put(item dispatch.QueueItem) { q <- item }
 
-func (m fakeQueue) next(t *testing.T) dispatch.QueueItem {
+// next returns the next item and fails the test if none arrives within 3 seconds.
+func (q fakeQueue) next(t *testing.T) dispatch.QueueItem {
 	select {
-	case it := <-m:
-		return it
+	case item := <-q:
+		return item
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "nothing came")
+		require.Fail(t, "no item arrived in the event queue within 3 s")
 	}
 	return dispatch.QueueItem{}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,7 @@
-// Package retry repeats calls that fail for a transient reason. It is for the start of a process and for files that are read at a
-// reload; nothing that serves requests may wait in it.
+// Package retry repeats calls that fail for a transient reason.
+//
+// It serves the start of a process and files read at a reload. It blocks its caller between two calls, so code that
+// serves requests must not use it.
 package retry
 
 import (
@@ -10,17 +12,17 @@
 )
 
 const (
-	// StartTimeout is how long a start retries: half of the time in which a restarted controller has to be ready.
+	// StartTimeout bounds the retries at a start: half of the time within which a restarted controller has to be ready.
 	StartTimeout = 5 * time.Second
 	// Pause is the time between two calls.
 	Pause = 50 * time.Millisecond
 )
 
-// Momentary lists the system's errors that may be gone at the next call.
+// Transient lists the errors of the operating system that may be gone at the next call.
 var Transient = []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE}
 
-// Do repeats a call until it succeeds, fails with an error that is not in the transient ones, or the time is over. It returns the
-// last error.
+// Do repeats call until it succeeds, fails with an error that matches none of the transient errors, or the timeout has
+// passed. It returns the error of the last call.
 func Do(timeout time.Duration, call func() error, transient ...error) error {
 	began := time.Now()
 	for {
@@ -33,7 +35,8 @@
 	}
 }
 
-// Listen repeats a call that listens at an address: the process before this one may still be ending there.
+// Listen repeats a call that binds an address. It also retries while the address is in use, because the previous
+// process may still be shutting down.
 func Listen(call func() error) error {
 	return Do(StartTimeout, call, append([]error{syscall.EADDRINUSE}, Transient...)...)
 }
