--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -2,119 +2,138 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 
 	"liftshift/scheduler"
 )
 
-// usPerMS is the unit of time of the platform's settings: microseconds.
+// usPerMS converts the platform's times, which are microseconds, to milliseconds.
 const usPerMS = 1000
 
-// platform is the JSON of the platform's settings. Pointers tell what is missing from what is zero.
-type platform struct {
-	Siblings *float64 `json:"Siblings"`
-	SlotNo   *float64 `json:"SlotNo"`
-	Kinds    []string `json:"Kinds"`
-	Classes  []class  `json:"Classes"`
+// platformSettings is the JSON object of the platform's settings. All times are microseconds. A field is a pointer
+// where a missing value differs from zero.
+type platformSettings struct {
+	Controllers     *float64        `json:"Siblings"`
+	ControllerIndex *float64        `json:"SlotNo"`
+	Kinds           []string        `json:"Kinds"`
+	Classes         []platformClass `json:"Classes"`
 
 	Discovery string `json:"Discovery"`
 	Report    struct {
-		How   string   `json:"How"`
-		Names []string `json:"Names"`
+		Delivery string   `json:"How"`
+		Names    []string `json:"Names"`
 	} `json:"Report"`
 
+	// Bounds says which actions are allowed and limits them.
 	Bounds struct {
-		Cancelling     bool     `json:"Cancelling"`
-		Probing        bool     `json:"Probing"`
-		Peers          bool     `json:"Peers"`
-		RetryAfter     bool     `json:"RetryAfter"`
-		MaxRetryAfter  float64  `json:"MaxRetryAfter"`
-		ConnectTimeout *float64 `json:"ConnectTimeout"`
-		IdleClose      *float64 `json:"IdleClose"`
-		StreamsPerConn *float64 `json:"StreamsPerConn"`
-		MaxAttempts    *float64 `json:"MaxAttempts"`
-		MostHeld       float64  `json:"MostHeld"`
+		MayCancel       bool     `json:"Cancelling"`
+		MayHealthCheck  bool     `json:"Probing"`
+		MayMessagePeers bool     `json:"Peers"`
+		NamesRetryAfter bool     `json:"RetryAfter"`
+		MaxRetryAfter   float64  `json:"MaxRetryAfter"`
+		ConnectTimeout  *float64 `json:"ConnectTimeout"`
+		IdleClose       *float64 `json:"IdleClose"`
+		StreamsPerConn  *float64 `json:"StreamsPerConn"`
+		MaxAttempts     *float64 `json:"MaxAttempts"`
+		MaxRequests     float64  `json:"MostHeld"`
 	} `json:"Bounds"`
 
-	FamilyInfo struct {
-		ClassThreads   []*float64 `json:"ClassThreads"`
-		ClassLoad      []bool     `json:"ClassLoad"`
-		BlockedByLoads []bool     `json:"BlockedByLoads"`
-		KindCores      []*float64 `json:"KindCores"`
-		RAMOfKindMB    []*float64 `json:"RamOfKindMb"`
-		LargestShare   *float64   `json:"LargestShare"`
-		Grants         bool       `json:"Grants"`
-		TellsEvery     float64    `json:"TellsEvery"`
+	// Deployment describes the request classes and the executor kinds, each list in the order of Classes or Kinds.
+	Deployment struct {
+		ClassThreads          []*float64 `json:"ClassThreads"`
+		ClassHoldsTableGroup  []bool     `json:"ClassLoad"`
+		ClassBlockedByHolders []bool     `json:"BlockedByLoads"`
+		KindCores             []*float64 `json:"KindCores"`
+		KindMemoryMB          []*float64 `json:"RamOfKindMb"`
+		LargestShare          *float64   `json:"LargestShare"`
+		HonorsGrants          bool       `json:"Grants"`
+		ProgressInterval      float64    `json:"TellsEvery"`
 	} `json:"FamilyInfo"`
 
+	// Invariants holds the rules for draining, warm-up and overload of executors, for retries and for order keys.
 	Invariants struct {
-		DrainGrace      float64  `json:"DrainGrace"`
-		FallMultiple    *float64 `json:"FallMultiple"`
-		Fall            *float64 `json:"Fall"`
-		ColdFrom        *float64 `json:"ColdFrom"`
-		WarmUp          float64  `json:"WarmUp"`
-		ExtraFloor      *float64 `json:"ExtraFloor"`
-		ExtraPerRequest *float64 `json:"ExtraPerRequest"`
-		RatioSpan       *float64 `json:"RatioSpan"`
-		KeyQuiet        float64  `json:"KeyQuiet"`
+		DrainGrace       float64  `json:"DrainGrace"`
+		CollapseMultiple *float64 `json:"FallMultiple"`
+		CollapseWindow   *float64 `json:"Fall"`
+		ColdCapacity     *float64 `json:"ColdFrom"`
+		Warmup           float64  `json:"WarmUp"`
+		RetryFloor       *float64 `json:"ExtraFloor"`
+		RetryShare       *float64 `json:"ExtraPerRequest"`
+		RetryWindow      *float64 `json:"RatioSpan"`
+		OrderKeyRest     float64  `json:"KeyQuiet"`
 	} `json:"Invariants"`
 }
 
-// class is one request class as the platform names it.
-type class struct {
-	Name        string   `json:"Name"`
-	Idempotency string   `json:"Idempotency"`
-	DedupScope  string   `json:"DedupScope"`
-	DedupWindow float64  `json:"DedupWindow"`
-	Aim         float64  `json:"Aim"`
-	AimStretch  float64  `json:"AimStretch"`
-	HardLimit   float64  `json:"HardLimit"`
-	Worth       *float64 `json:"Worth"`
-	LateWorth   float64  `json:"LateWorth"`
-	OneAtATime  bool     `json:"OneAtATime"`
-	KindsOpen   []string `json:"KindsOpen"`
-	ZonesOnly   []string `json:"ZonesOnly"`
+// platformClass is the JSON object of one request class.
+type platformClass struct {
+	Name                string   `json:"Name"`
+	Idempotency         string   `json:"Idempotency"`
+	DedupScope          string   `json:"DedupScope"`
+	DedupWindow         float64  `json:"DedupWindow"`
+	SoftDeadline        float64  `json:"Aim"`
+	SoftDeadlineStretch float64  `json:"AimStretch"`
+	Deadline            float64  `json:"HardLimit"`
+	Value               *float64 `json:"Worth"`
+	LateShare           float64  `json:"LateWorth"`
+	InOrder             bool     `json:"OneAtATime"`
+	Kinds               []string `json:"KindsOpen"`
+	Zones               []string `json:"ZonesOnly"`
 }
 
-// The platform's words for what the program has typed values for.
+// These maps translate the platform's words. An empty word stands for a missing setting.
 var (
-	effects = map[string]scheduler.Effect{
-		"safe": scheduler.Idempotent, "keyed": scheduler.Keyed, "unsafe": scheduler.NonIdempotent}
-	scopes = map[string]scheduler.DedupScope{
-		"": scheduler.DedupNone, "all": scheduler.DedupAll, "zone": scheduler.DedupZone, "cell": scheduler.DedupCell}
-	subscribes     = map[string]bool{"": false, "automatic": false, "subscribe": true}
-	reportsByProbe = map[string]bool{"": false, "silent": false, "piggyback": false, "pull": true}
-	reportNames    = map[string]string{"outstanding": scheduler.ReportInFlight, "backlog": scheduler.ReportQueued}
+	effectsByWord = map[string]scheduler.Effect{
+		"safe":   scheduler.Idempotent,
+		"keyed":  scheduler.Keyed,
+		"unsafe": scheduler.NonIdempotent,
+	}
+	dedupScopesByWord = map[string]scheduler.DedupScope{
+		"":     scheduler.DedupNone,
+		"all":  scheduler.DedupAll,
+		"zone": scheduler.DedupZone,
+		"cell": scheduler.DedupCell,
+	}
+	// subscribesByWord says whether the controller has to subscribe to the endpoint list.
+	subscribesByWord = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	// reportsByProbeByWord says whether load reports come only with the results of health checks.
+	reportsByProbeByWord = map[string]bool{"": false, "silent": false, "piggyback": false, "pull": true}
+	reportNamesByWord    = map[string]string{
+		"outstanding": scheduler.ReportInFlight,
+		"backlog":     scheduler.ReportQueued,
+	}
 )
 
-// lookup returns what a word of the platform stands for.
-func lookup[T any](words map[string]T, path, word string) (T, error) {
-	value, ok := words[word]
+// lookup returns the value of a word, or an *Error for the setting at path if the word is unknown.
+func lookup[T any](valuesByWord map[string]T, path, word string) (T, error) {
+	value, ok := valuesByWord[word]
 	if !ok {
-		return value, &Error{Path: path, Want: "a word that this program knows", Got: fmt.Sprintf("%q", word)}
+		words := slices.Sorted(maps.Keys(valuesByWord))
+		return value, &Error{Path: path, Want: fmt.Sprintf("one of %q", words), Got: fmt.Sprintf("%q", word)}
 	}
 	return value, nil
 }
 
-// number returns a value, or a fallback where it is missing.
-func number(value *float64, fallback float64) float64 {
+// valueOr returns a number, or the fallback if it is missing.
+func valueOr(value *float64, fallback float64) float64 {
 	if value == nil {
 		return fallback
 	}
 	return *value
 }
 
-// milliseconds returns a time, or a fallback where it is missing.
-func milliseconds(us *float64, fallback float64) float64 {
-	if us == nil {
-		return fallback
+// millisecondsOr converts microseconds to milliseconds, or returns the fallback, in milliseconds, if they are missing.
+func millisecondsOr(microseconds *float64, fallbackMS float64) float64 {
+	if microseconds == nil {
+		return fallbackMS
 	}
-	return *us / usPerMS
+	return *microseconds / usPerMS
 }
 
-// at returns the value at k, or the zero value past the end.
-func at[T any](list []T, k int) (value T) {
-	if k < len(list) {
-		value = list[k]
+// elementOrZero returns the element at an index, or the zero value past the end of the list.
+func elementOrZero[T any](list []T, index int) (value T) {
+	if index < len(list) {
+		value = list[index]
 	}
 	return value
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings maps the platform's settings, as the daemon and the simulator's adapter get them, to the typed settings of the
-// other packages. The platform's names for them end here. It decides nothing and holds no value of its own but the defaults of
-// what the platform leaves out.
+// Package settings translates the platform's settings to the typed settings of the other packages. The controllers and
+// the adapter of the simulator both read them here. No other package knows the platform's names of settings.
 package settings
 
 import (
@@ -12,112 +11,113 @@
 	"liftshift/scheduler"
 )
 
-// Defaults of what the platform leaves out.
+// Defaults for settings that the platform leaves out.
 const (
 	defaultConnectTimeoutMS = 250
 	defaultIdleCloseMS      = 15000
 	defaultStreamsPerConn   = 100
 )
 
-// defaultAdoptionBudget bounds what a successor runs again where the platform names no budget for retries.
+// defaultAdoptionBudget applies if the platform sets no retry budget.
 var defaultAdoptionBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
 
-// Settings are the platform's settings in the program's terms.
+// Settings are the translated settings of the platform.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	MaxRequests    int // requests that the controller may have in hand; 0: any number
+	MaxRequests    int // open requests that the controller may have at a time; 0: no limit
 	Executors      ExecutorConnections
-	AdoptionBudget scheduler.RetryBudget
+	AdoptionBudget scheduler.RetryBudget // bounds the requests of a failed controller that its successor runs again
 }
 
-// ExecutorConnections bound the connections to executors.
+// ExecutorConnections limits the connections to executors.
 type ExecutorConnections struct {
 	ConnectTimeoutMS float64
-	IdleCloseMS      float64 // executors close a connection that has been idle for so long
-	StreamsPerConn   int
+	IdleCloseMS      float64 // idle time after which executors close a connection
+	StreamsPerConn   int     // attempts that may run on one connection at a time
 }
 
-// Error names a setting that can't be read, by its path in the platform's settings.
+// Error reports a setting with an invalid value.
 type Error struct {
-	Path string
-	Want string // what it has to be
+	Path string // of the setting in the platform's JSON object, such as Classes.0.Idempotency
+	Want string // description of the valid values
 	Got  string
 }
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("%s: %s is not %s", e.Path, e.Got, e.Want) }
+func (e *Error) Error() string { return fmt.Sprintf("%s is %s, want %s", e.Path, e.Got, e.Want) }
 
-// ReportName returns the program's name for a figure of a load report.
-func ReportName(platform string) string {
-	if name, ok := reportNames[platform]; ok {
+// ReportName returns the scheduler's name for a value of a load report, given the platform's name.
+func ReportName(platformName string) string {
+	if name, ok := reportNamesByWord[platformName]; ok {
 		return name
 	}
-	return platform
+	return platformName
 }
 
-// Read reads the platform's settings, a JSON object. Names that the program has no use for are ignored; a value that can't be used
-// is an *Error with its path.
+// Read reads the platform's settings, a JSON object. It ignores unknown names. An invalid value is reported as an
+// *Error.
 func Read(text []byte) (*Settings, error) {
 	if trimmed := bytes.TrimSpace(text); len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, errors.New("not an object")
 	}
-	p, err := parse(text)
+	platform, err := parse(text)
 	if err != nil {
 		return nil, err
 	}
-	s := &Settings{Scheduler: scheduler.DefaultSettings(), MaxRequests: int(p.Bounds.MostHeld)}
-	if err := p.deployment(&s.Scheduler); err != nil {
+	s := &Settings{Scheduler: scheduler.DefaultSettings(), MaxRequests: int(platform.Bounds.MaxRequests)}
+	if err := platform.applyDeployment(&s.Scheduler); err != nil {
 		return nil, err
 	}
-	p.limits(&s.Scheduler)
+	platform.applyLimits(&s.Scheduler)
 	if err := s.Scheduler.Validate(); err != nil {
 		return nil, err
 	}
 	s.Executors = ExecutorConnections{
-		ConnectTimeoutMS: milliseconds(p.Bounds.ConnectTimeout, defaultConnectTimeoutMS),
-		IdleCloseMS:      milliseconds(p.Bounds.IdleClose, defaultIdleCloseMS),
-		StreamsPerConn:   int(number(p.Bounds.StreamsPerConn, defaultStreamsPerConn)),
+		ConnectTimeoutMS: millisecondsOr(platform.Bounds.ConnectTimeout, defaultConnectTimeoutMS),
+		IdleCloseMS:      millisecondsOr(platform.Bounds.IdleClose, defaultIdleCloseMS),
+		StreamsPerConn:   int(valueOr(platform.Bounds.StreamsPerConn, defaultStreamsPerConn)),
 	}
-	s.AdoptionBudget = p.retryBudget(defaultAdoptionBudget)
+	s.AdoptionBudget = platform.retryBudget(defaultAdoptionBudget)
 	return s, nil
 }
 
-// parse reads the JSON. A value of the wrong type is an *Error.
-func parse(text []byte) (*platform, error) {
-	p := &platform{}
-	err := json.Unmarshal(text, p)
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return nil, &Error{Path: wrong.Field, Want: wrong.Type.String(), Got: wrong.Value}
+// parse decodes the JSON object. A value of the wrong type is reported as an *Error.
+func parse(text []byte) (*platformSettings, error) {
+	platform := &platformSettings{}
+	err := json.Unmarshal(text, platform)
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return nil, &Error{Path: typeError.Field, Want: typeError.Type.String(), Got: typeError.Value}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return p, nil
+	return platform, nil
 }
 
-// deployment sets what there is: classes, kinds and how the endpoint list and load reports come.
-func (p *platform) deployment(s *scheduler.Settings) error {
-	s.Controllers = int(number(p.Siblings, float64(s.Controllers)))
-	s.ControllerIndex = int(number(p.SlotNo, 0))
+// applyDeployment sets the controllers, the request classes, the executor kinds, and how the endpoint list and load
+// reports reach a controller.
+func (p *platformSettings) applyDeployment(s *scheduler.Settings) error {
+	s.Controllers = int(valueOr(p.Controllers, float64(s.Controllers)))
+	s.ControllerIndex = int(valueOr(p.ControllerIndex, 0))
 	for k := range p.Classes {
-		c, err := p.class(k)
+		class, err := p.requestClass(k)
 		if err != nil {
 			return err
 		}
-		s.Classes = append(s.Classes, c)
+		s.Classes = append(s.Classes, class)
 	}
 	for k, name := range p.Kinds {
 		kind := scheduler.DefaultKind(name)
-		kind.Cores = number(at(p.FamilyInfo.KindCores, k), kind.Cores)
-		kind.MemoryMB = number(at(p.FamilyInfo.RAMOfKindMB, k), kind.MemoryMB)
+		kind.Cores = valueOr(elementOrZero(p.Deployment.KindCores, k), kind.Cores)
+		kind.MemoryMB = valueOr(elementOrZero(p.Deployment.KindMemoryMB, k), kind.MemoryMB)
 		s.Kinds = append(s.Kinds, kind)
 	}
 	var err error
-	if s.SubscribesToList, err = lookup(subscribes, "Discovery", p.Discovery); err != nil {
+	if s.SubscribesToList, err = lookup(subscribesByWord, "Discovery", p.Discovery); err != nil {
 		return err
 	}
-	if s.ReportsByProbe, err = lookup(reportsByProbe, "Report.How", p.Report.How); err != nil {
+	if s.ReportsByProbe, err = lookup(reportsByProbeByWord, "Report.How", p.Report.Delivery); err != nil {
 		return err
 	}
 	for _, name := range p.Report.Names {
@@ -126,70 +126,70 @@
 	return nil
 }
 
-// class reads the class at k.
-func (p *platform) class(k int) (scheduler.RequestClass, error) {
-	in := &p.Classes[k]
-	path := fmt.Sprintf("Classes.%d.", k)
+// requestClass translates the class at an index.
+func (p *platformSettings) requestClass(index int) (scheduler.RequestClass, error) {
+	in := &p.Classes[index]
+	path := fmt.Sprintf("Classes.%d.", index)
 	if in.Name == "" {
 		return scheduler.RequestClass{}, &Error{Path: path + "Name", Want: "a name", Got: `""`}
 	}
-	effect, err := lookup(effects, path+"Idempotency", in.Idempotency)
+	effect, err := lookup(effectsByWord, path+"Idempotency", in.Idempotency)
 	if err != nil {
 		return scheduler.RequestClass{}, err
 	}
-	scope, err := lookup(scopes, path+"DedupScope", in.DedupScope)
+	scope, err := lookup(dedupScopesByWord, path+"DedupScope", in.DedupScope)
 	if err != nil {
 		return scheduler.RequestClass{}, err
 	}
-	c := scheduler.DefaultClass(in.Name, effect)
-	c.DedupScope = scope
-	c.DedupWindowMS = in.DedupWindow / usPerMS
-	c.SoftDeadlineMS = in.Aim / usPerMS
-	c.SoftDeadlineStretch = in.AimStretch
-	c.DeadlineMS = in.HardLimit / usPerMS
-	c.Value = number(in.Worth, c.Value)
-	c.LateShare = in.LateWorth
-	c.InOrder = in.OneAtATime
-	c.HoldsTableGroup = at(p.FamilyInfo.ClassLoad, k)
-	c.BlockedByHolders = at(p.FamilyInfo.BlockedByLoads, k)
-	c.Threads = max(1, int(number(at(p.FamilyInfo.ClassThreads, k), float64(c.Threads))))
-	c.Kinds = in.KindsOpen
-	c.Zones = in.ZonesOnly
-	return c, nil
+	class := scheduler.DefaultClass(in.Name, effect)
+	class.DedupScope = scope
+	class.DedupWindowMS = in.DedupWindow / usPerMS
+	class.SoftDeadlineMS = in.SoftDeadline / usPerMS
+	class.SoftDeadlineStretch = in.SoftDeadlineStretch
+	class.DeadlineMS = in.Deadline / usPerMS
+	class.Value = valueOr(in.Value, class.Value)
+	class.LateShare = in.LateShare
+	class.InOrder = in.InOrder
+	class.HoldsTableGroup = elementOrZero(p.Deployment.ClassHoldsTableGroup, index)
+	class.BlockedByHolders = elementOrZero(p.Deployment.ClassBlockedByHolders, index)
+	class.Threads = max(1, int(valueOr(elementOrZero(p.Deployment.ClassThreads, index), float64(class.Threads))))
+	class.Kinds = in.Kinds
+	class.Zones = in.Zones
+	return class, nil
 }
 
-// limits sets what may be done, and what the platform promises in turn.
-func (p *platform) limits(s *scheduler.Settings) {
+// applyLimits sets what the controller may do, and how executors behave.
+func (p *platformSettings) applyLimits(s *scheduler.Settings) {
 	bounds := &p.Bounds
-	s.MayCancel = bounds.Cancelling
-	s.MayHealthCheck = bounds.Probing
-	s.MayMessagePeers = bounds.Peers
-	s.MaxAttempts = int(number(bounds.MaxAttempts, float64(s.MaxAttempts)))
-	s.NamesRetryAfter = bounds.RetryAfter
+	s.MayCancel = bounds.MayCancel
+	s.MayHealthCheck = bounds.MayHealthCheck
+	s.MayMessagePeers = bounds.MayMessagePeers
+	s.MaxAttempts = int(valueOr(bounds.MaxAttempts, float64(s.MaxAttempts)))
+	s.NamesRetryAfter = bounds.NamesRetryAfter
 	s.MaxRetryAfterMS = bounds.MaxRetryAfter / usPerMS
-	s.ConnectTimeoutMS = milliseconds(bounds.ConnectTimeout, 0)
+	s.ConnectTimeoutMS = millisecondsOr(bounds.ConnectTimeout, 0)
 
-	family := &p.FamilyInfo
-	s.LargestShare = number(family.LargestShare, s.LargestShare)
-	s.HonorsGrants = family.Grants
-	s.ProgressEveryMS = family.TellsEvery / usPerMS
+	deployment := &p.Deployment
+	s.LargestShare = valueOr(deployment.LargestShare, s.LargestShare)
+	s.HonorsGrants = deployment.HonorsGrants
+	s.ProgressEveryMS = deployment.ProgressInterval / usPerMS
 
 	invariants := &p.Invariants
 	s.DrainGraceMS = invariants.DrainGrace / usPerMS
-	s.OrderKeyRestMS = invariants.KeyQuiet / usPerMS
+	s.OrderKeyRestMS = invariants.OrderKeyRest / usPerMS
 	s.RetryBudget = p.retryBudget(scheduler.RetryBudget{})
-	s.WarmupMS = invariants.WarmUp / usPerMS
-	s.ColdCapacity = number(invariants.ColdFrom, s.ColdCapacity)
-	s.CollapseMultiple = number(invariants.FallMultiple, s.CollapseMultiple)
-	s.CollapseWindowMS = milliseconds(invariants.Fall, s.CollapseWindowMS)
+	s.WarmupMS = invariants.Warmup / usPerMS
+	s.ColdCapacity = valueOr(invariants.ColdCapacity, s.ColdCapacity)
+	s.CollapseMultiple = valueOr(invariants.CollapseMultiple, s.CollapseMultiple)
+	s.CollapseWindowMS = millisecondsOr(invariants.CollapseWindow, s.CollapseWindowMS)
 }
 
-// retryBudget returns the budget for retries, with the fallback's value for what is missing.
-func (p *platform) retryBudget(fallback scheduler.RetryBudget) scheduler.RetryBudget {
+// retryBudget returns the budget for retries. The fallback supplies each field that is missing.
+func (p *platformSettings) retryBudget(fallback scheduler.RetryBudget) scheduler.RetryBudget {
 	invariants := &p.Invariants
 	return scheduler.RetryBudget{
-		WindowMS: milliseconds(invariants.RatioSpan, fallback.WindowMS),
-		Floor:    number(invariants.ExtraFloor, fallback.Floor),
-		Share:    number(invariants.ExtraPerRequest, fallback.Share),
+		WindowMS: millisecondsOr(invariants.RetryWindow, fallback.WindowMS),
+		Floor:    valueOr(invariants.RetryFloor, fallback.Floor),
+		Share:    valueOr(invariants.RetryShare, fallback.Share),
 	}
 }
