--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -14,25 +14,25 @@
 	"liftshift/internal/settings"
 )
 
-// readPatience is for how long a configuration is read again that can't be read for a moment.
-const readRetryTime = time.Second
+// readRetryTimeout bounds the retries of a read of the configuration file that fails with a transient error.
+const readRetryTimeout = time.Second
 
 // Config is the configuration of a controller, as the platform writes it.
 type Config struct {
 	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Seed   string `json:"seed"`
+	Listen string `json:"listen"` // address for clients; RELAY_LISTEN if empty
+	Seed   string `json:"seed"`   // of the random numbers, 16 hex digits
 	Limits struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	AllPeers   string          `json:"peers_all"`
-	Discovery  string          `json:"changelog"`
-	Known      json.RawMessage `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen       string          `json:"peer_listen"` // address for datagrams of other controllers; may be empty
+	Peers            []string        `json:"peers"`       // addresses of all controllers, by number
+	AllPeers         string          `json:"peers_all"`   // address that reaches every controller; may be empty
+	DiscoveryAddress string          `json:"changelog"`
+	InitialList      json.RawMessage `json:"known"` // changes of the endpoint list known at the start
+	Settings         json.RawMessage `json:"settings"`
 
 	seed     uint64
 	settings *settings.Settings
@@ -61,33 +61,31 @@
 	return c, nil
 }
 
-// readWithRetries reads a file, and again after transient errors.
+// readWithRetries reads a file, and retries after transient errors.
 func readWithRetries(path string, read func(string) ([]byte, error)) (text []byte, err error) {
-	err = retry.Do(readRetryTime, func() error {
+	err = retry.Do(readRetryTimeout, func() error {
 		text, err = read(path)
 		return err
 	}, append([]error{syscall.EIO}, retry.Transient...)...)
 	return text, err
 }
 
-// PlatformSettings returns the platform's settings, typed and validated.
-func (c *Config) PlatformSettings() *settings.Settings { return c.settings }
-
-// validate checks the fields and completes what is derived from them.
+// validate checks the fields and sets those that are derived from them.
 func (c *Config) validate() (err error) {
-	for _, field := range []struct{ name, address string }{{"listen", c.Listen}, {"changelog", c.Discovery}} {
+	for _, field := range []struct{ name, address string }{{"listen", c.Listen}, {"changelog", c.DiscoveryAddress}} {
 		if _, err := netip.ParseAddrPort(field.address); err != nil {
-			return fmt.Errorf("%s is missing or no address: %q", field.name, field.address)
+			return fmt.Errorf("%s is missing or not an IP address with a port: %q", field.name, field.address)
 		}
 	}
-	if len(c.Known) == 0 {
+	if len(c.InitialList) == 0 {
 		return errors.New("known is missing")
 	}
 	if len(c.Settings) == 0 {
 		return errors.New("settings is missing")
 	}
 	if c.Limits.MemoryMB <= 0 || c.Limits.Sockets <= 0 {
-		return errors.New("limits: memory_mb and sockets must be above 0")
+		return fmt.Errorf("limits: memory_mb and sockets must be above 0, got %v and %d",
+			c.Limits.MemoryMB, c.Limits.Sockets)
 	}
 	c.seed, err = strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
@@ -98,10 +96,11 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(c.settings.Scheduler.Classes) == 0 {
-		return errors.New("settings: no request class")
+		return errors.New("settings: Classes has no request class")
 	}
-	// Controllers share what a warming-up executor may get: the shares add up only if none counts too few controllers.
+	// Each controller sends a warming-up executor its share of what the executor can take. The shares add up to no more
+	// than that only if no controller assumes too few controllers.
 	c.settings.Scheduler.Controllers = max(c.settings.Scheduler.Controllers, len(c.Peers))
-	c.settings.Scheduler.NotifiedWithinMS = float64(notifiedWithin) / float64(time.Millisecond)
+	c.settings.Scheduler.NotifiedWithinMS = float64(listPropagationTime) / float64(time.Millisecond)
 	return nil
 }
--- a/internal/service/extensions.go
+++ b/internal/service/extensions.go
@@ -7,25 +7,28 @@
 	"liftshift/internal/settings"
 )
 
-// Extensions is what a controller has besides the platform's side. Package service does not import it, so that a program that does
-// not want it does not contain it.
+// Extensions are the parts of a controller that the operators' file configures. Package service does not import them,
+// so that a program without them does not link them.
 type Extensions interface {
-	// Open is called before the loop runs, with this controller's name, and may register extensions of the loop.
-	Open(name string, loop *dispatch.Loop, settings *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error
-	// Start is called when the loop runs and has no events yet.
+	// Open is called with the name of this controller before the event loop runs. It may register extensions of the
+	// loop.
+	Open(
+		name string, loop *dispatch.Loop, settings *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger,
+	) error
+	// Start is called once the event loop runs, before any other event reaches it.
 	Start()
-	// Reload reads the extensions' configuration again and changes nothing; take puts it into force and returns the names of what
-	// needs a restart.
-	Reload(settings *settings.Settings) (take func() []string, err error)
-	// LogCounters logs the extensions' counters.
+	// Reload reads and validates the configuration of the extensions without changing anything. The function apply puts
+	// that configuration into force and returns the names of the fields that only a restart puts into force.
+	Reload(settings *settings.Settings) (apply func() []string, err error)
+	// LogCounters logs the counters of the extensions.
 	LogCounters()
 	// ShutdownStarted is called when a graceful shutdown begins.
 	ShutdownStarted()
-	// Close is called at the end, when the loop has ended.
+	// Close is called after the event loop has ended.
 	Close()
 }
 
-// NoExtensions implements Extensions for a controller that has only the platform's side.
+// NoExtensions implements Extensions for a controller without an operators' file.
 type NoExtensions struct{}
 
 // Open does nothing.
@@ -36,8 +39,8 @@
 // Start does nothing.
 func (NoExtensions) Start() {}
 
-// Reload finds nothing to reload.
-func (NoExtensions) Reload(*settings.Settings) (func() []string, error) {
+// Reload returns an apply function that changes nothing.
+func (NoExtensions) Reload(*settings.Settings) (apply func() []string, err error) {
 	return func() []string { return nil }, nil
 }
 
--- a/internal/service/log.go
+++ b/internal/service/log.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	logQueueCapacity = 1024                   // lines that may wait to be written
-	flushTimeout     = 100 * time.Millisecond // for the log's reader at the end: well within what a shutdown has left
+	logQueueCapacity = 1024 // lines
+	logFlushTimeout  = 100 * time.Millisecond
 )
 
-// asyncWriter writes log lines from a goroutine of its own, so that who logs never waits for the reader of the log. What does not
-// fit into its queue is dropped and counted.
+// asyncWriter writes log lines on its own goroutine, so that logging never blocks on a slow reader of the log. It drops
+// and counts the lines that do not fit into its queue.
 type asyncWriter struct {
 	out     io.Writer
 	queue   chan []byte
@@ -22,15 +22,17 @@
 	dropped atomic.Uint64
 }
 
-func (w *asyncWriter) Write(b []byte) (int, error) {
+// Write queues a copy of the line or drops it. It never fails.
+func (w *asyncWriter) Write(line []byte) (int, error) {
 	select {
-	case w.queue <- append([]byte(nil), b...):
+	case w.queue <- append([]byte(nil), line...):
 	default:
 		w.dropped.Add(1)
 	}
-	return len(b), nil
+	return len(line), nil
 }
 
+// run writes queued lines until the queue is closed.
 func (w *asyncWriter) run() {
 	defer close(w.done)
 	for line := range w.queue {
@@ -38,7 +40,7 @@
 	}
 }
 
-// NewLog returns a log that writes to out, and a function that writes what is queued and ends the log.
+// NewLog returns a log that writes to out, and a function that writes the queued lines and closes the log.
 func NewLog(out io.Writer) (log *logrus.Logger, flush func()) {
 	w := &asyncWriter{out: out, queue: make(chan []byte, logQueueCapacity), done: make(chan struct{})}
 	go w.run()
@@ -50,7 +52,7 @@
 		close(w.queue)
 		select {
 		case <-w.done:
-		case <-time.After(flushTimeout): // nobody reads the lines: the process ends all the same
+		case <-time.After(logFlushTimeout): // the process must end even if nobody reads its log
 		}
 	}
 }
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -8,43 +8,47 @@
 	"github.com/sirupsen/logrus"
 )
 
+// A reload that fails is retried, because the configuration file may still be being written.
 const (
-	reloadRetries       = 4 // of a configuration that could not be read: its file may still be being written
+	reloadRetries       = 4
 	reloadRetryInterval = 250 * time.Millisecond
 )
 
-// reload reads the configuration again. Where that fails, it sets the time of the next retry, if there are any left.
+// reload replaces the configuration. If that fails and retries are left, it schedules the next one.
 func (c *controller) reload(retries int) {
-	c.retryReload = nil
+	c.reloadRetryTimer = nil
 	c.reloadRetriesLeft = 0
 	if c.replaceConfig() || retries <= 0 {
 		return
 	}
 	c.reloadRetriesLeft = retries
-	c.retryReload = time.After(reloadRetryInterval)
+	c.reloadRetryTimer = time.After(reloadRetryInterval)
 }
 
-// replaceConfig puts the configuration file into force, whole or not at all, and returns whether it did. Of the platform's side only
-// the discovery address changes; the log names the other fields that differ.
+// replaceConfig puts the configuration file into force, or nothing of it if any part is invalid, and returns whether it
+// did. Of the platform's configuration only the discovery address changes; the log names the other fields that differ.
 func (c *controller) replaceConfig() bool {
 	next, err := ReadConfig()
-	var take func() []string
+	var applyExtensions func() []string
 	if err == nil {
-		take, err = c.extensions.Reload(next.settings)
+		applyExtensions, err = c.extensions.Reload(next.settings)
 	}
 	if err != nil {
 		c.log.WithField("error", err).Error("reload: not read, the old configuration stays in force")
 		return false
 	}
-	c.discovery.Follow(next.Discovery)
-	needsRestart := append(c.config.changedFields(next), take()...)
-	c.log.WithFields(logrus.Fields{"changelog": next.Discovery, "needs_restart": needsRestart}).Info("reload: done")
+	c.discovery.Follow(next.DiscoveryAddress)
+	needsRestart := append(c.config.changedFields(next), applyExtensions()...)
+	c.log.WithFields(logrus.Fields{
+		"changelog":     next.DiscoveryAddress,
+		"needs_restart": needsRestart,
+	}).Info("reload: done")
 	c.config = next
 	return true
 }
 
-// changedFields returns the sorted names of the fields that differ and that only a restart puts into force. The endpoints known at
-// the start and the seed are new in each file and not compared.
+// changedFields returns the sorted names of the fields that differ and that only a restart puts into force. It does not
+// compare the initial endpoint list and the seed, which differ in every file.
 func (c *Config) changedFields(next *Config) []string {
 	var names []string
 	for name, same := range map[string]bool{
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,6 +1,8 @@
-// Package service builds a controller from its configuration, serves, reloads and stops it.
+// Package service builds a controller from its configuration, serves requests, reloads the configuration and shuts the
+// controller down.
 //
-// It owns the order of start and shutdown and the shares of the machine's limits, and takes no decision about requests.
+// It owns the order of start and shutdown and divides the limits of the machine among the parts of the controller. It
+// decides nothing about single requests.
 package service
 
 import (
@@ -22,29 +24,39 @@
 	"liftshift/scheduler"
 )
 
-// Shares of the limits. They bound memory and sockets and decide nothing.
+// Shares of the configured limits of memory and sockets.
 const (
-	heapMemoryShare     = 0.7  // of the memory, for Go's own limit: the rest is for stacks, sockets and what is not yet swept
-	bufferMemoryShare   = 0.12 // of the memory, for each of the bodies of open requests and what waits to be written
-	gcPercent           = 400  // growth of the heap between collections, as long as the limit is far
-	clientSocketShare   = 0.55 // of the descriptors
-	executorSocketShare = 0.3  // of the descriptors
-	countersInterval    = 10 * time.Second
+	heapMemoryShare     = 0.7  // memory limit of the Go runtime; the rest covers stacks, sockets and unswept memory
+	bufferMemoryShare   = 0.12 // bodies of open requests, and the same again for queued output
+	clientSocketShare   = 0.55
+	executorSocketShare = 0.3
 )
 
-// The protocol's times.
+// gcPercent lets the heap grow far between two collections while it stays well below the memory limit.
+const gcPercent = 400
+
+const countersInterval = 10 * time.Second
+
+// Times that the platform's protocol prescribes.
 const (
-	balancerLeaveTime = 700 * time.Millisecond // after which the load balancer has stopped sending, and its last request has come
-	maxDeadlineWait   = 3 * time.Second        // the longest deadline that a shutdown waits for
-	notifiedWithin    = 7 * time.Second        // after which a change of the endpoint list counts as known, notified or not
+	// deregistrationTime is how long the load balancer may send requests after the controller reports that it is not
+	// ready.
+	deregistrationTime = 700 * time.Millisecond
+	// maxDeadlineWait is the longest request deadline that a shutdown waits for.
+	maxDeadlineWait = 3 * time.Second
+	// listPropagationTime is the time after which the platform takes a change of the endpoint list as known to every
+	// controller, received or not.
+	listPropagationTime = 7 * time.Second
 )
 
 const (
 	drainPollInterval = 10 * time.Millisecond
-	flushReserve      = 300 * time.Millisecond // for the last answers to be written and read: half of it for each
+	// flushReserve is the end of a shutdown that remains after the last request has been answered: the first half to
+	// write the answers, the second half for clients to read them.
+	flushReserve = 300 * time.Millisecond
 )
 
-// controller is what Run has started.
+// controller joins the event loop, the servers and the clients of one running controller.
 type controller struct {
 	config     *Config
 	extensions Extensions
@@ -57,14 +69,14 @@
 	discovery  *discovery.Client
 
 	requestBytes *netconn.ByteBudget // bodies of open requests
-	outputBytes  *netconn.ByteBudget // what waits to be written
-	maxDeadline  time.Duration       // of all request classes
+	outputBytes  *netconn.ByteBudget // queued output
+	maxDeadline  time.Duration       // the longest of all request classes
 
-	retryReload       <-chan time.Time // when a configuration that could not be read is read again; nil: not at all
+	reloadRetryTimer  <-chan time.Time // fires when a failed reload is due for a retry; nil if none is
 	reloadRetriesLeft int
 }
 
-// Run serves until ctx ends, then shuts down gracefully. It reads the configuration again at each signal from reload.
+// Run serves until ctx ends, then shuts down gracefully. Each signal from reload makes it reload the configuration.
 func Run(ctx context.Context, config *Config, extensions Extensions, reload <-chan os.Signal, log *logrus.Logger) error {
 	applyRuntimeLimits(config)
 	c := newController(config, extensions, log)
@@ -81,7 +93,7 @@
 	return nil
 }
 
-// applyRuntimeLimits sets the limits of Go's runtime.
+// applyRuntimeLimits configures the Go runtime for the machine's limits of memory and cores.
 func applyRuntimeLimits(config *Config) {
 	debug.SetMemoryLimit(int64(config.Limits.MemoryMB * heapMemoryShare * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
@@ -90,6 +102,7 @@
 	}
 }
 
+// newController creates the controller and its event loop, without opening any socket.
 func newController(config *Config, extensions Extensions, log *logrus.Logger) *controller {
 	bufferBytes := int64(config.Limits.MemoryMB * bufferMemoryShare * (1 << 20))
 	clock := dispatch.NewClock()
@@ -104,17 +117,17 @@
 	}
 }
 
-// open listens and connects the loop with its protocols. Nothing is served yet.
+// open binds the listen addresses and connects the event loop with its transports. Nothing is served before start.
 func (c *controller) open() (err error) {
-	config, set := c.config, c.config.settings
-	classes, maxDeadline := classLimits(set.Scheduler.Classes)
+	config, platform := c.config, c.config.settings
+	classes, maxDeadline := classLimits(platform.Scheduler.Classes)
 	c.maxDeadline = maxDeadline
 	c.clients, err = jsonrpc.NewServer(config.Listen, classes, c.loop, c.clock, jsonrpc.Limits{
-		MaxConns:      share(config.Limits.Sockets, clientSocketShare),
-		MaxOpen:       set.MaxRequests,
+		MaxConns:      shareOf(config.Limits.Sockets, clientSocketShare),
+		MaxOpen:       platform.MaxRequests,
 		RequestBudget: c.requestBytes,
 		OutputBudget:  c.outputBytes,
-		RetryAfterMS:  set.Scheduler.LongestRetryAfterMS(),
+		RetryAfterMS:  platform.Scheduler.LongestRetryAfterMS(),
 		ServeOutcomes: c.loop.HasLedger(),
 		Arrival:       c.loop.Arrival,
 	}, c.log)
@@ -122,29 +135,30 @@
 		return err
 	}
 	c.executors = resp.NewClient(c.loop, c.clock, c.outputBytes, resp.Limits{
-		ConnectMS:   set.Executors.ConnectTimeoutMS,
-		IdleMS:      set.Executors.IdleCloseMS,
-		MaxPerConn:  set.Executors.StreamsPerConn,
-		MaxConns:    share(config.Limits.Sockets, executorSocketShare),
-		ReportNames: set.Scheduler.ReportNames,
+		ConnectMS:   platform.Executors.ConnectTimeoutMS,
+		IdleMS:      platform.Executors.IdleCloseMS,
+		MaxPerConn:  platform.Executors.StreamsPerConn,
+		MaxConns:    shareOf(config.Limits.Sockets, executorSocketShare),
+		ReportNames: platform.Scheduler.ReportNames,
 	}, c.log)
 	c.executors.LeaseHeld = c.loop.LeaseHeld
 	c.peers, err = gossip.New(config.PeerListen, config.Peers, config.AllPeers, c.loop, c.log)
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
-	c.discovery, err = discovery.NewClient(config.Discovery, config.Known, c.executors, c.clock, config.seed, c.loop, c.log)
+	c.discovery, err = discovery.NewClient(
+		config.DiscoveryAddress, config.InitialList, c.executors, c.clock, config.seed, c.loop, c.log)
 	if err != nil {
 		return err
 	}
 	c.loop.Executors = c.executors
 	c.loop.Peers = c.peers
 	c.loop.List = c.discovery
-	c.loop.HealthCheckTimeoutMS = set.Executors.ConnectTimeoutMS
+	c.loop.HealthCheckTimeoutMS = platform.Executors.ConnectTimeoutMS
 	return nil
 }
 
-// start starts all goroutines. The endpoints that are known at the start reach the loop before anything else does.
+// start starts all goroutines. The initial endpoint list reaches the event loop before any request does.
 func (c *controller) start(ctx context.Context) {
 	go c.loop.Run()
 	c.extensions.Start()
@@ -162,7 +176,7 @@
 	}).Info("start: serving")
 }
 
-// serve reloads and logs counters until ctx ends.
+// serve reloads the configuration on request and logs counters at intervals until ctx ends.
 func (c *controller) serve(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(countersInterval)
 	defer ticker.Stop()
@@ -173,17 +187,17 @@
 			c.logCounters("sockets")
 		case <-reload:
 			c.reload(reloadRetries)
-		case <-c.retryReload:
+		case <-c.reloadRetryTimer:
 			c.reload(c.reloadRetriesLeft - 1)
 		}
 	}
 }
 
-// shutDown stops the controller gracefully: it is not ready any more, waits until the balancer has stopped sending and all requests
-// are answered, but not past the limit, then ends everything.
+// shutDown stops the controller gracefully: it reports not ready, waits within a time limit until the load balancer has
+// stopped sending and all requests are answered, and then stops every part.
 func (c *controller) shutDown(reload <-chan os.Signal) {
 	began := time.Now()
-	limit := balancerLeaveTime + min(maxDeadlineWait, c.maxDeadline)
+	limit := deregistrationTime + min(maxDeadlineWait, c.maxDeadline)
 	c.clients.SetReady(false)
 	c.extensions.ShutdownStarted()
 	c.loop.BeginShutdown(c.clock.Now() + float64(limit-flushReserve)/float64(time.Millisecond))
@@ -198,15 +212,16 @@
 	c.log.WithFields(logrus.Fields{"open": c.loop.OpenRequests(), "took": time.Since(began)}).Info("stop: done")
 }
 
-// drain waits until all requests are answered and all clients have their answers, or the limit is near.
+// drain returns once the load balancer has stopped sending, all requests are answered and all answers are written, or
+// when the limit is near.
 func (c *controller) drain(began time.Time, limit time.Duration, reload <-chan os.Signal) {
 	for time.Since(began) < limit-flushReserve/2 {
 		select {
 		case <-time.After(drainPollInterval):
-		case <-reload: // the discovery address may still move: executors that begin to drain have to be noticed
-			c.reload(0)
+		case <-reload:
+			c.reload(0) // follows a new discovery address, to learn which executors drain meanwhile
 		}
-		if time.Since(began) < balancerLeaveTime {
+		if time.Since(began) < deregistrationTime {
 			continue
 		}
 		c.clients.Drain()
@@ -247,16 +262,19 @@
 	c.extensions.LogCounters()
 }
 
-// classLimits returns what a client server has to know of each request class, and the longest deadline.
+// classLimits returns what the client server enforces for each request class, and the longest deadline among them.
 func classLimits(classes []scheduler.RequestClass) (map[string]jsonrpc.ClassLimits, time.Duration) {
 	limits := map[string]jsonrpc.ClassLimits{}
-	longest := 0.0
-	for _, c := range classes {
-		limits[c.Name] = jsonrpc.ClassLimits{Keyed: c.Effect == scheduler.Keyed, MaxDeadlineMS: c.DeadlineMS}
-		longest = max(longest, c.DeadlineMS)
+	longestMS := 0.0
+	for _, class := range classes {
+		limits[class.Name] = jsonrpc.ClassLimits{
+			Keyed:         class.Effect == scheduler.Keyed,
+			MaxDeadlineMS: class.DeadlineMS,
+		}
+		longestMS = max(longestMS, class.DeadlineMS)
 	}
-	return limits, time.Duration(longest * float64(time.Millisecond))
+	return limits, time.Duration(longestMS * float64(time.Millisecond))
 }
 
-// share returns a part of n, at least 1.
-func share(n int, part float64) int { return max(1, int(float64(n)*part)) }
+// shareOf returns a share of a total, rounded down but at least 1.
+func shareOf(total int, share float64) int { return max(1, int(float64(total)*share)) }
