--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -1,19 +1,20 @@
 package scheduler
 
-// Drains while the endpoint list is out of reach. A draining executor gets no new attempts once the grace
-// period after the notification is over, and after a while a controller counts as notified even if nothing
-// arrived. So without the list, an executor is open only as long as no drain of it can have come into force.
+// Drains while the endpoint list is unavailable. A draining executor accepts new attempts until a grace period after
+// the notification of its drain has passed, and a controller counts as notified after a given time even if it received
+// nothing. Without the list, an executor therefore gets new attempts only while no drain that this controller may have
+// missed can have taken effect.
 
 import (
 	"math"
 	"slices"
 )
 
-// maxPresumed is the number of times kept at which pending news counts as known.
-const maxPresumed = 32
+// maxPresumedNotifications bounds the number of stored times at which pending list updates count as received.
+const maxPresumedNotifications = 32
 
-// drainSafeUntil returns until when an executor surely may be sent new attempts. One that it took proves it
-// was not draining.
+// drainSafeUntil returns the time until which an executor surely accepts new attempts. The executor was not draining
+// at the last contact with the list, nor when it last accepted an attempt.
 func (s *Scheduler) drainSafeUntil(e *executor) float64 {
 	if s.listContactAt <= 0 || s.settings.NotifiedWithinMS <= 0 {
 		return math.Inf(1)
@@ -28,13 +29,13 @@
 	return notifiedAt + s.settings.DrainGraceMS - answerMarginMS
 }
 
-// presumeNotified notes when pending news counts as known, and forgets the times that close nothing by
-// themselves any more.
-func (s *Scheduler) presumeNotified(at float64) {
+// recordPresumedNotification stores the time at which pending list updates count as received; 0 stands for none. It
+// drops stored times that are more than NotifiedWithinMS ago.
+func (s *Scheduler) recordPresumedNotification(at float64) {
 	oldest := s.now - s.settings.NotifiedWithinMS
 	isOld := func(presumed float64) bool { return presumed < oldest }
 	s.presumedNotifiedAt = slices.DeleteFunc(s.presumedNotifiedAt, isOld)
-	if at > 0 && len(s.presumedNotifiedAt) < maxPresumed {
+	if at > 0 && len(s.presumedNotifiedAt) < maxPresumedNotifications {
 		s.presumedNotifiedAt = append(s.presumedNotifiedAt, at)
 	}
 }
--- a/scheduler/ejection.go
+++ b/scheduler/ejection.go
@@ -1,27 +1,27 @@
 package scheduler
 
-// Outlier ejection: which executors get nothing for a while because they show no sign of work, or only
-// failures; which attempts there are cancelled to be sent anew; and how health checks bring an executor back.
-// An executor is judged by progress reports, outcomes and health checks alone, never by how long its work
-// takes. Where half of all look bad, nobody is ejected: the cause is something that they share, this
-// controller's network among others.
+// Outlier ejection: which executors get no attempts for a while because they show no activity or only failures, which
+// of their attempts are cancelled and retried elsewhere, and how health checks bring an executor back. Executors are
+// judged only by progress reports, outcomes and health checks, never by how long their work takes. While more than
+// half of the executors look unhealthy, no further one is ejected: the cause is then probably shared, for example this
+// controller's own network.
 
 import (
 	"math"
 )
 
 const (
-	lateProgressIntervals   = 1.5 // intervals until an attempt must have been reported: one, and its phase
-	silentProgressIntervals = 3.0 // intervals without any sign, though health checks are answered
-	progressSlackMS         = 100 // on top of both, for reports on their way
+	lateProgressIntervals   = 1.5 // progress intervals after which a report is late
+	silentProgressIntervals = 3.0 // progress intervals without any activity, though health checks are answered
+	progressSlackMS         = 100 // added to both, for reports in transit
 	probeIntervalMS         = 500
-	probesToRecover         = 2 // in a row: one may be luck
-	maxFailures             = 5 // in a row: broken connections hit good executors too
-	avoidMS                 = 300
+	probesToRecover         = 2   // consecutive answers, multiplied by the number of ejections
+	maxFailures             = 5   // consecutive failures; a few lost connections don't eject a healthy executor
+	avoidMS                 = 300 // time without new attempts after a failure or a refusal
 )
 
-// eject cancels the attempts at an ejected executor, as far as others may follow them: it may only be cut
-// off.
+// eject records an ejection and cancels the executor's attempts where a retry is allowed. The others stay in flight,
+// since the executor may only be unreachable.
 func (s *Scheduler) eject(index int) {
 	e := &s.executors[index]
 	e.ejectedAt = s.now
@@ -30,9 +30,9 @@
 	s.abandonAttempts(index, s.now, false)
 }
 
-// abandonAttempts gives up attempts that were sent before a time: all if they are surely gone, else those
-// that may be replaced.
-func (s *Scheduler) abandonAttempts(index int, before float64, surelyGone bool) {
+// abandonAttempts abandons the attempts that were sent to an executor before a point in time. If they are known to be
+// lost, it abandons all of them, and otherwise only those that another attempt may replace.
+func (s *Scheduler) abandonAttempts(index int, before float64, lost bool) {
 	for slot := range s.requests.entries {
 		r := s.requests.at(slot)
 		if !r.inUse || r.state != requestRunning {
@@ -42,15 +42,15 @@
 		if a.executor != index || a.sentAt >= before {
 			continue
 		}
-		if surelyGone || s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r) {
+		if lost || s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r) {
 			s.applyToRequest(slot, inputAttemptAbandoned)
 		}
 	}
 }
 
-// suspect ejects an executor, unless half of all look bad.
-func (s *Scheduler) suspect(index int) {
-	bad := 1
+// tryEject ejects an executor, unless more than half of the active executors, this one included, look unhealthy.
+func (s *Scheduler) tryEject(index int) {
+	unhealthy := 1
 	active := 0
 	for other := range s.executors {
 		e := &s.executors[other]
@@ -59,17 +59,17 @@
 		}
 		active++
 		if other != index && (e.state == executorEjected || s.silentMS(e) > s.progressIntervalMS()) {
-			bad++
+			unhealthy++
 		}
 	}
-	if 2*bad <= active {
+	if 2*unhealthy <= active {
 		s.applyToExecutor(index, inputUnresponsive)
 	}
 }
 
-// recordFailure counts a failed attempt against its executor. A single one suffices while the executor has
-// not done any work since it came back, or a refused connection where this controller's share is too small to
-// see five.
+// recordFailure counts a failed attempt against its executor and ejects the executor after maxFailures consecutive
+// failures. A single failure is enough while the executor has done no work since it last started or recovered, and a
+// single refused connection where this controller's share is too small to see many attempts fail.
 func (s *Scheduler) recordFailure(index int, outcome Outcome) {
 	e := &s.executors[index]
 	e.failures++
@@ -77,12 +77,11 @@
 		e.avoidUntil = s.now + avoidMS
 	}
 	if e.failures >= maxFailures || !e.proven || outcome == ConnectFailed && s.sharesUnderOneThread(e) {
-		s.suspect(index)
+		s.tryEject(index)
 	}
 }
 
-// recordHealthCheck takes the result of a health check. One that failed on this side says nothing of the
-// executor.
+// recordHealthCheck applies the result of a health check. A local failure says nothing about the executor.
 func (s *Scheduler) recordHealthCheck(ev *Event) {
 	index := s.executorIndex(ev.Executor)
 	if index < 0 {
@@ -109,21 +108,21 @@
 	}
 }
 
-// missedProgress reports whether an attempt is sent anew because its progress report is missing though its
-// executor goes on reporting others: the reply was lost, the stream cut or the attempt dropped. One that is
-// queued for memory reports nothing.
+// missedProgress reports whether an attempt is to be replaced because its progress report is late although its
+// executor has sent others since: the attempt was dropped, or its reply or stream was lost. Attempts that wait in the
+// executor's queue send no reports.
 func (s *Scheduler) missedProgress(r *request, a *attempt) bool {
 	interval := s.settings.ProgressEveryMS
 	e := &s.executors[a.executor]
 	isLate := interval > 0 && s.now-a.progressAt > lateProgressIntervals*interval+progressSlackMS && !a.queued
-	if !isLate || e.lastSignAt <= a.progressAt || e.state == executorEjected {
+	if !isLate || e.lastActivityAt <= a.progressAt || e.state == executorEjected {
 		return false
 	}
 	return s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r)
 }
 
-// watchExecutor ends a warm-up, has an executor checked that is ejected or shows no sign of work, and ejects
-// it when that goes on.
+// watchExecutor ends a warm-up that is over, sends health checks to an ejected or silent executor, and ejects an
+// executor that stays silent.
 func (s *Scheduler) watchExecutor(index int) {
 	e := &s.executors[index]
 	if e.state == executorWarmingUp && s.now >= e.warmupUntil {
@@ -138,12 +137,12 @@
 		s.checkExecutor(index)
 	}
 	if s.isUnresponsive(e, silentMS) {
-		s.suspect(index)
+		s.tryEject(index)
 	}
 }
 
-// checkExecutor sends a health check. Where there are none, time brings an ejected executor back, later after
-// each ejection.
+// checkExecutor sends a health check if one is due. In deployments without health checks an ejected executor returns
+// after a time that grows with the number of its ejections.
 func (s *Scheduler) checkExecutor(index int) {
 	e := &s.executors[index]
 	if !s.settings.MayHealthCheck {
@@ -152,14 +151,14 @@
 		}
 		return
 	}
-	// All controllers together send as many as one would times the root of their number.
+	// The total rate of health checks grows with the square root of the number of controllers.
 	if !e.probing && s.now >= e.probedAt+probeIntervalMS/math.Sqrt(s.trafficShare) {
 		s.sendProbe(e)
 	}
 }
 
-// isUnresponsive reports whether an executor has been silent for too long. Attempts that are queued for
-// memory report nothing: where all are, silence counts only with a failed health check.
+// isUnresponsive reports whether an executor has been silent for too long. If all its attempts wait in its own queue,
+// from where they send no reports, silence counts only together with a failed health check.
 func (s *Scheduler) isUnresponsive(e *executor, silentMS float64) bool {
 	allQueued := e.queued >= e.inFlight
 	if e.state == executorEjected || allQueued && !e.probeFailed {
--- a/scheduler/ejection_test.go
+++ b/scheduler/ejection_test.go
@@ -13,7 +13,7 @@
 	s.Step(2000, &Event{Kind: ProgressReported, Request: "b", Progress: Progress, Value: 0.5}, nil)
 	assert.Empty(t, actionKinds(tickAt(s, 2500)))
 	s.requests.entries[0].lastAttempt().queued = true
-	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(tickAt(s, 2610)), "it is queued there and reports nothing")
+	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(tickAt(s, 2610)), "an attempt queued there sends no reports")
 	s.requests.entries[0].lastAttempt().queued = false
 	assert.Equal(t, []ActionKind{Cancel}, actionKinds(tickAt(s, 2611)))
 }
@@ -38,10 +38,10 @@
 	s.Step(3650, &probe, nil)
 	assert.Equal(t, executorWarmingUp, e.state)
 	assert.Equal(t, 13650.0, e.warmupUntil)
-	assert.False(t, e.proven, "one attempt at a time until it has done work")
+	assert.False(t, e.proven, "the executor gets one attempt at a time until it has done work")
 }
 
-func TestScheduler_EjectsAfterFailuresInARow(t *testing.T) {
+func TestScheduler_EjectsAfterConsecutiveFailures(t *testing.T) {
 	s := newTestScheduler(3, nil)
 	arrive(s, 1000, "a", "read")
 	index := s.requests.entries[0].lastAttempt().executor
@@ -54,10 +54,10 @@
 	assert.Equal(t, executorEjected, s.executors[index].state)
 }
 
-func TestScheduler_EjectsNobodyWhenHalfLookBad(t *testing.T) {
+func TestScheduler_EjectsAtMostHalfOfExecutors(t *testing.T) {
 	s := newTestScheduler(4, nil)
 	for index := range 4 {
-		s.suspect(index)
+		s.tryEject(index)
 	}
 	assert.Equal(t, []executorState{executorEjected, executorEjected, executorHealthy, executorHealthy},
 		[]executorState{s.executors[0].state, s.executors[1].state, s.executors[2].state, s.executors[3].state})
@@ -71,7 +71,7 @@
 	assert.Equal(t, executorEjected, s.executors[index].state)
 }
 
-func TestScheduler_QueuedAttemptsAreNotSilence(t *testing.T) {
+func TestScheduler_KeepsExecutorWhoseAttemptsAreQueued(t *testing.T) {
 	s := newTestScheduler(3, nil)
 	arrive(s, 1000, "a", "read")
 	e := &s.executors[s.requests.entries[0].lastAttempt().executor]
@@ -81,5 +81,5 @@
 	assert.Equal(t, executorHealthy, e.state)
 	e.probeFailed = true
 	s.watchExecutor(s.requests.entries[0].lastAttempt().executor)
-	assert.Equal(t, executorEjected, e.state, "failed health checks still count")
+	assert.Equal(t, executorEjected, e.state, "a failed health check still counts")
 }
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -1,14 +1,14 @@
 package scheduler
 
-// Endpoint list: which executors there are, and what news of them leads to. What a complete list leaves out
-// is gone, and so is whatever ran there.
+// The endpoint list: which executors exist, and what follows from changes of the list. An executor that is missing
+// from a complete list is gone, and so are the attempts that ran there.
 
-// updateEndpoints takes news of the endpoint list, or that it is out of reach.
+// updateEndpoints applies an update of the endpoint list, or records that the list is unavailable.
 func (s *Scheduler) updateEndpoints(ev *Event) {
 	if ev.List == ListUnavailable {
 		s.resubscribeAt = s.now + resubscribeMS
 		s.listContactAt = ev.Deadline
-		s.presumeNotified(ev.PresumedAt)
+		s.recordPresumedNotification(ev.PresumedAt)
 		return
 	}
 	s.listContactAt = 0
@@ -29,13 +29,15 @@
 	s.dispatchNeeded = true
 }
 
+// updateEndpoint applies one entry of the endpoint list. If the executor was started anew, its warm-up begins and the
+// attempts sent to the earlier process are abandoned.
 func (s *Scheduler) updateEndpoint(endpoint *Endpoint, list ListKind) {
 	known := s.executorIndex(endpoint.Executor) >= 0
 	index := s.upsertExecutor(endpoint)
 	e := &s.executors[index]
 	if s.isNewStart(endpoint, e, known, list) {
 		s.applyToExecutor(index, inputRestarted)
-		s.abandonAttempts(index, s.startTime(endpoint), true)
+		s.abandonAttempts(index, s.processStartTime(endpoint), true)
 	}
 	e.startedAt = endpoint.StartedAt
 	e.availability = endpoint.Availability
--- a/scheduler/executors.go
+++ b/scheduler/executors.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// executor is what this controller knows of one executor.
+// executor is the state that this controller keeps of one executor.
 type executor struct {
 	id           uint32
 	zone         string
@@ -13,87 +13,87 @@
 	cell         int64
 	cores        float64
 	memoryMB     float64
-	share        float64 // of it, this controller's
+	share        float64 // share of its capacity that this controller may use
 	availability Availability
-	startedAt    float64 // as the endpoint list names it
+	startedAt    float64 // as stated by the endpoint list
 
-	// This controller's attempts there.
-	inFlight  int // without an outcome
+	// Attempts that this controller has in flight on the executor.
+	inFlight  int
 	threads   int
 	grantedMB float64
-	queued    int     // of those in flight, waiting on the executor
-	busySince float64 // when the first of those in flight was sent
-	backlogMS float64 // work sent beyond what this controller's share has done, as of backlogAt
+	queued    int     // number of attempts that wait in the executor's own queue
+	busySince float64 // when the first of them was sent, or a later start of the executor
+	backlogMS float64 // work sent but not yet worked off at backlogAt, in milliseconds of one thread
 	backlogAt float64
 
-	// Its health.
+	// Health.
 	state          executorState
-	lastSignAt     float64 // last sign of work: a progress report or an answer
-	acceptedAt     float64 // when the latest attempt was sent that it took; a draining executor turns away new ones
-	failures       int     // in a row
-	proven         bool    // it has done work since it came back
-	slowdown       float64 // against the other executors
+	lastActivityAt float64 // time of the last progress report or answer
+	acceptedAt     float64 // latest sending time of an attempt that ran here; a draining executor refuses new ones
+	failures       int     // consecutive failures
+	proven         bool    // has done work since it last started or recovered
+	slowdown       float64 // relative to the other executors; 1 is average
 	avoidUntil     float64
 	ejectedAt      float64
 	ejections      int
-	probing        bool // a health check is on its way
+	probing        bool // a health check is in flight
 	probedAt       float64
 	probeFailed    bool // the last health check failed
-	probesAnswered int  // in a row
+	probesAnswered int  // consecutive successful health checks
 	warmupUntil    float64
-	warmupSent     window // usual work of what was sent while it warmed up, ms
+	warmupSent     window // usual work of the requests sent during the warm-up, in milliseconds
 
-	// Its load from all controllers.
-	reportedThreads float64 // as last reported, and what this controller has sent since
+	// Load from all controllers.
+	reportedThreads float64 // of the last load report, plus the attempts that this controller has sent since
 	reportedMB      float64
 	reportedAt      float64
-	peerThreads     float64 // the sums over all controllers, at an aggregator
-	peerMemoryShare float64
-	loadLevel       float64 // as aggregators publish it
+	peerThreads     float64 // sum over all controllers; kept by aggregators only
+	peerMemoryShare float64 // sum over all controllers; kept by aggregators only
+	loadLevel       float64 // as published by an aggregator
 }
 
-// groupHolder is a table group that a request holds on an executor.
+// groupHolder states that a request holds a table group on an executor, up to a point in time.
 type groupHolder struct {
 	group    uint64
 	executor int
 	until    float64
 }
 
-// executorLoad is how busy an executor is: all of it where a report is current, this controller's share of it
-// otherwise.
+// executorLoad is the load of an executor as a whole if a load report of it is current, and otherwise the load that
+// this controller puts on its share of the executor.
 type executorLoad struct {
 	threads  float64
 	memoryMB float64
-	share    float64 // part of the executor that the others are measured against
-	room     float64 // cores in that part
+	share    float64 // share of the executor that the load refers to
+	cores    float64 // cores in that share
 }
 
-// candidate is an executor that may take a request, and what it is compared by.
+// candidate is an executor that may take a request, with the values that candidates are compared by.
 type candidate struct {
 	index       int
-	tier        int     // of its zone: nearer zones come first
-	threads     float64 // with the request
-	memoryShare float64 // with the request
-	fill        float64 // 0 within the preferred bound, where the hash order alone decides
-	rank        uint64  // in the hash order of the table group
+	tier        int     // of its zone; a lower one is nearer
+	threads     float64 // including those of the request
+	memoryShare float64 // including the memory of the request
+	loadScore   float64 // 0 within the preferred bound, where only the rank decides
+	rank        uint64  // position in the hash order of the table group; the highest comes first
 }
 
-// ExecutorView is what an instance knows of one executor, for the caller's log.
+// ExecutorView is a snapshot of one executor's state for logs and monitoring.
 type ExecutorView struct {
 	Executor            uint32
-	InFlight            int // attempts there without an outcome
-	Threads             int // of them
+	InFlight            int // number of attempts in flight
+	Threads             int // used by the attempts in flight
 	ConsecutiveFailures int
 	Availability        Availability
-	Ejected             bool // it gets nothing until it has answered health checks
+	Ejected             bool // gets no attempts until it has answered health checks
 	Ejections           int  // since it was last healthy
-	WarmingUp           bool // it gets this controller's share of a warm-up budget
+	WarmingUp           bool // limited to this controller's share of its warm-up budget
 	WarmupUntil         float64
-	SinceSignMS         float64 // since the last sign of work; below 0: none yet
-	SinceReportMS       float64 // since its load was last reported; below 0: never
+	SinceSignMS         float64 // time since the last progress report or answer; negative if there was none
+	SinceReportMS       float64 // time since the last load report; negative if there was none
 }
 
-// ExecutorViews appends what is known of each executor that is listed or has attempts in flight.
+// ExecutorViews appends a view of each executor that is listed or has attempts in flight.
 func (s *Scheduler) ExecutorViews(now float64, out []ExecutorView) []ExecutorView {
 	since := func(at float64) float64 {
 		if at == 0 {
@@ -116,14 +116,14 @@
 			Ejections:           e.ejections,
 			WarmingUp:           now < e.warmupUntil,
 			WarmupUntil:         e.warmupUntil,
-			SinceSignMS:         since(e.lastSignAt),
+			SinceSignMS:         since(e.lastActivityAt),
 			SinceReportMS:       since(e.reportedAt),
 		})
 	}
 	return out
 }
 
-// executorIndex returns the index of an executor, or -1.
+// executorIndex returns the index of the executor with an id, or -1.
 func (s *Scheduler) executorIndex(id uint32) int {
 	for index := range s.executors {
 		if s.executors[index].id == id {
@@ -133,7 +133,7 @@
 	return -1
 }
 
-// upsertExecutor returns the index of a listed executor, and adds it if it is new.
+// upsertExecutor adds or updates the executor of a list entry and returns its index.
 func (s *Scheduler) upsertExecutor(endpoint *Endpoint) int {
 	index := s.executorIndex(endpoint.Executor)
 	if index < 0 {
@@ -142,17 +142,19 @@
 			s.executors = append(s.executors, executor{})
 		}
 		s.executors[index] = executor{id: endpoint.Executor, state: executorHealthy, slowdown: 1, proven: true}
-		s.reportedHolders = slices.DeleteFunc(s.reportedHolders, func(holder groupHolder) bool { return holder.executor == index })
+		isAtIndex := func(holder groupHolder) bool { return holder.executor == index }
+		s.reportedHolders = slices.DeleteFunc(s.reportedHolders, isAtIndex)
 	}
 	e := &s.executors[index]
-	e.setMachine(&s.settings, endpoint)
-	e.share = shareOf(s.trafficShare, e.cores)
+	e.applyEndpoint(&s.settings, endpoint)
+	e.share = executorShare(s.trafficShare, e.cores)
 	s.recountRemoteThreads()
 	return index
 }
 
-// freeExecutorIndex returns the first index whose executor is gone and that no request in hand refers to, or the end. Ids are
-// always new, so indexes that were never used again would grow without end.
+// freeExecutorIndex returns the first index that can be reused, or the length of the executor table. An index can be
+// reused if its executor was removed and no request in hand refers to it. Executor ids are never reused, so the table
+// would otherwise grow with every replaced executor.
 func (s *Scheduler) freeExecutorIndex() int {
 	for index := range s.executors {
 		e := &s.executors[index]
@@ -163,19 +165,21 @@
 	return len(s.executors)
 }
 
-// isReferenced reports whether a request in hand had an attempt at an executor.
+// isReferenced reports whether any request in hand has or had an attempt on an executor.
 func (s *Scheduler) isReferenced(index int) bool {
+	isOnExecutor := func(a attempt) bool { return a.executor == index }
 	for slot := range s.requests.entries {
 		r := s.requests.at(slot)
-		if r.inUse && slices.ContainsFunc(r.attempts[:r.attemptCount], func(a attempt) bool { return a.executor == index }) {
+		if r.inUse && slices.ContainsFunc(r.attempts[:r.attemptCount], isOnExecutor) {
 			return true
 		}
 	}
 	return false
 }
 
-// setMachine takes what the list says of an executor's machine.
-func (e *executor) setMachine(settings *Settings, endpoint *Endpoint) {
+// applyEndpoint copies the location of an executor from its list entry, and its capacity from the settings of its
+// kind.
+func (e *executor) applyEndpoint(settings *Settings, endpoint *Endpoint) {
 	e.zone = endpoint.Zone
 	e.kind = endpoint.Kind
 	e.cell = endpoint.Cell
@@ -184,19 +188,20 @@
 	e.memoryMB = kind.MemoryMB
 }
 
-// recordSign notes a sign of work on an attempt.
+// recordSign records a progress report or an answer for an attempt. It also proves that the executor was accepting
+// attempts when this one was sent.
 func (e *executor) recordSign(now float64, a *attempt) {
-	e.lastSignAt = now
+	e.lastActivityAt = now
 	e.probeFailed = false
 	e.acceptedAt = max(e.acceptedAt, a.sentAt)
 }
 
-// silentMS returns how long an executor with attempts in flight has shown no sign of work.
+// silentMS returns how long an executor with attempts in flight has sent neither a progress report nor an answer.
 func (s *Scheduler) silentMS(e *executor) float64 {
 	if e.inFlight == 0 {
 		return 0
 	}
-	return s.now - max(e.lastSignAt, e.busySince)
+	return s.now - max(e.lastActivityAt, e.busySince)
 }
 
 // groupIsHeld reports whether a request is known to hold a table group on an executor.
@@ -209,8 +214,8 @@
 	return false
 }
 
-// reportFigure returns the figure of a name in a load report, or 0.
-func (s *Scheduler) reportFigure(ev *Event, name string) float64 {
+// loadReportValue returns the value with a name in a load report, or 0 if the report lacks it.
+func (s *Scheduler) loadReportValue(ev *Event, name string) float64 {
 	i := slices.Index(s.settings.ReportNames, name)
 	if i < 0 || i >= len(ev.LoadReport) {
 		return 0
@@ -218,32 +223,34 @@
 	return ev.LoadReport[i]
 }
 
-// updateTrafficShare reckons this controller's share of all requests anew, and with it its share of each executor.
+// updateTrafficShare recomputes this controller's share of all requests and of each executor. The number of
+// controllers is the counted one if it is known, and otherwise that of the settings.
 func (s *Scheduler) updateTrafficShare() {
 	controllers := cmp.Or(s.countedControllers, float64(s.settings.Controllers))
 	s.trafficShare = 1 / max(1, controllers)
 	for index := range s.executors {
 		e := &s.executors[index]
-		e.share = shareOf(s.trafficShare, e.cores)
+		e.share = executorShare(s.trafficShare, e.cores)
 	}
 }
 
-// sendProbe asks for a health check of an executor.
+// sendProbe sends a health check to an executor.
 func (s *Scheduler) sendProbe(e *executor) {
 	e.probing = true
 	e.probedAt = s.now
 	s.emit(Action{Kind: HealthCheck, Executor: e.id})
 }
 
-// progressIntervalMS returns the time between progress reports; where there are none, the time until silence tells anything.
+// progressIntervalMS returns the time between progress reports of an attempt. Deployments without progress reports
+// use reportTimeoutMS instead, after which silence becomes suspicious.
 func (s *Scheduler) progressIntervalMS() float64 {
-	return cmp.Or(s.settings.ProgressEveryMS, reportsLostMS)
+	return cmp.Or(s.settings.ProgressEveryMS, reportTimeoutMS)
 }
 
 // sharesUnderOneThread reports whether this controller's share of an executor is below one thread.
 func (s *Scheduler) sharesUnderOneThread(e *executor) bool { return e.share*e.cores < 1 }
 
-// addProbeTokens allows more health checks for load reports.
+// addProbeTokens refills the token bucket that limits health checks for load reports.
 func (s *Scheduler) addProbeTokens(tokens float64) {
 	s.probeTokens = min(maxProbeTokens, s.probeTokens+tokens)
 }
--- a/scheduler/executors_test.go
+++ b/scheduler/executors_test.go
@@ -6,20 +6,24 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Executors are replaced without end and ids are always new: indexes return, but not while a request refers to one.
+// Guards against an executor table that grows with every replaced executor, and against reusing an index that a
+// request still refers to.
 func TestScheduler_ReusesIndexesOfRemovedExecutors(t *testing.T) {
 	s := newTestScheduler(4, nil)
 	arrive(s, 1000, "a", "unsafe")
 	removed := s.requests.entries[0].lastAttempt().executor
-	live := []uint32{1, 2, 3, 4}
+	listed := []uint32{1, 2, 3, 4}
 	for n := range uint32(200) {
-		s.Step(2000+float64(n), &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: live[n%4], Availability: Removed},
-			{Executor: 100 + n, Kind: "big"}}}, nil)
-		live[n%4] = 100 + n
+		replacement := []Endpoint{
+			{Executor: listed[n%4], Availability: Removed},
+			{Executor: 100 + n, Kind: "big"},
+		}
+		s.Step(2000+float64(n), &Event{Kind: EndpointsUpdated, Endpoints: replacement}, nil)
+		listed[n%4] = 100 + n
 	}
 	assert.Equal(t, 5, len(s.executors))
-	assert.Equal(t, 5, len(s.ExecutorViews(2500, nil)), "the removed one still has an attempt")
-	assert.Less(t, s.executors[removed].id, uint32(5), "a request in hand had its attempt there")
+	assert.Equal(t, 5, len(s.ExecutorViews(2500, nil)), "the removed executor still has an attempt in flight")
+	assert.Less(t, s.executors[removed].id, uint32(5), "a request in hand had its attempt on the removed executor")
 	arrive(s, 3000, "b", "read")
 	endAttempt(s, 3100, "b", 0, Succeeded)
 	endAttempt(s, 3100, "a", 0, ConnectionLost)
@@ -30,9 +34,12 @@
 	assert.Empty(t, s.requests.byID)
 }
 
-// The share of an executor follows the counted controllers; the share of a warm-up budget stays that of the settings.
-func TestScheduler_CountedControllersSetShare(t *testing.T) {
-	s := newTestScheduler(1, func(s *Settings) { s.Controllers = 4; s.ControllerIndex = 1 })
+// The number of counted controllers changes the traffic share, but not the share of a warm-up budget.
+func TestScheduler_ControllerCountSetsTrafficShare(t *testing.T) {
+	s := newTestScheduler(1, func(settings *Settings) {
+		settings.Controllers = 4
+		settings.ControllerIndex = 1
+	})
 	assert.Equal(t, 0.25, s.trafficShare)
 	e, class := &s.executors[0], &s.classes[0]
 	class.usualWorkMS, e.warmupUntil = 100, 1e9
@@ -41,5 +48,5 @@
 	assert.Equal(t, 0.5, s.trafficShare)
 	assert.Equal(t, before, s.warmupShare(e))
 	s.Step(1002, &Event{Kind: ControllersCounted, Value: 0}, nil)
-	assert.Equal(t, 0.25, s.trafficShare, "nothing is known")
+	assert.Equal(t, 0.25, s.trafficShare, "without a count the settings decide")
 }
--- a/scheduler/loadexchange.go
+++ b/scheduler/loadexchange.go
@@ -1,34 +1,34 @@
 package scheduler
 
-// Load exchange between controllers. Where a controller's share of an executor is below one thread, it sees
-// too little of an executor's load by itself. So each tells a few aggregators what it has in flight; these
-// add it up and tell all how full each executor is. A lost message is made good by the next one; without any,
-// the backlog decides.
+// Load exchange between controllers. A controller whose share of an executor is below one thread learns too little
+// about the executor's load from its own attempts. Each controller therefore reports its attempts in flight to a few
+// aggregators, which add them up and send the load level of each executor to all controllers. Every message replaces
+// the one before it, so a lost one does no lasting harm. Without any messages, executors are selected by backlog.
 
 import "math"
 
 const (
-	aggregators         = 3 // some may stall or be dead
+	aggregatorCount     = 3 // more than one, since some may be stalled or down
 	exchangeIntervalMS  = 250
-	levelThreadsPerCore = 0.2 // threads a core in each of the sixteen levels, up to twice what is full
-	failingExtraThreads = 4   // told of an executor that fails, as it looks empty otherwise
+	levelThreadsPerCore = 0.2 // threads per core that one load level stands for; the highest is twice maxThreadsPerCore
+	failingExtraThreads = 4   // added to the reported threads of a failing executor, which would otherwise look idle
 )
 
-// exchangeLoad tells the aggregators what this controller has in flight and, if it is one, tells all how full
-// executors are.
+// exchangeLoad sends this controller's load message to the aggregators if one is due. If this controller is an
+// aggregator itself, it also computes the load levels of the executors and sends them to all controllers.
 func (s *Scheduler) exchangeLoad() {
 	if !s.exchangeDue() {
 		return
 	}
-	s.nextExchangeAt = s.now + exchangeIntervalMS*(0.9+0.2*s.random())
+	s.nextExchangeAt = s.now + exchangeIntervalMS*(0.9+0.2*s.random()) // jitter keeps the controllers out of step
 	if !s.levelsFitMessage() {
 		return
 	}
 	s.writeLoadMessage()
-	if !s.sendToAggregators(aggregators) {
+	if !s.sendToAggregators(aggregatorCount) {
 		return
 	}
-	s.sumPeerLoads(s.now - reportsLostMS)
+	s.sumPeerLoads(s.now - reportTimeoutMS)
 	for index := range s.executors {
 		e := &s.executors[index]
 		threadsPerCore := max(e.peerThreads/e.cores, e.peerMemoryShare*maxThreadsPerCore)
@@ -37,6 +37,7 @@
 	s.publishLevels()
 }
 
+// exchangeDue reports whether the deployment uses the load exchange and its next round is due.
 func (s *Scheduler) exchangeDue() bool {
 	if !s.settings.MayMessagePeers || s.now < s.nextExchangeAt {
 		return false
@@ -44,8 +45,9 @@
 	return len(s.executors) > 0 && s.sharesUnderOneThread(&s.executors[0])
 }
 
+// writeLoadMessage fills s.loadMessage with this controller's threads and memory on each executor.
 func (s *Scheduler) writeLoadMessage() {
-	s.loadMessage = append(s.loadMessage[:0], loadMessageTag)
+	s.loadMessage = append(s.loadMessage[:0], loadMessageType)
 	for index := range s.executors {
 		e := &s.executors[index]
 		threads := e.threads
@@ -56,9 +58,9 @@
 	}
 }
 
-// receiveLoad takes a message: what another controller has in flight, or how full the executors are.
+// receiveLoad handles a message of the load exchange. Load levels count as a load report of each active executor.
 func (s *Scheduler) receiveLoad(from int, message []byte) {
-	if !s.decodeLoadMessage(from, message) {
+	if !s.decodePeerMessage(from, message) {
 		return
 	}
 	for index := range s.executors {
--- a/scheduler/loadexchange_test.go
+++ b/scheduler/loadexchange_test.go
@@ -6,8 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// allowPeerMessages turns on the load exchange.
+func allowPeerMessages(settings *Settings) { settings.MayMessagePeers = true }
+
 func TestScheduler_AggregatesLoadOfControllers(t *testing.T) {
-	aggregator, reporter := newSmallShareScheduler(3, func(s *Settings) { s.MayMessagePeers = true }), newSmallShareScheduler(3, func(s *Settings) { s.MayMessagePeers = true })
+	aggregator := newSmallShareScheduler(3, allowPeerMessages)
+	reporter := newSmallShareScheduler(3, allowPeerMessages)
 	reporter.settings.ControllerIndex = 7
 	e := &reporter.executors[1]
 	e.threads, e.grantedMB = 8, e.memoryMB/2
@@ -21,12 +25,13 @@
 	reporter.Step(1020, &Event{Kind: PeerMessage, FromPeer: 0, Payload: levels.Payload}, nil)
 	assert.InDelta(t, 8, e.reportedThreads, levelThreadsPerCore*e.cores)
 	assert.Zero(t, reporter.executors[0].reportedThreads)
-	reporter.Step(1030, &Event{Kind: PeerMessage, FromPeer: 0, Payload: levels.Payload[:2]}, nil) // of another endpoint list
+	// A message with the length that a shorter endpoint list has is ignored.
+	reporter.Step(1030, &Event{Kind: PeerMessage, FromPeer: 0, Payload: levels.Payload[:2]}, nil)
 	assert.Equal(t, 1020.0, e.reportedAt)
 }
 
 func TestScheduler_ReportsFailingExecutorAsFuller(t *testing.T) {
-	s := newSmallShareScheduler(2, func(s *Settings) { s.MayMessagePeers = true })
+	s := newSmallShareScheduler(2, allowPeerMessages)
 	s.executors[0].failures, s.executors[0].state = 1, executorEjected
 	s.exchangeLoad()
 	s.sumPeerLoads(0)
@@ -35,7 +40,7 @@
 }
 
 func TestScheduler_AvoidsExecutorReportedFull(t *testing.T) {
-	s := newSmallShareScheduler(2, func(s *Settings) { s.MayMessagePeers = true })
+	s := newSmallShareScheduler(2, allowPeerMessages)
 	for index := range s.executors {
 		e := &s.executors[index]
 		e.reportedThreads, e.reportedAt = 3*e.cores*float64(index), 1000
@@ -47,34 +52,38 @@
 	assert.Positive(t, s.executors[0].inFlight)
 }
 
-// A message is whatever another machine sent: no bytes may stop an instance or make it send anything.
+// Messages come from other machines: no sequence of bytes may make the scheduler panic, send an attempt or send a
+// message that is too long.
 func FuzzScheduler_ReceiveLoad(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, 0)
 	f.Add([]byte{1, 2, 0x53}, 7)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
-		s := newTestScheduler(3, func(s *Settings) { s.MayMessagePeers = true; s.Controllers = 40 })
+		s := newTestScheduler(3, func(settings *Settings) {
+			settings.MayMessagePeers = true
+			settings.Controllers = 40
+		})
 		out := s.Step(1100, &Event{Kind: PeerMessage, FromPeer: from, Payload: data}, nil)
 		out = s.Step(1400, &Event{Kind: TimerFired}, out)
-		for _, a := range out {
-			if a.Kind == Send || len(a.Payload) > 256 {
-				t.Fatalf("%+v", a)
+		for _, action := range out {
+			if action.Kind == Send || len(action.Payload) > 256 {
+				t.Fatalf("message %x from controller %d led to action %+v", data, from, action)
 			}
 		}
 	})
 }
 
-// Messages between controllers fit a datagram, however many executors there are.
+// Guards against messages longer than 256 bytes, however many executors there are.
 func TestScheduler_LoadMessagesFitDatagram(t *testing.T) {
-	for _, n := range []int{80, 300, 508, 509, 3200} {
-		s := New(7, testSettings(func(s *Settings) {
-			s.MayMessagePeers = true
-			s.Controllers = 900
-			s.ControllerIndex = 0
-			s.Classes[0].Threads = 1
+	for _, executors := range []int{80, 300, 508, 509, 3200} {
+		s := New(7, testSettings(func(settings *Settings) {
+			settings.MayMessagePeers = true
+			settings.Controllers = 900
+			settings.ControllerIndex = 0
+			settings.Classes[0].Threads = 1
 		}))
 		s.startedAt = -1e6
 		var list []Endpoint
-		for index := range n {
+		for index := range executors {
 			list = append(list, Endpoint{Executor: uint32(index)*2654435761 + 1, Kind: "big"})
 		}
 		s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
@@ -82,12 +91,12 @@
 			s.executors[index].threads, s.executors[index].inFlight = 1, 1
 		}
 		sent := 0
-		for _, a := range tickAt(s, 2000) {
-			if a.Kind == SendPeer {
+		for _, action := range tickAt(s, 2000) {
+			if action.Kind == SendPeer {
 				sent++
-				assert.LessOrEqual(t, len(a.Payload), 256, "%d executors", n)
+				assert.LessOrEqual(t, len(action.Payload), 256, "message length with %d executors", executors)
 			}
 		}
-		assert.Equal(t, n <= 508, sent > 0, "%d executors", n)
+		assert.Equal(t, executors <= 508, sent > 0, "%d messages sent with %d executors", sent, executors)
 	}
 }
--- a/scheduler/loadmessage.go
+++ b/scheduler/loadmessage.go
@@ -6,44 +6,53 @@
 	"slices"
 )
 
-// Messages between controllers. The first byte is a tag. A load message goes on with three bytes for each executor with threads
-// of the sender: 12 bits of a hash of its id, 6 of threads and 6 of the share of its memory. A levels message goes on with a
-// checksum of the listed executors and four bits for the level of each, in the order of their ids.
+// Encoding of the messages between controllers. The first byte of a message is its type.
+//
+// A load message has a three-byte entry for each executor on which the sender has threads: 12 bits of a hash of the
+// executor id, 6 bits for the number of threads and 6 bits for the share of the executor's memory.
+//
+// A levels message has a checksum of the active executors, followed by four bits for the load level of each of them in
+// the order of their ids.
 const (
-	loadMessageTag   = 0
-	levelsMessageTag = 1
+	loadMessageType   = 0
+	levelsMessageType = 1
 
 	maxMessageBytes   = 256
 	loadEntryBytes    = 3
-	maxEntryValue     = 63 // six bits
-	maxLevel          = 15 // four bits
+	entryIDShift      = 12
+	entryThreadsShift = 6
+	maxEntryValue     = 63 // largest value of six bits
+	maxLevel          = 15 // largest value of four bits
 	levelsHeaderBytes = 2
 )
 
-// peerLoad is what another controller has in flight, as it last reported.
+// peerLoad is the last load message that was received from another controller.
 type peerLoad struct {
 	receivedAt float64
 	entries    []byte
 }
 
-// appendLoad appends the entry of an executor to the load message. The share of memory is rounded by chance, so that sums are
-// right.
+// appendLoad appends the entry of an executor to the load message, unless the message is full. The memory share is
+// rounded up or down at random, so that the expected sum over many controllers is exact.
 func (s *Scheduler) appendLoad(e *executor, threads int) {
 	if threads <= 0 || len(s.loadMessage)+loadEntryBytes > maxMessageBytes {
 		return
 	}
-	share := math.Floor((maxEntryValue+1)*e.grantedMB/e.memoryMB + s.random())
-	n := e.tag()<<12 | uint32(min(maxEntryValue, threads))<<6 | uint32(min(maxEntryValue, share))
-	s.loadMessage = append(s.loadMessage, byte(n>>16), byte(n>>8), byte(n))
+	memoryShare := math.Floor((maxEntryValue+1)*e.grantedMB/e.memoryMB + s.random())
+	entry := e.idHash() << entryIDShift
+	entry |= uint32(min(maxEntryValue, threads)) << entryThreadsShift
+	entry |= uint32(min(maxEntryValue, memoryShare))
+	s.loadMessage = append(s.loadMessage, byte(entry>>16), byte(entry>>8), byte(entry))
 }
 
-// tag returns the 12 bits that stand for an executor in messages.
-func (e *executor) tag() uint32 { return e.id * 0x9E3779B1 >> 20 }
+// idHash returns the 12-bit hash of an executor's id that stands for the executor in load messages. Executors may share
+// a hash.
+func (e *executor) idHash() uint32 { return e.id * 0x9E3779B1 >> 20 }
 
-// levelsMessageBytes returns the length of a levels message for so many executors.
+// levelsMessageBytes returns the length of a levels message for a number of executors.
 func levelsMessageBytes(executors int) int { return levelsHeaderBytes + (executors+1)/2 }
 
-// levelsFitMessage reports whether the levels of all listed executors fit a message.
+// levelsFitMessage reports whether the load levels of all active executors fit into one message.
 func (s *Scheduler) levelsFitMessage() bool {
 	active := 0
 	for index := range s.executors {
@@ -54,10 +63,11 @@
 	return levelsMessageBytes(active) <= maxMessageBytes
 }
 
-// sendToAggregators sends the load message to the first n controllers and reports whether this is one of them.
-func (s *Scheduler) sendToAggregators(n int) bool {
+// sendToAggregators sends the load message to the first count controllers and reports whether this controller is one
+// of them.
+func (s *Scheduler) sendToAggregators(count int) bool {
 	isAggregator := false
-	for peer := range min(n, s.settings.Controllers) {
+	for peer := range min(count, s.settings.Controllers) {
 		if peer == s.settings.ControllerIndex {
 			isAggregator = true
 			s.receiveLoad(peer, s.loadMessage)
@@ -68,7 +78,7 @@
 	return isAggregator
 }
 
-// sumPeerLoads adds up what controllers have told of each executor after a time.
+// sumPeerLoads adds up the load messages received after a point in time, for each executor.
 func (s *Scheduler) sumPeerLoads(since float64) {
 	for index := range s.executors {
 		e := &s.executors[index]
@@ -86,35 +96,36 @@
 	}
 }
 
-// addPeerLoad adds one entry of a load message to the executors that it may mean.
+// addPeerLoad adds one entry of a load message to every executor whose id has the hash in the entry.
 func (s *Scheduler) addPeerLoad(entry uint32) {
 	for index := range s.executors {
 		e := &s.executors[index]
-		if e.tag() != entry>>12 {
+		if e.idHash() != entry>>entryIDShift {
 			continue
 		}
-		e.peerThreads += float64(entry >> 6 & maxEntryValue)
+		e.peerThreads += float64(entry >> entryThreadsShift & maxEntryValue)
 		e.peerMemoryShare += float64(entry&maxEntryValue) / (maxEntryValue + 1)
 	}
 }
 
-// activeByID returns the indexes of the listed executors in the order of their ids, and a checksum of which they are.
+// activeByID returns the indexes of the active executors in the order of their ids, and a checksum by which controllers
+// detect that their endpoint lists differ.
 func (s *Scheduler) activeByID() (ordered []int, checksum byte) {
 	for index := range s.executors {
 		e := &s.executors[index]
 		if e.availability == Active {
 			ordered = append(ordered, index)
-			checksum += byte(e.tag())
+			checksum += byte(e.idHash())
 		}
 	}
 	slices.SortFunc(ordered, func(a, b int) int { return cmp.Compare(s.executors[a].id, s.executors[b].id) })
 	return ordered, checksum
 }
 
-// publishLevels sends the level of each executor to all controllers, this one among them.
+// publishLevels sends the load levels to all other controllers and applies them here.
 func (s *Scheduler) publishLevels() {
 	ordered, checksum := s.activeByID()
-	s.levelsMessage = append(s.levelsMessage[:0], levelsMessageTag, checksum)
+	s.levelsMessage = append(s.levelsMessage[:0], levelsMessageType, checksum)
 	for i, index := range ordered {
 		level := byte(min(maxLevel, s.executors[index].loadLevel))
 		if i%2 == 0 {
@@ -127,15 +138,15 @@
 	s.receiveLoad(s.settings.ControllerIndex, s.levelsMessage)
 }
 
-// decodeLoadMessage keeps a load message, or reads the levels of the executors that are listed here; it reports whether there are
-// new levels. Any other message is passed over.
-func (s *Scheduler) decodeLoadMessage(from int, message []byte) bool {
-	if from >= 0 && from < s.settings.Controllers && len(message) > 0 && message[0] == loadMessageTag {
-		s.keepPeerLoad(from, message[1:])
+// decodePeerMessage stores a load message, or sets the load levels from a levels message, and reports whether the
+// levels were set. It ignores malformed messages and levels for a different endpoint list.
+func (s *Scheduler) decodePeerMessage(from int, message []byte) bool {
+	if from >= 0 && from < s.settings.Controllers && len(message) > 0 && message[0] == loadMessageType {
+		s.storePeerLoad(from, message[1:])
 		return false
 	}
 	ordered, checksum := s.activeByID()
-	if len(message) != levelsMessageBytes(len(ordered)) || message[0] != levelsMessageTag || message[1] != checksum {
+	if len(message) != levelsMessageBytes(len(ordered)) || message[0] != levelsMessageType || message[1] != checksum {
 		return false
 	}
 	for i, index := range ordered {
@@ -144,8 +155,8 @@
 	return true
 }
 
-// keepPeerLoad keeps the entries of another controller's load message.
-func (s *Scheduler) keepPeerLoad(from int, entries []byte) {
+// storePeerLoad replaces the stored load message of a controller.
+func (s *Scheduler) storePeerLoad(from int, entries []byte) {
 	for from >= len(s.peerLoads) {
 		s.peerLoads = append(s.peerLoads, peerLoad{})
 	}
--- a/scheduler/selection_test.go
+++ b/scheduler/selection_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRendezvousRank_IsSameEverywhereAndEven(t *testing.T) {
-	a, b := newTestScheduler(5, nil), New(99, testSettings())
-	b.Step(0, &Event{Kind: EndpointsUpdated, List: ListComplete, Endpoints: []Endpoint{
+func TestRendezvousRank_IsSameOnAllControllersAndSpreadsEvenly(t *testing.T) {
+	first, second := newTestScheduler(5, nil), New(99, testSettings())
+	second.Step(0, &Event{Kind: EndpointsUpdated, List: ListComplete, Endpoints: []Endpoint{
 		{Executor: 5, Kind: "big"}, {Executor: 3, Kind: "big"}, {Executor: 1, Kind: "big"},
 		{Executor: 4, Kind: "big"}, {Executor: 2, Kind: "big"}}}, nil)
-	x, y := arrive(a, 1000, "a", "read"), arrive(b, 1000, "b", "read")
-	assert.Equal(t, x[1].Executor, y[1].Executor)
-	var first [8]int
+	firstActions, secondActions := arrive(first, 1000, "a", "read"), arrive(second, 1000, "b", "read")
+	assert.Equal(t, firstActions[1].Executor, secondActions[1].Executor)
+	var groupsByExecutor [8]int
 	for group := range uint64(400) {
 		best := uint32(1)
 		for id := uint32(2); id <= 8; id++ {
@@ -21,10 +21,10 @@
 				best = id
 			}
 		}
-		first[best-1]++
+		groupsByExecutor[best-1]++
 	}
-	for _, n := range first {
-		assert.InDelta(t, 50, n, 25, "groups are spread evenly")
+	for index, groups := range groupsByExecutor {
+		assert.InDelta(t, 50, groups, 25, "table groups that rank executor %d first", index+1)
 	}
 }
 
@@ -36,20 +36,20 @@
 			e.threads = 10
 		}
 	}
-	assert.NotEqual(t, first, arrive(s, 1000, "b", "read")[1].Executor, "past the bound")
+	assert.NotEqual(t, first, arrive(s, 1000, "b", "read")[1].Executor, "executor %d is past the bound", first)
 	s.executors[0].threads, s.executors[1].threads = 11, 12
-	assert.Equal(t, uint32(1), arrive(s, 1000, "c", "read")[1].Executor, "fewest threads a core")
+	assert.Equal(t, uint32(1), arrive(s, 1000, "c", "read")[1].Executor, "executor 1 has the fewest threads per core")
 	s.executors[0].threads, s.executors[1].threads = 30, 30
 	assert.Empty(t, arrive(s, 1000, "d", "read"))
 	s.executors[1].threads = 1
 	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(tickAt(s, 1020)))
 }
 
-func TestScheduler_BacklogMovesNextRequestOn(t *testing.T) {
+func TestScheduler_SendsNextRequestToExecutorWithoutBacklog(t *testing.T) {
 	s := newSmallShareScheduler(4, nil)
 	first := arrive(s, 1000, "a", "read")
 	second := arrive(s, 1000, "b", "read")
-	assert.NotEqual(t, first[1].Executor, second[1].Executor, "otherwise all controllers send to the same one")
+	assert.NotEqual(t, first[1].Executor, second[1].Executor, "all controllers would send to the same executor")
 	e := &s.executors[s.requests.entries[0].lastAttempt().executor]
 	assert.Equal(t, 100.0, s.backlog(e))
 	s.now += 100 / (backlogThreadsPerCore * e.cores / 200)
@@ -57,27 +57,38 @@
 }
 
 func TestScheduler_AsksForLoadReportBeforeAttempt(t *testing.T) {
-	s := newSmallShareScheduler(2, func(s *Settings) { s.ReportsByProbe = true; s.ReportNames = []string{"queue", "x0", "x1"} })
+	s := newSmallShareScheduler(2, func(settings *Settings) {
+		settings.ReportsByProbe = true
+		settings.ReportNames = []string{"queue", "x0", "x1"}
+	})
 	s.reportedAt = 1000
 	out := arrive(s, 1000, "a", "read")
 	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(out))
 	busy := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{3, 0.2, 0.2}}
 	out = s.Step(1002, &busy, nil)
-	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(out), "requests are queued there: another one is asked")
+	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(out), "executor %d queues requests, so the other is asked",
+		busy.Executor)
 	assert.NotEqual(t, busy.Executor, out[0].Executor)
-	room := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{0, 0.2, 0.2}}
-	out = s.Step(1004, &room, nil)
+	idle := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{0, 0.2, 0.2}}
+	out = s.Step(1004, &idle, nil)
 	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(out))
-	assert.Equal(t, room.Executor, out[1].Executor)
+	assert.Equal(t, idle.Executor, out[1].Executor)
 }
 
 func TestScheduler_DoesNotAwaitMissingLoadReports(t *testing.T) {
-	s := newSmallShareScheduler(2, func(s *Settings) { s.ReportsByProbe = true; s.ReportNames = []string{"queue"} })
+	s := newSmallShareScheduler(2, func(settings *Settings) {
+		settings.ReportsByProbe = true
+		settings.ReportNames = []string{"queue"}
+	})
 	assert.Equal(t, []ActionKind{HealthCheck, SetResources, Send}, actionKinds(arrive(s, 5000, "a", "read")))
 }
 
 func TestScheduler_WorksWithoutControllersAndExecutors(t *testing.T) {
-	s := newTestScheduler(0, func(s *Settings) { s.Controllers = 0; s.MayMessagePeers = true; s.ReportsByProbe = true })
+	s := newTestScheduler(0, func(settings *Settings) {
+		settings.Controllers = 0
+		settings.MayMessagePeers = true
+		settings.ReportsByProbe = true
+	})
 	assert.Empty(t, actionKinds(arrive(s, 1000, "a", "read")))
 	assert.Empty(t, actionKinds(tickAt(s, 1020)))
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(tickAt(s, 8990)))
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,9 +8,10 @@
 )
 
 func TestScheduler_KeepsToWarmupShare(t *testing.T) {
-	// 3 * 0.3 * 8 cores * 2000 ms, of which nine tenths, between two: 6480 ms of work.
-	s := newTestScheduler(1, func(s *Settings) { s.Controllers = 2 })
-	s.Step(1500, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: 1400}}}, nil)
+	// Nine tenths of 3 * 0.3 * 8 cores * 2000 ms, divided between two controllers: 6480 ms of work for each.
+	s := newTestScheduler(1, func(settings *Settings) { settings.Controllers = 2 })
+	started := []Endpoint{{Executor: 1, Kind: "big", StartedAt: 1400}}
+	s.Step(1500, &Event{Kind: EndpointsUpdated, Endpoints: started}, nil)
 	e, class := &s.executors[0], &s.classes[0]
 	assert.Equal(t, executorWarmingUp, e.state)
 	class.usualWorkMS = 1000
@@ -22,7 +23,7 @@
 	assert.True(t, s.fitsWarmupShare(class, e), "the window has passed")
 	s.Step(2500, &Event{Kind: Started}, nil)
 	s.now = 4000
-	for s.seed = range 100 { // what it sent before its own start is not known: 0.61 of its share
+	for s.seed = range 100 { // a controller started within the window may use 0.61 of its share
 		e.warmupSent.forget(1e9, 0)
 		e.warmupSent.add(4000, 2950)
 		assert.True(t, s.fitsWarmupShare(class, e))
@@ -32,7 +33,7 @@
 	e.warmupSent.forget(1e9, 0)
 	sending := 0
 	s.settings.Controllers = 12 // the warm-up share follows the settings
-	for s.seed = range 100 {    // part of these shares holds no request: 0.37 of them by chance
+	for s.seed = range 100 {    // the reduced share holds no request, so a fraction of 0.37 sends, chosen at random
 		if s.fitsWarmupShare(class, e) {
 			sending++
 		}
@@ -42,110 +43,152 @@
 	s.now = 4520
 	assert.True(t, s.fitsWarmupShare(class, e))
 	class.usualWorkMS = 13000
-	assert.False(t, s.fitsWarmupShare(class, e), "what is larger than the share waits until it is warm")
+	assert.False(t, s.fitsWarmupShare(class, e), "a request larger than the share waits for the end of the warm-up")
 }
 
-// Each of thirty controllers, or of three hundred, sends an executor that warms up all that it may, of every class, and knows of
-// no other: the sum keeps to the budget in every case, and there is room for large classes and for small ones. Where what each
-// takes for usual is wrong by up to a quarter either way, none of the rounds drawn makes the executor collapse.
+// Guards against warm-up shares that overload an executor when every controller sends as many requests of each class as
+// it may, and against shares that leave no room for large requests or waste much of the budget. In rounds after the
+// first, the controllers' estimates of the usual work are off by up to a quarter.
 func TestScheduler_WarmupSharesAddUpToBudget(t *testing.T) {
-	const allowed = 3 * 0.3 * 8 * 2000
-	for _, n := range []float64{1, 2, 3, 30, 300} {
-		for _, usual := range [][]float64{{1000}, {5600, 3400, 190}, {5000, 500, 50}, {2000, 300, 20}, {20000}, {40, 30, 20}} {
-			for turn := range 5 {
-				sent, truth, count, kindsSent := 0.0, 0.0, 0.0, map[int]bool{}
-				for slot := range int(n) {
-					s := newTestScheduler(1, func(s *Settings) { s.Controllers = int(n); s.ControllerIndex = slot })
+	const budget = 3 * 0.3 * 8 * 2000
+	workloads := [][]float64{
+		{1000}, {5600, 3400, 190}, {5000, 500, 50}, {2000, 300, 20}, {20000}, {40, 30, 20},
+	}
+	for _, controllers := range []float64{1, 2, 3, 30, 300} {
+		for _, usualWork := range workloads {
+			for round := range 5 {
+				estimatedWork, actualWork, requests := 0.0, 0.0, 0.0
+				classesSent := map[int]bool{}
+				for controller := range int(controllers) {
+					s := newTestScheduler(1, func(settings *Settings) {
+						settings.Controllers = int(controllers)
+						settings.ControllerIndex = controller
+					})
 					e := &s.executors[0]
-					e.warmupUntil, s.seed = 9000, uint64(turn)<<32+uint64(slot)
-					for k, ms := range usual {
-						s.classes[k].usualWorkMS = ms * (1 + float64(min(1, turn))*(s.random()/2-0.25))
+					e.warmupUntil, s.seed = 9000, uint64(round)<<32+uint64(controller)
+					for k, workMS := range usualWork {
+						s.classes[k].usualWorkMS = workMS * (1 + float64(min(1, round))*(s.random()/2-0.25))
 					}
-					for k, ms := range usual {
-						for class := &s.classes[k]; s.fitsWarmupShare(class, e); truth, count, kindsSent[k] = truth+ms, count+1, true {
+					for k, workMS := range usualWork {
+						class := &s.classes[k]
+						for s.fitsWarmupShare(class, e) {
 							e.warmupSent.add(s.now, class.usualWorkMS)
+							actualWork += workMS
+							requests++
+							classesSent[k] = true
 						}
 					}
-					sent += e.warmupSent.total()
+					estimatedWork += e.warmupSent.total()
 				}
-				mean := truth / max(1, count)
-				assert.LessOrEqual(t, truth, allowed+mean*(2*math.Sqrt(allowed/max(1, mean))+2), "%v controllers, %v", n, usual)
-				if turn == 0 {
-					assert.LessOrEqual(t, sent, warmupMargin*allowed+1e-6, "%v controllers, %v", n, usual)
-					assert.True(t, usual[0] > 10000 || kindsSent[0], "%v controllers, %v: some may send the largest kind", n, usual)
-					assert.True(t, usual[0] > 10000 || sent > 0.6*warmupMargin*allowed, "%v controllers, %v: %v", n, usual, sent)
+				meanWork := actualWork / max(1, requests)
+				toleratedWork := budget + meanWork*(2*math.Sqrt(budget/max(1, meanWork))+2)
+				assert.LessOrEqual(t, actualWork, toleratedWork,
+					"%v controllers, usual work %v ms", controllers, usualWork)
+				if round == 0 {
+					assert.LessOrEqual(t, estimatedWork, warmupMargin*budget+1e-6,
+						"%v controllers, usual work %v ms", controllers, usualWork)
+					assert.True(t, usualWork[0] > 10000 || classesSent[0],
+						"%v controllers, usual work %v ms: no request of the largest class was sent",
+						controllers, usualWork)
+					assert.True(t, usualWork[0] > 10000 || estimatedWork > 0.6*warmupMargin*budget,
+						"%v controllers, usual work %v ms: only %v ms were sent",
+						controllers, usualWork, estimatedWork)
 				}
 			}
 		}
 	}
 }
 
-// An executor that joins or starts again warms up from when this controller was told, whatever the wall clocks of both machines
-// say. One that was listed at the controller's start and started long before does not.
+// An executor that joins or restarts warms up from the time of the list update on, even if wall clocks disagree. An
+// executor in the restored list that started long before does not warm up.
 func TestScheduler_WarmsUpNewStartDespiteWallClocks(t *testing.T) {
 	const now, hour = 1e9, 3.6e6
-	for name, since := range map[string]float64{"an hour behind": now - hour, "right": now - 20, "an hour ahead": now + hour} {
+	startTimes := map[string]float64{"an hour behind": now - hour, "right": now - 20, "an hour ahead": now + hour}
+	for clock, startedAt := range startTimes {
 		s := New(7, testSettings())
 		s.startedAt = -1e6
-		s.Step(now-5000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big"}, {Executor: 2, Kind: "big",
-			StartedAt: now - hour/2}}}, nil)
-		assert.Zero(t, s.executors[0].warmupUntil+s.executors[1].warmupUntil, name)
-		s.Step(now, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 3, Kind: "big", StartedAt: since}}}, nil)
-		assert.Equal(t, now+10000, s.executors[2].warmupUntil, "%s: joined", name)
-		s.Step(now+10, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Kind: "big", StartedAt: since}}}, nil)
-		assert.Equal(t, now+10010, s.executors[1].warmupUntil, "%s: started anew", name)
-		s.Step(now+20, &Event{Kind: EndpointsUpdated, Endpoints: []Endpoint{{Executor: 2, Kind: "big", StartedAt: since}}}, nil)
-		assert.Equal(t, now+10010, s.executors[1].warmupUntil, "%s: listed again", name)
+		restored := []Endpoint{{Executor: 1, Kind: "big"}, {Executor: 2, Kind: "big", StartedAt: now - hour/2}}
+		s.Step(now-5000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: restored}, nil)
+		assert.Zero(t, s.executors[0].warmupUntil+s.executors[1].warmupUntil, "executor's clock %s: restored", clock)
+		joined := []Endpoint{{Executor: 3, Kind: "big", StartedAt: startedAt}}
+		s.Step(now, &Event{Kind: EndpointsUpdated, Endpoints: joined}, nil)
+		assert.Equal(t, now+10000, s.executors[2].warmupUntil, "executor's clock %s: joined", clock)
+		restarted := []Endpoint{{Executor: 2, Kind: "big", StartedAt: startedAt}}
+		s.Step(now+10, &Event{Kind: EndpointsUpdated, Endpoints: restarted}, nil)
+		assert.Equal(t, now+10010, s.executors[1].warmupUntil, "executor's clock %s: restarted", clock)
+		s.Step(now+20, &Event{Kind: EndpointsUpdated, Endpoints: restarted}, nil)
+		assert.Equal(t, now+10010, s.executors[1].warmupUntil, "executor's clock %s: listed again", clock)
 	}
 }
 
-// An executor stands what all controllers send it while it warms up, though seven in ten of them, or all, are killed once they
-// have sent their share, and again once they have sent what they may after that, all within the window in which it may collapse.
+// Guards against overloading an executor that is warming up when most or all controllers are killed twice within the
+// window, each time after they have sent all that they may.
 func TestScheduler_WarmupBudgetOutlastsControllerRestarts(t *testing.T) {
-	for _, n := range []int{1, 2, 3, 10, 30, 300} {
-		for _, usual := range []float64{20, 100, 300, 1000, 3000} {
-			for _, killed := range []int{7, 10} {
-				allowed := 3 * 0.3 * 8 * 2000 / usual
-				slack := 2*math.Sqrt(allowed) + 2
-				if allowed < 30 {
-					slack = 3*math.Sqrt(allowed) + 3
+	for _, controllers := range []int{1, 2, 3, 10, 30, 300} {
+		for _, usualWorkMS := range []float64{20, 100, 300, 1000, 3000} {
+			for _, killedInTen := range []int{7, 10} {
+				budget := 3 * 0.3 * 8 * 2000 / usualWorkMS
+				toleratedExcess := 2*math.Sqrt(budget) + 2
+				if budget < 30 {
+					toleratedExcess = 3*math.Sqrt(budget) + 3
 				}
 				sent := 0
-				for slot := range n {
-					for turn := range 3 {
-						if turn > 0 && slot%10 >= killed {
+				for controller := range controllers {
+					for restarts := range 3 {
+						if restarts > 0 && controller%10 >= killedInTen {
 							break
 						}
-						s := New(uint64(slot*3+turn+1), testSettings(func(s *Settings) { s.Controllers = n; s.ControllerIndex = slot }))
-						if s.startedAt = -1e6; turn > 0 {
+						s := New(uint64(controller*3+restarts+1), testSettings(func(settings *Settings) {
+							settings.Controllers = controllers
+							settings.ControllerIndex = controller
+						}))
+						if s.startedAt = -1e6; restarts > 0 {
 							s.Step(900, &Event{Kind: Started}, nil)
 						}
-						s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: 950}}}, nil)
+						list := []Endpoint{{Executor: 1, Kind: "big", StartedAt: 950}}
+						s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
 						e, class := &s.executors[0], &s.classes[0]
-						class.usualWorkMS, class.arrivals = usual, 50
+						class.usualWorkMS, class.arrivals = usualWorkMS, 50
 						for ; s.fitsWarmupShare(class, e); sent++ {
-							e.warmupSent.add(s.now, usual)
+							e.warmupSent.add(s.now, usualWorkMS)
 						}
 					}
 				}
-				assert.LessOrEqual(t, float64(sent), allowed+slack, "%d controllers, %d in ten killed, %v ms", n, killed, usual)
+				assert.LessOrEqual(t, float64(sent), budget+toleratedExcess,
+					"requests sent by %d controllers, %d in ten killed, %v ms per request",
+					controllers, killedInTen, usualWorkMS)
 			}
 		}
 	}
 }
 
-// The time of a start is all that a controller has at its own start. Clocks that were stepped by some seconds or by an hour make
-// nothing warm that may be warming up.
+// At its own start, a controller knows only the start time of an executor. An executor that may be warming up is
+// treated as such, even if clocks were stepped by some seconds or are off by an hour.
 func TestScheduler_WarmsUpAfterOwnRestartDespiteWallClocks(t *testing.T) {
 	const now, hour = 1e9, 3.6e6
-	for _, c := range []struct {
-		age     float64
+	for _, test := range []struct {
+		ageMS   float64
 		warmsUp bool
-	}{{20, true}, {9000, true}, {14000, true}, {20000, false}, {hour / 2, false}, {hour - 4000, true}, {hour + 3000, true}, {hour + 14000, true},
-		{hour + 60000, false}, {-4000, true}, {-hour, true}, {-hour + 3000, true}, {30 * hour, false}} {
+	}{
+		{20, true},
+		{9000, true},
+		{14000, true},
+		{20000, false},
+		{hour / 2, false},
+		{hour - 4000, true},
+		{hour + 3000, true},
+		{hour + 14000, true},
+		{hour + 60000, false},
+		{-4000, true},
+		{-hour, true},
+		{-hour + 3000, true},
+		{30 * hour, false},
+	} {
 		s := New(7, testSettings())
 		s.startedAt = -1e6
-		s.Step(now, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: []Endpoint{{Executor: 1, Kind: "big", StartedAt: now - c.age}}}, nil)
-		assert.Equal(t, c.warmsUp, s.executors[0].warmupUntil > now, "%v ms old by the clocks", c.age)
+		list := []Endpoint{{Executor: 1, Kind: "big", StartedAt: now - test.ageMS}}
+		s.Step(now, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
+		isWarmingUp := s.executors[0].warmupUntil > now
+		assert.Equal(t, test.warmsUp, isWarmingUp, "executor started %v ms ago by the clocks", test.ageMS)
 	}
 }
