--- a/internal/benchmark/handoff_simulation.go
+++ b/internal/benchmark/handoff_simulation.go
@@ -60,7 +60,7 @@
 	t.Step = 1
 	bytes, _ := heapBytes(func() any {
 		settings := handoff.DefaultSettings()
-		settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3}}
+		settings.Classes = []scheduler.RequestClass{{Name: "mark", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3}}
 		e := handoff.New(handoff.Member{Name: "a", Incarnation: 1}, settings, 1)
 		e.Step(1000, &handoff.Event{Kind: handoff.PlacementChanged, LeaseHeld: true, Members: places, Table: &t})
 		for k := range copyCount {
--- a/internal/benchmark/ledger.go
+++ b/internal/benchmark/ledger.go
@@ -11,7 +11,7 @@
 // measureLedger measures what a lookup costs the event loop in the ledger.
 func measureLedger(string) ([]Figure, error) {
 	g := ledger.DefaultSettings()
-	g.Classes = []scheduler.RequestClass{{Name: "look", Effect: scheduler.Idempotent, DeadlineMS: 5000}}
+	g.Classes = []scheduler.RequestClass{{Name: "look", Idempotency: scheduler.Idempotent, DeadlineMS: 5000}}
 	g.RetryBudget.WindowMS = 10000
 	l := ledger.New(g)
 	l.Step(0, &ledger.Event{Kind: ledger.RecoveryDone})
--- a/internal/benchmark/locality_cost.go
+++ b/internal/benchmark/locality_cost.go
@@ -21,7 +21,7 @@
 			ev.Endpoints = append(ev.Endpoints, scheduler.Endpoint{Executor: uint32(k + 1), Zone: fmt.Sprint("z", k%3), Kind: "big"})
 		}
 		g.Step(1, &ev, nil)
-		g.Step(1, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: reaches}, nil)
+		g.Step(1, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: reaches}, nil)
 		n := 0
 		return func() float64 {
 			return elapsedSeconds(func() {
--- a/internal/clustersim/handoff.go
+++ b/internal/clustersim/handoff.go
@@ -60,8 +60,8 @@
 	c.ConsensusSettings.Copies = copies
 	c.settings.KeyRetentionMS = keyRetentionMS
 	c.settings.Classes = []scheduler.RequestClass{
-		{Name: keyedClass, Effect: scheduler.Keyed, DedupWindowMS: dedupWindowMS, DeadlineMS: maxDeadlineMS},
-		{Name: nonIdempotentClass, Effect: scheduler.NonIdempotent, DeadlineMS: maxDeadlineMS},
+		{Name: keyedClass, Idempotency: scheduler.Keyed, DedupWindowMS: dedupWindowMS, DeadlineMS: maxDeadlineMS},
+		{Name: nonIdempotentClass, Idempotency: scheduler.NonIdempotent, DeadlineMS: maxDeadlineMS},
 	}
 	for range n {
 		c.HandoffNodes = append(c.HandoffNodes, &HandoffNode{})
--- a/internal/clustersim/locality.go
+++ b/internal/clustersim/locality.go
@@ -175,9 +175,9 @@
 	lookup := scheduler.DefaultClass(lookupClass, scheduler.Idempotent)
 	lookup.SoftDeadlineMS = softDeadlineMS
 	lookup.DeadlineMS = localityLimitMS
-	lookup.LateShare = lateValue
+	lookup.LateValueShare = lateValue
 	settings.Classes = []scheduler.RequestClass{lookup}
-	settings.NamesRetryAfter = true
+	settings.SendsRetryAfter = true
 	settings.MaxRetryAfterMS = 500
 	return settings
 }
@@ -190,7 +190,7 @@
 			reaches = append(reaches, scheduler.ZoneReach{Zone: zoneName(zone), Tier: 1, Capacity: math.Inf(1)})
 		}
 	}
-	s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: reaches})
+	s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: reaches})
 }
 
 // runStep does what is due, and what happens in one step of time.
--- a/internal/clustersim/locality_monitor.go
+++ b/internal/clustersim/locality_monitor.go
@@ -102,7 +102,7 @@
 	if view.Ejected || view.InFlight > 0 {
 		return true
 	}
-	return isRecent(view.SinceSignMS) || isRecent(view.SinceReportMS)
+	return isRecent(view.SinceActivityMS) || isRecent(view.SinceReportMS)
 }
 
 // isRecent reports whether something came lately; a negative age is of what never came.
@@ -126,7 +126,7 @@
 			s.proposePlan(k, *e.Plan)
 		case locality.SetReach:
 			s.controllers[k].appliedPlan = e.Number
-			s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: e.Reaches})
+			s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: e.Reaches})
 		}
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -273,10 +273,10 @@
 	}
 	c.unavailable = true
 	c.queue.Put(dispatch.QueueItem{Event: scheduler.Event{
-		Kind:       scheduler.EndpointsUpdated,
-		List:       scheduler.ListUnavailable,
-		Deadline:   c.lastHeard,
-		PresumedAt: presumedAt,
+		Kind:               scheduler.EndpointsUpdated,
+		List:               scheduler.ListUnavailable,
+		Deadline:           c.lastHeard,
+		PresumedNotifiedAt: presumedAt,
 	}})
 }
 
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -85,8 +85,8 @@
 		got := queue.next(t).Event
 		if got.List == scheduler.ListUnavailable {
 			assert.InDelta(t, dispatch.NewClock().Now(), got.Deadline, 3000, "when it was last heard")
-			assert.InDelta(t, dispatch.NewClock().Now()+presumedAfterBreakMS, got.PresumedAt, 1000, "a page that can't be read was to tell something")
-			got.Deadline, got.PresumedAt = 0, 0
+			assert.InDelta(t, dispatch.NewClock().Now()+presumedAfterBreakMS, got.PresumedNotifiedAt, 1000, "a page that can't be read was to tell something")
+			got.Deadline, got.PresumedNotifiedAt = 0, 0
 		}
 		assert.Equal(t, ev, got)
 	}
@@ -176,14 +176,14 @@
 		case "moved", "moved while out of reach":
 			if name != "moved" {
 				c.Close()
-				assert.Zero(t, queue.next(t).Event.PresumedAt, "out of reach alone")
+				assert.Zero(t, queue.next(t).Event.PresumedNotifiedAt, "out of reach alone")
 			}
 			asked = clock.Now()
 			client.Follow(l.Addr().String())
 		}
 		ev := queue.next(t).Event
 		assert.Equal(t, scheduler.ListUnavailable, ev.List, name)
-		assert.InDelta(t, asked+dueMS, ev.PresumedAt, 100, name)
+		assert.InDelta(t, asked+dueMS, ev.PresumedNotifiedAt, 100, name)
 		assert.LessOrEqual(t, ev.Deadline, first+5, "%s: by the call, not by its answer", name)
 		client.Stop()
 		c.Close()
--- a/internal/dispatch/command.go
+++ b/internal/dispatch/command.go
@@ -43,7 +43,7 @@
 	case WithholdAnswer:
 		d.withholdAnswer = true
 	case SetRetryAfter:
-		d.retryAfterMS = command.AfterMS
+		d.retryAfterMS = command.RetryAfterMS
 	case Consume:
 		d.consumed = true
 	default:
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -189,7 +189,7 @@
 			"availability":         view.Availability,
 			"ejected":              view.Ejected,
 			"warming_up":           view.WarmingUp,
-			"since_sign_ms":        math.Round(view.SinceSignMS),
+			"since_sign_ms":        math.Round(view.SinceActivityMS),
 			"since_report_ms":      math.Round(view.SinceReportMS),
 		}).Info("executor")
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 type Loop struct {
 	Executors            ExecutorTransport
 	Peers                PeerSender
-	List                 ListWatcher
+	EndpointList         ListWatcher
 	HealthCheckTimeoutMS float64 // after which an unanswered health check counts as timed out
 	// LeaseHeld tells whether an attempt that an extension held may still be sent. The executor client calls it right
 	// before sending. Nil permits every attempt.
@@ -137,9 +137,9 @@
 // safe for concurrent use.
 func (l *Loop) OpenRequests() int { return int(l.openCount.Load()) }
 
-// Arrival returns the earliest time at which data that is read now may have arrived. It is earlier than now during and
+// EarliestArrival returns the earliest time at which data that is read now may have arrived. It is earlier than now during and
 // shortly after a stall of this process. It is safe for concurrent use.
-func (l *Loop) Arrival(now float64) float64 { return l.stalls.earliestArrival(now) }
+func (l *Loop) EarliestArrival(now float64) float64 { return l.stalls.earliestArrival(now) }
 
 // Stop ends Run and waits until it has returned.
 func (l *Loop) Stop() {
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -22,7 +22,7 @@
 	case event.Kind == scheduler.EndpointsUpdated && event.List == scheduler.ListUnavailable:
 		l.notify(Event{Kind: ListUnavailable})
 	case event.Kind == scheduler.EndpointsUpdated:
-		l.notify(Event{Kind: EndpointsUpdated, List: event})
+		l.notify(Event{Kind: EndpointsUpdated, EndpointsUpdate: event})
 	case event.Kind == scheduler.ShutdownStarted:
 		l.notify(Event{Kind: ShutdownStarted})
 	}
@@ -58,7 +58,7 @@
 	if state == nil {
 		return nil, false
 	}
-	if l.notify(Event{Kind: RequestEntered, Request: &state.Request}).hold {
+	if l.notify(Event{Kind: RequestAdmitted, Request: &state.Request}).hold {
 		state.queued = true
 		return nil, false
 	}
@@ -150,7 +150,7 @@
 	case scheduler.HealthCheck:
 		l.startHealthCheck(now, action.Executor)
 	case scheduler.Subscribe:
-		l.List.Refresh()
+		l.EndpointList.Refresh()
 	case scheduler.SendPeer:
 		l.Peers.SendPeer(action.Peer, action.Payload)
 	case scheduler.Log:
--- a/internal/dispatch/extension.go
+++ b/internal/dispatch/extension.go
@@ -24,8 +24,8 @@
 	// RequestReceived says that a request is about to be admitted, with the Prior known so far. AnswerFromRecord
 	// answers it instead; Admit adds what an extension knows of it.
 	RequestReceived
-	// RequestEntered says that a request was admitted. HoldRequest keeps it from the scheduler until OfferRequest.
-	RequestEntered
+	// RequestAdmitted says that a request was admitted. HoldRequest keeps it from the scheduler until OfferRequest.
+	RequestAdmitted
 	// AttemptStarting says that an attempt is about to be handed to the transport. HoldAttempt delays it until
 	// ReleaseAttempt; BlockAttempt ends it unsent.
 	AttemptStarting
@@ -61,22 +61,22 @@
 
 // Event is something that happened in the loop. Only the fields of its kind are set.
 type Event struct {
-	Kind         EventKind
-	Request      *Request
-	Attempt      int
-	Executor     uint32                 // AttemptStarting, AttemptStarted
-	GrantMB      float64                // AttemptStarted
-	NeverRan     bool                   // AttemptEnded: the outcome proves that the attempt never ran
-	Prior        scheduler.PriorAttempt // RequestReceived
-	Outcome      ledger.Outcome         // RequestEnding, RequestClosed
-	Body         []byte                 // RequestEnding, RequestClosed: the answer
-	CostMS       float64                // RequestClosed: the work that the request took; 0: unknown
-	RetryAfterMS float64                // RequestRejecting: when the client may retry, as the scheduler chose it
-	List         *scheduler.Event       // EndpointsUpdated: the event that the scheduler got
-	Peer         int                    // PeerMessage
-	Payload      []byte                 // PeerMessage
-	Message      any                    // MessagePosted
-	Query        *OutcomeQuery          // OutcomeQueried
+	Kind            EventKind
+	Request         *Request
+	Attempt         int
+	Executor        uint32                 // AttemptStarting, AttemptStarted
+	GrantMB         float64                // AttemptStarted
+	NeverRan        bool                   // AttemptEnded: the outcome proves that the attempt never ran
+	Prior           scheduler.PriorAttempt // RequestReceived
+	Outcome         ledger.Outcome         // RequestEnding, RequestClosed
+	Body            []byte                 // RequestEnding, RequestClosed: the answer
+	CostMS          float64                // RequestClosed: the work that the request took; 0: unknown
+	RetryAfterMS    float64                // RequestRejecting: when the client may retry, as the scheduler chose it
+	EndpointsUpdate *scheduler.Event       // EndpointsUpdated: the event that the scheduler got
+	Peer            int                    // PeerMessage
+	Payload         []byte                 // PeerMessage
+	Message         any                    // MessagePosted
+	Query           *OutcomeQuery          // OutcomeQueried
 
 	// SchedulerState is set on Ticked. It returns the scheduler's view of the executors and its estimates; the slices
 	// are valid only until Handle returns.
@@ -140,24 +140,24 @@
 
 // Command is something that an extension asks the loop to do. Only the fields of its kind are set.
 type Command struct {
-	Kind        CommandKind
-	ID          string
-	Attempt     int
-	Prior       scheduler.PriorAttempt
-	Blocked     bool
-	Outcome     ledger.Outcome
-	Body        []byte
-	AfterMS     float64 // when a rejected client may retry
-	PriorityCap float64
-	MemoryShare float64
-	Immediate   bool
-	Peer        int
-	Payload     []byte
-	StartMS     float64
-	EndMS       float64
-	Event       scheduler.Event
-	Request     *Request
-	Query       *OutcomeQuery
+	Kind         CommandKind
+	ID           string
+	Attempt      int
+	Prior        scheduler.PriorAttempt
+	Blocked      bool
+	Outcome      ledger.Outcome
+	Body         []byte
+	RetryAfterMS float64 // when a rejected client may retry
+	PriorityCap  float64
+	MemoryShare  float64
+	Immediate    bool
+	Peer         int
+	Payload      []byte
+	StartMS      float64
+	EndMS        float64
+	Event        scheduler.Event
+	Request      *Request
+	Query        *OutcomeQuery
 }
 
 // OutcomeQuery asks for the outcome of a request, by its id or its idempotency key. Reply runs on the loop's goroutine
--- a/internal/dispatch/extension_test.go
+++ b/internal/dispatch/extension_test.go
@@ -159,7 +159,7 @@
 	assert.Zero(t, loop.OpenRequests())
 
 	transport = &fakeTransport{}
-	loop, policy, _ = newExtendedLoop(transport, commandsByEvent{RequestEntered: {{Kind: HoldRequest}}})
+	loop, policy, _ = newExtendedLoop(transport, commandsByEvent{RequestAdmitted: {{Kind: HoldRequest}}})
 	policy.actions = actionsByEvent{scheduler.RequestArrived: rejectA}
 	halfClose(loop, transport)
 	assert.True(t, policy.lastEvent(scheduler.RequestArrived).Blocked, "the scheduler gets the request to reject it")
@@ -196,7 +196,7 @@
 	loop.Register(extensionFunc(func(_ *Event, out []Command) []Command {
 		notified = append(notified, "second")
 		prior := scheduler.PriorAttempt{At: 7}
-		return append(out, Command{Kind: Admit, Prior: prior}, Command{Kind: SetRetryAfter, AfterMS: 3})
+		return append(out, Command{Kind: Admit, Prior: prior}, Command{Kind: SetRetryAfter, RetryAfterMS: 3})
 	}))
 	decided := loop.notify(Event{Kind: RequestReceived, RetryAfterMS: 9})
 	assert.Equal(t, []string{"first", "second"}, notified)
--- a/internal/dispatch/ledger_extension.go
+++ b/internal/dispatch/ledger_extension.go
@@ -92,7 +92,7 @@
 			Body:    event.Body,
 		}, true
 	case EndpointsUpdated:
-		update := event.List
+		update := event.EndpointsUpdate
 		return ledger.Event{
 			Kind:        ledger.EndpointsUpdated,
 			ListVersion: update.ListVersion,
@@ -131,10 +131,10 @@
 		return append(out, Command{Kind: Admit, Prior: effect.Prior, Blocked: effect.Kind == ledger.AdmitBlocked})
 	case ledger.AnswerFromRecord:
 		return append(out, Command{
-			Kind:    AnswerFromRecord,
-			Outcome: effect.Outcome,
-			Body:    effect.Body,
-			AfterMS: effect.AfterMS,
+			Kind:         AnswerFromRecord,
+			Outcome:      effect.Outcome,
+			Body:         effect.Body,
+			RetryAfterMS: effect.AfterMS,
 		})
 	case ledger.RestoreState:
 		return append(out, Command{Kind: RestoreState, Event: effect.SchedulerEvent})
--- a/internal/dispatch/quota_extension.go
+++ b/internal/dispatch/quota_extension.go
@@ -33,7 +33,7 @@
 func (q quotaExtension) Handle(now float64, event *Event, out []Command) []Command {
 	request := event.Request
 	switch event.Kind {
-	case RequestEntered:
+	case RequestAdmitted:
 		out = append(out, Command{Kind: HoldRequest})
 		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{
 			Kind:     quota.RequestQueued,
@@ -66,10 +66,10 @@
 	case RequestRejecting:
 		// The client may retry when the request would have started, but after at most twice the scheduler's time.
 		if startMS, _ := q.WaitEstimate(now, request.ID); event.RetryAfterMS > 0 && startMS > 0 {
-			out = append(out, Command{Kind: SetRetryAfter, AfterMS: min(startMS, 2*event.RetryAfterMS)})
+			out = append(out, Command{Kind: SetRetryAfter, RetryAfterMS: min(startMS, 2*event.RetryAfterMS)})
 		}
 	case EndpointsUpdated:
-		out = AppendQuotaCommands(out, q.EndpointsUpdated(now, event.List.List, event.List.Endpoints))
+		out = AppendQuotaCommands(out, q.EndpointsUpdated(now, event.EndpointsUpdate.List, event.EndpointsUpdate.Endpoints))
 	case ShutdownStarted:
 		out = AppendQuotaCommands(out, q.Step(now, &quota.Event{Kind: quota.ShutdownStarted}))
 	case Ticked:
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -179,13 +179,13 @@
 	}
 	state.answerWithheld = false
 	l.openCount.Add(-1)
-	reply(&state.Request, command.Outcome, command.Body, command.AfterMS)
+	reply(&state.Request, command.Outcome, command.Body, command.RetryAfterMS)
 	l.releaseRequest(state)
 }
 
 // answerFromRecord answers a request that was never admitted.
 func (l *Loop) answerFromRecord(request *Request, command *Command) {
-	reply(request, command.Outcome, command.Body, command.AfterMS)
+	reply(request, command.Outcome, command.Body, command.RetryAfterMS)
 	l.openCount.Add(-1)
 	l.counters.FromRecord++
 }
--- a/internal/handoff/copystore_test.go
+++ b/internal/handoff/copystore_test.go
@@ -67,7 +67,7 @@
 		c.down[k] = false
 		c.members[k].Lost, c.members[k].Incarnation = false, 2
 		settings := DefaultSettings()
-		settings.Classes = []scheduler.RequestClass{{Name: "keyed", Effect: scheduler.Keyed, DedupWindowMS: 20e3}}
+		settings.Classes = []scheduler.RequestClass{{Name: "keyed", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3}}
 		c.managers[k] = New(Member{c.members[k].Name, 2}, settings, 9)
 	}
 	c.table.Reassign(c.members, 0)
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -29,9 +29,9 @@
 	c := &cluster{t: t, now: 1000, down: map[int]bool{}}
 	settings := DefaultSettings()
 	settings.Classes = []scheduler.RequestClass{
-		{Name: "keyed", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
-		{Name: "once", Effect: scheduler.NonIdempotent, DeadlineMS: 5e3},
-		{Name: "idempotent", Effect: scheduler.Idempotent, DeadlineMS: 5e3},
+		{Name: "keyed", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
+		{Name: "once", Idempotency: scheduler.NonIdempotent, DeadlineMS: 5e3},
+		{Name: "idempotent", Idempotency: scheduler.Idempotent, DeadlineMS: 5e3},
 	}
 	settings.AdoptClasses = []string{"idempotent"}
 	if change != nil {
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -13,7 +13,7 @@
 // requestClass is what the settings say of one class of requests.
 type requestClass struct {
 	name          string
-	effect        scheduler.Effect
+	effect        scheduler.Idempotency
 	dedupWindowMS float64
 	adoptable     bool // a successor goes on with open requests of it
 }
@@ -125,7 +125,7 @@
 		queuedForAdoption:   map[Key]struct{}{},
 	}
 	for _, c := range settings.Classes {
-		class := requestClass{name: c.Name, effect: c.Effect, dedupWindowMS: c.DedupWindowMS}
+		class := requestClass{name: c.Name, effect: c.Idempotency, dedupWindowMS: c.DedupWindowMS}
 		class.adoptable = class.replicated() || slices.Contains(settings.AdoptClasses, c.Name)
 		m.classes = append(m.classes, class)
 		m.pacer.baselines = append(m.pacer.baselines, durations{})
--- a/internal/handoffnet/effects.go
+++ b/internal/handoffnet/effects.go
@@ -60,7 +60,7 @@
 	case handoff.Resume:
 		return append(out, dispatch.Command{Kind: dispatch.Resume, ID: e.ID, Prior: e.Prior, Blocked: e.Blocked})
 	case handoff.AnswerSuspended:
-		return append(out, dispatch.Command{Kind: dispatch.AnswerSuspended, ID: e.ID, Outcome: toLedger[e.Outcome], Body: e.Answer, AfterMS: e.AfterMS})
+		return append(out, dispatch.Command{Kind: dispatch.AnswerSuspended, ID: e.ID, Outcome: toLedger[e.Outcome], Body: e.Answer, RetryAfterMS: e.AfterMS})
 	case handoff.HoldAttempt:
 		return append(out, dispatch.Command{Kind: dispatch.HoldAttempt})
 	case handoff.BlockAttempt:
--- a/internal/handoffnet/extension.go
+++ b/internal/handoffnet/extension.go
@@ -17,7 +17,7 @@
 func (a *Agent) Handle(now float64, event *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	switch event.Kind {
 	case dispatch.EndpointsUpdated:
-		a.updateEndpoints(event.List)
+		a.updateEndpoints(event.EndpointsUpdate)
 		return out
 	case dispatch.OutcomeQueried:
 		out = append(out, dispatch.Command{Kind: dispatch.Consume})
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -51,7 +51,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := handoff.DefaultSettings()
-	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	settings.Classes = []scheduler.RequestClass{{Name: "mark", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
 	return New(handoff.Member{Name: "b", Incarnation: 1}, settings, 1, nil, dispatch.NewClock(), nil, log)
 }
 
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -71,7 +71,7 @@
 	clock := dispatch.NewClock()
 	m := &member{transport: clusternet.New(at, log), loop: dispatch.New(clock, idle{}, log), at: at}
 	settings := handoff.DefaultSettings()
-	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	settings.Classes = []scheduler.RequestClass{{Name: "mark", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
 	m.agent = New(handoff.Member{Name: name, Incarnation: 1}, settings, 1, m.loop, clock, m.transport, log)
 	m.agent.leaseHeld = func() bool { return true }
 	m.agent.listen()
--- a/internal/ledger/executor.go
+++ b/internal/ledger/executor.go
@@ -147,7 +147,7 @@
 	for _, id := range l.executorIDs() {
 		x := l.executors[id]
 		if x.ejected || x.warmupUntil > l.now || x.drainVersion > 0 {
-			ev.ExecutorStates = append(ev.ExecutorStates, scheduler.ExecutorState{
+			ev.RestoredExecutors = append(ev.RestoredExecutors, scheduler.RestoredExecutor{
 				Executor:    id,
 				WarmupUntil: x.warmupUntil - l.clockOffset,
 				Ejected:     x.ejected,
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -12,7 +12,7 @@
 	s.RememberMS, s.MaxAnswerBytes = 60000, 8
 	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
 	for _, c := range []scheduler.RequestClass{
-		{Name: "look", Effect: scheduler.Idempotent}, {Name: "mark", Effect: scheduler.Keyed}, {Name: "once", Effect: scheduler.NonIdempotent},
+		{Name: "look", Idempotency: scheduler.Idempotent}, {Name: "mark", Idempotency: scheduler.Keyed}, {Name: "once", Idempotency: scheduler.NonIdempotent},
 	} {
 		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
 		s.Classes = append(s.Classes, c)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -78,7 +78,7 @@
 	l := &Ledger{settings: settings, executors: map[uint32]*executorState{}}
 	l.applySettings(&settings)
 	for _, c := range settings.Classes {
-		class := requestClass{name: c.Name, effect: c.Effect, scope: c.DedupScope, windowMS: c.DedupWindowMS, deadlineMS: c.DeadlineMS}
+		class := requestClass{name: c.Name, effect: c.Idempotency, scope: c.DedupScope, windowMS: c.DedupWindowMS, deadlineMS: c.DeadlineMS}
 		l.classes = append(l.classes, class)
 		if class.effect == scheduler.Keyed {
 			l.longestWindowMS = max(l.longestWindowMS, class.windowMS, class.deadlineMS)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -276,11 +276,11 @@
 		after := startLedger(d, 3000, clocksAt(3000), false)
 		after.updateEndpoints(3000, c.version)
 		require.Len(t, after.restored, 2)
-		want := []scheduler.ExecutorState{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2, Draining: true}, {Executor: 3, WarmupUntil: 9000}}
+		want := []scheduler.RestoredExecutor{{Executor: 1, Ejected: true, Ejections: 2}, {Executor: 2, Draining: true}, {Executor: 3, WarmupUntil: 9000}}
 		if !c.draining {
-			want = []scheduler.ExecutorState{want[0], want[2]}
+			want = []scheduler.RestoredExecutor{want[0], want[2]}
 		}
-		got := after.restored[1].ExecutorStates
+		got := after.restored[1].RestoredExecutors
 		for k := range got { // times are late by the step of a clock at most
 			got[k].WarmupUntil = math.Max(0, math.Round(got[k].WarmupUntil/10)*10)
 		}
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -39,7 +39,7 @@
 // requestClass is what the settings say of one request class.
 type requestClass struct {
 	name       string
-	effect     scheduler.Effect
+	effect     scheduler.Idempotency
 	scope      scheduler.DedupScope
 	windowMS   float64 // within which executors drop repeats of a key
 	deadlineMS float64
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -159,7 +159,7 @@
 				restored = append(restored, e.SchedulerEvent)
 			}
 			for _, ev := range restored {
-				fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.ExecutorStates)
+				fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.RestoredExecutors)
 			}
 			golden(t, folder+"-told.txt", []byte(answers.String()))
 			require.NoError(t, k.store.Close())
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -21,10 +21,10 @@
 	s.MaxAttempts, s.MayCancel = 4, true
 	s.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}}
 	for _, c := range []scheduler.RequestClass{
-		{Name: "look", Effect: scheduler.Idempotent}, {Name: "mark", Effect: scheduler.Keyed}, {Name: "once", Effect: scheduler.NonIdempotent},
+		{Name: "look", Idempotency: scheduler.Idempotent}, {Name: "mark", Idempotency: scheduler.Keyed}, {Name: "once", Idempotency: scheduler.NonIdempotent},
 	} {
 		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
-		c.SoftDeadlineMS, c.Value, c.LateShare, c.Threads = 1000, 1, 0.5, 1
+		c.SoftDeadlineMS, c.Value, c.LateValueShare, c.Threads = 1000, 1, 0.5, 1
 		s.Classes = append(s.Classes, c)
 	}
 	return s
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -149,7 +149,7 @@
 	k, _, err := Open(disk, testOptions, ledgerSettings(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, quietLogger())
 	require.NoError(t, err)
 	f := &testExecutors{loop: d}
-	d.Executors, d.Peers, d.List, d.HealthCheckTimeoutMS = f, f, f, 250
+	d.Executors, d.Peers, d.EndpointList, d.HealthCheckTimeoutMS = f, f, f, 250
 	d.Register(dispatch.LedgerExtension(k))
 	go d.Run()
 	for _, ev := range k.RestoredEvents() {
--- a/internal/localityagent/agent.go
+++ b/internal/localityagent/agent.go
@@ -97,7 +97,7 @@
 		select {
 		case <-a.reachChanged:
 			update := a.reach.Load()
-			a.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ReachabilityChanged, Reaches: update.reaches}})
+			a.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: update.reaches}})
 			// Behind it in the queue: by then the scheduler has applied it.
 			a.loop.Put(dispatch.QueueItem{Call: func(float64) { a.collector.appliedVersion = update.version }})
 		case <-a.stop:
--- a/internal/localityagent/collector.go
+++ b/internal/localityagent/collector.go
@@ -37,13 +37,13 @@
 func (a *Agent) Handle(now float64, ev *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	c := &a.collector
 	switch ev.Kind {
-	case dispatch.RequestEntered:
+	case dispatch.RequestAdmitted:
 		c.demandThreads += c.threadsByClass[ev.Request.Class]
 	case dispatch.RequestClosed:
 		c.demandThreads = max(0, c.demandThreads-c.threadsByClass[ev.Request.Class])
 	case dispatch.EndpointsUpdated:
 		c.listUnavailable = false
-		c.updateEndpoints(ev.List)
+		c.updateEndpoints(ev.EndpointsUpdate)
 	case dispatch.ListUnavailable:
 		c.listUnavailable = true
 	case dispatch.Ticked:
@@ -77,7 +77,7 @@
 // hasEvidence reports whether the scheduler knows anything recent of an executor.
 func hasEvidence(v *scheduler.ExecutorView) bool {
 	isInUse := v.Ejected || v.ConsecutiveFailures > 0 || v.InFlight > 0
-	return isInUse || isRecent(v.SinceSignMS) || isRecent(v.SinceReportMS)
+	return isInUse || isRecent(v.SinceActivityMS) || isRecent(v.SinceReportMS)
 }
 
 // isRecent reports whether something happened within evidenceMS. Below 0, it never did.
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -101,6 +101,6 @@
 	// Each controller sends a warming-up executor its share of what the executor can take. The shares add up to no more
 	// than that only if no controller assumes too few controllers.
 	c.settings.Scheduler.Controllers = max(c.settings.Scheduler.Controllers, len(c.Peers))
-	c.settings.Scheduler.NotifiedWithinMS = float64(listPropagationTime) / float64(time.Millisecond)
+	c.settings.Scheduler.PresumedNotifiedAfterMS = float64(listPropagationTime) / float64(time.Millisecond)
 	return nil
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -129,7 +129,7 @@
 		OutputBudget:  c.outputBytes,
 		RetryAfterMS:  platform.Scheduler.LongestRetryAfterMS(),
 		ServeOutcomes: c.loop.HasLedger(),
-		Arrival:       c.loop.Arrival,
+		Arrival:       c.loop.EarliestArrival,
 	}, c.log)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	c.loop.Executors = c.executors
 	c.loop.Peers = c.peers
-	c.loop.List = c.discovery
+	c.loop.EndpointList = c.discovery
 	c.loop.HealthCheckTimeoutMS = platform.Executors.ConnectTimeoutMS
 	return nil
 }
@@ -268,7 +268,7 @@
 	longestMS := 0.0
 	for _, class := range classes {
 		limits[class.Name] = jsonrpc.ClassLimits{
-			Keyed:         class.Effect == scheduler.Keyed,
+			Keyed:         class.Idempotency == scheduler.Keyed,
 			MaxDeadlineMS: class.DeadlineMS,
 		}
 		longestMS = max(longestMS, class.DeadlineMS)
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -83,7 +83,7 @@
 
 // These maps translate the platform's words. An empty word stands for a missing setting.
 var (
-	effectsByWord = map[string]scheduler.Effect{
+	effectsByWord = map[string]scheduler.Idempotency{
 		"safe":   scheduler.Idempotent,
 		"keyed":  scheduler.Keyed,
 		"unsafe": scheduler.NonIdempotent,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,7 +114,7 @@
 		s.Kinds = append(s.Kinds, kind)
 	}
 	var err error
-	if s.SubscribesToList, err = lookup(subscribesByWord, "Discovery", p.Discovery); err != nil {
+	if s.SubscribesToEndpoints, err = lookup(subscribesByWord, "Discovery", p.Discovery); err != nil {
 		return err
 	}
 	if s.ReportsByProbe, err = lookup(reportsByProbeByWord, "Report.How", p.Report.Delivery); err != nil {
@@ -145,10 +145,10 @@
 	class.DedupScope = scope
 	class.DedupWindowMS = in.DedupWindow / usPerMS
 	class.SoftDeadlineMS = in.SoftDeadline / usPerMS
-	class.SoftDeadlineStretch = in.SoftDeadlineStretch
+	class.SoftDeadlineWorkFactor = in.SoftDeadlineStretch
 	class.DeadlineMS = in.Deadline / usPerMS
 	class.Value = valueOr(in.Value, class.Value)
-	class.LateShare = in.LateShare
+	class.LateValueShare = in.LateShare
 	class.InOrder = in.InOrder
 	class.HoldsTableGroup = elementOrZero(p.Deployment.ClassHoldsTableGroup, index)
 	class.BlockedByHolders = elementOrZero(p.Deployment.ClassBlockedByHolders, index)
@@ -165,18 +165,18 @@
 	s.MayHealthCheck = bounds.MayHealthCheck
 	s.MayMessagePeers = bounds.MayMessagePeers
 	s.MaxAttempts = int(valueOr(bounds.MaxAttempts, float64(s.MaxAttempts)))
-	s.NamesRetryAfter = bounds.NamesRetryAfter
+	s.SendsRetryAfter = bounds.NamesRetryAfter
 	s.MaxRetryAfterMS = bounds.MaxRetryAfter / usPerMS
 	s.ConnectTimeoutMS = millisecondsOr(bounds.ConnectTimeout, 0)
 
 	deployment := &p.Deployment
-	s.LargestShare = valueOr(deployment.LargestShare, s.LargestShare)
+	s.MaxGrantShare = valueOr(deployment.LargestShare, s.MaxGrantShare)
 	s.HonorsGrants = deployment.HonorsGrants
 	s.ProgressEveryMS = deployment.ProgressInterval / usPerMS
 
 	invariants := &p.Invariants
 	s.DrainGraceMS = invariants.DrainGrace / usPerMS
-	s.OrderKeyRestMS = invariants.OrderKeyRest / usPerMS
+	s.OrderKeyHoldoffMS = invariants.OrderKeyRest / usPerMS
 	s.RetryBudget = p.retryBudget(scheduler.RetryBudget{})
 	s.WarmupMS = invariants.Warmup / usPerMS
 	s.ColdCapacity = valueOr(invariants.ColdCapacity, s.ColdCapacity)
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -29,7 +29,7 @@
 	r.workMS = class.expectedWorkMS(r.estimateMS)
 	class.recordArrival(r.workMS)
 	r.deadline = min(r.deadline, s.shutdownDeadline)
-	r.softDeadline = s.now + class.softDeadlineMS + class.softDeadlineStretch*r.workMS/float64(class.threads)
+	r.softDeadline = s.now + class.softDeadlineMS + class.softDeadlineWorkFactor*r.workMS/float64(class.threads)
 	s.addProbeTokens(probesPerRequest)
 	s.dispatchNeeded = true
 	if ev.Blocked { // the request is not on record, so a repeat of it after a crash could not be recognized
@@ -59,10 +59,10 @@
 		return sendNever
 	}
 	for prior := range s.priorAttempts(r) {
-		if class.effect != Keyed || s.now > s.latestStart(r) {
+		if class.idempotency != Keyed || s.now > s.latestStart(r) {
 			return sendNever
 		}
-		if !class.dropsRepeat(prior, e) {
+		if !class.deduplicates(prior, e) {
 			return sendElsewhere
 		}
 	}
@@ -125,8 +125,8 @@
 // may have run unless every executor that a repeat can reach handles it without a second effect.
 func (s *Scheduler) mayReject(r *request) bool {
 	class := &s.classes[r.class]
-	droppedEverywhere := class.effect == Keyed && class.dedupScope == DedupAll
-	return class.effect == Idempotent || droppedEverywhere || !r.mayHaveRun()
+	droppedEverywhere := class.idempotency == Keyed && class.dedupScope == DedupAll
+	return class.idempotency == Idempotent || droppedEverywhere || !r.mayHaveRun()
 }
 
 // rejectOrFail gives a request its final answer without a result and cancels its attempts in flight. The request
@@ -144,7 +144,7 @@
 // retryAfterMS returns the delay after which a rejected client is asked to retry, or 0 to name none. The delay is
 // randomized so that rejected clients don't all return at once.
 func (s *Scheduler) retryAfterMS() float64 {
-	if !s.settings.NamesRetryAfter {
+	if !s.settings.SendsRetryAfter {
 		return 0
 	}
 	return s.settings.MaxRetryAfterMS * (0.5 + 0.5*s.random())
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -35,7 +35,7 @@
 	e.reportedThreads += float64(class.threads)
 	e.reportedMB += grant
 	if s.now < e.warmupUntil {
-		e.warmupSent.add(s.now, class.usualWorkMS)
+		e.warmupSent.add(s.now, class.meanWorkMS)
 	}
 	if class.holdsGroup {
 		s.groupHolders = append(s.groupHolders, groupHolder{r.tableGroup, s.assignTo, math.Inf(1)})
@@ -50,7 +50,7 @@
 	r := s.requests.at(slot)
 	class := &s.classes[r.class]
 	e := &s.executors[a.executor]
-	e.recordSign(s.now, a)
+	e.recordActivity(s.now, a)
 	a.progressAt = s.now
 	switch ev.Progress {
 	case Waiting:
@@ -80,19 +80,19 @@
 // shouldLeaveHolder reports whether an attempt that waits behind a holder of its table group is sent to another
 // executor instead. That is so only for an idempotent request whose attempt has completed nothing yet.
 func (s *Scheduler) shouldLeaveHolder(r *request, class *classState, a *attempt) bool {
-	mayRunAgain := r.state == requestRunning && class.effect == Idempotent
+	mayRunAgain := r.state == requestRunning && class.idempotency == Idempotent
 	return mayRunAgain && a.completedShare == 0 && s.mayReplaceAttempt(r)
 }
 
 // hasBadPlan reports whether an attempt is much slower than usual for its class and executor and may be replaced.
 // The executor has chosen a bad execution plan for it, or has lost it.
 func (s *Scheduler) hasBadPlan(r *request, class *classState, e *executor, a *attempt) bool {
-	if r.state != requestRunning || class.effect != Idempotent || a.ranMS <= badPlanMinRunMS {
+	if r.state != requestRunning || class.idempotency != Idempotent || a.runningMS <= badPlanMinRunMS {
 		return false
 	}
 	expected := class.minRunMS(r) * max(1, class.slowdown) * max(1, e.slowdown)
-	projected := a.ranMS / max(a.completedShare, 0.01)
-	if projected <= badPlanFactor*expected || projected-a.ranMS <= badPlanRemainingFactor*expected {
+	projected := a.runningMS / max(a.completedShare, 0.01)
+	if projected <= badPlanFactor*expected || projected-a.runningMS <= badPlanRemainingFactor*expected {
 		return false
 	}
 	return s.mayReplaceAttempt(r)
@@ -123,7 +123,7 @@
 	e := &s.executors[a.executor]
 	switch ev.Outcome {
 	case Succeeded:
-		e.recordSign(s.now, a)
+		e.recordActivity(s.now, a)
 		e.proven = true
 		e.failures = 0
 		s.updateEstimates(r, class, e, a, ev)
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -9,7 +9,7 @@
 func TestScheduler_ReplacesAttemptWithBadPlan(t *testing.T) {
 	s := newTestScheduler(2, nil)
 	arrive(s, 1000, "a", "read")
-	s.requests.entries[0].lastAttempt().ranMS = 1000
+	s.requests.entries[0].lastAttempt().runningMS = 1000
 	actions := s.Step(2000, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0.05}, nil)
 	assert.Equal(t, []ActionKind{Cancel}, actionKinds(actions))
 	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(endAttempt(s, 2010, "a", 0, Cancelled)))
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -78,7 +78,7 @@
 // for a late answer to keep the request queued.
 func (s *Scheduler) isTooLateToQueue(r *request) bool {
 	class := &s.classes[r.class]
-	return class.lateShare < minLateShare && s.now+class.minRunMS(r) > r.softDeadline
+	return class.lateValueShare < minLateShare && s.now+class.minRunMS(r) > r.softDeadline
 }
 
 // valueDensity returns the value that a request can still earn per millisecond of its work. It is 0 for a request
@@ -90,7 +90,7 @@
 	case earliestEnd > r.deadline-answerMarginMS || r.errorCount >= maxErroredAttempts:
 		return 0
 	case earliestEnd > r.softDeadline:
-		return class.value * class.lateShare / r.workMS
+		return class.value * class.lateValueShare / r.workMS
 	}
 	return class.value / r.workMS
 }
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -16,11 +16,11 @@
 // drainSafeUntil returns the time until which an executor surely accepts new attempts. The executor was not draining
 // at the last contact with the list, nor when it last accepted an attempt.
 func (s *Scheduler) drainSafeUntil(e *executor) float64 {
-	if s.listContactAt <= 0 || s.settings.NotifiedWithinMS <= 0 {
+	if s.listContactAt <= 0 || s.settings.PresumedNotifiedAfterMS <= 0 {
 		return math.Inf(1)
 	}
 	activeAt := max(s.listContactAt, e.acceptedAt)
-	notifiedAt := activeAt + s.settings.NotifiedWithinMS
+	notifiedAt := activeAt + s.settings.PresumedNotifiedAfterMS
 	for _, at := range s.presumedNotifiedAt {
 		if at > activeAt {
 			notifiedAt = min(notifiedAt, at)
@@ -32,7 +32,7 @@
 // recordPresumedNotification stores the time at which pending list updates count as received; 0 stands for none. It
 // drops stored times that are more than NotifiedWithinMS ago.
 func (s *Scheduler) recordPresumedNotification(at float64) {
-	oldest := s.now - s.settings.NotifiedWithinMS
+	oldest := s.now - s.settings.PresumedNotifiedAfterMS
 	isOld := func(presumed float64) bool { return presumed < oldest }
 	s.presumedNotifiedAt = slices.DeleteFunc(s.presumedNotifiedAt, isOld)
 	if at > 0 && len(s.presumedNotifiedAt) < maxPresumedNotifications {
--- a/scheduler/drains_test.go
+++ b/scheduler/drains_test.go
@@ -22,7 +22,7 @@
 // list or after it last accepted an attempt. The next list update opens all executors again.
 func TestScheduler_ClosesExecutorsWhileListIsUnavailable(t *testing.T) {
 	s := newTestScheduler(2, func(settings *Settings) {
-		settings.NotifiedWithinMS = 7000
+		settings.PresumedNotifiedAfterMS = 7000
 		settings.DrainGraceMS = 500
 	})
 	s.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
@@ -57,12 +57,12 @@
 // the next such time or until NotifiedWithinMS has passed.
 func TestScheduler_ClosesExecutorsOncePendingNewsCountsAsKnown(t *testing.T) {
 	s := newTestScheduler(1, func(settings *Settings) {
-		settings.NotifiedWithinMS = 7000
+		settings.PresumedNotifiedAfterMS = 7000
 		settings.DrainGraceMS = 500
 	})
 	e := &s.executors[0]
 	loseList := func(now, presumedAt float64) {
-		lost := Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedAt: presumedAt}
+		lost := Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedNotifiedAt: presumedAt}
 		s.Step(now, &lost, nil)
 	}
 	loseList(1500, 3400)
--- a/scheduler/ejection.go
+++ b/scheduler/ejection.go
@@ -42,7 +42,7 @@
 		if a.executor != index || a.sentAt >= before {
 			continue
 		}
-		if lost || s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r) {
+		if lost || s.classes[r.class].idempotency != NonIdempotent && s.mayReplaceAttempt(r) {
 			s.applyToRequest(slot, inputAttemptAbandoned)
 		}
 	}
@@ -118,7 +118,7 @@
 	if !isLate || e.lastActivityAt <= a.progressAt || e.state == executorEjected {
 		return false
 	}
-	return s.classes[r.class].effect != NonIdempotent && s.mayReplaceAttempt(r)
+	return s.classes[r.class].idempotency != NonIdempotent && s.mayReplaceAttempt(r)
 }
 
 // watchExecutor ends a warm-up that is over, sends health checks to an ejected or silent executor, and ejects an
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -8,7 +8,7 @@
 	if ev.List == ListUnavailable {
 		s.resubscribeAt = s.now + resubscribeMS
 		s.listContactAt = ev.Deadline
-		s.recordPresumedNotification(ev.PresumedAt)
+		s.recordPresumedNotification(ev.PresumedNotifiedAt)
 		return
 	}
 	s.listContactAt = 0
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -7,9 +7,9 @@
 import "cmp"
 
 const (
-	smoothingFactor = 0.1  // weight of the newest value in a moving average
-	costSmoothing   = 0.02 // weight of the newest cost or work: the estimates of a class are wrong in a stable way
-	restoredRuns    = 64   // running times kept across a restart, enough to determine the decay onset
+	smoothingFactor     = 0.1  // weight of the newest value in a moving average
+	costSmoothingFactor = 0.02 // weight of the newest cost or work: the estimates of a class are wrong in a stable way
+	maxRestoredRuns     = 64   // running times kept across a restart, enough to determine the decay onset
 )
 
 // expectedWorkMS returns the expected work of a request: the client's estimate, corrected by the ratio of actual to
@@ -18,24 +18,24 @@
 	if c.estimatedWorkMS > 0 {
 		estimateMS *= c.actualWorkMS / c.estimatedWorkMS
 	}
-	return cmp.Or(max(0, estimateMS), c.usualWorkMS, 1)
+	return cmp.Or(max(0, estimateMS), c.meanWorkMS, 1)
 }
 
 // recordArrival updates the usual work of a class with that of a new request. The first arrivals are weighted equally.
 func (c *classState) recordArrival(workMS float64) {
-	c.arrivals++
-	c.usualWorkMS += max(costSmoothing, 1/c.arrivals) * (workMS - c.usualWorkMS)
+	c.workSamples++
+	c.meanWorkMS += max(costSmoothingFactor, 1/c.workSamples) * (workMS - c.meanWorkMS)
 }
 
 // updateEstimates updates the estimates of a class and an executor with the running time and cost of an attempt that
 // succeeded.
 func (s *Scheduler) updateEstimates(r *request, class *classState, e *executor, a *attempt, ev *Event) {
-	s.finishedRuns.add(s.now, a.ranMS)
-	slowdown := a.ranMS / max(1, class.minRunMS(r))
+	s.finishedRuns.add(s.now, a.runningMS)
+	slowdown := a.runningMS / max(1, class.minRunMS(r))
 	class.slowdown += smoothingFactor * (min(slowdown, badPlanFactor*class.slowdown+1) - class.slowdown)
 	e.slowdown += smoothingFactor * (min(slowdown/max(class.slowdown, 0.1), badPlanFactor) - e.slowdown)
 	if ev.CostMS > 0 && r.estimateMS > 0 {
-		class.actualWorkMS += costSmoothing * (min(ev.CostMS, badPlanFactor*r.workMS) - class.actualWorkMS)
-		class.estimatedWorkMS += costSmoothing * (r.estimateMS - class.estimatedWorkMS)
+		class.actualWorkMS += costSmoothingFactor * (min(ev.CostMS, badPlanFactor*r.workMS) - class.actualWorkMS)
+		class.estimatedWorkMS += costSmoothingFactor * (r.estimateMS - class.estimatedWorkMS)
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -138,9 +138,9 @@
 	MemoryShare float64 // RequestArrived, PriorityCapped: fraction of its memory grant that the request gets; 0: all
 	Immediate   bool    // RequestArrived: start the request in this step, or emit ReturnRequest
 
-	// PresumedAt is the time from which on this controller is presumed to know the changes of the endpoint list that it
+	// PresumedNotifiedAt is the time from which on this controller is presumed to know the changes of the endpoint list that it
 	// has not received. 0 means that there are none. It applies to EndpointsUpdated with ListUnavailable.
-	PresumedAt float64
+	PresumedNotifiedAt float64
 
 	HalfClosed bool // ClientLeft: the client can still read, so the request gets a final answer
 
@@ -159,11 +159,11 @@
 	FromPeer    int          // PeerMessage: index of the sending controller
 	Payload     []byte       // PeerMessage
 
-	Arrivals       []float64       // StateRestored: arrival times of requests
-	Retries        []float64       // StateRestored: times at which retries were sent
-	ExecutorStates []ExecutorState // StateRestored
-	Reaches        []ZoneReach     // ReachabilityChanged: the remote zones
-	Estimates      []Estimate      // StateRestored
+	Arrivals          []float64          // StateRestored: arrival times of requests
+	Retries           []float64          // StateRestored: times at which retries were sent
+	RestoredExecutors []RestoredExecutor // StateRestored
+	RemoteZones       []ZoneReach        // ReachabilityChanged: the remote zones
+	Estimates         []Estimate         // StateRestored
 }
 
 // PriorAttempt is the first attempt, by another request with the same idempotency key, that may have run.
@@ -183,8 +183,8 @@
 	ExclusiveKinds []string // kinds missing in this controller's zone; the zone is near for classes limited to them
 }
 
-// ExecutorState is the persisted state of an executor that the endpoint list does not contain.
-type ExecutorState struct {
+// RestoredExecutor is the persisted state of an executor that the endpoint list does not contain.
+type RestoredExecutor struct {
 	Executor    uint32
 	WarmupUntil float64
 	Ejected     bool
--- a/scheduler/executors.go
+++ b/scheduler/executors.go
@@ -41,7 +41,7 @@
 	probeFailed    bool // the last health check failed
 	probesAnswered int  // consecutive successful health checks
 	warmupUntil    float64
-	warmupSent     window // usual work of the requests sent during the warm-up, in milliseconds
+	warmupSent     slidingWindow // usual work of the requests sent during the warm-up, in milliseconds
 
 	// Load from all controllers.
 	reportedThreads float64 // of the last load report, plus the attempts that this controller has sent since
@@ -89,7 +89,7 @@
 	Ejections           int  // since it was last healthy
 	WarmingUp           bool // limited to this controller's share of its warm-up budget
 	WarmupUntil         float64
-	SinceSignMS         float64 // time since the last progress report or answer; negative if there was none
+	SinceActivityMS     float64 // time since the last progress report or answer; negative if there was none
 	SinceReportMS       float64 // time since the last load report; negative if there was none
 }
 
@@ -116,7 +116,7 @@
 			Ejections:           e.ejections,
 			WarmingUp:           now < e.warmupUntil,
 			WarmupUntil:         e.warmupUntil,
-			SinceSignMS:         since(e.lastActivityAt),
+			SinceActivityMS:     since(e.lastActivityAt),
 			SinceReportMS:       since(e.reportedAt),
 		})
 	}
@@ -188,9 +188,9 @@
 	e.memoryMB = kind.MemoryMB
 }
 
-// recordSign records a progress report or an answer for an attempt. It also proves that the executor was accepting
+// recordActivity records a progress report or an answer for an attempt. It also proves that the executor was accepting
 // attempts when this one was sent.
-func (e *executor) recordSign(now float64, a *attempt) {
+func (e *executor) recordActivity(now float64, a *attempt) {
 	e.lastActivityAt = now
 	e.probeFailed = false
 	e.acceptedAt = max(e.acceptedAt, a.sentAt)
@@ -226,7 +226,7 @@
 // updateTrafficShare recomputes this controller's share of all requests and of each executor. The number of
 // controllers is the counted one if it is known, and otherwise that of the settings.
 func (s *Scheduler) updateTrafficShare() {
-	controllers := cmp.Or(s.countedControllers, float64(s.settings.Controllers))
+	controllers := cmp.Or(s.controllerCount, float64(s.settings.Controllers))
 	s.trafficShare = 1 / max(1, controllers)
 	for index := range s.executors {
 		e := &s.executors[index]
--- a/scheduler/executors_test.go
+++ b/scheduler/executors_test.go
@@ -42,7 +42,7 @@
 	})
 	assert.Equal(t, 0.25, s.trafficShare)
 	e, class := &s.executors[0], &s.classes[0]
-	class.usualWorkMS, e.warmupUntil = 100, 1e9
+	class.meanWorkMS, e.warmupUntil = 100, 1e9
 	before := s.warmupShare(e)
 	s.Step(1001, &Event{Kind: ControllersCounted, Value: 2}, nil)
 	assert.Equal(t, 0.5, s.trafficShare)
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -12,7 +12,7 @@
 	settings.ColdCapacity = 0.3
 	settings.CollapseMultiple = 3
 	settings.CollapseWindowMS = 2000
-	settings.NamesRetryAfter = true
+	settings.SendsRetryAfter = true
 	settings.MaxRetryAfterMS = 500
 	settings.Kinds = []ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}, {Name: "odd", Cores: 8, MemoryMB: 16000}}
 	settings.Classes = []RequestClass{
@@ -29,15 +29,15 @@
 }
 
 // testClass returns a class with one thread per request and half of the value for late answers.
-func testClass(name string, effect Effect) RequestClass {
+func testClass(name string, effect Idempotency) RequestClass {
 	return RequestClass{
 		Name:           name,
-		Effect:         effect,
+		Idempotency:    effect,
 		DedupScope:     DedupAll,
 		DedupWindowMS:  5000,
 		SoftDeadlineMS: 1000,
 		Value:          1,
-		LateShare:      0.5,
+		LateValueShare: 0.5,
 		Threads:        1,
 	}
 }
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -20,7 +20,7 @@
 	if s.settings.HonorsGrants {
 		wanted *= s.classes[r.class].memoryFactor
 	}
-	return min(wanted, e.memoryMB*s.settings.LargestShare)
+	return min(wanted, e.memoryMB*s.settings.MaxGrantShare)
 }
 
 // recordSpilling raises the memory factor of a class after a request of the class has reported that it spills and how
--- a/scheduler/orderkeys.go
+++ b/scheduler/orderkeys.go
@@ -23,12 +23,12 @@
 // blockOrderKey blocks the order key of a request for the configured time after an attempt that may still be running
 // on its executor.
 func (s *Scheduler) blockOrderKey(r *request, outcome Outcome) {
-	if r.orderKey == "" || s.settings.OrderKeyRestMS <= 0 {
+	if r.orderKey == "" || s.settings.OrderKeyHoldoffMS <= 0 {
 		return
 	}
 	switch outcome {
 	case TimedOut, ConnectionLost, Cancelled:
-		s.orderKeyBlockedUntil[r.orderKey] = s.now + s.settings.OrderKeyRestMS
+		s.orderKeyBlockedUntil[r.orderKey] = s.now + s.settings.OrderKeyHoldoffMS
 	}
 }
 
--- a/scheduler/orderkeys_test.go
+++ b/scheduler/orderkeys_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestScheduler_RunsOrderKeyInTurnAndBlocksItAfterUnknownOutcome(t *testing.T) {
-	s := newTestScheduler(3, func(s *Settings) { s.Classes[0].InOrder = true; s.OrderKeyRestMS = 400 })
+	s := newTestScheduler(3, func(s *Settings) { s.Classes[0].InOrder = true; s.OrderKeyHoldoffMS = 400 })
 	arriveWithOrderKey := func(id string) []ActionKind {
 		ev := Event{Kind: RequestArrived, Request: id, Class: "read", OrderKey: "k", WorkMS: 9, Deadline: 9000}
 		return actionKinds(s.Step(1000, &ev, nil))
--- a/scheduler/priority.go
+++ b/scheduler/priority.go
@@ -41,13 +41,13 @@
 
 // accountRunningTime adds the time since the last tick to the running time of an attempt, and decays its priority. An
 // attempt that is queued on its executor isn't running.
-func (s *Scheduler) advanceRun(r *request, a *attempt, elapsedMS float64) {
+func (s *Scheduler) accountRunningTime(r *request, a *attempt, elapsedMS float64) {
 	if a.queued {
 		return
 	}
 	class := &s.classes[r.class]
-	a.ranMS += min(elapsedMS, s.now-a.sentAt)
-	for float64(r.elapsedQuanta+1)*decayQuantumMS <= a.ranMS {
+	a.runningMS += min(elapsedMS, s.now-a.sentAt)
+	for float64(r.elapsedQuanta+1)*decayQuantumMS <= a.runningMS {
 		r.elapsedQuanta++
 		if s.decays(r, class) {
 			r.priority = max(floorPriority, decayFactor*r.priority)
@@ -95,11 +95,11 @@
 // updateDecayOnset recomputes the decay onset from the requests that finished within the onset window, or from the
 // last onsetMinRuns requests if fewer did.
 func (s *Scheduler) updateDecayOnset() {
-	s.finishedRuns.forget(s.now-onsetWindowMS, onsetMinRuns)
-	if s.now < s.decayOnsetReadAt+onsetIntervalMS {
+	s.finishedRuns.evictBefore(s.now-onsetWindowMS, onsetMinRuns)
+	if s.now < s.decayOnsetUpdatedAt+onsetIntervalMS {
 		return
 	}
-	s.decayOnsetReadAt = s.now
+	s.decayOnsetUpdatedAt = s.now
 	s.decayOnsetMS = decayOnsetFor(s.finishedRuns.sorted())
 }
 
--- a/scheduler/priority_test.go
+++ b/scheduler/priority_test.go
@@ -34,20 +34,20 @@
 	arrive(s, 1000, "a", "read")
 	r := &s.requests.entries[0]
 	s.decayOnsetMS = 300
-	r.lastAttempt().ranMS, r.elapsedQuanta, s.now = 2000, 0, 3000
-	s.advanceRun(r, r.lastAttempt(), 0)
+	r.lastAttempt().runningMS, r.elapsedQuanta, s.now = 2000, 0, 3000
+	s.accountRunningTime(r, r.lastAttempt(), 0)
 	assert.Equal(t, 3, r.level, "no priority may decay before enough requests have finished")
 	for range onsetMinRuns {
 		s.finishedRuns.add(3000, 300)
 	}
-	r.lastAttempt().ranMS, r.elapsedQuanta = 1200, 0
-	s.advanceRun(r, r.lastAttempt(), 0) // 12 quanta, 9 of them past the onset
+	r.lastAttempt().runningMS, r.elapsedQuanta = 1200, 0
+	s.accountRunningTime(r, r.lastAttempt(), 0) // 12 quanta, 9 of them past the onset
 	assert.InDelta(t, topPriority*math.Pow(decayFactor, 9), r.priority, 1e-6)
 	assert.Equal(t, 2, r.level)
 	want := Action{Kind: SetResources, Request: "a", GrantMB: 100 * initialMemoryFactor, Level: 2}
 	assert.Equal(t, want, s.actions[len(s.actions)-1])
 	before := len(s.actions)
-	s.advanceRun(r, r.lastAttempt(), 0)
+	s.accountRunningTime(r, r.lastAttempt(), 0)
 	assert.Len(t, s.actions, before, "an unchanged level must not be sent again")
 }
 
@@ -57,10 +57,10 @@
 	s.Step(1010, &Event{Kind: ProgressReported, Request: "a", Progress: Waiting, Value: 1}, nil)
 	s.Step(1030, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0}, nil)
 	tickAt(s, 1050)
-	assert.Zero(t, s.requests.entries[0].lastAttempt().ranMS, "unchanged progress must not count as running")
+	assert.Zero(t, s.requests.entries[0].lastAttempt().runningMS, "unchanged progress must not count as running")
 	s.Step(1060, &Event{Kind: ProgressReported, Request: "a", Progress: Progress, Value: 0.2}, nil)
 	tickAt(s, 1070)
-	assert.Equal(t, float64(tickMS), s.requests.entries[0].lastAttempt().ranMS)
+	assert.Equal(t, float64(tickMS), s.requests.entries[0].lastAttempt().runningMS)
 }
 
 func TestScheduler_KeepsEnoughRunsForDecayOnset(t *testing.T) {
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -14,7 +14,7 @@
 	executor       int // index of its executor
 	sentAt         float64
 	progressAt     float64 // time of the last progress report, or of sending
-	ranMS          float64 // running time so far, without the time queued on the executor
+	runningMS      float64 // running time so far, without the time queued on the executor
 	completedShare float64 // share of the work that the last progress report named as done
 	grantMB        float64
 	threads        int
@@ -149,7 +149,7 @@
 // request are left out, because repeating them is harmless.
 func (s *Scheduler) priorAttempts(r *request) iter.Seq[PriorAttempt] {
 	return func(yield func(PriorAttempt) bool) {
-		if r.prior.At != 0 && !yield(r.prior) || s.classes[r.class].effect == Idempotent {
+		if r.prior.At != 0 && !yield(r.prior) || s.classes[r.class].idempotency == Idempotent {
 			return
 		}
 		for i := range r.attemptCount {
--- a/scheduler/restore.go
+++ b/scheduler/restore.go
@@ -19,13 +19,13 @@
 	for i := range ev.Estimates {
 		s.restoreEstimate(&ev.Estimates[i])
 	}
-	for i := range ev.ExecutorStates {
-		s.restoreExecutor(&ev.ExecutorStates[i])
+	for i := range ev.RestoredExecutors {
+		s.restoreExecutor(&ev.RestoredExecutors[i])
 	}
 }
 
 // restoreExecutor restores the state of one executor, if it is in the endpoint list.
-func (s *Scheduler) restoreExecutor(persisted *ExecutorState) {
+func (s *Scheduler) restoreExecutor(persisted *RestoredExecutor) {
 	index := s.executorIndex(persisted.Executor)
 	if index < 0 {
 		return
@@ -54,7 +54,7 @@
 	name  string
 	field func(*classState) *float64
 }{
-	{"usual", func(c *classState) *float64 { return &c.usualWorkMS }},
+	{"usual", func(c *classState) *float64 { return &c.meanWorkMS }},
 	{"slow", func(c *classState) *float64 { return &c.slowdown }},
 	{"memory", func(c *classState) *float64 { return &c.memoryFactor }},
 	{"worked", func(c *classState) *float64 { return &c.actualWorkMS }},
@@ -70,7 +70,7 @@
 		}
 	}
 	runs := s.finishedRuns.live()
-	for _, ms := range runs[max(0, len(runs)-restoredRuns):] {
+	for _, ms := range runs[max(0, len(runs)-maxRestoredRuns):] {
 		out = append(out, Estimate{Name: runTimeEstimate, Value: ms})
 	}
 	return out
@@ -90,7 +90,7 @@
 		for _, f := range estimateFields {
 			if ok && f.name == name {
 				*f.field(class) = estimate.Value
-				class.arrivals = 1 / costSmoothing
+				class.workSamples = 1 / costSmoothingFactor
 			}
 		}
 	}
--- a/scheduler/restore_test.go
+++ b/scheduler/restore_test.go
@@ -22,7 +22,7 @@
 		Kind:      StateRestored,
 		Retries:   []float64{900},
 		Estimates: append(estimates, Estimate{"read.slow", -1}, Estimate{"unknown", 3}),
-		ExecutorStates: []ExecutorState{
+		RestoredExecutors: []RestoredExecutor{
 			{Executor: 1, Ejected: true, Ejections: 2},
 			{Executor: 2, WarmupUntil: 5000},
 			{Executor: 3, Draining: true},
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -14,8 +14,8 @@
 // timeout. As a result, the retries that start within a window exceed the budget by one at most.
 func (s *Scheduler) retryBudgetLeft(pending int) bool {
 	budget := &s.settings.RetryBudget
-	s.retries.forget(s.now-budget.WindowMS-s.settings.ConnectTimeoutMS-tickMS, 0)
-	s.arrivals.forget(s.now-budget.WindowMS, 0)
+	s.retries.evictBefore(s.now-budget.WindowMS-s.settings.ConnectTimeoutMS-tickMS, 0)
+	s.arrivals.evictBefore(s.now-budget.WindowMS, 0)
 	if budget.WindowMS == 0 {
 		return true
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -35,8 +35,8 @@
 	lastSequence         uint64
 	classes              []classState
 	orderKeyBlockedUntil map[string]float64
-	arrivals             window
-	retries              window
+	arrivals             slidingWindow
+	retries              slidingWindow
 
 	// The dispatch of queued requests. A pass is one run of dispatch.
 	queue          []int         // slots of the queued requests in the current pass
@@ -46,23 +46,23 @@
 	saturated      bool // in the current pass, no executor has room for a single thread
 
 	// Running requests.
-	tickedAt         float64
-	finishedRuns     window // running times of finished requests, in ms
-	decayOnsetMS     float64
-	decayOnsetReadAt float64 // time of the last update of decayOnsetMS
+	tickedAt            float64
+	finishedRuns        slidingWindow // running times of finished requests, in ms
+	decayOnsetMS        float64
+	decayOnsetUpdatedAt float64 // time of the last update of decayOnsetMS
 
 	// Executors, and their load from all controllers.
-	executors          []executor
-	trafficShare       float64 // this controller's share of all requests
-	countedControllers float64 // from ControllersCounted; 0 before the first such event
-	remoteZones        []remoteZone
-	reportedHolders    []groupHolder // from progress reports
-	probeTokens        float64       // health checks that may still be sent to get load reports
-	reportedAt         float64       // time of the last load report
-	nextExchangeAt     float64
-	loadMessage        []byte
-	levelsMessage      []byte
-	peerLoads          []peerLoad // by controller index; only kept by an aggregator
+	executors        []executor
+	trafficShare     float64 // this controller's share of all requests
+	controllerCount  float64 // from ControllersCounted; 0 before the first such event
+	remoteZones      []remoteZone
+	reportedHolders  []groupHolder // from progress reports
+	probeTokens      float64       // health checks that may still be sent to get load reports
+	lastLoadReportAt float64       // time of the last load report
+	nextExchangeAt   float64
+	loadMessage      []byte
+	levelsMessage    []byte
+	peerLoads        []peerLoad // by controller index; only kept by an aggregator
 
 	// The endpoint list.
 	resubscribeAt      float64
@@ -123,10 +123,10 @@
 	case ShutdownStarted:
 		s.shutDown(ev.Deadline)
 	case ControllersCounted:
-		s.countedControllers = ev.Value
+		s.controllerCount = ev.Value
 		s.updateTrafficShare()
 	case ReachabilityChanged:
-		s.updateRemoteZones(ev.Reaches)
+		s.updateRemoteZones(ev.RemoteZones)
 	case PeerMessage:
 		s.receiveLoad(ev.FromPeer, ev.Payload)
 	}
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -181,7 +181,7 @@
 		s.probeTokens--
 		s.sendProbe(e)
 	}
-	receivesReports := s.now < s.reportedAt+reportTimeoutMS
+	receivesReports := s.now < s.lastLoadReportAt+reportTimeoutMS
 	// Without a token no other request can ask for a report in this pass, so the rest of the queue is skipped.
 	s.saturated = s.probeTokens < 1 && receivesReports
 	return receivesReports
@@ -197,7 +197,7 @@
 // that queues requests counts as full, since further requests would be queued there, too.
 func (s *Scheduler) recordLoadReport(e *executor, ev *Event) {
 	e.reportedAt = s.now
-	s.reportedAt = s.now
+	s.lastLoadReportAt = s.now
 	e.reportedMB = s.loadReportValue(ev, ReportMemoryShare) * e.memoryMB
 	diskThreads := s.loadReportValue(ev, ReportDiskShare) * diskThreadsPerCore * e.cores
 	e.reportedThreads = s.loadReportValue(ev, ReportInFlight) + diskThreads
--- a/scheduler/selection_test.go
+++ b/scheduler/selection_test.go
@@ -61,7 +61,7 @@
 		settings.ReportsByProbe = true
 		settings.ReportNames = []string{"queue", "x0", "x1"}
 	})
-	s.reportedAt = 1000
+	s.lastLoadReportAt = 1000
 	out := arrive(s, 1000, "a", "read")
 	assert.Equal(t, []ActionKind{HealthCheck}, actionKinds(out))
 	busy := Event{Kind: HealthChecked, Executor: out[0].Executor, LoadReport: []float64{3, 0.2, 0.2}}
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -5,18 +5,18 @@
 	"math"
 )
 
-// Effect says whether a request of a class may run more than once.
-type Effect uint8
+// Idempotency says whether a request of a class may run more than once.
+type Idempotency uint8
 
 // The effects. The zero value is the strictest one.
 const (
-	NonIdempotent Effect = iota // must not run more than once
-	Keyed                       // idempotent by key: executors drop repeats within a deduplication scope and window
-	Idempotent                  // may run any number of times
+	NonIdempotent Idempotency = iota // must not run more than once
+	Keyed                            // idempotent by key: executors drop repeats within a deduplication scope and window
+	Idempotent                       // may run any number of times
 )
 
 // String returns the name of the effect.
-func (e Effect) String() string { return nameOf(e, "non-idempotent", "keyed", "idempotent") }
+func (e Idempotency) String() string { return nameOf(e, "non-idempotent", "keyed", "idempotent") }
 
 // DedupScope says which executors drop repeats of a keyed request.
 type DedupScope uint8
@@ -34,21 +34,21 @@
 
 // RequestClass holds the settings of a class of requests.
 type RequestClass struct {
-	Name                string
-	Effect              Effect
-	DedupScope          DedupScope
-	DedupWindowMS       float64
-	SoftDeadlineMS      float64  // time from arrival after which an answer earns only a fraction of the value
-	SoftDeadlineStretch float64  // added to the soft deadline for each ms of work per thread
-	DeadlineMS          float64  // the longest deadline that a client may set; 0: unknown
-	Value               float64  // earned by an answer before the soft deadline
-	LateShare           float64  // fraction of the value that a later answer earns
-	InOrder             bool     // requests with the same order key run one after another
-	HoldsTableGroup     bool     // a request holds its table group on its executor while it runs
-	BlockedByHolders    bool     // a request waits on its executor while another one holds its table group there
-	Threads             int      // threads that a request occupies on its executor
-	Kinds               []string // kinds of executors that may run its requests; nil: all
-	Zones               []string // zones whose executors may run its requests; nil: all
+	Name                   string
+	Idempotency            Idempotency
+	DedupScope             DedupScope
+	DedupWindowMS          float64
+	SoftDeadlineMS         float64  // time from arrival after which an answer earns only a fraction of the value
+	SoftDeadlineWorkFactor float64  // added to the soft deadline for each ms of work per thread
+	DeadlineMS             float64  // the longest deadline that a client may set; 0: unknown
+	Value                  float64  // earned by an answer before the soft deadline
+	LateValueShare         float64  // fraction of the value that a later answer earns
+	InOrder                bool     // requests with the same order key run one after another
+	HoldsTableGroup        bool     // a request holds its table group on its executor while it runs
+	BlockedByHolders       bool     // a request waits on its executor while another one holds its table group there
+	Threads                int      // threads that a request occupies on its executor
+	Kinds                  []string // kinds of executors that may run its requests; nil: all
+	Zones                  []string // zones whose executors may run its requests; nil: all
 }
 
 // ExecutorKind describes a kind of machine that executors run on.
@@ -80,11 +80,11 @@
 	Classes         []RequestClass
 	Kinds           []ExecutorKind
 
-	SubscribesToList bool // the endpoint list is sent only after a Subscribe action
+	SubscribesToEndpoints bool // the endpoint list is sent only after a Subscribe action
 
-	// NotifiedWithinMS is the time after which this controller is presumed to know a change of the endpoint list, even
+	// PresumedNotifiedAfterMS is the time after which this controller is presumed to know a change of the endpoint list, even
 	// if it has not received it. 0 means that it knows a change only once it has received it.
-	NotifiedWithinMS float64
+	PresumedNotifiedAfterMS float64
 
 	DrainGraceMS    float64  // time for which a draining executor still accepts attempts
 	ReportsByProbe  bool     // load reports arrive only with the results of health checks
@@ -92,16 +92,16 @@
 	ProgressEveryMS float64  // interval of the progress reports of an attempt; 0: there are none
 	HonorsGrants    bool     // executors limit the memory of an attempt to its grant
 
-	MayCancel        bool
-	MayHealthCheck   bool
-	MayMessagePeers  bool
-	MaxAttempts      int // per request
-	ConnectTimeoutMS float64
-	LargestShare     float64 // fraction of an executor's memory that one attempt may be granted
-	OrderKeyRestMS   float64 // time for which an order key is blocked after an attempt that may still be running
-	RetryBudget      RetryBudget
-	NamesRetryAfter  bool    // rejections may tell the client when to retry
-	MaxRetryAfterMS  float64 // the longest such delay
+	MayCancel         bool
+	MayHealthCheck    bool
+	MayMessagePeers   bool
+	MaxAttempts       int // per request
+	ConnectTimeoutMS  float64
+	MaxGrantShare     float64 // fraction of an executor's memory that one attempt may be granted
+	OrderKeyHoldoffMS float64 // time for which an order key is blocked after an attempt that may still be running
+	RetryBudget       RetryBudget
+	SendsRetryAfter   bool    // rejections may tell the client when to retry
+	MaxRetryAfterMS   float64 // the longest such delay
 
 	WarmupMS     float64 // duration of an executor's warm-up after its start
 	ColdCapacity float64 // fraction of its capacity that an executor has at its start
@@ -117,7 +117,7 @@
 	return Settings{
 		Controllers:      1,
 		MaxAttempts:      attemptCapacity,
-		LargestShare:     1,
+		MaxGrantShare:    1,
 		ColdCapacity:     0.1,
 		CollapseMultiple: 1,
 		CollapseWindowMS: 2000,
@@ -125,8 +125,8 @@
 }
 
 // DefaultClass returns a class with default settings for all but the name and the effect.
-func DefaultClass(name string, effect Effect) RequestClass {
-	return RequestClass{Name: name, Effect: effect, Value: 1, Threads: 1}
+func DefaultClass(name string, effect Idempotency) RequestClass {
+	return RequestClass{Name: name, Idempotency: effect, Value: 1, Threads: 1}
 }
 
 // DefaultKind returns a kind with default settings for all but the name.
@@ -183,7 +183,7 @@
 
 // LongestRetryAfterMS returns the longest retry delay that a rejection may name. 0 means that rejections name none.
 func (s *Settings) LongestRetryAfterMS() float64 {
-	if !s.NamesRetryAfter {
+	if !s.SendsRetryAfter {
 		return 0
 	}
 	return s.MaxRetryAfterMS
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -65,26 +65,26 @@
 // controller's share of an executor's warm-up budget.
 func (s *Scheduler) fitsWarmupShare(class *classState, e *executor) bool {
 	since := s.now - s.settings.CollapseWindowMS - tickMS
-	e.warmupSent.forget(since, 0)
+	e.warmupSent.evictBefore(since, 0)
 	share := s.warmupShare(e)
 	if since < s.startedAt { // the controller doesn't know what it sent in this window before its own start
 		share = s.warmupShareAfterRestart(class, e, share)
 	}
-	return e.warmupSent.total()+class.usualWorkMS <= share
+	return e.warmupSent.total()+class.meanWorkMS <= share
 }
 
 // warmupShareAfterRestart reduces the warm-up share of a controller that started within the window, so that all
 // controllers stay within the budget even if each of them starts several times. If the reduced share is too small for
 // a request of the class, some of the controllers get the full share instead, chosen at random, and the others none.
 func (s *Scheduler) warmupShareAfterRestart(class *classState, e *executor, share float64) float64 {
-	requests := s.warmupBudget(e) / s.meanWork(class)
+	requests := s.warmupBudget(e) / s.overallMeanWork(class)
 	toleratedExcess := 2*math.Sqrt(requests) + 2
 	if requests < smallBudgetRequests {
 		toleratedExcess = 3*math.Sqrt(requests) + 3
 	}
 	fraction := ((requests+toleratedExcess)/(warmupMargin*requests) - 1) / restartsPerWindow
 	reduced := share * min(1, fraction)
-	if reduced >= class.usualWorkMS {
+	if reduced >= class.meanWorkMS {
 		return reduced
 	}
 	if s.randomAt(uint64(e.id)) < fraction*restartChanceFactor {
@@ -107,7 +107,7 @@
 func (s *Scheduler) warmupShare(e *executor) float64 {
 	budget := warmupMargin * s.warmupBudget(e)
 	controllers := max(1, float64(s.settings.Controllers))
-	smallest, largest := s.usualWorkRange()
+	smallest, largest := s.meanWorkRange()
 	if largest <= budget/controllers {
 		return budget / controllers
 	}
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -14,7 +14,7 @@
 	s.Step(1500, &Event{Kind: EndpointsUpdated, Endpoints: started}, nil)
 	e, class := &s.executors[0], &s.classes[0]
 	assert.Equal(t, executorWarmingUp, e.state)
-	class.usualWorkMS = 1000
+	class.meanWorkMS = 1000
 	e.warmupSent.add(1500, 5400)
 	assert.True(t, s.fitsWarmupShare(class, e))
 	e.warmupSent.add(1500, 100)
@@ -24,13 +24,13 @@
 	s.Step(2500, &Event{Kind: Started}, nil)
 	s.now = 4000
 	for s.seed = range 100 { // a controller started within the window may use 0.61 of its share
-		e.warmupSent.forget(1e9, 0)
+		e.warmupSent.evictBefore(1e9, 0)
 		e.warmupSent.add(4000, 2950)
 		assert.True(t, s.fitsWarmupShare(class, e))
 		e.warmupSent.add(4000, 1000)
 		assert.False(t, s.fitsWarmupShare(class, e))
 	}
-	e.warmupSent.forget(1e9, 0)
+	e.warmupSent.evictBefore(1e9, 0)
 	sending := 0
 	s.settings.Controllers = 12 // the warm-up share follows the settings
 	for s.seed = range 100 {    // the reduced share holds no request, so a fraction of 0.37 sends, chosen at random
@@ -42,7 +42,7 @@
 	s.settings.Controllers = 2
 	s.now = 4520
 	assert.True(t, s.fitsWarmupShare(class, e))
-	class.usualWorkMS = 13000
+	class.meanWorkMS = 13000
 	assert.False(t, s.fitsWarmupShare(class, e), "a request larger than the share waits for the end of the warm-up")
 }
 
@@ -67,12 +67,12 @@
 					e := &s.executors[0]
 					e.warmupUntil, s.seed = 9000, uint64(round)<<32+uint64(controller)
 					for k, workMS := range usualWork {
-						s.classes[k].usualWorkMS = workMS * (1 + float64(min(1, round))*(s.random()/2-0.25))
+						s.classes[k].meanWorkMS = workMS * (1 + float64(min(1, round))*(s.random()/2-0.25))
 					}
 					for k, workMS := range usualWork {
 						class := &s.classes[k]
 						for s.fitsWarmupShare(class, e) {
-							e.warmupSent.add(s.now, class.usualWorkMS)
+							e.warmupSent.add(s.now, class.meanWorkMS)
 							actualWork += workMS
 							requests++
 							classesSent[k] = true
@@ -148,7 +148,7 @@
 						list := []Endpoint{{Executor: 1, Kind: "big", StartedAt: 950}}
 						s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
 						e, class := &s.executors[0], &s.classes[0]
-						class.usualWorkMS, class.arrivals = usualWorkMS, 50
+						class.meanWorkMS, class.workSamples = usualWorkMS, 50
 						for ; s.fitsWarmupShare(class, e); sent++ {
 							e.warmupSent.add(s.now, usualWorkMS)
 						}
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -22,7 +22,7 @@
 	s.dispatchNeeded = true
 	s.addProbeTokens(elapsedMS * probesPerMS)
 	s.updateDecayOnset()
-	if s.settings.SubscribesToList && s.now >= s.resubscribeAt {
+	if s.settings.SubscribesToEndpoints && s.now >= s.resubscribeAt {
 		s.resubscribeAt = math.Inf(1)
 		s.emit(Action{Kind: Subscribe})
 	}
@@ -54,7 +54,7 @@
 	if r.state != requestRunning {
 		return
 	}
-	s.advanceRun(r, r.lastAttempt(), elapsedMS)
+	s.accountRunningTime(r, r.lastAttempt(), elapsedMS)
 	if !stalled && s.missedProgress(r, r.lastAttempt()) {
 		s.applyToRequest(slot, inputAttemptAbandoned)
 	}
--- a/scheduler/tick_test.go
+++ b/scheduler/tick_test.go
@@ -15,6 +15,6 @@
 	s.Step(3500, &Event{Kind: ProgressReported, Request: "b", Progress: Progress, Value: 0.5}, nil)
 	lateTick := s.Step(3500, &Event{Kind: TimerFired}, nil)
 	assert.Empty(t, actionKinds(lateTick), "the progress report of request a may be waiting to be read")
-	assert.Equal(t, 2500.0, s.requests.entries[0].lastAttempt().ranMS, "running time of request a, the stall included")
+	assert.Equal(t, 2500.0, s.requests.entries[0].lastAttempt().runningMS, "running time of request a, the stall included")
 	assert.Contains(t, actionKinds(tickAt(s, 3520)), Cancel, "the progress report of request a is missing")
 }
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -6,7 +6,7 @@
 const compactAfter = 64
 
 // slidingWindow is a queue of timestamped values, oldest first, from which old values are evicted.
-type window struct {
+type slidingWindow struct {
 	timestamps []float64
 	values     []float64
 	head       int       // index of the oldest value that is not evicted
@@ -15,7 +15,7 @@
 }
 
 // add appends a value. Timestamps must not decrease.
-func (w *window) add(now, value float64) {
+func (w *slidingWindow) add(now, value float64) {
 	if w.head > compactAfter && w.head*2 > len(w.timestamps) {
 		w.timestamps = w.timestamps[:copy(w.timestamps, w.timestamps[w.head:])]
 		w.values = w.values[:copy(w.values, w.values[w.head:])]
@@ -27,7 +27,7 @@
 }
 
 // remove drops the latest value with a timestamp, if there is one.
-func (w *window) remove(timestamp float64) {
+func (w *slidingWindow) remove(timestamp float64) {
 	for i := len(w.timestamps) - 1; i >= w.head; i-- {
 		if w.timestamps[i] == timestamp {
 			w.sum -= w.values[i]
@@ -39,7 +39,7 @@
 }
 
 // evictBefore drops the values from before a time, but keeps at least the last few.
-func (w *window) forget(before float64, keep int) {
+func (w *slidingWindow) evictBefore(before float64, keep int) {
 	for w.head < len(w.timestamps)-keep && w.timestamps[w.head] < before {
 		w.sum -= w.values[w.head]
 		w.head++
@@ -53,23 +53,23 @@
 }
 
 // sorted returns the values in increasing order. The slice is valid until the next call.
-func (w *window) sorted() []float64 {
+func (w *slidingWindow) sorted() []float64 {
 	w.sortBuffer = append(w.sortBuffer[:0], w.live()...)
 	slices.Sort(w.sortBuffer)
 	return w.sortBuffer
 }
 
 // countSince returns the number of values with the given timestamp or a later one.
-func (w *window) countSince(from float64) int {
+func (w *slidingWindow) countSince(from float64) int {
 	before, _ := slices.BinarySearch(w.timestamps[w.head:], from)
 	return w.count() - before
 }
 
 // count returns the number of values that are not evicted.
-func (w *window) count() int { return len(w.timestamps) - w.head }
+func (w *slidingWindow) count() int { return len(w.timestamps) - w.head }
 
 // live returns the values that are not evicted, oldest first.
-func (w *window) live() []float64 { return w.values[w.head:] }
+func (w *slidingWindow) live() []float64 { return w.values[w.head:] }
 
 // total returns the sum of the values that are not evicted.
-func (w *window) total() float64 { return w.sum }
+func (w *slidingWindow) total() float64 { return w.sum }
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -17,7 +17,7 @@
 	}}, nil)
 	limits.Zone = "there"
 	limits.Tier = 1
-	s.Step(1000, &Event{Kind: ReachabilityChanged, Reaches: []ZoneReach{limits}}, nil)
+	s.Step(1000, &Event{Kind: ReachabilityChanged, RemoteZones: []ZoneReach{limits}}, nil)
 	return s
 }
 
