--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -2,69 +2,72 @@
 
 import "slices"
 
-// sameOwner reports whether two claims are on the same lost incarnation.
-func (c *AdoptionClaim) sameOwner(o *AdoptionClaim) bool {
-	return c.Name == o.Name && c.Incarnation == o.Incarnation
+// sameOwner reports whether two claims are on the requests of the same lost incarnation.
+func (c *AdoptionClaim) sameOwner(other *AdoptionClaim) bool {
+	return c.Name == other.Name && c.Incarnation == other.Incarnation
 }
 
-// sameSuccessor reports whether two claims are the same incarnation's.
-func (c *AdoptionClaim) sameSuccessor(o *AdoptionClaim) bool {
-	return c.Successor == o.Successor && c.SuccessorIncarnation == o.SuccessorIncarnation
+// sameSuccessor reports whether two claims belong to the same successor incarnation.
+func (c *AdoptionClaim) sameSuccessor(other *AdoptionClaim) bool {
+	return c.Successor == other.Successor && c.SuccessorIncarnation == other.SuccessorIncarnation
 }
 
-// Claim gives partitions of a lost incarnation's requests to a successor, as far as no other live one has them. It reports whether
-// anything changed.
-func (t *Table) Claim(members []Member, c AdoptionClaim) (changed bool) {
+// Claim grants a successor the partitions of a lost incarnation's requests that no other successor has claimed. It
+// reports whether the table changed. A claim is ignored unless the successor is live and the owner is lost.
+func (t *Table) Claim(members []Member, claim AdoptionClaim) (changed bool) {
 	index := indexMembers(members)
-	if !index.isLive(c.Successor, c.SuccessorIncarnation) || !index.isLost(c.Name, c.Incarnation) {
+	if !index.isLive(claim.Successor, claim.SuccessorIncarnation) || !index.isLost(claim.Name, claim.Incarnation) {
 		return false
 	}
-	var own *AdoptionClaim
+	var existing *AdoptionClaim
 	for i := range t.Claims {
-		o := &t.Claims[i]
-		if !o.sameOwner(&c) {
+		other := &t.Claims[i]
+		if !other.sameOwner(&claim) {
 			continue
 		}
-		if o.sameSuccessor(&c) {
-			own = o
+		if other.sameSuccessor(&claim) {
+			existing = other
 		} else {
-			c.Partitions &^= o.Partitions
+			claim.Partitions &^= other.Partitions
 		}
 	}
-	if c.Partitions == 0 {
+	if claim.Partitions == 0 {
 		return false
 	}
-	if own != nil {
-		before := own.Partitions
-		own.Partitions |= c.Partitions
-		return own.Partitions != before
+	if existing != nil {
+		before := existing.Partitions
+		existing.Partitions |= claim.Partitions
+		return existing.Partitions != before
 	}
 	if len(t.Claims) >= maxClaims {
 		return false
 	}
-	t.Claims = append(t.Claims, c)
+	t.Claims = append(t.Claims, claim)
 	return true
 }
 
-// Settle ends a successor's claim on partitions in which nothing of the lost incarnation is left. It reports whether anything changed.
-func (t *Table) Settle(c AdoptionClaim) (changed bool) {
+// Settle removes from a successor's claim the partitions in which no request of the lost incarnation is left to adopt.
+// It reports whether the table changed.
+func (t *Table) Settle(settled AdoptionClaim) (changed bool) {
 	for i := range t.Claims {
-		o := &t.Claims[i]
-		if o.sameOwner(&c) && o.sameSuccessor(&c) && o.Partitions&c.Partitions != 0 {
-			o.Partitions &^= c.Partitions
+		claim := &t.Claims[i]
+		if claim.sameOwner(&settled) && claim.sameSuccessor(&settled) && claim.Partitions&settled.Partitions != 0 {
+			claim.Partitions &^= settled.Partitions
 			changed = true
 		}
 	}
-	t.Claims = slices.DeleteFunc(t.Claims, func(o AdoptionClaim) bool { return o.Partitions == 0 })
+	t.Claims = slices.DeleteFunc(t.Claims, func(claim AdoptionClaim) bool { return claim.Partitions == 0 })
 	return changed
 }
 
-// SuccessorOf returns who has claimed a partition of a lost incarnation's requests.
-func (t *Table) SuccessorOf(name string, incarnation uint64, partition int) (successor string, successorIncarnation uint64, claimed bool) {
+// SuccessorOf returns the member that has claimed a partition of a lost incarnation's requests.
+func (t *Table) SuccessorOf(name string, incarnation uint64, partitionID int) (
+	successor string, successorIncarnation uint64, claimed bool,
+) {
 	for i := range t.Claims {
-		c := &t.Claims[i]
-		if c.Name == name && c.Incarnation == incarnation && c.Partitions&(1<<partition) != 0 {
-			return c.Successor, c.SuccessorIncarnation, true
+		claim := &t.Claims[i]
+		if claim.Name == name && claim.Incarnation == incarnation && claim.Partitions&(1<<partitionID) != 0 {
+			return claim.Successor, claim.SuccessorIncarnation, true
 		}
 	}
 	return "", 0, false
--- a/internal/placement/golden_test.go
+++ b/internal/placement/golden_test.go
@@ -13,9 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares bytes with a file of testdata/golden, and returns what the file has.
+// golden compares got with a file in testdata/golden and returns the content of the file. With -update, it writes the
+// file first.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -25,38 +26,39 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), name)
+	assert.Equal(t, string(want), string(got), "encoding differs from golden file %s", name)
 	return want
 }
 
-// goldenJSON compares a value with its file in both directions; value is a pointer.
+// goldenJSON checks that value, a pointer, is encoded as in its golden file and that the file is decoded to an equal
+// value.
 func goldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
-	tagged(t, reflect.TypeOf(value))
+	assertTags(t, reflect.TypeOf(value))
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
-	back := reflect.New(reflect.TypeOf(value).Elem())
-	require.NoError(t, json.Unmarshal(golden(t, name, got), back.Interface()))
-	assert.Equal(t, value, back.Interface(), name)
+	decoded := reflect.New(reflect.TypeOf(value).Elem())
+	require.NoError(t, json.Unmarshal(golden(t, name, got), decoded.Interface()))
+	assert.Equal(t, value, decoded.Interface(), "golden file %s is decoded differently", name)
 }
 
-// tagged checks that each field of a type, and of the types in it, has a tag for its name in JSON.
-func tagged(t *testing.T, of reflect.Type) {
+// assertTags checks that each field of a type, and of the types that it refers to, has a JSON tag with a name.
+func assertTags(t *testing.T, checked reflect.Type) {
 	t.Helper()
-	switch of.Kind() {
+	switch checked.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		tagged(t, of.Elem())
+		assertTags(t, checked.Elem())
 	case reflect.Struct:
-		for k := range of.NumField() {
-			f := of.Field(k)
-			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-			assert.NotEmpty(t, name, "%v.%s", of, f.Name)
-			tagged(t, f.Type)
+		for i := range checked.NumField() {
+			field := checked.Field(i)
+			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+			assert.NotEmpty(t, name, "field %v.%s has no JSON name", checked, field.Name)
+			assertTags(t, field.Type)
 		}
 	}
 }
 
-// The table and the types in it have the bytes that they had; replicas are chosen as they were.
+// Guards against changes of the encoding, which is stored in logs and snapshots, and of the choice of replicas.
 func TestGolden_Table(t *testing.T) {
 	assigned := Table{}
 	var members []Member
@@ -67,10 +69,22 @@
 	members[1].Lost = true
 	require.True(t, assigned.Reassign(members, 0))
 	claim := AdoptionClaim{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}
+	table := Table{
+		Version: 6,
+		Step:    7,
+		Copies:  1,
+		Partitions: []Partition{
+			{
+				Current:  []Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
+				Previous: []Replica{{Name: "b", Incarnation: 3}},
+			},
+			{},
+		},
+		Claims: []AdoptionClaim{claim},
+	}
 	for name, value := range map[string]any{
-		"table": &Table{Version: 6, Step: 7, Copies: 1, Partitions: []Partition{{Current: []Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
-			Previous: []Replica{{Name: "b", Incarnation: 3}}}, {}}, Claims: []AdoptionClaim{claim}},
-		"table-empty": &Table{}, "table-seated": &assigned, "claim": &claim, "claim-empty": &AdoptionClaim{}, "chair-empty": &Replica{},
+		"table": &table, "table-empty": &Table{}, "table-seated": &assigned,
+		"claim": &claim, "claim-empty": &AdoptionClaim{}, "chair-empty": &Replica{},
 		"place": &Member{Name: "a", Incarnation: 1, Lost: true, Zone: "z1"}, "place-empty": &Member{},
 	} {
 		goldenJSON(t, name+".json", value)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,11 @@
-// Package placement decides which members store the replicas of each partition of all open requests, and who adopts what a lost incarnation
-// left. It is a table that the consensus group agrees on: each change of it is a log entry that all members apply alike. It owns no clock,
-// socket or goroutine, and chooses by hash alone, so that the same entries give the same table everywhere.
+// Package placement assigns the replicas of each partition of the open requests to members, and the requests of lost
+// incarnations to the successors that adopt them. The result is a Table that the consensus group replicates: each
+// change is a log entry that every member applies. The package uses no clock, I/O or goroutine and ranks members by
+// hash, so that the same entries produce the same table on every member.
 //
-// It guarantees that two owners that each have a quorum of a partition, in whatever order replicas were replaced between them, share a
-// replica that knows of the one when it is asked by the other, or that one of the two has no quorum.
+// Any two quorums of a partition share a replica that stores what was written to the earlier quorum, however many
+// replicas were replaced between the two. Where this cannot hold, because too many replicas were lost, the later quorum
+// cannot be formed.
 package placement
 
 import (
@@ -11,37 +13,37 @@
 	"slices"
 )
 
-// PartitionCount is the number of partitions of all requests, by the hash of their keys.
+// PartitionCount is the number of partitions that the requests are divided into by the hashes of their keys.
 const PartitionCount = 32
 
 const (
-	maxClaims = 1024 // claims on which nothing is left are settled and go by themselves
+	maxClaims = 1024 // bounds the size of the table; settled claims are removed from it
 	maxCopies = 3
 )
 
-// Replica is a member that stores a partition.
+// Replica is a member incarnation that stores a partition.
 type Replica struct {
 	Name        string `json:"Name"`
 	Incarnation uint64 `json:"Life"`
-	Ready       bool   `json:"Ready,omitempty"` // it has all that the replicas before it had
+	Ready       bool   `json:"Ready,omitempty"` // it has copied what the previous replicas store
 }
 
-// Partition is the replicas of a partition. While Previous is there, a quorum takes a majority of both.
+// Partition lists the replicas of one partition. While Previous is set, a quorum needs a majority of both lists.
 type Partition struct {
 	Current  []Replica `json:"Now,omitempty"`
 	Previous []Replica `json:"Was,omitempty"`
 }
 
-// AdoptionClaim is what of a lost incarnation's requests its successor adopts.
+// AdoptionClaim grants a successor the right to adopt the requests of a lost incarnation in some partitions.
 type AdoptionClaim struct {
 	Name                 string `json:"Name"` // the lost member
-	Incarnation          uint64 `json:"Life"`
+	Incarnation          uint64 `json:"Life"` // the lost incarnation of that member
 	Successor            string `json:"Heir"`
 	SuccessorIncarnation uint64 `json:"HeirLife"`
-	Partitions           uint32 `json:"Mask"` // as bits
+	Partitions           uint32 `json:"Mask"` // bit i stands for partition i
 }
 
-// Member is a member as the consensus group has it.
+// Member describes a member as agreed by the consensus group.
 type Member struct {
 	Name        string `json:"Name"`
 	Incarnation uint64 `json:"Life"`
@@ -49,28 +51,33 @@
 	Zone        string `json:"Zone"`
 }
 
-// Table is the agreed placement.
+// Table is the replicated placement table.
 type Table struct {
-	Version    uint64          `json:"Version,omitempty"` // grows whenever replicas change: an acknowledgement counts in one version alone
-	Step       uint64          `json:"Step,omitempty"`    // grows with each change, also of who is lost and of claims
-	Copies     int             `json:"Copies,omitempty"`
+	// Version is incremented whenever replicas are reassigned. An acknowledgement counts only in the version that it
+	// was sent for.
+	Version uint64 `json:"Version,omitempty"`
+	// Step is incremented with every change of the table or of the lost members.
+	Step       uint64          `json:"Step,omitempty"`
+	Copies     int             `json:"Copies,omitempty"` // copies of a request besides its owner's; 0: replication is off
 	Partitions []Partition     `json:"Parts,omitempty"`
 	Claims     []AdoptionClaim `json:"Claims,omitempty"`
 }
 
-// ReplicaCount returns how many replicas a partition has for a number of copies: any two majorities share a replica, and in each of them
-// there are so many copies besides the owner's.
+// ReplicaCount returns the number of replicas per partition for a number of copies. Any two majorities share a replica,
+// and each majority stores that many copies besides the owner's.
 func ReplicaCount(copies int) int { return 2*copies + 1 }
 
-// Quorum returns how many of a number of replicas are a majority.
+// Quorum returns the size of a majority of a number of replicas.
 func Quorum(replicas int) int { return replicas/2 + 1 }
 
-// score ranks members for a partition; the same everywhere.
-func score(partition int, name string) uint64 {
+// score ranks a member as a replica of a partition by rendezvous hashing. It is deterministic, so that all members
+// agree on the ranking.
+func score(partitionID int, name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte{byte(partition)})
+	_, _ = h.Write([]byte{byte(partitionID)})
 	_, _ = h.Write([]byte(name))
-	x := h.Sum64() // its high bits hardly differ for names that end alike
+	// FNV mixes the last bytes poorly into the high bits. The finalizer of MurmurHash3 spreads them.
+	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -78,7 +85,7 @@
 	return x ^ x>>33
 }
 
-// memberIndex finds members by name.
+// memberIndex maps names to members.
 type memberIndex map[string]*Member
 
 func indexMembers(members []Member) memberIndex {
@@ -95,29 +102,30 @@
 	return m != nil && !m.Lost && m.Incarnation == incarnation
 }
 
-// isLost reports whether an incarnation is over, as agreed.
+// isLost reports whether the consensus group has declared an incarnation lost or admitted a later one of the same
+// member.
 func (x memberIndex) isLost(name string, incarnation uint64) bool {
 	m := x[name]
 	return m != nil && (m.Incarnation > incarnation || m.Incarnation == incarnation && m.Lost)
 }
 
-// hasReplica reports whether a replica is live.
-func (x memberIndex) hasReplica(r Replica) bool { return x.isLive(r.Name, r.Incarnation) }
+// isReplicaLive reports whether the incarnation that holds a replica is live.
+func (x memberIndex) isReplicaLive(r Replica) bool { return x.isLive(r.Name, r.Incarnation) }
 
 // countLive counts the live replicas.
 func (x memberIndex) countLive(replicas []Replica) (n int) {
 	for _, r := range replicas {
-		if x.hasReplica(r) {
+		if x.isReplicaLive(r) {
 			n++
 		}
 	}
 	return n
 }
 
-// countReady counts the live replicas that are ready.
+// countReady counts the replicas that are both live and ready.
 func (x memberIndex) countReady(replicas []Replica) (n int) {
 	for _, r := range replicas {
-		if r.Ready && x.hasReplica(r) {
+		if r.Ready && x.isReplicaLive(r) {
 			n++
 		}
 	}
@@ -129,7 +137,7 @@
 	return x.countLive(replicas) >= Quorum(len(replicas))
 }
 
-// Clone returns a copy that later changes leave alone.
+// Clone returns a deep copy of the table.
 func (t *Table) Clone() Table {
 	c := *t
 	c.Partitions = slices.Clone(t.Partitions)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,176 +10,180 @@
 	"pgregory.net/rapid"
 )
 
-func members(n int) (list []Member) {
-	for k := range n {
-		list = append(list, Member{Name: fmt.Sprint("n", k), Incarnation: 1, Zone: fmt.Sprint("z", k%3)})
+// newMembers returns live members n0, n1, ... in their first incarnation, spread over three zones.
+func newMembers(n int) (list []Member) {
+	for i := range n {
+		list = append(list, Member{Name: fmt.Sprint("n", i), Incarnation: 1, Zone: fmt.Sprint("z", i%3)})
 	}
 	return list
 }
 
 func TestTable_SpreadsReplicasOverZones(t *testing.T) {
 	var table Table
-	table.Reassign(members(4), 2)
-	assert.Empty(t, table.Partitions, "too few for two copies")
-	require.True(t, table.Reassign(members(9), 0))
-	perMember := map[string]int{}
-	for _, p := range table.Partitions {
-		zones := map[string]int{}
-		for _, c := range p.Current {
-			assert.True(t, c.Ready)
-			perMember[c.Name]++
-			zones[fmt.Sprint("z", int(c.Name[1]-'0')%3)]++
+	table.Reassign(newMembers(4), 2)
+	assert.Empty(t, table.Partitions, "four members are too few for two copies")
+	require.True(t, table.Reassign(newMembers(9), 0))
+	replicasPerMember := map[string]int{}
+	for _, partition := range table.Partitions {
+		replicasPerZone := map[string]int{}
+		for _, replica := range partition.Current {
+			assert.True(t, replica.Ready, "replica on %s is not ready", replica.Name)
+			replicasPerMember[replica.Name]++
+			replicasPerZone[fmt.Sprint("z", int(replica.Name[1]-'0')%3)]++
 		}
-		assert.Len(t, p.Current, 5)
-		for _, n := range zones {
-			assert.LessOrEqual(t, n, 2)
+		assert.Len(t, partition.Current, 5)
+		for zone, n := range replicasPerZone {
+			assert.LessOrEqual(t, n, 2, "replicas of one partition in zone %s", zone)
 		}
 	}
-	for name, n := range perMember {
-		assert.InDelta(t, PartitionCount*5.0/9, n, 9, name)
+	for name, n := range replicasPerMember {
+		assert.InDelta(t, PartitionCount*5.0/9, n, 9, "replicas on member %s", name)
 	}
-	small := table.Clone()
-	for k := range small.Partitions {
-		small.Partitions[k].Current[0].Name = "x"
+	clone := table.Clone()
+	for i := range clone.Partitions {
+		clone.Partitions[i].Current[0].Name = "x"
 	}
-	assert.NotEqual(t, "x", table.Partitions[0].Current[0].Name)
+	assert.NotEqual(t, "x", table.Partitions[0].Current[0].Name, "a change of the clone reached the original")
 }
 
-// Whoever is lost, comes back or catches up, in any order: a later message's quorum shares a replica with an earlier one's that still knows
-// of it, as long as no partition lost a majority of those that counted.
+// For any order of losses, returns and catch-ups, guards against a later quorum that shares no informed replica with an
+// earlier one, as long as the partition never lost the majority of the replicas that hold its data.
 func TestTable_LaterQuorumsShareReadyReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		agreed := members(rapid.IntRange(5, 9).Draw(t, "members"))
+		members := newMembers(rapid.IntRange(5, 9).Draw(t, "members"))
 		var table Table
-		table.Reassign(agreed, rapid.IntRange(1, 2).Draw(t, "copies"))
-		partition := rapid.IntRange(0, PartitionCount-1).Draw(t, "part")
-		knows := map[Replica]bool{} // incarnations that store the message
-		identity := func(c Replica) Replica { c.Ready = false; return c }
-		index := func() memberIndex { return indexMembers(agreed) }
+		table.Reassign(members, rapid.IntRange(1, 2).Draw(t, "copies"))
+		partitionID := rapid.IntRange(0, PartitionCount-1).Draw(t, "partition")
+		informed := map[Replica]bool{} // replicas that store the message, with Ready unset
+		identity := func(r Replica) Replica { r.Ready = false; return r }
+		index := func() memberIndex { return indexMembers(members) }
 		sent := false
-		quorum := func(label string) (who []Replica, ok bool) {
-			p := &table.Partitions[partition]
-			for _, list := range [][]Replica{p.Current, p.Previous} {
+		drawQuorum := func(label string) (quorum []Replica, ok bool) {
+			partition := &table.Partitions[partitionID]
+			for _, replicas := range [][]Replica{partition.Current, partition.Previous} {
 				var live []Replica
-				for _, c := range list {
-					if index().hasReplica(c) {
-						live = append(live, identity(c))
+				for _, r := range replicas {
+					if index().isReplicaLive(r) {
+						live = append(live, identity(r))
 					}
 				}
-				if len(list) > 0 && len(live) < Quorum(len(list)) {
+				if len(replicas) > 0 && len(live) < Quorum(len(replicas)) {
 					return nil, false
 				}
-				for len(live) > Quorum(len(list)) && len(list) > 0 {
-					k := rapid.IntRange(0, len(live)-1).Draw(t, label)
-					live = slices.Delete(live, k, k+1)
+				for len(live) > Quorum(len(replicas)) && len(replicas) > 0 {
+					i := rapid.IntRange(0, len(live)-1).Draw(t, label)
+					live = slices.Delete(live, i, i+1)
 				}
-				who = append(who, live...)
+				quorum = append(quorum, live...)
 			}
-			return who, true
+			return quorum, true
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // one is lost
-				living := 0
-				for k := range agreed {
-					if !agreed[k].Lost {
-						living++
+			switch rapid.IntRange(0, 3).Draw(t, "step kind") {
+			case 0: // a member is lost, unless too few are left
+				live := 0
+				for i := range members {
+					if !members[i].Lost {
+						live++
 					}
 				}
-				k := rapid.IntRange(0, len(agreed)-1).Draw(t, "lost")
-				agreed[k].Lost = agreed[k].Lost || living > 3
-				table.Reassign(agreed, 0)
-			case 1: // one comes back, and knows nothing
-				k := rapid.IntRange(0, len(agreed)-1).Draw(t, "back")
-				if agreed[k].Lost {
-					agreed[k].Lost, agreed[k].Incarnation = false, agreed[k].Incarnation+1
-					table.Reassign(agreed, 0)
+				i := rapid.IntRange(0, len(members)-1).Draw(t, "lost member")
+				members[i].Lost = members[i].Lost || live > 3
+				table.Reassign(members, 0)
+			case 1: // a lost member returns as a new incarnation that stores nothing
+				i := rapid.IntRange(0, len(members)-1).Draw(t, "returning member")
+				if members[i].Lost {
+					members[i].Lost, members[i].Incarnation = false, members[i].Incarnation+1
+					table.Reassign(members, 0)
 				}
-			case 2: // a replica catches up from a quorum of the previous ones
-				p := &table.Partitions[partition]
-				for _, c := range p.Current {
-					if c.Ready || !index().hasReplica(c) || p.Previous == nil {
+			case 2: // a new replica catches up from a quorum of the previous ones
+				partition := &table.Partitions[partitionID]
+				for _, r := range partition.Current {
+					if r.Ready || !index().isReplicaLive(r) || partition.Previous == nil {
 						continue
 					}
-					n, any := 0, false
-					for _, o := range p.Previous {
-						if index().hasReplica(o) {
-							n++
-							any = any || knows[identity(o)]
+					sources, anyInformed := 0, false
+					for _, source := range partition.Previous {
+						if index().isReplicaLive(source) {
+							sources++
+							anyInformed = anyInformed || informed[identity(source)]
 						}
 					}
-					if n >= Quorum(len(p.Previous)) {
-						if any {
-							knows[identity(c)] = true
+					if sources >= Quorum(len(partition.Previous)) {
+						if anyInformed {
+							informed[identity(r)] = true
 						}
-						table.MarkReady(agreed, c.Name, c.Incarnation, 1<<partition, table.Version)
+						table.MarkReady(members, r.Name, r.Incarnation, 1<<partitionID, table.Version)
 					}
 					break
 				}
-			case 3:
-				who, ok := quorum("who")
+			case 3: // the first quorum stores the message; each later one must find it
+				quorum, ok := drawQuorum("left out of quorum")
 				if !ok {
 					continue
 				}
 				if !sent {
 					sent = true
-					for _, c := range who {
-						knows[c] = true
+					for _, r := range quorum {
+						informed[r] = true
 					}
 					continue
 				}
-				if !slices.ContainsFunc(who, func(c Replica) bool { return knows[c] }) {
-					t.Fatalf("a quorum of %v that knows nothing; those that know: %v; partition %+v", who, knows, table.Partitions[partition])
+				if !slices.ContainsFunc(quorum, func(r Replica) bool { return informed[r] }) {
+					t.Fatalf("no replica of quorum %v stores the message; replicas that store it: %v; partition %+v",
+						quorum, informed, table.Partitions[partitionID])
 				}
 			}
 		}
 	})
 }
 
-func TestTable_Claims(t *testing.T) {
-	agreed := members(5)
+func TestTable_GrantsEachPartitionToOneSuccessor(t *testing.T) {
+	members := newMembers(5)
 	var table Table
-	table.Reassign(agreed, 1)
+	table.Reassign(members, 1)
 	claim := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 0b110}
-	assert.False(t, table.Claim(agreed, claim), "it is not lost")
-	agreed[0].Lost = true
-	table.Reassign(agreed, 0)
-	assert.True(t, table.Claim(agreed, claim))
-	assert.False(t, table.Claim(agreed, claim), "a repeat changes nothing")
-	other := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b111}
-	assert.True(t, table.Claim(agreed, other), "what is left")
-	who, _, _ := table.SuccessorOf("n0", 1, 2)
-	assert.Equal(t, "n1", who)
-	who, _, _ = table.SuccessorOf("n0", 1, 0)
-	assert.Equal(t, "n2", who)
-	agreed[1].Lost = true
-	table.Reassign(agreed, 0)
+	assert.False(t, table.Claim(members, claim), "the owner is not lost")
+	members[0].Lost = true
+	table.Reassign(members, 0)
+	assert.True(t, table.Claim(members, claim))
+	assert.False(t, table.Claim(members, claim), "a repeated claim changes nothing")
+	second := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b111}
+	assert.True(t, table.Claim(members, second), "the partitions that are left are granted")
+	successor, _, _ := table.SuccessorOf("n0", 1, 2)
+	assert.Equal(t, "n1", successor)
+	successor, _, _ = table.SuccessorOf("n0", 1, 0)
+	assert.Equal(t, "n2", successor)
+	members[1].Lost = true
+	table.Reassign(members, 0)
 	_, _, claimed := table.SuccessorOf("n0", 1, 2)
-	assert.False(t, claimed, "the successor is lost, too")
-	assert.True(t, table.Claim(agreed, other))
-	assert.True(t, table.Settle(AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b011}))
+	assert.False(t, claimed, "the successor n1 is lost, too")
+	assert.True(t, table.Claim(members, second))
+	settled := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n2", SuccessorIncarnation: 1, Partitions: 0b011}
+	assert.True(t, table.Settle(settled))
 	_, _, claimed = table.SuccessorOf("n0", 1, 1)
-	assert.False(t, claimed)
-	assert.False(t, table.Claim(agreed, AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 1}), "a lost member claims nothing")
+	assert.False(t, claimed, "partition 1 is settled")
+	byLost := AdoptionClaim{Name: "n0", Incarnation: 1, Successor: "n1", SuccessorIncarnation: 1, Partitions: 1}
+	assert.False(t, table.Claim(members, byLost), "a lost member claims nothing")
 }
 
-// A partition that lost its quorum begins anew only when that is agreed, and once enough replicas are live.
+// Guards against reinitializing a partition that has its quorum, or before a majority of its replicas is live again.
 func TestTable_ReinitializesAfterQuorumLoss(t *testing.T) {
-	agreed := members(5)
+	members := newMembers(5)
 	var table Table
-	table.Reassign(agreed, 2)
-	for k := range 3 {
-		agreed[k].Lost = true
+	table.Reassign(members, 2)
+	for i := range 3 {
+		members[i].Lost = true
 	}
-	table.Reassign(agreed, 0)
-	assert.False(t, table.Reinitialize(agreed, 1), "too few are live")
-	for k := range 3 {
-		agreed[k].Lost, agreed[k].Incarnation = false, 2
+	table.Reassign(members, 0)
+	assert.False(t, table.Reinitialize(members, 1), "too few replicas are live")
+	for i := range 3 {
+		members[i].Lost, members[i].Incarnation = false, 2
 	}
-	table.Reassign(agreed, 0)
+	table.Reassign(members, 0)
 	require.NotNil(t, table.Partitions[0].Previous)
-	assert.True(t, table.Reinitialize(agreed, 1))
+	assert.True(t, table.Reinitialize(members, 1))
 	assert.Nil(t, table.Partitions[0].Previous)
-	assert.NotNil(t, table.Partitions[1].Previous)
-	assert.False(t, table.Reinitialize(agreed, 1), "its quorum is live")
+	assert.NotNil(t, table.Partitions[1].Previous, "partition 1 is not in the mask")
+	assert.False(t, table.Reinitialize(members, 1), "partition 0 has its quorum")
 }
--- a/internal/placement/reassign.go
+++ b/internal/placement/reassign.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Reassign replaces lost replicas where there are members for them, and reports whether anything changed. Copies is how many copies are
-// wanted; 0 leaves that as it is. A replica that cannot be replaced stays the lost member's, and is missed in each quorum.
+// Reassign sets the number of copies, unless copies is 0, and replaces lost replicas while there are live members that
+// can take their place. It reports whether the table changed. A replica that cannot be replaced stays assigned to the
+// lost member and counts in the size of the quorum.
 func (t *Table) Reassign(members []Member, copies int) (changed bool) {
 	if copies > 0 && copies <= maxCopies && t.Copies != copies {
 		t.Copies = copies
@@ -13,23 +14,23 @@
 		return changed
 	}
 	index := indexMembers(members)
-	want := ReplicaCount(t.Copies)
+	wanted := ReplicaCount(t.Copies)
 	if t.Partitions == nil {
-		if countLiveMembers(members) < want {
+		if countLiveMembers(members) < wanted {
 			return changed
 		}
 		t.Partitions = make([]Partition, PartitionCount)
 	}
 	replaced := false
-	for n := range t.Partitions {
-		if t.reassignPartition(n, members, index, want) {
+	for partitionID := range t.Partitions {
+		if t.reassignPartition(partitionID, members, index, wanted) {
 			replaced = true
 		}
 	}
 	if replaced {
 		t.Version++
 	}
-	dropped := t.dropClaimsOfLost(index)
+	dropped := t.dropClaimsOfLostSuccessors(index)
 	return changed || replaced || dropped
 }
 
@@ -42,87 +43,96 @@
 	return n
 }
 
-// dropClaimsOfLost drops the claims of successors that are lost, too: others may claim.
-func (t *Table) dropClaimsOfLost(index memberIndex) bool {
+// dropClaimsOfLostSuccessors removes the claims of successors that are no longer live, so that other members can claim
+// the partitions. It reports whether any claim was removed.
+func (t *Table) dropClaimsOfLostSuccessors(index memberIndex) bool {
 	before := len(t.Claims)
-	t.Claims = slices.DeleteFunc(t.Claims, func(c AdoptionClaim) bool {
-		return !index.isLive(c.Successor, c.SuccessorIncarnation)
+	t.Claims = slices.DeleteFunc(t.Claims, func(claim AdoptionClaim) bool {
+		return !index.isLive(claim.Successor, claim.SuccessorIncarnation)
 	})
 	return len(t.Claims) != before
 }
 
-// reassignPartition replaces the lost replicas of a partition, and reports whether any was.
-func (t *Table) reassignPartition(n int, members []Member, index memberIndex, want int) (changed bool) {
-	p := &t.Partitions[n]
-	first := len(p.Current) == 0
-	next := resize(p.Current, index, want)
-	for i := range next {
-		if index.hasReplica(next[i]) {
+// reassignPartition replaces the lost replicas of a partition and reports whether any replica changed.
+func (t *Table) reassignPartition(partitionID int, members []Member, index memberIndex, wanted int) (changed bool) {
+	partition := &t.Partitions[partitionID]
+	initial := len(partition.Current) == 0
+	replicas := resizeReplicas(partition.Current, index, wanted)
+	for i := range replicas {
+		if index.isReplicaLive(replicas[i]) {
 			continue
 		}
-		if m := bestCandidate(n, members, index, next); m != nil {
-			next[i] = Replica{Name: m.Name, Incarnation: m.Incarnation, Ready: first}
+		if m := bestCandidate(partitionID, members, index, replicas); m != nil {
+			replicas[i] = Replica{Name: m.Name, Incarnation: m.Incarnation, Ready: initial}
 		}
 	}
-	next = slices.DeleteFunc(next, func(r Replica) bool { return r.Name == "" })
-	if slices.EqualFunc(next, p.Current, sameReplica) {
-		p.finishChange(index)
+	replicas = slices.DeleteFunc(replicas, func(r Replica) bool { return r.Name == "" })
+	if slices.EqualFunc(replicas, partition.Current, sameIncarnation) {
+		partition.finishReassignment(index)
 		return false
 	}
-	if !first && p.Previous == nil {
-		p.Previous = p.Current
+	if !initial && partition.Previous == nil {
+		partition.Previous = partition.Current
 	}
-	p.Current = next
-	p.finishChange(index)
+	partition.Current = replicas
+	partition.finishReassignment(index)
 	return true
 }
 
-func sameReplica(a, b Replica) bool { return a.Name == b.Name && a.Incarnation == b.Incarnation }
+// sameIncarnation reports whether two replicas are held by the same member incarnation.
+func sameIncarnation(a, b Replica) bool { return a.Name == b.Name && a.Incarnation == b.Incarnation }
 
-// resize returns a copy of replicas of the length wanted, with empty ones at its end. Lost ones are the first to go.
-func resize(replicas []Replica, index memberIndex, want int) []Replica {
-	next := slices.Clone(replicas)
-	if len(next) > want {
-		slices.SortStableFunc(next, func(a, b Replica) int { return rank(!index.hasReplica(a)) - rank(!index.hasReplica(b)) })
-		next = next[:want]
-	}
-	for len(next) < want {
-		next = append(next, Replica{})
-	}
-	return next
+// resizeReplicas returns a copy of replicas with the wanted length, padded with empty replicas. Lost replicas are cut
+// before live ones.
+func resizeReplicas(replicas []Replica, index memberIndex, wanted int) []Replica {
+	resized := slices.Clone(replicas)
+	if len(resized) > wanted {
+		slices.SortStableFunc(resized, func(a, b Replica) int {
+			return boolToInt(!index.isReplicaLive(a)) - boolToInt(!index.isReplicaLive(b))
+		})
+		resized = resized[:wanted]
+	}
+	for len(resized) < wanted {
+		resized = append(resized, Replica{})
+	}
+	return resized
 }
 
-func rank(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// bestCandidate returns the member for one more replica of a partition: of the zones with the fewest replicas, the one with the highest
-// score; nil if there is none.
-func bestCandidate(n int, members []Member, index memberIndex, replicas []Replica) (best *Member) {
-	inZone := map[string]int{}
+// bestCandidate returns the live member that should hold the next replica of a partition, or nil if every live member
+// holds one. It prefers the zones with the fewest replicas of the partition and, within these, the member with the
+// highest score.
+func bestCandidate(partitionID int, members []Member, index memberIndex, replicas []Replica) (best *Member) {
+	replicasInZone := map[string]int{}
 	for _, r := range replicas {
-		if index.hasReplica(r) {
-			inZone[index[r.Name].Zone]++
+		if index.isReplicaLive(r) {
+			replicasInZone[index[r.Name].Zone]++
 		}
 	}
 	for i := range members {
 		m := &members[i]
-		if m.Lost || slices.ContainsFunc(replicas, func(r Replica) bool { return r.Name == m.Name && index.hasReplica(r) }) {
+		holdsReplica := func(r Replica) bool { return r.Name == m.Name && index.isReplicaLive(r) }
+		if m.Lost || slices.ContainsFunc(replicas, holdsReplica) {
 			continue
 		}
-		fewer := best == nil || inZone[m.Zone] < inZone[best.Zone]
-		if fewer || inZone[m.Zone] == inZone[best.Zone] && score(n, m.Name) > score(n, best.Name) {
+		fewer := best == nil || replicasInZone[m.Zone] < replicasInZone[best.Zone]
+		if fewer || replicasInZone[m.Zone] == replicasInZone[best.Zone] &&
+			score(partitionID, m.Name) > score(partitionID, best.Name) {
 			best = m
 		}
 	}
 	return best
 }
 
-// finishChange forgets the previous replicas once all live current ones, and a majority, are ready. It reports whether it did.
-func (p *Partition) finishChange(index memberIndex) bool {
+// finishReassignment drops the previous replicas once all live current replicas are ready and form a majority. It
+// reports whether it dropped them.
+func (p *Partition) finishReassignment(index memberIndex) bool {
 	if p.Previous == nil {
 		return false
 	}
@@ -134,44 +144,48 @@
 	return true
 }
 
-// MarkReady marks the replicas of an incarnation in these partitions as ready. It counts only for the version of the table that it was
-// reported for, or a later one.
-func (t *Table) MarkReady(members []Member, name string, incarnation uint64, partitions uint32, version uint64) (changed bool) {
+// MarkReady marks an incarnation's replicas of the given partitions, a bit mask, as ready. It reports whether the table
+// changed. A report for a version that this table has not reached is ignored.
+func (t *Table) MarkReady(
+	members []Member, name string, incarnation uint64, partitions uint32, version uint64,
+) (changed bool) {
 	if version > t.Version {
 		return false
 	}
 	index := indexMembers(members)
-	for n := range t.Partitions {
-		if partitions&(1<<n) == 0 {
+	for partitionID := range t.Partitions {
+		if partitions&(1<<partitionID) == 0 {
 			continue
 		}
-		p := &t.Partitions[n]
-		for i := range p.Current {
-			r := &p.Current[i]
+		partition := &t.Partitions[partitionID]
+		for i := range partition.Current {
+			r := &partition.Current[i]
 			if r.Name == name && r.Incarnation == incarnation && !r.Ready {
 				r.Ready = true
 				changed = true
 			}
 		}
-		if p.finishChange(index) {
+		if partition.finishReassignment(index) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Reinitialize begins partitions anew that lost their quorum, once nobody needs to know any more what their replicas knew.
+// Reinitialize marks all current replicas as ready in those of the given partitions, a bit mask, that lost their quorum
+// and again have a live majority. What only the lost replicas stored is given up, so this is proposed only once the
+// idempotency keys in these partitions have expired. It reports whether the table changed.
 func (t *Table) Reinitialize(members []Member, partitions uint32) (changed bool) {
 	index := indexMembers(members)
-	for n := range t.Partitions {
-		p := &t.Partitions[n]
-		if partitions&(1<<n) == 0 || !p.quorumLost(index) || !index.majorityLive(p.Current) {
+	for partitionID := range t.Partitions {
+		partition := &t.Partitions[partitionID]
+		if partitions&(1<<partitionID) == 0 || !partition.quorumLost(index) || !index.majorityLive(partition.Current) {
 			continue
 		}
-		for i := range p.Current {
-			p.Current[i].Ready = true
+		for i := range partition.Current {
+			partition.Current[i].Ready = true
 		}
-		p.Previous = nil
+		partition.Previous = nil
 		changed = true
 	}
 	if changed {
@@ -180,7 +194,8 @@
 	return changed
 }
 
-// quorumLost reports whether the replicas that know the partition have lost their majority.
+// quorumLost reports whether the replicas that hold the partition's data, the previous ones during a reassignment, have
+// no live majority.
 func (p *Partition) quorumLost(index memberIndex) bool {
 	if p.Previous != nil {
 		return !index.majorityLive(p.Previous)
