--- a/internal/handoffnet/agent.go
+++ b/internal/handoffnet/agent.go
@@ -1,9 +1,10 @@
-// Package handoffnet carries the messages of a controller's handoff.Manager to other controllers, and brings it theirs, the events of the
-// dispatch loop and what the consensus group agrees on. It must not decide what is copied or adopted.
+// Package handoffnet connects a controller's handoff.Manager with the dispatch loop, the other controllers and the
+// consensus group. It transports messages and carries out effects; what is copied or adopted is decided by the manager
+// alone.
 //
-// The manager belongs to the dispatch loop's goroutine. Messages to another member queue for a goroutine of its own, which sends them as
-// datagrams where these get through (see transportPath), and else has one call in flight at a time, so that what waits meanwhile goes
-// together.
+// The manager is used on the dispatch loop's goroutine only. Batches for another member are queued for a goroutine of
+// that member's own (see peerStream). It sends short batches as datagrams while these are answered (see transportPath).
+// Otherwise it makes one call at a time and merges the batches that are queued meanwhile.
 package handoffnet
 
 import (
@@ -21,15 +22,15 @@
 )
 
 const (
-	streamQueue   = 4096                   // batches that wait for one member; beyond it they are dropped, and sent again later
-	replyQueue    = 4096                   // replies to datagrams that wait to be sent
-	maxCallBytes  = 1 << 20                // of the batches of one call
-	maxStreams    = 512                    // members that there is a stream to
-	maxQueuedMS   = 200                    // a batch that has waited longer is dropped: the ages in it would be wrong
-	refreshMS     = 20                     // between two requests for the agreed table
-	replyTimeout  = 900 * time.Millisecond // of a call from another member: less than its own timeout
-	noAddressWait = 20 * time.Millisecond  // before a batch for a member without address counts as failed
-	numberBits    = 20                     // of a datagram's number, below the time at which this controller started
+	streamQueueSize    = 4096                   // batches queued per member; further ones are dropped
+	replyQueueSize     = 4096                   // queued replies to datagrams
+	maxCallBytes       = 1 << 20                // bytes after which no further batch is merged into a call
+	maxStreams         = 512                    // members that have a stream at the same time
+	maxQueuedMS        = 200                    // time after which the ages in a queued batch are wrong and it is dropped
+	refreshIntervalMS  = 20                     // least time between two requests for the placement table
+	replyTimeout       = 900 * time.Millisecond // of a member's call; shorter than the caller's own timeout
+	noAddressDelay     = 20 * time.Millisecond  // before a call to a member without a known address fails
+	datagramNumberBits = 20                     // low bits of a datagram's number, below the agent's start time in ms
 )
 
 // Agent connects a handoff.Manager with the dispatch loop, the transport and the consensus group.
@@ -39,27 +40,27 @@
 	clock     dispatch.Clock
 	transport *clusternet.Transport
 	node      *raftnode.Node
-	leaseHeld func() bool // nil: there is no node yet
+	leaseHeld func() bool // nil until Start
 	log       logrus.FieldLogger
 
 	// State of the dispatch loop's goroutine.
 	endpoints   map[uint32]scheduler.Endpoint // by executor
-	tokens      uint64
+	lastToken   uint64
 	refreshedAt float64
-	replies     map[uint64]func([]byte, error)
-	queries     map[uint64]*dispatch.OutcomeQuery
-	copies      *copyStore // nil: copies are in memory alone
-
-	addresses atomic.Pointer[map[string]string]
-	mu        sync.Mutex
-	streams   map[string]*peerStream
-	stop      chan struct{}
-	inFlight  sync.Map // datagrams that are not answered, by number
-	number    atomic.Uint64
-	replyOut  chan datagramReply
+	replies     map[uint64]func([]byte, error)    // by token: callbacks of received batches without a reply yet
+	queries     map[uint64]*dispatch.OutcomeQuery // by token: queries without an answer yet
+	copies      *copyStore                        // nil: copies are stored in memory only
+
+	addresses          atomic.Pointer[map[string]string] // by member name
+	mu                 sync.Mutex                        // guards streams
+	streams            map[string]*peerStream            // by member name
+	stop               chan struct{}
+	inFlight           sync.Map // unanswered datagrams (*datagram) by number
+	lastDatagramNumber atomic.Uint64
+	datagramReplies    chan datagramReply // replies to be sent
 
 	dropped, calls, callsFailed, datagrams, unanswered atomic.Uint64
-	counts                                             atomic.Pointer[handoff.Counts]
+	managerCounts                                      atomic.Pointer[handoff.Counts]
 }
 
 // Messages to the dispatch loop's goroutine.
@@ -68,6 +69,7 @@
 		batch *handoff.Batch
 		reply func([]byte, error)
 	}
+	// batchAnswered has a nil reply if the member did not reply.
 	batchAnswered struct {
 		to          string
 		sent, reply *handoff.Batch
@@ -80,24 +82,28 @@
 	}
 )
 
-// New returns the agent of a controller.
-func New(self handoff.Member, settings handoff.Settings, seed uint32, loop *dispatch.Loop, clock dispatch.Clock, transport *clusternet.Transport, log logrus.FieldLogger) *Agent {
+// New returns the agent of a controller. It receives nothing from other members until Start.
+func New(
+	self handoff.Member, settings handoff.Settings, seed uint32,
+	loop *dispatch.Loop, clock dispatch.Clock, transport *clusternet.Transport, log logrus.FieldLogger,
+) *Agent {
 	return &Agent{
-		manager:   handoff.New(self, settings, seed),
-		loop:      loop,
-		clock:     clock,
-		transport: transport,
-		log:       log,
-		endpoints: map[uint32]scheduler.Endpoint{},
-		replies:   map[uint64]func([]byte, error){},
-		queries:   map[uint64]*dispatch.OutcomeQuery{},
-		streams:   map[string]*peerStream{},
-		stop:      make(chan struct{}),
-		replyOut:  make(chan datagramReply, replyQueue),
+		manager:         handoff.New(self, settings, seed),
+		loop:            loop,
+		clock:           clock,
+		transport:       transport,
+		log:             log,
+		endpoints:       map[uint32]scheduler.Endpoint{},
+		replies:         map[uint64]func([]byte, error){},
+		queries:         map[uint64]*dispatch.OutcomeQuery{},
+		streams:         map[string]*peerStream{},
+		stop:            make(chan struct{}),
+		datagramReplies: make(chan datagramReply, replyQueueSize),
 	}
 }
 
-// Start has the agent follow the consensus group and listen to other members. It is called before the transport starts.
+// Start subscribes the agent to the consensus group and to the messages of other members. It must be called before the
+// transport starts.
 func (a *Agent) Start(node *raftnode.Node) {
 	a.node = node
 	a.leaseHeld = node.LeaseHeld
@@ -106,29 +112,31 @@
 		go a.post(configurationChanged{c})
 	}
 	node.OnIncarnation = func(incarnation uint64) { go a.post(incarnationChanged{incarnation}) }
-	a.listen()
+	a.startReceiving()
 }
 
-// listen has the agent receive what other members send.
-func (a *Agent) listen() {
+// startReceiving registers the handlers for calls and datagrams of other members.
+func (a *Agent) startReceiving() {
 	a.transport.HandoffCall = a.handleCall
 	a.transport.HandoffDatagram = a.handleDatagram
-	a.number.Store(uint64(a.clock.Now()) << numberBits) // no answer to an earlier incarnation is taken for one to this
+	// Numbers begin at the start time, so that a late reply to an earlier incarnation matches no datagram of this one.
+	a.lastDatagramNumber.Store(uint64(a.clock.Now()) << datagramNumberBits)
 	go a.sendReplies()
 }
 
-// post brings a message to the dispatch loop; it waits while its queue is full.
+// post queues a message for the dispatch loop and blocks while the loop's queue is full.
 func (a *Agent) post(message any) { a.loop.Put(dispatch.QueueItem{Message: message}) }
 
-// LeaseHeld reports whether this controller may act on its lease at this moment. Any goroutine may call it.
+// LeaseHeld reports whether this controller holds its lease now. It may be called from any goroutine.
 func (a *Agent) LeaseHeld() bool {
 	return a.leaseHeld != nil && (ignoreLeases || a.leaseHeld())
 }
 
-// Manager returns the manager, for a call on the dispatch loop's goroutine.
+// Manager returns the manager, which may be used on the dispatch loop's goroutine only.
 func (a *Agent) Manager() *handoff.Manager { return a.manager }
 
-// Close ends the agent. The dispatch loop and the transport have ended.
+// Close stops the agent's goroutines and closes the stored copies. The dispatch loop and the transport must have
+// stopped before.
 func (a *Agent) Close() {
 	close(a.stop)
 	if a.copies != nil {
--- a/internal/handoffnet/copystore.go
+++ b/internal/handoffnet/copystore.go
@@ -13,19 +13,19 @@
 	"liftshift/internal/vfs"
 )
 
-// copyStore writes copies to this replica's disk, so that they are there when it starts again. Its methods are called by the dispatch
-// loop's goroutine, unless they say otherwise.
+// copyStore persists the copies that this replica stores, so that they survive a restart. Unless noted otherwise, its
+// methods are called on the dispatch loop's goroutine.
 type copyStore struct {
 	store   *store.Store
 	batch   store.Batch
-	buffer  []byte
-	token   uint64
-	waiting map[uint64]func(error) // by token: replies that wait until what they confirm is on disk
+	buffer  []byte                 // scratch for encoded copies
+	token   uint64                 // of the latest batch that was written with notify
+	waiting map[uint64]func(error) // by token: replies that wait until the copies that they confirm are on disk
 	post    func(copiesStored)
 }
 
-// PersistCopies has copies written to a folder, and gives the manager those that are there. It is called before the dispatch loop runs;
-// post brings messages to that.
+// PersistCopies opens the store of copies in a folder and passes the copies in it to the manager; copies that cannot be
+// read are skipped. It must be called before the dispatch loop runs; post queues messages for the loop.
 func (a *Agent) PersistCopies(folder vfs.FS, post func(message any)) error {
 	c := &copyStore{waiting: map[uint64]func(error){}, post: func(s copiesStored) { post(s) }}
 	now := a.clock.Now()
@@ -48,31 +48,32 @@
 	}
 	c.store = opened
 	a.copies = c
-	a.log.WithFields(logrus.Fields{"records": recovery.Records, "copies": len(found), "reason": recovery.Reason}).Info("handoff: copies opened")
+	a.log.WithFields(logrus.Fields{"records": recovery.Records, "copies": len(found), "reason": recovery.Reason}).
+		Info("handoff: copies opened")
 	return nil
 }
 
-// write writes the copies that a step wants persisted. With notify, it returns a token for which copiesStored is posted once they are on
-// disk, or 0 if there are none.
+// write persists the copies among the effects of a step. With notify, it returns the token of the copiesStored that is
+// posted once they are on disk. It returns 0 if there are no copies or notify is not set.
 func (c *copyStore) write(now float64, effects []handoff.Effect, notify bool) uint64 {
 	c.batch.Reset()
 	for i := range effects {
-		e := &effects[i]
-		if e.Kind != handoff.PersistCopy {
+		effect := &effects[i]
+		if effect.Kind != handoff.PersistCopy {
 			continue
 		}
-		if e.Copy == nil {
-			c.batch.Delete(store.Key(e.Key))
+		if effect.Copy == nil {
+			c.batch.Delete(store.Key(effect.Key))
 			continue
 		}
-		c.buffer = handoff.AppendCopy(c.buffer[:0], e.Copy, now)
-		c.batch.Put(store.Key(e.Key), int64(e.Version), c.buffer)
+		c.buffer = handoff.AppendCopy(c.buffer[:0], effect.Copy, now)
+		c.batch.Put(store.Key(effect.Key), int64(effect.Version), c.buffer)
 	}
 	if c.batch.Len() == 0 {
 		return 0
 	}
 	if !notify {
-		_ = c.store.Append(int64(now), &c.batch, nil, 0) // nobody waits: what is lost is copied from other replicas
+		_ = c.store.Append(int64(now), &c.batch, nil, 0) // nothing waits for it, and other replicas store the same copies
 		return 0
 	}
 	c.token++
@@ -83,10 +84,11 @@
 	return token
 }
 
-// Stored is called by the store with the outcome of a batch. Any goroutine may call it.
+// Stored implements store.Notifier: it posts the outcome of a batch to the dispatch loop. It may be called from any
+// goroutine.
 func (c *copyStore) Stored(token uint64, err error) { c.post(copiesStored{token, err}) }
 
-// complete lets the reply go that waited for a batch.
+// complete sends the reply that waits for a stored batch, if there is one.
 func (c *copyStore) complete(s copiesStored) {
 	if done := c.waiting[s.token]; done != nil {
 		delete(c.waiting, s.token)
--- a/internal/handoffnet/counts.go
+++ b/internal/handoffnet/counts.go
@@ -2,27 +2,27 @@
 
 import "liftshift/internal/handoff"
 
-// Counts are what an agent counts, since its start.
+// Counts are the counters of an Agent and its manager since the agent was created.
 type Counts struct {
 	handoff.Counts
-	Calls               uint64 // to other members
+	Calls               uint64 // calls made to other members
 	CallsFailed         uint64
-	QueueDropped        uint64 // batches that waited too long, or found no room
-	Datagrams           uint64
+	QueueDropped        uint64 // batches and replies dropped because they were queued too long or a queue was full
+	Datagrams           uint64 // batches sent as datagrams
 	DatagramsUnanswered uint64
 }
 
-// Counts returns what has been counted; the manager's part as of its last tick. It may be called from any goroutine.
+// Counts returns the counters. Those of the manager are as of its last tick. It may be called from any goroutine.
 func (a *Agent) Counts() Counts {
-	c := Counts{
+	counts := Counts{
 		Calls:               a.calls.Load(),
 		CallsFailed:         a.callsFailed.Load(),
 		QueueDropped:        a.dropped.Load(),
 		Datagrams:           a.datagrams.Load(),
 		DatagramsUnanswered: a.unanswered.Load(),
 	}
-	if manager := a.counts.Load(); manager != nil {
-		c.Counts = *manager
+	if managerCounts := a.managerCounts.Load(); managerCounts != nil {
+		counts.Counts = *managerCounts
 	}
-	return c
+	return counts
 }
--- a/internal/handoffnet/extension.go
+++ b/internal/handoffnet/extension.go
@@ -7,13 +7,24 @@
 	"liftshift/scheduler"
 )
 
-var fromLedger = map[ledger.Outcome]handoff.Outcome{ledger.Succeeded: handoff.Succeeded, ledger.Rejected: handoff.Rejected,
-	ledger.Failed: handoff.Failed, ledger.Abandoned: handoff.Abandoned}
+var outcomeFromLedger = map[ledger.Outcome]handoff.Outcome{
+	ledger.Succeeded: handoff.Succeeded,
+	ledger.Rejected:  handoff.Rejected,
+	ledger.Failed:    handoff.Failed,
+	ledger.Abandoned: handoff.Abandoned,
+}
 
-var toLedger = map[handoff.Outcome]ledger.Outcome{handoff.Open: ledger.Open, handoff.Succeeded: ledger.Succeeded, handoff.Rejected: ledger.Rejected,
-	handoff.Failed: ledger.Failed, handoff.Abandoned: ledger.Abandoned, handoff.Unknown: ledger.Unknown}
+var outcomeToLedger = map[handoff.Outcome]ledger.Outcome{
+	handoff.Open:      ledger.Open,
+	handoff.Succeeded: ledger.Succeeded,
+	handoff.Rejected:  ledger.Rejected,
+	handoff.Failed:    ledger.Failed,
+	handoff.Abandoned: ledger.Abandoned,
+	handoff.Unknown:   ledger.Unknown,
+}
 
-// Handle takes an event of the dispatch loop; it implements dispatch.Extension.
+// Handle implements dispatch.Extension: it passes an event of the dispatch loop to the manager and appends the
+// resulting commands to out.
 func (a *Agent) Handle(now float64, event *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	switch event.Kind {
 	case dispatch.EndpointsUpdated:
@@ -22,94 +33,139 @@
 	case dispatch.OutcomeQueried:
 		out = append(out, dispatch.Command{Kind: dispatch.Consume})
 	case dispatch.MessagePosted:
-		if s, stored := event.Message.(copiesStored); stored {
-			a.copies.complete(s)
+		if stored, ok := event.Message.(copiesStored); ok {
+			a.copies.complete(stored)
 			return out
 		}
 	}
-	ev, known := a.translate(event)
-	if !known {
+	translated, ok := a.translate(event)
+	if !ok {
 		return out
 	}
-	out = a.step(now, &ev, out)
+	out = a.step(now, &translated, out)
 	if event.Kind == dispatch.Ticked {
 		a.tick(now)
 	}
 	return out
 }
 
-// tick publishes the counters, and lets the store of copies follow the clock.
+// tick publishes the manager's counters and tells the store of copies the time, by which its records expire.
 func (a *Agent) tick(now float64) {
-	c := a.manager.Counts()
-	a.counts.Store(&c)
+	counts := a.manager.Counts()
+	a.managerCounts.Store(&counts)
 	if a.copies != nil {
 		a.copies.store.Advance(int64(now))
 	}
 }
 
-// translate returns an event of the dispatch loop as one of the manager, if it is one.
-func (a *Agent) translate(event *dispatch.Event) (ev handoff.Event, known bool) {
+// translate converts an event of the dispatch loop to an event of the manager; ok is false if the event does not
+// concern the manager.
+func (a *Agent) translate(event *dispatch.Event) (translated handoff.Event, ok bool) {
 	request := event.Request
 	switch event.Kind {
 	case dispatch.RequestArriving:
-		return handoff.Event{Kind: handoff.RequestArriving, ID: request.ID, Copy: copyOf(request)}, true
+		return handoff.Event{Kind: handoff.RequestArriving, ID: request.ID, Copy: newCopy(request)}, true
 	case dispatch.SuspendedClientLeft:
 		return handoff.Event{Kind: handoff.ClientLeft, ID: request.ID}, true
 	case dispatch.AttemptStarting:
 		endpoint := a.endpoints[event.Executor]
-		return handoff.Event{Kind: handoff.AttemptStarting, ID: request.ID, Attempt: event.Attempt, Zone: endpoint.Zone, Cell: endpoint.Cell}, true
+		return handoff.Event{
+			Kind:    handoff.AttemptStarting,
+			ID:      request.ID,
+			Attempt: event.Attempt,
+			Zone:    endpoint.Zone,
+			Cell:    endpoint.Cell,
+		}, true
 	case dispatch.AttemptEnded:
-		return handoff.Event{Kind: handoff.AttemptEnded, ID: request.ID, Attempt: event.Attempt, NeverRan: event.NeverRan}, true
+		return handoff.Event{
+			Kind:     handoff.AttemptEnded,
+			ID:       request.ID,
+			Attempt:  event.Attempt,
+			NeverRan: event.NeverRan,
+		}, true
 	case dispatch.RequestEnding:
-		return handoff.Event{Kind: handoff.RequestEnding, ID: request.ID, Outcome: fromLedger[event.Outcome], Answer: event.Body}, true
+		return handoff.Event{
+			Kind:    handoff.RequestEnding,
+			ID:      request.ID,
+			Outcome: outcomeFromLedger[event.Outcome],
+			Answer:  event.Body,
+		}, true
 	case dispatch.RequestClosed:
-		return handoff.Event{Kind: handoff.RequestClosed, ID: request.ID, Outcome: fromLedger[event.Outcome], Answer: event.Body}, true
+		return handoff.Event{
+			Kind:    handoff.RequestClosed,
+			ID:      request.ID,
+			Outcome: outcomeFromLedger[event.Outcome],
+			Answer:  event.Body,
+		}, true
 	case dispatch.ShutdownStarted:
 		return handoff.Event{Kind: handoff.ShutdownStarted}, true
 	case dispatch.Ticked:
 		return handoff.Event{Kind: handoff.Ticked}, true
 	case dispatch.OutcomeQueried:
-		a.tokens++
-		a.queries[a.tokens] = event.Query
-		return handoff.Event{Kind: handoff.OutcomeQueried, ID: event.Query.ID, IdempotencyKey: event.Query.IdempotencyKey, Token: a.tokens}, true
+		a.lastToken++
+		a.queries[a.lastToken] = event.Query
+		return handoff.Event{
+			Kind:           handoff.OutcomeQueried,
+			ID:             event.Query.ID,
+			IdempotencyKey: event.Query.IdempotencyKey,
+			Token:          a.lastToken,
+		}, true
 	case dispatch.MessagePosted:
 		return a.translateMessage(event.Message)
 	}
 	return handoff.Event{}, false
 }
 
-// translateMessage returns a message of the agent's own goroutines as an event of the manager.
-func (a *Agent) translateMessage(message any) (ev handoff.Event, known bool) {
+// translateMessage converts a message that this agent posted to the dispatch loop to an event of the manager. For
+// messages of other extensions, ok is false.
+func (a *Agent) translateMessage(message any) (translated handoff.Event, ok bool) {
 	switch msg := message.(type) {
 	case batchReceived:
-		a.tokens++
-		a.replies[a.tokens] = msg.reply
-		return handoff.Event{Kind: handoff.BatchReceived, Batch: msg.batch, Token: a.tokens}, true
+		a.lastToken++
+		a.replies[a.lastToken] = msg.reply
+		return handoff.Event{Kind: handoff.BatchReceived, Batch: msg.batch, Token: a.lastToken}, true
 	case batchAnswered:
 		return handoff.Event{Kind: handoff.BatchAnswered, To: msg.to, Sent: msg.sent, Batch: msg.reply}, true
 	case configurationChanged:
-		return handoff.Event{Kind: handoff.PlacementChanged, Members: msg.configuration.Members, Table: &msg.configuration.Table}, true
+		return handoff.Event{
+			Kind:    handoff.PlacementChanged,
+			Members: msg.configuration.Members,
+			Table:   &msg.configuration.Table,
+		}, true
 	case incarnationChanged:
 		return handoff.Event{Kind: handoff.IncarnationChanged, Incarnation: msg.incarnation}, true
 	}
 	return handoff.Event{}, false
 }
 
-// copyOf returns what replicas need of a request.
-func copyOf(r *dispatch.Request) *handoff.Copy {
-	return &handoff.Copy{Deadline: r.Deadline, RequestData: handoff.RequestData{ID: r.ID, IdempotencyKey: r.IdempotencyKey, Class: r.Class,
-		OrderKey: r.OrderKey, Team: r.Team, Schema: r.Schema, TableGroup: r.TableGroup, MemoryMB: r.MemoryMB, WorkMS: r.WorkMS, Body: r.Body}}
+// newCopy returns the copy of a request that replicas store.
+func newCopy(r *dispatch.Request) *handoff.Copy {
+	return &handoff.Copy{
+		Deadline: r.Deadline,
+		RequestData: handoff.RequestData{
+			ID:             r.ID,
+			IdempotencyKey: r.IdempotencyKey,
+			Class:          r.Class,
+			OrderKey:       r.OrderKey,
+			Team:           r.Team,
+			Schema:         r.Schema,
+			TableGroup:     r.TableGroup,
+			MemoryMB:       r.MemoryMB,
+			WorkMS:         r.WorkMS,
+			Body:           r.Body,
+		},
+	}
 }
 
-// updateEndpoints notes where executors are.
-func (a *Agent) updateEndpoints(list *scheduler.Event) {
-	if list.List != scheduler.ListDelta {
+// updateEndpoints applies an update of the endpoint list. The zones and cells in it go into the copies of requests.
+func (a *Agent) updateEndpoints(update *scheduler.Event) {
+	if update.List != scheduler.ListDelta {
 		clear(a.endpoints)
 	}
-	for _, e := range list.Endpoints {
-		delete(a.endpoints, e.Executor)
-		if e.Availability != scheduler.Removed {
-			a.endpoints[e.Executor] = e
+	for _, endpoint := range update.Endpoints {
+		delete(a.endpoints, endpoint.Executor)
+		if endpoint.Availability != scheduler.Removed {
+			a.endpoints[endpoint.Executor] = endpoint
 		}
 	}
 }
--- a/internal/handoffnet/golden_test.go
+++ b/internal/handoffnet/golden_test.go
@@ -22,9 +22,10 @@
 	"liftshift/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+// golden compares got with a file in testdata/golden and returns the content of the file. With -update, it writes the
+// file first.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -34,29 +35,55 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	assert.Equal(t, string(want), string(got), "encoding differs from golden file %s", name)
 	return want
 }
 
+// goldenNow is the fixed time, in ms, at which the copies are written.
 const goldenNow = 50000.0
 
 func goldenCopy(n int) handoff.Copy {
-	id, key := fmt.Sprint("id-", n), fmt.Sprint("mark-", n)
-	return handoff.Copy{RequestData: handoff.RequestData{ID: id, IdempotencyKey: key, Class: "mark", OrderKey: "key", Team: "model", Schema: "s1", TableGroup: 12, MemoryMB: 1.5, WorkMS: 2.25,
-		Body: []byte("body")}, Owner: handoff.Member{Name: "a", Incarnation: 3}, Sequence: 17, Outcome: handoff.Outcome(n % 7), RunState: handoff.RunState(n % 3),
-		FirstAttemptAt: 40000, Zone: "here", Cell: -5, Deadline: 52000, Answer: []byte("answer"), Complete: true, Idempotent: n%2 == 0, Confirmed: true}
+	return handoff.Copy{
+		RequestData: handoff.RequestData{
+			ID:             fmt.Sprint("id-", n),
+			IdempotencyKey: fmt.Sprint("mark-", n),
+			Class:          "mark",
+			OrderKey:       "key",
+			Team:           "model",
+			Schema:         "s1",
+			TableGroup:     12,
+			MemoryMB:       1.5,
+			WorkMS:         2.25,
+			Body:           []byte("body"),
+		},
+		Owner:          handoff.Member{Name: "a", Incarnation: 3},
+		Sequence:       17,
+		Outcome:        handoff.Outcome(n % 7),
+		RunState:       handoff.RunState(n % 3),
+		FirstAttemptAt: 40000,
+		Zone:           "here",
+		Cell:           -5,
+		Deadline:       52000,
+		Answer:         []byte("answer"),
+		Complete:       true,
+		Idempotent:     n%2 == 0,
+		Confirmed:      true,
+	}
 }
 
+// goldenAgent returns an agent without a loop and a transport.
 func goldenAgent() *Agent {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := handoff.DefaultSettings()
-	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	settings.Classes = []scheduler.RequestClass{
+		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
+	}
 	return New(handoff.Member{Name: "b", Incarnation: 1}, settings, 1, nil, dispatch.NewClock(), nil, log)
 }
 
-// A replica's folder of copies is written as it always was, at a fixed time, and the same copies are found in it. A golden log file is kept
-// without the zeros at its end; its header has its length.
+// Guards the format of a replica's folder of copies: it is written as in the golden file, from which all copies are
+// read back. The golden file lacks the zeros that pad a log file; its header has the length of the file.
 func TestGolden_CopyFolder(t *testing.T) {
 	disk, written := vfs.NewMemory(), make(chan any, 8)
 	a := goldenAgent()
@@ -64,13 +91,18 @@
 	var effects []handoff.Effect
 	for n := range 7 {
 		c := goldenCopy(n)
-		effects = append(effects, handoff.Effect{Kind: handoff.PersistCopy, Key: handoff.KeyOf(c.IdempotencyKey, c.ID), Copy: &c, Version: uint64(70000 + n)})
+		effects = append(effects, handoff.Effect{
+			Kind:    handoff.PersistCopy,
+			Key:     handoff.KeyOf(c.IdempotencyKey, c.ID),
+			Copy:    &c,
+			Version: uint64(70000 + n),
+		})
 	}
-	gone := handoff.Effect{Kind: handoff.PersistCopy, Key: handoff.KeyOf("mark-6", "")}
+	deletion := handoff.Effect{Kind: handoff.PersistCopy, Key: handoff.KeyOf("mark-6", "")}
 	require.Equal(t, uint64(1), a.copies.write(goldenNow, effects[:3], true))
 	require.Equal(t, copiesStored{token: 1}, <-written)
 	require.Equal(t, uint64(0), a.copies.write(goldenNow, effects[3:], false))
-	require.Equal(t, uint64(2), a.copies.write(goldenNow, []handoff.Effect{gone}, true))
+	require.Equal(t, uint64(2), a.copies.write(goldenNow, []handoff.Effect{deletion}, true))
 	require.Equal(t, copiesStored{token: 2}, <-written)
 	a.Close()
 
@@ -87,31 +119,31 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, name), data, 0o600))
 		length := int64(binary.LittleEndian.Uint64(data[40:]))
 		require.NoError(t, os.Truncate(filepath.Join(dir, name), length))
-		assert.Len(t, disk.Bytes(name), int(length))
+		assert.Len(t, disk.Bytes(name), int(length), "length of file %s", name)
 	}
 	require.Equal(t, 1, files)
 
 	fs, err := vfs.OpenDir(dir, false)
 	require.NoError(t, err)
-	got, expires := map[string]handoff.Copy{}, map[string]int64{}
-	_, err = store.Survey(fs, func(k store.Key, until int64, value []byte) {
+	copies, expiries := map[string]handoff.Copy{}, map[string]int64{}
+	_, err = store.Survey(fs, func(key store.Key, expires int64, value []byte) {
 		if value == nil {
-			assert.Equal(t, handoff.KeyOf("mark-6", ""), handoff.Key(k))
-			delete(got, "id-6")
+			assert.Equal(t, handoff.KeyOf("mark-6", ""), handoff.Key(key))
+			delete(copies, "id-6")
 			return
 		}
 		c, err := handoff.ReadCopy(value, goldenNow)
 		assert.NoError(t, err)
-		assert.Equal(t, handoff.KeyOf(c.IdempotencyKey, c.ID), handoff.Key(k))
-		got[c.ID], expires[c.ID] = c, until
+		assert.Equal(t, handoff.KeyOf(c.IdempotencyKey, c.ID), handoff.Key(key))
+		copies[c.ID], expiries[c.ID] = c, expires
 	})
 	require.NoError(t, err)
-	assert.Len(t, got, 6)
+	assert.Len(t, copies, 6)
 	for n := range 6 {
 		c := goldenCopy(n)
-		c.FirstAttemptAt -= 1000 // it may have been made earlier by as long as a message may take
-		assert.Equal(t, c, got[c.ID])
-		assert.Equal(t, int64(70000+n), expires[c.ID])
+		c.FirstAttemptAt -= 1000 // the age that was read may be too low by the longest time in transit
+		assert.Equal(t, c, copies[c.ID])
+		assert.Equal(t, int64(70000+n), expiries[c.ID], "expiry of the copy of %s", c.ID)
 	}
 
 	b := goldenAgent()
@@ -120,9 +152,9 @@
 	b.Close()
 }
 
-// Datagrams of batches, of replies and of replies that are too long are framed as they always were.
+// Guards the wire format of all kinds of datagrams.
 func TestGolden_Datagrams(t *testing.T) {
 	for name, kind := range map[string]byte{"word": frameBatch, "answer": frameReply, "call": frameMustCall} {
-		golden(t, name+".bin", frame(kind, 0x0123456789abcdef, []byte("batch")))
+		golden(t, name+".bin", encodeFrame(kind, 0x0123456789abcdef, []byte("batch")))
 	}
 }
--- a/internal/handoffnet/helpers_test.go
+++ b/internal/handoffnet/helpers_test.go
@@ -20,61 +20,87 @@
 	"liftshift/scheduler"
 )
 
-// idle is a decision module that does nothing.
-type idle struct{}
+// idlePolicy is a scheduling policy that does nothing.
+type idlePolicy struct{}
 
-func (idle) Step(_ float64, _ *scheduler.Event, out []scheduler.Action) []scheduler.Action {
+func (idlePolicy) Step(_ float64, _ *scheduler.Event, out []scheduler.Action) []scheduler.Action {
 	return out
 }
 
-// receiver is an extension that records what the agent's streams post.
-type receiver struct {
+// answerRecorder is an extension of the dispatch loop that records the answers that the agent's streams post.
+type answerRecorder struct {
 	mu       sync.Mutex
 	answered []batchAnswered
 }
 
-func (r *receiver) Handle(_ float64, event *dispatch.Event, out []dispatch.Command) []dispatch.Command {
-	if a, is := event.Message.(batchAnswered); is && event.Kind == dispatch.MessagePosted {
+func (r *answerRecorder) Handle(_ float64, event *dispatch.Event, out []dispatch.Command) []dispatch.Command {
+	if answered, ok := event.Message.(batchAnswered); ok && event.Kind == dispatch.MessagePosted {
 		r.mu.Lock()
-		r.answered = append(r.answered, a)
+		r.answered = append(r.answered, answered)
 		r.mu.Unlock()
 	}
 	return out
 }
 
-func (r *receiver) answers() []batchAnswered {
+// answers returns what has been recorded.
+func (r *answerRecorder) answers() []batchAnswered {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]batchAnswered(nil), r.answered...)
 }
 
-// member is an agent with a transport of its own.
-type member struct {
+// waitForAnswers waits until at least n answers have been recorded and returns all of them.
+func (r *answerRecorder) waitForAnswers(t *testing.T, n int) []batchAnswered {
+	require.Eventually(t, func() bool { return len(r.answers()) >= n }, 3*time.Second, time.Millisecond,
+		"fewer than %d answers were posted", n)
+	return r.answers()
+}
+
+// testMember is an agent with a dispatch loop and a transport of its own.
+type testMember struct {
 	agent          *Agent
 	transport      *clusternet.Transport
 	loop           *dispatch.Loop
-	at             string
-	dropsDatagrams atomic.Bool // on their way to it
-	stops          sync.Once
+	address        string
+	dropsDatagrams atomic.Bool // the member loses the datagrams that it receives
+	stopOnce       sync.Once
 }
 
-func (m *member) stop() { m.stops.Do(m.transport.Stop) }
+// stop stops the transport.
+func (m *testMember) stop() { m.stopOnce.Do(m.transport.Stop) }
 
-var names = []string{"a", "b", "c"}
+// sendQuery sends member b one batch that queries some idempotency keys.
+func (m *testMember) sendQuery(keys ...string) {
+	batch := &handoff.Batch{From: handoff.Member{Name: "a", Incarnation: 1}, Version: 1}
+	for _, key := range keys {
+		batch.Items = append(batch.Items, handoff.Item{Op: handoff.OpQuery, Key: handoff.KeyOf(key, "")})
+	}
+	m.agent.sendBatch("b", batch, m.agent.clock.Now())
+}
 
-// open starts one; its loop's extension is given, or is the agent itself, a replica of all partitions that holds its lease.
-func open(t *testing.T, name string, extension dispatch.Extension) *member {
+// memberNames are the members of the placement table.
+var memberNames = []string{"a", "b", "c"}
+
+// startMember starts a member whose loop has the given extension. If that is nil, the agent itself is the extension, as
+// a replica of all partitions that holds its lease.
+func startMember(t *testing.T, name string, extension dispatch.Extension) *testMember {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	at, err := testservers.FreeAddress()
+	address, err := testservers.FreeAddress()
 	require.NoError(t, err)
 	clock := dispatch.NewClock()
-	m := &member{transport: clusternet.New(at, log), loop: dispatch.New(clock, idle{}, log), at: at}
+	m := &testMember{
+		transport: clusternet.New(address, log),
+		loop:      dispatch.New(clock, idlePolicy{}, log),
+		address:   address,
+	}
 	settings := handoff.DefaultSettings()
-	settings.Classes = []scheduler.RequestClass{{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3}}
+	settings.Classes = []scheduler.RequestClass{
+		{Name: "mark", Effect: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
+	}
 	m.agent = New(handoff.Member{Name: name, Incarnation: 1}, settings, 1, m.loop, clock, m.transport, log)
 	m.agent.leaseHeld = func() bool { return true }
-	m.agent.listen()
+	m.agent.startReceiving()
 	receive := m.transport.HandoffDatagram
 	m.transport.HandoffDatagram = func(from netip.AddrPort, data []byte) {
 		if !m.dropsDatagrams.Load() {
@@ -87,7 +113,8 @@
 	m.loop.Register(extension)
 	viewSettings := membership.DefaultSettings()
 	viewSettings.ProbeMS, viewSettings.AnswerMS, viewSettings.SuspectMS = 60e3, 30e3, 120e3
-	view := membership.New(m.transport.Now(), "test", membership.Member{Name: name, Incarnation: 1, Address: at}, []string{at}, viewSettings, 1)
+	self := membership.Member{Name: name, Incarnation: 1, Address: address}
+	view := membership.New(m.transport.Now(), "test", self, []string{address}, viewSettings, 1)
 	require.NoError(t, m.transport.Start(view, nil))
 	go m.loop.Run()
 	t.Cleanup(func() {
@@ -96,40 +123,30 @@
 		m.agent.Close()
 	})
 	if extension == m.agent {
-		var members []placement.Member
-		for _, n := range names {
-			members = append(members, placement.Member{Name: n, Incarnation: 1})
-		}
-		var table placement.Table
-		table.Reassign(members, 1)
-		table.Step = 1
-		m.loop.Call(func(now float64) {
-			m.agent.Step(now, &handoff.Event{Kind: handoff.PlacementChanged, Members: members, Table: &table})
-		})
+		m.applyPlacement()
 	}
 	return m
 }
 
-// pair returns a member that sends and records what comes back, and one that answers.
-func pair(t *testing.T) (a, b *member, received *receiver) {
-	received = &receiver{}
-	b = open(t, "b", nil)
-	a = open(t, "a", received)
-	a.agent.addresses.Store(&map[string]string{"b": b.at})
-	return a, b, received
-}
-
-// ask sends one batch that queries so many keys.
-func (m *member) ask(keys ...string) {
-	batch := &handoff.Batch{From: handoff.Member{Name: "a", Incarnation: 1}, Version: 1}
-	for _, k := range keys {
-		batch.Items = append(batch.Items, handoff.Item{Op: handoff.OpQuery, Key: handoff.KeyOf(k, "")})
+// applyPlacement gives the manager a placement table in which the members are replicas of all partitions.
+func (m *testMember) applyPlacement() {
+	var members []placement.Member
+	for _, name := range memberNames {
+		members = append(members, placement.Member{Name: name, Incarnation: 1})
 	}
-	m.agent.sendBatch("b", batch, m.agent.clock.Now())
+	var table placement.Table
+	table.Reassign(members, 1)
+	table.Step = 1
+	m.loop.Call(func(now float64) {
+		m.agent.Step(now, &handoff.Event{Kind: handoff.PlacementChanged, Members: members, Table: &table})
+	})
 }
 
-// waits returns what was posted, once that is so much.
-func (r *receiver) waits(t *testing.T, n int) []batchAnswered {
-	require.Eventually(t, func() bool { return len(r.answers()) >= n }, 3*time.Second, time.Millisecond)
-	return r.answers()
+// startPair returns member a, which sends batches and records the answers, and member b, which answers.
+func startPair(t *testing.T) (a, b *testMember, recorder *answerRecorder) {
+	recorder = &answerRecorder{}
+	b = startMember(t, "b", nil)
+	a = startMember(t, "a", recorder)
+	a.agent.addresses.Store(&map[string]string{"b": b.address})
+	return a, b, recorder
 }
--- a/internal/handoffnet/leases_honored.go
+++ b/internal/handoffnet/leases_honored.go
@@ -2,5 +2,5 @@
 
 package handoffnet
 
-// ignoreLeases is set in builds for tests that must see what goes wrong without leases.
+// ignoreLeases is true in builds with the tag lawless, whose tests show the failures that leases prevent.
 const ignoreLeases = false
--- a/internal/handoffnet/path.go
+++ b/internal/handoffnet/path.go
@@ -1,21 +1,18 @@
 package handoffnet
 
-// A batch goes to a member as a datagram or by a call. A datagram takes half the time of a call, but may be lost, and members of earlier
-// versions know none. A transportPath decides which way is taken by what became of earlier datagrams. It reads no clock.
-
 const (
-	maxUnanswered        = 3    // datagrams in a row, until only calls are made
-	callsOnlyMS          = 3000 // until one datagram is tried again
-	maxDatagramsInFlight = 64   // to one member; beyond it batches wait, and go together
+	maxUnanswered        = 3    // consecutive unanswered datagrams after which only calls are made
+	callsOnlyMS          = 3000 // time for which only calls are made, until one datagram is sent as a probe
+	maxDatagramsInFlight = 64   // unanswered datagrams per member; while there are as many, batches go by calls
 )
 
 // pathState is the state of a transportPath.
 type pathState uint8
 
 const (
-	pathDatagrams pathState = iota // batches go as datagrams
-	pathProbing                    // one datagram is out, to see whether they get through again; other batches go by calls
-	pathCallsOnly                  // only calls are made
+	pathDatagrams pathState = iota // short batches go as datagrams
+	pathProbing                    // one datagram is in flight as a probe; other batches go by calls
+	pathCallsOnly                  // all batches go by calls
 )
 
 var pathStateNames = [...]string{"datagrams", "probing", "calls only"}
@@ -23,13 +20,13 @@
 // String returns the name of the state.
 func (s pathState) String() string { return pathStateNames[s] }
 
-// pathInput is what happens to a transportPath.
+// pathInput is an input of the state machine of a transportPath.
 type pathInput uint8
 
 const (
 	inputAnswered   pathInput = iota // a datagram was answered
 	inputUnanswered                  // a datagram was not answered in time
-	inputRetryDue                    // a datagram is to be tried again
+	inputRetryDue                    // a datagram is to be sent as a probe
 )
 
 var pathInputNames = [...]string{"answered", "unanswered", "retry due"}
@@ -37,26 +34,29 @@
 // String returns the name of the input.
 func (i pathInput) String() string { return pathInputNames[i] }
 
-// transportPath is the way to one member.
+// transportPath decides whether batches go to a member as datagrams or by calls, by the outcomes of earlier datagrams.
+// A datagram takes half the time of a call but may be lost, and members of earlier versions do not answer datagrams. It
+// does not read the clock.
 type transportPath struct {
 	state          pathState
-	unanswered     int // datagrams in a row
+	unanswered     int // consecutive unanswered datagrams
 	callsOnlySince float64
 }
 
-// pathTransitions has all transitions; an input that has none changes nothing.
+// pathTransitions lists all transitions. Inputs that are not listed for a state leave the state unchanged.
 var pathTransitions = []struct {
 	state pathState
 	input pathInput
 	next  pathState
 }{
-	{pathDatagrams, inputUnanswered, pathCallsOnly}, // after maxUnanswered
+	{pathDatagrams, inputUnanswered, pathCallsOnly}, // only after maxUnanswered in a row; see handle
 	{pathCallsOnly, inputRetryDue, pathProbing},
-	{pathCallsOnly, inputAnswered, pathDatagrams}, // a late answer is one, too
+	{pathCallsOnly, inputAnswered, pathDatagrams}, // the answer was late
 	{pathProbing, inputAnswered, pathDatagrams},
 	{pathProbing, inputUnanswered, pathCallsOnly},
 }
 
+// handle counts consecutive unanswered datagrams and applies the transition for an input.
 func (p *transportPath) handle(now float64, input pathInput) {
 	switch input {
 	case inputAnswered:
@@ -79,8 +79,9 @@
 	}
 }
 
-// takeDatagram reports whether the next batch may go as a datagram, with so many in flight.
-func (p *transportPath) takeDatagram(now float64, inFlight int) bool {
+// allowDatagram reports whether the next batch may go as a datagram, given the number of datagrams in flight. When a
+// retry is due, it allows one datagram as a probe.
+func (p *transportPath) allowDatagram(now float64, inFlight int) bool {
 	if p.state == pathCallsOnly && now >= p.callsOnlySince+callsOnlyMS && inFlight == 0 {
 		p.handle(now, inputRetryDue)
 		return true
--- a/internal/handoffnet/peerstream.go
+++ b/internal/handoffnet/peerstream.go
@@ -12,153 +12,161 @@
 )
 
 const (
-	answerTimeoutMS     = 30  // after which a batch whose datagram was not answered is sent by a call
-	diskAnswerTimeoutMS = 150 // the same where answers wait for disks
+	answerTimeoutMS     = 30  // time after which a batch whose datagram was not answered is sent by a call
+	diskAnswerTimeoutMS = 150 // the same where copies are persisted, so that answers wait for disk writes
 )
 
-// outgoingBatch is a batch that waits to be sent.
+// outgoingBatch is a batch that is to be sent, with its encoding.
 type outgoingBatch struct {
 	batch    *handoff.Batch
 	data     []byte
 	queuedAt float64
 }
 
-// tooOld reports whether a batch has waited so long that the ages in it would be wrong.
-func (b *outgoingBatch) tooOld(now float64) bool { return now > b.queuedAt+maxQueuedMS }
+// isStale reports whether a batch was queued so long ago that the ages encoded in it have become wrong.
+func (b *outgoingBatch) isStale(now float64) bool { return now > b.queuedAt+maxQueuedMS }
 
-// datagram is a batch that was sent as one and is not answered.
+// datagram is a batch that was sent as a datagram and has not been answered.
 type datagram struct {
 	outgoingBatch
-	stream  *peerStream
-	expires float64 // when it is sent by a call; 0: at once, as the peer asked
+	stream *peerStream
+	// expires is the time at which the batch is sent by a call instead. It is 0, for at once, if the reply is too long
+	// for a datagram.
+	expires float64
 }
 
-// peerStream sends batches to one member.
+// peerStream sends batches to one member, on a goroutine of its own.
 type peerStream struct {
 	to    string
 	queue chan outgoingBatch
-	wake  chan struct{}
+	wake  chan struct{} // tells the stream's goroutine to check the datagrams in flight
 
 	// State of the stream's goroutine.
-	next     *outgoingBatch
+	next     *outgoingBatch // a batch that was taken from the queue and not sent yet
 	address  string
-	addrPort netip.AddrPort
+	addrPort netip.AddrPort // parsed from address; invalid if that is not an IP address and port
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	path     transportPath
-	inFlight []uint64 // numbers of datagrams, the oldest first
+	inFlight []uint64 // numbers of unanswered datagrams, the oldest first
 }
 
-// sendBatch queues a batch for a member; it never waits.
+// sendBatch queues a batch for a member. It never blocks: if the queue is full, the batch is dropped.
 func (a *Agent) sendBatch(to string, batch *handoff.Batch, now float64) {
-	out := outgoingBatch{batch, batch.Append(nil, now), now}
+	outgoing := outgoingBatch{batch, batch.Append(nil, now), now}
 	select {
-	case a.stream(to).queue <- out:
+	case a.stream(to).queue <- outgoing:
 	default:
 		a.dropped.Add(1)
 	}
 }
 
-// stream returns the stream to a member, and starts it if need be.
+// stream returns the stream to a member and starts it if there is none. At maxStreams, it first closes another stream.
 func (a *Agent) stream(to string) *peerStream {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s := a.streams[to]; s != nil {
 		return s
 	}
-	if len(a.streams) >= maxStreams { // most are to members that have left
+	if len(a.streams) >= maxStreams { // most of these members have left the cluster
 		for name, old := range a.streams {
 			close(old.queue)
 			delete(a.streams, name)
 			break
 		}
 	}
-	s := &peerStream{to: to, queue: make(chan outgoingBatch, streamQueue), wake: make(chan struct{}, 1)}
+	s := &peerStream{to: to, queue: make(chan outgoingBatch, streamQueueSize), wake: make(chan struct{}, 1)}
 	a.streams[to] = s
 	go s.run(a)
 	return s
 }
 
-// run sends what is queued, until the queue is closed or the agent stops.
+// run sends queued batches and repeats expired datagrams as calls, until the queue is closed or the agent stops.
 func (s *peerStream) run(a *Agent) {
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	expiryTimer := time.NewTimer(time.Hour)
+	defer expiryTimer.Stop()
 	for {
-		if s.next == nil && !s.receive(a, alarm) {
+		if s.next == nil && !s.wait(a, expiryTimer) {
 			return
 		}
 		if first := s.next; first != nil {
 			s.next = nil
-			if first.tooOld(a.clock.Now()) {
+			if first.isStale(a.clock.Now()) {
 				a.dropped.Add(1)
 			} else {
 				s.send(a, *first)
 			}
 		}
-		if due := s.expire(a); due > 0 {
-			alarm.Reset(time.Duration((due - a.clock.Now()) * float64(time.Millisecond)))
+		if nextExpiry := s.expire(a); nextExpiry > 0 {
+			expiryTimer.Reset(time.Duration((nextExpiry - a.clock.Now()) * float64(time.Millisecond)))
 		}
 	}
 }
 
-// receive waits for a batch, or for something to do about datagrams. It reports whether the stream goes on.
-func (s *peerStream) receive(a *Agent, alarm *time.Timer) bool {
+// wait waits for a batch, or until datagrams in flight may have expired. It returns false once the stream has ended.
+func (s *peerStream) wait(a *Agent, expiryTimer *time.Timer) bool {
 	select {
-	case out, open := <-s.queue:
+	case outgoing, open := <-s.queue:
 		if !open {
-			s.forgetInFlight(a)
+			s.dropInFlight(a)
 			return false
 		}
-		s.next = &out
+		s.next = &outgoing
 	case <-s.wake:
-	case <-alarm.C:
+	case <-expiryTimer.C:
 	case <-a.stop:
 		return false
 	}
 	return true
 }
 
-// send sends a batch, and what waits with it.
+// send sends a batch, merged with the batches that are queued behind it.
 func (s *peerStream) send(a *Agent, first outgoingBatch) {
-	asDatagram := s.takeDatagram(a, len(first.data)) && fitsDatagram(first.batch)
-	room := maxCallBytes
+	asDatagram := s.allowDatagram(a, len(first.data)) && suitsDatagram(first.batch)
+	maxBytes := maxCallBytes
 	if asDatagram {
-		room = maxDatagramBatch
+		maxBytes = maxDatagramBatch
 	}
-	merged := s.merge(a, first, room)
+	merged := s.merge(a, first, maxBytes)
 	if !asDatagram || !s.sendDatagram(a, merged) {
-		s.call(a, merged)
+		s.sendByCall(a, merged)
 	}
 }
 
-func (s *peerStream) takeDatagram(a *Agent, size int) bool {
+// allowDatagram reports whether a batch of this size may go as a datagram now.
+func (s *peerStream) allowDatagram(a *Agent, size int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return size <= maxDatagramBatch && s.path.takeDatagram(a.clock.Now(), len(s.inFlight))
+	return size <= maxDatagramBatch && s.path.allowDatagram(a.clock.Now(), len(s.inFlight))
 }
 
-// fitsDatagram reports whether the replies to a batch are short, and nothing in it depends on the whole of what is agreed.
-func fitsDatagram(batch *handoff.Batch) bool {
-	return !slices.ContainsFunc(batch.Items, func(it handoff.Item) bool { return it.Op == handoff.OpFetch || it.Op == handoff.OpAdopt })
+// suitsDatagram reports whether a batch has only operations that are allowed in a datagram. OpFetch is answered with
+// long pages, and OpAdopt depends on the whole placement table rather than on its version alone.
+func suitsDatagram(batch *handoff.Batch) bool {
+	return !slices.ContainsFunc(batch.Items, func(item handoff.Item) bool {
+		return item.Op == handoff.OpFetch || item.Op == handoff.OpAdopt
+	})
 }
 
-// merge puts the queued batches together with the first, up to so many bytes.
-func (s *peerStream) merge(a *Agent, first outgoingBatch, room int) outgoingBatch {
+// merge appends queued batches to the first one, until that has maxBytes.
+func (s *peerStream) merge(a *Agent, first outgoingBatch, maxBytes int) outgoingBatch {
 	batch := *first.batch
 	batch.Items = slices.Clone(batch.Items)
 	merged := outgoingBatch{&batch, first.data, first.queuedAt}
-	for len(merged.data) < room {
+	for len(merged.data) < maxBytes {
 		select {
-		case out, open := <-s.queue:
+		case outgoing, open := <-s.queue:
 			if !open {
 				return merged
 			}
-			if !mergeable(&merged, &out, room) || out.tooOld(a.clock.Now()) {
-				s.next = &out
+			if !mergeable(&merged, &outgoing, maxBytes) || outgoing.isStale(a.clock.Now()) {
+				s.next = &outgoing
 				return merged
 			}
-			merged.data = append(merged.data, out.data...) // read as one batch: repeated fields add up, of others the last counts
-			batch.Items = append(batch.Items, out.batch.Items...)
+			// Concatenated protobuf messages are read as one: repeated fields are joined, and of other fields the last
+			// value counts.
+			merged.data = append(merged.data, outgoing.data...)
+			batch.Items = append(batch.Items, outgoing.batch.Items...)
 		default:
 			return merged
 		}
@@ -166,19 +174,20 @@
 	return merged
 }
 
-// mergeable reports whether a batch can go with others, of which all have one sender and version of the table.
-func mergeable(merged, out *outgoingBatch, room int) bool {
-	if out.batch.Version != merged.batch.Version || out.batch.From != merged.batch.From {
+// mergeable reports whether a batch can be merged with others: these have the same sender and table version, and a
+// datagram has to stay within its bounds.
+func mergeable(merged, outgoing *outgoingBatch, maxBytes int) bool {
+	if outgoing.batch.Version != merged.batch.Version || outgoing.batch.From != merged.batch.From {
 		return false
 	}
-	if room != maxDatagramBatch {
+	if maxBytes != maxDatagramBatch {
 		return true
 	}
-	return len(merged.data)+len(out.data) <= room && fitsDatagram(out.batch)
+	return len(merged.data)+len(outgoing.data) <= maxBytes && suitsDatagram(outgoing.batch)
 }
 
-// sendDatagram sends a batch as a datagram, and reports whether the member has an address for it.
-func (s *peerStream) sendDatagram(a *Agent, out outgoingBatch) bool {
+// sendDatagram sends a batch as a datagram. It returns false if the member has no address for datagrams.
+func (s *peerStream) sendDatagram(a *Agent, outgoing outgoingBatch) bool {
 	s.resolve(a)
 	if !s.addrPort.IsValid() {
 		return false
@@ -187,61 +196,63 @@
 	if a.copies != nil {
 		timeoutMS = diskAnswerTimeoutMS
 	}
-	number := a.number.Add(1)
-	a.inFlight.Store(number, &datagram{out, s, a.clock.Now() + timeoutMS})
+	number := a.lastDatagramNumber.Add(1)
+	a.inFlight.Store(number, &datagram{outgoing, s, a.clock.Now() + timeoutMS})
 	s.mu.Lock()
 	s.inFlight = append(s.inFlight, number)
 	s.mu.Unlock()
 	a.datagrams.Add(1)
-	a.transport.SendHandoff(s.addrPort, frame(frameBatch, number, out.data))
+	a.transport.SendHandoff(s.addrPort, encodeFrame(frameBatch, number, outgoing.data))
 	return true
 }
 
-// expire sends by calls the batches whose datagrams were not answered in time. It returns when it is to be called again, or 0.
-func (s *peerStream) expire(a *Agent) (due float64) {
+// expire sends the batches of expired datagrams by calls. It returns the time at which the next datagram expires, or 0.
+func (s *peerStream) expire(a *Agent) (nextExpiry float64) {
 	for {
 		now := a.clock.Now()
 		expired, next := s.takeExpired(a, now)
 		if expired == nil {
 			return next
 		}
-		if expired.tooOld(now) {
+		if expired.isStale(now) {
 			a.dropped.Add(1)
 		} else {
-			s.call(a, expired.outgoingBatch)
+			s.sendByCall(a, expired.outgoingBatch)
 		}
 	}
 }
 
-// takeExpired takes the oldest datagram if its time is over. Else it returns when that will be, or 0.
-func (s *peerStream) takeExpired(a *Agent, now float64) (expired *datagram, due float64) {
+// takeExpired removes the oldest datagram and returns it if it has expired. Otherwise it returns the time at which that
+// one expires, or 0 if none is in flight.
+func (s *peerStream) takeExpired(a *Agent, now float64) (expired *datagram, nextExpiry float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.inFlight) > 0 {
-		d := a.findInFlight(s.inFlight[0])
-		if d != nil && now < d.expires {
-			return nil, d.expires
+		oldest := a.findInFlight(s.inFlight[0])
+		if oldest != nil && now < oldest.expires {
+			return nil, oldest.expires
 		}
-		s.dropOldest(a, d, now)
-		if d != nil {
-			return d, 0
+		s.dropOldest(a, oldest, now)
+		if oldest != nil {
+			return oldest, 0
 		}
 	}
 	return nil, 0
 }
 
-// dropOldest forgets the oldest datagram, which is nil if it was answered. s.mu is held.
-func (s *peerStream) dropOldest(a *Agent, d *datagram, now float64) {
+// dropOldest removes the oldest datagram in flight, and counts it as unanswered unless it was answered (nil) or the
+// member asked for a call. The caller holds s.mu.
+func (s *peerStream) dropOldest(a *Agent, oldest *datagram, now float64) {
 	a.inFlight.Delete(s.inFlight[0])
 	s.inFlight = append(s.inFlight[:0], s.inFlight[1:]...)
-	if d != nil && d.expires > 0 {
+	if oldest != nil && oldest.expires > 0 {
 		s.path.handle(now, inputUnanswered)
 		a.unanswered.Add(1)
 	}
 }
 
-// forgetInFlight forgets all unanswered datagrams.
-func (s *peerStream) forgetInFlight(a *Agent) {
+// dropInFlight removes all datagrams in flight.
+func (s *peerStream) dropInFlight(a *Agent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.inFlight) > 0 {
@@ -249,22 +260,23 @@
 	}
 }
 
-// handleReply takes the reply to a datagram; nil if it is too long for one, so that the batch is to be sent by a call.
+// handleReply posts the reply to a datagram to the dispatch loop. If the reply is nil, it is too long for a datagram,
+// and the batch is sent by a call at once. If the loop's queue is full, the datagram stays in flight and expires.
 func (s *peerStream) handleReply(a *Agent, number uint64, reply *handoff.Batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := a.findInFlight(number)
-	if d == nil {
-		return // a repeat, or a call was faster
+	answered := a.findInFlight(number)
+	if answered == nil {
+		return // a duplicate, or the datagram has expired
 	}
 	s.path.handle(a.clock.Now(), inputAnswered)
-	isThis := func(n uint64) bool { return n == number }
+	isAnswered := func(n uint64) bool { return n == number }
 	if reply == nil {
-		d.expires = 0
-		s.inFlight = slices.Insert(slices.DeleteFunc(s.inFlight, isThis), 0, number)
-	} else if a.loop.TryPut(dispatch.QueueItem{Message: batchAnswered{s.to, d.batch, reply}}) {
+		answered.expires = 0
+		s.inFlight = slices.Insert(slices.DeleteFunc(s.inFlight, isAnswered), 0, number)
+	} else if a.loop.TryPut(dispatch.QueueItem{Message: batchAnswered{s.to, answered.batch, reply}}) {
 		a.inFlight.Delete(number)
-		s.inFlight = slices.DeleteFunc(s.inFlight, isThis)
+		s.inFlight = slices.DeleteFunc(s.inFlight, isAnswered)
 		return
 	}
 	select {
@@ -273,23 +285,23 @@
 	}
 }
 
-// call sends a batch by a call, and posts the reply.
-func (s *peerStream) call(a *Agent, out outgoingBatch) {
+// sendByCall sends a batch by a call and posts the reply to the dispatch loop.
+func (s *peerStream) sendByCall(a *Agent, outgoing outgoingBatch) {
 	a.calls.Add(1)
-	reply := s.exchange(a, out.data)
+	reply := s.callMember(a, outgoing.data)
 	select {
 	case <-a.stop:
 	default:
-		a.post(batchAnswered{s.to, out.batch, reply})
+		a.post(batchAnswered{s.to, outgoing.batch, reply})
 	}
 }
 
-// exchange calls the member, and returns its reply, or nil.
-func (s *peerStream) exchange(a *Agent, data []byte) *handoff.Batch {
+// callMember calls the member and returns its reply, or nil if the call failed.
+func (s *peerStream) callMember(a *Agent, data []byte) *handoff.Batch {
 	s.resolve(a)
 	if s.address == "" {
 		a.callsFailed.Add(1)
-		time.Sleep(noAddressWait)
+		time.Sleep(noAddressDelay)
 		return nil
 	}
 	received, err := a.transport.CallSync(s.address, clusternet.HandoffMethod, data)
@@ -305,7 +317,7 @@
 	return reply
 }
 
-// resolve looks up the address of the member.
+// resolve updates the member's address from the latest configuration.
 func (s *peerStream) resolve(a *Agent) {
 	address := ""
 	if addresses := a.addresses.Load(); addresses != nil {
--- a/internal/handoffnet/peerstream_test.go
+++ b/internal/handoffnet/peerstream_test.go
@@ -13,18 +13,25 @@
 )
 
 func TestTransportPath_Transitions(t *testing.T) {
-	const yes, no, retry = inputAnswered, inputUnanswered, inputRetryDue
+	const answered, unanswered, retryDue = inputAnswered, inputUnanswered, inputRetryDue
 	for name, tc := range map[string]struct {
 		inputs []pathInput
 		state  pathState
 	}{
-		"answers keep datagrams":          {[]pathInput{yes, no, no, yes, no, no}, pathDatagrams},
-		"unanswered ones end them":        {[]pathInput{no, no, no}, pathCallsOnly},
-		"one is tried later":              {[]pathInput{no, no, no, retry}, pathProbing},
-		"the probe is answered":           {[]pathInput{no, no, no, retry, yes}, pathDatagrams},
-		"the probe is not answered":       {[]pathInput{no, no, no, retry, no}, pathCallsOnly},
-		"a late answer counts":            {[]pathInput{no, no, no, yes}, pathDatagrams},
-		"after it, the count starts anew": {[]pathInput{no, no, no, yes, no, no}, pathDatagrams},
+		"answers keep datagrams in use": {
+			[]pathInput{answered, unanswered, unanswered, answered, unanswered, unanswered}, pathDatagrams},
+		"unanswered datagrams end their use": {
+			[]pathInput{unanswered, unanswered, unanswered}, pathCallsOnly},
+		"a probe is sent when due": {
+			[]pathInput{unanswered, unanswered, unanswered, retryDue}, pathProbing},
+		"an answered probe restores datagrams": {
+			[]pathInput{unanswered, unanswered, unanswered, retryDue, answered}, pathDatagrams},
+		"an unanswered probe does not": {
+			[]pathInput{unanswered, unanswered, unanswered, retryDue, unanswered}, pathCallsOnly},
+		"a late answer restores datagrams": {
+			[]pathInput{unanswered, unanswered, unanswered, answered}, pathDatagrams},
+		"a late answer resets the count": {
+			[]pathInput{unanswered, unanswered, unanswered, answered, unanswered, unanswered}, pathDatagrams},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := transportPath{}
@@ -38,129 +45,163 @@
 
 func TestTransportPath_TriesOneDatagramAfterCallsOnly(t *testing.T) {
 	p := transportPath{state: pathCallsOnly, callsOnlySince: 100}
-	assert.False(t, p.takeDatagram(100+callsOnlyMS-1, 0))
-	assert.False(t, p.takeDatagram(100+callsOnlyMS, 3), "some are still in flight")
-	assert.True(t, p.takeDatagram(100+callsOnlyMS, 0))
-	assert.False(t, p.takeDatagram(100+callsOnlyMS, 1), "one is enough to try")
-	assert.False(t, (&transportPath{}).takeDatagram(0, maxDatagramsInFlight))
+	assert.False(t, p.allowDatagram(100+callsOnlyMS-1, 0), "the retry is not due yet")
+	assert.False(t, p.allowDatagram(100+callsOnlyMS, 3), "earlier datagrams are still in flight")
+	assert.True(t, p.allowDatagram(100+callsOnlyMS, 0))
+	assert.False(t, p.allowDatagram(100+callsOnlyMS, 1), "the probe is in flight")
+	assert.False(t, (&transportPath{}).allowDatagram(0, maxDatagramsInFlight), "too many datagrams are in flight")
 }
 
-// Short batches go as datagrams, each is answered once, and no call is made.
+// Guards against calls for short batches whose datagrams are answered, and against duplicate answers.
 func TestPeerStream_SendsShortBatchesAsDatagrams(t *testing.T) {
-	a, _, received := pair(t)
-	for k := range 50 {
-		a.ask(fmt.Sprint("k", k))
+	a, _, recorder := startPair(t)
+	for i := range 50 {
+		a.sendQuery(fmt.Sprint("k", i))
 	}
 	items := 0
 	require.Eventually(t, func() bool {
 		items = 0
-		for _, x := range received.answers() {
-			items += len(x.reply.Items)
+		for _, answer := range recorder.answers() {
+			items += len(answer.reply.Items)
 		}
 		return items >= 50
 	}, 3*time.Second, time.Millisecond)
 	assert.Equal(t, 50, items)
 	counts := a.agent.Counts()
 	assert.NotZero(t, counts.Datagrams)
-	if counts.DatagramsUnanswered < maxUnanswered { // past that, on a machine that is too busy to answer in time, only calls are made
-		assert.Equal(t, counts.DatagramsUnanswered, counts.Calls, "a call is made only for a datagram that was not answered in time")
+	if counts.DatagramsUnanswered < maxUnanswered { // a busy machine may answer too late, so that only calls are made
+		assert.Equal(t, counts.DatagramsUnanswered, counts.Calls, "only unanswered datagrams are repeated as calls")
 	}
-	for _, x := range received.answers() {
-		require.Len(t, x.reply.Items, len(x.sent.Items))
-		assert.Equal(t, handoff.OpUnknown, x.reply.Items[0].Op)
-		assert.Equal(t, "b", x.to)
+	for _, answer := range recorder.answers() {
+		require.Len(t, answer.reply.Items, len(answer.sent.Items))
+		assert.Equal(t, handoff.OpUnknown, answer.reply.Items[0].Op)
+		assert.Equal(t, "b", answer.to)
 	}
 	empty := true
 	a.agent.inFlight.Range(func(any, any) bool { empty = false; return false })
-	assert.True(t, empty, "no datagram stays past its answer")
+	assert.True(t, empty, "answered datagrams are still in flight")
 }
 
-// Where datagrams get lost, batches are sent again by calls, soon by calls alone, and as datagrams again once one gets through.
+// Lost datagrams are repeated as calls, then only calls are made, and datagrams are used again once one is answered.
 func TestPeerStream_FallsBackToCallsAndReturns(t *testing.T) {
-	a, b, received := pair(t)
+	a, b, recorder := startPair(t)
 	b.dropsDatagrams.Store(true)
-	for k := range maxUnanswered + 2 {
+	for i := range maxUnanswered + 2 {
 		began := time.Now()
-		a.ask(fmt.Sprint("k", k))
-		received.waits(t, k+1)
+		a.sendQuery(fmt.Sprint("k", i))
+		recorder.waitForAnswers(t, i+1)
 		assert.Less(t, time.Since(began), 400*time.Millisecond)
 	}
-	assert.EqualValues(t, maxUnanswered, a.agent.unanswered.Load())
-	assert.EqualValues(t, maxUnanswered+2, a.agent.calls.Load())
-	for _, x := range received.answers() {
-		assert.NotNil(t, x.reply, "all are answered")
+	assert.EqualValues(t, maxUnanswered, a.agent.unanswered.Load(), "unanswered datagrams")
+	assert.EqualValues(t, maxUnanswered+2, a.agent.calls.Load(), "calls")
+	for _, answer := range recorder.answers() {
+		assert.NotNil(t, answer.reply, "a batch was not answered")
 	}
 	b.dropsDatagrams.Store(false)
 	s := a.agent.stream("b")
 	s.mu.Lock()
 	s.path.callsOnlySince -= callsOnlyMS
 	s.mu.Unlock()
-	a.ask("again")
-	received.waits(t, maxUnanswered+3)
-	a.ask("and again")
-	received.waits(t, maxUnanswered+4)
-	assert.EqualValues(t, maxUnanswered+2, a.agent.calls.Load(), "no further call")
+	a.sendQuery("again")
+	recorder.waitForAnswers(t, maxUnanswered+3)
+	a.sendQuery("and again")
+	recorder.waitForAnswers(t, maxUnanswered+4)
+	assert.EqualValues(t, maxUnanswered+2, a.agent.calls.Load(), "a further call was made")
 }
 
-// What is too long for a datagram, in either direction, goes by a call.
+// Batches and replies that are too long for a datagram go by a call.
 func TestPeerStream_CallsForLongBatchesAndReplies(t *testing.T) {
-	a, b, received := pair(t)
+	a, b, recorder := startPair(t)
 	var keys []string
-	for k := range 80 {
-		keys = append(keys, fmt.Sprint("k", k))
+	for i := range 80 {
+		keys = append(keys, fmt.Sprint("k", i))
 	}
-	a.ask(keys...)
-	assert.Len(t, received.waits(t, 1)[0].reply.Items, 80)
+	a.sendQuery(keys...)
+	assert.Len(t, recorder.waitForAnswers(t, 1)[0].reply.Items, 80)
 	assert.EqualValues(t, 1, a.agent.calls.Load())
 	assert.Zero(t, a.agent.datagrams.Load())
-	key := handoff.KeyOf("long", "")
-	b.loop.Call(func(now float64) {
-		who := handoff.Member{Name: "c", Incarnation: 1}
-		c := handoff.Copy{RequestData: handoff.RequestData{ID: "x", IdempotencyKey: "long", Class: "mark"}, Owner: who, Sequence: 1, Deadline: now + 5000, Complete: true}
-		b.agent.manager.Step(now, &handoff.Event{Kind: handoff.BatchReceived, LeaseHeld: true, Batch: &handoff.Batch{From: who, Version: 1, Items: []handoff.Item{
-			{Op: handoff.OpRegister, Key: key, Sequence: 1, From: who, Copy: &c},
-			{Op: handoff.OpClose, Key: key, Sequence: 2, From: who, Outcome: handoff.Succeeded, RunState: handoff.Ran, FirstAttemptAt: now, Answer: make([]byte, 3000)}}}})
-	})
+	b.storeAnswered("long", 3000)
 	began := time.Now()
-	a.ask("long")
-	got := received.waits(t, 2)[1]
-	assert.Less(t, time.Since(began), 25*time.Millisecond*4, "it is asked to call, and does so at once")
-	require.NotNil(t, got.reply)
-	require.NotNil(t, got.reply.Items[0].Copy)
-	assert.Len(t, got.reply.Items[0].Copy.Answer, 3000)
+	a.sendQuery("long")
+	answer := recorder.waitForAnswers(t, 2)[1]
+	assert.Less(t, time.Since(began), 25*time.Millisecond*4, "the call was not made at once")
+	require.NotNil(t, answer.reply)
+	require.NotNil(t, answer.reply.Items[0].Copy)
+	assert.Len(t, answer.reply.Items[0].Copy.Answer, 3000)
 	assert.EqualValues(t, 2, a.agent.calls.Load())
-	assert.Zero(t, a.agent.unanswered.Load(), "the datagram was answered")
+	assert.Zero(t, a.agent.unanswered.Load(), "the datagram was answered by the demand for a call")
+}
+
+// storeAnswered has the member store a copy of a request of member c that succeeded with an answer of some bytes.
+func (m *testMember) storeAnswered(idempotencyKey string, answerBytes int) {
+	key := handoff.KeyOf(idempotencyKey, "")
+	owner := handoff.Member{Name: "c", Incarnation: 1}
+	m.loop.Call(func(now float64) {
+		c := handoff.Copy{
+			RequestData: handoff.RequestData{ID: "x", IdempotencyKey: idempotencyKey, Class: "mark"},
+			Owner:       owner,
+			Sequence:    1,
+			Deadline:    now + 5000,
+			Complete:    true,
+		}
+		register := handoff.Item{Op: handoff.OpRegister, Key: key, Sequence: 1, From: owner, Copy: &c}
+		closing := handoff.Item{
+			Op:             handoff.OpClose,
+			Key:            key,
+			Sequence:       2,
+			From:           owner,
+			Outcome:        handoff.Succeeded,
+			RunState:       handoff.Ran,
+			FirstAttemptAt: now,
+			Answer:         make([]byte, answerBytes),
+		}
+		batch := &handoff.Batch{From: owner, Version: 1, Items: []handoff.Item{register, closing}}
+		m.agent.manager.Step(now, &handoff.Event{Kind: handoff.BatchReceived, LeaseHeld: true, Batch: batch})
+	})
 }
 
-// A member that is not there holds nobody up: batches for it queue up to a bound, and each counts as not answered or is dropped.
-func TestPeerStream_AbsentMember(t *testing.T) {
-	a, b, received := pair(t)
+// Batches for a member that has stopped neither block the sender nor queue without bound, and the manager learns that
+// they failed.
+func TestPeerStream_BoundsQueueForStoppedMember(t *testing.T) {
+	a, b, recorder := startPair(t)
 	b.stop()
 	began := time.Now()
-	for k := range streamQueue + 200 {
-		a.ask(fmt.Sprint("k", k))
+	for i := range streamQueueSize + 200 {
+		a.sendQuery(fmt.Sprint("k", i))
 	}
 	assert.Less(t, time.Since(began), time.Second)
-	require.Eventually(t, func() bool { return len(received.answers()) > 0 && a.agent.callsFailed.Load() > 0 }, 5*time.Second, 5*time.Millisecond)
-	for _, x := range received.answers() {
-		assert.Nil(t, x.reply)
+	someFailed := func() bool { return len(recorder.answers()) > 0 && a.agent.callsFailed.Load() > 0 }
+	require.Eventually(t, someFailed, 5*time.Second, 5*time.Millisecond)
+	for _, answer := range recorder.answers() {
+		assert.Nil(t, answer.reply)
 	}
-	assert.LessOrEqual(t, len(a.agent.stream("b").queue), streamQueue)
+	assert.LessOrEqual(t, len(a.agent.stream("b").queue), streamQueueSize)
 }
 
-// Datagrams that are malformed or unasked for change nothing.
-func TestAgent_IgnoresForeignDatagrams(t *testing.T) {
-	a, b, received := pair(t)
-	to := netip.MustParseAddrPort(b.at)
-	from := netip.MustParseAddrPort(a.at)
-	for _, data := range [][]byte{nil, {frameBatch}, frame(frameBatch, 7, []byte{0xff}), frame('?', 7, nil), frame(frameReply, 7, nil), frame(frameMustCall, 9, nil)} {
+// Datagrams that are malformed, of an unknown kind or not allowed, and replies to no datagram, have no effect.
+func TestAgent_IgnoresInvalidDatagrams(t *testing.T) {
+	a, b, recorder := startPair(t)
+	to := netip.MustParseAddrPort(b.address)
+	from := netip.MustParseAddrPort(a.address)
+	for _, data := range [][]byte{
+		nil,
+		{frameBatch},
+		encodeFrame(frameBatch, 7, []byte{0xff}),
+		encodeFrame('?', 7, nil),
+		encodeFrame(frameReply, 7, nil),
+		encodeFrame(frameMustCall, 9, nil),
+	} {
 		a.transport.SendHandoff(to, data)
 		a.agent.handleDatagram(from, data)
 	}
-	fetch := &handoff.Batch{From: handoff.Member{Name: "a", Incarnation: 1}, Version: 1, Items: []handoff.Item{{Op: handoff.OpFetch}}}
-	a.transport.SendHandoff(to, frame(frameBatch, 8, fetch.Append(nil, 0)))
-	a.ask("k")
-	received.waits(t, 1)
+	fetch := &handoff.Batch{
+		From:    handoff.Member{Name: "a", Incarnation: 1},
+		Version: 1,
+		Items:   []handoff.Item{{Op: handoff.OpFetch}},
+	}
+	a.transport.SendHandoff(to, encodeFrame(frameBatch, 8, fetch.Append(nil, 0)))
+	a.sendQuery("k")
+	recorder.waitForAnswers(t, 1)
 	time.Sleep(20 * time.Millisecond)
-	assert.Len(t, received.answers(), 1)
+	assert.Len(t, recorder.answers(), 1)
 }
--- a/internal/handoffnet/receive.go
+++ b/internal/handoffnet/receive.go
@@ -12,34 +12,37 @@
 	"liftshift/internal/handoff"
 )
 
-// The errors go back to the peer that called: their texts do not change.
+// Errors that are returned to the calling member. The texts are part of the wire format.
 var (
 	errReplyTimeout = errors.New("no answer in time")
 	errStopping     = errors.New("this member stops")
 )
 
-// A datagram is its kind, a number of 8 bytes that its answer bears, too, and a batch. The kinds go over the wire: they do not change.
+// A datagram consists of a kind (1 byte), a number (8 bytes, big endian), which the reply repeats, and an encoded
+// batch. The values of the kinds are part of the wire format.
 const (
 	frameBatch    = 'w'
 	frameReply    = 'a'
-	frameMustCall = 'c' // the reply is too long for a datagram: the batch is to be sent by a call
+	frameMustCall = 'c' // the reply is too long for a datagram; the sender has to send the batch by a call
 
 	frameHeaderBytes = 9
-	maxDatagramBatch = clusternet.MaxHandoffDatagram - frameHeaderBytes
+	maxDatagramBatch = clusternet.MaxHandoffDatagram - frameHeaderBytes // bytes of an encoded batch
 )
 
-// datagramReply is a reply to a datagram.
+// datagramReply is an encoded reply to a datagram and the address that it goes to.
 type datagramReply struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-func frame(kind byte, number uint64, data []byte) []byte {
-	b := append(make([]byte, 0, frameHeaderBytes+len(data)), kind)
-	return append(binary.BigEndian.AppendUint64(b, number), data...)
+// encodeFrame returns the content of a datagram.
+func encodeFrame(kind byte, number uint64, data []byte) []byte {
+	encoded := append(make([]byte, 0, frameHeaderBytes+len(data)), kind)
+	return append(binary.BigEndian.AppendUint64(encoded, number), data...)
 }
 
-// handleCall takes a batch that another member sent by a call, and returns the reply. Any goroutine may call it.
+// handleCall posts a batch that another member sent by a call to the dispatch loop and returns the manager's reply. It
+// may be called from any goroutine.
 func (a *Agent) handleCall(ctx context.Context, data []byte) ([]byte, error) {
 	batch, err := handoff.ReadBatch(data, a.clock.Now())
 	if err != nil {
@@ -65,7 +68,7 @@
 	}
 }
 
-// handleDatagram takes a datagram. The transport's goroutine calls it, and it does not wait.
+// handleDatagram handles a datagram of another member. It runs on the transport's goroutine and never blocks.
 func (a *Agent) handleDatagram(from netip.AddrPort, data []byte) {
 	if len(data) < frameHeaderBytes {
 		return
@@ -78,27 +81,28 @@
 	case frameReply:
 		a.handleReplyDatagram(number, payload)
 	case frameMustCall:
-		if d := a.findInFlight(number); d != nil {
-			d.stream.handleReply(a, number, nil)
+		if sent := a.findInFlight(number); sent != nil {
+			sent.stream.handleReply(a, number, nil)
 		}
 	}
 }
 
+// handleBatchDatagram posts a received batch to the dispatch loop, with a callback that queues the reply datagram.
 func (a *Agent) handleBatchDatagram(from netip.AddrPort, number uint64, payload []byte) {
 	batch, err := handoff.ReadBatch(payload, a.clock.Now())
-	if err != nil || !fitsDatagram(batch) {
+	if err != nil || !suitsDatagram(batch) {
 		return
 	}
 	reply := func(data []byte, err error) {
 		if err != nil {
-			return // the sender will call, and be given the error
+			return // the sender repeats the batch by a call, whose reply can carry an error
 		}
-		out := frame(frameReply, number, data)
-		if len(out) > clusternet.MaxHandoffDatagram {
-			out = frame(frameMustCall, number, nil)
+		encoded := encodeFrame(frameReply, number, data)
+		if len(encoded) > clusternet.MaxHandoffDatagram {
+			encoded = encodeFrame(frameMustCall, number, nil)
 		}
 		select {
-		case a.replyOut <- datagramReply{from, out}:
+		case a.datagramReplies <- datagramReply{from, encoded}:
 		default:
 			a.dropped.Add(1)
 		}
@@ -108,31 +112,32 @@
 	}
 }
 
+// handleReplyDatagram passes the reply to a datagram to the stream that sent the datagram.
 func (a *Agent) handleReplyDatagram(number uint64, payload []byte) {
-	d := a.findInFlight(number)
-	if d == nil {
+	sent := a.findInFlight(number)
+	if sent == nil {
 		return
 	}
 	reply, err := handoff.ReadBatch(payload, a.clock.Now())
 	if err != nil {
 		return
 	}
-	d.stream.handleReply(a, number, reply)
+	sent.stream.handleReply(a, number, reply)
 }
 
-// findInFlight returns an unanswered datagram by its number, or nil.
+// findInFlight returns the unanswered datagram with a number, or nil.
 func (a *Agent) findInFlight(number uint64) *datagram {
-	v, _ := a.inFlight.Load(number)
-	d, _ := v.(*datagram)
-	return d
+	value, _ := a.inFlight.Load(number)
+	found, _ := value.(*datagram)
+	return found
 }
 
-// sendReplies sends the replies to datagrams.
+// sendReplies sends the queued replies to datagrams until the agent stops.
 func (a *Agent) sendReplies() {
 	for {
 		select {
-		case r := <-a.replyOut:
-			a.transport.SendHandoff(r.to, r.data)
+		case reply := <-a.datagramReplies:
+			a.transport.SendHandoff(reply.to, reply.data)
 		case <-a.stop:
 			return
 		}
