--- a/internal/handoffnet/peerstream.go
+++ b/internal/handoffnet/peerstream.go
@@ -48,7 +48,7 @@
 
 	mu       sync.Mutex // guards the fields below
 	path     transportPath
-	inFlight []uint64 // numbers of unanswered datagrams, the oldest first
+	inFlight []uint64 // numbers of unanswered datagrams, in the order in which they expire
 }
 
 // sendBatch queues a batch for a member. It never blocks: if the queue is full, the batch is dropped.
