--- a/internal/handoff/attempts.go
+++ b/internal/handoff/attempts.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// heldAttempt is an attempt that waits for a quorum of replicas.
+// heldAttempt is an attempt that is not sent until a quorum of replicas has stored it.
 type heldAttempt struct {
 	attempt int
 	since   float64
 }
 
-// gateAttempt decides whether an attempt may leave: only under the lease, within the dedup window, and once a quorum of replicas knows of it.
+// gateAttempt decides whether an attempt may be sent: only while this controller holds the lease, within the dedup
+// window if an earlier attempt may have run, and after a quorum of replicas has stored the attempt.
 func (m *Manager) gateAttempt(ev *Event) {
 	req := m.ownedByID[ev.ID]
 	switch {
@@ -35,49 +36,55 @@
 	m.replicate(req)
 }
 
+// blockAttempt rejects an attempt that has not been held.
 func (m *Manager) blockAttempt(req *ownedRequest, attempt int) {
 	m.counts.Withheld++
 	m.emit(Effect{Kind: BlockAttempt, ID: req.ID, Attempt: attempt})
 }
 
+// failAttempt rejects an attempt that has been held.
 func (m *Manager) failAttempt(req *ownedRequest, attempt int) {
 	m.counts.Withheld++
 	m.emit(Effect{Kind: FailAttempt, ID: req.ID, Attempt: attempt})
 }
 
-// releaseAttempts lets the held attempts leave, which a quorum of replicas knows of.
+// releaseAttempts releases the held attempts once a quorum of replicas has stored them. It fails them if this
+// controller no longer holds the lease.
 func (m *Manager) releaseAttempts(req *ownedRequest) {
-	for _, h := range req.heldAttempts {
+	for _, held := range req.heldAttempts {
 		if m.leaseHeld {
-			m.emit(Effect{Kind: ReleaseAttempt, ID: req.ID, Attempt: h.attempt})
+			m.emit(Effect{Kind: ReleaseAttempt, ID: req.ID, Attempt: held.attempt})
 		} else {
-			m.failAttempt(req, h.attempt)
+			m.failAttempt(req, held.attempt)
 		}
 	}
 	req.heldAttempts = req.heldAttempts[:0]
 }
 
-// expireHeldAttempts fails attempts that have been held for too long.
+// expireHeldAttempts fails attempts that have been held for longer than holdTimeoutMS.
 func (m *Manager) expireHeldAttempts(req *ownedRequest) {
-	held := req.heldAttempts[:0]
-	for _, h := range req.heldAttempts {
-		if m.now > h.since+holdTimeoutMS {
-			m.failAttempt(req, h.attempt)
+	remaining := req.heldAttempts[:0]
+	for _, held := range req.heldAttempts {
+		if m.now > held.since+holdTimeoutMS {
+			m.failAttempt(req, held.attempt)
 			continue
 		}
-		held = append(held, h)
+		remaining = append(remaining, held)
 	}
-	req.heldAttempts = held
+	req.heldAttempts = remaining
 }
 
-// handleAttemptEnded records the end of an attempt. Once none of them can have run, the request counts as not run again.
+// handleAttemptEnded records the end of an attempt. When no attempt of the request can have run any more, the request
+// is marked as not run again.
 func (m *Manager) handleAttemptEnded(ev *Event) {
 	req := m.ownedByID[ev.ID]
 	if req == nil || ev.Attempt >= maxTrackedAttempts || req.attemptsInFlight&(1<<ev.Attempt) == 0 {
 		return
 	}
 	req.attemptsInFlight &^= 1 << ev.Attempt
-	req.heldAttempts = slices.DeleteFunc(req.heldAttempts, func(h heldAttempt) bool { return h.attempt == ev.Attempt })
+	req.heldAttempts = slices.DeleteFunc(req.heldAttempts, func(held heldAttempt) bool {
+		return held.attempt == ev.Attempt
+	})
 	if !ev.NeverRan || req.phase != phaseActive {
 		return
 	}
--- a/internal/handoff/closing.go
+++ b/internal/handoff/closing.go
@@ -2,16 +2,17 @@
 
 import "liftshift/scheduler"
 
-// withheldAnswer is an answer that waits until a quorum of replicas knows of it.
+// withheldAnswer is an answer that is not delivered until a quorum of replicas has stored the outcome.
 type withheldAnswer struct {
-	outcome Outcome
-	answer  []byte
-	since   float64
-	late    bool // the lease, or the incarnation that owned the request, is over
+	outcome       Outcome
+	answer        []byte
+	since         float64
+	ownershipLost bool // this controller lost its lease, or the incarnation that owned the request has ended
 }
 
-// gateAnswer decides whether an answer must wait until replicas know of it. Where the lease or the owning incarnation is over, a successor
-// may be going on with the request; and no successor may send an attempt after a non-idempotent request was rejected.
+// gateAnswer decides whether an answer must wait until a quorum of replicas has stored the outcome. It must if this
+// controller lost its lease or the owning incarnation has ended, because a successor may have continued the request. A
+// rejection of a non-idempotent request must wait as well, because no successor may send an attempt after it.
 func (m *Manager) gateAnswer(ev *Event) {
 	req := m.ownedByID[ev.ID]
 	if req == nil || ev.Outcome == Abandoned || req.phase != phaseActive {
@@ -20,17 +21,22 @@
 	if req.unreplicated || req.bestEffort || req.adopted {
 		return
 	}
-	late := !m.leaseHeld || req.Owner != m.self
+	ownershipLost := !m.leaseHeld || req.Owner != m.self
 	class := m.class(req.Class)
 	unsafeRejection := ev.Outcome == Rejected && class != nil && class.effect != scheduler.Keyed
-	if !late && !unsafeRejection {
+	if !ownershipLost && !unsafeRejection {
 		return
 	}
-	req.withheld = &withheldAnswer{outcome: ev.Outcome, answer: ev.Answer, since: m.now, late: late}
+	req.withheld = &withheldAnswer{
+		outcome:       ev.Outcome,
+		answer:        ev.Answer,
+		since:         m.now,
+		ownershipLost: ownershipLost,
+	}
 	m.emit(Effect{Kind: WithholdAnswer, ID: req.ID})
 }
 
-// handleClosed records the final outcome of a request, and tells the replicas.
+// handleClosed records the final outcome of a request and sends it to the replicas.
 func (m *Manager) handleClosed(ev *Event) {
 	m.pacer.finish(m.now, ev.ID, ev.Outcome == Succeeded)
 	if req := m.ownedByID[ev.ID]; req != nil && req.phase == phaseActive {
@@ -47,8 +53,8 @@
 	delete(m.recentOpen, ev.ID)
 }
 
-// leftToSuccessor reports whether a request that fails as this controller shuts down stays open with the replicas: a successor has more
-// time for it.
+// leftToSuccessor reports whether a request that failed during the shutdown of this controller stays open on the
+// replicas, so that a successor can continue it.
 func (m *Manager) leftToSuccessor(req *ownedRequest, outcome Outcome) bool {
 	if !m.shuttingDown || outcome != Failed {
 		return false
@@ -56,7 +62,7 @@
 	return req.adopted || req.RunState == MayHaveRun && req.IdempotencyKey != ""
 }
 
-// closeOwned ends a request with an outcome, and tells the replicas.
+// closeOwned ends a request with an outcome and sends the outcome to the replicas.
 func (m *Manager) closeOwned(req *ownedRequest, outcome Outcome, answer []byte) {
 	if req.adopted && req.phase != phaseClosing {
 		m.adoptionsInFlight--
@@ -82,7 +88,8 @@
 	m.replicate(req)
 }
 
-// settleClose looks at a request that closes: whether its answer may go out, and whether replicas still have to be notified.
+// settleClose advances a closing request: it delivers a withheld answer where that is allowed, and removes the request
+// once no replica has to be notified any more.
 func (m *Manager) settleClose(req *ownedRequest) {
 	quorum := m.hasQuorum(req.key.Partition(), req.acks)
 	m.closeOwnReplica(req, quorum)
@@ -94,43 +101,45 @@
 	}
 }
 
-// closeOwnReplica closes the copy of this controller's own replica, which refuses messages of an incarnation that is over, once the
-// others have accepted them.
+// closeOwnReplica closes the copy stored by this controller's own replica once a quorum has accepted the close. The
+// replica itself refuses messages of an earlier incarnation of this controller.
 func (m *Manager) closeOwnReplica(req *ownedRequest, quorum bool) {
 	stored := m.copies[req.key]
 	if !quorum || stored == nil || stored.Owner != req.Owner || !stored.state.open() {
 		return
 	}
-	it := m.currentItem(req)
-	m.closeCopy(stored, &it)
+	item := m.currentItem(req)
+	m.closeCopy(stored, &item)
 }
 
-// settleWithheld delivers a withheld answer, and reports whether it did.
+// settleWithheld delivers a withheld answer if a quorum has stored it, or a successor's answer if replicas report one.
+// When the time for withholding is over, it answers with a failure. It reports whether it answered.
 func (m *Manager) settleWithheld(req *ownedRequest, quorum bool) bool {
 	withheld, known := req.withheld, req.known
-	f := Effect{Kind: DeliverAnswer, ID: req.ID, Outcome: Failed}
+	effect := Effect{Kind: DeliverAnswer, ID: req.ID, Outcome: Failed}
 	switch {
 	case quorum:
-		f.Outcome, f.Answer = withheld.outcome, withheld.answer
-	case known != nil && known.Outcome != Open && known.Outcome != Withdrawn: // its successor has answered it
-		f.Outcome, f.Answer = known.Outcome, known.Answer
-	case m.mayStillSettle(req):
+		effect.Outcome, effect.Answer = withheld.outcome, withheld.answer
+	case known != nil && known.Outcome != Open && known.Outcome != Withdrawn: // a successor has ended the request
+		effect.Outcome, effect.Answer = known.Outcome, known.Answer
+	case m.mayKeepWithholding(req):
 		return false
 	}
 	req.withheld = nil
-	m.emit(f)
+	m.emit(effect)
 	return true
 }
 
-// mayStillSettle reports whether there is time left for a withheld answer.
-func (m *Manager) mayStillSettle(req *ownedRequest) bool {
-	if req.withheld.late {
+// mayKeepWithholding reports whether a withheld answer may wait longer for a quorum.
+func (m *Manager) mayKeepWithholding(req *ownedRequest) bool {
+	if req.withheld.ownershipLost {
 		return m.now < req.Deadline-answerMarginMS
 	}
 	return m.now < req.withheld.since+holdTimeoutMS
 }
 
-// superseded reports whether replicas refuse a close as the request is another controller's by now, or a later one of its key is known.
+// superseded reports whether replicas refuse a close because another controller owns the request by now, or because a
+// later request with the same key exists.
 func (m *Manager) superseded(req *ownedRequest) bool {
 	if !m.quorumImpossible(req.key.Partition(), req.refusals) {
 		return false
@@ -145,7 +154,7 @@
 	return req.Outcome != Succeeded || known != nil && known.Outcome == Succeeded || req.sends > 2*maxCloseSends
 }
 
-// closeAcknowledged reports whether enough replicas know of a close, or no more are to be waited for.
+// closeAcknowledged reports whether enough replicas have stored a close, or it has been sent often enough.
 func (m *Manager) closeAcknowledged(req *ownedRequest, quorum bool) bool {
 	if req.bestEffort || req.sends >= 4*maxCloseSends {
 		return true
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -11,20 +11,22 @@
 	"liftshift/scheduler"
 )
 
-// cluster is some managers whose messages arrive at once.
+// cluster is a set of managers that exchange messages without delay. Members are referred to by their index.
 type cluster struct {
 	t         *testing.T
 	now       float64
 	managers  []*Manager
 	members   []placement.Member
 	table     placement.Table
-	down      map[int]bool
-	drops     func(from, to int, it *Item) bool // whether an item is lost in transit
-	dropAcks  bool                              // replies that something is stored are lost in transit
-	effects   []map[EffectKind][]Effect         // by member, those that are not carried out here
-	proposals []Effect
+	down      map[int]bool                      // members that process no events
+	drops     func(from, to int, it *Item) bool // reports whether an item is lost in transit
+	dropAcks  bool                              // replies with an OpStored are lost in transit
+	effects   []map[EffectKind][]Effect         // by member, the effects that step does not carry out
+	proposals []Effect                          // proposals that are not agreed on yet
 }
 
+// newCluster returns a cluster of n members whose table asks for the given number of copies. Change may modify the
+// settings.
 func newCluster(t *testing.T, n, copies int, change func(*Settings)) *cluster {
 	c := &cluster{t: t, now: 1000, down: map[int]bool{}}
 	settings := DefaultSettings()
@@ -44,12 +46,12 @@
 		c.effects = append(c.effects, map[EffectKind][]Effect{})
 	}
 	c.table.Reassign(c.members, copies)
-	require.NotEmpty(t, c.table.Partitions)
+	require.NotEmpty(t, c.table.Partitions, "the table has no replicas assigned")
 	c.announce()
 	return c
 }
 
-// announce tells all members what is agreed.
+// announce sends the agreed members and table to all members.
 func (c *cluster) announce() {
 	c.table.Step++
 	for k := range c.managers {
@@ -62,7 +64,7 @@
 	c.step(k, &Event{Kind: PlacementChanged, Members: slices.Clone(c.members), Table: &table})
 }
 
-// lose has it agreed that a member is lost.
+// lose stops a member and has the consensus group declare it lost.
 func (c *cluster) lose(k int) {
 	c.down[k] = true
 	c.members[k].Lost = true
@@ -70,7 +72,7 @@
 	c.announce()
 }
 
-// tick lets time go by, and agrees to what is proposed.
+// tick advances the time in steps of 100 ms, and agrees to all proposals.
 func (c *cluster) tick(ms float64) {
 	for until := c.now + ms; c.now < until; {
 		c.now += 100
@@ -81,6 +83,7 @@
 	}
 }
 
+// agree applies the pending proposals to the table.
 func (c *cluster) agree() {
 	for len(c.proposals) > 0 {
 		proposal := c.proposals[0]
@@ -91,6 +94,7 @@
 	}
 }
 
+// apply applies a proposal to the table, and reports whether the table changed.
 func (c *cluster) apply(proposal Effect) (changed bool) {
 	claim := proposal.Claim
 	switch proposal.Proposal {
@@ -106,78 +110,85 @@
 	return false
 }
 
+// step sends an event to a member, delivers the batches that it sends, and records its other effects.
 func (c *cluster) step(k int, ev *Event) []Effect {
 	if c.down[k] {
 		return nil
 	}
 	ev.LeaseHeld = true
 	effects := slices.Clone(c.managers[k].Step(c.now, ev))
-	batches := make([][]byte, len(effects)) // as they are at the end of the step: what they point at goes on changing
-	for n, e := range effects {
-		if e.Kind == SendBatch {
-			batches[n] = e.Batch.Append(nil, c.now)
+	batches := make([][]byte, len(effects)) // encoded before later steps change the copies that they point to
+	for i, effect := range effects {
+		if effect.Kind == SendBatch {
+			batches[i] = effect.Batch.Append(nil, c.now)
 		}
 	}
-	for n, e := range effects {
-		switch e.Kind {
+	for i, effect := range effects {
+		switch effect.Kind {
 		case SendBatch:
-			c.deliver(k, e, batches[n])
+			c.deliver(k, effect, batches[i])
 		case Propose:
-			c.proposals = append(c.proposals, e)
+			c.proposals = append(c.proposals, effect)
 		default:
-			c.effects[k][e.Kind] = append(c.effects[k][e.Kind], e)
+			c.effects[k][effect.Kind] = append(c.effects[k][effect.Kind], effect)
 		}
 	}
 	return effects
 }
 
-// deliver brings a batch to its member and the reply back, both as they go over the wire.
-func (c *cluster) deliver(from int, e Effect, data []byte) {
-	sent := e.Batch
-	answer := func(reply *Batch) { c.step(from, &Event{Kind: BatchAnswered, To: e.To, Sent: sent, Batch: reply}) }
-	to := slices.IndexFunc(c.members[:len(c.managers)], func(m placement.Member) bool { return m.Name == e.To })
+// deliver takes a batch to its receiver, and the reply back, both encoded and decoded as on the wire.
+func (c *cluster) deliver(from int, effect Effect, data []byte) {
+	sent := effect.Batch
+	deliverReply := func(reply *Batch) {
+		c.step(from, &Event{Kind: BatchAnswered, To: effect.To, Sent: sent, Batch: reply})
+	}
+	to := slices.IndexFunc(c.members[:len(c.managers)], func(m placement.Member) bool { return m.Name == effect.To })
 	lost := to < 0 || c.down[to]
-	for n := range sent.Items {
-		lost = lost || c.drops != nil && c.drops(from, to, &sent.Items[n])
+	for i := range sent.Items {
+		lost = lost || c.drops != nil && c.drops(from, to, &sent.Items[i])
 	}
 	if lost {
-		answer(nil)
+		deliverReply(nil)
 		return
 	}
 	batch, err := ReadBatch(data, c.now)
 	require.NoError(c.t, err)
-	for n := range batch.Items {
-		if it := &batch.Items[n]; it.Op == OpRegister && it.Copy != nil {
-			require.Equal(c.t, it.Sequence, it.Copy.Sequence, "a message does not bear the sequence of a later one")
+	for i := range batch.Items {
+		if item := &batch.Items[i]; item.Op == OpRegister && item.Copy != nil {
+			require.Equal(c.t, item.Sequence, item.Copy.Sequence,
+				"the copy in a registration has the sequence of a later message")
 		}
 	}
-	for _, f := range c.step(to, &Event{Kind: BatchReceived, Batch: batch, Token: 1}) {
-		if f.Kind != ReplyBatch || c.dropAcks && slices.ContainsFunc(f.Batch.Items, func(it Item) bool { return it.Op == OpStored }) {
+	isStored := func(item Item) bool { return item.Op == OpStored }
+	for _, effect := range c.step(to, &Event{Kind: BatchReceived, Batch: batch, Token: 1}) {
+		if effect.Kind != ReplyBatch || c.dropAcks && slices.ContainsFunc(effect.Batch.Items, isStored) {
 			continue
 		}
-		reply, err := ReadBatch(f.Batch.Append(nil, c.now), c.now)
+		reply, err := ReadBatch(effect.Batch.Append(nil, c.now), c.now)
 		require.NoError(c.t, err)
-		answer(reply)
+		deliverReply(reply)
 	}
 }
 
-// arrive has a request arrive at a member.
+// arrive sends a client's request to a member.
 func (c *cluster) arrive(k int, class, id, idempotencyKey string) []Effect {
 	return c.step(k, &Event{Kind: RequestArriving, ID: id, Copy: &Copy{
-		RequestData: RequestData{ID: id, IdempotencyKey: idempotencyKey, Class: class, Body: []byte("select")}, Deadline: c.now + 5000}})
+		RequestData: RequestData{ID: id, IdempotencyKey: idempotencyKey, Class: class, Body: []byte("select")},
+		Deadline:    c.now + 5000,
+	}})
 }
 
-// effectsFor returns a member's effects of a kind for a request, so far.
+// effectsFor returns the recorded effects of a kind that a member returned for a request.
 func (c *cluster) effectsFor(k int, kind EffectKind, id string) (list []Effect) {
-	for _, e := range c.effects[k][kind] {
-		if e.ID == id || e.Copy != nil && e.Copy.ID == id && kind == Adopt {
-			list = append(list, e)
+	for _, effect := range c.effects[k][kind] {
+		if effect.ID == id || effect.Copy != nil && effect.Copy.ID == id && kind == Adopt {
+			list = append(list, effect)
 		}
 	}
 	return list
 }
 
-// attempt has an attempt of a request made, and reports whether it leaves.
+// attempt starts an attempt of a request, and reports whether an attempt of the request has been released.
 func (c *cluster) attempt(k int, id string) bool {
 	c.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
 	return len(c.effectsFor(k, ReleaseAttempt, id)) > 0
@@ -185,22 +196,23 @@
 
 // finish ends a request, and reports whether its answer is withheld.
 func (c *cluster) finish(k int, id string, outcome Outcome, answer string) (withheld bool) {
-	for _, e := range c.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: outcome, Answer: []byte(answer)}) {
-		withheld = withheld || e.Kind == WithholdAnswer
+	for _, effect := range c.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: outcome, Answer: []byte(answer)}) {
+		withheld = withheld || effect.Kind == WithholdAnswer
 	}
 	c.step(k, &Event{Kind: RequestClosed, ID: id, Outcome: outcome, Answer: []byte(answer)})
 	return withheld
 }
 
-// checkCounts checks that the counters of copies add up everywhere.
+// checkCounts checks on all members that each received copy is counted under exactly one result.
 func (c *cluster) checkCounts() {
 	for k, m := range c.managers {
-		n := m.Counts()
-		require.Equal(c.t, n.CopiesReceived, n.Settled+n.Adopted+n.Failed+n.Dropped+n.Open, "n%d: %+v", k, n)
+		counts := m.Counts()
+		results := counts.Settled + counts.Adopted + counts.Failed + counts.Dropped + counts.Open
+		require.Equal(c.t, counts.CopiesReceived, results, "n%d: copies received and their results differ: %+v", k, counts)
 	}
 }
 
-// adopters returns the members that adopt a request.
+// adopters returns the members that have adopted a request.
 func (c *cluster) adopters(id string) (members []int) {
 	for k := range c.managers {
 		if len(c.effectsFor(k, Adopt, id)) > 0 {
--- a/internal/handoff/limits.go
+++ b/internal/handoff/limits.go
@@ -2,43 +2,65 @@
 
 import "liftshift/internal/placement"
 
-// Times in ms.
+// Timeouts, intervals and margins. Names ending in MS are in milliseconds.
 const (
-	registrationTimeoutMS = 1000  // outlasts a stalled replica, not two elections
-	holdTimeoutMS         = 300   // for which an attempt or a rejection waits for a quorum
-	sendAllowanceMS       = 600   // within which an attempt that starts now has left: it is held, and its connection comes up
-	resendMS              = 120   // base of the backoff for messages that were not answered
-	pollMS                = 150   // between two looks at a request that another controller owns
-	ageUncertaintyMS      = 1000  // by which an age that a peer reports may be too low: the longest time in transit
-	shutdownGraceMS       = 2000  // after which a controller that shuts down answers the requests that still wait
-	answerMarginMS        = 60    // before its deadline a waiting request is answered
-	adoptionGatherMS      = 1000  // for which a successor puts off adoption until it knows all that it has claimed
-	claimRetentionMS      = 3000  // for which a claim stays for replicas that have not acknowledged what was adopted
-	proposalRetryMS       = 400   // between two proposals of the same change, and between two successors' claims
-	adoptionScanMS        = 1000  // between two looks at what of a claim is still to be adopted
-	queryTimeoutMS        = 800   // after which a query that too few replicas have answered is answered as unknown
-	jitterMS              = 100   // keeps controllers that want the same key out of step
-	unknownAttemptTime    = -1e12 // stands for the time of an attempt that nobody can tell
-	neverFetched          = -1e9  // as the time of a fetch: it is due at once
+	// registrationTimeoutMS limits a registration: long enough for a stalled replica, too short for two elections.
+	registrationTimeoutMS = 1000
+	// holdTimeoutMS limits how long an attempt or a rejection waits for a quorum.
+	holdTimeoutMS = 300
+	// sendAllowanceMS is the time within which a starting attempt is sent: it is held, and its connection is opened.
+	sendAllowanceMS = 600
+	// resendMS is the base of the backoff for messages that were not acknowledged.
+	resendMS = 120
+	// pollMS is the interval between two queries for a request that another controller owns.
+	pollMS = 150
+	// ageUncertaintyMS is how much too low an age reported by a peer may be: the longest time in transit.
+	ageUncertaintyMS = 1000
+	// shutdownGraceMS is how long suspended requests keep waiting after a shutdown began.
+	shutdownGraceMS = 2000
+	// answerMarginMS is how long before its deadline a waiting request is answered.
+	answerMarginMS = 60
+	// adoptionGatherMS is how long a successor delays adoption until it has fetched everything that it claimed.
+	adoptionGatherMS = 1000
+	// claimRetentionMS is how long a claim is kept for replicas that have not acknowledged the adoption of a request.
+	claimRetentionMS = 3000
+	// proposalRetryMS is the interval between two proposals of the same change, and between two successors' claims.
+	proposalRetryMS = 400
+	// adoptionScanMS is the interval between two scans for requests of a claim that are still to be adopted.
+	adoptionScanMS = 1000
+	// queryTimeoutMS limits how long an outcome query waits for replies before it is answered with what is known.
+	queryTimeoutMS = 800
+	// jitterMS is the largest random delay of a poll, so that controllers waiting for the same key do not synchronize.
+	jitterMS = 100
+	// unknownAttemptTime is the time of an attempt that started at an unknown time.
+	unknownAttemptTime = -1e12
+	// neverFetched is the time of the last fetch before the first one, which is then due at once.
+	neverFetched = -1e9
 )
 
 const (
 	maxWithdrawals = 8192
-	maxCloseSends  = 40 // of the close of a request that replicas do not answer
-	maxTransfers   = 8  // partitions that are copied at a time
-	maxProposals   = 4 * placement.PartitionCount
-	pageBytes      = 256 << 10
-	pageItems      = 256
-	pageItemBytes  = 200      // of an item besides body and answer, as estimated
-	replyPages     = 4        // pages in the reply to one batch
-	maxCopyBytes   = 64 << 20 // of bodies and answers that a replica stores
-	idReplicas     = 2        // replicas that store which key an id stands for
+	// maxCloseSends limits how often the close of a request is sent to replicas that do not acknowledge it.
+	maxCloseSends = 40
+	// maxTransfers limits how many partitions are copied at a time.
+	maxTransfers = 8
+	maxProposals = 4 * placement.PartitionCount
+	pageBytes    = 256 << 10
+	pageItems    = 256
+	// pageItemBytes is the estimated size of a copy in a page without its body and answer.
+	pageItemBytes = 200
+	// replyPages is the number of full pages that fit into the reply to one batch.
+	replyPages = 4
+	// maxCopyBytes limits the bodies and answers that a replica stores.
+	maxCopyBytes = 64 << 20
+	// idMappingReplicas is the number of replicas that store which idempotency key a request id belongs to.
+	idMappingReplicas = 2
 )
 
 const (
-	defaultAdoptAtOnce    = 64
-	defaultMaxCopies      = 200000
-	defaultMaxAnswerBytes = 4096
-	defaultKeyRetentionMS = 600000
-	defaultCopyAfterMS    = 50
+	defaultMaxAdoptionsInFlight = 64
+	defaultMaxCopies            = 200000
+	defaultMaxAnswerBytes       = 4096
+	defaultKeyRetentionMS       = 600000
+	defaultCopyAfterMS          = 50
 )
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -10,22 +10,23 @@
 	"liftshift/scheduler"
 )
 
-// requestClass is what the settings say of one class of requests.
+// requestClass holds the settings of one class of requests.
 type requestClass struct {
 	name          string
 	effect        scheduler.Effect
-	dedupWindowMS float64
-	adoptable     bool // a successor goes on with open requests of it
+	dedupWindowMS float64 // for which executors drop repeats of a keyed request
+	adoptable     bool    // a successor continues open requests of the class
 }
 
-// replicated reports whether requests of the class are registered with replicas before any attempt is made.
+// replicated reports whether requests of the class are registered with replicas before their first attempt.
 func (c *requestClass) replicated() bool { return c.effect != scheduler.Idempotent }
 
-// Manager replicates and adopts open requests for one controller. It is not safe for concurrent use.
+// Manager replicates the open requests of one controller, stores copies for others, and adopts requests of lost
+// owners. It is not safe for concurrent use.
 type Manager struct {
 	self                Member
 	classes             []requestClass
-	quorumLossMS        float64 // for which keys of a partition without quorum are rejected
+	quorumLossMS        float64 // how long a partition must lack a quorum before it is reinitialized
 	keyRetentionMS      float64
 	maxAnswerBytes      int
 	maxCopies           int
@@ -35,59 +36,59 @@
 	retryBudget         scheduler.RetryBudget // for idempotent requests that are run again
 	pacer               pacer
 	seed                uint32
-	draws               uint64
+	randomDraws         uint64 // how many random numbers have been drawn from seed
 
 	now          float64
 	leaseHeld    bool
 	shuttingDown bool
 	shutdownAt   float64
 	effects      []Effect
-	outgoing     map[string]*Batch // sent at the end of this step, by member
-	loopback     []exchange        // messages to this controller's own replica
+	outgoing     map[string]*Batch // batches sent at the end of the step, by member
+	loopback     []loopbackMessage
 
-	// The agreed state.
+	// The state agreed on by the consensus group.
 	members map[string]*placement.Member
 	table   *placement.Table
 
-	// The replica's state.
+	// The state of this controller as a replica.
 	copies       map[Key]*storedCopy
-	copyBytes    int // of bodies and answers
+	copyBytes    int // total size of the stored bodies and answers
 	openByOwner  map[Member]*ownerCopies
-	expiryWheel  map[int64][]Key // by the second in which they may expire
-	sweptUpTo    int64
+	expiryWheel  map[int64][]Key // by the second in which the copies may expire
+	sweptUpTo    int64           // the second up to which the expiry wheel has been processed
 	transfers    map[int]*partitionTransfer
-	lostOwners   map[Member]float64      // since when their loss is known here
-	proposals    map[proposalKey]float64 // when they were last proposed
+	lostOwners   map[Member]float64      // when this controller learned that the owner is lost
+	proposals    map[proposalKey]float64 // when the change was last proposed
 	quorumLostAt map[int]float64         // by partition
 
-	// The owner's state.
+	// The state of this controller as an owner.
 	owned           map[Key]*ownedRequest
 	ownedByID       map[string]*ownedRequest
-	unacknowledged  []*ownedRequest // their latest message has not been answered by all replicas
+	unacknowledged  []*ownedRequest // requests whose latest message not all replicas have acknowledged
 	withdrawals     []*withdrawal
 	withdrawalsByID map[withdrawalID]*withdrawal
 	waiting         []*waitingRequest
-	recent          []recentRequest
+	recent          []recentRequest     // idempotent requests that are not due to be copied, in the order of arrival
 	recentOpen      map[string]struct{} // ids of recent requests that are open
 	queries         []*outcomeQuery
 
-	// The successor's state.
+	// The state of this controller as a successor.
 	inherited         []*inheritedPartition
 	adoptionQueue     []*orphanedRequest
 	queuedForAdoption map[Key]struct{}
 	adoptionsInFlight int
-	reruns            []float64 // when idempotent requests were run again
-	arrivals          []float64 // when requests of this controller's own clients arrived
+	reruns            []float64 // when idempotent requests were run again, within the window of the retry budget
+	arrivals          []float64 // when requests of this controller's own clients arrived, within the same window
 
 	counts Counts
 }
 
-// exchange is a message to this controller's own replica and the reply.
-type exchange struct {
+// loopbackMessage is a message from this controller to its own replica, with the reply.
+type loopbackMessage struct {
 	sent, reply Item
 }
 
-// proposalKey tells proposals apart.
+// proposalKey identifies a proposal, so that it is not repeated too soon.
 type proposalKey struct {
 	kind        ProposalKind
 	name        string
@@ -95,7 +96,7 @@
 	partitions  uint32
 }
 
-// New returns the manager of a controller.
+// New returns the Manager of the controller self. The seed determines its random numbers.
 func New(self Member, settings Settings, seed uint32) *Manager {
 	m := &Manager{
 		self:                self,
@@ -107,22 +108,25 @@
 		sendWithoutReplicas: settings.SendWithoutReplicas,
 		maxRetryAfterMS:     settings.RetryAfterMS,
 		retryBudget:         settings.RetryBudget,
-		pacer:               pacer{maxInFlight: float64(settings.MaxAdoptionsInFlight), started: map[string]pacedRequest{}},
-		seed:                seed,
-		outgoing:            map[string]*Batch{},
-		members:             map[string]*placement.Member{},
-		copies:              map[Key]*storedCopy{},
-		openByOwner:         map[Member]*ownerCopies{},
-		expiryWheel:         map[int64][]Key{},
-		transfers:           map[int]*partitionTransfer{},
-		lostOwners:          map[Member]float64{},
-		proposals:           map[proposalKey]float64{},
-		quorumLostAt:        map[int]float64{},
-		owned:               map[Key]*ownedRequest{},
-		ownedByID:           map[string]*ownedRequest{},
-		withdrawalsByID:     map[withdrawalID]*withdrawal{},
-		recentOpen:          map[string]struct{}{},
-		queuedForAdoption:   map[Key]struct{}{},
+		pacer: pacer{
+			maxInFlight: float64(settings.MaxAdoptionsInFlight),
+			started:     map[string]pacedRequest{},
+		},
+		seed:              seed,
+		outgoing:          map[string]*Batch{},
+		members:           map[string]*placement.Member{},
+		copies:            map[Key]*storedCopy{},
+		openByOwner:       map[Member]*ownerCopies{},
+		expiryWheel:       map[int64][]Key{},
+		transfers:         map[int]*partitionTransfer{},
+		lostOwners:        map[Member]float64{},
+		proposals:         map[proposalKey]float64{},
+		quorumLostAt:      map[int]float64{},
+		owned:             map[Key]*ownedRequest{},
+		ownedByID:         map[string]*ownedRequest{},
+		withdrawalsByID:   map[withdrawalID]*withdrawal{},
+		recentOpen:        map[string]struct{}{},
+		queuedForAdoption: map[Key]struct{}{},
 	}
 	for _, c := range settings.Classes {
 		class := requestClass{name: c.Name, effect: c.Effect, dedupWindowMS: c.DedupWindowMS}
@@ -136,13 +140,13 @@
 	return m
 }
 
-// random draws from [0, 1). The same seed gives the same draws.
+// random returns a number in [0, 1). The same seed gives the same sequence of numbers.
 func (m *Manager) random() float64 {
-	m.draws++
-	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", m.seed, m.draws))) / (1 << 32)
+	m.randomDraws++
+	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", m.seed, m.randomDraws))) / (1 << 32)
 }
 
-// class returns the class of a name, or nil.
+// class returns the settings of the named class, or nil if there is none.
 func (m *Manager) class(name string) *requestClass {
 	if i := m.classIndex(name); i >= 0 {
 		return &m.classes[i]
@@ -150,19 +154,22 @@
 	return nil
 }
 
-// classIndex returns the index of a class among those of the settings, or -1.
+// classIndex returns the index of the named class in the settings, or -1.
 func (m *Manager) classIndex(name string) int {
 	return slices.IndexFunc(m.classes, func(c requestClass) bool { return c.name == name })
 }
 
-func (m *Manager) emit(f Effect) {
-	if f.Kind == AnswerSuspended || f.Kind == CancelLocal {
-		m.pacer.forget(f.ID)
+// emit adds an effect to those that Step returns. The pacer stops timing a request that ends without an outcome of its
+// own.
+func (m *Manager) emit(effect Effect) {
+	if effect.Kind == AnswerSuspended || effect.Kind == CancelLocal {
+		m.pacer.forget(effect.ID)
 	}
-	m.effects = append(m.effects, f)
+	m.effects = append(m.effects, effect)
 }
 
-// Step takes one event at the caller's clock in ms. The returned effects are valid until the next call.
+// Step processes one event and returns the effects to carry out. Now is the caller's clock in ms. The returned slice
+// is valid until the next call.
 func (m *Manager) Step(now float64, ev *Event) []Effect {
 	m.effects = m.effects[:0]
 	m.now = max(m.now, now)
@@ -213,12 +220,13 @@
 	}
 }
 
-// flush handles the replies of this controller's own replica and sends what is outgoing.
+// flush processes the replies of this controller's own replica, and sends the outgoing batches in the order of their
+// receivers' names.
 func (m *Manager) flush() {
 	for len(m.loopback) > 0 {
-		x := m.loopback[0]
+		message := m.loopback[0]
 		m.loopback = m.loopback[1:]
-		m.handleReply(m.self, &x.sent, &x.reply)
+		m.handleReply(m.self, &message.sent, &message.reply)
 	}
 	names := make([]string, 0, len(m.outgoing))
 	for name := range m.outgoing {
@@ -233,11 +241,11 @@
 	}
 }
 
-// send sends an item to a member, which may be this controller itself.
-func (m *Manager) send(name string, it Item) {
+// send queues an item for a member. An item for this controller itself is processed at once, and its reply is queued.
+func (m *Manager) send(name string, item Item) {
 	if name == m.self.Name {
-		reply := m.handleItem(m.self, &it)
-		m.loopback = append(m.loopback, exchange{it, reply})
+		reply := m.handleItem(m.self, &item)
+		m.loopback = append(m.loopback, loopbackMessage{item, reply})
 		return
 	}
 	batch := m.outgoing[name]
@@ -245,20 +253,20 @@
 		batch = &Batch{From: m.self, Version: m.table.Version}
 		m.outgoing[name] = batch
 	}
-	if it.Op == OpAdopt || it.Op == OpFetch { // the receiver must know who is lost and who claimed what
+	if item.Op == OpAdopt || item.Op == OpFetch { // the receiver must know the lost owners and the claims
 		batch.PlacementStep = m.table.Step
 	}
-	batch.Items = append(batch.Items, it)
+	batch.Items = append(batch.Items, item)
 }
 
 // sendToReplicas sends an item to all replicas of its key's partition.
-func (m *Manager) sendToReplicas(it Item) {
-	for _, name := range m.replicaNames(it.Key.Partition()) {
-		m.send(name, it)
+func (m *Manager) sendToReplicas(item Item) {
+	for _, name := range m.replicaNames(item.Key.Partition()) {
+		m.send(name, item)
 	}
 }
 
-// applyPlacement takes the agreed members and table.
+// applyPlacement installs the members and the table that the consensus group agreed on, unless they are out of date.
 func (m *Manager) applyPlacement(ev *Event) {
 	if m.table != nil && ev.Table.Step <= m.table.Step {
 		return
@@ -275,7 +283,7 @@
 	m.updateLostOwners()
 	m.updateInherited()
 	m.renewRegistrations()
-	if versionChanged { // acknowledgements count in one version alone
+	if versionChanged { // acknowledgements are valid only for the table version that they were given in
 		for _, req := range m.unacknowledged {
 			req.refusals = req.refusals[:0]
 			req.sentAt = 0
@@ -288,6 +296,7 @@
 	m.followPlacement()
 }
 
+// tick does the periodic work of all roles: expiry, resends, polls, and whatever the agreed table calls for.
 func (m *Manager) tick() {
 	m.expireCopies()
 	m.pacer.tick(m.now, len(m.adoptionQueue) > 0 || m.adoptionsInFlight > 0)
@@ -303,7 +312,8 @@
 	m.expireQueries()
 }
 
-// followPlacement does what the agreed table calls for: transfers, claims and adoption.
+// followPlacement advances the work that follows from the agreed table: transfers, claims, adoptions, and the
+// reinitialization of partitions.
 func (m *Manager) followPlacement() {
 	m.runTransfers()
 	m.claimOrphans()
@@ -312,7 +322,7 @@
 	m.reinitializePartitions()
 }
 
-// propose asks the consensus group to agree on a change, at most once in proposalRetryMS.
+// propose asks the consensus group to agree on a change, at most once per proposalRetryMS.
 func (m *Manager) propose(kind ProposalKind, claim placement.AdoptionClaim, version uint64) {
 	if !m.leaseHeld {
 		return
@@ -328,7 +338,7 @@
 	m.emit(Effect{Kind: Propose, Proposal: kind, Claim: claim, Version: version})
 }
 
-// Counts returns the counters.
+// Counts returns the counters, with the current numbers of copies and requests.
 func (m *Manager) Counts() Counts {
 	c := m.counts
 	c.CopiesStored = len(m.copies)
@@ -340,11 +350,11 @@
 	return c
 }
 
-// Table returns the agreed table as far as it is known here, or nil.
+// Table returns the latest agreed table known here, or nil if there is none.
 func (m *Manager) Table() *placement.Table { return m.table }
 
-// moreRecent reports whether a copy says more than another of the same key. One that may have run goes before one that cannot have; else
-// the higher sequence counts, and of equal ones the one that knows that the request ran.
+// moreRecent reports whether copy a supersedes copy b of the same key. A request that may have run takes precedence
+// over one that cannot have, then the higher sequence does, and then the copy that records a successful run.
 func moreRecent(a, b *Copy) bool {
 	return cmp.Or(
 		cmp.Compare(min(a.RunState, MayHaveRun), min(b.RunState, MayHaveRun)),
--- a/internal/handoff/manager_test.go
+++ b/internal/handoff/manager_test.go
@@ -8,191 +8,196 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A key that another controller owns is not begun a second time, wherever it comes, and its answer goes to all that wait.
+// Concurrent requests with one idempotency key must run once, and all of them get its answer.
 func TestManager_RunsKeyOnceForConcurrentCallers(t *testing.T) {
-	c := newCluster(t, 5, 2, nil)
-	c.arrive(0, "keyed", "a", "m")
-	require.Len(t, c.effectsFor(0, Resume, "a"), 1)
-	c.arrive(1, "keyed", "b", "m")
-	c.arrive(2, "keyed", "c", "m")
-	c.arrive(0, "keyed", "d", "m")
-	c.tick(1000)
+	cluster := newCluster(t, 5, 2, nil)
+	cluster.arrive(0, "keyed", "a", "m")
+	require.Len(t, cluster.effectsFor(0, Resume, "a"), 1)
+	cluster.arrive(1, "keyed", "b", "m")
+	cluster.arrive(2, "keyed", "c", "m")
+	cluster.arrive(0, "keyed", "d", "m")
+	cluster.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
-		assert.Empty(t, append(c.effectsFor(k, Resume, id), c.effectsFor(k, AnswerSuspended, id)...), id)
+		effects := append(cluster.effectsFor(k, Resume, id), cluster.effectsFor(k, AnswerSuspended, id)...)
+		assert.Empty(t, effects, "request %s does not wait for the owner of its key", id)
 	}
-	assert.True(t, c.attempt(0, "a"))
-	assert.False(t, c.finish(0, "a", Succeeded, "rows"), "its answer is not withheld")
-	c.tick(1000)
+	assert.True(t, cluster.attempt(0, "a"))
+	assert.False(t, cluster.finish(0, "a", Succeeded, "rows"), "the answer of an owner with a lease is withheld")
+	cluster.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
-		require.Len(t, c.effectsFor(k, AnswerSuspended, id), 1, id)
-		assert.Equal(t, []any{Succeeded, "rows"}, []any{c.effectsFor(k, AnswerSuspended, id)[0].Outcome, string(c.effectsFor(k, AnswerSuspended, id)[0].Answer)})
+		answers := cluster.effectsFor(k, AnswerSuspended, id)
+		require.Len(t, answers, 1, "answers to request %s", id)
+		assert.Equal(t, []any{Succeeded, "rows"}, []any{answers[0].Outcome, string(answers[0].Answer)})
 	}
-	c.checkCounts()
+	cluster.checkCounts()
 }
 
-// An attempt leaves once a quorum knows of it, not before, and not at all where there is none.
+// An attempt must not be sent before a quorum has stored it, and fails if no quorum does in time.
 func TestManager_HoldsAttemptsUntilQuorum(t *testing.T) {
-	c := newCluster(t, 5, 2, nil)
-	c.arrive(0, "keyed", "a", "m")
+	cluster := newCluster(t, 5, 2, nil)
+	cluster.arrive(0, "keyed", "a", "m")
 	reached := map[int]bool{}
-	c.drops = func(_, to int, it *Item) bool { return it.Op == OpAttempt && !reached[to] }
-	assert.False(t, c.attempt(0, "a"), "one of five is no quorum")
+	cluster.drops = func(_, to int, item *Item) bool { return item.Op == OpAttempt && !reached[to] }
+	assert.False(t, cluster.attempt(0, "a"), "one replica of five is not a quorum")
 	reached[1] = true
-	c.tick(200)
-	assert.Empty(t, c.effectsFor(0, ReleaseAttempt, "a"), "two are no quorum")
+	cluster.tick(200)
+	assert.Empty(t, cluster.effectsFor(0, ReleaseAttempt, "a"), "two replicas of five are not a quorum")
 	reached[2] = true
-	c.tick(100)
-	assert.Len(t, c.effectsFor(0, ReleaseAttempt, "a"), 1)
-	c.arrive(0, "keyed", "b", "m2")
-	c.drops = func(_, _ int, it *Item) bool { return it.Op == OpAttempt }
-	assert.False(t, c.attempt(0, "b"))
-	c.tick(500)
-	assert.Len(t, c.effectsFor(0, FailAttempt, "b"), 1)
-	c.step(0, &Event{Kind: AttemptEnded, ID: "b", NeverRan: true})
-	c.drops = nil
-	c.finish(0, "b", Rejected, "")
-	c.tick(1000)
-	c.arrive(3, "keyed", "c", "m2")
-	require.Len(t, c.effectsFor(3, Resume, "c"), 1)
-	assert.Zero(t, c.effectsFor(3, Resume, "c")[0].Prior, "no attempt of it ever left")
+	cluster.tick(100)
+	assert.Len(t, cluster.effectsFor(0, ReleaseAttempt, "a"), 1)
+	cluster.arrive(0, "keyed", "b", "m2")
+	cluster.drops = func(_, _ int, item *Item) bool { return item.Op == OpAttempt }
+	assert.False(t, cluster.attempt(0, "b"))
+	cluster.tick(500)
+	assert.Len(t, cluster.effectsFor(0, FailAttempt, "b"), 1)
+	cluster.step(0, &Event{Kind: AttemptEnded, ID: "b", NeverRan: true})
+	cluster.drops = nil
+	cluster.finish(0, "b", Rejected, "")
+	cluster.tick(1000)
+	cluster.arrive(3, "keyed", "c", "m2")
+	require.Len(t, cluster.effectsFor(3, Resume, "c"), 1)
+	assert.Zero(t, cluster.effectsFor(3, Resume, "c")[0].Prior, "no attempt of the key was sent before")
 }
 
-// A rejection of a non-idempotent request waits until no successor can go on with it; what was only registered is never sent by one.
+// A non-idempotent request must not be sent by a successor after its owner rejected it, or if its owner never learned
+// that it was registered.
 func TestManager_WithholdsRejectionOfNonIdempotentUntilQuorum(t *testing.T) {
-	c := newCluster(t, 6, 2, nil)
-	c.arrive(0, "once", "a", "")
+	cluster := newCluster(t, 6, 2, nil)
+	cluster.arrive(0, "once", "a", "")
 	unreachable := true
-	c.drops = func(_, _ int, it *Item) bool { return unreachable && it.Op == OpClose }
-	assert.True(t, c.finish(0, "a", Rejected, ""))
-	assert.Empty(t, c.effectsFor(0, DeliverAnswer, "a"))
+	cluster.drops = func(_, _ int, item *Item) bool { return unreachable && item.Op == OpClose }
+	assert.True(t, cluster.finish(0, "a", Rejected, ""))
+	assert.Empty(t, cluster.effectsFor(0, DeliverAnswer, "a"))
 	unreachable = false
-	c.tick(200)
-	require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
-	assert.Equal(t, Rejected, c.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
-	// A request is registered by a quorum, and its owner never learns of that: it rejects it, and is lost.
-	c.drops = func(_, _ int, it *Item) bool { return it.Op == OpAttempt || it.Op == OpWithdraw }
-	c.arrive(0, "once", "b", "")
-	c.managers[0].owned[KeyOf("", "b")].phase = phaseDone
-	c.drops = nil
-	c.lose(0)
-	c.tick(2000)
-	assert.Empty(t, c.adopters("b"))
+	cluster.tick(200)
+	require.Len(t, cluster.effectsFor(0, DeliverAnswer, "a"), 1)
+	assert.Equal(t, Rejected, cluster.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
+	// The owner never learns that a quorum has registered the request, rejects the request, and is then lost.
+	cluster.drops = func(_, _ int, item *Item) bool { return item.Op == OpAttempt || item.Op == OpWithdraw }
+	cluster.arrive(0, "once", "b", "")
+	cluster.managers[0].owned[KeyOf("", "b")].phase = phaseDone
+	cluster.drops = nil
+	cluster.lose(0)
+	cluster.tick(2000)
+	assert.Empty(t, cluster.adopters("b"))
 }
 
-// A key that comes again after its outcome was uncertain goes on while it is surely known as a repeat, and no longer.
+// A key whose earlier attempt may have run must run again only while executors are sure to drop the repeat.
 func TestManager_ReusedKeyWithinAndPastWindow(t *testing.T) {
-	c := newCluster(t, 5, 2, nil)
-	c.arrive(0, "keyed", "a", "m")
-	require.True(t, c.attempt(0, "a"))
-	c.finish(0, "a", Failed, "")
-	c.tick(500)
-	c.arrive(2, "keyed", "b", "m")
-	require.Len(t, c.effectsFor(2, Resume, "b"), 1)
-	assert.NotZero(t, c.effectsFor(2, Resume, "b")[0].Prior.At)
-	c.finish(2, "b", Failed, "")
-	c.tick(19_000)
-	c.arrive(3, "keyed", "c", "m")
-	require.Len(t, c.effectsFor(3, AnswerSuspended, "c"), 1)
-	assert.Equal(t, Failed, c.effectsFor(3, AnswerSuspended, "c")[0].Outcome)
+	cluster := newCluster(t, 5, 2, nil)
+	cluster.arrive(0, "keyed", "a", "m")
+	require.True(t, cluster.attempt(0, "a"))
+	cluster.finish(0, "a", Failed, "")
+	cluster.tick(500)
+	cluster.arrive(2, "keyed", "b", "m")
+	require.Len(t, cluster.effectsFor(2, Resume, "b"), 1)
+	assert.NotZero(t, cluster.effectsFor(2, Resume, "b")[0].Prior.At)
+	cluster.finish(2, "b", Failed, "")
+	cluster.tick(19_000)
+	cluster.arrive(3, "keyed", "c", "m")
+	require.Len(t, cluster.effectsFor(3, AnswerSuspended, "c"), 1)
+	assert.Equal(t, Failed, cluster.effectsFor(3, AnswerSuspended, "c")[0].Outcome)
 }
 
-// A request that could not be registered is rejected; replicas that missed its withdrawal receive it later: whoever comes again
-// with its key is not held up by one that nobody has.
+// A withdrawal must reach replicas that missed it at first. Otherwise later requests with the key wait for a request
+// that was rejected.
 func TestManager_WithdrawsRegistrationEverywhere(t *testing.T) {
-	c := newCluster(t, 6, 2, nil)
-	c.drops = func(_, to int, it *Item) bool { return to != 1 && it.Op == OpRegister || it.Op == OpWithdraw } // no quorum, and no withdrawal arrives
-	c.arrive(0, "keyed", "a", "m")
-	c.tick(1500)
-	require.Len(t, c.effectsFor(0, AnswerSuspended, "a"), 1)
-	assert.Equal(t, Rejected, c.effectsFor(0, AnswerSuspended, "a")[0].Outcome)
-	c.drops = nil
-	c.tick(3000)
-	for k := range c.managers {
-		assert.Nil(t, c.managers[k].copies[KeyOf("m", "")], "n%d", k)
-		assert.Empty(t, c.managers[k].withdrawals, "n%d", k)
-		assert.Empty(t, c.managers[k].withdrawalsByID, "n%d", k)
+	cluster := newCluster(t, 6, 2, nil)
+	cluster.drops = func(_, to int, item *Item) bool {
+		return to != 1 && item.Op == OpRegister || item.Op == OpWithdraw // no quorum, and no withdrawal arrives
 	}
-	c.arrive(3, "keyed", "b", "m")
-	assert.Len(t, c.effectsFor(3, Resume, "b"), 1, "it goes on at once")
-	c.checkCounts()
+	cluster.arrive(0, "keyed", "a", "m")
+	cluster.tick(1500)
+	require.Len(t, cluster.effectsFor(0, AnswerSuspended, "a"), 1)
+	assert.Equal(t, Rejected, cluster.effectsFor(0, AnswerSuspended, "a")[0].Outcome)
+	cluster.drops = nil
+	cluster.tick(3000)
+	for k := range cluster.managers {
+		assert.Nil(t, cluster.managers[k].copies[KeyOf("m", "")], "n%d still stores the copy", k)
+		assert.Empty(t, cluster.managers[k].withdrawals, "n%d still has a withdrawal", k)
+		assert.Empty(t, cluster.managers[k].withdrawalsByID, "n%d still indexes a withdrawal", k)
+	}
+	cluster.arrive(3, "keyed", "b", "m")
+	assert.Len(t, cluster.effectsFor(3, Resume, "b"), 1, "the request with the withdrawn key is not resumed at once")
+	cluster.checkCounts()
 }
 
-// Whoever registers a key that may have run learns of that, however often it has to ask: the replies to its first registration are lost, and
-// it is no replica itself. It must not go on as if the key were new.
+// A controller that resends a registration must still learn of an earlier attempt of the key, although the replies to
+// the first registration were lost and the controller is not a replica itself.
 func TestManager_RepeatsEarlierAttemptOnEachRegistration(t *testing.T) {
-	c := newCluster(t, 6, 2, nil)
+	cluster := newCluster(t, 6, 2, nil)
 	resumed := 0
 	for n := range 40 {
 		key := fmt.Sprint("m", n)
-		partition, owner, asker := KeyOf(key, "").Partition(), -1, -1
-		for k := range c.managers {
-			if c.managers[k].isReplica(partition) {
+		partition, owner, other := KeyOf(key, "").Partition(), -1, -1
+		for k := range cluster.managers {
+			if cluster.managers[k].isReplica(partition) {
 				owner = k
 			} else {
-				asker = k
+				other = k
 			}
 		}
 		id := "a" + key
-		c.arrive(owner, "keyed", id, key)
-		require.True(t, c.attempt(owner, id))
-		c.finish(owner, id, Failed, "")
-		c.tick(300)
-		c.dropAcks = true
-		c.arrive(asker, "keyed", "b"+key, key)
-		c.tick(100)
-		c.dropAcks = false
-		c.tick(600)
-		for _, f := range c.effectsFor(asker, Resume, "b"+key) {
+		cluster.arrive(owner, "keyed", id, key)
+		require.True(t, cluster.attempt(owner, id))
+		cluster.finish(owner, id, Failed, "")
+		cluster.tick(300)
+		cluster.dropAcks = true
+		cluster.arrive(other, "keyed", "b"+key, key)
+		cluster.tick(100)
+		cluster.dropAcks = false
+		cluster.tick(600)
+		for _, effect := range cluster.effectsFor(other, Resume, "b"+key) {
 			resumed++
-			assert.NotZero(t, f.Prior.At, "it goes on as if it were new")
+			assert.NotZero(t, effect.Prior.At, "the request is resumed without the earlier attempt of its key")
 		}
 	}
-	assert.NotZero(t, resumed)
+	assert.NotZero(t, resumed, "no request was resumed")
 }
 
-// Queries by id or key are answered wherever they are asked; what nobody knows is reported as unknown.
+// Any member must answer outcome queries by id or idempotency key, and report unknown requests as Unknown.
 func TestManager_AnswersOutcomeQueries(t *testing.T) {
-	c := newCluster(t, 6, 2, nil)
-	c.arrive(0, "keyed", "a", "m")
+	cluster := newCluster(t, 6, 2, nil)
+	cluster.arrive(0, "keyed", "a", "m")
 	query := func(k int, id, key string) Effect {
-		c.effects[k][ReplyOutcome] = nil
-		c.step(k, &Event{Kind: OutcomeQueried, ID: id, IdempotencyKey: key, Token: 7})
-		c.tick(1000)
-		require.Len(t, c.effects[k][ReplyOutcome], 1)
-		return c.effects[k][ReplyOutcome][0]
+		cluster.effects[k][ReplyOutcome] = nil
+		cluster.step(k, &Event{Kind: OutcomeQueried, ID: id, IdempotencyKey: key, Token: 7})
+		cluster.tick(1000)
+		require.Len(t, cluster.effects[k][ReplyOutcome], 1)
+		return cluster.effects[k][ReplyOutcome][0]
 	}
 	assert.Equal(t, Open, query(5, "", "m").Outcome)
-	assert.Equal(t, "n0", query(5, "a", "").Owner, "by its id, too")
-	require.True(t, c.attempt(0, "a"))
-	c.finish(0, "a", Succeeded, "rows")
+	assert.Equal(t, "n0", query(5, "a", "").Owner, "the owner is not found by the request id")
+	require.True(t, cluster.attempt(0, "a"))
+	cluster.finish(0, "a", Succeeded, "rows")
 	for k := range 6 {
-		f := query(k, "a", "")
-		assert.Equal(t, []any{Succeeded, "rows"}, []any{f.Outcome, string(f.Answer)})
+		reply := query(k, "a", "")
+		assert.Equal(t, []any{Succeeded, "rows"}, []any{reply.Outcome, string(reply.Answer)})
 		assert.Equal(t, Unknown, query(k, "b", "").Outcome)
 	}
 }
 
-// An idempotent request is copied only if it takes long, and run again only within the retry budget.
+// Idempotent requests must be copied only after CopyAfterMS, and be run again only within the retry budget.
 func TestManager_CopiesLongRunningIdempotentWithinBudget(t *testing.T) {
-	c := newCluster(t, 5, 2, func(s *Settings) { s.RetryBudget.Floor, s.RetryBudget.Share = 2, 0 })
+	cluster := newCluster(t, 5, 2, func(s *Settings) { s.RetryBudget.Floor, s.RetryBudget.Share = 2, 0 })
 	for k := range 6 {
-		c.arrive(0, "idempotent", fmt.Sprint("s", k), "")
+		cluster.arrive(0, "idempotent", fmt.Sprint("s", k), "")
 	}
-	c.step(0, &Event{Kind: RequestClosed, ID: "s0", Outcome: Succeeded})
+	cluster.step(0, &Event{Kind: RequestClosed, ID: "s0", Outcome: Succeeded})
 	for k := 1; k < 5; k++ {
-		assert.Zero(t, c.managers[k].Counts().CopiesStored, "nothing yet")
+		assert.Zero(t, cluster.managers[k].Counts().CopiesStored, "a request is copied before CopyAfterMS")
 	}
-	c.tick(200)
-	c.lose(0)
-	c.tick(2000)
-	assert.Empty(t, c.adopters("s0"))
-	again := 0
+	cluster.tick(200)
+	cluster.lose(0)
+	cluster.tick(2000)
+	assert.Empty(t, cluster.adopters("s0"))
+	reruns := 0
 	for k := 1; k < 6; k++ {
-		again += len(c.adopters(fmt.Sprint("s", k)))
+		reruns += len(cluster.adopters(fmt.Sprint("s", k)))
 	}
-	assert.Positive(t, again)
+	assert.Positive(t, reruns, "no request was run again")
 	for k := 1; k < 5; k++ {
-		assert.LessOrEqual(t, len(c.effects[k][Adopt]), 2)
+		assert.LessOrEqual(t, len(cluster.effects[k][Adopt]), 2, "n%d exceeds the retry budget", k)
 	}
-	c.checkCounts()
+	cluster.checkCounts()
 }
--- a/internal/handoff/recent.go
+++ b/internal/handoff/recent.go
@@ -1,12 +1,12 @@
 package handoff
 
-// recentRequest is an idempotent request that is copied if it takes long.
+// recentRequest is an idempotent request that is copied to replicas if it is still open after copyAfterMS.
 type recentRequest struct {
 	arrivedAt float64
 	copy      Copy
 }
 
-// trackRecent remembers an idempotent request that may have to be copied.
+// trackRecent records an arriving idempotent request, so that it can be copied later.
 func (m *Manager) trackRecent(c *Copy) {
 	if m.copyAfterMS > 0 && m.hasPlacement() && len(m.recent) < m.maxCopies {
 		m.recent = append(m.recent, recentRequest{m.now, *c})
@@ -14,7 +14,8 @@
 	}
 }
 
-// copyLongRunning sends copies of idempotent requests that have taken long, and forgets arrivals that the retry budget no longer counts.
+// copyLongRunning sends copies of idempotent requests that have been open for copyAfterMS, and drops the arrival times
+// that have left the window of the retry budget.
 func (m *Manager) copyLongRunning() {
 	due := 0
 	for due < len(m.recent) && m.now >= m.recent[due].arrivedAt+m.copyAfterMS {
@@ -29,14 +30,21 @@
 	m.arrivals = after(m.arrivals, m.now-m.retryBudget.WindowMS)
 }
 
-// copyRecent sends copies of an idempotent request that is still open. Nothing waits for them.
+// copyRecent sends copies of an idempotent request to replicas if it is still open. Nothing waits for acknowledgements.
 func (m *Manager) copyRecent(c *Copy) {
 	key := KeyOf("", c.ID)
 	if _, open := m.recentOpen[c.ID]; !open || m.owned[key] != nil || len(m.owned) >= m.maxCopies {
 		return
 	}
 	delete(m.recentOpen, c.ID)
-	req := &ownedRequest{Copy: *c, key: key, phase: phaseActive, bestEffort: true, startedAt: m.now, sentAt: m.now}
+	req := &ownedRequest{
+		Copy:       *c,
+		key:        key,
+		phase:      phaseActive,
+		bestEffort: true,
+		startedAt:  m.now,
+		sentAt:     m.now,
+	}
 	req.Owner = m.self
 	req.Sequence = 1
 	req.Complete = true
@@ -46,7 +54,8 @@
 	req.sends = 1
 }
 
-// after drops the times before one from an ascending list; of an empty list nothing is retained.
+// after returns the times of an ascending list that are not before the given one. It returns nil if there are none, so
+// that the list's memory is freed.
 func after(times []float64, at float64) []float64 {
 	n := 0
 	for n < len(times) && times[n] < at {
--- a/internal/handoff/registration.go
+++ b/internal/handoff/registration.go
@@ -6,9 +6,10 @@
 	"liftshift/scheduler"
 )
 
+// jitter returns a random delay of up to jitterMS.
 func (m *Manager) jitter() float64 { return jitterMS * m.random() }
 
-// handleArrival decides what becomes of an arriving request: it is admitted, or suspended until replicas have registered it.
+// handleArrival admits an arriving request, or suspends it until a quorum of replicas has registered it.
 func (m *Manager) handleArrival(ev *Event) {
 	c := ev.Copy
 	index := m.classIndex(c.Class)
@@ -25,45 +26,56 @@
 		return
 	}
 	m.emit(Effect{Kind: Suspend, ID: c.ID})
-	w := &waitingRequest{Copy: *c, key: KeyOf(c.IdempotencyKey, c.ID), startedAt: m.now}
-	w.Owner = m.self
-	w.Complete = true
-	m.register(w)
+	waiter := &waitingRequest{Copy: *c, key: KeyOf(c.IdempotencyKey, c.ID), startedAt: m.now}
+	waiter.Owner = m.self
+	waiter.Complete = true
+	m.register(waiter)
 }
 
-// register asks the replicas to register a request. It waits instead where this controller owns one of its key.
-func (m *Manager) register(w *waitingRequest) {
-	if m.owned[w.key] != nil {
-		m.wait(w)
+// register asks the replicas to register a request. If this controller already owns a request with the same key, the
+// new one waits for it instead.
+func (m *Manager) register(waiter *waitingRequest) {
+	if m.owned[waiter.key] != nil {
+		m.addWaiting(waiter)
 		return
 	}
-	if !m.canRegister(w.key) {
-		m.admitUnreplicated(w)
+	if !m.canRegister(waiter.key) {
+		m.admitOrRejectUnreplicated(waiter)
 		return
 	}
-	req := &ownedRequest{Copy: w.Copy, key: w.key, startedAt: w.startedAt}
+	req := &ownedRequest{Copy: waiter.Copy, key: waiter.key, startedAt: waiter.startedAt}
 	req.Sequence = max(1, req.Sequence)
 	m.addOwned(req)
 	m.replicate(req)
 }
 
+// canRegister reports whether a request with this key can be registered: that takes the lease, a reachable quorum of
+// replicas, and room for another owned request.
 func (m *Manager) canRegister(key Key) bool {
 	return m.leaseHeld && m.hasPlacement() && m.quorumReachable(key.Partition()) && len(m.owned) < m.maxCopies
 }
 
-// admitUnreplicated admits a request that cannot be registered where the settings allow that, and rejects it otherwise.
-func (m *Manager) admitUnreplicated(w *waitingRequest) {
+// admitOrRejectUnreplicated admits a request that cannot be registered if the settings allow that, and rejects it
+// otherwise.
+func (m *Manager) admitOrRejectUnreplicated(waiter *waitingRequest) {
 	if m.sendWithoutReplicas && m.leaseHeld {
-		m.addOwned(&ownedRequest{Copy: w.Copy, key: w.key, startedAt: m.now, phase: phaseActive, unreplicated: true})
-		m.emit(Effect{Kind: Resume, ID: w.ID})
+		m.addOwned(&ownedRequest{
+			Copy:         waiter.Copy,
+			key:          waiter.key,
+			startedAt:    m.now,
+			phase:        phaseActive,
+			unreplicated: true,
+		})
+		m.emit(Effect{Kind: Resume, ID: waiter.ID})
 		return
 	}
 	m.counts.Refused++
-	m.emit(Effect{Kind: AnswerSuspended, ID: w.ID, Outcome: Rejected, AfterMS: min(registrationTimeoutMS, m.maxRetryAfterMS)})
+	retryAfterMS := min(registrationTimeoutMS, m.maxRetryAfterMS)
+	m.emit(Effect{Kind: AnswerSuspended, ID: waiter.ID, Outcome: Rejected, AfterMS: retryAfterMS})
 }
 
-// completeRegistration resumes a request that a quorum has registered, with what may have run before. Where a repeat might run again, it
-// is answered by what is known.
+// completeRegistration resumes a request that a quorum has registered, together with the earlier attempt that may have
+// run. If executors might not drop a repeat any more, the request is answered with the earlier outcome instead.
 func (m *Manager) completeRegistration(req *ownedRequest) {
 	if m.resolveEarlierAttempt(req) {
 		return
@@ -74,31 +86,32 @@
 		m.mapIDToKey(req)
 	}
 	if class := m.class(req.Class); class != nil && class.effect != scheduler.Keyed {
-		req.Confirmed = true // a successor must not send what was never confirmed: its client was answered that it would not be
+		// A successor does not send an unconfirmed request: its client may have been answered that it was rejected.
+		req.Confirmed = true
 		req.Sequence++
 		m.replicate(req)
 	}
-	f := Effect{Kind: Resume, ID: req.ID}
+	effect := Effect{Kind: Resume, ID: req.ID}
 	if req.RunState != NotRun {
-		f.Prior = priorAttempt(&req.Copy)
+		effect.Prior = priorAttempt(&req.Copy)
 	}
-	m.emit(f)
+	m.emit(effect)
 }
 
-// resolveEarlierAttempt takes over what replicas know of an attempt under an earlier registration of the key. It reports whether that
-// ended the request.
+// resolveEarlierAttempt copies into a request the attempt that replicas stored under an earlier registration of its
+// key. If a repeat of that attempt might run again, it ends the request. It reports whether it did.
 func (m *Manager) resolveEarlierAttempt(req *ownedRequest) (ended bool) {
-	if req.earlier.RunState == NotRun {
+	if req.earlierAttempt.RunState == NotRun {
 		return false
 	}
-	req.setAttempt(req.earlier.attempt())
+	req.setAttempt(req.earlierAttempt.attempt())
 	req.uncertainAttempts = 1
 	if m.withinDedupWindow(&req.Copy) {
 		return false
 	}
 	outcome := Failed
-	if req.earlier.RunState == Ran {
-		outcome = Succeeded // without its answer, which is gone
+	if req.earlierAttempt.RunState == Ran {
+		outcome = Succeeded // without the answer, which no replica has
 	}
 	req.Outcome = outcome
 	m.counts.AnsweredFromCopy++
@@ -107,49 +120,52 @@
 	return true
 }
 
-// mapIDToKey tells replicas which key an id stands for, so that queries by id find it.
+// mapIDToKey sends replicas the idempotency key that belongs to a request's id, so that queries by id find the request.
 func (m *Manager) mapIDToKey(req *ownedRequest) {
 	id := KeyOf("", req.ID)
-	it := Item{Op: OpMapID, Key: id, Copy: &Copy{
+	item := Item{Op: OpMapID, Key: id, Copy: &Copy{
 		RequestData: RequestData{ID: req.ID, IdempotencyKey: req.IdempotencyKey, Class: req.Class},
 		Deadline:    req.Deadline,
 		Idempotent:  true,
 	}}
 	names := m.replicaNames(id.Partition())
-	for _, name := range names[:min(len(names), idReplicas)] {
-		m.send(name, it)
+	for _, name := range names[:min(len(names), idMappingReplicas)] {
+		m.send(name, item)
 	}
 }
 
-// yieldToOwner withdraws the registration of a request that another controller owns. The request waits for that one, or is answered by
-// what is known of it.
+// yieldToOwner withdraws the registration of a request whose key another controller owns. The request is answered from
+// the owner's copy if that has an answer, and waits for the owner otherwise.
 func (m *Manager) yieldToOwner(req *ownedRequest) {
 	m.withdraw(req)
 	m.removeOwned(req)
-	w := waitingFor(req, req.startedAt)
-	if m.answerFromCopy(w, req.known) {
+	waiter := waitingFor(req, req.startedAt)
+	if m.answerFromCopy(waiter, req.known) {
 		return
 	}
-	m.wait(w)
+	m.addWaiting(waiter)
 }
 
-// expireRegistration ends a registration that no quorum answered in time.
+// expireRegistration ends a registration that no quorum acknowledged in time. If another request with the same key is
+// open, the request waits for that one.
 func (m *Manager) expireRegistration(req *ownedRequest) {
 	m.withdraw(req)
 	m.removeOwned(req)
 	if req.known != nil && req.known.Outcome == Open && m.now < req.Deadline-answerMarginMS {
-		m.wait(waitingFor(req, m.now))
+		m.addWaiting(waitingFor(req, m.now))
 		return
 	}
-	m.admitUnreplicated(&waitingRequest{Copy: req.Copy, key: req.key})
+	m.admitOrRejectUnreplicated(&waitingRequest{Copy: req.Copy, key: req.key})
 }
 
-// registrationExpired reports whether a registration has taken too long.
+// registrationExpired reports whether a registration timed out or its request's deadline is too close.
 func (m *Manager) registrationExpired(req *ownedRequest) bool {
-	return req.phase == phaseRegistering && (m.now > req.startedAt+registrationTimeoutMS || m.now > req.Deadline-answerMarginMS)
+	return req.phase == phaseRegistering &&
+		(m.now > req.startedAt+registrationTimeoutMS || m.now > req.Deadline-answerMarginMS)
 }
 
-// renewRegistrations goes on with registrations of an incarnation that is over: no replica has them under that one.
+// renewRegistrations continues pending registrations of an earlier incarnation of this controller under the current
+// incarnation.
 func (m *Manager) renewRegistrations() {
 	for _, req := range m.owned {
 		if req.phase == phaseRegistering && req.Owner != m.self {
@@ -158,13 +174,13 @@
 	}
 }
 
-// withinDedupWindow reports whether endpoints surely drop repeats of a request that is sent now.
+// withinDedupWindow reports whether executors are sure to drop a repeat of the first attempt that is sent now.
 func (m *Manager) withinDedupWindow(c *Copy) bool {
 	class := m.class(c.Class)
 	return class != nil && m.now+sendAllowanceMS <= c.FirstAttemptAt+class.dedupWindowMS
 }
 
-// priorAttempt returns what the decision module needs to know of an attempt that may have run.
+// priorAttempt returns the earlier attempt of a request, which may have run, in the form that the scheduler expects.
 func priorAttempt(c *Copy) scheduler.PriorAttempt {
 	p := scheduler.PriorAttempt{At: c.FirstAttemptAt, Zone: c.Zone, Cell: c.Cell}
 	if p.At == 0 || math.IsInf(p.At, 0) {
--- a/internal/handoff/replication.go
+++ b/internal/handoff/replication.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// handleReplies takes what came back of a batch that was sent to another member.
+// handleReplies processes the reply to a batch that was sent to another member, or records that none came.
 func (m *Manager) handleReplies(ev *Event) {
 	reply := ev.Batch
 	if reply == nil || !m.hasPlacement() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// handleReply takes a replica's reply to one item.
+// handleReply processes a replica's reply to one item. Replies to an outdated message of a request are ignored.
 func (m *Manager) handleReply(from Member, sent, reply *Item) {
 	switch sent.Op {
 	case OpQuery:
@@ -45,11 +45,12 @@
 		return
 	}
 	if m.recordReply(req, from, sent, reply) {
-		m.evaluate(req)
+		m.advanceOnQuorum(req)
 	}
 }
 
-// recordReply records a replica's reply to the latest message of a request, and reports whether it counts towards or against a quorum.
+// recordReply records a replica's reply to the latest message of a request. It reports whether the reply counts towards
+// or against a quorum.
 func (m *Manager) recordReply(req *ownedRequest, from Member, sent, reply *Item) bool {
 	switch reply.Op {
 	case OpStored:
@@ -72,20 +73,21 @@
 		}
 		req.refusals = append(req.refusals, from)
 	default:
-		if reply.Reason != reasonNoLease { // it may have one in a moment
+		if reply.Reason != reasonNoLease { // a replica without a lease may regain it and accept the message
 			req.refusals = append(req.refusals, from)
 		}
 	}
 	return true
 }
 
-// recordAck records that a replica has stored the latest message, and what it knows of earlier attempts.
+// recordAck records that a replica has stored the latest message, along with the earlier attempt that it reports.
 func recordAck(req *ownedRequest, from Member, reply *Item) bool {
 	if reply.Reason == reasonNotReady {
 		return false
 	}
-	earlier := &req.earlier
-	older := reply.RunState == earlier.RunState && reply.RunState != NotRun && reply.FirstAttemptAt < earlier.FirstAttemptAt
+	earlier := &req.earlierAttempt
+	older := reply.RunState == earlier.RunState && reply.RunState != NotRun &&
+		reply.FirstAttemptAt < earlier.FirstAttemptAt
 	if reply.RunState > earlier.RunState || older {
 		*earlier = *reply
 	}
@@ -95,24 +97,26 @@
 	return true
 }
 
-// sendCopy sends the whole copy of a request to a replica that has none.
+// sendCopy sends the complete copy of a request to a replica that has no copy of it.
 func (m *Manager) sendCopy(req *ownedRequest, to Member) {
 	switch {
 	case req.Complete && req.phase == phaseActive:
-		m.send(to.Name, Item{Op: OpRegister, Key: req.key, Sequence: req.Sequence, Copy: &req.Copy, From: req.Owner})
+		item := Item{Op: OpRegister, Key: req.key, Sequence: req.Sequence, Copy: &req.Copy, From: req.Owner}
+		m.send(to.Name, item)
 	case req.phase == phaseClosing:
 		m.send(to.Name, m.currentItemWithCopy(req))
 	}
 }
 
-// correctReplica tells a replica what it missed, where it refused a message for a copy that is out of date. The message counts as
-// unanswered.
+// correctReplica sends a replica the message that it missed, if it refused the latest one because its copy is out of
+// date. It reports whether it did; the refusal then does not count.
 func (m *Manager) correctReplica(req *ownedRequest, to Member, sent *Item, known *Copy) bool {
 	switch {
 	case missedAdoption(req, known):
 		c := req.Copy
 		c.Sequence, c.Outcome, c.Complete = req.Sequence-1, Open, req.phase == phaseActive
-		m.send(to.Name, Item{Op: OpAdopt, Key: req.key, Sequence: c.Sequence, Copy: &c, From: req.previousOwner, More: true})
+		item := Item{Op: OpAdopt, Key: req.key, Sequence: c.Sequence, Copy: &c, From: req.previousOwner, More: true}
+		m.send(to.Name, item)
 	case m.missedRegistration(req, sent, known), assumedFailure(req, sent, known):
 		m.send(to.Name, m.currentItemWithCopy(req))
 	default:
@@ -121,23 +125,28 @@
 	return true
 }
 
-// missedAdoption reports whether a replica still takes an adopted request for its previous owner's.
+// missedAdoption reports whether a replica still stores an adopted request under its previous owner.
 func missedAdoption(req *ownedRequest, known *Copy) bool {
 	return known.Outcome == Open && req.adopted && known.Owner == req.previousOwner && req.phase != phaseAdopting
 }
 
-// missedRegistration reports whether a replica has an open copy of a lost owner in place of a later request that now closes.
+// missedRegistration reports whether a replica refuses a close because it still stores an open copy of a lost owner in
+// place of the later request that is closing.
 func (m *Manager) missedRegistration(req *ownedRequest, sent *Item, known *Copy) bool {
-	return known.Outcome == Open && req.phase == phaseClosing && sent.Copy == nil && m.isLost(known.Owner) && known.Sequence < req.Sequence
+	return known.Outcome == Open && req.phase == phaseClosing && sent.Copy == nil &&
+		m.isLost(known.Owner) && known.Sequence < req.Sequence
 }
 
-// assumedFailure reports whether a successor recorded a request as failed, not knowing that it had succeeded under the lease of its owner.
+// assumedFailure reports whether a successor recorded a request as failed because it could not know that the request
+// had succeeded while its owner held the lease.
 func assumedFailure(req *ownedRequest, sent *Item, known *Copy) bool {
-	return known.Outcome == Failed && known.ID == req.ID && req.phase == phaseClosing && req.Outcome == Succeeded && sent.Copy == nil
+	return known.Outcome == Failed && known.ID == req.ID &&
+		req.phase == phaseClosing && req.Outcome == Succeeded && sent.Copy == nil
 }
 
-// evaluate does what follows from the replies so far.
-func (m *Manager) evaluate(req *ownedRequest) {
+// advanceOnQuorum moves a request to its next phase if a quorum has acknowledged its latest message or none can any
+// more.
+func (m *Manager) advanceOnQuorum(req *ownedRequest) {
 	partition := req.key.Partition()
 	switch req.phase {
 	case phaseRegistering:
@@ -161,13 +170,13 @@
 	}
 }
 
-// resendUnacknowledged repeats messages that replicas have not answered, and ends what has waited for too long.
+// resendUnacknowledged resends messages that replicas have not acknowledged, and ends requests that have timed out.
 func (m *Manager) resendUnacknowledged() {
 	remaining := m.unacknowledged[:0]
 	for _, req := range m.unacknowledged {
-		req.listed = false
-		if m.progress(req) {
-			req.listed = true
+		req.inUnacknowledged = false
+		if m.advanceUnacknowledged(req) {
+			req.inUnacknowledged = true
 			remaining = append(remaining, req)
 		}
 	}
@@ -175,8 +184,9 @@
 	m.unacknowledged = remaining
 }
 
-// progress looks at one unacknowledged request, and reports whether replicas are still expected to answer.
-func (m *Manager) progress(req *ownedRequest) bool {
+// advanceUnacknowledged resends the latest message of a request if that is due, or ends the request if it has timed
+// out. It reports whether acknowledgements are still expected.
+func (m *Manager) advanceUnacknowledged(req *ownedRequest) bool {
 	if req.phase == phaseClosing {
 		m.settleClose(req)
 	}
@@ -190,7 +200,7 @@
 		m.expireRegistration(req)
 		return false
 	case req.phase == phaseAdopting && m.findInherited(req.previousOwner, partition) == nil:
-		m.abandonOwned(req) // another successor has it by now
+		m.abandonOwned(req) // this controller's claim has ended, so another successor may adopt the request
 		return false
 	case req.phase == phaseActive && (req.bestEffort || req.sends > 3 && m.hasQuorum(partition, req.acks)):
 		return false
@@ -204,18 +214,18 @@
 	return true
 }
 
-// resendBackoffMS is the time until a message that was sent so many times is repeated.
+// resendBackoffMS returns the time until a message that was sent the given number of times is sent again.
 func resendBackoffMS(sends int) float64 { return resendMS * float64(min(sends, 10)) }
 
 func (m *Manager) resend(req *ownedRequest) {
 	req.sentAt = m.now
 	req.sends++
 	req.refusals = req.refusals[:0]
-	it := m.currentItem(req)
+	item := m.currentItem(req)
 	if req.bestEffort {
 		return
 	}
 	for _, name := range m.notAcknowledged(req.key.Partition(), req.acks) {
-		m.send(name, it)
+		m.send(name, item)
 	}
 }
--- a/internal/handoff/request.go
+++ b/internal/handoff/request.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// requestPhase is where a request stands with the controller that owns it, or wants to.
+// requestPhase is the stage of a request on the controller that owns it, or tries to.
 type requestPhase uint8
 
+// The phases of a request.
 const (
-	phaseRegistering requestPhase = iota // replicas are asked to register it
-	phaseAdopting                        // replicas are asked to let it be adopted
-	phaseActive                          // the decision module has it
-	phaseClosing                         // it has ended, and replicas are being notified
-	phaseDone
+	phaseRegistering requestPhase = iota // replicas are asked to register the request
+	phaseAdopting                        // replicas are asked to accept the adoption
+	phaseActive                          // the request is dispatched
+	phaseClosing                         // the request has ended, and replicas are being notified
+	phaseDone                            // the request has been removed from Manager.owned
 )
 
 var requestPhaseNames = [...]string{"registering", "adopting", "active", "closing", "done"}
@@ -18,39 +19,40 @@
 // String returns the name of the phase.
 func (p requestPhase) String() string { return requestPhaseNames[p] }
 
-// ownedRequest is a request that this controller owns, or wants to.
+// ownedRequest is a request that this controller owns, or asks its replicas to register or let it adopt.
 type ownedRequest struct {
 	Copy
 	key               Key
 	phase             requestPhase
 	adopted           bool
-	previousOwner     Member // of an adopted one
-	startedAt         float64
-	sentAt            float64
-	sends             int
+	previousOwner     Member   // the lost owner of an adopted request
+	startedAt         float64  // when the registration or adoption began
+	sentAt            float64  // when the latest message was last sent
+	sends             int      // sends of messages so far; reset when the request starts to close
 	acks              []Member // replicas that stored the latest message
-	refusals          []Member
-	known             *Copy // the most recent of what refusing replicas have
-	earlier           Item  // the strongest reply on attempts under an earlier registration of the key
-	uncertainAttempts int   // attempts that may have run, or are in flight
-	attemptsInFlight  uint8 // by attempt number
+	refusals          []Member // replicas that refused the latest message
+	known             *Copy    // the most recent copy that refusing replicas reported
+	earlierAttempt    Item     // the reply with the most certain, then the oldest attempt under an earlier registration
+	uncertainAttempts int      // attempts that may have run or are in flight
+	attemptsInFlight  uint8    // a bit per attempt number
 	heldAttempts      []heldAttempt
 	withheld          *withheldAnswer
-	unreplicated      bool // no replica knows of it
-	bestEffort        bool // nothing waits for its copies
-	listed            bool // among the unacknowledged
+	unreplicated      bool // admitted without registration, so no replica stores it
+	bestEffort        bool // copies are sent without retries, and nothing waits for acknowledgements
+	inUnacknowledged  bool // listed in Manager.unacknowledged
 }
 
-// maxTrackedAttempts is how many attempts of a request attemptsInFlight has room for.
+// maxTrackedAttempts is the number of bits in ownedRequest.attemptsInFlight. Later attempts are not tracked.
 const maxTrackedAttempts = 8
 
-// snapshot returns a copy of the request as it is now, which later changes within the same step leave alone.
+// snapshot returns a copy of the request's state, which later changes within the same step do not affect.
 func (r *ownedRequest) snapshot() *Copy {
 	c := r.Copy
 	return &c
 }
 
-// mayBeReplacedBy reports whether a request that closes gives way to the adoption of a stored copy of its key.
+// mayBeReplacedBy reports whether a closing request may be removed so that this controller can adopt the request of a
+// stored copy with the same key.
 func (m *Manager) mayBeReplacedBy(req *ownedRequest, stored *storedCopy) bool {
 	if req.phase != phaseClosing || req.withheld != nil {
 		return false
@@ -63,7 +65,7 @@
 	m.ownedByID[req.ID] = req
 }
 
-// removeOwned ends a request here, without a message.
+// removeOwned removes a request without notifying replicas.
 func (m *Manager) removeOwned(req *ownedRequest) {
 	req.phase = phaseDone
 	if m.owned[req.key] == req {
@@ -74,10 +76,10 @@
 	}
 }
 
-// abandonOwned ends what this controller does for a request that is another's, or over.
+// abandonOwned stops all work on a request that another controller owns, a successor will continue, or that has ended.
 func (m *Manager) abandonOwned(req *ownedRequest) {
 	if req.phase == phaseAdopting && m.hasPlacement() {
-		m.withdraw(req) // replicas that let it be adopted must not take it for this controller's
+		m.withdraw(req) // replicas that accepted the adoption must restore the previous owner
 	}
 	if req.adopted {
 		m.adoptionsInFlight--
@@ -88,57 +90,60 @@
 	m.removeOwned(req)
 }
 
-// currentItem returns the latest message of a request.
+// currentItem returns the latest message of a request, which depends on its phase.
 func (m *Manager) currentItem(req *ownedRequest) Item {
-	it := Item{Key: req.key, Sequence: req.Sequence, From: req.Owner}
-	it.setAttempt(req.attempt())
+	item := Item{Key: req.key, Sequence: req.Sequence, From: req.Owner}
+	item.setAttempt(req.attempt())
 	switch req.phase {
 	case phaseRegistering:
-		it.Op, it.Copy = OpRegister, req.snapshot()
+		item.Op, item.Copy = OpRegister, req.snapshot()
 	case phaseAdopting:
-		it.Op, it.Copy, it.From = OpAdopt, req.snapshot(), req.previousOwner
+		item.Op, item.Copy, item.From = OpAdopt, req.snapshot(), req.previousOwner
 	case phaseActive:
-		it.Op = OpAttempt
+		item.Op = OpAttempt
 		if req.bestEffort && req.sends == 0 {
-			it.Op, it.Copy = OpRegister, req.snapshot()
+			item.Op, item.Copy = OpRegister, req.snapshot()
 		}
 	default:
-		it.Op, it.Outcome, it.Answer = OpClose, req.Outcome, req.Answer
+		item.Op, item.Outcome, item.Answer = OpClose, req.Outcome, req.Answer
 		if req.Owner != m.self {
-			it.Copy = req.snapshot() // a successor may have ended it meanwhile with what it had to assume
+			item.Copy = req.snapshot() // a successor may have recorded an assumed failure, which this copy corrects
 		}
 	}
-	return it
+	return item
 }
 
-// currentItemWithCopy returns the latest message of a request with its copy, which follows later changes within the same step.
+// currentItemWithCopy returns the latest message of a request with a pointer to its copy. Later changes within the same
+// step show in that copy.
 func (m *Manager) currentItemWithCopy(req *ownedRequest) Item {
-	it := m.currentItem(req)
-	it.Copy = &req.Copy
-	return it
+	item := m.currentItem(req)
+	item.Copy = &req.Copy
+	return item
 }
 
-// replicate sends the state of a request to its replicas and expects new acknowledgements.
+// replicate sends the current state of a request to its replicas and discards the replies to earlier messages.
 func (m *Manager) replicate(req *ownedRequest) {
 	req.acks = req.acks[:0]
 	req.refusals = req.refusals[:0]
 	req.known = nil
 	req.sentAt = m.now
 	req.sends++
-	if !req.listed {
-		req.listed = true
+	if !req.inUnacknowledged {
+		req.inUnacknowledged = true
 		m.unacknowledged = append(m.unacknowledged, req)
 	}
 	m.sendForRequest(req, m.currentItem(req))
 }
 
-func (m *Manager) sendForRequest(req *ownedRequest, it Item) {
+// sendForRequest sends an item to the replicas of a request. Best-effort copies go to as many other controllers as the
+// table asks for, at least one.
+func (m *Manager) sendForRequest(req *ownedRequest, item Item) {
 	names := m.replicaNames(req.key.Partition())
-	if req.bestEffort { // as many others as there are to be copies
+	if req.bestEffort {
 		names = slices.DeleteFunc(names, func(name string) bool { return name == m.self.Name })
 		names = names[:min(len(names), max(1, m.table.Copies))]
 	}
 	for _, name := range names {
-		m.send(name, it)
+		m.send(name, item)
 	}
 }
--- a/internal/handoff/settings.go
+++ b/internal/handoff/settings.go
@@ -2,27 +2,36 @@
 
 import "liftshift/scheduler"
 
-// Settings are what a Manager goes by.
+// Settings configure a Manager.
 type Settings struct {
 	Classes      []scheduler.RequestClass
-	RetryBudget  scheduler.RetryBudget // for idempotent requests that a successor runs again
+	RetryBudget  scheduler.RetryBudget // limits how many idempotent requests successors run again
 	RetryAfterMS float64               // longest Retry-After of a rejection; 0: none
 
-	AdoptClasses         []string // idempotent classes that a successor runs again
-	MaxAdoptionsInFlight int      // adopted requests in flight
-	CopyAfterMS          float64  // idempotent requests that take longer are copied; 0: none are
-	MaxCopies            int      // stored for other controllers
-	MaxAnswerBytes       int      // longer answers are not copied
-	KeyRetentionMS       float64  // for which an idempotency key is stored past its window
-	QuorumLossMS         float64  // for which keys of a partition that lost its quorum are rejected, if longer than the longest window
-	SendWithoutReplicas  bool     // go on with what this controller has where too few replicas can be reached
+	// AdoptClasses names the idempotent classes whose requests a successor runs again.
+	AdoptClasses []string
+	// MaxAdoptionsInFlight limits how many adopted requests are in flight at a time.
+	MaxAdoptionsInFlight int
+	// CopyAfterMS is the time after which a running idempotent request is copied to replicas; 0: never.
+	CopyAfterMS float64
+	// MaxCopies limits the copies stored here, and the requests owned and tracked here.
+	MaxCopies int
+	// MaxAnswerBytes is the length up to which answers are replicated.
+	MaxAnswerBytes int
+	// KeyRetentionMS is how long an idempotency key is stored after its dedup window.
+	KeyRetentionMS float64
+	// QuorumLossMS is how long requests of a partition that lost its quorum are rejected before the partition is
+	// reinitialized, if that is longer than the longest dedup window and deadline of a keyed class.
+	QuorumLossMS float64
+	// SendWithoutReplicas admits requests whose replicas cannot form a quorum, without registering them.
+	SendWithoutReplicas bool
 }
 
-// DefaultSettings returns the settings that hold where the operators say nothing.
+// DefaultSettings returns the settings that apply unless the configuration overrides them.
 func DefaultSettings() Settings {
 	return Settings{
 		RetryBudget:          scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1},
-		MaxAdoptionsInFlight: defaultAdoptAtOnce,
+		MaxAdoptionsInFlight: defaultMaxAdoptionsInFlight,
 		CopyAfterMS:          defaultCopyAfterMS,
 		MaxCopies:            defaultMaxCopies,
 		MaxAnswerBytes:       defaultMaxAnswerBytes,
--- a/internal/handoff/types.go
+++ b/internal/handoff/types.go
@@ -1,12 +1,14 @@
-// Package handoff decides what becomes of open requests when the controller that owns them is lost: which replicas store copies of them,
-// what a quorum must know before an attempt may leave, which successor adopts them once their owner is declared lost, and what a client is
-// answered that comes again elsewhere.
+// Package handoff decides what happens to open requests when the controller that owns them is lost. It decides which
+// replicas store copies of a request, what a quorum of them must know before an attempt may be sent, which successor
+// adopts a request once its owner is declared lost, and what a client is answered that repeats its request at another
+// controller.
 //
-// Events and a time go in, effects come out. The package owns no socket, disk, clock or goroutine, and it chooses no executor: an adopted
-// request goes to the decision module like any other, with what may have run of it.
+// A Manager takes events, each with the time, and returns effects for its caller to carry out. The package uses no
+// socket, disk, clock or goroutine, and it does not choose executors: the scheduler places an adopted request like any
+// other, and is told of an earlier attempt that may have run.
 //
-// What may happen only once rests on the agreed table of replicas (package placement) and on the lease of the consensus group. Nothing here
-// may rest on the membership view.
+// Whatever must happen at most once depends only on the agreed table of replicas (package placement) and on the lease
+// of the consensus group, never on the membership view.
 package handoff
 
 import (
@@ -16,10 +18,11 @@
 	"liftshift/scheduler"
 )
 
-// Key identifies a request among all controllers: by its idempotency key, else by its id.
+// Key identifies a request across all controllers. It is a hash of the idempotency key if there is one, and of the
+// request's id otherwise.
 type Key [16]byte
 
-// KeyOf returns the key of a request.
+// KeyOf returns the key of the request with the given idempotency key and id.
 func KeyOf(idempotencyKey, id string) (k Key) {
 	text := "s" + id
 	if idempotencyKey != "" {
@@ -30,7 +33,7 @@
 	return k
 }
 
-// Partition returns the partition that a key belongs to.
+// Partition returns the number of the partition that the key belongs to.
 func (k Key) Partition() int { return int(k[0]) % placement.PartitionCount }
 
 // Member is one incarnation of a controller.
@@ -39,34 +42,34 @@
 	Incarnation uint64
 }
 
-// Outcome is what became of a request.
+// Outcome is the final result of a request, or Open while it has none.
 type Outcome uint8
 
-// The outcomes. Their numbers go to disks and over the wire: they do not change.
+// The outcomes. Their numbers are stored on disk and sent over the wire and must not change.
 const (
 	Open      Outcome = 0
 	Succeeded Outcome = 1
 	Rejected  Outcome = 2
 	Failed    Outcome = 3
 	Abandoned Outcome = 4
-	Withdrawn Outcome = 5 // it was registered and never carried out
+	Withdrawn Outcome = 5 // registered and never executed
 	Unknown   Outcome = 6
 )
 
-// The names go to clients: they do not change.
+// outcomeNames are sent to clients and must not change.
 var outcomeNames = [...]string{"open", "handled", "denied", "written_off", "left", "withdrawn", "unknown"}
 
 // String returns the name of the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// RunState is whether a request may have run.
+// RunState tells whether a request may have been executed.
 type RunState uint8
 
-// The run states. Their numbers go to disks and over the wire: they do not change.
+// The run states. Their numbers are stored on disk and sent over the wire and must not change.
 const (
 	NotRun     RunState = 0 // no attempt can have run
 	MayHaveRun RunState = 1 // an attempt may have run
-	Ran        RunState = 2 // it succeeded
+	Ran        RunState = 2 // an attempt succeeded
 )
 
 var runStateNames = [...]string{"not run", "may have run", "ran"}
@@ -74,7 +77,7 @@
 // String returns the name of the run state.
 func (s RunState) String() string { return runStateNames[s] }
 
-// RequestData is what a successor needs to go on with a request.
+// RequestData is the part of a request that a successor needs to continue it.
 type RequestData struct {
 	ID, IdempotencyKey, Class, OrderKey, Team, Schema string
 	TableGroup                                        uint64
@@ -82,24 +85,24 @@
 	Body                                              []byte
 }
 
-// Copy is what is known of a request. Times are by the clock of the controller that has it.
+// Copy is the replicated state of a request. Its times are in ms by the clock of the controller that holds it.
 type Copy struct {
 	RequestData
 	Owner          Member
-	Sequence       uint64 // of the owner's latest message; it grows from owner to owner, too
+	Sequence       uint64 // of the owner's latest message; a new owner continues from the previous owner's
 	Outcome        Outcome
 	RunState       RunState
-	FirstAttemptAt float64 // of the first attempt that may have run
-	Zone           string  // where that went
-	Cell           int64
+	FirstAttemptAt float64 // start of the first attempt that may have run; 0: there is none
+	Zone           string  // target zone of that attempt
+	Cell           int64   // target cell of that attempt
 	Deadline       float64
-	Answer         []byte // nil: it was not copied
-	Complete       bool   // RequestData is there
-	Confirmed      bool   // its owner has gone on with it
-	Idempotent     bool   // it may simply run again: nothing waits for its copies
+	Answer         []byte // nil: the answer was not replicated
+	Complete       bool   // RequestData is filled in
+	Confirmed      bool   // the owner continued after a quorum had registered the request
+	Idempotent     bool   // the request may be repeated at any time, so nothing waits for its copies
 }
 
-// attemptState is what is known of the first attempt that may have run.
+// attemptState describes the first attempt of a request that may have run.
 type attemptState struct {
 	runState RunState
 	firstAt  float64
@@ -118,38 +121,38 @@
 // EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of events.
+// The kinds of events. The comments name the fields that an event of the kind sets besides ID.
 const (
-	PlacementChanged   EventKind = iota // Members and Table are agreed
-	RequestArriving                     // a request arrived: Copy has its RequestData and Deadline
-	ClientLeft                          // the client of a suspended request has left
-	AttemptStarting                     // an attempt is about to be made: Attempt, Zone, Cell
-	AttemptEnded                        // an attempt has ended; NeverRan: it cannot have run
+	PlacementChanged   EventKind = iota // the consensus group agreed on Members and Table
+	RequestArriving                     // a request arrived; Copy holds its RequestData and Deadline
+	ClientLeft                          // the client of a suspended request disconnected
+	AttemptStarting                     // an attempt is about to be sent: Attempt, Zone, Cell
+	AttemptEnded                        // Attempt ended; NeverRan: it cannot have run
 	RequestEnding                       // a request is about to be answered: Outcome, Answer
-	RequestClosed                       // a request has its final outcome
-	BatchReceived                       // Batch came from another member; Token goes back with the reply
-	BatchAnswered                       // Batch came back from the member To, in reply to Sent; nil: there was no reply
-	OutcomeQueried                      // a client asks for the outcome of ID or IdempotencyKey; Token goes back with the reply
-	CopyRestored                        // Copy was on this replica's disk, with its times as they were written
-	Ticked                              // every 100 ms
-	ShutdownStarted                     // a graceful shutdown has begun
-	IncarnationChanged                  // this controller goes on as another Incarnation
-	ReleaseRequested                    // an operator gives up the orphaned request ID
-	AdoptionRequested                   // an operator wants this controller to claim what the member ID left
+	RequestClosed                       // a request has its final Outcome and Answer
+	BatchReceived                       // Batch arrived from another member; ReplyBatch returns Token
+	BatchAnswered                       // member To replied to Sent with Batch; a nil Batch: no reply came
+	OutcomeQueried                      // a client asks for an outcome by ID or IdempotencyKey; ReplyOutcome returns Token
+	CopyRestored                        // Copy was read from this replica's disk; its times are as they were written
+	Ticked                              // sent every 100 ms
+	ShutdownStarted                     // a graceful shutdown began
+	IncarnationChanged                  // this controller continues as Incarnation
+	ReleaseRequested                    // an operator gives up the orphaned requests with this id or idempotency key
+	AdoptionRequested                   // an operator wants this controller to claim the requests of the lost member ID
 )
 
-var eventKindNames = [...]string{"PlacementChanged", "RequestArriving", "ClientLeft", "AttemptStarting", "AttemptEnded", "RequestEnding",
-	"RequestClosed", "BatchReceived", "BatchAnswered", "OutcomeQueried", "CopyRestored", "Ticked", "ShutdownStarted", "IncarnationChanged",
-	"ReleaseRequested", "AdoptionRequested"}
+var eventKindNames = [...]string{"PlacementChanged", "RequestArriving", "ClientLeft", "AttemptStarting", "AttemptEnded",
+	"RequestEnding", "RequestClosed", "BatchReceived", "BatchAnswered", "OutcomeQueried", "CopyRestored", "Ticked",
+	"ShutdownStarted", "IncarnationChanged", "ReleaseRequested", "AdoptionRequested"}
 
 // String returns the name of the kind.
 func (k EventKind) String() string { return eventKindNames[k] }
 
-// Event is one input of a Manager. Only the fields of its kind are set.
+// Event is one input of a Manager. Only LeaseHeld and the fields of the event's kind are set.
 type Event struct {
 	Kind           EventKind
-	LeaseHeld      bool // this controller holds its lease at this moment
-	ID             string
+	LeaseHeld      bool   // this controller holds its lease at the time of the event
+	ID             string // of a request, except for AdoptionRequested
 	IdempotencyKey string
 	Copy           *Copy
 	Attempt        int
@@ -170,37 +173,38 @@
 // EffectKind is the kind of an Effect.
 type EffectKind uint8
 
-// The kinds of effects.
+// The kinds of effects. The comments name the event that an effect responds to, or the fields that it sets besides ID.
 const (
 	Suspend          EffectKind = iota // RequestArriving: the request waits for Resume or AnswerSuspended
-	Admit                              // RequestArriving: the request goes on
-	Resume                             // ID goes on, with Prior; Blocked: no attempt may be made for it
-	AnswerSuspended                    // ID is answered: Outcome, Answer, AfterMS
+	Admit                              // RequestArriving: the request is dispatched at once
+	Resume                             // a suspended request is dispatched with Prior; Blocked: without attempts
+	AnswerSuspended                    // a suspended request is answered: Outcome, Answer, AfterMS
 	HoldAttempt                        // AttemptStarting: the attempt waits for ReleaseAttempt or FailAttempt
-	BlockAttempt                       // AttemptStarting: the attempt must not leave
-	ReleaseAttempt                     // Attempt of ID may leave
-	FailAttempt                        // Attempt of ID must not leave
+	BlockAttempt                       // AttemptStarting: the attempt must not be sent
+	ReleaseAttempt                     // the held Attempt may be sent
+	FailAttempt                        // the held Attempt must not be sent
 	WithholdAnswer                     // RequestEnding: the answer waits for DeliverAnswer
-	DeliverAnswer                      // ID is answered: Outcome, Answer
-	Adopt                              // Copy goes to the decision module, with Prior
-	CancelLocal                        // ID has ended elsewhere: whatever is done for it here stops
-	SendBatch                          // Batch goes to the member To; BatchAnswered brings the reply
-	ReplyBatch                         // Batch goes back under Token
-	ReplyOutcome                       // the reply to OutcomeQueried under Token: Outcome, Answer, AfterMS, Owner
-	Propose                            // the consensus group is asked to agree: Proposal, Claim, Version
-	RefreshPlacement                   // the agreed table has changed: it is to be fetched
-	PersistCopy                        // Copy of Key goes to disk, on replicas that do so; nil: it is deleted
-	LogMessage                         // Text is for the operators
+	DeliverAnswer                      // a request with a withheld answer is answered: Outcome, Answer
+	Adopt                              // the request in Copy is dispatched here with Prior
+	CancelLocal                        // the request ended elsewhere, so its execution here stops
+	SendBatch                          // Batch is sent to member To; BatchAnswered brings the reply
+	ReplyBatch                         // Batch is the reply to BatchReceived with Token
+	ReplyOutcome                       // the reply to OutcomeQueried with Token: Outcome, Answer, AfterMS, Owner
+	Propose                            // the consensus group is asked to agree on Proposal: Claim, Version
+	RefreshPlacement                   // the agreed table is out of date here and must be fetched
+	PersistCopy                        // replicas that use a disk write Copy under Key; a nil Copy: they delete it
+	LogMessage                         // Text is logged for the operators, with ID and Count
 )
 
-var effectKindNames = [...]string{"Suspend", "Admit", "Resume", "AnswerSuspended", "HoldAttempt", "BlockAttempt", "ReleaseAttempt",
-	"FailAttempt", "WithholdAnswer", "DeliverAnswer", "Adopt", "CancelLocal", "SendBatch", "ReplyBatch", "ReplyOutcome", "Propose",
-	"RefreshPlacement", "PersistCopy", "LogMessage"}
+var effectKindNames = [...]string{"Suspend", "Admit", "Resume", "AnswerSuspended", "HoldAttempt", "BlockAttempt",
+	"ReleaseAttempt", "FailAttempt", "WithholdAnswer", "DeliverAnswer", "Adopt", "CancelLocal", "SendBatch", "ReplyBatch",
+	"ReplyOutcome", "Propose", "RefreshPlacement", "PersistCopy", "LogMessage"}
 
 // String returns the name of the kind.
 func (k EffectKind) String() string { return effectKindNames[k] }
 
-// Effect is one thing that a Manager wants done. Effects are carried out in the order given; only the fields of the kind are set.
+// Effect is one action that a Manager asks its caller for. The caller carries effects out in the order given. Only the
+// fields of the effect's kind are set.
 type Effect struct {
 	Kind     EffectKind
 	ID       string
@@ -209,7 +213,7 @@
 	Blocked  bool
 	Outcome  Outcome
 	Answer   []byte
-	AfterMS  float64
+	AfterMS  float64 // AnswerSuspended: the Retry-After of a rejection; ReplyOutcome: the time since the first attempt
 	Copy     *Copy
 	Key      Key
 	To       string
@@ -217,7 +221,7 @@
 	Token    uint64
 	Proposal ProposalKind
 	Claim    placement.AdoptionClaim
-	Version  uint64
+	Version  uint64 // Propose: of the table that the proposal is based on; PersistCopy: the copy's expiry in ms
 	Owner    string
 	Text     string
 	Count    int
--- a/internal/handoff/waiting.go
+++ b/internal/handoff/waiting.go
@@ -2,136 +2,144 @@
 
 import "slices"
 
-// waitingRequest is a suspended request whose key another request has: it waits for what becomes of that one.
+// waitingRequest is a suspended request that waits for the outcome of another request with the same key.
 type waitingRequest struct {
 	Copy
-	key       Key
-	startedAt float64
-	pollAt    float64
-	polledAt  float64  // 0: not polled yet
-	free      []Member // replicas by whose latest replies nobody has the key
-	known     *Copy    // the most recent of what replicas have
+	key                  Key
+	startedAt            float64
+	nextPollAt           float64
+	lastPolledAt         float64  // 0: not polled since the last registration
+	replicasWithoutOwner []Member // replicas whose replies to the latest poll show no open request with the key
+	reportedCopy         *Copy    // the most recent copy that replicas reported
 }
 
-// waitingFor returns a request that waits for the owner of its key. Its sequence is above that of its withdrawn registration, messages of
-// which may still be in transit.
+// waitingFor returns a waiting request for a request whose registration was withdrawn. Its sequence is above that of
+// the registration, messages of which may still be in transit.
 func waitingFor(req *ownedRequest, startedAt float64) *waitingRequest {
-	w := &waitingRequest{Copy: req.Copy, key: req.key, startedAt: startedAt, known: req.known}
-	w.Sequence = req.Sequence + 1
-	return w
+	waiter := &waitingRequest{Copy: req.Copy, key: req.key, startedAt: startedAt, reportedCopy: req.known}
+	waiter.Sequence = req.Sequence + 1
+	return waiter
 }
 
-// wait has a request wait for the one that has its key.
-func (m *Manager) wait(w *waitingRequest) {
+// addWaiting lists a request as waiting for another request with the same key.
+func (m *Manager) addWaiting(waiter *waitingRequest) {
 	m.counts.Waited++
-	w.pollAt = m.now + m.jitter()
-	w.free = nil
-	m.waiting = append(m.waiting, w)
+	waiter.nextPollAt = m.now + m.jitter()
+	waiter.replicasWithoutOwner = nil
+	m.waiting = append(m.waiting, waiter)
 }
 
-// answerFromCopy answers a request by what is known of its key, if that includes the answer.
-func (m *Manager) answerFromCopy(w *waitingRequest, known *Copy) bool {
+// answerFromCopy answers a request from a copy of its key if the copy has a successful answer. It reports whether it
+// did.
+func (m *Manager) answerFromCopy(waiter *waitingRequest, known *Copy) bool {
 	if known == nil || known.Outcome != Succeeded || known.Answer == nil {
 		return false
 	}
 	m.counts.AnsweredFromCopy++
-	m.emit(Effect{Kind: AnswerSuspended, ID: w.ID, Outcome: Succeeded, Answer: known.Answer})
+	m.emit(Effect{Kind: AnswerSuspended, ID: waiter.ID, Outcome: Succeeded, Answer: known.Answer})
 	return true
 }
 
-// pollWaiting asks the replicas again what became of the keys that requests wait for, and answers requests whose time is over.
+// pollWaiting queries the replicas again for the keys that requests wait for, and answers requests whose waiting time
+// is over.
 func (m *Manager) pollWaiting() {
 	waiting := m.waiting
 	m.waiting = nil
 	var remaining []*waitingRequest
-	for _, w := range waiting {
-		if m.waitIsOver(w) {
-			m.emit(Effect{Kind: AnswerSuspended, ID: w.ID, Outcome: w.expiredOutcome(), AfterMS: min(pollMS, m.maxRetryAfterMS)})
+	for _, waiter := range waiting {
+		if m.waitIsOver(waiter) {
+			outcome, retryAfterMS := waiter.expiredOutcome(), min(pollMS, m.maxRetryAfterMS)
+			m.emit(Effect{Kind: AnswerSuspended, ID: waiter.ID, Outcome: outcome, AfterMS: retryAfterMS})
 			continue
 		}
-		if m.now >= w.pollAt {
-			m.poll(w)
+		if m.now >= waiter.nextPollAt {
+			m.poll(waiter)
 		}
-		remaining = append(remaining, w)
+		remaining = append(remaining, waiter)
 	}
 	m.waiting = append(remaining, m.waiting...)
 }
 
-func (m *Manager) waitIsOver(w *waitingRequest) bool {
-	return m.now >= w.Deadline-answerMarginMS || m.shuttingDown && m.now >= m.shutdownAt+shutdownGraceMS
+// waitIsOver reports whether a waiting request must be answered, because of its deadline or a shutdown.
+func (m *Manager) waitIsOver(waiter *waitingRequest) bool {
+	return m.now >= waiter.Deadline-answerMarginMS || m.shuttingDown && m.now >= m.shutdownAt+shutdownGraceMS
 }
 
-// expiredOutcome is what a request is answered whose time is over: it fails if the one that it waited for may have run.
+// expiredOutcome returns the outcome of a request whose waiting time is over: Failed if the request that it waited for
+// may have run, and Rejected otherwise.
 func (w *waitingRequest) expiredOutcome() Outcome {
-	if w.known != nil && w.known.RunState != NotRun {
+	if w.reportedCopy != nil && w.reportedCopy.RunState != NotRun {
 		return Failed
 	}
 	return Rejected
 }
 
-func (m *Manager) poll(w *waitingRequest) {
-	if req := m.owned[w.key]; req == nil || req.phase == phaseClosing {
-		w.free = w.free[:0]
-		w.polledAt = m.now
-		m.sendToReplicas(Item{Op: OpQuery, Key: w.key})
+// poll queries the replicas for the key of a waiting request, unless this controller itself owns an open request with
+// the key.
+func (m *Manager) poll(waiter *waitingRequest) {
+	if req := m.owned[waiter.key]; req == nil || req.phase == phaseClosing {
+		waiter.replicasWithoutOwner = waiter.replicasWithoutOwner[:0]
+		waiter.lastPolledAt = m.now
+		m.sendToReplicas(Item{Op: OpQuery, Key: waiter.key})
 	}
-	w.pollAt = m.now + pollMS + m.jitter()
+	waiter.nextPollAt = m.now + pollMS + m.jitter()
 }
 
-// failWaiting fails all waiting requests where no replica can be asked any more.
+// failWaiting fails all waiting requests when there are no replicas left to query.
 func (m *Manager) failWaiting() {
-	for _, w := range m.waiting {
-		m.emit(Effect{Kind: AnswerSuspended, ID: w.ID, Outcome: Failed})
+	for _, waiter := range m.waiting {
+		m.emit(Effect{Kind: AnswerSuspended, ID: waiter.ID, Outcome: Failed})
 	}
 	m.waiting = nil
 }
 
-// handleQueryReply takes what a replica knows of a key that requests wait for, or that a client asked about.
+// handleQueryReply processes a replica's reply to a query for a key, on which a client or requests that wait here may
+// depend. Once a quorum of replicas reports no open request with the key, the first waiting request is registered.
 func (m *Manager) handleQueryReply(from Member, sent, reply *Item) {
 	m.updateQueries(from, sent, reply)
 	waiting := m.waiting
 	m.waiting = nil
-	for i, w := range waiting {
-		if w.key != sent.Key || w.polledAt == 0 {
-			m.waiting = append(m.waiting, w)
+	for i, waiter := range waiting {
+		if waiter.key != sent.Key || waiter.lastPolledAt == 0 {
+			m.waiting = append(m.waiting, waiter)
 			continue
 		}
-		if m.updateWaiting(w, from, reply) {
+		if m.updateWaiting(waiter, from, reply) {
 			continue
 		}
-		if m.hasQuorum(sent.Key.Partition(), w.free) && m.owned[w.key] == nil {
-			m.waiting = append(m.waiting, waiting[i+1:]...) // the others wait for this one then
-			w.polledAt = 0
-			m.register(w)
+		if m.hasQuorum(sent.Key.Partition(), waiter.replicasWithoutOwner) && m.owned[waiter.key] == nil {
+			m.waiting = append(m.waiting, waiting[i+1:]...) // other requests with the key now wait for this one
+			waiter.lastPolledAt = 0
+			m.register(waiter)
 			return
 		}
-		m.waiting = append(m.waiting, w)
+		m.waiting = append(m.waiting, waiter)
 	}
 }
 
-// updateWaiting takes a replica's reply for one waiting request, and reports whether that answered it.
-func (m *Manager) updateWaiting(w *waitingRequest, from Member, reply *Item) (answered bool) {
+// updateWaiting records a replica's reply for one waiting request, and reports whether the reply answered the request.
+func (m *Manager) updateWaiting(waiter *waitingRequest, from Member, reply *Item) (answered bool) {
 	if reply.Op != OpKnown && reply.Op != OpUnknown {
 		return false
 	}
 	if reply.Op == OpKnown && reply.Copy != nil {
-		if w.known == nil || moreRecent(reply.Copy, w.known) {
-			w.known = reply.Copy
+		if waiter.reportedCopy == nil || moreRecent(reply.Copy, waiter.reportedCopy) {
+			waiter.reportedCopy = reply.Copy
 		}
-		if m.answerFromCopy(w, reply.Copy) {
+		if m.answerFromCopy(waiter, reply.Copy) {
 			return true
 		}
 		if reply.Copy.Outcome == Open {
 			return false
 		}
 	}
-	if reply.Reason != reasonNotReady && !slices.Contains(w.free, from) {
-		w.free = append(w.free, from)
+	if reply.Reason != reasonNotReady && !slices.Contains(waiter.replicasWithoutOwner, from) {
+		waiter.replicasWithoutOwner = append(waiter.replicasWithoutOwner, from)
 	}
 	return false
 }
 
-// handleClientLeft drops a request whose client left before the decision module had it.
+// handleClientLeft drops a request whose client disconnected before the request was dispatched.
 func (m *Manager) handleClientLeft(id string) {
 	m.pacer.forget(id)
 	m.waiting = slices.DeleteFunc(m.waiting, func(w *waitingRequest) bool { return w.ID == id })
--- a/internal/handoff/withdrawal.go
+++ b/internal/handoff/withdrawal.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// withdrawal takes back the registration or adoption of a request that was never carried out. It is repeated until all replicas have
-// acknowledged it: else later requests of its key would wait for one that nobody has.
+// withdrawal revokes the registration or adoption of a request that was not executed under it. It is resent until all
+// replicas have acknowledged it; otherwise later requests with the same key would wait for a request without an owner.
 type withdrawal struct {
 	id     withdrawalID
-	owner  Member
+	owner  Member // the incarnation that sent the revoked message
 	sentAt float64
 	sends  int
-	acks   []string
+	acks   []string // names of the replicas that acknowledged the withdrawal
 }
 
-// withdrawalID is the message that a withdrawal takes back.
+// withdrawalID identifies the message that a withdrawal revokes.
 type withdrawalID struct {
 	key      Key
 	sequence uint64
 }
 
-// withdraw takes the latest message of a request back.
+// withdraw revokes the latest message of a request. If too many withdrawals are pending, the oldest is given up.
 func (m *Manager) withdraw(req *ownedRequest) {
 	if len(m.withdrawals) >= maxWithdrawals {
 		delete(m.withdrawalsByID, m.withdrawals[0].id)
 		m.withdrawals = append(m.withdrawals[:0], m.withdrawals[1:]...)
 	}
-	w := &withdrawal{id: withdrawalID{req.key, req.Sequence}, owner: req.Owner}
-	m.withdrawals = append(m.withdrawals, w)
-	m.withdrawalsByID[w.id] = w
-	m.sendWithdrawal(w)
+	pending := &withdrawal{id: withdrawalID{req.key, req.Sequence}, owner: req.Owner}
+	m.withdrawals = append(m.withdrawals, pending)
+	m.withdrawalsByID[pending.id] = pending
+	m.sendWithdrawal(pending)
 }
 
 func (m *Manager) sendWithdrawal(w *withdrawal) {
@@ -40,7 +40,8 @@
 	}
 }
 
-// handleWithdrawReply records a replica's reply. That of a replica without a lease, or of one that is not ready, does not count.
+// handleWithdrawReply records a replica's acknowledgement of a withdrawal. Replies of replicas without a lease, and of
+// replicas that are not ready, do not count.
 func (m *Manager) handleWithdrawReply(from Member, sent, reply *Item) {
 	w := m.withdrawalsByID[withdrawalID{sent.Key, sent.Sequence}]
 	if w == nil || reply.Reason == reasonNotReady || reply.Reason == reasonNoLease {
@@ -51,7 +52,7 @@
 	}
 }
 
-// resendWithdrawals repeats withdrawals that not all replicas have acknowledged.
+// resendWithdrawals resends withdrawals that not all replicas have acknowledged, up to maxCloseSends times.
 func (m *Manager) resendWithdrawals() {
 	remaining := m.withdrawals[:0]
 	for _, w := range m.withdrawals {
@@ -68,6 +69,7 @@
 	m.withdrawals = remaining
 }
 
+// acknowledgedByAll reports whether all live replicas have acknowledged a withdrawal and are enough for a quorum.
 func (m *Manager) acknowledgedByAll(w *withdrawal) bool {
 	partition := w.id.key.Partition()
 	for _, name := range m.replicaNames(partition) {
