--- a/internal/handoff/adoption.go
+++ b/internal/handoff/adoption.go
@@ -8,37 +8,41 @@
 	"liftshift/scheduler"
 )
 
-// inheritedPartition is a lost owner's work in a partition that this controller has claimed.
+// inheritedPartition tracks the adoption of a lost owner's open requests in one partition that this controller has
+// claimed.
 type inheritedPartition struct {
 	owner     Member
 	partition int
 	fetches   []*fetch
-	since     float64
-	complete  bool    // all of it is known
-	scannedAt float64 // when it was last queued for adoption; 0: not yet
+	since     float64 // when the claim became known here
+	complete  bool    // the owner's open requests were fetched from a quorum of replicas
+	scannedAt float64 // when its requests were last queued for adoption; 0: never
 }
 
-// orphanedRequest is a request to be adopted.
+// orphanedRequest is an open request of a lost owner that is queued for adoption.
 type orphanedRequest struct {
 	key   Key
 	owner Member
 	copy  Copy
 }
 
-// updateInherited takes the agreed claims of this controller.
+// updateInherited follows the agreed claims of this controller: it drops partitions that are no longer claimed and adds
+// new ones.
 func (m *Manager) updateInherited() {
-	m.inherited = slices.DeleteFunc(m.inherited, func(in *inheritedPartition) bool {
-		name, incarnation, claimed := m.table.SuccessorOf(in.owner.Name, in.owner.Incarnation, in.partition)
-		return !claimed || name != m.self.Name || incarnation != m.self.Incarnation
+	m.inherited = slices.DeleteFunc(m.inherited, func(claimed *inheritedPartition) bool {
+		owner := claimed.owner
+		name, incarnation, found := m.table.SuccessorOf(owner.Name, owner.Incarnation, claimed.partition)
+		return !found || name != m.self.Name || incarnation != m.self.Incarnation
 	})
 	for i := range m.table.Claims {
 		if claim := &m.table.Claims[i]; m.isOwnClaim(claim) {
-			m.inherit(claim)
+			m.addClaimedPartitions(claim)
 		}
 	}
 }
 
-func (m *Manager) inherit(claim *placement.AdoptionClaim) {
+// addClaimedPartitions starts to track the partitions of a claim that are not tracked yet.
+func (m *Manager) addClaimedPartitions(claim *placement.AdoptionClaim) {
 	owner := Member{claim.Name, claim.Incarnation}
 	for partition := range placement.PartitionCount {
 		if claim.Partitions&(1<<partition) != 0 && m.findInherited(owner, partition) == nil {
@@ -48,67 +52,70 @@
 	}
 }
 
+// findInherited returns the partition of a lost owner if this controller has claimed it, or nil.
 func (m *Manager) findInherited(owner Member, partition int) *inheritedPartition {
-	for _, in := range m.inherited {
-		if in.owner == owner && in.partition == partition {
-			return in
+	for _, claimed := range m.inherited {
+		if claimed.owner == owner && claimed.partition == partition {
+			return claimed
 		}
 	}
 	return nil
 }
 
-// gatherInherited fetches all that lost owners left in claimed partitions, as any quorum of replicas may have it, and queues it.
+// gatherInherited fetches the lost owners' open requests in claimed partitions and queues them for adoption. It fetches
+// from a quorum of replicas, as this controller may have missed requests that a quorum stored.
 func (m *Manager) gatherInherited() {
 	running := 0
-	for _, in := range m.inherited {
-		if !in.complete {
+	for _, claimed := range m.inherited {
+		if !claimed.complete {
 			running++
 			if running > maxTransfers {
 				break
 			}
-			in.fetches = m.fetchPages(in.fetches, in.partition, in.owner)
-			in.complete = m.hasQuorum(in.partition, completed(in.fetches))
-			if !in.complete {
+			claimed.fetches = m.fetchPages(claimed.fetches, claimed.partition, claimed.owner)
+			claimed.complete = m.hasQuorum(claimed.partition, completedMembers(claimed.fetches))
+			if !claimed.complete {
 				continue
 			}
 		}
-		if in.scannedAt == 0 || m.now > in.scannedAt+adoptionScanMS {
-			in.scannedAt = m.now
-			m.queueInherited(in)
+		if claimed.scannedAt == 0 || m.now > claimed.scannedAt+adoptionScanMS {
+			claimed.scannedAt = m.now
+			m.queueOrphans(claimed)
 		}
 	}
 	m.settleClaims()
 }
 
-// queueInherited queues all that a lost owner left in a partition. The queue is ordered by deadline.
-func (m *Manager) queueInherited(in *inheritedPartition) {
+// queueOrphans queues a lost owner's open requests in a claimed partition for adoption, nearest deadline first.
+func (m *Manager) queueOrphans(claimed *inheritedPartition) {
 	added := 0
-	for key, stored := range m.openByOwner[in.owner].in(in.partition) {
+	for key, stored := range m.openByOwner[claimed.owner].inPartition(claimed.partition) {
 		_, queued := m.queuedForAdoption[key]
-		if queued || !stored.state.open() || !adoptableBeside(m.owned[key]) {
+		if queued || !stored.state.open() || !adoptableDespite(m.owned[key]) {
 			continue
 		}
 		m.queuedForAdoption[key] = struct{}{}
-		m.adoptionQueue = append(m.adoptionQueue, &orphanedRequest{key, in.owner, stored.Copy})
+		m.adoptionQueue = append(m.adoptionQueue, &orphanedRequest{key, claimed.owner, stored.Copy})
 		added++
 	}
 	if added == 0 {
 		return
 	}
-	m.emit(Effect{Kind: LogMessage, Text: "adopting", ID: in.owner.Name, Count: added})
+	m.emit(Effect{Kind: LogMessage, Text: "adopting", ID: claimed.owner.Name, Count: added})
 	slices.SortFunc(m.adoptionQueue, func(a, b *orphanedRequest) int {
 		return cmp.Or(cmp.Compare(a.copy.Deadline, b.copy.Deadline), a.key.compare(b.key))
 	})
 }
 
-// adoptableBeside reports whether an orphaned request may be adopted while this controller owns one of its key.
-func adoptableBeside(req *ownedRequest) bool {
+// adoptableDespite reports whether an orphaned request may be queued for adoption although this controller owns req, a
+// request with the same key, or nil: one that is still registering or already closing gives way.
+func adoptableDespite(req *ownedRequest) bool {
 	return req == nil || req.phase == phaseRegistering || req.phase == phaseClosing
 }
 
-// adoptQueued adopts queued requests as far as the pacer has room.
+// adoptQueued starts the adoption of queued requests up to the pacer's limit.
 func (m *Manager) adoptQueued() {
-	if !m.leaseHeld || m.shuttingDown || m.gathering() {
+	if !m.leaseHeld || m.shuttingDown || m.stillFetching() {
 		return
 	}
 	for len(m.adoptionQueue) > 0 && m.adoptionsInFlight < int(m.pacer.limit) {
@@ -119,14 +126,16 @@
 	}
 }
 
-// gathering reports whether the most urgent request may be among those that are not known yet.
-func (m *Manager) gathering() bool {
-	return slices.ContainsFunc(m.inherited, func(in *inheritedPartition) bool {
-		return !in.complete && m.now < in.since+adoptionGatherMS
+// stillFetching reports whether adoption waits for recently claimed partitions that are still being fetched: the
+// request with the nearest deadline may be in one of them.
+func (m *Manager) stillFetching() bool {
+	return slices.ContainsFunc(m.inherited, func(claimed *inheritedPartition) bool {
+		return !claimed.complete && m.now < claimed.since+adoptionGatherMS
 	})
 }
 
-// startAdoption asks replicas to let a request be adopted, if it is still there to be adopted.
+// startAdoption asks the replicas to record this controller as the owner of an orphaned request, unless the request has
+// ended or changed its owner since it was queued.
 func (m *Manager) startAdoption(orphan *orphanedRequest) {
 	stored := m.copies[orphan.key]
 	if m.findInherited(orphan.owner, orphan.key.Partition()) == nil {
@@ -138,16 +147,23 @@
 	switch req := m.owned[orphan.key]; {
 	case req == nil:
 	case req.phase == phaseRegistering:
-		m.yieldToOwner(req) // a client came again here: it waits for the adopted one
+		m.yieldToOwner(req) // a repeat from a client: it waits for the adopted request
 	case m.mayBeReplacedBy(req, stored):
 		m.removeOwned(req)
 	default:
-		return // a later scan finds it again
+		return // a later scan queues it again
+	}
+	adopted := &ownedRequest{
+		Copy:          stored.Copy,
+		key:           orphan.key,
+		phase:         phaseAdopting,
+		previousOwner: orphan.owner,
+		adopted:       true,
+		startedAt:     m.now,
 	}
-	adopted := &ownedRequest{Copy: stored.Copy, key: orphan.key, phase: phaseAdopting, previousOwner: orphan.owner, adopted: true, startedAt: m.now}
 	adopted.Owner = m.self
-	adopted.Sequence = stored.Sequence + 1 + stored.attempts
-	stored.attempts++ // the withdrawal of an earlier adoption must not be taken for this one's
+	adopted.Sequence = stored.Sequence + 1 + stored.adoptionAttempts
+	stored.adoptionAttempts++ // a withdrawal of an earlier adoption must not match this one's sequence
 	if adopted.RunState != NotRun {
 		adopted.uncertainAttempts = 1
 	}
@@ -156,7 +172,8 @@
 	m.replicate(adopted)
 }
 
-// cancelAdoption ends an adoption that replicas refuse: the request has ended, or another controller has it.
+// cancelAdoption ends an adoption that the replicas refuse because the request has ended or another controller owns it.
+// It updates this replica's copy by what the others know.
 func (m *Manager) cancelAdoption(req *ownedRequest) {
 	m.abandonOwned(req)
 	stored, known := m.copies[req.key], req.known
@@ -164,17 +181,18 @@
 		return
 	}
 	if known.Outcome != Open {
-		it := Item{Sequence: known.Sequence, Outcome: known.Outcome, Answer: known.Answer}
-		it.setAttempt(known.attempt())
-		m.closeCopy(stored, &it)
+		item := Item{Sequence: known.Sequence, Outcome: known.Outcome, Answer: known.Answer}
+		item.setAttempt(known.attempt())
+		m.closeCopy(stored, &item)
 		return
 	}
 	if known.Owner != req.previousOwner {
-		m.transition(stored, inputRetired) // it is out of date; its owner sends the whole again
+		m.transition(stored, inputRetired) // the copy is out of date; the new owner sends a complete one
 	}
 }
 
-// completeAdoption goes on with a request once a quorum knows that it is adopted. One that cannot be gone on with is closed.
+// completeAdoption passes a request to the decision module once a quorum has recorded its adoption. A request that must
+// not be sent is closed instead.
 func (m *Manager) completeAdoption(req *ownedRequest) {
 	m.counts.AdoptionsStarted++
 	req.phase = phaseActive
@@ -185,14 +203,15 @@
 	}
 	m.ownedByID[req.ID] = req
 	m.pacer.start(m.now, req.ID, m.classIndex(req.Class), true)
-	f := Effect{Kind: Adopt, Copy: &req.Copy}
+	effect := Effect{Kind: Adopt, Copy: &req.Copy}
 	if req.RunState != NotRun && class.replicated() {
-		f.Prior = priorAttempt(&req.Copy)
+		effect.Prior = priorAttempt(&req.Copy)
 	}
-	m.emit(f)
+	m.emit(effect)
 }
 
-// adoptionOutcome returns the outcome of a request that cannot be gone on with, or Open.
+// adoptionOutcome returns Open if an adopted request may be sent, otherwise the outcome that it is closed with:
+// Rejected if it surely has not run, Failed otherwise.
 func (m *Manager) adoptionOutcome(req *ownedRequest, class *requestClass) Outcome {
 	replicated := class != nil && class.replicated()
 	switch {
@@ -205,12 +224,13 @@
 	}
 }
 
-// canContinue reports whether an adopted request may be sent. It takes from the retry budget where the request runs again.
+// canContinue reports whether an adopted request may be sent. An idempotent request counts against the retry budget, as
+// it may run twice.
 func (m *Manager) canContinue(req *ownedRequest, class *requestClass) bool {
 	if class == nil || !req.Complete || !class.adoptable {
 		return false
 	}
-	if !class.replicated() && !m.takeRerun() {
+	if !class.replicated() && !m.takeFromRetryBudget() {
 		return false
 	}
 	if m.now >= req.Deadline-answerMarginMS {
@@ -219,8 +239,9 @@
 	return !class.replicated() || class.effect == scheduler.Keyed || req.Confirmed
 }
 
-// takeRerun reports whether the retry budget lets one more idempotent request run again, and counts it.
-func (m *Manager) takeRerun() bool {
+// takeFromRetryBudget reports whether the retry budget allows one more idempotent request to run again, and if so
+// counts it.
+func (m *Manager) takeFromRetryBudget() bool {
 	m.reruns = after(m.reruns, m.now-m.retryBudget.WindowMS)
 	if float64(len(m.reruns)+1) > m.retryBudget.Floor+m.retryBudget.Share*float64(len(m.arrivals)) {
 		return false
--- a/internal/handoff/adoption_test.go
+++ b/internal/handoff/adoption_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a lost owner had open goes to one successor, with what may have run of it.
+// Guards against a lost owner's open request being adopted by no successor or by several, or without its earlier
+// attempt.
 func TestManager_SuccessorAdoptsOrphans(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class, key string
@@ -47,27 +48,27 @@
 			}
 			c.checkCounts()
 			for k := 1; k < 6; k++ {
-				assert.Empty(t, c.managers[k].OrphanedRequests())
+				assert.Empty(t, c.managers[k].OrphanedRequests(), "orphaned requests at n%d", k)
 			}
-			assert.Empty(t, c.table.Claims, "the claim is given back")
+			assert.Empty(t, c.table.Claims, "claims that were not settled")
 		})
 	}
 }
 
-// The successor is lost, too, before or after it has begun: the next one goes on, and only that one.
+// Guards against a request being stranded, or its attempt forgotten, when its successor is lost too.
 func TestManager_NextSuccessorAdoptsAfterFirstIsLost(t *testing.T) {
-	for name, begun := range map[string]bool{"before it adopts": false, "after an attempt": true} {
+	for name, attempted := range map[string]bool{"before it adopts": false, "after an attempt": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 7, 2, nil)
 			c.arrive(0, "keyed", "a", "m")
 			c.lose(0)
 			first := -1
-			if begun {
+			if attempted {
 				c.tick(1500)
 				require.Len(t, c.adopters("a"), 1)
 				first = c.adopters("a")[0]
 				require.True(t, c.attempt(first, "a"))
-			} else { // it claims, and is lost before it learns that the claim is agreed
+			} else { // the successor claims, and is lost before it learns that the claim is agreed
 				require.NotEmpty(t, c.proposals)
 				for k := range c.managers {
 					if c.members[k].Name == c.proposals[0].Claim.Successor {
@@ -85,14 +86,15 @@
 			require.Len(t, successors, 1)
 			adopt := c.effectsFor(successors[0], Adopt, "a")
 			require.Len(t, adopt, 1)
-			assert.Equal(t, begun, adopt[0].Prior.At != 0, "what the first successor sent is known to the second")
+			assert.Equal(t, attempted, adopt[0].Prior.At != 0, "the second successor knows of the first one's attempt")
 			c.checkCounts()
 		})
 	}
 }
 
-// An owner that was declared lost returns: it sends nothing, and an answer that it has goes to its client only if nobody ended the request.
-func TestManager_LostOwnerReturning(t *testing.T) {
+// Guards against an owner that returns after it was declared lost sending attempts, or answering its client otherwise
+// than the successor that adopted the request.
+func TestManager_ReturningOwnerDefersToSuccessor(t *testing.T) {
 	for name, adopted := range map[string]bool{"before adoption": false, "after adoption": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 6, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 1000 })
@@ -109,30 +111,31 @@
 			c.announceTo(0)
 			assert.False(t, c.attempt(0, "unsent"))
 			assert.Len(t, c.effectsFor(0, BlockAttempt, "unsent"), 1)
-			assert.True(t, c.finish(0, "a", Succeeded, "rows"), "replicas are asked first")
+			assert.True(t, c.finish(0, "a", Succeeded, "rows"), "the answer must wait for the replicas")
 			if !adopted {
 				require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
 				assert.Equal(t, Succeeded, c.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
 				c.tick(2000)
-				assert.Empty(t, c.adopters("a"), "it has ended")
+				assert.Empty(t, c.adopters("a"), "an ended request was adopted")
 				return
 			}
 			assert.Empty(t, c.effectsFor(0, DeliverAnswer, "a"))
 			c.finish(c.adopters("a")[0], "a", Succeeded, "other")
 			c.tick(1500)
 			require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
-			assert.Equal(t, "other", string(c.effectsFor(0, DeliverAnswer, "a")[0].Answer), "all give the first answer")
+			assert.Equal(t, "other", string(c.effectsFor(0, DeliverAnswer, "a")[0].Answer), "the first answer counts")
 		})
 	}
 }
 
-// failedBySuccessor has a request succeed at member 0, which then is lost and cut off; its successor records the request as failed.
+// failedBySuccessor returns a cluster in which a request succeeded at member 0, which is cut off and then lost, and
+// whose successor recorded the request as failed.
 func failedBySuccessor(t *testing.T) *cluster {
 	c := newCluster(t, 6, 2, nil)
 	c.arrive(0, "once", "a", "")
 	require.True(t, c.attempt(0, "a"))
 	c.drops = func(from, to int, _ *Item) bool { return from == 0 || to == 0 }
-	assert.False(t, c.finish(0, "a", Succeeded, "rows"), "it holds its lease: its client is answered")
+	assert.False(t, c.finish(0, "a", Succeeded, "rows"), "an owner that holds its lease must answer at once")
 	c.lose(0)
 	c.tick(1500)
 	successors := c.adopters("a")
@@ -142,17 +145,17 @@
 	return c
 }
 
-// What succeeded under a lease, and was recorded as failed by a successor that could not know, is reported as succeeded by all, whichever
+// Guards against a success under a lease staying recorded as the failure that an unaware successor assumed, whichever
 // quorum is asked.
 func TestManager_LateSuccessCorrectsFailure(t *testing.T) {
 	c := failedBySuccessor(t)
 	c.down[0] = false
 	received := 0
-	c.drops = func(from, _ int, it *Item) bool { // three of five receive it
-		if from == 0 && it.Op == OpClose {
+	c.drops = func(from, _ int, item *Item) bool { // only the first three of the five replicas receive the close
+		if from == 0 && item.Op == OpClose {
 			received++
 		}
-		return from == 0 && it.Op == OpClose && received > 3
+		return from == 0 && item.Op == OpClose && received > 3
 	}
 	c.step(0, &Event{Kind: IncarnationChanged, Incarnation: 2})
 	c.announceTo(0)
@@ -162,59 +165,62 @@
 		c.step(k, &Event{Kind: OutcomeQueried, ID: "a", Token: 3})
 		c.tick(200)
 		require.Len(t, c.effects[k][ReplyOutcome], 1)
-		assert.Equal(t, Succeeded, c.effects[k][ReplyOutcome][0].Outcome, "asked at n%d", k)
+		assert.Equal(t, Succeeded, c.effects[k][ReplyOutcome][0].Outcome, "outcome asked for at n%d", k)
 	}
 }
 
-// An incarnation that does not know yet that it was declared lost reports a success: its successor has recorded a failure meanwhile. The
-// report is not given up, and corrects it.
+// Guards against an owner giving up its report of a success when a successor has recorded a failure and the owner does
+// not know yet that it was declared lost.
 func TestManager_LateSuccessFromUnawareLostOwner(t *testing.T) {
 	c := failedBySuccessor(t)
-	c.down[0], c.drops = false, nil // it has the table by now, and does not know yet that it goes on as another incarnation
+	c.down[0], c.drops = false, nil // it receives the table, but does not know of its new incarnation yet
 	c.announceTo(0)
 	c.tick(2000)
 	for k := 1; k < 6; k++ {
 		if stored := c.managers[k].copies[KeyOf("", "a")]; stored != nil {
-			assert.Equal(t, Succeeded, stored.Outcome, "n%d", k)
+			assert.Equal(t, Succeeded, stored.Outcome, "outcome stored at n%d", k)
 		}
 	}
 }
 
-// Twenty thousand orphans at once: never more in flight than there is room for, the nearest deadline first.
+// Guards against more adoptions in flight than the settings allow, and against adoption in another order than by
+// deadline, when many requests are orphaned at once.
 func TestManager_PacesAdoptionByDeadline(t *testing.T) {
-	const n = 20_000
+	const requests = 20_000
 	c := newCluster(t, 5, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 50 })
-	for k := range n {
-		c.step(0, &Event{Kind: RequestArriving, ID: fmt.Sprint(k), Copy: &Copy{RequestData: RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "keyed"},
-			Deadline: c.now + 60e3 + float64(k%1000)}})
+	for k := range requests {
+		c.step(0, &Event{Kind: RequestArriving, ID: fmt.Sprint(k), Copy: &Copy{
+			RequestData: RequestData{ID: fmt.Sprint(k), IdempotencyKey: fmt.Sprint("m", k), Class: "keyed"},
+			Deadline:    c.now + 60e3 + float64(k%1000),
+		}})
 	}
 	c.lose(0)
-	done, last := 0, make([]float64, 5)
+	done, lastDeadline := 0, make([]float64, 5)
 	for range 3000 {
 		c.tick(100)
 		for k := 1; k < 5; k++ {
-			list := c.effects[k][Adopt]
+			adoptions := c.effects[k][Adopt]
 			c.effects[k] = map[EffectKind][]Effect{}
-			require.LessOrEqual(t, c.managers[k].adoptionsInFlight, 50)
-			for _, f := range list {
-				assert.GreaterOrEqual(t, f.Copy.Deadline+1, last[k], "the nearest deadline first")
-				last[k] = max(last[k], f.Copy.Deadline)
-				c.finish(k, f.Copy.ID, Succeeded, "r")
+			require.LessOrEqual(t, c.managers[k].adoptionsInFlight, 50, "adoptions in flight at n%d", k)
+			for _, adopt := range adoptions {
+				assert.GreaterOrEqual(t, adopt.Copy.Deadline+1, lastDeadline[k], "adoption by deadline at n%d", k)
+				lastDeadline[k] = max(lastDeadline[k], adopt.Copy.Deadline)
+				c.finish(k, adopt.Copy.ID, Succeeded, "r")
 				done++
 			}
 		}
-		if done == n {
+		if done == requests {
 			break
 		}
 	}
-	assert.Equal(t, n, done)
+	assert.Equal(t, requests, done, "adopted requests")
 	c.checkCounts()
 	for k := 1; k < 5; k++ {
-		assert.Equal(t, len("r")*n, c.managers[k].copyBytes, "bodies go with the outcome, short answers stay")
+		assert.Equal(t, len("r")*requests, c.managers[k].copyBytes, "n%d must keep the answers and free the bodies", k)
 	}
 }
 
-// An operator gives a request up: it is recorded as failed, and queries are answered so.
+// Guards against a request that an operator gave up staying open for queries.
 func TestManager_ReleasesOrphanOnRequest(t *testing.T) {
 	c := newCluster(t, 5, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 0 })
 	c.arrive(0, "keyed", "a", "m")
--- a/internal/handoff/batch.go
+++ b/internal/handoff/batch.go
@@ -1,20 +1,22 @@
 package handoff
 
-// The reasons in replies go over the wire: they do not change.
+// The reasons in replies are part of the wire format and must not change.
 const (
-	reasonNotReady   = "new here"      // this replica does not know yet all that those before it knew: its reply counts for nothing
-	reasonNoLease    = "no lease"      // this replica may be lost, and its place taken
+	reasonNotReady   = "new here"      // this replica has not copied the partition yet: its reply does not count
+	reasonNoLease    = "no lease"      // this replica may have been declared lost and replaced
 	reasonBusy       = "busy"          // the batch asks for more than fits into its reply
-	reasonNotReplica = "not here"      // this controller is no replica of the partition
-	reasonOwnerLost  = "lost"          // the sender's incarnation is over
+	reasonNotReplica = "not here"      // this controller is not a replica of the partition
+	reasonOwnerLost  = "lost"          // the sender's incarnation has been declared lost
 	reasonIncomplete = "nothing in it" // the copy lacks what a successor needs
-	reasonFull       = "full"
-	reasonNotClaimed = "not claimed" // the sender has not claimed what it adopts
+	reasonFull       = "full"          // this replica stores as many copies as it may
+	reasonNotClaimed = "not claimed"   // the sender has not claimed the partition that it adopts from
 )
 
+// refusal returns the reply that refuses a message for a reason.
 func refusal(reason string) Item { return Item{Op: OpRefused, Reason: reason} }
 
-// handleBatch takes a batch of another member, and replies.
+// handleBatch handles a batch from another member and replies to it. Where the two members know different placements,
+// no item is handled: the reply says so, and this controller fetches the placement if its own may be the older one.
 func (m *Manager) handleBatch(ev *Event) {
 	batch := ev.Batch
 	reply := &Batch{From: m.self}
@@ -34,16 +36,17 @@
 	m.emit(Effect{Kind: ReplyBatch, Token: ev.Token, Batch: reply})
 }
 
-// handleItems takes the items of a batch. Pages that do not fit into the reply are refused, and will be asked for again.
+// handleItems handles the items of a batch and returns the replies. A page that does not fit into the reply is refused
+// as busy; its receiver asks for it again.
 func (m *Manager) handleItems(batch *Batch) (replies []Item) {
-	room := replyPages * pageBytes
+	remainingBytes := replyPages * pageBytes
 	for i := range batch.Items {
 		reply := m.handleItem(batch.From, &batch.Items[i])
 		if reply.Op == OpPage {
 			for k := range reply.Copies {
-				room -= len(reply.Copies[k].Body) + len(reply.Copies[k].Answer)
+				remainingBytes -= len(reply.Copies[k].Body) + len(reply.Copies[k].Answer)
 			}
-			if room < 0 {
+			if remainingBytes < 0 {
 				reply = refusal(reasonBusy)
 			}
 		}
@@ -52,79 +55,84 @@
 	return replies
 }
 
-// handleItem takes one item and returns the reply, marked where it may be wrong as this replica is not ready.
-func (m *Manager) handleItem(from Member, it *Item) Item {
-	reply := m.process(from, it)
-	if reply.Op != OpRefused && !m.isReady(it.targetPartition()) {
+// handleItem handles one item and returns the reply, which is marked with reasonNotReady if this replica may lack
+// copies of the partition.
+func (m *Manager) handleItem(from Member, item *Item) Item {
+	reply := m.applyItem(from, item)
+	if reply.Op != OpRefused && !m.isReady(item.targetPartition()) {
 		reply.Reason = reasonNotReady
 	}
 	return reply
 }
 
-// targetPartition is the partition that a message is about.
-func (it *Item) targetPartition() int {
-	if it.Op == OpFetch {
-		return it.Partition
+// targetPartition returns the partition that a message is about.
+func (item *Item) targetPartition() int {
+	if item.Op == OpFetch {
+		return item.Partition
 	}
-	return it.Key.Partition()
+	return item.Key.Partition()
 }
 
-// sender is the incarnation that a message speaks for: the member that sent it, or one that it had before.
-func (it *Item) sender(from Member) Member {
-	if it.From.Name == from.Name && it.Op != OpAdopt && it.Op != OpFetch {
-		return it.From
+// effectiveSender returns the incarnation on whose behalf a message was sent: the sender's current one or, for a
+// request that an earlier incarnation of the same member owned, that earlier one.
+func (item *Item) effectiveSender(from Member) Member {
+	if item.From.Name == from.Name && item.Op != OpAdopt && item.Op != OpFetch {
+		return item.From
 	}
 	return from
 }
 
-// process takes one item. Refusals count for nothing: a replica whose lease is over may be one that is lost, whose place is taken.
-func (m *Manager) process(from Member, it *Item) Item {
-	partition := it.targetPartition()
+// applyItem applies one item to the copies stored here and returns the reply. Without the lease it refuses: this
+// replica may have been declared lost and replaced, so that its reply must not count towards a quorum.
+func (m *Manager) applyItem(from Member, item *Item) Item {
+	partition := item.targetPartition()
 	if partition < 0 || partition >= len(m.table.Partitions) || !m.isReplica(partition) {
 		return refusal(reasonNotReplica)
 	}
 	if !m.leaseHeld {
 		return refusal(reasonNoLease)
 	}
-	stored := m.copies[it.Key]
-	switch it.Op {
+	stored := m.copies[item.Key]
+	switch item.Op {
 	case OpQuery:
 		return describe(stored)
 	case OpFetch:
-		return m.readPage(it)
+		return m.readPage(item)
 	}
-	owner := it.sender(from)
+	owner := item.effectiveSender(from)
 	if m.isLost(owner) {
-		return m.processFromLost(stored, owner, it)
+		return m.applyItemFromLost(stored, owner, item)
 	}
-	switch it.Op {
+	switch item.Op {
 	case OpRegister:
-		return m.registerCopy(stored, owner, it)
+		return m.registerCopy(stored, owner, item)
 	case OpAdopt:
-		return m.adoptCopy(stored, from, it)
+		return m.adoptCopy(stored, from, item)
 	case OpMapID:
-		return m.storeIDMapping(stored, it)
+		return m.storeIDMapping(stored, item)
 	}
-	return m.updateCopy(stored, owner, it)
+	return m.updateCopy(stored, owner, item)
 }
 
-// processFromLost takes an item of an incarnation that is over. Only that a request succeeded still counts.
-func (m *Manager) processFromLost(stored *storedCopy, owner Member, it *Item) Item {
+// applyItemFromLost handles an item of an incarnation that has been declared lost. The only such message that still
+// changes anything is the report that a request succeeded.
+func (m *Manager) applyItemFromLost(stored *storedCopy, owner Member, item *Item) Item {
 	if stored == nil {
 		return refusal(reasonOwnerLost)
 	}
-	if it.Op != OpClose || it.Outcome != Succeeded {
+	if item.Op != OpClose || item.Outcome != Succeeded {
 		return describe(stored)
 	}
 	if stored.Owner == owner && stored.state.awaitsAdoption() {
 		m.counts.AdoptionsLate++
-		return m.closeCopy(stored, it)
+		return m.closeCopy(stored, item)
 	}
-	if it.Copy != nil && stored.ID == it.Copy.ID && stored.state == stateSettled && stored.Outcome == Failed {
-		m.counts.AdoptionsLate++ // a successor could not know that it succeeded while its owner held its lease
-		stored.Sequence = max(stored.Sequence, it.Sequence)
+	if item.Copy != nil && stored.ID == item.Copy.ID && stored.state == stateSettled && stored.Outcome == Failed {
+		// The request succeeded under its owner's lease, which the successor that recorded a failure could not know.
+		m.counts.AdoptionsLate++
+		stored.Sequence = max(stored.Sequence, item.Sequence)
 		stored.Outcome = Succeeded
-		stored.Answer = it.Answer
+		stored.Answer = item.Answer
 		stored.RunState = Ran
 		m.persist(stored)
 		return Item{Op: OpStored}
--- a/internal/handoff/claims.go
+++ b/internal/handoff/claims.go
@@ -7,18 +7,20 @@
 	"liftshift/internal/placement"
 )
 
-// ProposalKind says what is to be agreed on. Its values go to the consensus log: they do not change.
+// ProposalKind is the kind of a change that the consensus group is asked to agree on. Its values are stored in the
+// consensus log and must not change.
 type ProposalKind string
 
 // The kinds of proposals.
 const (
-	ProposalReady        ProposalKind = "ready"   // this controller's replicas have all that those before them had
-	ProposalClaim        ProposalKind = "claim"   // this controller adopts what a lost owner left in some partitions
-	ProposalSettled      ProposalKind = "settled" // nothing of a claim is left to adopt
-	ProposalReinitialize ProposalKind = "anew"    // partitions that lost their quorum begin anew
+	ProposalReady        ProposalKind = "ready"   // this controller's replicas of some partitions are ready
+	ProposalClaim        ProposalKind = "claim"   // this controller adopts a lost owner's requests in some partitions
+	ProposalSettled      ProposalKind = "settled" // nothing is left to adopt in some partitions of a claim
+	ProposalReinitialize ProposalKind = "anew"    // partitions that lost their quorum resume without it
 )
 
-// updateLostOwners tells copies that their owners are lost, and whether a successor has claimed them.
+// updateLostOwners marks the open copies of lost owners as orphaned or claimed, and records when each loss became
+// known.
 func (m *Manager) updateLostOwners() {
 	for owner, set := range m.openByOwner {
 		if !m.isLost(owner) {
@@ -42,6 +44,8 @@
 	}
 }
 
+// notifyCopies moves open copies of a lost owner to the orphaned state, or to the claimed one if a successor has
+// claimed their partition.
 func (m *Manager) notifyCopies(copies map[Key]*storedCopy, claimed bool) {
 	input := inputUnclaimed
 	if claimed {
@@ -53,7 +57,8 @@
 	}
 }
 
-// orphanedPartitions returns the lost owners of open copies that are stored here, in order, and the partitions of these copies.
+// orphanedPartitions returns the lost owners of open copies stored here, sorted, and for each the partitions of its
+// copies as a bit mask.
 func (m *Manager) orphanedPartitions() (owners []Member, partitions map[Member]uint32) {
 	partitions = map[Member]uint32{}
 	for owner, set := range m.openByOwner {
@@ -68,8 +73,8 @@
 	return owners, partitions
 }
 
-// claimOrphans claims what lost owners left in the partitions whose first ready replica this controller is. The next replicas do so
-// later, should that one not.
+// claimOrphans proposes to claim the requests of lost owners. The first ready replica of a partition claims at once;
+// each further replica follows only if those before it have not claimed the partition within their time.
 func (m *Manager) claimOrphans() {
 	if !m.leaseHeld || m.shuttingDown {
 		return
@@ -82,7 +87,8 @@
 	}
 }
 
-// claimable returns those of a lost owner's partitions that are unclaimed, and this controller's turn to claim.
+// claimable returns which of a lost owner's partitions are unclaimed and due to be claimed by this controller, as a bit
+// mask.
 func (m *Manager) claimable(owner Member, partitions uint32) (mask uint32) {
 	for partition := range placement.PartitionCount {
 		if partitions&(1<<partition) == 0 {
@@ -99,14 +105,15 @@
 	return mask
 }
 
-// readyRank returns this controller's place among the ready live replicas of a partition, or -1.
+// readyRank returns the index of this controller among the ready live replicas of a partition, or -1 if it is not one
+// of them.
 func (m *Manager) readyRank(partition int) int {
 	rank := 0
-	for _, r := range m.table.Partitions[partition].Current {
-		if !r.Ready || !m.isLive(r) {
+	for _, replica := range m.table.Partitions[partition].Current {
+		if !replica.Ready || !m.isLive(replica) {
 			continue
 		}
-		if r.Name == m.self.Name {
+		if replica.Name == m.self.Name {
 			return rank
 		}
 		rank++
@@ -114,6 +121,7 @@
 	return -1
 }
 
+// proposeClaim proposes that this controller adopts the requests of a lost owner in the partitions of a bit mask.
 func (m *Manager) proposeClaim(owner Member, partitions uint32) {
 	m.propose(ProposalClaim, placement.AdoptionClaim{
 		Name:                 owner.Name,
@@ -124,7 +132,8 @@
 	}, 0)
 }
 
-// claimOnRequest claims all that a lost member left and nobody has claimed, as an operator asks.
+// claimOnRequest handles an operator's request to claim the open requests of all lost incarnations of a member.
+// Partitions that another live successor has claimed stay with it.
 func (m *Manager) claimOnRequest(name string) {
 	owners, partitions := m.orphanedPartitions()
 	claimed := 0
@@ -137,19 +146,19 @@
 	m.emit(Effect{Kind: LogMessage, Text: "claimed on an operator's request", ID: name, Count: claimed})
 }
 
-// isOwnClaim reports whether a claim is this incarnation's.
-func (m *Manager) isOwnClaim(c *placement.AdoptionClaim) bool {
-	return c.Successor == m.self.Name && c.SuccessorIncarnation == m.self.Incarnation
+// isOwnClaim reports whether the successor of a claim is this incarnation.
+func (m *Manager) isOwnClaim(claim *placement.AdoptionClaim) bool {
+	return claim.Successor == m.self.Name && claim.SuccessorIncarnation == m.self.Incarnation
 }
 
-// settleClaims proposes to end the claims of which nothing is left to adopt.
+// settleClaims proposes to end this controller's claims on partitions in which nothing is left to adopt.
 func (m *Manager) settleClaims() {
 	for _, claim := range m.table.Claims {
 		if !m.isOwnClaim(&claim) {
 			continue
 		}
 		owner := Member{claim.Name, claim.Incarnation}
-		settled := claim.Partitions &^ m.unsettled(owner)
+		settled := claim.Partitions &^ m.unsettledPartitions(owner)
 		if settled != 0 {
 			claim.Partitions = settled
 			m.propose(ProposalSettled, claim, 0)
@@ -157,11 +166,12 @@
 	}
 }
 
-// unsettled returns the partitions in which something of a lost owner is still to be adopted, or not yet acknowledged by replicas.
-func (m *Manager) unsettled(owner Member) (mask uint32) {
-	for _, in := range m.inherited {
-		if in.owner == owner && in.scannedAt == 0 {
-			mask |= 1 << in.partition
+// unsettledPartitions returns the partitions in which requests of a lost owner are still to be adopted, or their
+// adoption is still to be acknowledged by replicas, as a bit mask.
+func (m *Manager) unsettledPartitions(owner Member) (mask uint32) {
+	for _, claimed := range m.inherited {
+		if claimed.owner == owner && claimed.scannedAt == 0 {
+			mask |= 1 << claimed.partition
 		}
 	}
 	mask |= m.openByOwner[owner].mask()
@@ -173,7 +183,8 @@
 	return mask
 }
 
-// adoptionUnacknowledged reports whether replicas that answer have yet to learn who adopted a request.
+// adoptionUnacknowledged reports whether live replicas have yet to acknowledge an adopted request. Those that stay
+// silent are waited for only for claimRetentionMS.
 func (m *Manager) adoptionUnacknowledged(req *ownedRequest) bool {
 	if req.phase == phaseDone || len(req.acks) >= len(m.replicaNames(req.key.Partition())) {
 		return false
--- a/internal/handoff/copystore.go
+++ b/internal/handoff/copystore.go
@@ -6,27 +6,27 @@
 	"liftshift/internal/placement"
 )
 
-// storedCopy is a copy that this controller stores as a replica.
+// storedCopy is a copy of a request that this controller stores as a replica.
 type storedCopy struct {
 	Copy
-	key       Key
-	state     copyState
-	expiresAt float64
-	previous  *Copy // what the key stood for before, which counts again if this one is withdrawn
-	adopting  bool  // a successor has adopted it, and not yet gone on with it
-	attempts  uint64
-	idMapping bool // its ID stands for its IdempotencyKey, nothing more
-	bytes     int  // of its body and answer, as counted
+	key                 Key
+	state               copyState
+	expiresAt           float64 // 0: not set yet
+	previous            *Copy   // copy of the same key before this one; a withdrawal of this one restores it
+	adoptionUnconfirmed bool    // a successor has adopted the request and has not reported on it since
+	adoptionAttempts    uint64  // adoptions that this controller has tried, as the successor
+	idMapping           bool    // it only maps its ID to its IdempotencyKey
+	countedBytes        int     // size of body and answer as included in Manager.copyBytes
 }
 
-// ownerCopies are the open copies of one incarnation, by partition.
+// ownerCopies indexes the open copies of one owner by partition.
 type ownerCopies struct {
 	partitions [placement.PartitionCount]map[Key]*storedCopy
-	notified   [placement.PartitionCount]lossNotice
-	count      int
+	notified   [placement.PartitionCount]lossNotice // see updateLostOwners
+	count      int                                  // of copies in all partitions
 }
 
-// lossNotice is what all copies of an owner in a partition have been notified of.
+// lossNotice records which notification of their owner's loss all copies of a partition have received.
 type lossNotice uint8
 
 const (
@@ -40,6 +40,7 @@
 // String returns the name of the notice.
 func (n lossNotice) String() string { return lossNoticeNames[n] }
 
+// noticeFor returns the notification for copies of a lost owner, which a successor may have claimed.
 func noticeFor(claimed bool) lossNotice {
 	if claimed {
 		return noticeClaimed
@@ -47,25 +48,25 @@
 	return noticeLost
 }
 
-// in returns the copies in a partition. A nil set has none.
-func (o *ownerCopies) in(partition int) map[Key]*storedCopy {
+// inPartition returns the copies in a partition. A nil ownerCopies has none.
+func (o *ownerCopies) inPartition(partition int) map[Key]*storedCopy {
 	if o == nil {
 		return nil
 	}
 	return o.partitions[partition]
 }
 
-// mask returns the partitions in which there are copies, as bits.
+// mask returns the partitions in which there are copies, as a bit mask.
 func (o *ownerCopies) mask() (mask uint32) {
 	for partition := range placement.PartitionCount {
-		if len(o.in(partition)) > 0 {
+		if len(o.inPartition(partition)) > 0 {
 			mask |= 1 << partition
 		}
 	}
 	return mask
 }
 
-// indexOpen lists a copy among the open ones of its owner.
+// indexOpen adds a copy to the index of open copies by owner.
 func (m *Manager) indexOpen(stored *storedCopy) {
 	set := m.openByOwner[stored.Owner]
 	if set == nil {
@@ -76,13 +77,14 @@
 	if set.partitions[partition] == nil {
 		set.partitions[partition] = map[Key]*storedCopy{}
 	}
-	if _, listed := set.partitions[partition][stored.key]; !listed {
+	if _, indexed := set.partitions[partition][stored.key]; !indexed {
 		set.count++
 	}
 	set.partitions[partition][stored.key] = stored
 	set.notified[partition] = noticeNone
 }
 
+// unindexOpen removes a copy from the index of open copies by owner, if it is there.
 func (m *Manager) unindexOpen(stored *storedCopy) {
 	set := m.openByOwner[stored.Owner]
 	partition := stored.key.Partition()
@@ -96,109 +98,115 @@
 	}
 }
 
-// describe returns what is known of a copy, without its body.
+// describe returns the reply that tells what is known of a request: the stored copy without its body, or that nothing
+// is known.
 func describe(stored *storedCopy) Item {
 	if stored == nil || stored.state == stateDropped {
 		return Item{Op: OpUnknown}
 	}
 	if stored.idMapping {
-		return Item{Op: OpKnown, Copy: &Copy{RequestData: RequestData{ID: stored.ID, IdempotencyKey: stored.IdempotencyKey}, Outcome: Unknown}}
+		mapping := RequestData{ID: stored.ID, IdempotencyKey: stored.IdempotencyKey}
+		return Item{Op: OpKnown, Copy: &Copy{RequestData: mapping, Outcome: Unknown}} // Unknown marks an id mapping
 	}
-	c := stored.Copy
-	c.Body = nil
-	c.Complete = false
-	return Item{Op: OpKnown, Copy: &c}
+	known := stored.Copy
+	known.Body = nil
+	known.Complete = false
+	return Item{Op: OpKnown, Copy: &known}
 }
 
-// addCopy stores a copy that no index lists yet.
-func (m *Manager) addCopy(key Key, c *Copy) *storedCopy {
-	stored := &storedCopy{Copy: *c, key: key}
+// addCopy stores a copy in the initial state. The caller sets its state and adds it to the index of open copies.
+func (m *Manager) addCopy(key Key, received *Copy) *storedCopy {
+	stored := &storedCopy{Copy: *received, key: key}
 	m.copies[key] = stored
 	return stored
 }
 
-// openCopy counts and lists a copy as open.
+// openCopy counts a copy as received and adds it to the open ones.
 func (m *Manager) openCopy(stored *storedCopy) {
 	m.counts.CopiesReceived++
-	m.refreshOpen(stored)
+	m.indexAndPersist(stored)
 }
 
-// refreshOpen lists, prolongs and persists an open copy.
-func (m *Manager) refreshOpen(stored *storedCopy) {
+// indexAndPersist adds a copy to the index of open copies, extends its expiry and persists it.
+func (m *Manager) indexAndPersist(stored *storedCopy) {
 	m.indexOpen(stored)
-	m.refresh(stored)
+	m.extendAndPersist(stored)
 }
 
-// refresh prolongs and persists a copy.
-func (m *Manager) refresh(stored *storedCopy) {
-	m.prolong(stored)
+// extendAndPersist extends the expiry of a copy and persists it.
+func (m *Manager) extendAndPersist(stored *storedCopy) {
+	m.extendExpiry(stored)
 	m.persist(stored)
 }
 
-// persist has a copy written to disk where this replica does so. Idempotent requests are not worth it: they may simply run again.
+// persist asks for a copy to be written to disk; the Version of the effect is the time at which the copy expires.
+// Copies of idempotent requests are not written, as such a request may simply run again.
 func (m *Manager) persist(stored *storedCopy) {
 	if !stored.Idempotent {
 		m.emit(Effect{Kind: PersistCopy, Key: stored.key, Copy: &stored.Copy, Version: uint64(stored.expiresAt)})
 	}
 }
 
-// dropCopy forgets a copy.
+// dropCopy removes a copy from memory and disk.
 func (m *Manager) dropCopy(stored *storedCopy) {
-	if m.openByOwner[stored.Owner].in(stored.key.Partition())[stored.key] == stored {
+	if m.openByOwner[stored.Owner].inPartition(stored.key.Partition())[stored.key] == stored {
 		m.unindexOpen(stored)
 		m.counts.Dropped++
 	}
 	delete(m.copies, stored.key)
-	m.copyBytes -= stored.bytes
+	m.copyBytes -= stored.countedBytes
 	if !stored.Idempotent {
 		m.emit(Effect{Kind: PersistCopy, Key: stored.key})
 	}
 }
 
-// registerCopy stores the copy of a request that its owner registers.
-func (m *Manager) registerCopy(stored *storedCopy, owner Member, it *Item) Item {
-	if it.Copy == nil || !it.Copy.Complete {
+// registerCopy handles OpRegister: it stores the copy of a request unless another request with the same key is open, or
+// has succeeded and its answer is stored.
+func (m *Manager) registerCopy(stored *storedCopy, owner Member, item *Item) Item {
+	if item.Copy == nil || !item.Copy.Complete {
 		return refusal(reasonIncomplete)
 	}
 	if stored == nil {
-		return m.registerNew(owner, it)
+		return m.registerNewCopy(owner, item)
 	}
 	if stored.Owner == owner && stored.state.open() {
-		if it.Copy.Sequence > stored.Sequence {
-			m.replaceCopy(stored, owner, it.Copy)
+		if item.Copy.Sequence > stored.Sequence {
+			m.replaceCopy(stored, owner, item.Copy)
 		}
-		reply := Item{Op: OpStored} // with the attempts again: the first reply may have been lost
+		reply := Item{Op: OpStored} // with the earlier attempts again: the first reply may have been lost
 		reply.setAttempt(stored.attempt())
 		return reply
 	}
 	if stored.state.open() || stored.RunState == Ran && stored.Answer != nil {
 		return describe(stored)
 	}
-	if it.Copy.Sequence <= stored.Sequence {
+	if item.Copy.Sequence <= stored.Sequence {
 		return Item{Op: OpNeedHigher, Sequence: stored.Sequence}
 	}
-	return m.reopenCopy(stored, owner, it.Copy)
+	return m.reopenCopy(stored, owner, item.Copy)
 }
 
-func (m *Manager) registerNew(owner Member, it *Item) Item {
-	if len(m.copies) >= m.maxCopies || m.copyBytes+len(it.Copy.Body) > maxCopyBytes {
+// registerNewCopy stores the first copy of a key, unless this replica is full.
+func (m *Manager) registerNewCopy(owner Member, item *Item) Item {
+	if len(m.copies) >= m.maxCopies || m.copyBytes+len(item.Copy.Body) > maxCopyBytes {
 		return refusal(reasonFull)
 	}
-	stored := m.addCopy(it.Key, it.Copy)
+	stored := m.addCopy(item.Key, item.Copy)
 	stored.Owner = owner
 	m.openCopy(stored)
 	return Item{Op: OpStored}
 }
 
-// reopenCopy registers a new request in place of one of its key that has ended. The reply tells of the attempts of that one.
-func (m *Manager) reopenCopy(stored *storedCopy, owner Member, c *Copy) Item {
+// reopenCopy registers a new request in place of an ended one with the same key. The reply carries the attempts of the
+// ended request.
+func (m *Manager) reopenCopy(stored *storedCopy, owner Member, registered *Copy) Item {
 	ended := stored.Copy
 	ended.Body = nil
 	reply := Item{Op: OpStored, Sequence: ended.Sequence}
 	reply.setAttempt(ended.attempt())
 	stored.idMapping = false
 	stored.previous = &ended
-	stored.Copy = *c
+	stored.Copy = *registered
 	stored.Owner = owner
 	if ended.RunState > stored.RunState {
 		stored.setAttempt(ended.attempt())
@@ -207,146 +215,150 @@
 	return reply
 }
 
-// replaceCopy takes a later whole copy of its owner.
-func (m *Manager) replaceCopy(stored *storedCopy, owner Member, c *Copy) {
+// replaceCopy replaces an open copy by a later complete one from the same owner.
+func (m *Manager) replaceCopy(stored *storedCopy, owner Member, latest *Copy) {
 	m.unindexOpen(stored)
-	stored.Copy = *c
+	stored.Copy = *latest
 	stored.Owner = owner
-	if stored.adopting {
-		stored.adopting = false
+	if stored.adoptionUnconfirmed {
+		stored.adoptionUnconfirmed = false
 		stored.previous = nil
 	}
-	if p := stored.previous; p != nil && p.RunState > stored.RunState { // its owner may not know of that yet
-		stored.setAttempt(p.attempt())
+	if previous := stored.previous; previous != nil && previous.RunState > stored.RunState {
+		stored.setAttempt(previous.attempt()) // the owner may not know of the earlier attempt yet
 	}
-	m.refreshOpen(stored)
+	m.indexAndPersist(stored)
 }
 
-// updateCopy takes a later message of a request: an attempt, its end, or its withdrawal.
-func (m *Manager) updateCopy(stored *storedCopy, owner Member, it *Item) Item {
+// updateCopy handles OpAttempt, OpClose and OpWithdraw of a registered request.
+func (m *Manager) updateCopy(stored *storedCopy, owner Member, item *Item) Item {
 	if stored == nil {
-		if it.Op == OpWithdraw {
+		if item.Op == OpWithdraw {
 			return Item{Op: OpStored}
 		}
-		return m.closeUnknown(nil, owner, it)
+		return m.closeUnmatched(nil, owner, item)
 	}
-	if !stored.state.open() && it.Sequence <= stored.Sequence {
+	if !stored.state.open() && item.Sequence <= stored.Sequence {
 		return Item{Op: OpStored}
 	}
-	if stored.state.open() && stored.Owner != owner && !m.closesAfterLost(stored, it) {
+	if stored.state.open() && stored.Owner != owner && !m.closesLaterRequest(stored, item) {
 		return describe(stored)
 	}
 	if stored.Owner != owner || !stored.state.open() {
-		return m.closeUnknown(stored, owner, it)
+		return m.closeUnmatched(stored, owner, item)
 	}
 	switch {
-	case it.Op == OpClose:
-		return m.closeCopy(stored, it)
-	case it.Sequence < stored.Sequence: // overtaken
-	case it.Op == OpWithdraw:
-		m.withdrawCopy(stored, it)
-	case it.Sequence > stored.Sequence:
-		m.updateAttempt(stored, it)
+	case item.Op == OpClose:
+		return m.closeCopy(stored, item)
+	case item.Sequence < stored.Sequence: // overtaken by a later message
+	case item.Op == OpWithdraw:
+		m.withdrawCopy(stored, item)
+	case item.Sequence > stored.Sequence:
+		m.updateAttempt(stored, item)
 	}
 	return Item{Op: OpStored}
 }
 
-// closesAfterLost reports whether a message ends a later request than the open one of a lost owner that is stored.
-func (m *Manager) closesAfterLost(stored *storedCopy, it *Item) bool {
-	return m.isLost(stored.Owner) && it.Op == OpClose && it.Copy != nil && it.Sequence > stored.Sequence
+// closesLaterRequest reports whether a message closes a request that was registered after the stored one, which is
+// still open here and whose owner is lost.
+func (m *Manager) closesLaterRequest(stored *storedCopy, item *Item) bool {
+	return m.isLost(stored.Owner) && item.Op == OpClose && item.Copy != nil && item.Sequence > stored.Sequence
 }
 
-// closeUnknown takes the end of a request that is not stored here, or in place of which another is.
-func (m *Manager) closeUnknown(stored *storedCopy, owner Member, it *Item) Item {
-	if it.Op != OpClose || it.Copy == nil {
+// closeUnmatched handles a message on a request that is not stored here, or instead of which another is stored. A close
+// that carries a copy is applied to that copy; any other message needs a copy first.
+func (m *Manager) closeUnmatched(stored *storedCopy, owner Member, item *Item) Item {
+	if item.Op != OpClose || item.Copy == nil {
 		return Item{Op: OpNeedCopy}
 	}
 	if stored == nil {
-		stored = m.addCopy(it.Key, it.Copy)
+		stored = m.addCopy(item.Key, item.Copy)
 	} else {
-		if stored.state.open() { // a quorum knows of the later one
+		if stored.state.open() { // superseded by a later request, which a quorum has stored
 			m.unindexOpen(stored)
 			m.counts.Dropped++
 		}
-		stored.Copy = *it.Copy
+		stored.Copy = *item.Copy
 		stored.previous = nil
 	}
 	stored.Owner = owner
 	stored.state = stateHeld
 	m.openCopy(stored)
-	return m.closeCopy(stored, it)
+	return m.closeCopy(stored, item)
 }
 
-// updateAttempt takes what its owner says of the attempts of a request.
-func (m *Manager) updateAttempt(stored *storedCopy, it *Item) {
+// updateAttempt records the owner's latest report on the attempts of a request.
+func (m *Manager) updateAttempt(stored *storedCopy, item *Item) {
 	stored.Confirmed = true
-	if stored.adopting {
-		stored.adopting = false
+	if stored.adoptionUnconfirmed {
+		stored.adoptionUnconfirmed = false
 		stored.previous = nil
 	}
-	stored.Sequence = it.Sequence
-	stored.setAttempt(it.attempt())
+	stored.Sequence = item.Sequence
+	stored.setAttempt(item.attempt())
 	m.persist(stored)
 }
 
-// closeCopy takes the outcome of a request.
-func (m *Manager) closeCopy(stored *storedCopy, it *Item) Item {
-	stored.Sequence = max(stored.Sequence, it.Sequence)
+// closeCopy records the outcome of a request and frees its body.
+func (m *Manager) closeCopy(stored *storedCopy, item *Item) Item {
+	stored.Sequence = max(stored.Sequence, item.Sequence)
 	if !stored.state.open() {
 		return Item{Op: OpStored}
 	}
 	m.unindexOpen(stored)
-	stored.Outcome = it.Outcome
-	stored.Answer = it.Answer
+	stored.Outcome = item.Outcome
+	stored.Answer = item.Answer
 	stored.previous = nil
-	stored.adopting = false
-	stored.setAttempt(it.attempt())
+	stored.adoptionUnconfirmed = false
+	stored.setAttempt(item.attempt())
 	stored.Body = nil
 	stored.Complete = false
 	m.transition(stored, inputClosed)
 	if req := m.owned[stored.key]; req != nil && req.adopted && req.phase != phaseClosing && req.Owner != stored.Owner {
-		m.abandonOwned(req) // it is being adopted here, and has ended
+		m.abandonOwned(req) // this controller adopts or has adopted a request that has ended
 	}
-	m.refresh(stored)
+	m.extendAndPersist(stored)
 	return Item{Op: OpStored}
 }
 
-// withdrawCopy takes back the registration or adoption of a request.
-func (m *Manager) withdrawCopy(stored *storedCopy, it *Item) {
+// withdrawCopy undoes the registration or adoption of a request that was never carried out.
+func (m *Manager) withdrawCopy(stored *storedCopy, item *Item) {
 	switch {
 	case stored.state == stateHeld && (stored.RunState == NotRun || stored.previous != nil):
 		m.withdrawRegistration(stored)
-	case stored.state == stateAdopted && stored.adopting && it.Sequence == stored.Sequence:
+	case stored.state == stateAdopted && stored.adoptionUnconfirmed && item.Sequence == stored.Sequence:
 		m.withdrawAdoption(stored)
 	}
 }
 
-// withdrawRegistration has what the key stood for before count again.
+// withdrawRegistration restores the ended request that a registration replaced, if there was one.
 func (m *Manager) withdrawRegistration(stored *storedCopy) {
 	if m.revertCopy(stored) {
 		stored.state = stateSettled
-		m.refresh(stored)
+		m.extendAndPersist(stored)
 	}
 }
 
-// withdrawAdoption has the copy of the lost owner count again.
+// withdrawAdoption restores the lost owner's copy that an adoption replaced, if there was one.
 func (m *Manager) withdrawAdoption(stored *storedCopy) {
 	if !m.revertCopy(stored) {
 		return
 	}
-	stored.adopting = false
+	stored.adoptionUnconfirmed = false
 	stored.state = stateHeld
 	m.openCopy(stored)
 	if !m.isLost(stored.Owner) {
 		return
 	}
 	m.transition(stored, inputOwnerLost)
-	if _, _, claimed := m.table.SuccessorOf(stored.Owner.Name, stored.Owner.Incarnation, stored.key.Partition()); claimed {
+	owner := stored.Owner
+	if _, _, claimed := m.table.SuccessorOf(owner.Name, owner.Incarnation, stored.key.Partition()); claimed {
 		m.transition(stored, inputClaimed)
 	}
 }
 
-// revertCopy reverts a copy to what its key stood for before, and reports whether there was anything; else the copy is retired.
+// revertCopy restores the copy that a stored one replaced. Without such a copy it drops the stored one and returns
+// false.
 func (m *Manager) revertCopy(stored *storedCopy) bool {
 	if stored.previous == nil {
 		m.transition(stored, inputRetired)
@@ -359,27 +371,28 @@
 	return true
 }
 
-// adoptCopy takes the adoption of a request by the successor that has claimed it.
-func (m *Manager) adoptCopy(stored *storedCopy, from Member, it *Item) Item {
-	name, incarnation, claimed := m.table.SuccessorOf(it.From.Name, it.From.Incarnation, it.Key.Partition())
-	if !claimed || name != from.Name || incarnation != from.Incarnation || it.Copy == nil {
+// adoptCopy handles OpAdopt: it records the sender as the owner of a lost owner's request if the sender has claimed the
+// partition.
+func (m *Manager) adoptCopy(stored *storedCopy, from Member, item *Item) Item {
+	name, incarnation, claimed := m.table.SuccessorOf(item.From.Name, item.From.Incarnation, item.Key.Partition())
+	if !claimed || name != from.Name || incarnation != from.Incarnation || item.Copy == nil {
 		return refusal(reasonNotClaimed)
 	}
 	switch {
 	case stored == nil:
-		stored = m.addCopy(it.Key, it.Copy)
+		stored = m.addCopy(item.Key, item.Copy)
 		stored.Owner = from
 		stored.state = stateAdopted
-		stored.adopting = true
+		stored.adoptionUnconfirmed = true
 		m.openCopy(stored)
-	case stored.Owner == from && stored.state.open(): // a repeat
-	case stored.state.open() && stored.Owner == it.From:
-		if moreRecent(&stored.Copy, it.Copy) && stored.Sequence >= it.Copy.Sequence && !it.More {
+	case stored.Owner == from && stored.state.open(): // adopted already
+	case stored.state.open() && stored.Owner == item.From:
+		if moreRecent(&stored.Copy, item.Copy) && stored.Sequence >= item.Copy.Sequence && !item.More {
 			return describe(stored)
 		}
-		m.adoptOpen(stored, from, it.Copy)
-	case stored.state == stateSettled && adoptionIsLater(&stored.Copy, it.Copy):
-		stored.Copy = *it.Copy
+		m.adoptOpen(stored, from, item.Copy)
+	case stored.state == stateSettled && adoptionIsOfLaterRequest(&stored.Copy, item.Copy):
+		stored.Copy = *item.Copy
 		stored.Owner = from
 		stored.state = stateAdopted
 		m.openCopy(stored)
@@ -389,13 +402,13 @@
 	return Item{Op: OpStored}
 }
 
-// adoptOpen replaces the copy of a lost owner by its successor's.
-func (m *Manager) adoptOpen(stored *storedCopy, from Member, c *Copy) {
+// adoptOpen replaces the open copy of a lost owner by that of its successor, which may lack the request data.
+func (m *Manager) adoptOpen(stored *storedCopy, from Member, adopted *Copy) {
 	m.unindexOpen(stored)
 	before := stored.Copy
 	stored.previous = &before
-	stored.adopting = true
-	stored.Copy = *c
+	stored.adoptionUnconfirmed = true
+	stored.Copy = *adopted
 	stored.Owner = from
 	if !stored.Complete {
 		stored.RequestData = before.RequestData
@@ -403,27 +416,30 @@
 	}
 	m.indexOpen(stored)
 	m.transition(stored, inputAdopted)
-	m.refresh(stored)
+	m.extendAndPersist(stored)
 }
 
-// adoptionIsLater reports whether an adopted copy is of a later request than the one of its key that has ended.
-func adoptionIsLater(ended, adopted *Copy) bool {
+// adoptionIsOfLaterRequest reports whether an adopted copy belongs to a later request than the ended one with the same
+// key. An ended request that ran is not replaced by one that is not known to have run.
+func adoptionIsOfLaterRequest(ended, adopted *Copy) bool {
 	return ended.Sequence+1 < adopted.Sequence && !(ended.RunState == Ran && adopted.RunState != Ran)
 }
 
-// storeIDMapping stores which idempotency key an id stands for.
-func (m *Manager) storeIDMapping(stored *storedCopy, it *Item) Item {
-	if stored == nil && it.Copy != nil && len(m.copies) < m.maxCopies {
-		stored = m.addCopy(it.Key, it.Copy)
+// storeIDMapping handles OpMapID: it stores the idempotency key of a request id, so that queries by id find the
+// request. Where there is no room for it, the mapping is left out.
+func (m *Manager) storeIDMapping(stored *storedCopy, item *Item) Item {
+	if stored == nil && item.Copy != nil && len(m.copies) < m.maxCopies {
+		stored = m.addCopy(item.Key, item.Copy)
 		stored.idMapping = true
 		stored.state = stateSettled
 		stored.Idempotent = false
-		m.prolong(stored)
+		m.extendExpiry(stored)
 	}
 	return Item{Op: OpStored}
 }
 
-// releaseOrphan records orphaned requests of an id or key as failed: an operator has given them up.
+// releaseOrphan handles an operator's request to give up the orphaned requests with an id or idempotency key: they are
+// recorded as failed.
 func (m *Manager) releaseOrphan(name string) {
 	var orphans []*storedCopy
 	for _, stored := range m.copies {
@@ -433,14 +449,14 @@
 	}
 	sortByKey(orphans)
 	for _, stored := range orphans {
-		it := Item{Sequence: stored.Sequence + 1, Outcome: Failed}
-		it.setAttempt(stored.attempt())
-		m.closeCopy(stored, &it)
+		item := Item{Sequence: stored.Sequence + 1, Outcome: Failed}
+		item.setAttempt(stored.attempt())
+		m.closeCopy(stored, &item)
 	}
 	m.emit(Effect{Kind: LogMessage, Text: "released by an operator", ID: name, Count: len(orphans)})
 }
 
-// sortByKey puts copies that were found in the order of a map into one that does not change from run to run.
+// sortByKey sorts copies collected from a map, so that the order of effects does not depend on the order of the map.
 func sortByKey(copies []*storedCopy) {
 	slices.SortFunc(copies, func(a, b *storedCopy) int { return a.key.compare(b.key) })
 }
--- a/internal/handoff/copystore_test.go
+++ b/internal/handoff/copystore_test.go
@@ -10,17 +10,18 @@
 	"liftshift/scheduler"
 )
 
-// A replica that is full stores nothing more; the others are enough. A replica that missed a message is sent the whole copy.
-func TestManager_FullAndLaggingReplicas(t *testing.T) {
+// Guards against a full replica storing further copies or blocking registration, and against a replica that missed a
+// registration staying without the copy.
+func TestManager_ToleratesFullAndLaggingReplicas(t *testing.T) {
 	c := newCluster(t, 5, 2, nil)
 	c.managers[3].maxCopies = 1
-	c.drops = func(_, to int, it *Item) bool { return to == 4 && it.Op == OpRegister }
+	c.drops = func(_, to int, item *Item) bool { return to == 4 && item.Op == OpRegister }
 	for k := range 5 {
 		id := fmt.Sprint(k)
 		c.arrive(0, "keyed", id, "m"+id)
-		require.Len(t, c.effectsFor(0, Resume, id), 1, id)
+		require.Len(t, c.effectsFor(0, Resume, id), 1, "request %s is not registered", id)
 	}
-	assert.LessOrEqual(t, c.managers[3].Counts().CopiesStored, 3, "id mappings besides")
+	assert.LessOrEqual(t, c.managers[3].Counts().CopiesStored, 3, "one copy, and id mappings")
 	c.drops = nil
 	require.True(t, c.attempt(0, "1"))
 	c.tick(300)
@@ -28,7 +29,7 @@
 	assert.True(t, c.managers[4].copies[KeyOf("m1", "1")].Complete)
 }
 
-// Copies move to whoever takes the place of a lost replica, and their keys are known there.
+// Guards against idempotency keys being forgotten while replicas are lost and replaced one after the other.
 func TestManager_TransfersPartitionsToNewReplicas(t *testing.T) {
 	c := newCluster(t, 9, 2, nil)
 	for k := range 300 {
@@ -41,20 +42,21 @@
 		c.lose(k)
 		c.tick(3000)
 	}
-	for _, p := range c.table.Partitions {
-		assert.Nil(t, p.Previous, "all transfers have ended")
+	for k, partition := range c.table.Partitions {
+		assert.Nil(t, partition.Previous, "transfer of partition %d has not ended", k)
 	}
 	for k := range 300 {
 		id := fmt.Sprint("x", k)
 		c.arrive(1, "keyed", id, fmt.Sprint("m", k))
-		f := c.effectsFor(1, Resume, id)
-		require.Len(t, f, 1)
-		require.NotZero(t, f[0].Prior.At)
+		resumed := c.effectsFor(1, Resume, id)
+		require.Len(t, resumed, 1, "request %s is not registered", id)
+		require.NotZero(t, resumed[0].Prior.At, "request %s lacks the attempt of its key", id)
 	}
 	c.checkCounts()
 }
 
-// A partition that lost its quorum rejects until its keys have expired, then begins anew.
+// Guards against a partition that lost its quorum registering requests before the keys that its replicas knew have
+// expired.
 func TestManager_RejectsAfterQuorumLossUntilReinitialized(t *testing.T) {
 	c := newCluster(t, 5, 2, nil)
 	for k := range 3 {
@@ -63,7 +65,7 @@
 	c.arrive(4, "keyed", "a", "m")
 	require.Len(t, c.effectsFor(4, AnswerSuspended, "a"), 1)
 	assert.Equal(t, Rejected, c.effectsFor(4, AnswerSuspended, "a")[0].Outcome)
-	for k := range 3 { // they come back, and know nothing
+	for k := range 3 { // they return without their copies
 		c.down[k] = false
 		c.members[k].Lost, c.members[k].Incarnation = false, 2
 		settings := DefaultSettings()
@@ -80,11 +82,18 @@
 	assert.Len(t, c.effectsFor(4, Resume, "c"), 1)
 }
 
-// What a replica reads from its disk proves what ran, and is no reason to send anything.
+// Guards against copies restored from disk being adopted, and against their attempts being forgotten.
 func TestManager_RestoredCopiesAreNeverSent(t *testing.T) {
 	c := newCluster(t, 5, 2, nil)
-	written := Copy{RequestData: RequestData{ID: "a", IdempotencyKey: "m", Class: "keyed"}, Owner: Member{"n9", 1}, Sequence: 3, RunState: MayHaveRun,
-		FirstAttemptAt: c.now, Deadline: c.now + 5000, Complete: true}
+	written := Copy{
+		RequestData:    RequestData{ID: "a", IdempotencyKey: "m", Class: "keyed"},
+		Owner:          Member{"n9", 1},
+		Sequence:       3,
+		RunState:       MayHaveRun,
+		FirstAttemptAt: c.now,
+		Deadline:       c.now + 5000,
+		Complete:       true,
+	}
 	data := AppendCopy(nil, &written, c.now)
 	for k := range c.managers {
 		restored, err := ReadCopy(data, c.now)
@@ -103,6 +112,7 @@
 	assert.Equal(t, Failed, c.effectsFor(1, AnswerSuspended, "b")[0].Outcome)
 }
 
+// Guards against two transitions for the same state and input, of which only the first would ever apply.
 func TestCopyTransitions_AreUnambiguous(t *testing.T) {
 	for state := range copyStateCount {
 		for input := range copyInputCount {
@@ -112,7 +122,7 @@
 					found++
 				}
 			}
-			assert.LessOrEqual(t, found, 1, "%s, %s", state, input)
+			assert.LessOrEqual(t, found, 1, "transitions of state %q at input %q", state, input)
 		}
 	}
 }
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -2,34 +2,52 @@
 
 import "fmt"
 
-// Op is the kind of an Item.
+// Op is the operation of an Item: a message to a replica, or a kind of reply.
 type Op uint8
 
-// The ops. Their numbers go over the wire: they do not change. The first eight are messages to a replica.
+// The messages to a replica. The numbers of all ops are part of the wire format and must not change.
 const (
-	OpRegister Op = 1 // its owner has Copy open
-	OpAttempt  Op = 2 // an attempt may have run, or none can have
-	OpClose    Op = 3 // the request has ended
-	OpWithdraw Op = 4 // the message of this Sequence is taken back
-	OpAdopt    Op = 5 // the sender adopts Copy from the lost owner From; More: a quorum knows of it already
+	OpRegister Op = 1 // the owner registers its open request Copy
+	OpAttempt  Op = 2 // the owner reports that an attempt may have run, or that none can have
+	OpClose    Op = 3 // the request has ended: Outcome, Answer
+	OpWithdraw Op = 4 // the owner withdraws the registration or adoption with this Sequence
+	OpAdopt    Op = 5 // the sender adopts Copy from the lost owner From; More: a quorum has recorded that already
 	OpQuery    Op = 6 // asks for what is known of Key
 	OpFetch    Op = 7 // asks for the copies of Partition after the key After; with From: only that owner's open ones
-	OpMapID    Op = 8 // the id of Copy stands for its idempotency key; nothing waits for it
+	OpMapID    Op = 8 // maps the id of Copy to its idempotency key; best effort, the reply is ignored
+)
 
-	OpStored     Op = 9  // stored; with the attempts of an earlier request of the key
-	OpKnown      Op = 10 // another owner has it, or it has ended: Copy, without its body
-	OpUnknown    Op = 11 // nothing is known
-	OpNeedCopy   Op = 12 // the whole copy is needed
-	OpNeedHigher Op = 13 // the sequence must be above Sequence
-	OpRefused    Op = 14 // not here, not now, or not from this sender: Reason
-	OpPage       Op = 15 // Copies of Partition; More: there are more after the key After
+// The replies of a replica.
+const (
+	OpStored     Op = 9  // the message is applied; with the attempts of an earlier request with the same key
+	OpKnown      Op = 10 // the request has another owner or has ended: Copy, without its body
+	OpUnknown    Op = 11 // nothing is known of Key
+	OpNeedCopy   Op = 12 // the replica has no copy to apply the message to and needs a complete one
+	OpNeedHigher Op = 13 // the message needs a sequence above Sequence
+	OpRefused    Op = 14 // the message is not accepted from this sender, or not by this replica at this time: Reason
+	OpPage       Op = 15 // Copies of Partition; More: further ones follow after the key After
 )
 
-var opNames = [...]string{OpRegister: "register", OpAttempt: "attempt", OpClose: "close", OpWithdraw: "withdraw", OpAdopt: "adopt",
-	OpQuery: "query", OpFetch: "fetch", OpMapID: "map id", OpStored: "stored", OpKnown: "known", OpUnknown: "unknown",
-	OpNeedCopy: "need copy", OpNeedHigher: "need higher", OpRefused: "refused", OpPage: "page"}
+var opNames = [...]string{
+	OpRegister:   "register",
+	OpAttempt:    "attempt",
+	OpClose:      "close",
+	OpWithdraw:   "withdraw",
+	OpAdopt:      "adopt",
+	OpQuery:      "query",
+	OpFetch:      "fetch",
+	OpMapID:      "map id",
+	OpStored:     "stored",
+	OpKnown:      "known",
+	OpUnknown:    "unknown",
+	OpNeedCopy:   "need copy",
+	OpNeedHigher: "need higher",
+	OpRefused:    "refused",
+	OpPage:       "page",
+}
 
-// String returns the name of the op; peers of other versions may send ops that have none here.
+// String returns the name of the op, or its number if it has no name here: peers of other versions may know further
+// ops.
 func (o Op) String() string {
 	if int(o) < len(opNames) && opNames[o] != "" {
 		return opNames[o]
@@ -37,49 +55,59 @@
 	return fmt.Sprintf("op %d", uint8(o))
 }
 
-// Item is one message, or the reply to one.
+// Item is one message of a batch, or the reply to one. Only the fields of its Op are set.
 type Item struct {
 	Op             Op
 	Key            Key
-	Sequence       uint64
+	Sequence       uint64 // of the owner's messages on a request
 	Copy           *Copy
 	RunState       RunState
-	FirstAttemptAt float64
-	Zone           string
-	Cell           int64
+	FirstAttemptAt float64 // of the first attempt that may have run
+	Zone           string  // of that attempt
+	Cell           int64   // of that attempt
 	Outcome        Outcome
 	Answer         []byte
-	From           Member
+	From           Member // the owner; of OpAdopt and OpFetch, the lost owner
 	Partition      int
 	After          Key
 	More           bool
-	Reason         string
+	Reason         string // why a message is refused, or reasonNotReady
 	Copies         []Copy
 }
 
-func (it *Item) attempt() attemptState {
-	return attemptState{it.RunState, it.FirstAttemptAt, it.Zone, it.Cell}
+// attempt returns what the item says of the first attempt that may have run.
+func (item *Item) attempt() attemptState {
+	return attemptState{item.RunState, item.FirstAttemptAt, item.Zone, item.Cell}
 }
 
-func (it *Item) setAttempt(a attemptState) {
-	it.RunState, it.FirstAttemptAt, it.Zone, it.Cell = a.runState, a.firstAt, a.zone, a.cell
+// setAttempt sets what the item says of the first attempt that may have run.
+func (item *Item) setAttempt(attempt attemptState) {
+	item.RunState, item.FirstAttemptAt = attempt.runState, attempt.firstAt
+	item.Zone, item.Cell = attempt.zone, attempt.cell
 }
 
-// Batch is what one member sends another, or replies.
+// Batch is a set of messages that one member sends to another, or the replies to them in the same order.
 type Batch struct {
 	From           Member
-	Version        uint64 // of the table that it rests on
-	PlacementStep  uint64 // the least that the receiver must know
-	StalePlacement bool   // reply: the table here is older or newer, and nothing was done
+	Version        uint64 // of the placement table that the sender goes by
+	PlacementStep  uint64 // the lowest table step that the receiver must know; in a reply, the replica's step
+	StalePlacement bool   // in a reply: the two members know different placements, and no item was handled
 	Items          []Item
 }
 
 // Counts are the counters of a Manager. CopiesReceived = Settled + Adopted + Failed + Dropped + Open.
 type Counts struct {
-	CopiesReceived, Settled, Adopted, Failed, Dropped, Open        uint64 // copies stored here, by what became of them
-	Registered, Waited, AnsweredFromCopy, Refused, Withheld        uint64 // requests of this controller's own clients
+	// Copies stored here as a replica, by what became of them.
+	CopiesReceived, Settled, Adopted, Failed, Dropped, Open uint64
+	// Requests of this controller's own clients; the last field counts attempts that were not allowed to leave.
+	Registered, Waited, AnsweredFromCopy, Refused, Withheld uint64
+	// Adoption: partitions claimed, requests adopted, adopted requests that ended, and successes that lost owners
+	// reported late.
 	AdoptionClaims, AdoptionsStarted, AdoptionsDone, AdoptionsLate uint64
-	AttemptsUnreplicated                                           uint64 // attempts that left without any replica
-	MessagesSent, MessagesLost, CopiesFetched                      uint64
-	CopiesStored, OwnedRequests, SuspendedRequests                 int
+	// Attempts that left without any replica knowing of them.
+	AttemptsUnreplicated uint64
+	// Messages sent to other members, batches without a reply, and copies taken over from other replicas.
+	MessagesSent, MessagesLost, CopiesFetched uint64
+	// Current numbers, not counted up.
+	CopiesStored, OwnedRequests, SuspendedRequests int
 }
--- a/internal/handoff/pacer.go
+++ b/internal/handoff/pacer.go
@@ -2,39 +2,42 @@
 
 import "slices"
 
-// The pacer lets few adopted requests be in flight at first, more while requests here take as long as they usually do, and fewer once they
-// take longer. What is usual is learnt by class while nothing is adopted. A successor without clients of its own goes by what it adopts.
+// Constants of the pacer; times are in ms. It works like a congestion window: the number of adopted requests in flight
+// starts small, grows while successful requests take about as long as usual, and is cut when they take longer. The
+// usual duration is measured per class while nothing is adopted; a controller without clients of its own measures it on
+// the first adopted requests.
 const (
-	paceInitialLimit   = 8    // adoptions in flight at first: what one executor does beside all else
-	paceMinSamples     = 32   // of a class, until its usual duration is known
-	paceSamples        = 256  // latest durations of a class: the 99th percentile is the third longest
-	paceMaxTracked     = 4096 // requests in flight that are timed
-	paceSampling       = 4    // while nothing is adopted, one in so many idempotent requests is timed
-	paceSlowWeight     = 0.03 // of the latest request in the share of slow ones
-	paceSlowUsual      = 0.5  // that share if nothing has changed: slow is longer than the median
-	paceSlowLimit      = 0.68 // that share from which the limit is cut: a sixteenth would be noise
-	paceLateFactor     = 1.1  // times the usual 99th percentile: late
-	paceLateAllowance  = 0.006
-	paceLateLimit      = 2   // late requests beyond the allowance at which the limit is cut
-	paceCutHoldMS      = 300 // between two cuts: what was in flight at the first has mostly ended by then
-	paceGrowthDivisor  = 8
+	paceInitialLimit   = 8     // adoptions in flight at first: what one executor can run beside its other load
+	paceMinSamples     = 32    // durations of a class until its usual duration is known
+	paceSamples        = 256   // latest durations of a class: the 99th percentile is the third longest
+	paceMaxTracked     = 4096  // requests in flight that are timed
+	paceSampling       = 4     // while nothing is adopted, one in so many idempotent requests is timed
+	paceSlowWeight     = 0.03  // weight of the latest request in the moving share of slow ones
+	paceSlowUsual      = 0.5   // share of slow requests under unchanged load: slow means longer than the median
+	paceSlowLimit      = 0.68  // share of slow requests from which the limit is cut: well above the noise of the share
+	paceLateFactor     = 1.1   // a request is late if it takes longer than this times the usual 99th percentile
+	paceLateAllowance  = 0.006 // share of late requests that is tolerated
+	paceLateLimit      = 2     // late requests beyond the allowance from which the limit is cut
+	paceCutHoldMS      = 300   // minimum time between cuts: what was in flight at a cut has mostly ended by then
+	paceGrowthDivisor  = 8     // each tick adds this part of the limit, at least one
 	paceCutDivisor     = 2
 	pacePercentileRank = 99
 )
 
-// durations are how long the latest requests of a class took while nothing was adopted.
+// durations has the latest durations of successful requests of one class, and their usual duration.
 type durations struct {
-	samples     [paceSamples]float64
-	count       int
-	median, p99 float64 // as of the beginning of an adoption; 0: not known
+	samples     [paceSamples]float64 // ring buffer, in ms
+	count       int                  // of all samples added
+	median, p99 float64              // as of the latest call of summarize; 0: not known
 }
 
-func (d *durations) add(ms float64) {
-	d.samples[d.count%paceSamples] = ms
+// add records a duration and overwrites the oldest one once the buffer is full.
+func (d *durations) add(durationMS float64) {
+	d.samples[d.count%paceSamples] = durationMS
 	d.count++
 }
 
-// summarize updates the median and the 99th percentile.
+// summarize updates the median and the 99th percentile if there are enough samples.
 func (d *durations) summarize() {
 	if d.count < paceMinSamples {
 		return
@@ -45,26 +48,27 @@
 	d.p99 = sorted[len(sorted)*pacePercentileRank/100]
 }
 
-// pacer limits how many adopted requests are in flight.
+// pacer limits how many adopted requests are in flight, so that adoption does not slow down the controller's own
+// requests.
 type pacer struct {
-	maxInFlight float64
+	maxInFlight float64 // upper bound of limit
 	limit       float64
 	baselines   []durations // by class
-	slowShare   float64     // of the latest requests, those that took longer than the median
-	lateDebt    float64     // late requests beyond the allowance
-	cutAt       float64
-	adopting    bool
+	slowShare   float64     // moving share of requests that took longer than the usual median
+	lateExcess  float64     // late requests beyond the allowance
+	lastCutAt   float64     // when the limit was last cut or reset
+	adopting    bool        // adopted requests are waiting or in flight
 	started     map[string]pacedRequest
 	arrivals    int
 }
 
-// pacedRequest is a request that is timed.
+// pacedRequest is a request in flight that is timed.
 type pacedRequest struct {
-	at    float64
-	class int
+	startedAt float64
+	class     int
 }
 
-// start notes that a request began. One of a replicated class, or an adopted one, is always timed.
+// start begins to time a request. With always, which is set for replicated and adopted requests, it is not sampled.
 func (p *pacer) start(now float64, id string, class int, always bool) {
 	p.arrivals++
 	if len(p.started) >= paceMaxTracked || class < 0 {
@@ -75,10 +79,10 @@
 	}
 }
 
-// forget drops a request that ends without an outcome of its own.
+// forget stops timing a request without recording its duration.
 func (p *pacer) forget(id string) { delete(p.started, id) }
 
-// finish records the end of a request. Only one that succeeded tells anything.
+// finish records the end of a request. Durations of requests that did not succeed are ignored.
 func (p *pacer) finish(now float64, id string, succeeded bool) {
 	request, timed := p.started[id]
 	if !timed {
@@ -89,35 +93,37 @@
 		return
 	}
 	baseline := &p.baselines[request.class]
-	took := now - request.at
+	durationMS := now - request.startedAt
 	if !p.adopting {
-		baseline.add(took)
+		baseline.add(durationMS)
 		return
 	}
 	if baseline.median == 0 {
 		if p.limit <= paceInitialLimit {
-			baseline.add(took)
+			baseline.add(durationMS)
 			baseline.summarize()
 		}
 		return
 	}
-	p.compare(took, baseline)
+	p.recordDuration(durationMS, baseline)
 }
 
-// compare weighs a duration against what is usual.
-func (p *pacer) compare(took float64, usual *durations) {
+// recordDuration updates the shares of slow and late requests by a duration, compared with the usual durations of its
+// class.
+func (p *pacer) recordDuration(durationMS float64, usual *durations) {
 	slow := 0.0
-	if took > usual.median {
+	if durationMS > usual.median {
 		slow = 1
 	}
 	p.slowShare += paceSlowWeight * (slow - p.slowShare)
-	p.lateDebt = max(0, p.lateDebt-paceLateAllowance)
-	if took > paceLateFactor*usual.p99 {
-		p.lateDebt++
+	p.lateExcess = max(0, p.lateExcess-paceLateAllowance)
+	if durationMS > paceLateFactor*usual.p99 {
+		p.lateExcess++
 	}
 }
 
-// tick raises the limit, or cuts it. Wanted tells that requests wait to be adopted, or are in flight.
+// tick adapts the limit: it starts low when adoption begins, grows while requests take as long as usual, and is cut
+// when they take longer. Wanted says whether requests are waiting to be adopted or adopted ones are in flight.
 func (p *pacer) tick(now float64, wanted bool) {
 	switch {
 	case !wanted:
@@ -129,16 +135,17 @@
 		for i := range p.baselines {
 			p.baselines[i].summarize()
 		}
-	case p.slowShare < paceSlowLimit && p.lateDebt < paceLateLimit:
+	case p.slowShare < paceSlowLimit && p.lateExcess < paceLateLimit:
 		p.limit = min(p.maxInFlight, p.limit+max(1, p.limit/paceGrowthDivisor))
-	case now > p.cutAt+paceCutHoldMS:
+	case now > p.lastCutAt+paceCutHoldMS:
 		p.limit = max(1, p.limit/paceCutDivisor)
 		p.reset(now)
 	}
 }
 
+// reset restarts the shares of slow and late requests, and the time until the next cut.
 func (p *pacer) reset(now float64) {
 	p.slowShare = paceSlowUsual
-	p.lateDebt = 0
-	p.cutAt = now
+	p.lateExcess = 0
+	p.lastCutAt = now
 }
--- a/internal/handoff/pacer_test.go
+++ b/internal/handoff/pacer_test.go
@@ -8,20 +8,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// simulateAdoption plays adoption before endpoints that run so many requests at a time; others wait. Beside it, own requests come steadily.
-// It returns the mean number of adoptions in flight, and how many of 1,000 own requests took longer than 1.2 times the 99th percentile before.
-func simulateAdoption(concurrency float64, ownRequests bool, beforeMS int) (inFlight float64, late float64) {
-	chance := rand.New(rand.NewPCG(3, 4))
+// simulateAdoption runs a pacer against simulated endpoints that slow down in proportion once more than concurrency
+// requests are in flight. Adoption begins after beforeMS; with ownRequests, the controller's own requests arrive at a
+// steady rate all the time. It returns the mean number of adoptions in flight, and how many of 1,000 own requests took
+// longer than 1.2 times the longest duration without load. Both exclude the first five seconds of adoption.
+func simulateAdoption(concurrency float64, ownRequests bool, beforeMS int) (inFlight, latePerThousand float64) {
+	random := rand.New(rand.NewPCG(3, 4))
 	p := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 2)}
-	running := map[string]float64{} // ends of requests
-	var sum, samples, total, slow float64
-	number := 0
-	duration := func() float64 { // the work, and the wait for an endpoint
-		return (8 + 4*chance.Float64()) * max(1, float64(len(running))/concurrency)
+	running := map[string]float64{} // end times by request id
+	var adoptedSum, samples, ownEnded, ownLate float64
+	nextID := 0
+	duration := func() float64 { // in ms: 8 to 12, longer in proportion to the excess load
+		return (8 + 4*random.Float64()) * max(1, float64(len(running))/concurrency)
 	}
-	start := func(now float64, class int) {
-		id := fmt.Sprint(class, "-", number)
-		number++
+	start := func(now float64, class int) { // class 0: own requests, class 1: adopted ones
+		id := fmt.Sprint(class, "-", nextID)
+		nextID++
 		p.start(now, id, class, class == 1)
 		running[id] = now + duration()
 	}
@@ -33,9 +35,9 @@
 			}
 			delete(running, id)
 			if request, timed := p.started[id]; timed && request.class == 0 && p.adopting && now > before+5000 {
-				total++
-				if now-request.at > 1.2*12 {
-					slow++
+				ownEnded++
+				if now-request.startedAt > 1.2*12 {
+					ownLate++
 				}
 			}
 			p.finish(now, id, true)
@@ -59,40 +61,42 @@
 			start(now, 1)
 		}
 		if now > before+5000 {
-			sum += float64(adopted)
+			adoptedSum += float64(adopted)
 			samples++
 		}
 	}
-	return sum / samples, 1000 * slow / max(1, total)
+	return adoptedSum / samples, 1000 * ownLate / max(1, ownEnded)
 }
 
+// Guards against adoption that slows down a controller's own requests, and against adoption that leaves capacity
+// unused.
 func TestPacer_AdoptsWithoutSlowingOwnRequests(t *testing.T) {
-	free, late := simulateAdoption(1000, true, 5000)
-	assert.Greater(t, free, 55.0, "nothing slows down")
-	assert.Less(t, late, 10.0)
-	tight, late := simulateAdoption(24, true, 5000)
-	assert.Less(t, tight, 26.0, "own requests take longer")
-	assert.Greater(t, tight, 8.0, "the capacity is used")
-	assert.Less(t, late, 60.0)
+	unlimited, late := simulateAdoption(1000, true, 5000)
+	assert.Greater(t, unlimited, 55.0, "adoptions in flight with spare capacity")
+	assert.Less(t, late, 10.0, "late own requests with spare capacity")
+	limited, late := simulateAdoption(24, true, 5000)
+	assert.Less(t, limited, 26.0, "adoptions in flight when they slow down own requests")
+	assert.Greater(t, limited, 8.0, "adoptions in flight while there is capacity")
+	assert.Less(t, late, 60.0, "late own requests with little capacity")
 	alone, _ := simulateAdoption(24, false, 5000)
-	assert.Less(t, alone, 36.0, "without clients of its own, by what it adopts")
-	assert.Greater(t, alone, 12.0)
+	assert.Less(t, alone, 36.0, "adoptions in flight without own requests, above capacity")
+	assert.Greater(t, alone, 12.0, "adoptions in flight without own requests, below capacity")
 }
 
-// What is timed is bounded, and forgotten with the request, however that ends.
+// Guards against unbounded memory for timed requests, and against entries that outlive their request.
 func TestPacer_ForgetsEndedRequests(t *testing.T) {
 	p := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 1)}
 	for k := range 3 * paceMaxTracked {
 		p.start(0, fmt.Sprint(k), 0, true)
 	}
-	assert.Len(t, p.started, paceMaxTracked)
+	assert.Len(t, p.started, paceMaxTracked, "timed requests in flight")
 	for k := range 3 * paceMaxTracked {
 		p.finish(1, fmt.Sprint(k), k%2 == 0)
 	}
 	assert.Empty(t, p.started)
 	c := newCluster(t, 6, 2, nil)
 	c.arrive(0, "keyed", "a", "m")
-	c.arrive(1, "keyed", "b", "m") // it waits, and its client leaves
+	c.arrive(1, "keyed", "b", "m") // waits for the request of the same key until its client leaves
 	c.step(1, &Event{Kind: ClientLeft, ID: "b"})
 	c.arrive(0, "keyed", "c", "n")
 	c.attempt(0, "c")
@@ -100,6 +104,6 @@
 	c.finish(0, "c", Failed, "")
 	c.tick(3000)
 	for k := range c.managers {
-		assert.Empty(t, c.managers[k].pacer.started, k)
+		assert.Empty(t, c.managers[k].pacer.started, "timed requests at n%d", k)
 	}
 }
--- a/internal/handoff/protobuf.go
+++ b/internal/handoff/protobuf.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// writer appends fields in the wire format of protocol buffers; zero values are left out.
+// writer appends fields in the wire format of protocol buffers. Zero values are left out.
 type writer []byte
 
 func (w *writer) number(field protowire.Number, v uint64) {
@@ -27,10 +27,10 @@
 	}
 }
 
-// bytes appends bytes that may be empty, which differs from absent.
-func (w *writer) bytes(field protowire.Number, b []byte) {
-	if b != nil {
-		*w = protowire.AppendBytes(protowire.AppendTag(*w, field, protowire.BytesType), b)
+// bytes appends a field that is left out only if data is nil: an empty field differs from an absent one.
+func (w *writer) bytes(field protowire.Number, data []byte) {
+	if data != nil {
+		*w = protowire.AppendBytes(protowire.AppendTag(*w, field, protowire.BytesType), data)
 	}
 }
 
@@ -40,42 +40,45 @@
 	}
 }
 
-// value is the value of one field that was read.
+// value is the decoded value of one field: a number or bytes, by the wire type of the field.
 type value struct {
-	number uint64
-	bytes  []byte
+	number uint64 // of a varint or a fixed64
+	bytes  []byte // part of the message that was read, not a copy
 }
 
+// float returns the number of a fixed64 field that carries a double.
 func (v value) float() float64 { return math.Float64frombits(v.number) }
 
-// readFields calls each with all fields of a message in order.
-func readFields(b []byte, each func(field protowire.Number, v value) error) error {
-	for len(b) > 0 {
-		field, kind, n := protowire.ConsumeTag(b)
-		if n < 0 {
+// readFields calls visit with each field of a message, in order, and returns the first error. A field of any other wire
+// type is visited with an empty value.
+func readFields(data []byte, visit func(field protowire.Number, v value) error) error {
+	for len(data) > 0 {
+		field, wireType, length := protowire.ConsumeTag(data)
+		if length < 0 {
 			return errMalformed
 		}
-		b = b[n:]
+		data = data[length:]
 		var v value
-		switch kind {
+		switch wireType {
 		case protowire.VarintType:
-			v.number, n = protowire.ConsumeVarint(b)
+			v.number, length = protowire.ConsumeVarint(data)
 		case protowire.Fixed64Type:
-			v.number, n = protowire.ConsumeFixed64(b)
+			v.number, length = protowire.ConsumeFixed64(data)
 		case protowire.BytesType:
-			v.bytes, n = protowire.ConsumeBytes(b)
+			v.bytes, length = protowire.ConsumeBytes(data)
 		default:
-			n = protowire.ConsumeFieldValue(field, kind, b)
+			length = protowire.ConsumeFieldValue(field, wireType, data)
 		}
-		if n < 0 {
+		if length < 0 {
 			return errMalformed
 		}
-		b = b[n:]
-		if err := each(field, v); err != nil {
+		data = data[length:]
+		if err := visit(field, v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func clone(b []byte) []byte { return append([]byte{}, b...) }
+// clone returns a copy of data that is never nil, as a field that is present but empty differs from an absent one.
+func clone(data []byte) []byte { return append([]byte{}, data...) }
--- a/internal/handoff/transfer.go
+++ b/internal/handoff/transfer.go
@@ -7,21 +7,21 @@
 	"liftshift/internal/placement"
 )
 
-// partitionTransfer copies a partition to this controller, a new replica of it.
+// partitionTransfer copies a partition to this controller, which is a new replica of it.
 type partitionTransfer struct {
 	fetches []*fetch
 }
 
-// fetch copies what one replica of a partition stores, a page at a time.
+// fetch copies what one replica of a partition stores, page by page.
 type fetch struct {
-	from Member
-	next Key
-	done bool
-	at   float64
+	from   Member
+	after  Key // last key of the latest page received
+	done   bool
+	sentAt float64 // when the next page was last asked for
 }
 
-// completed returns the members whose fetches are done.
-func completed(fetches []*fetch) (members []Member) {
+// completedMembers returns the members whose fetches are done.
+func completedMembers(fetches []*fetch) (members []Member) {
 	for _, f := range fetches {
 		if f.done {
 			members = append(members, f.from)
@@ -30,8 +30,8 @@
 	return members
 }
 
-// runTransfers copies the partitions that this controller is a new replica of, and proposes it as ready once a majority of the previous
-// replicas has been copied.
+// runTransfers copies the partitions that this controller is a new replica of. Once it has copied a partition from a
+// majority of the previous replicas, it proposes its own replica as ready.
 func (m *Manager) runTransfers() {
 	var ready uint32
 	running := 0
@@ -52,38 +52,41 @@
 		}
 		running++
 		transfer.fetches = m.fetchPages(transfer.fetches, partition, Member{})
-		if isMajority(previous, completed(transfer.fetches)) {
+		if isMajority(previous, completedMembers(transfer.fetches)) {
 			ready |= 1 << partition
 			running--
 		}
 	}
 	if ready != 0 {
-		m.propose(ProposalReady, m.ownClaim(ready), m.table.Version)
+		m.propose(ProposalReady, m.ownPartitions(ready), m.table.Version)
 	}
 }
 
-// ownClaim names partitions of this controller in a proposal.
-func (m *Manager) ownClaim(partitions uint32) placement.AdoptionClaim {
+// ownPartitions returns the part of a proposal that names partitions of this controller itself rather than of a lost
+// owner.
+func (m *Manager) ownPartitions(partitions uint32) placement.AdoptionClaim {
 	return placement.AdoptionClaim{Name: m.self.Name, Incarnation: m.self.Incarnation, Partitions: partitions}
 }
 
-// fetchPages asks all replicas of a partition for the next page of what they store: of one owner's open requests, or of all.
+// fetchPages asks all replicas of a partition for the next page of what they store and repeats requests that were not
+// answered in time. With an owner it asks for that owner's open requests only, with an empty one for all copies. It
+// returns the fetches, with those of replicas that were not asked before.
 func (m *Manager) fetchPages(fetches []*fetch, partition int, owner Member) []*fetch {
 	for _, name := range m.replicaNames(partition) {
 		i := slices.IndexFunc(fetches, func(f *fetch) bool { return f.from.Name == name })
 		if i < 0 {
-			fetches = append(fetches, &fetch{from: Member{name, m.members[name].Incarnation}, at: neverFetched})
+			fetches = append(fetches, &fetch{from: Member{name, m.members[name].Incarnation}, sentAt: neverFetched})
 			i = len(fetches) - 1
 		}
-		if f := fetches[i]; !f.done && m.now >= f.at+2*resendMS {
-			f.at = m.now
-			m.send(name, Item{Op: OpFetch, Partition: partition, After: f.next, From: owner})
+		if f := fetches[i]; !f.done && m.now >= f.sentAt+2*resendMS {
+			f.sentAt = m.now
+			m.send(name, Item{Op: OpFetch, Partition: partition, After: f.after, From: owner})
 		}
 	}
 	return fetches
 }
 
-// fetchesFor returns the fetches that an OpFetch belongs to.
+// fetchesFor returns the fetches that an OpFetch belongs to: those of a transfer, or those of a claimed partition.
 func (m *Manager) fetchesFor(sent *Item) []*fetch {
 	if sent.From.Name == "" {
 		if transfer := m.transfers[sent.Partition]; transfer != nil {
@@ -91,33 +94,33 @@
 		}
 		return nil
 	}
-	if in := m.findInherited(sent.From, sent.Partition); in != nil {
-		return in.fetches
+	if claimed := m.findInherited(sent.From, sent.Partition); claimed != nil {
+		return claimed.fetches
 	}
 	return nil
 }
 
-// handlePage takes a page that a replica sent.
+// handlePage handles a replica's reply to an OpFetch: it merges the copies of the page and asks for the next one.
 func (m *Manager) handlePage(from Member, sent, reply *Item) {
 	if reply.Op != OpPage {
 		return
 	}
 	fetches := m.fetchesFor(sent)
 	i := slices.IndexFunc(fetches, func(f *fetch) bool { return f.from == from })
-	if i < 0 || fetches[i].next != sent.After || fetches[i].done {
-		return // a repeat
+	if i < 0 || fetches[i].after != sent.After || fetches[i].done {
+		return // a repeated reply
 	}
 	for k := range reply.Copies {
 		m.mergeCopy(&reply.Copies[k])
 	}
 	if reply.Reason == reasonNotReady {
-		return // it is asked again once it has all
+		return // the replica is asked again until it is ready
 	}
-	f := fetches[i]
-	f.done = !reply.More
-	f.at = neverFetched
+	current := fetches[i]
+	current.done = !reply.More
+	current.sentAt = neverFetched
 	if reply.More {
-		f.next = reply.After
+		current.after = reply.After
 	}
 	if sent.From.Name == "" {
 		m.runTransfers()
@@ -127,11 +130,12 @@
 	m.adoptQueued()
 }
 
-// readPage returns copies of a partition in the order of their keys.
-func (m *Manager) readPage(it *Item) Item {
-	reply := Item{Op: OpPage, Partition: it.Partition}
+// readPage returns a page of copies of a partition in the order of their keys. It has at least one copy, if there is
+// any, however large.
+func (m *Manager) readPage(item *Item) Item {
+	reply := Item{Op: OpPage, Partition: item.Partition}
 	size := 0
-	for n, key := range m.keysAfter(it) {
+	for n, key := range m.keysAfter(item) {
 		stored := m.copies[key]
 		size += pageItemBytes + len(stored.Body) + len(stored.Answer)
 		if n > 0 && (n >= pageItems || size > pageBytes) {
@@ -144,17 +148,17 @@
 	return reply
 }
 
-// keysAfter returns the keys that an OpFetch asks for: of one owner's open requests, or of all copies.
-func (m *Manager) keysAfter(it *Item) (keys []Key) {
-	if it.From.Name != "" {
-		for key := range m.openByOwner[it.From].in(it.Partition) {
-			if key.compare(it.After) > 0 {
+// keysAfter returns the sorted keys that an OpFetch asks for: of one owner's open requests, or of all copies.
+func (m *Manager) keysAfter(item *Item) (keys []Key) {
+	if item.From.Name != "" {
+		for key := range m.openByOwner[item.From].inPartition(item.Partition) {
+			if key.compare(item.After) > 0 {
 				keys = append(keys, key)
 			}
 		}
 	} else {
 		for key, stored := range m.copies {
-			if key.Partition() == it.Partition && !stored.idMapping && key.compare(it.After) > 0 {
+			if key.Partition() == item.Partition && !stored.idMapping && key.compare(item.After) > 0 {
 				keys = append(keys, key)
 			}
 		}
@@ -163,30 +167,32 @@
 	return keys
 }
 
+// compare orders keys by their bytes.
 func (k Key) compare(other Key) int { return bytes.Compare(k[:], other[:]) }
 
-// mergeCopy takes a copy that another replica stores, where it says more than this one's.
-func (m *Manager) mergeCopy(c *Copy) {
-	key := KeyOf(c.IdempotencyKey, c.ID)
+// mergeCopy stores a copy that another replica sent if it is more recent than the one stored here.
+func (m *Manager) mergeCopy(received *Copy) {
+	key := KeyOf(received.IdempotencyKey, received.ID)
 	stored := m.copies[key]
-	if stored != nil && !moreRecent(c, &stored.Copy) {
-		if stored.Owner == c.Owner && stored.Sequence == c.Sequence && c.RunState != NotRun {
-			stored.FirstAttemptAt = min(stored.FirstAttemptAt, c.FirstAttemptAt) // a replica that was notified late takes it for younger than it is
+	if stored != nil && !moreRecent(received, &stored.Copy) {
+		if stored.Owner == received.Owner && stored.Sequence == received.Sequence && received.RunState != NotRun {
+			// The earlier time is the right one: a replica that was notified late records a later time.
+			stored.FirstAttemptAt = min(stored.FirstAttemptAt, received.FirstAttemptAt)
 		}
 		return
 	}
-	if stored != nil && stored.state.open() && !m.isLost(stored.Owner) && m.isLost(c.Owner) {
-		return // a live owner has it by now, with all that counted
+	if stored != nil && stored.state.open() && !m.isLost(stored.Owner) && m.isLost(received.Owner) {
+		return // a live owner has registered or adopted the request since
 	}
 	m.counts.CopiesFetched++
 	if stored == nil {
-		stored = m.addCopy(key, c)
+		stored = m.addCopy(key, received)
 	} else {
-		m.overwriteCopy(stored, c)
+		m.overwriteCopy(stored, received)
 	}
-	if c.Outcome != Open {
+	if received.Outcome != Open {
 		stored.state = stateSettled
-		m.refresh(stored)
+		m.extendAndPersist(stored)
 		return
 	}
 	stored.state = stateHeld
@@ -196,35 +202,37 @@
 	}
 }
 
-// overwriteCopy replaces a stored copy by another replica's; an open one retains the body that it has.
-func (m *Manager) overwriteCopy(stored *storedCopy, c *Copy) {
+// overwriteCopy replaces a stored copy by that of another replica. If the request is open, it keeps a body that the
+// other copy lacks.
+func (m *Manager) overwriteCopy(stored *storedCopy, received *Copy) {
 	if stored.state.open() {
 		m.unindexOpen(stored)
-		m.counts.Dropped++ // it is counted anew as what it is by now
+		m.counts.Dropped++ // the caller counts the new copy
 	}
 	body := stored.Body
-	stored.Copy = *c
+	stored.Copy = *received
 	stored.previous = nil
-	if !stored.Complete && body != nil && c.Outcome == Open {
+	if !stored.Complete && body != nil && received.Outcome == Open {
 		stored.Body = body
 		stored.Complete = true
 	}
 }
 
-// restoreCopy takes a copy from this replica's disk. Nobody knows how long ago it was written: it proves what has run, and is never a
-// reason to send anything.
-func (m *Manager) restoreCopy(c *Copy) {
-	c.Deadline = m.now
-	if c.RunState != NotRun {
-		c.FirstAttemptAt = unknownAttemptTime
+// restoreCopy merges a copy from this replica's disk. The time since it was written is not known, so its deadline is
+// taken as past and its attempt as made at an unknown time: the copy proves what has run, but never causes an attempt.
+func (m *Manager) restoreCopy(restored *Copy) {
+	restored.Deadline = m.now
+	if restored.RunState != NotRun {
+		restored.FirstAttemptAt = unknownAttemptTime
 	}
-	m.mergeCopy(c)
+	m.mergeCopy(restored)
 }
 
-// reinitializePartitions proposes to begin partitions anew that lost their quorum, once no key of theirs can come again.
+// reinitializePartitions proposes to reinitialize partitions that lost their quorum so long ago that their idempotency
+// keys have expired. When such a partition has a quorum again, its open requests are marked as possibly run.
 func (m *Manager) reinitializePartitions() {
 	var mask uint32
-	found := 0
+	newlyLost := 0
 	for partition := range placement.PartitionCount {
 		if m.quorumReachable(partition) || m.ownReplica(partition) == nil {
 			if _, known := m.quorumLostAt[partition]; known {
@@ -233,24 +241,29 @@
 			}
 			continue
 		}
-		at, known := m.quorumLostAt[partition]
+		lostAt, known := m.quorumLostAt[partition]
 		switch {
 		case !known:
 			m.quorumLostAt[partition] = m.now
-			found++
-		case m.now > at+m.quorumLossMS:
+			newlyLost++
+		case m.now > lostAt+m.quorumLossMS:
 			mask |= 1 << partition
 		}
 	}
-	if found > 0 {
-		m.emit(Effect{Kind: LogMessage, Text: "partitions lost their quorum: their requests are rejected until their idempotency keys have expired", Count: found})
+	if newlyLost > 0 {
+		m.emit(Effect{
+			Kind:  LogMessage,
+			Text:  "partitions lost their quorum: their requests are rejected until their idempotency keys have expired",
+			Count: newlyLost,
+		})
 	}
 	if mask != 0 {
-		m.propose(ProposalReinitialize, m.ownClaim(mask), m.table.Version)
+		m.propose(ProposalReinitialize, m.ownPartitions(mask), m.table.Version)
 	}
 }
 
-// assumeAttempted marks all open requests of a reinitialized partition as possibly run: the replicas that knew better are lost.
+// assumeAttempted marks all open requests of a partition as possibly run after its quorum was lost: the replicas that
+// knew of their attempts may be lost.
 func (m *Manager) assumeAttempted(partition int) {
 	var copies []*storedCopy
 	for _, set := range m.openByOwner {
--- a/internal/handoff/wire.go
+++ b/internal/handoff/wire.go
@@ -7,10 +7,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// errMalformed goes back to the peer that sent the batch: its text does not change.
+// errMalformed is returned for data that is not a valid batch or copy. It is sent back to the peer that sent the batch;
+// its text must not change.
 var errMalformed = errors.New("estate: a batch that can't be read")
 
-// The numbers of the fields are those of stored copies and of messages between controllers: they do not change.
+// The field numbers are part of the format of stored copies and of messages between controllers. They must not change.
 const (
 	copyID             protowire.Number = 1
 	copyIdempotencyKey protowire.Number = 2
@@ -62,251 +63,263 @@
 	batchItem           protowire.Number = 6
 )
 
-// Bounds of what is read: of times, and of numbers that a peer may send as it likes.
+// Bounds of decoded values, which a faulty peer may send out of range.
 const (
-	maxTimeDistanceMS = 1e12
-	maxOp             = 255
-	maxPartition      = 1 << 16
-	minAgeMS          = 1e-3 // of an attempt: 0 stands for none
+	maxTimeDistanceMS = 1e12    // of a deadline from now
+	maxOp             = 255     // the largest Op
+	maxPartition      = 1 << 16 // converted to an int; applyItem checks the range
+	minAgeMS          = 1e-3    // of an attempt; the age 0 stands for none
 )
 
-// age is how a time goes over the wire: as ms before now. 0 stays 0.
-func age(now, at float64) float64 {
+// ageAt returns the age in ms that a time has at now. Times of attempts are sent as ages because the clocks of two
+// controllers differ. The time 0, which stands for none, has the age 0.
+func ageAt(now, at float64) float64 {
 	if at == 0 {
 		return 0
 	}
 	return max(now-at, minAgeMS)
 }
 
-// earliest is the earliest time that an age from the wire can stand for. 0 stays 0.
-func earliest(now, age float64) float64 {
+// earliestTime returns the earliest time that a received age can stand for, as the message may have been in transit for
+// up to ageUncertaintyMS. The age 0 stands for no time, which is 0.
+func earliestTime(now, age float64) float64 {
 	if age == 0 {
 		return 0
 	}
 	return now - age - ageUncertaintyMS
 }
 
-func (c *Copy) append(w *writer, now float64) {
-	w.text(copyID, c.ID)
-	w.text(copyIdempotencyKey, c.IdempotencyKey)
-	w.text(copyClass, c.Class)
-	w.text(copyOrderKey, c.OrderKey)
-	w.text(copyTeam, c.Team)
-	w.text(copySchema, c.Schema)
-	w.number(copyTableGroup, c.TableGroup)
-	w.float(copyMemoryMB, c.MemoryMB)
-	w.float(copyWorkMS, c.WorkMS)
-	w.bytes(copyBody, c.Body)
-	w.text(copyOwner, c.Owner.Name)
-	w.number(copyIncarnation, c.Owner.Incarnation)
-	w.number(copySequence, c.Sequence)
-	w.number(copyOutcome, uint64(c.Outcome))
-	w.number(copyRunState, uint64(c.RunState))
-	w.float(copyFirstAttempt, age(now, c.FirstAttemptAt))
-	w.text(copyZone, c.Zone)
-	w.number(copyCell, protowire.EncodeZigZag(c.Cell))
-	w.float(copyDeadline, c.Deadline-now)
-	w.bytes(copyAnswer, c.Answer)
-	w.flag(copyComplete, c.Complete)
-	w.flag(copyIdempotent, c.Idempotent)
-	w.flag(copyConfirmed, c.Confirmed)
+// append appends the fields of a copy. Times are encoded relative to now.
+func (c *Copy) append(fields *writer, now float64) {
+	fields.text(copyID, c.ID)
+	fields.text(copyIdempotencyKey, c.IdempotencyKey)
+	fields.text(copyClass, c.Class)
+	fields.text(copyOrderKey, c.OrderKey)
+	fields.text(copyTeam, c.Team)
+	fields.text(copySchema, c.Schema)
+	fields.number(copyTableGroup, c.TableGroup)
+	fields.float(copyMemoryMB, c.MemoryMB)
+	fields.float(copyWorkMS, c.WorkMS)
+	fields.bytes(copyBody, c.Body)
+	fields.text(copyOwner, c.Owner.Name)
+	fields.number(copyIncarnation, c.Owner.Incarnation)
+	fields.number(copySequence, c.Sequence)
+	fields.number(copyOutcome, uint64(c.Outcome))
+	fields.number(copyRunState, uint64(c.RunState))
+	fields.float(copyFirstAttempt, ageAt(now, c.FirstAttemptAt))
+	fields.text(copyZone, c.Zone)
+	fields.number(copyCell, protowire.EncodeZigZag(c.Cell))
+	fields.float(copyDeadline, c.Deadline-now)
+	fields.bytes(copyAnswer, c.Answer)
+	fields.flag(copyComplete, c.Complete)
+	fields.flag(copyIdempotent, c.Idempotent)
+	fields.flag(copyConfirmed, c.Confirmed)
 }
 
-func readCopy(b []byte, now float64) (c Copy, err error) {
-	err = readFields(b, func(field protowire.Number, v value) error {
+// readCopy decodes a copy whose times are relative to now. It returns errMalformed if data cannot be decoded or a
+// number is out of range.
+func readCopy(data []byte, now float64) (parsed Copy, err error) {
+	err = readFields(data, func(field protowire.Number, v value) error {
 		switch field {
 		case copyID:
-			c.ID = string(v.bytes)
+			parsed.ID = string(v.bytes)
 		case copyIdempotencyKey:
-			c.IdempotencyKey = string(v.bytes)
+			parsed.IdempotencyKey = string(v.bytes)
 		case copyClass:
-			c.Class = string(v.bytes)
+			parsed.Class = string(v.bytes)
 		case copyOrderKey:
-			c.OrderKey = string(v.bytes)
+			parsed.OrderKey = string(v.bytes)
 		case copyTeam:
-			c.Team = string(v.bytes)
+			parsed.Team = string(v.bytes)
 		case copySchema:
-			c.Schema = string(v.bytes)
+			parsed.Schema = string(v.bytes)
 		case copyTableGroup:
-			c.TableGroup = v.number
+			parsed.TableGroup = v.number
 		case copyMemoryMB:
-			c.MemoryMB = v.float()
+			parsed.MemoryMB = v.float()
 		case copyWorkMS:
-			c.WorkMS = v.float()
+			parsed.WorkMS = v.float()
 		case copyBody:
-			c.Body = clone(v.bytes)
+			parsed.Body = clone(v.bytes)
 		case copyOwner:
-			c.Owner.Name = string(v.bytes)
+			parsed.Owner.Name = string(v.bytes)
 		case copyIncarnation:
-			c.Owner.Incarnation = v.number
+			parsed.Owner.Incarnation = v.number
 		case copySequence:
-			c.Sequence = v.number
+			parsed.Sequence = v.number
 		case copyOutcome:
-			c.Outcome = Outcome(min(v.number, uint64(Unknown)))
+			parsed.Outcome = Outcome(min(v.number, uint64(Unknown)))
 		case copyRunState:
-			c.RunState = RunState(min(v.number, uint64(Ran)))
+			parsed.RunState = RunState(min(v.number, uint64(Ran)))
 		case copyFirstAttempt:
-			c.FirstAttemptAt = earliest(now, v.float())
+			parsed.FirstAttemptAt = earliestTime(now, v.float())
 		case copyZone:
-			c.Zone = string(v.bytes)
+			parsed.Zone = string(v.bytes)
 		case copyCell:
-			c.Cell = protowire.DecodeZigZag(v.number)
+			parsed.Cell = protowire.DecodeZigZag(v.number)
 		case copyDeadline:
-			c.Deadline = now + v.float()
+			parsed.Deadline = now + v.float()
 		case copyAnswer:
-			c.Answer = clone(v.bytes)
+			parsed.Answer = clone(v.bytes)
 		case copyComplete:
-			c.Complete = v.number != 0
+			parsed.Complete = v.number != 0
 		case copyIdempotent:
-			c.Idempotent = v.number != 0
+			parsed.Idempotent = v.number != 0
 		case copyConfirmed:
-			c.Confirmed = v.number != 0
+			parsed.Confirmed = v.number != 0
 		}
 		return nil
 	})
-	if !c.plausible(now) {
-		return c, errMalformed
+	if !parsed.hasValidNumbers(now) {
+		return parsed, errMalformed
 	}
-	return c, err
+	return parsed, err
 }
 
-// plausible reports whether the numbers of a copy that was read are numbers, and its deadline one that there can be.
-func (c *Copy) plausible(now float64) bool {
+// hasValidNumbers reports whether no number of a decoded copy is NaN and its deadline is within maxTimeDistanceMS from
+// now.
+func (c *Copy) hasValidNumbers(now float64) bool {
 	if math.IsNaN(c.FirstAttemptAt) || math.IsNaN(c.MemoryMB+c.WorkMS) {
 		return false
 	}
 	return c.Deadline >= now-maxTimeDistanceMS && c.Deadline <= now+maxTimeDistanceMS
 }
 
-func (it *Item) append(w *writer, now float64) {
-	w.number(itemOp, uint64(it.Op))
-	if it.Key != (Key{}) {
-		w.bytes(itemKey, it.Key[:])
+// append appends the fields of an item. Times are encoded relative to now.
+func (item *Item) append(fields *writer, now float64) {
+	fields.number(itemOp, uint64(item.Op))
+	if item.Key != (Key{}) {
+		fields.bytes(itemKey, item.Key[:])
 	}
-	w.number(itemSequence, it.Sequence)
-	if it.Copy != nil {
-		var c writer
-		it.Copy.append(&c, now)
-		w.bytes(itemCopy, c)
+	fields.number(itemSequence, item.Sequence)
+	if item.Copy != nil {
+		var encoded writer
+		item.Copy.append(&encoded, now)
+		fields.bytes(itemCopy, encoded)
 	}
-	w.number(itemRunState, uint64(it.RunState))
-	w.float(itemFirstAttempt, age(now, it.FirstAttemptAt))
-	w.text(itemZone, it.Zone)
-	w.number(itemCell, protowire.EncodeZigZag(it.Cell))
-	w.number(itemOutcome, uint64(it.Outcome))
-	w.bytes(itemAnswer, it.Answer)
-	w.text(itemFrom, it.From.Name)
-	w.number(itemIncarnation, it.From.Incarnation)
-	w.number(itemPartition, uint64(it.Partition))
-	if it.After != (Key{}) {
-		w.bytes(itemAfter, it.After[:])
+	fields.number(itemRunState, uint64(item.RunState))
+	fields.float(itemFirstAttempt, ageAt(now, item.FirstAttemptAt))
+	fields.text(itemZone, item.Zone)
+	fields.number(itemCell, protowire.EncodeZigZag(item.Cell))
+	fields.number(itemOutcome, uint64(item.Outcome))
+	fields.bytes(itemAnswer, item.Answer)
+	fields.text(itemFrom, item.From.Name)
+	fields.number(itemIncarnation, item.From.Incarnation)
+	fields.number(itemPartition, uint64(item.Partition))
+	if item.After != (Key{}) {
+		fields.bytes(itemAfter, item.After[:])
 	}
-	w.flag(itemMore, it.More)
-	w.text(itemReason, it.Reason)
-	for i := range it.Copies {
-		var c writer
-		it.Copies[i].append(&c, now)
-		w.bytes(itemCopies, c)
+	fields.flag(itemMore, item.More)
+	fields.text(itemReason, item.Reason)
+	for i := range item.Copies {
+		var encoded writer
+		item.Copies[i].append(&encoded, now)
+		fields.bytes(itemCopies, encoded)
 	}
 }
 
-func readItem(b []byte, now float64) (it Item, err error) {
-	err = readFields(b, func(field protowire.Number, v value) error {
+// readItem decodes an item whose times are relative to now. It returns errMalformed if data cannot be decoded or a
+// number is out of range.
+func readItem(data []byte, now float64) (item Item, err error) {
+	err = readFields(data, func(field protowire.Number, v value) error {
 		switch field {
 		case itemOp:
-			it.Op = Op(min(v.number, maxOp))
+			item.Op = Op(min(v.number, maxOp))
 		case itemKey:
-			copy(it.Key[:], v.bytes)
+			copy(item.Key[:], v.bytes)
 		case itemSequence:
-			it.Sequence = v.number
+			item.Sequence = v.number
 		case itemCopy:
-			c, err := readCopy(v.bytes, now)
-			it.Copy = &c
+			parsed, err := readCopy(v.bytes, now)
+			item.Copy = &parsed
 			return err
 		case itemRunState:
-			it.RunState = RunState(min(v.number, uint64(Ran)))
+			item.RunState = RunState(min(v.number, uint64(Ran)))
 		case itemFirstAttempt:
-			it.FirstAttemptAt = earliest(now, v.float())
+			item.FirstAttemptAt = earliestTime(now, v.float())
 		case itemZone:
-			it.Zone = string(v.bytes)
+			item.Zone = string(v.bytes)
 		case itemCell:
-			it.Cell = protowire.DecodeZigZag(v.number)
+			item.Cell = protowire.DecodeZigZag(v.number)
 		case itemOutcome:
-			it.Outcome = Outcome(min(v.number, uint64(Unknown)))
+			item.Outcome = Outcome(min(v.number, uint64(Unknown)))
 		case itemAnswer:
-			it.Answer = clone(v.bytes)
+			item.Answer = clone(v.bytes)
 		case itemFrom:
-			it.From.Name = string(v.bytes)
+			item.From.Name = string(v.bytes)
 		case itemIncarnation:
-			it.From.Incarnation = v.number
+			item.From.Incarnation = v.number
 		case itemPartition:
-			it.Partition = int(min(v.number, maxPartition))
+			item.Partition = int(min(v.number, maxPartition))
 		case itemAfter:
-			copy(it.After[:], v.bytes)
+			copy(item.After[:], v.bytes)
 		case itemMore:
-			it.More = v.number != 0
+			item.More = v.number != 0
 		case itemReason:
-			it.Reason = string(v.bytes)
+			item.Reason = string(v.bytes)
 		case itemCopies:
-			c, err := readCopy(v.bytes, now)
-			it.Copies = append(it.Copies, c)
+			parsed, err := readCopy(v.bytes, now)
+			item.Copies = append(item.Copies, parsed)
 			return err
 		}
 		return nil
 	})
-	if math.IsNaN(it.FirstAttemptAt) {
-		return it, errMalformed
+	if math.IsNaN(item.FirstAttemptAt) {
+		return item, errMalformed
 	}
-	return it, err
+	return item, err
 }
 
-// Append appends the batch to out, with times in ms from now, and returns the result.
+// Append appends the encoded batch to out and returns the result. Times are encoded relative to now, in ms.
 func (b *Batch) Append(out []byte, now float64) []byte {
-	w := writer(out)
-	w.text(batchFrom, b.From.Name)
-	w.number(batchIncarnation, b.From.Incarnation)
-	w.number(batchVersion, b.Version)
-	w.number(batchPlacementStep, b.PlacementStep)
-	w.flag(batchStalePlacement, b.StalePlacement)
+	fields := writer(out)
+	fields.text(batchFrom, b.From.Name)
+	fields.number(batchIncarnation, b.From.Incarnation)
+	fields.number(batchVersion, b.Version)
+	fields.number(batchPlacementStep, b.PlacementStep)
+	fields.flag(batchStalePlacement, b.StalePlacement)
 	for i := range b.Items {
 		var item writer
 		b.Items[i].append(&item, now)
-		w.bytes(batchItem, item)
+		fields.bytes(batchItem, item)
 	}
-	return w
+	return fields
 }
 
-// ReadBatch reads a batch that was received now.
+// ReadBatch decodes a batch that was received at the time now, in ms. Times in it are converted to the receiver's
+// clock.
 func ReadBatch(data []byte, now float64) (*Batch, error) {
-	b := &Batch{}
+	batch := &Batch{}
 	err := readFields(data, func(field protowire.Number, v value) error {
 		switch field {
 		case batchFrom:
-			b.From.Name = string(v.bytes)
+			batch.From.Name = string(v.bytes)
 		case batchIncarnation:
-			b.From.Incarnation = v.number
+			batch.From.Incarnation = v.number
 		case batchVersion:
-			b.Version = v.number
+			batch.Version = v.number
 		case batchPlacementStep:
-			b.PlacementStep = v.number
+			batch.PlacementStep = v.number
 		case batchStalePlacement:
-			b.StalePlacement = v.number != 0
+			batch.StalePlacement = v.number != 0
 		case batchItem:
-			it, err := readItem(v.bytes, now)
-			b.Items = append(b.Items, it)
+			item, err := readItem(v.bytes, now)
+			batch.Items = append(batch.Items, item)
 			return err
 		}
 		return nil
 	})
-	return b, err
+	return batch, err
 }
 
-// AppendCopy appends a copy to out for a disk, with times in ms from now, and returns the result.
+// AppendCopy appends a copy to out as it is stored on disk, and returns the result. Times are encoded relative to now,
+// in ms.
 func AppendCopy(out []byte, c *Copy, now float64) []byte {
-	w := writer(out)
-	c.append(&w, now)
-	return w
+	fields := writer(out)
+	c.append(&fields, now)
+	return fields
 }
 
-// ReadCopy reads what AppendCopy wrote, with its times counted from now.
+// ReadCopy decodes a copy that AppendCopy encoded. Its times are taken as relative to now, however long ago it was
+// written.
 func ReadCopy(data []byte, now float64) (Copy, error) { return readCopy(data, now) }
