--- a/internal/handoff/pacer_test.go
+++ b/internal/handoff/pacer_test.go
@@ -14,7 +14,7 @@
 // longer than 1.2 times the longest duration without load. Both exclude the first five seconds of adoption.
 func simulateAdoption(concurrency float64, ownRequests bool, beforeMS int) (inFlight, latePerThousand float64) {
 	random := rand.New(rand.NewPCG(3, 4))
-	p := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 2)}
+	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 2)}
 	running := map[string]float64{} // end times by request id
 	var adoptedSum, samples, ownEnded, ownLate float64
 	nextID := 0
@@ -24,7 +24,7 @@
 	start := func(now float64, class int) { // class 0: own requests, class 1: adopted ones
 		id := fmt.Sprint(class, "-", nextID)
 		nextID++
-		p.start(now, id, class, class == 1)
+		adoptionPacer.start(now, id, class, class == 1)
 		running[id] = now + duration()
 	}
 	before := float64(beforeMS)
@@ -34,19 +34,20 @@
 				continue
 			}
 			delete(running, id)
-			if request, timed := p.started[id]; timed && request.class == 0 && p.adopting && now > before+5000 {
+			request, timed := adoptionPacer.started[id]
+			if timed && request.class == 0 && adoptionPacer.adopting && now > before+5000 {
 				ownEnded++
 				if now-request.startedAt > 1.2*12 {
 					ownLate++
 				}
 			}
-			p.finish(now, id, true)
+			adoptionPacer.finish(now, id, true)
 		}
 		if ownRequests && int(now)%4 == 0 {
 			start(now, 0)
 		}
 		if int(now)%100 == 0 {
-			p.tick(now, now >= before)
+			adoptionPacer.tick(now, now >= before)
 		}
 		if now < before {
 			continue
@@ -57,7 +58,7 @@
 				adopted++
 			}
 		}
-		for ; adopted < int(p.limit); adopted++ {
+		for ; adopted < int(adoptionPacer.limit); adopted++ {
 			start(now, 1)
 		}
 		if now > before+5000 {
@@ -85,15 +86,15 @@
 
 // Guards against unbounded memory for timed requests, and against entries that outlive their request.
 func TestPacer_ForgetsEndedRequests(t *testing.T) {
-	p := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 1)}
+	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 1)}
 	for k := range 3 * paceMaxTracked {
-		p.start(0, fmt.Sprint(k), 0, true)
+		adoptionPacer.start(0, fmt.Sprint(k), 0, true)
 	}
-	assert.Len(t, p.started, paceMaxTracked, "timed requests in flight")
+	assert.Len(t, adoptionPacer.started, paceMaxTracked, "timed requests in flight")
 	for k := range 3 * paceMaxTracked {
-		p.finish(1, fmt.Sprint(k), k%2 == 0)
+		adoptionPacer.finish(1, fmt.Sprint(k), k%2 == 0)
 	}
-	assert.Empty(t, p.started)
+	assert.Empty(t, adoptionPacer.started)
 	c := newCluster(t, 6, 2, nil)
 	c.arrive(0, "keyed", "a", "m")
 	c.arrive(1, "keyed", "b", "m") // waits for the request of the same key until its client leaves
--- a/internal/handoff/protobuf.go
+++ b/internal/handoff/protobuf.go
@@ -51,21 +51,21 @@
 
 // readFields calls visit with each field of a message, in order, and returns the first error. A field of any other wire
 // type is visited with an empty value.
-func readFields(data []byte, visit func(field protowire.Number, v value) error) error {
+func readFields(data []byte, visit func(field protowire.Number, val value) error) error {
 	for len(data) > 0 {
 		field, wireType, length := protowire.ConsumeTag(data)
 		if length < 0 {
 			return errMalformed
 		}
 		data = data[length:]
-		var v value
+		var val value
 		switch wireType {
 		case protowire.VarintType:
-			v.number, length = protowire.ConsumeVarint(data)
+			val.number, length = protowire.ConsumeVarint(data)
 		case protowire.Fixed64Type:
-			v.number, length = protowire.ConsumeFixed64(data)
+			val.number, length = protowire.ConsumeFixed64(data)
 		case protowire.BytesType:
-			v.bytes, length = protowire.ConsumeBytes(data)
+			val.bytes, length = protowire.ConsumeBytes(data)
 		default:
 			length = protowire.ConsumeFieldValue(field, wireType, data)
 		}
@@ -73,7 +73,7 @@
 			return errMalformed
 		}
 		data = data[length:]
-		if err := visit(field, v); err != nil {
+		if err := visit(field, val); err != nil {
 			return err
 		}
 	}
--- a/internal/handoff/wire.go
+++ b/internal/handoff/wire.go
@@ -119,54 +119,54 @@
 // readCopy decodes a copy whose times are relative to now. It returns errMalformed if data cannot be decoded or a
 // number is out of range.
 func readCopy(data []byte, now float64) (parsed Copy, err error) {
-	err = readFields(data, func(field protowire.Number, v value) error {
+	err = readFields(data, func(field protowire.Number, val value) error {
 		switch field {
 		case copyID:
-			parsed.ID = string(v.bytes)
+			parsed.ID = string(val.bytes)
 		case copyIdempotencyKey:
-			parsed.IdempotencyKey = string(v.bytes)
+			parsed.IdempotencyKey = string(val.bytes)
 		case copyClass:
-			parsed.Class = string(v.bytes)
+			parsed.Class = string(val.bytes)
 		case copyOrderKey:
-			parsed.OrderKey = string(v.bytes)
+			parsed.OrderKey = string(val.bytes)
 		case copyTeam:
-			parsed.Team = string(v.bytes)
+			parsed.Team = string(val.bytes)
 		case copySchema:
-			parsed.Schema = string(v.bytes)
+			parsed.Schema = string(val.bytes)
 		case copyTableGroup:
-			parsed.TableGroup = v.number
+			parsed.TableGroup = val.number
 		case copyMemoryMB:
-			parsed.MemoryMB = v.float()
+			parsed.MemoryMB = val.float()
 		case copyWorkMS:
-			parsed.WorkMS = v.float()
+			parsed.WorkMS = val.float()
 		case copyBody:
-			parsed.Body = clone(v.bytes)
+			parsed.Body = clone(val.bytes)
 		case copyOwner:
-			parsed.Owner.Name = string(v.bytes)
+			parsed.Owner.Name = string(val.bytes)
 		case copyIncarnation:
-			parsed.Owner.Incarnation = v.number
+			parsed.Owner.Incarnation = val.number
 		case copySequence:
-			parsed.Sequence = v.number
+			parsed.Sequence = val.number
 		case copyOutcome:
-			parsed.Outcome = Outcome(min(v.number, uint64(Unknown)))
+			parsed.Outcome = Outcome(min(val.number, uint64(Unknown)))
 		case copyRunState:
-			parsed.RunState = RunState(min(v.number, uint64(Ran)))
+			parsed.RunState = RunState(min(val.number, uint64(Ran)))
 		case copyFirstAttempt:
-			parsed.FirstAttemptAt = earliestTime(now, v.float())
+			parsed.FirstAttemptAt = earliestTime(now, val.float())
 		case copyZone:
-			parsed.Zone = string(v.bytes)
+			parsed.Zone = string(val.bytes)
 		case copyCell:
-			parsed.Cell = protowire.DecodeZigZag(v.number)
+			parsed.Cell = protowire.DecodeZigZag(val.number)
 		case copyDeadline:
-			parsed.Deadline = now + v.float()
+			parsed.Deadline = now + val.float()
 		case copyAnswer:
-			parsed.Answer = clone(v.bytes)
+			parsed.Answer = clone(val.bytes)
 		case copyComplete:
-			parsed.Complete = v.number != 0
+			parsed.Complete = val.number != 0
 		case copyIdempotent:
-			parsed.Idempotent = v.number != 0
+			parsed.Idempotent = val.number != 0
 		case copyConfirmed:
-			parsed.Confirmed = v.number != 0
+			parsed.Confirmed = val.number != 0
 		}
 		return nil
 	})
@@ -221,44 +221,44 @@
 // readItem decodes an item whose times are relative to now. It returns errMalformed if data cannot be decoded or a
 // number is out of range.
 func readItem(data []byte, now float64) (item Item, err error) {
-	err = readFields(data, func(field protowire.Number, v value) error {
+	err = readFields(data, func(field protowire.Number, val value) error {
 		switch field {
 		case itemOp:
-			item.Op = Op(min(v.number, maxOp))
+			item.Op = Op(min(val.number, maxOp))
 		case itemKey:
-			copy(item.Key[:], v.bytes)
+			copy(item.Key[:], val.bytes)
 		case itemSequence:
-			item.Sequence = v.number
+			item.Sequence = val.number
 		case itemCopy:
-			parsed, err := readCopy(v.bytes, now)
+			parsed, err := readCopy(val.bytes, now)
 			item.Copy = &parsed
 			return err
 		case itemRunState:
-			item.RunState = RunState(min(v.number, uint64(Ran)))
+			item.RunState = RunState(min(val.number, uint64(Ran)))
 		case itemFirstAttempt:
-			item.FirstAttemptAt = earliestTime(now, v.float())
+			item.FirstAttemptAt = earliestTime(now, val.float())
 		case itemZone:
-			item.Zone = string(v.bytes)
+			item.Zone = string(val.bytes)
 		case itemCell:
-			item.Cell = protowire.DecodeZigZag(v.number)
+			item.Cell = protowire.DecodeZigZag(val.number)
 		case itemOutcome:
-			item.Outcome = Outcome(min(v.number, uint64(Unknown)))
+			item.Outcome = Outcome(min(val.number, uint64(Unknown)))
 		case itemAnswer:
-			item.Answer = clone(v.bytes)
+			item.Answer = clone(val.bytes)
 		case itemFrom:
-			item.From.Name = string(v.bytes)
+			item.From.Name = string(val.bytes)
 		case itemIncarnation:
-			item.From.Incarnation = v.number
+			item.From.Incarnation = val.number
 		case itemPartition:
-			item.Partition = int(min(v.number, maxPartition))
+			item.Partition = int(min(val.number, maxPartition))
 		case itemAfter:
-			copy(item.After[:], v.bytes)
+			copy(item.After[:], val.bytes)
 		case itemMore:
-			item.More = v.number != 0
+			item.More = val.number != 0
 		case itemReason:
-			item.Reason = string(v.bytes)
+			item.Reason = string(val.bytes)
 		case itemCopies:
-			parsed, err := readCopy(v.bytes, now)
+			parsed, err := readCopy(val.bytes, now)
 			item.Copies = append(item.Copies, parsed)
 			return err
 		}
@@ -290,20 +290,20 @@
 // clock.
 func ReadBatch(data []byte, now float64) (*Batch, error) {
 	batch := &Batch{}
-	err := readFields(data, func(field protowire.Number, v value) error {
+	err := readFields(data, func(field protowire.Number, val value) error {
 		switch field {
 		case batchFrom:
-			batch.From.Name = string(v.bytes)
+			batch.From.Name = string(val.bytes)
 		case batchIncarnation:
-			batch.From.Incarnation = v.number
+			batch.From.Incarnation = val.number
 		case batchVersion:
-			batch.Version = v.number
+			batch.Version = val.number
 		case batchPlacementStep:
-			batch.PlacementStep = v.number
+			batch.PlacementStep = val.number
 		case batchStalePlacement:
-			batch.StalePlacement = v.number != 0
+			batch.StalePlacement = val.number != 0
 		case batchItem:
-			item, err := readItem(v.bytes, now)
+			item, err := readItem(val.bytes, now)
 			batch.Items = append(batch.Items, item)
 			return err
 		}
