--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -3,13 +3,14 @@
 import "go.etcd.io/raft/v3"
 
 const (
-	heartbeatMS = 100 // between heartbeats of the leader
-	electionMS  = 800 // least time without a heartbeat until an election
+	heartbeatIntervalMS  = 100 // time between heartbeats of the leader
+	minElectionTimeoutMS = 800 // minimum time without a heartbeat before an election
 )
 
-func (g *Group) postponeElection() { g.electionAt = g.now + electionMS*(1+g.random()) }
+// postponeElection restarts the election timeout, which is randomized between one and two minElectionTimeoutMS.
+func (g *Group) postponeElection() { g.electionDueAt = g.now + minElectionTimeoutMS*(1+g.random()) }
 
-// startElection campaigns if this member is a voter.
+// startElection restarts the election timeout and campaigns if this member is a voter.
 func (g *Group) startElection() {
 	g.postponeElection()
 	if g.isVoter() {
@@ -17,7 +18,7 @@
 	}
 }
 
-// handleSoftState takes who leads now.
+// handleSoftState handles a change of the leader.
 func (g *Group) handleSoftState(s *raft.SoftState) {
 	isLeader := s.RaftState == raft.StateLeader
 	if isLeader && !g.isLeader {
@@ -34,7 +35,8 @@
 	}
 }
 
-// becomeLeader resets the leader's state. The grants of the leader before are not known here.
+// becomeLeader initializes the leader's state. The leases that the previous leader granted are unknown, so that no
+// member is declared lost until all of them have expired.
 func (g *Group) becomeLeader() {
 	g.noLossUntil = g.now + g.settings.LeaseMS*(1+2*maxClockDrift)
 	clear(g.grantedUntil)
@@ -42,11 +44,11 @@
 	clear(g.proposedLost)
 	g.learner = Hello{}
 	g.replacedID = 0
-	g.confChangeAt = 0
-	g.reviewAt = g.now
+	g.confChangeProposedAt = 0
+	g.nextReviewAt = g.now
 }
 
-// stepDown turns away the lease requests that wait.
+// stepDown rejects the lease requests that wait.
 func (g *Group) stepDown() {
 	for _, request := range g.takeLeaseRequests() {
 		g.emit(Effect{Kind: ReplyLease, Token: request.token, Reply: LeaseReply{Verdict: NotLeader}})
@@ -54,7 +56,7 @@
 	g.postponeElection()
 }
 
-// leaderName returns the name of the leader by Raft's knowledge, or "".
+// leaderName returns the name of the leader that Raft knows, or "".
 func (g *Group) leaderName() string {
 	if g.leaderID == 0 {
 		return ""
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -9,24 +9,34 @@
 	"liftshift/internal/placement"
 )
 
-// EntryKind is the kind of an entry of the replicated log. The values are part of the log's format.
+// EntryKind is the kind of an entry of the replicated log. The values are part of the log format.
 type EntryKind string
 
-// Kinds of entries. Of these, the leader itself proposes EntryAdmit, EntryLost, EntryLeft and EntryCopies.
+// Kinds of entries. Only the leader proposes EntryAdmit, EntryLost, EntryLeft and EntryCopies.
 const (
-	EntryAdmit        EntryKind = "in"
-	EntryLost         EntryKind = "lost"
-	EntryLeft         EntryKind = "left"
-	EntryCopies       EntryKind = "copies"
-	EntryReady        EntryKind = "ready"
-	EntryClaim        EntryKind = "claim"
-	EntrySettled      EntryKind = "settled"
+	// EntryAdmit admits an incarnation of a member.
+	EntryAdmit EntryKind = "in"
+	// EntryLost declares an incarnation of a member lost.
+	EntryLost EntryKind = "lost"
+	// EntryLeft records that an incarnation of a member has shut down gracefully.
+	EntryLeft EntryKind = "left"
+	// EntryCopies sets the number of replicas of each partition.
+	EntryCopies EntryKind = "copies"
+	// EntryReady marks a member's replicas of some partitions as ready.
+	EntryReady EntryKind = "ready"
+	// EntryClaim claims partitions of a lost member for its successor.
+	EntryClaim EntryKind = "claim"
+	// EntrySettled ends a successor's claim on partitions once it has adopted all requests in them.
+	EntrySettled EntryKind = "settled"
+	// EntryReinitialize starts partitions afresh that have lost their quorum.
 	EntryReinitialize EntryKind = "anew"
-	EntryPlan         EntryKind = "plan"
-	EntryOrder        EntryKind = "order"
+	// EntryPlan replaces the plan for traffic between zones.
+	EntryPlan EntryKind = "plan"
+	// EntryOrder sets or revokes an operator's order.
+	EntryOrder EntryKind = "order"
 )
 
-// isMembership reports whether an entry admits a member or declares it lost.
+// isMembership reports whether an entry admits a member, declares it lost or records that it left.
 func (k EntryKind) isMembership() bool { return k == EntryAdmit || k == EntryLost || k == EntryLeft }
 
 // isPlan reports whether an entry is a plan or an order.
@@ -44,41 +54,42 @@
 // entry is the content of an entry of the replicated log.
 type entry struct {
 	Kind        EntryKind `json:"Kind"`
-	Name        string    `json:"Name"` // of a member; for an order, what it is about
+	Name        string    `json:"Name"` // the member's name; for an order, its subject
 	Incarnation uint64    `json:"Life"`
 	Address     string    `json:"Address,omitempty"`
 	Zone        string    `json:"Zone,omitempty"`
-	// Placement.
+	// Fields of entries about placement.
 	Successor            string `json:"Heir,omitempty"`
 	SuccessorIncarnation uint64 `json:"HeirLife,omitempty"`
 	Partitions           uint32 `json:"Mask,omitempty"`
 	Version              uint64 `json:"Version,omitempty"`
 	Copies               int    `json:"Copies,omitempty"`
-	// Plans and orders. An order without data revokes the one before.
+	// Fields of plans and orders. An order without data revokes the standing order on the same subject.
 	Number uint64          `json:"Number,omitempty"`
 	Data   json.RawMessage `json:"Data,omitempty"`
 }
 
-// Proposal encodes an entry about placement: EntryReady, EntryClaim, EntrySettled or EntryReinitialize.
+// PlacementProposal encodes an entry about placement of the kind EntryReady, EntryClaim, EntrySettled or
+// EntryReinitialize.
 func Proposal(kind EntryKind, c placement.AdoptionClaim, version uint64) []byte {
 	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Incarnation: c.Incarnation, Successor: c.Successor,
 		SuccessorIncarnation: c.SuccessorIncarnation, Partitions: c.Partitions, Version: version})
 	return data
 }
 
-// PlanProposal encodes a plan, whose number is one more than that of the plan in force.
+// PlanProposal encodes a plan. It is applied only if number is one more than that of the plan in force.
 func PlanProposal(number uint64, plan []byte) []byte {
 	data, _ := json.Marshal(&entry{Kind: EntryPlan, Number: number, Data: plan})
 	return data
 }
 
-// OrderProposal encodes an operator's order about something, or revokes it if there is no data.
-func OrderProposal(about string, order []byte) []byte {
-	data, _ := json.Marshal(&entry{Kind: EntryOrder, Name: about, Data: order})
+// OrderProposal encodes an operator's order on a subject, or the revocation of that order if it is empty.
+func OrderProposal(subject string, order []byte) []byte {
+	data, _ := json.Marshal(&entry{Kind: EntryOrder, Name: subject, Data: order})
 	return data
 }
 
-// handleProposal proposes an entry for a member. It is validated when it is applied.
+// handleProposal proposes an entry on behalf of a member. The entry is validated when it is applied.
 func (g *Group) handleProposal(data []byte) {
 	var e entry
 	if !g.isLeader || g.failed || json.Unmarshal(data, &e) != nil {
@@ -89,13 +100,14 @@
 	}
 }
 
-// propose appends an entry to the log and reports whether the library took it. The entry may still get lost with this leader.
+// propose appends an entry to the log and reports whether the Raft library accepted it. The entry is lost if this
+// leader fails before it is committed.
 func (g *Group) propose(e entry) bool {
 	data, err := json.Marshal(&e)
 	return err == nil && g.node.Propose(data) == nil
 }
 
-// applyEntry applies a committed entry.
+// applyEntry applies a committed entry once: an entry that the record includes already is skipped.
 func (g *Group) applyEntry(e *raftpb.Entry) {
 	if e.GetIndex() <= g.appliedIndex {
 		return
@@ -115,6 +127,7 @@
 	}
 }
 
+// applyNormalEntry applies an entry of this package to the record and emits effects for what changed.
 func (g *Group) applyNormalEntry(data []byte) {
 	var e entry
 	if len(data) == 0 || json.Unmarshal(data, &e) != nil {
@@ -128,7 +141,7 @@
 	}
 	member, changed := g.record.applyMembership(&e)
 	if changed {
-		g.emitMember(e.Name, member)
+		g.emitMemberState(e.Name, member)
 	}
 	if (changed || !e.Kind.isMembership()) && g.record.applyPlacement(&e) {
 		g.emit(Effect{Kind: PlacementChanged})
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -8,16 +8,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// helloMS is the time between two rounds of Hello requests to the other founders.
-const helloMS = 500
+// helloIntervalMS is the mean time between two rounds of Hello requests to the other founders.
+const helloIntervalMS = 500
 
-// greetFounders asks the other founders for their Hello until each has told its data folder. Then each founder forms the group by
-// itself, with an equal first snapshot.
-func (g *Group) greetFounders() {
-	if !g.isFounder() || g.now < g.helloAt {
+// requestHellos asks the other founders for their Hello, if a round is due. Once a founder knows the data folders of
+// all founders, it forms the group locally; all founders start from the same first snapshot.
+func (g *Group) requestHellos() {
+	if !g.isFounder() || g.now < g.nextHelloAt {
 		return
 	}
-	g.helloAt = g.now + helloMS*(0.75+0.5*g.random())
+	g.nextHelloAt = g.now + helloIntervalMS*(0.75+0.5*g.random())
 	for _, name := range g.founders {
 		if name != g.name {
 			g.emit(Effect{Kind: SendHello, To: name})
@@ -25,7 +25,8 @@
 	}
 }
 
-// handleHello takes what another member tells of itself.
+// handleHello handles the Hello of another member: the leader may add it as a learner, and a founder that has no group
+// yet may form one.
 func (g *Group) handleHello(h *Hello) {
 	if g.isLeader {
 		g.handleLearnerHello(h)
@@ -34,11 +35,11 @@
 	if g.node != nil || g.nodeID == 0 || !g.isFounder() {
 		return
 	}
-	if len(h.Founders) > 0 { // the group exists
+	if len(h.Founders) > 0 { // the sender knows an existing group
 		if slices.ContainsFunc(h.Founders, func(v Voter) bool { return v.ID == g.nodeID }) {
-			g.form(h.Founders)
+			g.formGroup(h.Founders)
 		}
-		return // another data folder than at formation: it waits to be made a voter
+		return // this data folder was not part of the formation: the leader may add this member as a voter later
 	}
 	if h.Folder == "" || !slices.Contains(g.founders, h.Name) {
 		return
@@ -52,12 +53,12 @@
 	}
 	if len(voters) == len(g.founders) {
 		sortVoters(voters)
-		g.form(voters)
+		g.formGroup(voters)
 	}
 }
 
-// form starts the group with its founders as voters.
-func (g *Group) form(founders []Voter) {
+// formGroup persists the first snapshot, in which the founders are the voters, and starts Raft from it.
+func (g *Group) formGroup(founders []Voter) {
 	record := Record{Members: map[string]Member{}, Voters: founders, Founders: founders}
 	data, err := json.Marshal(&record)
 	if err != nil {
@@ -69,7 +70,8 @@
 		conf.Voters = append(conf.Voters, v.ID)
 	}
 	slices.Sort(conf.Voters)
-	snapshot := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	metadata := &raftpb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}
+	snapshot := &raftpb.Snapshot{Data: data, Metadata: metadata}
 	state := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
 	g.emit(Effect{Kind: Persist, Snapshot: snapshot, State: state})
 	g.startNode(PersistedState{Snapshot: snapshot, State: state})
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -1,14 +1,17 @@
-// Package consensus keeps what the fleet agrees on: a replicated record, held by a few voters, of which incarnation of which controller
-// is admitted and which is declared lost, and the leases that keep the two apart. It also replicates the placement table, the plan for
-// traffic between zones and the operators' orders.
+// Package consensus replicates the state that the controllers of a fleet agree on. A few voters hold a record of the
+// incarnation of each controller that is admitted or declared lost, and the leader grants leases to admitted
+// incarnations. The record also includes the placement table, the plan for traffic between zones and the operators'
+// orders.
 //
-// Agreement is Raft's, by a library without I/O. A Group is a state machine around it: it takes events with the time at which they
-// happened and returns effects for its caller to carry out. It owns no socket, disk, clock or goroutine.
+// Replication uses the etcd Raft library, which does no I/O. A Group is a state machine around it: it takes events with
+// the time at which they happened and returns effects for its caller to carry out. It owns no socket, disk, clock or
+// goroutine.
 //
-// A controller that acts only while LeaseHeld reports true has stopped, by its own clock, before the group declares its incarnation
-// lost, as long as clocks drift apart by no more than maxClockDrift, whatever pauses, fails or is partitioned in between. The holder
-// counts its lease from when it asked, the leader from when it granted, which is later. A new leader does not know the grants of the one
-// before it and declares nobody lost until all of them have expired.
+// Leases guarantee that a controller that acts only while LeaseHeld reports true has stopped before the group declares
+// its incarnation lost, whatever pauses, fails or is partitioned, as long as clocks drift apart by no more than
+// maxClockDrift. The holder counts its lease from when it sent the request, the leader from when it granted the lease,
+// which is later. A new leader does not know the leases granted by the previous one and declares no member lost until
+// all of them have expired.
 package consensus
 
 import (
@@ -21,21 +24,22 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Group is one member's end of the consensus group: a voter, or a member that only requests leases. It is not safe for concurrent use.
+// Group is one member's part of the consensus group: that of a voter, or of a member that only requests leases. It is
+// not safe for concurrent use.
 type Group struct {
 	name        string
 	incarnation uint64
-	folder      string // identity of the data folder; empty: it has none and never votes
-	nodeID      uint64 // 0: it has no data folder
+	folder      string // ID of the data folder; empty: the member has none and never votes
+	nodeID      uint64 // Raft ID; 0: the member has no data folder
 	founders    []string
 	settings    Settings
 
-	now     float64
-	wakeAt  float64
-	seed    uint32
-	draws   uint64
-	tokens  uint64 // the last that was used
-	effects []Effect
+	now         float64 // time of the current event
+	wakeAt      float64 // when the next Ticked event is due
+	seed        uint32
+	randomDraws uint64 // random numbers drawn so far
+	lastToken   uint64
+	effects     []Effect // of the current event
 
 	// Replication.
 	node          *raft.RawNode
@@ -44,49 +48,50 @@
 	record        Record
 	appliedIndex  uint64
 	snapshotIndex uint64
-	ready         *raft.Ready // the batch that is being persisted
-	persistToken  uint64
-	failed        bool
+	pendingReady  *raft.Ready       // batch of the Raft library that is being persisted
+	persistToken  uint64            // token of the Persist effect of that batch
+	failed        bool              // this member has stopped voting for good
 	votersChanged bool              // since the last snapshot
-	peerNames     map[uint64]string // voters that sent messages, by their IDs; the record may not have them yet
-	tickAt        float64
-	hellos        map[string]Hello // of other founders
-	helloAt       float64
+	peerNames     map[uint64]string // names of Raft message senders, by ID; the record may lack them
+	nextTickAt    float64
+	hellos        map[string]Hello // received from other founders, by name
+	nextHelloAt   float64
 
 	// Leadership.
 	leaderID       uint64
 	isLeader       bool
-	rejectedLeader string // the leader by Raft's knowledge, which has denied it
-	electionAt     float64
-	reviewAt       float64
+	rejectedLeader string // the leader known from Raft, if it has replied that it does not lead
+	electionDueAt  float64
+	nextReviewAt   float64
 
 	// Leases and membership, on the leader.
-	noLossUntil   float64 // leases that the leader before may have granted last until then
-	grantedUntil  map[string]float64
-	unseenSince   map[string]float64 // by name, and by voterKey
-	proposedLost  map[string]uint64  // incarnations whose loss is proposed
-	leaseRequests []leaseRequest     // that wait for a read index
-	pendingReads  map[uint64][]leaseRequest
-	observations  map[string]Observation
+	noLossUntil   float64                   // by then, the leases granted by previous leaders have expired
+	grantedUntil  map[string]float64        // end of the last lease granted, by member name
+	unseenSince   map[string]float64        // since when a member, or a voter by its voterKey, has been unreachable
+	proposedLost  map[string]uint64         // incarnations proposed to be declared lost, by member name
+	leaseRequests []leaseRequest            // requests that wait for the next read index
+	pendingReads  map[uint64][]leaseRequest // requests that wait for a read index in flight, by its token
+	observations  map[string]Observation    // the membership view, by member name
 
 	// Voter replacement, on the leader.
-	learner      Hello  // that is to become a voter
-	replacedID   uint64 // the voter whose place it takes
-	voterMove    voterMove
-	confChangeAt float64
+	learner              Hello            // the member that is to become a voter
+	replacedID           uint64           // ID of the voter that the learner replaces; 0: none
+	requestedReplacement voterReplacement // requested by an operator
+	confChangeProposedAt float64          // 0: no configuration change is pending
 
 	lease ownLease
 }
 
-// New returns a member's end of the group. Folder identifies its data folder; a member without one never votes. Founders are the names
-// of the members that form the group. Persisted is what was on the disk, if anything.
-func New(now float64, name string, incarnation uint64, folder string, founders []string, persisted PersistedState, settings Settings,
-	seed uint32) *Group {
-	g := &Group{name: name, incarnation: incarnation, folder: folder, founders: founders, settings: settings, now: now, wakeAt: now, seed: seed,
+// New returns a member's part of the group. Folder is the ID of its data folder; a member without one never votes.
+// Founders are the names of the members that form the group. Persisted is the state recovered from the disk, if any.
+func New(now float64, name string, incarnation uint64, folder string, founders []string, persisted PersistedState,
+	settings Settings, seed uint32) *Group {
+	g := &Group{name: name, incarnation: incarnation, folder: folder, founders: founders, settings: settings,
+		now: now, wakeAt: now, seed: seed,
 		record: Record{Members: map[string]Member{}}, peerNames: map[uint64]string{}, hellos: map[string]Hello{},
 		grantedUntil: map[string]float64{}, unseenSince: map[string]float64{}, proposedLost: map[string]uint64{},
 		pendingReads: map[uint64][]leaseRequest{}, observations: map[string]Observation{}}
-	g.tokens = uint64(g.random() * (1 << 32))
+	g.lastToken = uint64(g.random() * (1 << 32))
 	if folder != "" {
 		g.nodeID = NodeID(name, folder)
 	}
@@ -96,20 +101,20 @@
 	return g
 }
 
-// random draws a number from [0, 1). Equal seeds give equal sequences.
+// random returns a pseudorandom number in [0, 1). Equal seeds give equal sequences.
 func (g *Group) random() float64 {
-	g.draws++
-	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", g.seed, g.draws))) / (1 << 32)
+	g.randomDraws++
+	return float64(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d/%d", g.seed, g.randomDraws))) / (1 << 32)
 }
 
 func (g *Group) nextToken() uint64 {
-	g.tokens++
-	return g.tokens
+	g.lastToken++
+	return g.lastToken
 }
 
 func (g *Group) emit(e Effect) { g.effects = append(g.effects, e) }
 
-// fail stops this voter for good; the member goes on without voting.
+// fail stops this voter for good. The member continues without voting.
 func (g *Group) fail(reason string) {
 	if !g.failed {
 		g.failed = true
@@ -124,10 +129,10 @@
 	}
 }
 
-// Next returns when the group is to be given a Ticked event.
+// Next returns the time at which Step is to be called with a Ticked event, unless another event comes first.
 func (g *Group) Next() float64 { return g.wakeAt }
 
-// Hello returns what this member tells of itself.
+// Hello returns this member's answer to a Hello request.
 func (g *Group) Hello() Hello {
 	return Hello{Name: g.name, Folder: g.folder, ID: g.nodeID, Founders: g.record.Founders, Voter: g.isVoter()}
 }
@@ -141,10 +146,10 @@
 // isRunning reports whether this member takes part in Raft.
 func (g *Group) isRunning() bool { return g.node != nil && !g.failed }
 
-// mayForm reports whether this member has a data folder and no group yet.
-func (g *Group) mayForm() bool { return g.node == nil && g.nodeID != 0 && !g.failed }
+// canFormGroup reports whether this member could become a voter but has not joined a group yet.
+func (g *Group) canFormGroup() bool { return g.node == nil && g.nodeID != 0 && !g.failed }
 
-// Observe replaces what the membership view says of all members.
+// Observe replaces the observations of all members by those of the membership view.
 func (g *Group) Observe(list []Observation) {
 	clear(g.observations)
 	for _, o := range list {
@@ -152,7 +157,7 @@
 	}
 }
 
-// Status returns the state of this member's end at a time.
+// Status returns this member's state in the group at the given time.
 func (g *Group) Status(now float64) Status {
 	s := Status{Formed: g.confState != nil || len(g.record.Founders) > 0, Failed: g.failed, Leader: g.presumedLeader(),
 		Applied: g.appliedIndex, LeaseHeld: g.LeaseHeld(now), LeaseLeftMS: max(0, g.lease.until-now), Record: g.record}
@@ -168,78 +173,79 @@
 	return s
 }
 
-// Step handles an event at a time in milliseconds and returns the effects. The slice is valid until the next call.
-func (g *Group) Step(now float64, ev *Event) (effects []Effect) {
+// Step handles an event at a time in milliseconds and returns the effects. The returned slice is valid until the next
+// call.
+func (g *Group) Step(now float64, event *Event) (effects []Effect) {
 	g.effects = g.effects[:0]
 	g.now = max(now, g.now)
-	defer func() { // the library panics where its log contradicts a message; the process goes on without this voter
+	defer func() { // the Raft library panics if a message contradicts its log; only this voter stops, not the process
 		if r := recover(); r != nil {
 			g.fail(fmt.Sprint(r))
 		}
 		g.wakeAt = max(g.nextDue(), g.now+1)
 		effects = g.effects
 	}()
-	g.handle(ev)
+	g.handle(event)
 	g.tick()
 	g.processReady()
 	return
 }
 
-func (g *Group) handle(ev *Event) {
-	switch ev.Kind {
+func (g *Group) handle(event *Event) {
+	switch event.Kind {
 	case MessageReceived:
-		g.handleMessage(ev.Name, ev.Data)
+		g.handleMessage(event.Name, event.Data)
 	case Stored:
-		g.handleStored(ev)
+		g.handleStored(event)
 	case LeaseRequested:
-		g.handleLeaseRequest(ev)
+		g.handleLeaseRequest(event)
 	case LeaseReplied:
-		g.handleLeaseReply(ev)
+		g.handleLeaseReply(event)
 	case HelloReceived:
-		g.handleHello(&ev.Hello)
+		g.handleHello(&event.Hello)
 	case IncarnationChanged:
-		g.incarnation = ev.Incarnation
+		g.incarnation = event.Incarnation
 		g.lease.until = 0
-		g.lease.requestAt = g.now
-	case LeaseReturned:
+		g.lease.nextRequestAt = g.now
+	case LeaseReleased:
 		g.lease.until = 0
 		g.lease.token = 0
-		g.lease.requestAt = math.Inf(1)
-	case VoterMoveRequested:
-		g.voterMove = voterMove{from: ev.Name, to: ev.To}
+		g.lease.nextRequestAt = math.Inf(1)
+	case VoterReplacementRequested:
+		g.requestedReplacement = voterReplacement{from: event.Name, to: event.To}
 	case ProposalReceived:
-		g.handleProposal(ev.Data)
+		g.handleProposal(event.Data)
 	}
 }
 
-// tick does what is due.
+// tick runs the periodic work that is due.
 func (g *Group) tick() {
-	if g.mayForm() {
-		g.greetFounders()
+	if g.canFormGroup() {
+		g.requestHellos()
 	}
 	if g.isRunning() {
 		g.tickNode()
-		if !g.isLeader && g.now >= g.electionAt {
+		if !g.isLeader && g.now >= g.electionDueAt {
 			g.startElection()
 		}
-		if g.isLeader && g.now >= g.reviewAt {
-			g.reviewAt = g.now + reviewMS
+		if g.isLeader && g.now >= g.nextReviewAt {
+			g.nextReviewAt = g.now + reviewIntervalMS
 			g.reviewMembers()
 		}
 	}
 	g.renewLease()
 }
 
-// nextDue returns the earliest time at which something is due.
+// nextDue returns the earliest time at which tick has work.
 func (g *Group) nextDue() float64 {
 	due := g.lease.nextDue()
 	if g.isRunning() {
-		due = min(due, g.tickAt)
+		due = min(due, g.nextTickAt)
 		if !g.isLeader {
-			due = min(due, g.electionAt)
+			due = min(due, g.electionDueAt)
 		}
-	} else if g.mayForm() && g.isFounder() {
-		due = min(due, g.helloAt)
+	} else if g.canFormGroup() && g.isFounder() {
+		due = min(due, g.nextHelloAt)
 	}
 	return due
 }
--- a/internal/consensus/helpers_test.go
+++ b/internal/consensus/helpers_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// firstEffect returns the first effect of a kind, or an empty one.
+// firstEffect returns the first effect of a kind, or the zero value.
 func firstEffect(list []Effect, kind EffectKind) Effect {
 	for _, e := range list {
 		if e.Kind == kind {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// newFounder returns one of three founders that have formed the group, and the effect that persists the first snapshot.
+// newFounder returns founder "a" of a group of three after formation, and the effect that persists the first snapshot.
 func newFounder() (*Group, Effect) {
 	g := New(0, "a", 1, "fa", []string{"a", "b", "c"}, PersistedState{}, DefaultSettings(), 1)
 	g.Step(0, &Event{Kind: HelloReceived, Hello: Hello{Name: "b", Folder: "fb"}})
--- a/internal/consensus/lease_grants.go
+++ b/internal/consensus/lease_grants.go
@@ -8,43 +8,49 @@
 )
 
 const (
-	maxClockDrift    = 2e-3 // by which two clocks may drift apart, doubled for safety
-	maxLeaseRequests = 1024 // that wait at the leader
-	maxPendingReads  = 4
+	// maxClockDrift is the largest relative drift between two clocks that leases tolerate. It includes a safety factor
+	// of two.
+	maxClockDrift = 2e-3
+	// maxLeaseRequests bounds the lease requests that wait at the leader for a read index.
+	maxLeaseRequests = 1024
+	// maxPendingReads bounds the read index requests in flight.
+	maxPendingReads = 4
 )
 
-// leaseRequest is a member's request that waits at the leader.
+// leaseRequest is a member's lease request that waits at the leader until a quorum has confirmed the leadership.
 type leaseRequest struct {
 	name        string
 	incarnation uint64
-	token       uint64
+	token       uint64 // of the LeaseRequested event, returned with the reply
 }
 
-// handleLeaseRequest takes a member's request for a lease. The leader grants it once a quorum has confirmed, after the request came in,
-// that it still leads.
-func (g *Group) handleLeaseRequest(ev *Event) {
-	if ev.Release {
-		g.releaseLease(ev)
+// handleLeaseRequest queues a member's lease request at the leader. The leader grants the lease only after a quorum has
+// confirmed, later than the arrival of the request, that it still leads. Other members reply with the leader's name.
+func (g *Group) handleLeaseRequest(event *Event) {
+	if event.Release {
+		g.releaseLease(event)
 		return
 	}
 	if !g.isLeader || g.failed || len(g.leaseRequests) >= maxLeaseRequests {
-		g.emit(Effect{Kind: ReplyLease, Token: ev.Token, Reply: LeaseReply{Verdict: NotLeader, Leader: g.leaderName()}})
+		g.emit(Effect{Kind: ReplyLease, Token: event.Token, Reply: LeaseReply{Verdict: NotLeader, Leader: g.leaderName()}})
 		return
 	}
-	g.leaseRequests = append(g.leaseRequests, leaseRequest{ev.Name, ev.Incarnation, ev.Token})
+	g.leaseRequests = append(g.leaseRequests, leaseRequest{event.Name, event.Incarnation, event.Token})
 	g.requestReadIndex()
 }
 
-// releaseLease takes a lease back: the member shuts down.
-func (g *Group) releaseLease(ev *Event) {
-	if m := g.record.Members[ev.Name]; g.isLeader && m.Incarnation == ev.Incarnation && !m.Lost {
-		delete(g.grantedUntil, ev.Name)
-		g.propose(entry{Kind: EntryLeft, Name: ev.Name, Incarnation: ev.Incarnation})
+// releaseLease handles a member that releases its lease because it shuts down. The leader forgets the grant and
+// proposes that the member has left.
+func (g *Group) releaseLease(event *Event) {
+	if m := g.record.Members[event.Name]; g.isLeader && m.Incarnation == event.Incarnation && !m.Lost {
+		delete(g.grantedUntil, event.Name)
+		g.propose(entry{Kind: EntryLeft, Name: event.Name, Incarnation: event.Incarnation})
 	}
-	g.emit(Effect{Kind: ReplyLease, Token: ev.Token, Reply: LeaseReply{Verdict: Granted}})
+	g.emit(Effect{Kind: ReplyLease, Token: event.Token, Reply: LeaseReply{Verdict: Granted}})
 }
 
-// requestReadIndex asks the quorum to confirm the leadership, for all requests that wait.
+// requestReadIndex starts one read index request, which has a quorum confirm the leadership, for all waiting lease
+// requests.
 func (g *Group) requestReadIndex() {
 	if len(g.leaseRequests) == 0 || len(g.pendingReads) >= maxPendingReads {
 		return
@@ -55,7 +61,7 @@
 	g.node.ReadIndex(binary.BigEndian.AppendUint64(nil, token))
 }
 
-// handleReadState answers the requests that came in before the quorum was asked.
+// handleReadState replies to the lease requests that waited for a read index, which the quorum has confirmed now.
 func (g *Group) handleReadState(state raft.ReadState) {
 	if len(state.RequestCtx) != 8 {
 		return
@@ -69,6 +75,8 @@
 	g.requestReadIndex()
 }
 
+// grantLease decides on a lease request after the quorum has confirmed the leadership, and returns the reply. The grant
+// requires that the record includes the entry at the read index.
 func (g *Group) grantLease(request *leaseRequest, index uint64) LeaseReply {
 	m, known := g.record.Members[request.name]
 	isProposedLost := request.incarnation != 0 && g.proposedLost[request.name] == request.incarnation
@@ -81,10 +89,12 @@
 		return LeaseReply{Verdict: NotAdmitted}
 	}
 	g.grantedUntil[request.name] = g.now + g.settings.LeaseMS*(1+maxClockDrift)
-	return LeaseReply{Verdict: Granted, Leader: g.name, Term: m.Term, PlacementStep: g.record.Placement.Step, PlanNumber: g.record.PlanNumber}
+	return LeaseReply{Verdict: Granted, Leader: g.name, Term: m.Term, PlacementStep: g.record.Placement.Step,
+		PlanNumber: g.record.PlanNumber}
 }
 
-// takeLeaseRequests removes and returns all requests that wait.
+// takeLeaseRequests removes and returns all lease requests that wait, those with a read index request in flight
+// included.
 func (g *Group) takeLeaseRequests() []leaseRequest {
 	all := g.leaseRequests
 	tokens := make([]uint64, 0, len(g.pendingReads))
--- a/internal/consensus/lease_holder.go
+++ b/internal/consensus/lease_holder.go
@@ -3,42 +3,47 @@
 import "math"
 
 const (
-	leaseRenewals     = 3   // requests within the time of a lease
-	leaseAnswerMS     = 600 // without an answer, after which a request counts as lost
-	discoveryInterval = 4   // every so many attempts, a voter or founder is asked in place of the presumed leader
+	// renewalsPerLease is the number of renewals requested within the duration of one lease.
+	renewalsPerLease = 3
+	// leaseRequestTimeoutMS is the time after which an unanswered lease request counts as failed.
+	leaseRequestTimeoutMS = 600
+	// leaderDiscoveryInterval is the number of unsuccessful attempts in which one request goes to some voter or founder
+	// in place of the presumed leader.
+	leaderDiscoveryInterval = 4
 )
 
-// ownLease is this controller's own lease and its requests for it.
+// ownLease is the state of this controller's own lease and of the request for it. Times are by this controller's clock.
 type ownLease struct {
-	until       float64 // by this controller's clock
-	held        bool    // as reported last
-	requestAt   float64 // when the next request is due
-	token       uint64  // of the request that is under way; 0: none
-	requestedAt float64
-	requestedOf string
-	leaderHint  string // by the last answer
-	attempts    int
+	until         float64 // end of the lease
+	held          bool    // as last reported by LeaseChanged
+	nextRequestAt float64 // when the next request is due
+	token         uint64  // of the request in flight; 0: none
+	requestedAt   float64 // when that request was sent
+	requestedFrom string
+	leaderHint    string // the leader according to the last reply
+	attempts      int    // unanswered and rejected requests; selects the member to ask while the leader is unknown
 }
 
-// nextDue returns when something is due about the lease.
+// nextDue returns the earliest time at which a request is due, a request times out or the lease expires.
 func (l *ownLease) nextDue() float64 {
-	due := l.requestAt
+	due := l.nextRequestAt
 	if l.held {
 		due = min(due, l.until)
 	}
 	if l.token != 0 {
-		due = min(due, l.requestedAt+leaseAnswerMS)
+		due = min(due, l.requestedAt+leaseRequestTimeoutMS)
 	}
 	return due
 }
 
-// LeaseHeld reports whether this controller may act on its lease at a time. It is to be asked at the last step before anything is sent.
+// LeaseHeld reports whether this controller holds its lease at the given time. Check it immediately before sending
+// anything that requires the lease.
 func (g *Group) LeaseHeld(now float64) bool { return now < g.lease.until }
 
-// LeaseUntil returns when the lease ends, by this controller's clock.
+// LeaseUntil returns the time at which the lease expires, by this controller's clock.
 func (g *Group) LeaseUntil() float64 { return g.lease.until }
 
-// reportLeaseChange reports that the lease was obtained or has expired.
+// reportLeaseChange emits LeaseChanged if the lease was obtained or has expired since the last report.
 func (g *Group) reportLeaseChange() {
 	held := g.LeaseHeld(g.now)
 	if held == g.lease.held {
@@ -48,33 +53,33 @@
 	g.emit(Effect{Kind: LeaseChanged, Held: held})
 }
 
-// renewLease requests the lease in time and reports when it has expired.
+// renewLease sends a lease request if one is due, expires an unanswered one, and reports the lease's expiry.
 func (g *Group) renewLease() {
 	l := &g.lease
-	if l.token != 0 && g.now >= l.requestedAt+leaseAnswerMS {
+	if l.token != 0 && g.now >= l.requestedAt+leaseRequestTimeoutMS {
 		l.token = 0
 		l.leaderHint = ""
-		l.requestAt = g.now
+		l.nextRequestAt = g.now
 		l.attempts++
 	}
 	g.reportLeaseChange()
-	if l.token != 0 || g.now < l.requestAt || len(g.founders) == 0 {
+	if l.token != 0 || g.now < l.nextRequestAt || len(g.founders) == 0 {
 		return
 	}
 	to := g.presumedLeader()
-	if to == "" || l.attempts%discoveryInterval == discoveryInterval-1 {
+	if to == "" || l.attempts%leaderDiscoveryInterval == leaderDiscoveryInterval-1 {
 		names := g.voterNames()
 		to = names[l.attempts%len(names)]
 		l.attempts++
 	}
 	l.token = g.nextToken()
 	l.requestedAt = g.now
-	l.requestedOf = to
-	l.requestAt = g.now + g.settings.LeaseMS/leaseRenewals*(0.9+0.1*g.random())
+	l.requestedFrom = to
+	l.nextRequestAt = g.now + g.settings.LeaseMS/renewalsPerLease*(0.9+0.1*g.random())
 	g.emit(Effect{Kind: RequestLease, To: to, Token: l.token, Name: g.name, Incarnation: g.incarnation})
 }
 
-// voterNames returns the members that may know the leader: the voters, or the founders while no voter is known.
+// voterNames returns the members that may know the leader: the voters, or the founders if no voter is known.
 func (g *Group) voterNames() []string {
 	if len(g.record.Voters) == 0 {
 		return g.founders
@@ -86,7 +91,8 @@
 	return names
 }
 
-// presumedLeader returns the leader by Raft's knowledge, unless that member has denied it, or else by the last answer.
+// presumedLeader returns the leader known from Raft, unless that member has replied that it does not lead; otherwise
+// the leader named in the last lease reply, or "".
 func (g *Group) presumedLeader() string {
 	if name := g.leaderName(); name != "" && name != g.rejectedLeader {
 		return name
@@ -94,37 +100,37 @@
 	return g.lease.leaderHint
 }
 
-// handleLeaseReply takes the answer to this controller's request. The lease counts from when it was requested.
-func (g *Group) handleLeaseReply(ev *Event) {
+// handleLeaseReply handles the reply to this controller's lease request. The lease counts from when it was requested.
+func (g *Group) handleLeaseReply(event *Event) {
 	l := &g.lease
-	if ev.Token != l.token {
-		return // the answer to an earlier request
+	if event.Token != l.token {
+		return // the reply to an earlier request, which has timed out
 	}
 	l.token = 0
-	retryAt := g.now + heartbeatMS*(1+g.random())
+	retryAt := g.now + heartbeatIntervalMS*(1+g.random())
 	switch {
-	case ev.Failed:
+	case event.Failed:
 		l.leaderHint = ""
-		l.requestAt = retryAt
-	case ev.Reply.Verdict == Granted:
-		l.leaderHint = ev.Reply.Leader
+		l.nextRequestAt = retryAt
+	case event.Reply.Verdict == Granted:
+		l.leaderHint = event.Reply.Leader
 		l.until = max(l.until, l.requestedAt+g.settings.LeaseMS*(1-maxClockDrift))
-		if ev.Reply.PlanNumber > 0 {
-			g.emit(Effect{Kind: PlanConfirmed, Number: ev.Reply.PlanNumber, At: l.requestedAt})
+		if event.Reply.PlanNumber > 0 {
+			g.emit(Effect{Kind: PlanConfirmed, PlanNumber: event.Reply.PlanNumber, InForceAfter: l.requestedAt})
 		}
-	case ev.Reply.Verdict == NotLeader:
-		l.leaderHint = ev.Reply.Leader
-		l.requestAt = retryAt
+	case event.Reply.Verdict == NotLeader:
+		l.leaderHint = event.Reply.Leader
+		l.nextRequestAt = retryAt
 		l.attempts++
-		if l.requestedOf == g.leaderName() { // a member that is no longer a voter does not learn of later leaders from Raft
-			g.rejectedLeader = l.requestedOf
+		if l.requestedFrom == g.leaderName() { // a former voter does not learn of later leaders from Raft
+			g.rejectedLeader = l.requestedFrom
 		}
-	case ev.Reply.Verdict == IncarnationLost:
+	case event.Reply.Verdict == IncarnationLost:
 		l.until = 0
-		l.requestAt = math.Inf(1)
+		l.nextRequestAt = math.Inf(1)
 		g.emit(Effect{Kind: IncarnationRevoked})
 	default:
-		l.requestAt = retryAt
+		l.nextRequestAt = retryAt
 	}
 	g.reportLeaseChange()
 }
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// discardLogger is the Raft library's logger. It discards all messages, as what matters is reported by effects; fatal messages panic
-// and are recovered in Step.
+// discardLogger is the logger given to the Raft library. It discards messages, as effects report the relevant changes.
+// Fatal messages panic; Step recovers.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -3,12 +3,13 @@
 import "slices"
 
 const (
-	reviewMS      = 200 // between two reviews of the members by the leader
-	maxAdmissions = 128 // in a review, so that a fleet that starts at once does not fill the log
+	reviewIntervalMS       = 200 // time between two reviews of the members by the leader
+	maxAdmissionsPerReview = 128 // keeps the simultaneous start of a large fleet from filling the log
 )
 
-// reviewMembers compares the record with the membership view and proposes what has changed. An admission rests on the view alone, as it
-// can be taken back. A loss is proposed only when the lease has expired, whatever the view says.
+// reviewMembers compares the record with the membership view and proposes entries for the differences. An admission is
+// proposed on the view alone, as it can be revoked. A loss is proposed only once the member's lease has expired,
+// whatever the view says.
 func (g *Group) reviewMembers() {
 	admissions := 0
 	for _, name := range g.reviewedNames() {
@@ -17,11 +18,11 @@
 		switch {
 		case (!known || m.Lost) && observed && o.isAdmissible(m.Incarnation):
 			admissions++
-			if admissions <= maxAdmissions {
+			if admissions <= maxAdmissionsPerReview {
 				g.propose(entry{Kind: EntryAdmit, Name: name, Incarnation: o.Incarnation, Address: o.Address, Zone: o.Zone})
 			}
 		case known && !m.Lost:
-			g.reviewMember(name, m, o, observed)
+			g.reviewAdmittedMember(name, m, o, observed)
 		}
 	}
 	if g.settings.Copies > 0 && g.settings.Copies != g.record.Placement.Copies {
@@ -37,12 +38,13 @@
 	}
 }
 
-// isAdmissible reports whether an observed member may be admitted, after an incarnation that is lost or 0.
-func (o *Observation) isAdmissible(lost uint64) bool {
-	return o.Alive && !o.Duplicated && o.Incarnation > lost
+// isAdmissible reports whether an observed member may be admitted, given its last incarnation that was declared lost,
+// or 0.
+func (o *Observation) isAdmissible(lostIncarnation uint64) bool {
+	return o.Alive && !o.Duplicated && o.Incarnation > lostIncarnation
 }
 
-// reviewedNames returns the names in the record and in the view, sorted.
+// reviewedNames returns the names of all members in the record or the membership view, sorted.
 func (g *Group) reviewedNames() []string {
 	names := make([]string, 0, len(g.observations))
 	for name := range g.observations {
@@ -57,8 +59,9 @@
 	return names
 }
 
-// reviewMember proposes that a member be declared lost that has not been seen for long, once its lease has expired.
-func (g *Group) reviewMember(name string, m Member, o Observation, observed bool) {
+// reviewAdmittedMember proposes to declare a member lost that has been unreachable for DeclareLostMS and whose lease
+// has expired.
+func (g *Group) reviewAdmittedMember(name string, m Member, o Observation, observed bool) {
 	if observed && o.Incarnation == m.Incarnation && o.Alive {
 		delete(g.unseenSince, name)
 		return
@@ -70,13 +73,13 @@
 	}
 	delay := g.settings.DeclareLostMS
 	if observed && o.Incarnation > m.Incarnation {
-		delay = 0 // a later incarnation runs: only the lease keeps the two apart
+		delay = 0 // a later incarnation runs: only the lease of the earlier one has to expire
 	}
 	if g.now < since+delay || g.now < g.noLossUntil || g.now < g.grantedUntil[name] {
 		return
 	}
 	if g.propose(entry{Kind: EntryLost, Name: name, Incarnation: m.Incarnation}) {
-		g.proposedLost[name] = m.Incarnation // no lease is granted to it from here on
+		g.proposedLost[name] = m.Incarnation // no lease is granted to this incarnation from now on
 		g.emit(Effect{Kind: LossProposed, Name: name, Incarnation: m.Incarnation})
 	}
 }
--- a/internal/consensus/record.go
+++ b/internal/consensus/record.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	maxMembers        = 8192 // names in the record
+	maxMembers        = 8192 // member names in the record, lost ones included
 	maxOrders         = 64
 	maxPlanBytes      = 1 << 20
 	maxOrderNameBytes = 80
 )
 
-// Member is a controller in the record.
+// Member is the agreed state of a controller.
 type Member struct {
 	Incarnation    uint64 `json:"Life"`
-	Term           uint64 `json:"Term"` // grows with each incarnation of the name that is admitted or declared lost
+	Term           uint64 `json:"Term"` // grows by one when an incarnation of the name is admitted or declared lost
 	Lost           bool   `json:"Lost"`
-	LeftGracefully bool   `json:"Left"` // it shut down as planned
+	LeftGracefully bool   `json:"Left"` // lost because it shut down gracefully
 	Address        string `json:"Address"`
 	Zone           string `json:"Zone"`
 }
@@ -32,33 +32,35 @@
 	Zone string `json:"Zone"`
 }
 
+// sortVoters sorts voters by name.
 func sortVoters(list []Voter) {
 	slices.SortStableFunc(list, func(a, b Voter) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Record is the replicated state.
+// Record is the replicated state, which entries of the log change. It is also the content of snapshots.
 type Record struct {
-	Members      map[string]Member          `json:"Places"`
-	Voters       []Voter                    `json:"Voters"` // learners included
-	Founders     []Voter                    `json:"Founding"`
-	DeclaredLost uint64                     `json:"Declared"` // incarnations declared lost so far
-	Placement    placement.Table            `json:"Chairs"`
-	Plan         json.RawMessage            `json:"Plan,omitempty"`   // for traffic between zones, in the locality package's format; not read here
-	PlanNumber   uint64                     `json:"Number,omitempty"` // grows by one with each plan
-	Orders       map[string]json.RawMessage `json:"Orders,omitempty"` // of operators, by what they are about
+	Members      map[string]Member `json:"Places"` // by name
+	Voters       []Voter           `json:"Voters"` // learners included
+	Founders     []Voter           `json:"Founding"`
+	DeclaredLost uint64            `json:"Declared"` // number of incarnations declared lost so far
+	Placement    placement.Table   `json:"Chairs"`
+	// Plan is the plan for traffic between zones in the format of package locality. It is opaque to this package.
+	Plan       json.RawMessage            `json:"Plan,omitempty"`
+	PlanNumber uint64                     `json:"Number,omitempty"` // grows by one with each plan
+	Orders     map[string]json.RawMessage `json:"Orders,omitempty"` // operators' orders, by subject
 }
 
-// Configuration returns the members and a copy of the placement table.
+// Configuration returns the members of the record, sorted by name, and a copy of its placement table.
 func (g *Group) Configuration() ([]placement.Member, placement.Table) {
 	return g.record.Configuration()
 }
 
-// Configuration returns the members and a copy of the placement table.
+// Configuration returns the members, sorted by name, and a copy of the placement table.
 func (r *Record) Configuration() ([]placement.Member, placement.Table) {
 	return r.placementMembers(), r.Placement.Clone()
 }
 
-// placementMembers returns the members as the placement package wants them, sorted by name.
+// placementMembers returns the members in the type that package placement takes, sorted by name.
 func (r *Record) placementMembers() []placement.Member {
 	list := make([]placement.Member, 0, len(r.Members))
 	for name, m := range r.Members {
@@ -68,8 +70,8 @@
 	return list
 }
 
-// applyMembership applies an entry to a member and reports whether the member changed. Entries may be committed twice or late; those
-// without a row in this table change nothing:
+// applyMembership applies an entry to a member and reports whether the member changed. An entry may be committed twice
+// or late; an entry that matches no row of this table changes nothing:
 //
 //	member                  entry                           member afterwards
 //	none, or lost           EntryAdmit, later incarnation   that incarnation, next term
@@ -98,7 +100,7 @@
 // applyPlacement applies an entry to the placement table and reports whether the table changed.
 func (r *Record) applyPlacement(e *entry) (changed bool) {
 	if e.Kind != EntryCopies && r.Placement.Copies == 0 {
-		return false // no copies are configured
+		return false // no replicas are configured
 	}
 	members := r.placementMembers()
 	table := &r.Placement
@@ -107,7 +109,7 @@
 	switch e.Kind {
 	case EntryAdmit, EntryLost, EntryLeft:
 		table.Reassign(members, 0)
-		changed = true // which members are lost matters even if no replica moves
+		changed = true // the set of lost members matters even if no replica moves
 	case EntryCopies:
 		changed = table.Reassign(members, e.Copies)
 	case EntryReady:
@@ -125,7 +127,8 @@
 	return changed
 }
 
-// applyPlan applies a plan or an order and reports whether the record changed. A plan that does not follow the one in force is stale.
+// applyPlan applies a plan or an order and reports whether the record changed. A plan is stale unless its number
+// follows that of the plan in force.
 func (r *Record) applyPlan(e *entry) bool {
 	if e.Kind == EntryPlan {
 		if e.Number != r.PlanNumber+1 || len(e.Data) == 0 || len(e.Data) > maxPlanBytes {
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -6,17 +6,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Limits of the Raft library.
+// Limits passed to the Raft library.
 const (
 	maxMessageBytes     = 64 << 10
 	maxInflightMessages = 64
 	maxUncommittedBytes = 4 << 20
 )
 
-// maxPeerNames bounds the voters that are remembered by ID.
+// maxPeerNames bounds the message senders whose names are kept.
 const maxPeerNames = 32
 
-// startNode starts to take part in Raft, from what is on the disk.
+// startNode starts the Raft node of this member from the persisted state.
 func (g *Group) startNode(persisted PersistedState) {
 	g.storage = raft.NewMemoryStorage()
 	if persisted.Snapshot != nil {
@@ -27,32 +27,33 @@
 		g.failOn(g.storage.SetHardState(persisted.State))
 	}
 	g.failOn(g.storage.Append(persisted.Entries))
-	node, err := raft.NewRawNode(&raft.Config{ID: g.nodeID, ElectionTick: int(electionMS / heartbeatMS), HeartbeatTick: 1, Storage: g.storage,
-		Applied: g.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true,
-		Logger: discardLogger{}, MaxUncommittedEntriesSize: maxUncommittedBytes, DisableProposalForwarding: true})
+	node, err := raft.NewRawNode(&raft.Config{ID: g.nodeID, ElectionTick: int(minElectionTimeoutMS / heartbeatIntervalMS),
+		HeartbeatTick: 1, Storage: g.storage, Applied: g.appliedIndex, MaxSizePerMsg: maxMessageBytes,
+		MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true, Logger: discardLogger{},
+		MaxUncommittedEntriesSize: maxUncommittedBytes, DisableProposalForwarding: true})
 	g.failOn(err)
 	if err == nil {
 		g.node = node
 	}
-	g.tickAt = g.now
+	g.nextTickAt = g.now
 	g.postponeElection()
 }
 
-// tickNode gives the library the ticks that are due.
+// tickNode passes the due ticks to the Raft library.
 func (g *Group) tickNode() {
-	for ; g.now >= g.tickAt; g.tickAt += heartbeatMS {
-		if g.now > g.tickAt+2*electionMS { // the process was paused: that time is skipped
-			g.tickAt = g.now
+	for ; g.now >= g.nextTickAt; g.nextTickAt += heartbeatIntervalMS {
+		if g.now > g.nextTickAt+2*minElectionTimeoutMS { // the process was paused: skip the ticks of that time
+			g.nextTickAt = g.now
 		}
 		if g.isLeader {
 			g.node.Tick()
 		} else {
-			g.node.TickQuiesced() // startElection begins elections, by this package's own randomness
+			g.node.TickQuiesced() // no election: startElection runs on this package's own timer and random numbers
 		}
 	}
 }
 
-// handleMessage takes a Raft message. Messages to another node ID and those that can't be decoded are ignored.
+// handleMessage passes a Raft message to the library. Messages to another node ID and malformed ones are ignored.
 func (g *Group) handleMessage(from string, data []byte) {
 	m := &raftpb.Message{}
 	if g.nodeID == 0 || g.failed || proto.Unmarshal(data, m) != nil || m.GetTo() != g.nodeID {
@@ -71,12 +72,13 @@
 			g.postponeElection()
 		}
 	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgProp, raftpb.MsgCheckQuorum, raftpb.MsgTransferLeader:
-		return // local messages, never accepted from outside
+		return // local to a node, never accepted from peers
 	}
-	_ = g.node.Step(m) // an error means that the library ignores the message
+	_ = g.node.Step(m) // an error means that the library has ignored the message
 }
 
-// startAsLearner starts a node that a leader has begun to replicate to, and reports whether it runs.
+// startAsLearner starts the Raft node of a member to which a leader has begun to replicate, and reports whether the
+// node runs.
 func (g *Group) startAsLearner(t raftpb.MessageType) bool {
 	if t != raftpb.MsgApp && t != raftpb.MsgSnap && t != raftpb.MsgHeartbeat {
 		return false
@@ -85,21 +87,21 @@
 	return g.node != nil
 }
 
-// processReady takes batches from the library. A batch is persisted, then its messages are sent, then its committed entries applied.
-// One batch at a time is being persisted.
+// processReady takes batches of work from the Raft library. Each batch is persisted first; then its messages are sent
+// and its committed entries are applied. At most one batch is being persisted at a time.
 func (g *Group) processReady() {
-	for g.isRunning() && g.ready == nil && g.node.HasReady() {
-		rd := g.node.Ready()
-		g.ready = &rd
-		if rd.SoftState != nil {
-			g.handleSoftState(rd.SoftState)
+	for g.isRunning() && g.pendingReady == nil && g.node.HasReady() {
+		ready := g.node.Ready()
+		g.pendingReady = &ready
+		if ready.SoftState != nil {
+			g.handleSoftState(ready.SoftState)
 		}
-		hasSnapshot := rd.Snapshot.GetMetadata().GetIndex() > 0
-		if hasSnapshot || len(rd.Entries) > 0 || rd.HardState != nil {
+		hasSnapshot := ready.Snapshot.GetMetadata().GetIndex() > 0
+		if hasSnapshot || len(ready.Entries) > 0 || ready.HardState != nil {
 			g.persistToken = g.nextToken()
-			e := Effect{Kind: Persist, Token: g.persistToken, Entries: rd.Entries, State: rd.HardState}
+			e := Effect{Kind: Persist, Token: g.persistToken, Entries: ready.Entries, State: ready.HardState}
 			if hasSnapshot {
-				e.Snapshot = rd.Snapshot
+				e.Snapshot = ready.Snapshot
 			}
 			g.emit(e)
 			return
@@ -108,50 +110,50 @@
 	}
 }
 
-// handleStored continues with the batch that is durable now.
-func (g *Group) handleStored(ev *Event) {
-	if g.ready == nil || ev.Token != g.persistToken {
+// handleStored finishes the batch that has been persisted, or stops this voter if persisting failed.
+func (g *Group) handleStored(event *Event) {
+	if g.pendingReady == nil || event.Token != g.persistToken {
 		return
 	}
-	if ev.Failed {
-		g.fail("the disk of this voter does not take what must last")
+	if event.Failed {
+		g.fail("persisting Raft state to the disk of this voter failed")
 		return
 	}
 	g.finishReady()
 }
 
-// finishReady sends and applies a batch that has been persisted.
+// finishReady sends the messages of a persisted batch and applies its committed entries.
 func (g *Group) finishReady() {
-	rd := g.ready
-	if rd.Snapshot.GetMetadata().GetIndex() > 0 {
-		g.failOn(g.storage.ApplySnapshot(rd.Snapshot))
-		g.restoreSnapshot(rd.Snapshot)
+	ready := g.pendingReady
+	if ready.Snapshot.GetMetadata().GetIndex() > 0 {
+		g.failOn(g.storage.ApplySnapshot(ready.Snapshot))
+		g.restoreSnapshot(ready.Snapshot)
 	}
-	if rd.HardState != nil {
-		g.failOn(g.storage.SetHardState(rd.HardState))
+	if ready.HardState != nil {
+		g.failOn(g.storage.SetHardState(ready.HardState))
 	}
-	g.failOn(g.storage.Append(rd.Entries))
-	for _, m := range rd.Messages {
+	g.failOn(g.storage.Append(ready.Entries))
+	for _, m := range ready.Messages {
 		if data, err := proto.Marshal(m); err == nil {
 			g.emit(Effect{Kind: SendMessage, To: g.peerName(m.GetTo()), Data: data})
 		}
-		if m.GetType() == raftpb.MsgSnap { // the peer's next request shows whether it arrived
+		if m.GetType() == raftpb.MsgSnap { // whether it arrived shows in the peer's next reply
 			g.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
-	for _, e := range rd.CommittedEntries {
+	for _, e := range ready.CommittedEntries {
 		g.applyEntry(e)
 	}
-	for _, state := range rd.ReadStates {
+	for _, state := range ready.ReadStates {
 		g.handleReadState(state)
 	}
-	g.ready = nil
+	g.pendingReady = nil
 	g.persistToken = 0
-	g.node.Advance(*rd)
+	g.node.Advance(*ready)
 	g.compactLog()
 }
 
-// peerName returns the name of the voter with a node ID, or "".
+// peerName returns the name of the voter or learner with the given Raft ID, or "".
 func (g *Group) peerName(id uint64) string {
 	for _, list := range [...][]Voter{g.record.Voters, g.record.Founders} {
 		for _, v := range list {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	snapshotEntries = 512 // applied entries after which the log is compacted
-	retainedEntries = 64  // entries that stay in the log for followers that lag a little
+	entriesPerSnapshot = 512 // applied entries between two snapshots
+	retainedLogEntries = 64  // entries kept in the log for followers that lag slightly
 )
 
-// compactLog writes a snapshot and shortens the log, where the log is long or the voters have changed: a learner's first snapshot has to
-// name it.
+// compactLog takes a snapshot and truncates the log if entriesPerSnapshot entries were applied since the last snapshot.
+// It does so too when the voters have changed, as the first snapshot sent to a learner has to include that learner.
 func (g *Group) compactLog() {
-	if g.appliedIndex < g.snapshotIndex+snapshotEntries && !g.votersChanged {
+	if g.appliedIndex < g.snapshotIndex+entriesPerSnapshot && !g.votersChanged {
 		return
 	}
 	g.votersChanged = false
@@ -31,13 +31,13 @@
 		return
 	}
 	g.snapshotIndex = g.appliedIndex
-	if first, err := g.storage.FirstIndex(); err == nil && g.appliedIndex > retainedEntries+first {
-		g.failOn(g.storage.Compact(g.appliedIndex - retainedEntries))
+	if first, err := g.storage.FirstIndex(); err == nil && g.appliedIndex > retainedLogEntries+first {
+		g.failOn(g.storage.Compact(g.appliedIndex - retainedLogEntries))
 	}
-	g.emit(Effect{Kind: Persist, Snapshot: snapshot}) // nothing waits for it
+	g.emit(Effect{Kind: Persist, Snapshot: snapshot}) // no token: nothing waits for the snapshot to be durable
 }
 
-// restoreSnapshot replaces the record by that of a snapshot and reports what is new in it.
+// restoreSnapshot replaces the record by that of a snapshot and emits effects for the differences.
 func (g *Group) restoreSnapshot(snapshot *raftpb.Snapshot) {
 	record := Record{}
 	if err := json.Unmarshal(snapshot.GetData(), &record); err != nil {
@@ -54,7 +54,7 @@
 	g.snapshotIndex = g.appliedIndex
 	for _, name := range slices.Sorted(maps.Keys(record.Members)) {
 		if m := record.Members[name]; m != before[name] {
-			g.emitMember(name, m)
+			g.emitMemberState(name, m)
 		}
 	}
 	if record.Placement.Copies > 0 {
@@ -65,14 +65,14 @@
 	}
 }
 
-// emitMember reports a member's new state in the record.
-func (g *Group) emitMember(name string, m Member) {
+// emitMemberState emits MemberAdmitted or MemberLost for a member's new state in the record.
+func (g *Group) emitMemberState(name string, m Member) {
 	e := Effect{Kind: MemberAdmitted, Name: name, Incarnation: m.Incarnation, Term: m.Term}
 	if m.Lost {
 		e.Kind = MemberLost
 	}
 	if m.LeftGracefully {
-		e.Reason = "it left"
+		e.Reason = "graceful shutdown"
 	}
 	g.emit(e)
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -6,15 +6,15 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// NodeID returns the Raft ID of a member that votes with a data folder. A member that has lost its folder gets another ID, so that
-// nobody votes twice who has forgotten how it voted.
+// NodeID returns the Raft ID of a member with the given data folder. A member that has lost its data folder gets
+// another ID: it no longer knows how it voted and might otherwise vote twice in a term.
 func NodeID(name, folder string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name + "\x00" + folder))
 	return max(1, h.Sum64())
 }
 
-// Observation is a member as the membership view sees it.
+// Observation is the state of a member according to the membership view.
 type Observation struct {
 	Name           string
 	Incarnation    uint64
@@ -22,28 +22,40 @@
 	LeftGracefully bool
 	Address        string
 	Zone           string
-	CanVote        bool // it has a disk for the group
-	Duplicated     bool // two processes have its name; neither is admitted
+	CanVote        bool // it has a data folder for the group
+	Duplicated     bool // two processes use its name; neither is admitted
 }
 
 // EventKind is the kind of an Event.
 type EventKind uint8
 
-// Events.
+// Kinds of events.
 const (
-	Ticked             EventKind = iota // the time that Next returned has come
-	MessageReceived                     // a Raft message Data from the voter Name
-	Stored                              // the Persist effect with this Token is durable, or Failed
-	LeaseRequested                      // the member Name with its Incarnation requests a lease, or gives one back if Release is set
-	LeaseReplied                        // the answer to a RequestLease effect: Reply, or Failed
-	HelloReceived                       // the answer to a SendHello effect
-	IncarnationChanged                  // this controller goes on under another Incarnation
-	LeaseReturned                       // this controller is about to give its lease back and stops acting on it
-	VoterMoveRequested                  // an operator wants the voter Name replaced by To
-	ProposalReceived                    // a member proposes the entry Data; the result shows in the record
+	// Ticked is the event for the time that Next returned.
+	Ticked EventKind = iota
+	// MessageReceived carries the Raft message Data from the voter Name.
+	MessageReceived
+	// Stored reports that the Persist effect with this Token is durable, or has Failed.
+	Stored
+	// LeaseRequested carries a lease request of the member Name with its Incarnation, or the release of its lease if
+	// Release is set. The reply is a ReplyLease effect with the same Token.
+	LeaseRequested
+	// LeaseReplied carries the Reply to the RequestLease effect with this Token, or reports that the request has
+	// Failed.
+	LeaseReplied
+	// HelloReceived carries the Hello of a member, which answers a RequestHello effect.
+	HelloReceived
+	// IncarnationChanged reports that this controller continues under another Incarnation.
+	IncarnationChanged
+	// LeaseReleased reports that this controller is about to release its lease. From then on LeaseHeld reports false.
+	LeaseReleased
+	// VoterReplacementRequested carries an operator's request to replace the voter Name by the member To.
+	VoterReplacementRequested
+	// ProposalReceived carries the entry Data that a member proposes. Its effect shows in the record.
+	ProposalReceived
 )
 
-// Event is an input of a Group.
+// Event is an input of a Group. Which fields are set depends on the kind.
 type Event struct {
 	Kind        EventKind
 	Data        []byte
@@ -57,91 +69,117 @@
 	Hello       Hello
 }
 
-// Hello is what a member tells of itself during formation and voter replacement.
+// Hello describes a member to another one during the formation of the group and the replacement of voters.
 type Hello struct {
 	Name     string  `json:"Name"`
-	Folder   string  `json:"Folder"` // empty: it has no disk for the group
-	ID       uint64  `json:"ID"`
-	Founders []Voter `json:"Founding"` // of the group that it knows, if any
+	Folder   string  `json:"Folder"`   // ID of its data folder; empty: it has none
+	ID       uint64  `json:"ID"`       // its NodeID
+	Founders []Voter `json:"Founding"` // founders of the existing group, if it knows one
 	Voter    bool    `json:"Voter"`    // whether its ID is a voter of the group
 }
 
 // Verdict is the outcome of a lease request.
 type Verdict uint8
 
-// Verdicts. The numbers are part of the wire format.
+// Verdicts on a lease request. The numbers are part of the wire format.
 const (
-	Granted         Verdict = 0
-	NotLeader       Verdict = 1
-	NotAdmitted     Verdict = 2 // the incarnation is not in the record yet
-	IncarnationLost Verdict = 3 // the incarnation has been declared lost; only a later one may request again
+	// Granted is the verdict on a lease that was granted, and the answer to the release of a lease.
+	Granted Verdict = 0
+	// NotLeader is the verdict of a member that does not lead the group.
+	NotLeader Verdict = 1
+	// NotAdmitted is the verdict on an incarnation that is not in the record yet.
+	NotAdmitted Verdict = 2
+	// IncarnationLost is the verdict on an incarnation that has been declared lost. Only a later one may request a
+	// lease.
+	IncarnationLost Verdict = 3
 )
 
 // LeaseReply answers a lease request.
 type LeaseReply struct {
 	Verdict       Verdict `json:"Verdict"`
-	Leader        string  `json:"Leader"` // whom to ask next, if known
-	Term          uint64  `json:"Term"`   // of the member's name
-	PlacementStep uint64  `json:"Step"`   // of the placement table
-	PlanNumber    uint64  `json:"Number"` // of the plan that was in force after the request
+	Leader        string  `json:"Leader"` // the leader, if known
+	Term          uint64  `json:"Term"`   // Member.Term of the requesting member
+	PlacementStep uint64  `json:"Step"`   // step of the leader's placement table
+	PlanNumber    uint64  `json:"Number"` // number of the plan in force when the lease was granted
 }
 
 // EffectKind is the kind of an Effect.
 type EffectKind uint8
 
-// Effects.
+// Kinds of effects.
 const (
-	Persist            EffectKind = iota // make Entries, State and Snapshot durable, then report Stored with the Token, unless it is 0
-	SendMessage                          // send the Raft message Data to the voter To
-	RequestLease                         // request a lease from the member To; LeaseReplied follows
-	ReplyLease                           // answer the LeaseRequested event with this Token by Reply
-	SendHello                            // ask the member To for its Hello; HelloReceived follows
-	MemberLost                           // Name's Incarnation has been declared lost, in Term; every member with the record reports it once
-	MemberAdmitted                       // Name's Incarnation has been admitted, in Term
-	LeaseChanged                         // this controller's lease was obtained or has expired: Held
-	IncarnationRevoked                   // this incarnation has been declared lost; the controller has to go on under another
-	LeaderChanged                        // the leader is now Name, or nobody
-	GroupFormed                          // the founders have formed the group
-	PlacementChanged                     // the placement table, or which members are lost, has changed
-	PlanChanged                          // the plan or the orders have changed
-	PlanConfirmed                        // the plan with this Number was in force after the time At, by this controller's clock
-	LossProposed                         // the leader has proposed that Name's Incarnation be declared lost
-	VoterFailed                          // this voter can't go on, for Reason
+	// Persist has the caller make Entries, State and Snapshot durable and then report Stored with the Token, unless it
+	// is 0.
+	Persist EffectKind = iota
+	// SendMessage has the caller send the Raft message Data to the voter To.
+	SendMessage
+	// RequestLease has the caller send a lease request to the member To. A LeaseReplied event follows.
+	RequestLease
+	// ReplyLease has the caller answer the LeaseRequested event with this Token by Reply.
+	ReplyLease
+	// RequestHello has the caller ask the member To for its Hello. A HelloReceived event follows.
+	SendHello
+	// MemberLost reports that Name's Incarnation has been declared lost, in Term. Each member that replicates the
+	// record emits it once.
+	MemberLost
+	// MemberAdmitted reports that Name's Incarnation has been admitted, in Term.
+	MemberAdmitted
+	// LeaseChanged reports whether this controller's lease is now Held.
+	LeaseChanged
+	// IncarnationRevoked reports that this incarnation has been declared lost. The controller has to continue under a
+	// later one.
+	IncarnationRevoked
+	// LeaderChanged reports the new leader Name, which is empty if there is none.
+	LeaderChanged
+	// GroupFormed reports that the founders have formed the group.
+	GroupFormed
+	// PlacementChanged reports that the placement table, or the set of lost members, has changed.
+	PlacementChanged
+	// PlanChanged reports that the plan or the orders have changed.
+	PlanChanged
+	// PlanConfirmed reports that PlanNumber was the plan in force at some time after InForceAfter, by this controller's
+	// clock.
+	PlanConfirmed
+	// LossProposed reports that the leader has proposed to declare Name's Incarnation lost.
+	LossProposed
+	// VoterFailed reports that this voter cannot continue, for Reason.
+	VoterFailed
 )
 
-// Effect is an output of a Group: an action for the caller, or a notification.
+// Effect is an output of a Group: an action for the caller, or a notification. Which fields are set depends on the
+// kind.
 type Effect struct {
-	Kind        EffectKind
-	To          string
-	Data        []byte
-	Token       uint64
-	Name        string
-	Incarnation uint64
-	Term        uint64
-	Reply       LeaseReply
-	Held        bool
-	Reason      string
-	Number      uint64
-	At          float64
-	Entries     []*raftpb.Entry
-	State       *raftpb.HardState
-	Snapshot    *raftpb.Snapshot
+	Kind         EffectKind
+	To           string
+	Data         []byte
+	Token        uint64
+	Name         string
+	Incarnation  uint64
+	Term         uint64
+	Reply        LeaseReply
+	Held         bool
+	Reason       string
+	PlanNumber   uint64
+	InForceAfter float64
+	Entries      []*raftpb.Entry
+	State        *raftpb.HardState
+	Snapshot     *raftpb.Snapshot
 }
 
-// PersistedState is what a voter reads from its disk at a start.
+// PersistedState is the Raft state that a voter recovers from its disk at a start.
 type PersistedState struct {
 	Entries  []*raftpb.Entry
 	State    *raftpb.HardState
 	Snapshot *raftpb.Snapshot
 }
 
-// Status describes how a member stands to the group.
+// Status describes a member's state in the group at one point in time.
 type Status struct {
-	Voter, Formed, Failed bool
-	Leader                string
-	Term, Commit, Applied uint64
-	LogEntries            uint64 // entries in the log
-	LeaseHeld             bool
-	LeaseLeftMS           float64
+	Voter, Formed, Failed bool    // whether it votes, whether it knows a formed group, whether its voter has failed
+	Leader                string  // name of the presumed leader, or ""
+	Term, Commit, Applied uint64  // Raft term, and indexes of the last committed and the last applied log entry
+	LogEntries            uint64  // number of entries in the Raft log
+	LeaseHeld             bool    // whether this controller holds its lease
+	LeaseLeftMS           float64 // time until the lease expires
 	Record                Record
 }
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -9,16 +9,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is the number of entries that a learner may lack to be made a voter.
+// maxLearnerLag is the largest number of entries that a learner may lack when it is made a voter.
 const maxLearnerLag = 16
 
-// voterMove is an operator's request to replace one voter by another.
-type voterMove struct{ from, to string }
+// voterReplacement is an operator's request to replace the voter from by the member to, both by name.
+type voterReplacement struct{ from, to string }
 
-// reviewVoters replaces a voter that has been unreachable for long, one at a time: first a learner receives the log, then it takes the
-// voter's place.
+// reviewVoters replaces a voter that has been unreachable for ReplaceVoterMS or that an operator wants replaced, and
+// fills vacant places, one voter at a time. The new member is a learner first and becomes a voter once it has received
+// the log.
 func (g *Group) reviewVoters() {
-	if g.isConfChangeRecent() || len(g.confState.GetVotersOutgoing()) > 0 {
+	if g.isConfChangePending() || len(g.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	if g.learner.ID != 0 {
@@ -34,19 +35,20 @@
 	}
 }
 
-// isConfChangeRecent reports whether a configuration change was proposed lately and not applied yet.
-func (g *Group) isConfChangeRecent() bool {
-	return g.confChangeAt != 0 && g.now < g.confChangeAt+g.settings.ReplaceVoterMS
+// isConfChangePending reports whether a configuration change was proposed within ReplaceVoterMS and is not applied yet.
+func (g *Group) isConfChangePending() bool {
+	return g.confChangeProposedAt != 0 && g.now < g.confChangeProposedAt+g.settings.ReplaceVoterMS
 }
 
-// voterToReplace returns the voter that an operator named, or one that has been unreachable for long, or nil.
+// voterToReplace returns the voter that an operator wants replaced or one that has been unreachable for ReplaceVoterMS,
+// whichever comes first in the record, or nil. It also updates since when voters have been unreachable.
 func (g *Group) voterToReplace() *Voter {
-	for k := range g.record.Voters {
-		v := &g.record.Voters[k]
+	for i := range g.record.Voters {
+		v := &g.record.Voters[i]
 		if v.ID == g.nodeID || !slices.Contains(g.confState.GetVoters(), v.ID) {
 			continue
 		}
-		if v.Name == g.voterMove.from {
+		if v.Name == g.requestedReplacement.from {
 			return v
 		}
 		key := voterKey(v.Name)
@@ -64,16 +66,17 @@
 	return nil
 }
 
-// voterKey is the key of a voter in unseenSince. A member can be seen while its vote, in a lost data folder, is not.
+// voterKey returns the key of a voter in unseenSince. It differs from the member's own key, as a member that has lost
+// its data folder is reachable while its former voter is not.
 func voterKey(name string) string { return "voter " + name }
 
-// isRecentlyActive reports whether a voter has answered Raft messages lately.
+// isRecentlyActive reports whether the leader has recently received Raft messages from a voter.
 func (g *Group) isRecentlyActive(id uint64) bool { return g.node.Status().Progress[id].RecentActive }
 
-// chooseLearner returns the member that is to become a voter: the one that an operator named, or of those with a disk the first by name
-// in the zone with the fewest voters.
+// chooseLearner returns the name of the member that is to become a voter, or "". It is the member that an operator
+// named, or else, of the eligible members in the zones with the fewest voters, the first by name.
 func (g *Group) chooseLearner(replaced *Voter) string {
-	if to := g.voterMove.to; to != "" {
+	if to := g.requestedReplacement.to; to != "" {
 		if o, observed := g.observations[to]; observed && o.Alive && o.CanVote {
 			return to
 		}
@@ -102,10 +105,10 @@
 	}).Name
 }
 
-// handleLearnerHello adds the chosen member as a learner, once it has told its data folder.
+// handleLearnerHello adds the chosen member as a learner after it has reported its data folder.
 func (g *Group) handleLearnerHello(h *Hello) {
 	replaced := g.voterToReplace()
-	if g.learner.ID != 0 || h.Folder == "" || h.Name != g.chooseLearner(replaced) || g.isConfChangeRecent() {
+	if g.learner.ID != 0 || h.Folder == "" || h.Name != g.chooseLearner(replaced) || g.isConfChangePending() {
 		return
 	}
 	id := NodeID(h.Name, h.Folder)
@@ -120,7 +123,7 @@
 	g.proposeLearnerChange(raftpb.ConfChangeAddLearnerNode)
 }
 
-// proposeLearnerChange proposes to add the learner, or to make it a voter in the place of the replaced one.
+// proposeLearnerChange proposes to add the learner, or to make it a voter and remove the one that it replaces.
 func (g *Group) proposeLearnerChange(kind raftpb.ConfChangeType) {
 	id := g.learner.ID
 	context, err := json.Marshal([]Voter{{ID: id, Name: g.learner.Name, Zone: g.observations[g.learner.Name].Zone}})
@@ -132,36 +135,38 @@
 		change.Changes = append(change.Changes, confChange(raftpb.ConfChangeRemoveNode, g.replacedID))
 	}
 	if g.node.ProposeConfChange(change) == nil {
-		g.confChangeAt = g.now
+		g.confChangeProposedAt = g.now
 	}
 }
 
+// confChange returns a change of a single node.
 func confChange(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
 	return &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
 }
 
-// promoteLearner makes the learner a voter once it has caught up, or gives it up if it is gone.
+// promoteLearner makes the learner a voter once it has caught up, or drops it if it is no longer reachable.
 func (g *Group) promoteLearner() {
 	progress, isLearning := g.node.Status().Progress[g.learner.ID]
 	switch {
 	case slices.Contains(g.confState.GetVoters(), g.learner.ID):
 		g.learner = Hello{}
 		g.replacedID = 0
-		g.voterMove = voterMove{}
+		g.requestedReplacement = voterReplacement{}
 	case isLearning && progress.Match+maxLearnerLag >= g.appliedIndex:
 		g.proposeLearnerChange(raftpb.ConfChangeAddNode)
 	case !isLearning:
 		g.learner = Hello{}
 	case !g.observations[g.learner.Name].Alive:
-		change := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, g.learner.ID)}}
+		removal := confChange(raftpb.ConfChangeRemoveNode, g.learner.ID)
+		change := &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{removal}}
 		if g.node.ProposeConfChange(change) == nil {
 			g.learner = Hello{}
-			g.confChangeAt = g.now
+			g.confChangeProposedAt = g.now
 		}
 	}
 }
 
-// applyConfChange applies a configuration change; its context names the voter that is added.
+// applyConfChange applies a committed configuration change, whose context is the JSON encoding of the voters added.
 func (g *Group) applyConfChange(change raftpb.ConfChangeI, context []byte) {
 	g.confState = g.node.ApplyConfChange(change)
 	var added []Voter
@@ -177,11 +182,11 @@
 	}
 	sortVoters(voters)
 	g.record.Voters = voters
-	g.confChangeAt = 0
+	g.confChangeProposedAt = 0
 	g.votersChanged = true
 }
 
-// isInConfiguration reports whether a node is a voter or learner, also of a configuration that is being left.
+// isInConfiguration reports whether a node is a voter or learner, in a joint configuration also of the outgoing one.
 func (g *Group) isInConfiguration(id uint64) bool {
 	for _, ids := range [...][]uint64{g.confState.GetVoters(), g.confState.GetLearners(), g.confState.GetVotersOutgoing(),
 		g.confState.GetLearnersNext()} {
--- a/internal/raftnode/effects.go
+++ b/internal/raftnode/effects.go
@@ -8,16 +8,17 @@
 	"liftshift/internal/consensus"
 )
 
-// step passes an event to the group and carries out the effects.
-func (n *Node) step(now float64, ev consensus.Event) {
-	for _, e := range slices.Clone(n.group.Step(now, &ev)) { // an effect may lead to a further step
-		n.execute(now, e)
+// step passes an event to the group and carries out the resulting effects.
+func (n *Node) step(now float64, event consensus.Event) {
+	for _, e := range slices.Clone(n.group.Step(now, &event)) { // cloned, as applying an effect may step the group again
+		n.applyEffect(now, e)
 	}
 	n.leaseUntil.Store(math.Float64bits(n.group.LeaseUntil()))
-	n.wakeAt = min(n.group.Next(), n.observeAt)
+	n.wakeAt = min(n.group.Next(), n.nextObserveAt)
 }
 
-func (n *Node) execute(now float64, e consensus.Effect) {
+// applyEffect carries out an effect, or passes it to OnEffect if it is not handled here.
+func (n *Node) applyEffect(now float64, e consensus.Effect) {
 	switch e.Kind {
 	case consensus.Persist:
 		if n.storage != nil {
@@ -44,13 +45,14 @@
 		}
 	case consensus.PlanConfirmed:
 		if n.OnPlanConfirmed != nil {
-			n.OnPlanConfirmed(now, e.Number, e.At)
+			n.OnPlanConfirmed(now, e.PlanNumber, e.InForceAfter)
 		}
 	default:
 		n.OnEffect(now, e)
 	}
 }
 
+// requestLease sends the request of a RequestLease effect and passes the reply, or the failure, to the group.
 func (n *Node) requestLease(now float64, e *consensus.Effect) {
 	data, err := json.Marshal(leaseRequest{Name: e.Name, Incarnation: e.Incarnation})
 	if err != nil {
@@ -58,12 +60,14 @@
 	}
 	token := e.Token
 	n.request(now, e.To, append([]byte{messageLeaseRequest}, data...), func(now float64, reply []byte, err error) {
-		ev := consensus.Event{Kind: consensus.LeaseReplied, Token: token}
-		ev.Failed = err != nil || json.Unmarshal(reply, &ev.Reply) != nil
-		n.step(now, ev)
+		event := consensus.Event{Kind: consensus.LeaseReplied, Token: token}
+		event.Failed = err != nil || json.Unmarshal(reply, &event.Reply) != nil
+		n.step(now, event)
 	})
 }
 
+// requestHello asks a member for its Hello and passes the answer to the group. A failure is ignored: the group asks
+// again.
 func (n *Node) requestHello(now float64, to string) {
 	n.request(now, to, []byte{messageHello}, func(now float64, reply []byte, err error) {
 		var hello consensus.Hello
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -27,8 +27,9 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares bytes with a file of testdata/golden and returns the content of the file.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareGolden compares bytes with a file of testdata/golden, which the -update flag writes first, and returns the
+// content of the file.
+func compareGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -37,88 +38,107 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), name)
+	assert.Equal(t, string(want), string(got), "the bytes of golden file %s", name)
 	return want
 }
 
-// goldenJSON compares the encoding of a value with its file, and the decoded file with the value. The value is a pointer.
-func goldenJSON(t *testing.T, name string, value any) {
+// compareGoldenJSON compares the JSON encoding of a value with a golden file, and the decoded file with the value. The
+// value is a pointer.
+func compareGoldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
-	tagged(t, reflect.TypeOf(value))
+	checkJSONTags(t, reflect.TypeOf(value))
 	got, err := json.Marshal(value)
 	require.NoError(t, err)
-	back := reflect.New(reflect.TypeOf(value).Elem())
-	require.NoError(t, json.Unmarshal(golden(t, name, got), back.Interface()))
-	assert.Equal(t, value, back.Interface(), name)
+	decoded := reflect.New(reflect.TypeOf(value).Elem())
+	require.NoError(t, json.Unmarshal(compareGolden(t, name, got), decoded.Interface()))
+	assert.Equal(t, value, decoded.Interface(), "the value decoded from golden file %s", name)
 }
 
-// tagged checks that each field of a type, and of the types in it, has a JSON tag.
-func tagged(t *testing.T, of reflect.Type) {
+// checkJSONTags checks that each field of a type, and of the types in it, has a JSON tag.
+func checkJSONTags(t *testing.T, checked reflect.Type) {
 	t.Helper()
-	switch of.Kind() {
+	switch checked.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		tagged(t, of.Elem())
+		checkJSONTags(t, checked.Elem())
 	case reflect.Struct:
-		for k := range of.NumField() {
-			f := of.Field(k)
-			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-			assert.NotEmpty(t, name, "%v.%s", of, f.Name)
-			tagged(t, f.Type)
+		for i := range checked.NumField() {
+			field := checked.Field(i)
+			name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+			assert.NotEmpty(t, name, "the field %v.%s has no JSON tag", checked, field.Name)
+			checkJSONTags(t, field.Type)
 		}
 	}
 }
 
-// Requests and replies between members keep their bytes.
+// The JSON encodings of requests and replies between members are compatible with earlier versions.
 func TestGolden_RaftNodeValues(t *testing.T) {
-	configuration := Configuration{Members: []placement.Member{{Name: "a", Incarnation: 1, Zone: "z1"}, {Name: "b", Incarnation: 3, Lost: true}}, Table: placement.Table{Version: 6, Step: 7, Copies: 1,
-		Partitions: []placement.Partition{{Current: []placement.Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}}, Previous: []placement.Replica{{Name: "b", Incarnation: 3}}}, {}},
-		Claims:     []placement.AdoptionClaim{{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}}}}
+	partition := placement.Partition{
+		Current:  []placement.Replica{{Name: "a", Incarnation: 1, Ready: true}, {Name: "b", Incarnation: 3}},
+		Previous: []placement.Replica{{Name: "b", Incarnation: 3}},
+	}
+	claim := placement.AdoptionClaim{Name: "b", Incarnation: 3, Successor: "a", SuccessorIncarnation: 1, Partitions: 9}
+	configuration := Configuration{
+		Members: []placement.Member{
+			{Name: "a", Incarnation: 1, Zone: "z1"},
+			{Name: "b", Incarnation: 3, Lost: true},
+		},
+		Table: placement.Table{Version: 6, Step: 7, Copies: 1,
+			Partitions: []placement.Partition{partition, {}},
+			Claims:     []placement.AdoptionClaim{claim}},
+	}
 	for name, value := range map[string]any{
-		"wish": &leaseRequest{Name: "a", Incarnation: 3}, "wish-release": &leaseRequest{Name: "a", Incarnation: 3, Release: true}, "wish-empty": &leaseRequest{},
-		"roll": &configuration, "roll-empty": &Configuration{}, "planned-empty": &AgreedPlan{},
-		"planned": &AgreedPlan{Number: 8, Plan: []byte(`{"x":1}`), Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)}},
+		"wish":          &leaseRequest{Name: "a", Incarnation: 3},
+		"wish-release":  &leaseRequest{Name: "a", Incarnation: 3, Release: true},
+		"wish-empty":    &leaseRequest{},
+		"roll":          &configuration,
+		"roll-empty":    &Configuration{},
+		"planned-empty": &AgreedPlan{},
+		"planned": &AgreedPlan{Number: 8, Plan: []byte(`{"x":1}`),
+			Orders: map[string]json.RawMessage{"zone z1": []byte(`{"y":2}`), "zone z2": []byte(`{}`)}},
 	} {
-		goldenJSON(t, name+".json", value)
+		compareGoldenJSON(t, name+".json", value)
 	}
 	data, err := json.Marshal(Configuration{Addresses: map[string]string{"a": "127.0.0.1:7000"}})
 	require.NoError(t, err)
-	golden(t, "roll-empty.json", data)
+	compareGolden(t, "roll-empty.json", data)
 }
 
-// goldenFolder compares a voter's folder with its files, which end at their last non-zero byte, and returns a folder with the same files.
-func goldenFolder(t *testing.T, name string, fs *vfs.MemoryFS) *vfs.MemoryFS {
+// compareGoldenFolder compares the files of a voter's folder, without their trailing zero bytes, with golden files, and
+// returns a folder with the golden content and the zero bytes.
+func compareGoldenFolder(t *testing.T, name string, fs *vfs.MemoryFS) *vfs.MemoryFS {
 	t.Helper()
 	files, err := fs.List()
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	copied := vfs.NewMemory()
 	for _, file := range files {
-		whole := fs.Bytes(file)
-		data := golden(t, filepath.Join(name, file), []byte(strings.TrimRight(string(whole), "\x00")))
-		copied.Set(file, append(data, make([]byte, len(whole)-len(data))...))
+		content := fs.Bytes(file)
+		data := compareGolden(t, filepath.Join(name, file), []byte(strings.TrimRight(string(content), "\x00")))
+		copied.Set(file, append(data, make([]byte, len(content)-len(data))...))
 	}
 	return copied
 }
 
-// A voter's folder keeps its bytes and is recovered as before; one with a torn end becomes another voter's.
+// The storage format of a voter is compatible with earlier versions. A folder with a torn log gets another ID and no
+// state.
 func TestGolden_RaftNodeFolder(t *testing.T) {
 	fs := vfs.NewMemory()
-	s, _, err := store.Open(fs, store.Options{SegmentBytes: segmentBytes}, func(store.Key, int64, []byte) {})
+	seed, _, err := store.Open(fs, store.Options{SegmentBytes: segmentBytes}, func(store.Key, int64, []byte) {})
 	require.NoError(t, err)
-	var named store.Batch
-	named.Put(recordKey(folderIDRecord, 0), 0, []byte("f0123456789abcdef01234567"))
-	require.NoError(t, s.Write(recordTime, &named))
-	require.NoError(t, s.Close())
-	d, err := openStorage(fs, &Node{}, discardLog())
+	var idBatch store.Batch
+	idBatch.Put(recordKey(folderIDRecord, 0), 0, []byte("f0123456789abcdef01234567"))
+	require.NoError(t, seed.Write(recordTime, &idBatch))
+	require.NoError(t, seed.Close())
+	original, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
-	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: hardState(2, 9, 2)})
-	d.close()
-	whole := goldenFolder(t, "folder", fs)
+	persistAndSync(t, original, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: hardState(2, 9, 2)})
+	original.close()
+	whole := compareGoldenFolder(t, "folder", fs)
 	reopened, err := openStorage(whole.Clone(), &Node{}, discardLog())
 	require.NoError(t, err)
-	assert.Equal(t, "0123456789abcdef01234567", reopened.id)
+	assert.Equal(t, "0123456789abcdef01234567", reopened.folderID)
 	assert.True(t, proto.Equal(hardState(2, 9, 2), reopened.persisted.State))
 	assert.True(t, proto.Equal(snapshotAt(1), reopened.persisted.Snapshot))
 	require.Len(t, reopened.persisted.Entries, 2)
@@ -128,90 +148,111 @@
 
 	files, err := whole.List()
 	require.NoError(t, err)
-	last := slices.Max(slices.DeleteFunc(files, func(name string) bool { return !strings.HasSuffix(name, ".log") }))
-	b := whole.Bytes(last)
-	end := len(strings.TrimRight(string(b), "\x00"))
-	whole.Set(last, append(b[:end-5], make([]byte, 64)...))
-	torn, err := openStorage(goldenFolder(t, "folder-torn", whole), &Node{}, discardLog())
+	lastLog := slices.Max(slices.DeleteFunc(files, func(name string) bool { return !strings.HasSuffix(name, ".log") }))
+	content := whole.Bytes(lastLog)
+	end := len(strings.TrimRight(string(content), "\x00"))
+	whole.Set(lastLog, append(content[:end-5], make([]byte, 64)...))
+	torn, err := openStorage(compareGoldenFolder(t, "folder-torn", whole), &Node{}, discardLog())
 	require.NoError(t, err)
 	defer torn.close()
-	assert.NotEqual(t, "0123456789abcdef01234567", torn.id)
+	assert.NotEqual(t, "0123456789abcdef01234567", torn.folderID)
 	assert.Equal(t, consensus.PersistedState{}, torn.persisted)
 }
 
-// recordingPeer records what a node sends over real sockets and answers each lease request with a golden reply.
+// recordingPeer records the messages it receives and answers each lease request by a fixed reply.
 type recordingPeer struct {
 	mu       sync.Mutex
-	received map[string]bool
-	reply    []byte
+	received map[string]bool // guarded by mu
+	reply    []byte          // to lease requests
 }
 
-func (e *recordingPeer) Handle(_ float64, data []byte, reply func([]byte, error)) {
-	e.mu.Lock()
-	e.received[string(data)] = true
-	e.mu.Unlock()
-	if data[0] == 'a' {
-		reply(e.reply, nil)
+// Handle implements clusternet.ConsensusNode.
+func (p *recordingPeer) Handle(_ float64, data []byte, reply func([]byte, error)) {
+	p.mu.Lock()
+	p.received[string(data)] = true
+	p.mu.Unlock()
+	if data[0] == 'a' { // the kind of a lease request on the wire
+		reply(p.reply, nil)
 		return
 	}
 	reply(nil, nil) // an error would close the connection and end other calls on it
 }
-func (e *recordingPeer) Tick(float64)  {}
-func (e *recordingPeer) Next() float64 { return 1e15 }
-func (e *recordingPeer) Close()        {}
 
-// Each kind of message is sent with the bytes that it had, its kind ahead, and a node accepts it.
+// Tick implements clusternet.ConsensusNode.
+func (p *recordingPeer) Tick(float64) {}
+
+// Next implements clusternet.ConsensusNode.
+func (p *recordingPeer) Next() float64 { return 1e15 }
+
+// Close implements clusternet.ConsensusNode.
+func (p *recordingPeer) Close() {}
+
+// The encoding of each kind of message is compatible with earlier versions: a node sends the golden bytes and accepts
+// them.
 func TestGolden_RaftNodeMessages(t *testing.T) {
-	at := freeAddresses(t, 2)
-	peer := &recordingPeer{received: map[string]bool{}, reply: golden(t, "reply-granted.json", []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`))}
-	far := clusternet.New(at[1], discardLog())
-	farView := membership.New(far.Now(), "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, membership.DefaultSettings(), 2)
-	require.NoError(t, far.Start(farView, peer))
-	t.Cleanup(far.Stop)
-	c := clusternet.New(at[0], discardLog())
-	v := membership.New(c.Now(), "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, at, membership.DefaultSettings(), 1)
-	before := membership.New(0, "f", membership.Member{Name: "b", Incarnation: 1, Address: at[1]}, at, membership.DefaultSettings(), 3)
-	for _, e := range before.Step(0, &membership.Event{Kind: membership.Ticked}) { // so that b is known at once
+	addresses := freeAddresses(t, 2)
+	granted := []byte(`{"Verdict":0,"Leader":"b","Term":2,"Step":3,"Number":4}`)
+	peer := &recordingPeer{received: map[string]bool{}, reply: compareGolden(t, "reply-granted.json", granted)}
+	settings := membership.DefaultSettings()
+	peerMember := membership.Member{Name: "b", Incarnation: 1, Address: addresses[1]}
+	peerTransport := clusternet.New(addresses[1], discardLog())
+	peerView := membership.New(peerTransport.Now(), "f", peerMember, addresses, settings, 2)
+	require.NoError(t, peerTransport.Start(peerView, peer))
+	t.Cleanup(peerTransport.Stop)
+	transport := clusternet.New(addresses[0], discardLog())
+	self := membership.Member{Name: "a", Incarnation: 3, Address: addresses[0]}
+	view := membership.New(transport.Now(), "f", self, addresses, settings, 1)
+	// Datagrams of an earlier view of b let the view of a know b at once.
+	earlierPeerView := membership.New(0, "f", peerMember, addresses, settings, 3)
+	for _, e := range earlierPeerView.Step(0, &membership.Event{Kind: membership.Ticked}) {
 		if len(e.Data) > 0 {
-			v.Step(c.Now(), &membership.Event{Kind: membership.DatagramReceived, From: at[1], Data: e.Data})
+			datagram := &membership.Event{Kind: membership.DatagramReceived, From: addresses[1], Data: e.Data}
+			view.Step(transport.Now(), datagram)
 		}
 	}
-	_, known := v.Find("b")
+	_, known := view.Find("b")
 	require.True(t, known)
-	s, err := New(c, v, vfs.NewMemory(), []string{"c", "b", "a"}, consensus.DefaultSettings(), 1, discardLog())
+	founders := []string{"c", "b", "a"}
+	node, err := New(transport, view, vfs.NewMemory(), founders, consensus.DefaultSettings(), 1, discardLog())
 	require.NoError(t, err)
 	confirmed := make(chan uint64, 100)
-	s.OnPlanConfirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
-	require.NoError(t, c.Start(v, s))
-	t.Cleanup(c.Stop)
-	require.Eventually(t, s.LeaseHeld, 20*time.Second, 10*time.Millisecond)
+	node.OnPlanConfirmed = func(_ float64, number uint64, _ float64) { confirmed <- number }
+	require.NoError(t, transport.Start(view, node))
+	t.Cleanup(transport.Stop)
+	require.Eventually(t, node.LeaseHeld, 20*time.Second, 10*time.Millisecond)
 	assert.Equal(t, uint64(4), <-confirmed)
-	c.Do(func(now float64, _ *membership.View) {
-		require.Equal(t, "b", s.Leader(now))
-		s.configurationStep = 300
-		s.requestConfiguration(now)
-		s.FetchPlan(now, 300)
-		s.sendMessage("b", []byte("what a voter says"))
+	transport.Do(func(now float64, _ *membership.View) {
+		require.Equal(t, "b", node.Leader(now))
+		node.configurationStep = 300
+		node.requestConfiguration(now)
+		node.FetchPlan(now, 300)
+		node.sendMessage("b", []byte("what a voter says"))
 	})
-	s.Propose(consensus.OrderProposal("zone z1", []byte(`{"y":2}`)))
-	_, err = s.Record()
-	assert.Error(t, err, "the answer is empty")
-	s.ReleaseLease()
+	node.Propose(consensus.OrderProposal("zone z1", []byte(`{"y":2}`)))
+	_, err = node.Record()
+	assert.Error(t, err, "the peer's answer to the request for the record is empty")
+	node.ReleaseLease()
 
-	still := membership.New(0, "f", membership.Member{Name: "a", Incarnation: 3, Address: at[0]}, nil, membership.DefaultSettings(), 1)
-	other, err := New(clusternet.New(at[0], discardLog()), still, nil, []string{"c", "b", "a"}, consensus.DefaultSettings(), 1, discardLog()) // its transport never runs
+	idleView := membership.New(0, "f", self, nil, settings, 1)
+	idleTransport := clusternet.New(addresses[0], discardLog()) // never started
+	receiver, err := New(idleTransport, idleView, nil, founders, consensus.DefaultSettings(), 1, discardLog())
 	require.NoError(t, err)
 	for file, want := range map[string]string{
-		"hello": "h", "lease": `a{"Name":"a","Life":3}`, "lease-back": `a{"Name":"a","Life":3,"Release":true}`, "record": "r",
-		"roll": "l\xac\x02", "plan": "z\xac\x02", "voter": "v\x01awhat a voter says",
-		"motion": `p{"Kind":"order","Name":"zone z1","Life":0,"Data":{"y":2}}`,
+		"hello":      "h",
+		"lease":      `a{"Name":"a","Life":3}`,
+		"lease-back": `a{"Name":"a","Life":3,"Release":true}`,
+		"record":     "r",
+		"roll":       "l\xac\x02",
+		"plan":       "z\xac\x02",
+		"voter":      "v\x01awhat a voter says",
+		"motion":     `p{"Kind":"order","Name":"zone z1","Life":0,"Data":{"y":2}}`,
 	} {
-		data := golden(t, "message-"+file+".bin", []byte(want))
+		data := compareGolden(t, "message-"+file+".bin", []byte(want))
 		assert.Eventually(t, func() bool {
 			peer.mu.Lock()
 			defer peer.mu.Unlock()
 			return peer.received[string(data)]
-		}, 10*time.Second, 10*time.Millisecond, "%s is sent with other bytes, or not at all", file)
-		other.Handle(0, data, func(_ []byte, err error) { assert.NoError(t, err, file) })
+		}, 10*time.Second, 10*time.Millisecond, "the message of %s.bin was not sent, or with other bytes", "message-"+file)
+		receiver.Handle(0, data, func(_ []byte, err error) { assert.NoError(t, err, "handling message-%s.bin", file) })
 	}
 }
--- a/internal/raftnode/messages.go
+++ b/internal/raftnode/messages.go
@@ -11,28 +11,29 @@
 	"liftshift/internal/membership"
 )
 
-// Kinds of messages between members. A message is its kind in one byte and its content. The values are part of the wire format.
+// Kinds of messages between members. A message is one byte with its kind, followed by its content. The values are part
+// of the wire format.
 const (
-	messageRaft          = 'v' // the sender's name with its length in one byte ahead, and a Raft message
-	messageLeaseRequest  = 'a' // a leaseRequest in JSON
-	messageHello         = 'h'
-	messageRecord        = 'r'
-	messageConfiguration = 'l' // the step of the known placement table, a uvarint
-	messageProposal      = 'p' // an entry
-	messagePlan          = 'z' // the number of the known plan, a uvarint
+	messageRaft          = 'v' // the length of the sender's name in one byte, the name, and a Raft message
+	messageLeaseRequest  = 'a' // a leaseRequest in JSON; answered by a consensus.LeaseReply
+	messageHello         = 'h' // empty; answered by a consensus.Hello
+	messageRecord        = 'r' // empty; answered by a consensus.Record
+	messageConfiguration = 'l' // uvarint: the step of the known placement table; answered by a newer Configuration
+	messageProposal      = 'p' // an encoded log entry, to be proposed by the leader
+	messagePlan          = 'z' // uvarint: the number of the known plan; answered by a newer AgreedPlan
 )
 
-// maxNameBytes is the longest name of a member in a Raft message.
+// maxNameBytes is the largest length of the sender's name in a messageRaft.
 const maxNameBytes = 64
 
-// leaseRequest is the content of a messageLeaseRequest.
+// leaseRequest is the content of a messageLeaseRequest: a request for a lease, or the release of one.
 type leaseRequest struct {
 	Name        string `json:"Name"`
 	Incarnation uint64 `json:"Life"`
 	Release     bool   `json:"Release,omitempty"`
 }
 
-// Handle takes a message from another member. Reply is called once, now or later.
+// Handle handles a message from another member. It calls reply once, now or later.
 func (n *Node) Handle(now float64, data []byte, reply func([]byte, error)) {
 	if len(data) == 0 {
 		reply(nil, errors.New("nothing is said"))
@@ -62,6 +63,7 @@
 	}
 }
 
+// handleRaftMessage passes the content of a messageRaft to the group. Malformed content is ignored.
 func (n *Node) handleRaftMessage(now float64, content []byte) {
 	if len(content) == 0 {
 		return
@@ -70,9 +72,11 @@
 	if size > maxNameBytes || len(content) <= size {
 		return
 	}
-	n.step(now, consensus.Event{Kind: consensus.MessageReceived, Name: string(content[1 : 1+size]), Data: content[1+size:]})
+	name := string(content[1 : 1+size])
+	n.step(now, consensus.Event{Kind: consensus.MessageReceived, Name: name, Data: content[1+size:]})
 }
 
+// handleLeaseRequest passes a lease request to the group. Its ReplyLease effect answers it.
 func (n *Node) handleLeaseRequest(now float64, content []byte, reply func([]byte, error)) {
 	var request leaseRequest
 	if json.Unmarshal(content, &request) != nil || request.Name == "" {
@@ -81,11 +85,12 @@
 	}
 	n.lastToken++
 	n.leaseReplies[n.lastToken] = reply
-	n.step(now, consensus.Event{Kind: consensus.LeaseRequested, Token: n.lastToken, Name: request.Name, Incarnation: request.Incarnation,
-		Release: request.Release})
+	n.step(now, consensus.Event{Kind: consensus.LeaseRequested, Token: n.lastToken, Name: request.Name,
+		Incarnation: request.Incarnation, Release: request.Release})
 }
 
-// handleConfigurationRequest answers with the configuration if this member leads and has a later one than is known, or with nothing.
+// handleConfigurationRequest answers with the configuration if this member leads and has a newer one than the
+// requester; otherwise the answer is empty.
 func (n *Node) handleConfigurationRequest(now float64, content []byte, reply func([]byte, error)) {
 	known, _ := binary.Uvarint(content)
 	members, table := n.group.Configuration()
@@ -96,7 +101,8 @@
 	reply(json.Marshal(Configuration{Members: members, Table: table}))
 }
 
-// handlePlanRequest answers with the plan if this member leads and has a later one than is known, or with nothing.
+// handlePlanRequest answers with the plan if this member leads and has a newer one than the requester; otherwise the
+// answer is empty.
 func (n *Node) handlePlanRequest(now float64, content []byte, reply func([]byte, error)) {
 	known, _ := binary.Uvarint(content)
 	plan := n.agreedPlan(now)
@@ -107,14 +113,16 @@
 	reply(json.Marshal(plan))
 }
 
-// address returns a member's address, or "".
+// address returns a member's address, or "" if the membership view does not know it.
 func (n *Node) address(name string) string {
 	m, _ := n.view.Find(name)
 	return m.Address
 }
 
-// request sends a message to a member, which may be this one, and calls back with the reply on the transport's goroutine.
-func (n *Node) request(now float64, to string, data []byte, callback func(now float64, reply []byte, err error)) {
+// request sends a message to a member, which may be this one, and passes the reply to callback on the transport's
+// goroutine.
+func (n *Node) request(now float64, to string, data []byte,
+	callback func(now float64, reply []byte, err error)) {
 	deliver := func(reply []byte, err error) {
 		n.transport.Post(func(now float64) { callback(now, reply, err) })
 	}
@@ -126,11 +134,11 @@
 		n.transport.Call(address, clusternet.ConsensusMethod, data, deliver)
 		return
 	}
-	go deliver(nil, errors.New("it is not known where that member is"))
+	go deliver(nil, fmt.Errorf("the address of member %q is not known", to))
 }
 
-// Record returns the replicated record, from the leader where this member is no voter. It may be called from any goroutine but the
-// transport's, and blocks until the answer is there.
+// Record returns the replicated record. A member that is not a voter gets it from the leader. Record blocks until the
+// leader has answered and may be called from any goroutine but the transport's.
 func (n *Node) Record() (r consensus.Record, err error) {
 	leaderAddress := ""
 	n.transport.Do(func(now float64, _ *membership.View) {
@@ -150,7 +158,8 @@
 	return r, err
 }
 
-// Propose has the leader propose an entry. The result shows in the configuration or the plan. It may be called from any goroutine.
+// Propose sends an encoded log entry to the leader, which proposes it. There is no confirmation: a committed entry
+// shows in the configuration or the plan. Propose may be called from any goroutine.
 func (n *Node) Propose(entry []byte) {
 	go n.transport.Post(func(now float64) {
 		switch leader := n.Leader(now); leader {
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -1,8 +1,9 @@
-// Package raftnode runs one member's end of the consensus group: it keeps the Raft log and snapshot in a store of their own and carries
-// Raft messages, lease requests and queries between members over the cluster transport. It decides nothing; the rules are in package
-// consensus.
+// Package raftnode connects a consensus.Group to the disk and the network: it persists the Raft log and snapshot in a
+// store and carries Raft messages, lease requests and queries between members over the cluster transport. The rules of
+// the protocol are in package consensus.
 //
-// The transport's goroutine owns a Node. Methods may be called from it alone unless their comment says otherwise.
+// A Node belongs to the transport's goroutine. Its methods may be called from that goroutine only, unless their comment
+// says otherwise.
 package raftnode
 
 import (
@@ -22,55 +23,59 @@
 )
 
 const (
-	observeMS      = 100 // between two reads of the membership view
-	releaseTimeout = 400 * time.Millisecond
+	observeIntervalMS = 100                    // time between two reads of the membership view
+	releaseTimeout    = 400 * time.Millisecond // longest wait of ReleaseLease for the leader's answer
 )
 
-// errStopping answers the requests that are open when the node closes. Its text is sent to peers.
+// errStopping is the reply to lease requests that are unanswered when the node closes. Its text is sent to peers.
 var errStopping = errors.New("this member stops")
 
-// Node is a member's end of the consensus group.
+// Node runs a member's part of the consensus group.
 type Node struct {
-	// OnEffect is called with the group's notifications that are not handled here. It must not block.
+	// OnEffect is called with the effects of the group that Node does not handle itself. It must not block.
 	OnEffect func(now float64, e consensus.Effect)
 
 	// OnConfiguration, if set, is called when the members, the placement table or the members' addresses change.
 	OnConfiguration func(Configuration)
-	// OnIncarnation, if set, is called when this controller goes on under another incarnation.
+	// OnIncarnation, if set, is called when this controller continues under another incarnation.
 	OnIncarnation func(incarnation uint64)
 
-	// OnPlan, if set, is called when the plan or the operators' orders change, as far as this member knows.
+	// OnPlan, if set, is called when this member learns of a change of the plan or of the operators' orders.
 	OnPlan func(now float64, p AgreedPlan)
-	// OnPlanConfirmed, if set, is called with the number of a plan that was in force after a time.
-	OnPlanConfirmed func(now float64, number uint64, at float64)
+	// OnPlanConfirmed, if set, is called with the number of the plan that was in force at some time after the given
+	// one.
+	OnPlanConfirmed func(now float64, number uint64, after float64)
 
 	group       *consensus.Group
 	transport   *clusternet.Transport
 	view        *membership.View
-	storage     *storage // nil: this member never votes
+	storage     *storage // nil: this member has no data folder and never votes
 	log         logrus.FieldLogger
 	name        string
 	incarnation uint64
-	leaseUntil  atomic.Uint64 // a float64's bits, by the transport's clock
+	leaseUntil  atomic.Uint64 // end of the lease by the transport's clock, as the bits of a float64
 	stop        chan struct{}
-	streams     map[string]chan []byte // Raft messages, by the voter's address
+	streams     map[string]chan []byte // queues of Raft messages, by the recipient's address
 
 	lastToken    uint64
-	leaseReplies map[uint64]func([]byte, error) // of lease requests that the group has not answered yet
+	leaseReplies map[uint64]func([]byte, error) // reply functions of unanswered lease requests, by token
 
-	observeAt, configurationAt, wakeAt float64
-	configurationStep                  uint64 // of the placement table that was reported last
-	reportedViewHash                   uint64 // of the view, at that time
+	nextObserveAt, nextConfigurationCheckAt, wakeAt float64
+	configurationStep                               uint64 // step of the placement table reported last
+	reportedViewHash                                uint64 // hash of the membership view at the last report
 
-	Dropped atomic.Uint64 // Raft messages that were not sent
+	// Dropped counts the Raft messages that were not delivered to the recipient's transport.
+	Dropped atomic.Uint64
 }
 
-// New opens a member's end. Folder holds the Raft log; a member without a folder never votes.
-func New(transport *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string, settings consensus.Settings, seed uint32,
-	log logrus.FieldLogger) (*Node, error) {
+// New returns a member's node and opens its storage. Folder holds the Raft state; a member without a folder never
+// votes. Founders are the names of the members that form the group.
+func New(transport *clusternet.Transport, view *membership.View, folder vfs.FS, founders []string,
+	settings consensus.Settings, seed uint32, log logrus.FieldLogger) (*Node, error) {
 	self := view.Self()
-	n := &Node{transport: transport, view: view, log: log, name: self.Name, incarnation: self.Incarnation, stop: make(chan struct{}),
-		streams: map[string]chan []byte{}, leaseReplies: map[uint64]func([]byte, error){}, OnEffect: func(float64, consensus.Effect) {}}
+	n := &Node{transport: transport, view: view, log: log, name: self.Name, incarnation: self.Incarnation,
+		stop: make(chan struct{}), streams: map[string]chan []byte{}, leaseReplies: map[uint64]func([]byte, error){},
+		OnEffect: func(float64, consensus.Effect) {}}
 	var persisted consensus.PersistedState
 	folderID := ""
 	if folder != nil {
@@ -80,23 +85,23 @@
 		}
 		n.storage = s
 		persisted = s.persisted
-		folderID = s.id
+		folderID = s.folderID
 	}
 	n.group = consensus.New(transport.Now(), self.Name, self.Incarnation, folderID, founders, persisted, settings, seed)
 	return n, nil
 }
 
-// LeaseHeld reports whether this controller may act on its lease at this moment. It may be called from any goroutine and is to be asked
-// at the last step before anything is sent.
+// LeaseHeld reports whether this controller holds its lease now. Check it immediately before sending anything that
+// requires the lease. It may be called from any goroutine.
 func (n *Node) LeaseHeld() bool { return n.transport.Now() < math.Float64frombits(n.leaseUntil.Load()) }
 
-// Status returns the state of this member's end.
+// Status returns this member's state in the group.
 func (n *Node) Status(now float64) consensus.Status { return n.group.Status(now) }
 
-// Leader returns the leader as far as this member knows, or "".
+// Leader returns the name of the leader as far as this member knows, or "".
 func (n *Node) Leader(now float64) string { return n.group.Status(now).Leader }
 
-// otherLeader returns the leader, or "" if it is this member or not known.
+// otherLeader returns the name of the leader, or "" if the leader is this member or is not known.
 func (n *Node) otherLeader(now float64) string {
 	leader := n.Leader(now)
 	if leader == n.name {
@@ -105,22 +110,23 @@
 	return leader
 }
 
-// ReplaceVoter has a voter replaced by another member. It fails where this member does not lead.
+// ReplaceVoter starts the replacement of the voter from by the member to. It fails if this member is not the leader.
 func (n *Node) ReplaceVoter(now float64, from, to string) error {
 	if leader := n.Leader(now); leader != n.name {
 		return fmt.Errorf("this member does not lead the consensus group; %s does", leader)
 	}
-	n.step(now, consensus.Event{Kind: consensus.VoterMoveRequested, Name: from, To: to})
+	n.step(now, consensus.Event{Kind: consensus.VoterReplacementRequested, Name: from, To: to})
 	return nil
 }
 
-// Next returns when Tick is to be called.
+// Next returns the time at which Tick is to be called.
 func (n *Node) Next() float64 { return n.wakeAt }
 
-// Tick passes the membership view to the group and does what is due.
+// Tick passes the membership view to the group at intervals of observeIntervalMS and runs the work of the group that is
+// due.
 func (n *Node) Tick(now float64) {
-	if now >= n.observeAt {
-		n.observeAt = now + observeMS
+	if now >= n.nextObserveAt {
+		n.nextObserveAt = now + observeIntervalMS
 		n.checkIncarnation(now)
 		n.group.Observe(n.observations())
 		n.refreshConfiguration(now)
@@ -128,7 +134,8 @@
 	n.step(now, consensus.Event{Kind: consensus.Ticked})
 }
 
-// checkIncarnation tells the group of a new incarnation of this controller.
+// checkIncarnation notifies the group and OnIncarnation if the membership view has raised this controller's
+// incarnation.
 func (n *Node) checkIncarnation(now float64) {
 	incarnation := n.view.Self().Incarnation
 	if incarnation == n.incarnation {
@@ -141,6 +148,7 @@
 	}
 }
 
+// observations converts the membership view for the group.
 func (n *Node) observations() (list []consensus.Observation) {
 	for _, m := range n.view.Members() {
 		list = append(list, consensus.Observation{Name: m.Name, Incarnation: m.Incarnation, Alive: m.State.IsLive(),
@@ -150,8 +158,8 @@
 	return list
 }
 
-// ReleaseLease gives the lease back before a planned shutdown and waits a short time for the answer. It may be called from any goroutine
-// but the transport's.
+// ReleaseLease releases the lease before a graceful shutdown and waits up to releaseTimeout for the answer. It may be
+// called from any goroutine but the transport's.
 func (n *Node) ReleaseLease() {
 	done := make(chan struct{})
 	n.transport.Post(func(now float64) {
@@ -161,7 +169,7 @@
 			close(done)
 			return
 		}
-		n.step(now, consensus.Event{Kind: consensus.LeaseReturned}) // before the leader learns of it
+		n.step(now, consensus.Event{Kind: consensus.LeaseReleased}) // this controller stops acting on the lease first
 		n.request(now, leader, append([]byte{messageLeaseRequest}, data...), func(float64, []byte, error) { close(done) })
 	})
 	select {
@@ -170,7 +178,7 @@
 	}
 }
 
-// Close ends the node. The transport calls it last.
+// Close stops the node and closes its storage. It is the last call that the transport makes.
 func (n *Node) Close() {
 	close(n.stop)
 	for _, reply := range n.leaseReplies {
--- a/internal/raftnode/peer_stream.go
+++ b/internal/raftnode/peer_stream.go
@@ -3,12 +3,14 @@
 import "liftshift/internal/clusternet"
 
 const (
-	maxStreams     = 16
-	streamCapacity = 64 // messages; further ones are dropped, which Raft tolerates
+	// maxPeerStreams bounds the peers with a queue of their own.
+	maxPeerStreams = 16
+	// streamQueueCapacity bounds the messages in a queue. Further ones are dropped, which Raft tolerates.
+	streamQueueCapacity = 64
 )
 
-// sendMessage queues a Raft message for a voter. A goroutine for each voter sends its messages in order, so that a voter that does not
-// answer delays no other.
+// sendMessage queues a Raft message for a voter. One goroutine per voter sends the queued messages in order, so that a
+// voter that does not answer delays no other.
 func (n *Node) sendMessage(to string, data []byte) {
 	address := n.address(to)
 	if address == "" || to == n.name {
@@ -23,25 +25,26 @@
 	}
 }
 
-// stream returns the queue for an address and starts it if need be. Past maxStreams, it ends another one, most likely of a former voter.
+// stream returns the message queue of an address. A new one is created, with its goroutine, if there is none; at
+// maxPeerStreams an arbitrary other one is closed to make room.
 func (n *Node) stream(address string) chan []byte {
 	if messages := n.streams[address]; messages != nil {
 		return messages
 	}
-	if len(n.streams) >= maxStreams {
+	if len(n.streams) >= maxPeerStreams {
 		for other, messages := range n.streams {
 			close(messages)
 			delete(n.streams, other)
 			break
 		}
 	}
-	messages := make(chan []byte, streamCapacity)
+	messages := make(chan []byte, streamQueueCapacity)
 	n.streams[address] = messages
 	go n.runStream(address, messages)
 	return messages
 }
 
-// runStream sends the messages of a queue until it is closed or the node stops.
+// runStream sends the messages of a queue until the queue is closed or the node stops.
 func (n *Node) runStream(address string, messages <-chan []byte) {
 	for {
 		select {
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -19,27 +19,28 @@
 	"liftshift/internal/vfs"
 )
 
-// Durable state is recovered after a crash, whatever became of unsynced writes; overridden entries are not.
+// Durable state is recovered after a crash, whether or not unsynced writes survive it. Overwritten entries are not
+// recovered.
 func TestStorage_RecoversAfterCrash(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openStorage(fs, &Node{}, discardLog())
+	original, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
-	id := d.id
-	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: hardState(2, 9, 2)})
+	id := original.folderID
+	persistAndSync(t, original, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1), entryAt(3, 1), entryAt(4, 1)}})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(3, 2)}, State: hardState(2, 9, 2)})
 	for seed, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LoseNothing} {
 		reopened, err := openStorage(fs.Clone().Crash(loss, uint64(seed)), &Node{}, discardLog())
 		require.NoError(t, err)
-		assert.Equal(t, id, reopened.id)
+		assert.Equal(t, id, reopened.folderID)
 		assert.Equal(t, uint64(9), reopened.persisted.State.GetVote())
-		require.Len(t, reopened.persisted.Entries, 2, "entry 4 was overridden")
+		require.Len(t, reopened.persisted.Entries, 2, "entry 4 was overwritten by the one at index 3")
 		assert.Equal(t, uint64(2), reopened.persisted.Entries[1].GetTerm())
 		reopened.close()
 	}
-	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(3)})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
-	d.close()
+	persistAndSync(t, original, consensus.Effect{Snapshot: snapshotAt(3)})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(4, 2)}})
+	original.close()
 	reopened, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
 	defer reopened.close()
@@ -48,32 +49,33 @@
 	assert.Equal(t, uint64(4), reopened.persisted.Entries[0].GetIndex())
 }
 
-// A log whose end is torn may lack durable state: the folder becomes another voter, without any state.
+// A torn log may lack durable state: the folder gets another ID and loses all state, so that it cannot vote twice.
 func TestStorage_TornLogBecomesAnotherVoter(t *testing.T) {
 	fs := vfs.NewMemory()
-	d, err := openStorage(fs, &Node{}, discardLog())
+	original, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
-	id := d.id
-	persistAndSync(t, d, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
-	persistAndSync(t, d, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
-	d.close()
+	id := original.folderID
+	persistAndSync(t, original, consensus.Effect{Snapshot: snapshotAt(1), State: hardState(1, 7, 1)})
+	persistAndSync(t, original, consensus.Effect{Entries: []*raftpb.Entry{entryAt(2, 1)}})
+	original.close()
 	names, err := fs.List()
 	require.NoError(t, err)
 	for _, name := range names {
-		if b := fs.Bytes(name); strings.HasSuffix(name, ".log") && len(b) > 64 {
-			end := len(strings.TrimRight(string(b), "\x00"))
-			fs.Set(name, append(b[:end-5], make([]byte, 64)...))
+		if content := fs.Bytes(name); strings.HasSuffix(name, ".log") && len(content) > 64 {
+			end := len(strings.TrimRight(string(content), "\x00"))
+			fs.Set(name, append(content[:end-5], make([]byte, 64)...))
 		}
 	}
 	reopened, err := openStorage(fs, &Node{}, discardLog())
 	require.NoError(t, err)
 	defer reopened.close()
-	assert.NotEqual(t, id, reopened.id)
+	assert.NotEqual(t, id, reopened.folderID)
 	assert.Nil(t, reopened.persisted.Snapshot)
 	assert.Empty(t, reopened.persisted.Entries)
 }
 
-// Three members form a group over real sockets. One's disk fills up: it stops voting, the others go on, and so does its process.
+// When the disk of one of three voters fills up, that voter stops, the other two continue, and its controller still
+// gets leases.
 func TestNode_FullDiskStopsOneVoter(t *testing.T) {
 	var full atomic.Bool
 	names := []string{"a", "b", "c"}
@@ -81,18 +83,18 @@
 	var failed atomic.Bool
 	leader := ""
 	findLeader := func() string {
-		for _, n := range names {
-			s := nodes[n]
-			s.transport.Do(func(now float64, _ *membership.View) {
-				if st := s.Status(now); st.Leader == n {
-					leader = n
+		for _, name := range names {
+			node := nodes[name]
+			node.transport.Do(func(now float64, _ *membership.View) {
+				if status := node.Status(now); status.Leader == name {
+					leader = name
 				}
 			})
 		}
 		return leader
 	}
-	at := freeAddresses(t, 3)
-	for k, name := range names {
+	addresses := freeAddresses(t, 3)
+	for i, name := range names {
 		fs := vfs.NewMemory()
 		if name == "b" {
 			fs.Fail = func(op vfs.Op) error {
@@ -102,38 +104,45 @@
 				return nil
 			}
 		}
-		c := clusternet.New(at[k], discardLog())
-		v := membership.New(c.Now(), "f", membership.Member{Name: name, Incarnation: 1, Address: at[k]}, at, membership.DefaultSettings(), uint32(k))
-		s, err := New(c, v, fs, names, consensus.DefaultSettings(), uint32(k), discardLog())
+		transport := clusternet.New(addresses[i], discardLog())
+		self := membership.Member{Name: name, Incarnation: 1, Address: addresses[i]}
+		view := membership.New(transport.Now(), "f", self, addresses, membership.DefaultSettings(), uint32(i))
+		node, err := New(transport, view, fs, names, consensus.DefaultSettings(), uint32(i), discardLog())
 		require.NoError(t, err)
 		if name == "b" {
-			s.OnEffect = func(_ float64, e consensus.Effect) {
+			node.OnEffect = func(_ float64, e consensus.Effect) {
 				if e.Kind == consensus.VoterFailed {
 					failed.Store(true)
 				}
 			}
 		}
-		require.NoError(t, c.Start(v, s))
-		nodes[name] = s
-		t.Cleanup(c.Stop)
+		require.NoError(t, transport.Start(view, node))
+		nodes[name] = node
+		t.Cleanup(transport.Stop)
 	}
-	holdsLease := func(n string) func() bool { return func() bool { return nodes[n].LeaseHeld() } }
-	for _, n := range names {
-		require.Eventually(t, holdsLease(n), 20*time.Second, 20*time.Millisecond, n)
+	holdsLease := func(name string) func() bool { return func() bool { return nodes[name].LeaseHeld() } }
+	for _, name := range names {
+		require.Eventually(t, holdsLease(name), 20*time.Second, 20*time.Millisecond, "member %s has no lease", name)
 	}
 	full.Store(true)
-	s := nodes[findLeader()] // an entry that all have to persist
-	require.True(t, s.transport.Do(func(now float64, _ *membership.View) {
-		s.step(now, consensus.Event{Kind: consensus.LeaseRequested, Name: "c", Incarnation: 1, Release: true})
+	leaderNode := nodes[findLeader()]
+	require.True(t, leaderNode.transport.Do(func(now float64, _ *membership.View) {
+		// The release of a lease adds an entry to the log, which each voter has to persist.
+		leaderNode.step(now, consensus.Event{Kind: consensus.LeaseRequested, Name: "c", Incarnation: 1, Release: true})
 	}))
-	require.Eventually(t, failed.Load, 10*time.Second, 20*time.Millisecond)
-	require.Eventually(t, func() bool { leader = ""; return findLeader() != "" && leader != "b" }, 20*time.Second, 50*time.Millisecond, "the others go on")
-	time.Sleep(7 * time.Second)
-	assert.True(t, nodes["b"].LeaseHeld(), "it requests its lease from the others")
+	require.Eventually(t, failed.Load, 10*time.Second, 20*time.Millisecond, "voter b did not fail with its disk full")
+	isLedByOther := func() bool {
+		leader = ""
+		return findLeader() != "" && leader != "b"
+	}
+	require.Eventually(t, isLedByOther, 20*time.Second, 50*time.Millisecond, "the other voters have no leader")
+	time.Sleep(7 * time.Second) // longer than a lease
+	assert.True(t, nodes["b"].LeaseHeld(), "the member of the failed voter gets its lease from the others")
 }
 
+// discardLog returns a logger without output.
 func discardLog() logrus.FieldLogger {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	return l
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
 }
