--- a/internal/consensus/consensus_test.go
+++ b/internal/consensus/consensus_test.go
@@ -78,7 +78,7 @@
 
 // Founders form the group from equal snapshots once they know each other's data folders. A founder with another data
 // folder than at formation is not a voter.
-func TestGroup_FoundersFormGroupOnce(t *testing.T) {
+func TestGroup_FoundersFormGroupFromEqualSnapshots(t *testing.T) {
 	founders := []string{"a", "b", "c"}
 	a := New(0, "a", 1, "fa", founders, PersistedState{}, DefaultSettings(), 1)
 	assert.Len(t, a.Step(0, &Event{Kind: Ticked}), 3, "two Hello requests and a lease request")
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -120,7 +120,7 @@
 	// RequestHello has the caller ask the member To for its Hello. A HelloReceived event follows.
 	SendHello
 	// MemberLost reports that Name's Incarnation has been declared lost, in Term. Each member that replicates the
-	// record emits it once.
+	// record emits it once. Reason is empty unless the member shut down gracefully.
 	MemberLost
 	// MemberAdmitted reports that Name's Incarnation has been admitted, in Term.
 	MemberAdmitted
--- a/internal/raftnode/messages.go
+++ b/internal/raftnode/messages.go
@@ -33,7 +33,7 @@
 	Release     bool   `json:"Release,omitempty"`
 }
 
-// Handle handles a message from another member. It calls reply once, now or later.
+// Handle processes a message from another member. It calls reply once, at once or later.
 func (n *Node) Handle(now float64, data []byte, reply func([]byte, error)) {
 	if len(data) == 0 {
 		reply(nil, errors.New("nothing is said"))
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -42,8 +42,8 @@
 
 	// OnPlan, if set, is called when this member learns of a change of the plan or of the operators' orders.
 	OnPlan func(now float64, p AgreedPlan)
-	// OnPlanConfirmed, if set, is called with the number of the plan that was in force at some time after the given
-	// one.
+	// OnPlanConfirmed, if set, is called when the leader has confirmed that the plan with this number was in force at
+	// some time later than after.
 	OnPlanConfirmed func(now float64, number uint64, after float64)
 
 	group       *consensus.Group
