--- a/internal/membership/datagram.go
+++ b/internal/membership/datagram.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// decode parses a message and counts those that can't be used.
+// decode parses a message and counts it by its outcome. It returns false for a message that was rejected.
 func (v *View) decode(data []byte) (message, bool) {
 	msg, err := parseMessage(v.fleet, data)
 	switch {
@@ -11,7 +11,7 @@
 		return msg, true
 	case errors.Is(err, errForeign):
 		v.counts.Foreign++
-	case errors.Is(err, errNewer):
+	case errors.Is(err, errNewerVersion):
 		v.counts.Newer++
 	default:
 		v.counts.Malformed++
@@ -19,14 +19,14 @@
 	return msg, false
 }
 
-// handleDatagram takes a datagram: first the records in it, then what it asks for.
-func (v *View) handleDatagram(ev *Event) {
-	msg, ok := v.decode(ev.Data)
+// handleDatagram merges the records of a datagram and then handles the message itself.
+func (v *View) handleDatagram(event *Event) {
+	msg, ok := v.decode(event.Data)
 	if !ok {
 		return
 	}
 	if msg.sender.Name == v.self.Name {
-		v.handleOwnName(ev.From, &msg)
+		v.handleSameNameSender(event.From, &msg)
 		return
 	}
 	known := v.byName[msg.sender.Name]
@@ -39,21 +39,22 @@
 			corrections = v.appendCorrection(corrections, &msg.members[k])
 		}
 	}
-	if msg.kind == kindPing || msg.kind == kindAck { // gossip goes to where records are queued: it is no sample of the fleet
-		v.clearGossipIfSettled(msg.viewHash)
+	// Only probes and their answers sample the fleet evenly: gossip comes from members that have records to send.
+	if msg.kind == kindPing || msg.kind == kindAck {
+		v.clearGossipIfViewsEqual(msg.viewHash)
 	}
 	from := v.byName[msg.sender.Name]
-	if wasDead && known.State.IsLive() { // the two were partitioned: all that either knows is compared at once
+	if wasDead && known.State.IsLive() { // a partition between the two members has ended: reconcile their views at once
 		v.startExchange(known.Address)
 		v.startRapidExchanges()
 	}
 	switch msg.kind {
 	case kindPing:
-		v.handlePing(ev.From, &msg, from, corrections)
+		v.handlePing(event.From, &msg, from, corrections)
 	case kindAck:
 		v.handleAck(&msg, from)
 	case kindPingRequest:
-		v.handlePingRequest(ev.From, &msg)
+		v.handlePingRequest(event.From, &msg)
 	case kindNack:
 		if p := v.findProbe(msg.sequence); p != nil {
 			p.nacks++
@@ -61,8 +62,8 @@
 	}
 }
 
-// handleOwnName takes a datagram whose sender has this controller's name.
-func (v *View) handleOwnName(from string, msg *message) {
+// handleSameNameSender handles a datagram whose sender has this controller's name.
+func (v *View) handleSameNameSender(from string, msg *message) {
 	if msg.sender.Address != v.self.Address || msg.sender.Incarnation != v.self.Incarnation {
 		v.handleDuplicate(&msg.sender, true)
 	}
@@ -71,13 +72,13 @@
 	}
 }
 
-// handlePing answers a probe.
+// handlePing answers a probe, with records that correct outdated suspicions in it.
 func (v *View) handlePing(address string, msg *message, from *member, corrections []Member) {
 	if msg.target != "" && (msg.target != v.self.Name || msg.incarnation > v.self.Incarnation) {
-		v.counts.Stale++ // for another member that had this address
+		v.counts.Stale++ // the probe is for another member, which had this address before
 		return
 	}
-	v.sendTo(address, &message{kind: kindAck, sequence: msg.sequence, target: v.self.Name, incarnation: v.self.Incarnation,
-		members: corrections}, from)
+	v.sendTo(address, &message{kind: kindAck, sequence: msg.sequence, target: v.self.Name,
+		incarnation: v.self.Incarnation, members: corrections}, from)
 	v.exchangeIfDifferent(msg.viewHash, from)
 }
--- a/internal/membership/duplicate.go
+++ b/internal/membership/duplicate.go
@@ -1,10 +1,12 @@
 package membership
 
-// duplicateTimeoutMS is how long another process with this controller's name is remembered without a message from it.
+// duplicateTimeoutMS is the time without a message from another process with this controller's name after which that
+// process is taken to have ended.
 const duplicateTimeoutMS = 5000
 
-// handleDuplicate takes a record with this controller's name and another incarnation or address: a former incarnation, or another
-// process with the same name. A direct record was sent by that process itself.
+// handleDuplicate handles a record with this controller's name and another incarnation or address. It belongs to a
+// previous incarnation of this controller, or to another process with the same name. A direct record was sent by that
+// process itself.
 func (v *View) handleDuplicate(record *Member, direct bool) {
 	if !direct {
 		v.handleReportedDuplicate(record)
@@ -14,25 +16,26 @@
 		if record.Incarnation > v.self.Incarnation {
 			v.raiseIncarnation(record.Incarnation + 1)
 		}
-		return // an echo of a former incarnation, or of this one
+		return // a delayed message of a previous incarnation, or of this one
 	}
 	v.duplicate = *record
 	if v.self.Flags&Duplicated == 0 {
 		v.counts.DuplicateNames++
-		v.emit(Effect{Kind: DuplicateName, Member: *record, Reason: "another process bears this name"})
+		v.emit(Effect{Kind: DuplicateName, Member: *record, Reason: "another process has the same name"})
 		v.setFlags(v.self.Flags | Duplicated)
 	}
 	v.duplicate.Since = v.now
 	v.duplicate.State = Alive
 }
 
-// handleReportedDuplicate takes such a record from a third member. The other process is probed before anything is concluded.
+// handleReportedDuplicate handles a record with this controller's name that a third member sent. The other process is
+// probed first: only its own answer sets the Duplicated flag.
 func (v *View) handleReportedDuplicate(record *Member) {
 	if record.Incarnation <= v.self.Incarnation || record.State == Left {
-		return // a former incarnation
+		return // a previous incarnation of this controller
 	}
 	if record.Address == v.self.Address {
-		v.raiseIncarnation(record.Incarnation + 1) // it was this controller, while its clock was ahead
+		v.raiseIncarnation(record.Incarnation + 1) // a previous start of this controller, when its clock was ahead
 		return
 	}
 	if v.now < v.duplicateCheckAt {
@@ -46,7 +49,8 @@
 	}
 }
 
-// checkDuplicate probes the other process with this controller's name, and forgets it once it is silent.
+// checkDuplicate probes the other process with this controller's name, if there is one, and clears the Duplicated flag
+// once that process has not answered for duplicateTimeoutMS.
 func (v *View) checkDuplicate() {
 	if v.duplicate.Incarnation == 0 && v.duplicate.Address == "" {
 		return
@@ -57,11 +61,11 @@
 	}
 	former := v.duplicate
 	v.duplicate = Member{}
-	if former.Incarnation >= v.self.Incarnation { // others know only the later incarnation
+	if former.Incarnation >= v.self.Incarnation { // other members accept only a record of a later incarnation
 		v.raiseIncarnation(former.Incarnation + 1)
 	}
 	if v.self.Flags&Duplicated != 0 {
-		v.emit(Effect{Kind: DuplicateName, Member: former, Reason: "it is not heard of any more"})
+		v.emit(Effect{Kind: DuplicateName, Member: former, Reason: "the other process does not answer any more"})
 		v.setFlags(v.self.Flags &^ Duplicated)
 	}
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -3,22 +3,29 @@
 import "slices"
 
 const (
-	equalViewsToSettle    = 3    // messages in a row with an equal view, after which nothing is left to gossip
-	settledMS             = 2000 // without new records, after which views that still differ are exchanged
-	rapidExchangeChanges  = 3    // changes by one exchange after which others follow at once: two halves of the fleet meet
-	rapidExchangesInARow  = 3
-	reconnectMS           = 2000 // between attempts to reach a seed without a member, or a dead member
-	rapidExchangeMinShare = 0.3  // of the probe interval, until the first of them
+	// equalViewsToClearGossip is the number of consecutive messages with an equal view after which the gossip queue is
+	// cleared.
+	equalViewsToClearGossip = 3
+	// viewComparisonDelayMS is the time without new records after which views that still differ are exchanged.
+	viewComparisonDelayMS = 2000
+	// changesForRapidExchanges is the number of members changed by one exchange from which on further exchanges follow at
+	// short intervals, as two parts of the fleet are probably merging.
+	changesForRapidExchanges = 3
+	rapidExchangeCount       = 3
+	// rapidExchangeMinShare is the minimum delay of the first rapid exchange, as a share of the probe interval.
+	rapidExchangeMinShare = 0.3
+	// reconnectIntervalMS is the average interval between attempts to reach a dead member or a seed without a live member.
+	reconnectIntervalMS = 2000
 )
 
-// startExchange begins an exchange with a hash of the view; full states follow only where the hashes differ.
+// startExchange starts an exchange by sending the hash of the view. Full states follow only if the hashes differ.
 func (v *View) startExchange(address string) {
 	v.counts.Exchanges++
 	v.emit(Effect{Kind: Exchange, To: address, Data: v.encodeHeader(&message{kind: kindDigest})})
 }
 
-// exchangeWithAny starts the periodic exchange with a random member.
-func (v *View) exchangeWithAny() {
+// startPeriodicExchange starts an exchange with a random member and schedules the next one.
+func (v *View) startPeriodicExchange() {
 	v.exchangeAt = v.now + v.settings.ExchangeMS*(0.5+v.random())
 	if v.rapidExchanges > 0 {
 		v.rapidExchanges--
@@ -29,7 +36,7 @@
 	}
 }
 
-// encodeFullState writes all that the view knows as one message.
+// encodeFullState encodes all records of the view as one message.
 func (v *View) encodeFullState() []byte {
 	data := v.encodeHeader(&message{kind: kindFull})
 	for _, m := range v.Members() {
@@ -40,9 +47,9 @@
 	return data
 }
 
-// handleExchange takes one part of an exchange, a request or an answer.
-func (v *View) handleExchange(ev *Event, isRequest bool) {
-	msg, ok := v.decode(ev.Data)
+// handleExchange handles a request or an answer of an exchange.
+func (v *View) handleExchange(event *Event, isRequest bool) {
+	msg, ok := v.decode(event.Data)
 	if !ok {
 		return
 	}
@@ -73,33 +80,35 @@
 		reply(v.encodeFullState())
 	case msg.kind == kindFull && isRequest:
 		reply(v.encodeHeader(&message{kind: kindSame}))
-	case msg.kind == kindFull && msg.viewHash != v.hash: // the other member lacks something
-		v.emit(Effect{Kind: Exchange, To: ev.From, Data: v.encodeFullState()})
+	case msg.kind == kindFull && msg.viewHash != v.hash: // the other member lacks records that this view has
+		v.emit(Effect{Kind: Exchange, To: event.From, Data: v.encodeFullState()})
 	}
-	if changes >= rapidExchangeChanges {
+	if changes >= changesForRapidExchanges {
 		v.startRapidExchanges()
 	}
 }
 
-// startRapidExchanges has several exchanges follow at short intervals.
+// startRapidExchanges schedules several exchanges at short intervals.
 func (v *View) startRapidExchanges() {
-	v.rapidExchanges = rapidExchangesInARow
-	v.exchangeAt = min(v.exchangeAt, v.now+v.settings.ProbeMS*(rapidExchangeMinShare+(1-rapidExchangeMinShare)*v.random()))
+	v.rapidExchanges = rapidExchangeCount
+	v.exchangeAt = min(v.exchangeAt,
+		v.now+v.settings.ProbeMS*(rapidExchangeMinShare+(1-rapidExchangeMinShare)*v.random()))
 }
 
-// exchangeIfDifferent starts an exchange with a member whose view still differs although no records are queued.
+// exchangeIfDifferent starts an exchange with a member whose view hash differs, unless gossip is still under way.
 func (v *View) exchangeIfDifferent(hash uint64, with *member) {
 	if hash == v.hash || with == nil || !with.State.IsLive() {
 		return
 	}
-	if len(v.gossipQueue) > 0 || v.now < v.compareAt {
+	if len(v.gossipQueue) > 0 || v.now < v.compareViewsAt {
 		return
 	}
-	v.compareAt = v.now + settledMS*(0.5+v.random())
+	v.compareViewsAt = v.now + viewComparisonDelayMS*(0.5+v.random())
 	v.startExchange(with.Address)
 }
 
-// reconnect tries to reach a seed where no live member is known, or a dead member, so that a partitioned fleet finds together again.
+// reconnect tries to reach a dead member, or a seed at whose address no live member is known, so that the parts of a
+// partitioned fleet merge again.
 func (v *View) reconnect() {
 	if v.self.State == Leaving {
 		return
@@ -115,7 +124,7 @@
 			dead = append(dead, m)
 		}
 	}
-	if v.live < len(v.seeds) { // hardly any other member shares this work
+	if v.livePeers < len(v.seeds) { // too few members share this work: ping all seeds at once
 		for _, address := range seeds {
 			v.sendTo(address, &message{kind: kindPing, sequence: v.nextSequence()}, nil)
 		}
@@ -135,7 +144,8 @@
 	v.send(m, ping, m)
 }
 
-// join starts an exchange with a member that found this controller first, as all seeds may be gone, or with a seed.
+// join starts an exchange with a random live member if one is known, and otherwise with a random seed. Members may have
+// contacted this controller first, while all its seeds are unreachable.
 func (v *View) join(seeds []string) {
 	if m := v.randomMember(nil); m != nil {
 		v.startExchange(m.Address)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	gossipMS          = 200 // between rounds while records are queued
-	gossipFanout      = 3   // members in each round
-	transmitLogFactor = 4   // transmissions of a record for each tenfold of members
+	gossipIntervalMS  = 200 // interval between gossip rounds while records are queued
+	gossipFanout      = 3   // recipients of each round
+	transmitLogFactor = 4   // a record is sent this often per power of ten of the number of members
 )
 
-// enqueueGossip queues a member's record ahead of older ones.
+// enqueueGossip puts a member's record at the front of the gossip queue and resets its number of transmissions. A
+// record that is queued already keeps its place.
 func (v *View) enqueueGossip(m *member) {
-	m.transmitsLeft = transmitLogFactor * int(math.Ceil(math.Log10(float64(v.live+2))))
-	v.compareAt = v.now + settledMS
+	m.transmitsLeft = transmitLogFactor * int(math.Ceil(math.Log10(float64(v.livePeers+2))))
+	v.compareViewsAt = v.now + viewComparisonDelayMS
 	if m.queued {
 		return
 	}
@@ -21,7 +22,7 @@
 	v.gossipQueue[0] = m
 }
 
-// sendGossip sends queued records to some members at once.
+// sendGossip sends one round of gossip.
 func (v *View) sendGossip() {
 	for k := 0; k < gossipFanout && len(v.gossipQueue) > 0; k++ {
 		if m := v.randomMember(nil); m != nil {
@@ -30,8 +31,10 @@
 	}
 }
 
+// send sends a message to a member.
 func (v *View) send(to *member, msg *message, about *member) { v.sendTo(to.Address, msg, about) }
 
+// sendTo sends a message to an address. See encodeMessage for about.
 func (v *View) sendTo(address string, msg *message, about *member) {
 	data := v.encodeMessage(msg, about)
 	v.counts.Sent++
@@ -39,8 +42,9 @@
 	v.emit(Effect{Kind: Send, To: address, Data: data})
 }
 
-// encodeMessage writes a message and as many queued records as fit. About, if not nil, is the recipient or the member that the message
-// is about; its record goes ahead of the queue if it is one that the member may want to refute.
+// encodeMessage encodes a message with as many queued records as fit into a datagram. The member about, if not nil, is
+// the recipient or the member that the message is about. Its record precedes the queued ones, unless it is Joining,
+// Alive or Unknown, so that the member learns of a suspicion that it has to refute.
 func (v *View) encodeMessage(msg *message, about *member) []byte {
 	data := v.encodeHeader(msg)
 	appendIfFits := func(m *Member) bool {
@@ -61,7 +65,7 @@
 	for ; sent < len(v.gossipQueue); sent++ {
 		m := v.gossipQueue[sent]
 		if m == v.self || m == about {
-			m.transmitsLeft-- // its record is in the message already
+			m.transmitsLeft-- // the message contains its record already
 			continue
 		}
 		if m.transmitsLeft <= 0 {
@@ -76,7 +80,8 @@
 	return data
 }
 
-// requeue moves the first records of the queue to its end, or drops those that were sent often enough.
+// requeue moves the given number of records from the front of the queue to its end. Records without transmissions left
+// are removed.
 func (v *View) requeue(sent int) {
 	head := append([]*member(nil), v.gossipQueue[:sent]...)
 	v.gossipQueue = append(v.gossipQueue[:0], v.gossipQueue[sent:]...)
@@ -89,15 +94,16 @@
 	}
 }
 
-// clearGossipIfSettled empties the queue after several messages in a row from members with an equal view: they know all of it. The
-// accusers of a suspect are no part of a view, so the queue is kept while there is a suspect.
-func (v *View) clearGossipIfSettled(hash uint64) {
+// clearGossipIfViewsEqual clears the queue after several consecutive messages from members with an equal view, as the
+// queued records are known by then. The hash of a view does not cover the accusers of a suspect, so the queue is kept
+// while there is a suspect.
+func (v *View) clearGossipIfViewsEqual(hash uint64) {
 	if hash != v.hash {
 		v.equalViews = 0
 		return
 	}
 	v.equalViews++
-	if v.equalViews < equalViewsToSettle || len(v.gossipQueue) == 0 || v.suspectCount() > 0 {
+	if v.equalViews < equalViewsToClearGossip || len(v.gossipQueue) == 0 || v.suspectCount() > 0 {
 		return
 	}
 	for _, m := range v.gossipQueue {
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -13,118 +13,135 @@
 		New(0, "f", Member{Name: "b", Address: "2", Incarnation: 3}, []string{"1"}, DefaultSettings(), 2)
 }
 
-// introduce lets two views learn of each other.
+// introduce makes two views known to each other.
 func introduce(a, b *View) {
 	a.Step(1, &Event{Kind: DatagramReceived, From: "2", Data: b.encodeMessage(&message{kind: kindGossip}, nil)})
 	b.Step(1, &Event{Kind: DatagramReceived, From: "1", Data: a.encodeMessage(&message{kind: kindGossip}, nil)})
 }
 
-// threeNodes is a fleet of three whose messages wait until a step delivers them.
-type threeNodes struct {
+// threeMemberFleet is a fleet of three members whose messages stay in queues until a step delivers them. The index of a
+// member is also its name and address.
+type threeMemberFleet struct {
 	now          float64
 	views        [3]*View
-	links        [3][3][]Event
+	links        [3][3][]Event // messages in transit, by sender and recipient
 	incarnations [3]uint64
 }
 
-const stepChoices = 6 + 6 + 2 + 3 // deliver on a link, lose on a link, let time pass, restart a node
+// stepChoices is the number of steps to choose from: deliver or lose a message on one of six links, let one of two
+// times pass, or restart one of three members.
+const stepChoices = 6 + 6 + 2 + 3
 
-func newThreeNodes() *threeNodes {
-	w := &threeNodes{}
-	for k := range w.views {
-		w.start(k)
+// newThreeMemberFleet returns a fleet whose members know each other.
+func newThreeMemberFleet() *threeMemberFleet {
+	fleet := &threeMemberFleet{}
+	for k := range fleet.views {
+		fleet.startMember(k)
 	}
-	for range 4 { // until all know each other
-		w.settle()
-		w.now += 100
+	for range 4 {
+		fleet.settle()
+		fleet.now += 100
 	}
-	return w
+	return fleet
 }
 
-func (w *threeNodes) start(k int) {
-	w.incarnations[k]++
+// startMember starts or restarts a member under a new incarnation.
+func (f *threeMemberFleet) startMember(index int) {
+	f.incarnations[index]++
 	settings := DefaultSettings()
 	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 100, 40, 150
-	w.views[k] = New(w.now, "f", Member{Name: fmt.Sprint(k), Address: fmt.Sprint(k), Incarnation: w.incarnations[k]}, []string{"0", "1", "2"}, settings, uint32(k))
-	w.handle(k, -1, Event{Kind: Ticked})
+	self := Member{Name: fmt.Sprint(index), Address: fmt.Sprint(index), Incarnation: f.incarnations[index]}
+	f.views[index] = New(f.now, "f", self, []string{"0", "1", "2"}, settings, uint32(index))
+	f.handle(index, -1, Event{Kind: Ticked})
 }
 
-func (w *threeNodes) handle(k, from int, ev Event) {
-	for _, e := range w.views[k].Step(w.now, &ev) {
+// handle passes an event to a member's view and queues the messages that it sends. A Reply goes to the member from.
+func (f *threeMemberFleet) handle(index, from int, event Event) {
+	for _, e := range f.views[index].Step(f.now, &event) {
 		to := -1
 		if len(e.To) == 1 {
 			to = int(e.To[0] - '0')
 		}
 		switch {
 		case e.Kind == Send && to >= 0:
-			w.links[k][to] = append(w.links[k][to], Event{Kind: DatagramReceived, From: fmt.Sprint(k), Data: e.Data})
+			f.links[index][to] = append(f.links[index][to],
+				Event{Kind: DatagramReceived, From: fmt.Sprint(index), Data: e.Data})
 		case e.Kind == Exchange && to >= 0:
-			w.links[k][to] = append(w.links[k][to], Event{Kind: ExchangeRequested, From: fmt.Sprint(k), Data: e.Data})
+			f.links[index][to] = append(f.links[index][to],
+				Event{Kind: ExchangeRequested, From: fmt.Sprint(index), Data: e.Data})
 		case e.Kind == Reply:
-			w.links[k][from] = append(w.links[k][from], Event{Kind: ExchangeAnswered, From: fmt.Sprint(k), Data: e.Data})
+			f.links[index][from] = append(f.links[index][from],
+				Event{Kind: ExchangeAnswered, From: fmt.Sprint(index), Data: e.Data})
 		}
 	}
 }
 
-func (w *threeNodes) take(from, to int, deliver bool) bool {
-	q := w.links[from][to]
-	if len(q) == 0 {
+// takeMessage delivers or loses the oldest message of a link. It returns false if there is none.
+func (f *threeMemberFleet) takeMessage(from, to int, deliver bool) bool {
+	queue := f.links[from][to]
+	if len(queue) == 0 {
 		return false
 	}
-	w.links[from][to] = q[1:]
+	f.links[from][to] = queue[1:]
 	if deliver {
-		w.handle(to, from, q[0])
+		f.handle(to, from, queue[0])
 	}
 	return true
 }
 
-func (w *threeNodes) settle() {
+// settle delivers messages until none is in transit, within a bound, and then passes a tick to each member.
+func (f *threeMemberFleet) settle() {
 	for n := 0; n < 200; n++ {
 		moved := false
 		for k := range 9 {
-			moved = w.take(k/3, k%3, true) || moved
+			moved = f.takeMessage(k/3, k%3, true) || moved
 		}
 		if !moved {
 			break
 		}
 	}
-	for k := range w.views {
-		w.handle(k, -1, Event{Kind: Ticked})
+	for k := range f.views {
+		f.handle(k, -1, Event{Kind: Ticked})
 	}
 }
 
-var pairs = [6][2]int{{0, 1}, {0, 2}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
+// linkEnds lists the sender and the recipient of each link.
+var linkEnds = [6][2]int{{0, 1}, {0, 2}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
 
-// step takes one step; false if there is no message for it.
-func (w *threeNodes) step(choice int) bool {
+// step takes the chosen step. It returns false if the step needs a message and there is none.
+func (f *threeMemberFleet) step(choice int) bool {
 	switch {
 	case choice < 6:
-		return w.take(pairs[choice][0], pairs[choice][1], true)
+		return f.takeMessage(linkEnds[choice][0], linkEnds[choice][1], true)
 	case choice < 12:
-		return w.take(pairs[choice-6][0], pairs[choice-6][1], false)
+		return f.takeMessage(linkEnds[choice-6][0], linkEnds[choice-6][1], false)
 	case choice < 14:
-		w.now += []float64{60, 400}[choice-12]
-		for k := range w.views {
-			w.handle(k, -1, Event{Kind: Ticked})
+		f.now += []float64{60, 400}[choice-12]
+		for k := range f.views {
+			f.handle(k, -1, Event{Kind: Ticked})
 		}
 	default:
-		w.start(choice - 14)
+		f.startMember(choice - 14)
 	}
 	return true
 }
 
-func (w *threeNodes) check(t *testing.T, path []int) {
-	for k, v := range w.views {
-		for o, other := range w.views {
-			m, known := v.Find(fmt.Sprint(o))
+// assertInvariants checks that no view has a later incarnation or refutation of a member than the member itself, and
+// that none has its own member as Suspect or Dead.
+func (f *threeMemberFleet) assertInvariants(t *testing.T, path []int) {
+	for k, view := range f.views {
+		for o, other := range f.views {
+			m, known := view.Find(fmt.Sprint(o))
 			if !known {
 				continue
 			}
-			good := m.Incarnation <= w.incarnations[o] && (m.Incarnation < other.Self().Incarnation || m.Refutation <= other.Self().Refutation)
+			valid := m.Incarnation <= f.incarnations[o] &&
+				(m.Incarnation < other.Self().Incarnation || m.Refutation <= other.Self().Refutation)
 			if o == k {
-				good = m.State != Suspect && m.State != Dead
+				valid = m.State != Suspect && m.State != Dead
 			}
-			assert.True(t, good, "path %v: node %d knows node %d as %+v, which announces %+v", path, k, o, m, other.Self())
+			assert.True(t, valid, "after steps %v, member %d has member %d as %+v, whose own record is %+v",
+				path, k, o, m, other.Self())
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,17 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A datagram that is truncated at any byte, or has any byte corrupted, is accepted as a whole or rejected, and never stops the view.
+// A datagram that is truncated or has corrupted bytes is accepted as a whole or rejected, and never makes the view
+// panic or grow past its bound.
 func TestView_RejectsTruncatedAndCorruptedDatagrams(t *testing.T) {
 	a, b := newPair()
 	data := a.encodeMessage(&message{kind: kindGossip, sequence: 7, target: "b", incarnation: 3}, nil)
-	m, err := parseMessage("f", data)
+	msg, err := parseMessage("f", data)
 	require.NoError(t, err)
-	assert.Equal(t, a.self.Member.Name, m.sender.Name)
+	assert.Equal(t, a.self.Member.Name, msg.sender.Name)
 	before := b.Members()
 	for n := range len(data) {
 		if _, err := parseMessage("f", data[:n]); err == nil {
-			assert.Len(t, m.members, 0, "truncated at %d: only whole records were left out", n)
+			assert.Len(t, msg.members, 0, "a datagram truncated at byte %d is accepted, so only whole records may be missing", n)
 		}
 		b.Step(1, &Event{Kind: DatagramReceived, From: "x", Data: data[:n]})
 	}
@@ -35,6 +36,7 @@
 	assert.LessOrEqual(t, len(b.Members()), defaultMaxMembers)
 }
 
+// No message makes a view panic, be it a datagram or the request of an exchange.
 func FuzzView_Datagram(f *testing.F) {
 	a, b := newPair()
 	f.Add(a.encodeMessage(&message{kind: kindPing, sequence: 7, target: "b", incarnation: 3}, nil))
@@ -45,22 +47,23 @@
 	})
 }
 
-// Messages of another fleet, of a later version, or malformed are counted apart and change nothing.
+// Messages of another fleet, of a later protocol version and malformed ones are counted separately and change nothing.
 func TestView_CountsForeignNewerAndMalformed(t *testing.T) {
 	a, b := newPair()
 	data := a.encodeMessage(&message{kind: kindGossip}, nil)
 	newer := append([]byte(nil), data...)
 	newer[2] = protocolMajor + 1
-	other := New(0, "another", Member{Name: "a", Address: "1"}, nil, DefaultSettings(), 1).encodeMessage(&message{kind: kindGossip}, nil)
-	for _, d := range [][]byte{newer, other, data[:len(data)-1], []byte("hello")} {
-		b.Step(1, &Event{Kind: DatagramReceived, Data: d})
+	otherFleet := New(0, "another", Member{Name: "a", Address: "1"}, nil, DefaultSettings(), 1)
+	foreign := otherFleet.encodeMessage(&message{kind: kindGossip}, nil)
+	for _, datagram := range [][]byte{newer, foreign, data[:len(data)-1], []byte("hello")} {
+		b.Step(1, &Event{Kind: DatagramReceived, Data: datagram})
 	}
-	c := b.Counts()
-	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{c.Newer, c.Foreign, c.Malformed, c.Received})
+	counts := b.Counts()
+	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{counts.Newer, counts.Foreign, counts.Malformed, counts.Received})
 	assert.Zero(t, b.Size())
 }
 
-// A later minor version adds fields to records: they are skipped.
+// Fields that a later minor version appends to a record are skipped.
 func TestView_SkipsFieldsOfLaterMinorVersion(t *testing.T) {
 	a, b := newPair()
 	data := a.encodeHeader(&message{kind: kindGossip})
@@ -76,18 +79,19 @@
 	assert.Equal(t, a.self.Address, m.Address)
 }
 
-// A member's own announcements go before reports about it, and an old incarnation never comes back.
+// A member's own later announcements take precedence over reports about it, and a record of an old incarnation is
+// ignored.
 func TestView_MergeFollowsTransitions(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		state                               State
 		incarnation, refutation             uint64
 		record                              State
 		recordIncarnation, recordRefutation uint64
 		want                                State
 	}{
-		{Alive, 5, 3, Suspect, 5, 2, Alive}, // refuted since
+		{Alive, 5, 3, Suspect, 5, 2, Alive}, // refuted already
 		{Alive, 5, 3, Suspect, 5, 3, Suspect},
-		{Alive, 5, 3, Dead, 5, 3, Suspect}, // it may still refute
+		{Alive, 5, 3, Dead, 5, 3, Suspect}, // the member may still refute
 		{Suspect, 5, 3, Dead, 5, 3, Dead},
 		{Suspect, 5, 3, Alive, 5, 3, Suspect}, // known already
 		{Suspect, 5, 3, Alive, 5, 4, Alive},
@@ -102,15 +106,19 @@
 		{Dead, 5, 3, Left, 5, 3, Left},
 		{Alive, 5, 3, Dead, 4, 99, Alive},
 	} {
-		v, _ := newPair()
-		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.incarnation, Refutation: c.refutation, State: c.state}, "b")
-		v.merge(&Member{Name: "x", Address: "9", Incarnation: c.recordIncarnation, Refutation: c.recordRefutation, State: c.record}, "b")
-		m, _ := v.Find("x")
-		assert.Equal(t, c.want, m.State, "%+v", c)
+		view, _ := newPair()
+		known := Member{Name: "x", Address: "9", Incarnation: test.incarnation, Refutation: test.refutation,
+			State: test.state}
+		record := Member{Name: "x", Address: "9", Incarnation: test.recordIncarnation, Refutation: test.recordRefutation,
+			State: test.record}
+		view.merge(&known, "b")
+		view.merge(&record, "b")
+		m, _ := view.Find("x")
+		assert.Equal(t, test.want, m.State, "state after the merge in case %+v", test)
 	}
 }
 
-// A controller that is reported dead refutes at once and keeps evidence of the report.
+// A controller that is reported Dead refutes at once and keeps evidence of the report.
 func TestView_RefutesReportOfItsDeath(t *testing.T) {
 	a, b := newPair()
 	introduce(a, b)
@@ -122,36 +130,36 @@
 	require.NotEmpty(t, b.Explain("b"))
 }
 
-// All interleavings of three members to a depth: each link may deliver or lose its oldest message, time may pass, a member may restart.
-// No view ever has a later incarnation or refutation of a member than the member itself, and none holds itself for Suspect or Dead.
+// The invariants of threeMemberFleet hold in all interleavings of message deliveries, message losses, pauses and
+// restarts up to a depth, and in longer random ones.
 func TestView_AllInterleavingsOfThreeMembers(t *testing.T) {
 	const depth = 4
-	walks := 0
-	var walk func(path []int)
-	walk = func(path []int) {
-		w := newThreeNodes()
+	interleavings := 0
+	var explore func(path []int)
+	explore = func(path []int) {
+		fleet := newThreeMemberFleet()
 		for _, step := range path {
-			if !w.step(step) {
+			if !fleet.step(step) {
 				return // no message on that link: equal to a shorter path
 			}
 		}
-		walks++
-		w.check(t, path)
+		interleavings++
+		fleet.assertInvariants(t, path)
 		if len(path) < depth {
 			for choice := range stepChoices {
-				walk(append(path[:len(path):len(path)], choice))
+				explore(append(path[:len(path):len(path)], choice))
 			}
 		}
 	}
-	walk(nil)
-	assert.Greater(t, walks, 5000)
-	t.Logf("%d histories", walks)
-	for seed := range uint64(300) { // longer ones, drawn
-		random, path, w := rand.New(rand.NewPCG(seed, 3)), []int{}, newThreeNodes()
+	explore(nil)
+	assert.Greater(t, interleavings, 5000, "number of interleavings up to depth %d", depth)
+	t.Logf("%d interleavings", interleavings)
+	for seed := range uint64(300) {
+		random, path, fleet := rand.New(rand.NewPCG(seed, 3)), []int{}, newThreeMemberFleet()
 		for range 60 {
 			path = append(path, random.IntN(stepChoices))
-			w.step(path[len(path)-1])
-			w.check(t, path)
+			fleet.step(path[len(path)-1])
+			fleet.assertInvariants(t, path)
 		}
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -3,48 +3,52 @@
 import "slices"
 
 const (
-	retainDeadMS = 2 * 3600e3 // how long the name of a member that is gone is kept, so that an old incarnation is recognized
-	pruneMS      = 5000       // between two prunings
-	maxEvidence  = 12         // for each member
+	// retainDeadMS is how long a member that is not live any more is kept. Until then, late records of an old incarnation
+	// are recognized as such.
+	retainDeadMS    = 2 * 3600e3
+	pruneIntervalMS = 5000
+	maxEvidence     = 12 // entries for each member
 )
 
-// merge takes a record about a member that another member sent, and reports whether the member changed.
+// merge applies a record about a member that the member reporter sent, and reports whether the member's state or flags
+// changed.
 func (v *View) merge(record *Member, reporter string) (changed bool) {
 	if record.Name == v.self.Name {
-		v.handleReportOnSelf(record, reporter)
+		v.handleReportAboutSelf(record, reporter)
 		return false
 	}
-	m := v.byName[record.Name]
-	if m == nil {
-		m = v.insert(record)
+	known := v.byName[record.Name]
+	if known == nil {
+		known = v.insert(record)
 	}
-	if m == nil || record.Incarnation < m.Incarnation {
-		return false // no room, or an old incarnation
+	if known == nil || record.Incarnation < known.Incarnation {
+		return false // the view is full, or the record is of an old incarnation
 	}
-	if record.Incarnation > m.Incarnation {
-		if m.State.IsLive() && m.Address != record.Address && record.State.IsLive() && m.State != Suspect {
-			v.addEvidence(m, "a later life of it, at "+record.Address, reporter)
+	if record.Incarnation > known.Incarnation {
+		if known.State.IsLive() && known.Address != record.Address && record.State.IsLive() && known.State != Suspect {
+			v.addEvidence(known, "a later incarnation, at "+record.Address, reporter)
 		}
-		v.resetIncarnation(m, record)
-	} else if isOutdated(record, m) {
+		v.resetIncarnation(known, record)
+	} else if isOutdated(record, known) {
 		return false
 	}
 	in := inputFor[record.State]
-	if in <= announcedAlive && record.Refutation == m.Refutation && m.State != Unknown {
-		return false // known already
+	if in <= announcedAlive && record.Refutation == known.Refutation && known.State != Unknown {
+		return false // this announcement is known already
 	}
 	if record.State == Suspect || record.State == Dead {
-		v.recordAccusation(m, record, reporter)
+		v.recordAccusation(known, record, reporter)
 	}
-	return v.applyInput(m, in, record)
+	return v.applyInput(known, in, record)
 }
 
-// isOutdated reports whether a record of the same incarnation is older than what is known. Between equals, the lower address counts.
+// isOutdated reports whether a record is older than what is known of the same incarnation. Between records of equal
+// age, the one with the lower address wins, so that all views converge.
 func isOutdated(record *Member, m *member) bool {
 	return record.Refutation < m.Refutation || record.Refutation == m.Refutation && record.Address > m.Address
 }
 
-// recordAccusation keeps evidence of who holds a member for Suspect or Dead.
+// recordAccusation adds evidence of which member reported m as Suspect or Dead.
 func (v *View) recordAccusation(m *member, record *Member, reporter string) {
 	if m.State == record.State {
 		return
@@ -53,60 +57,61 @@
 	if accuser == "" {
 		accuser = reporter
 	}
-	v.addEvidence(m, "said to be "+record.State.String()+", by way of "+reporter, accuser)
+	v.addEvidence(m, "reported "+record.State.String()+", received from "+reporter, accuser)
 }
 
-// applyInput moves a member by the transition table, with the record that the input comes from.
-func (v *View) applyInput(m *member, in input, record *Member) bool {
-	t := findTransition(m.State, in)
-	if t == nil {
+// applyInput moves a member to its next state by the transition table and reports whether its state or flags changed.
+// The record is the one that the input was derived from.
+func (v *View) applyInput(target *member, cause input, record *Member) bool {
+	row := findTransition(target.State, cause)
+	if row == nil {
 		return false
 	}
-	before := m.Member
-	m.Refutation = max(m.Refutation, record.Refutation)
-	if in <= announcedLeft || before.State == Unknown {
-		m.Flags = record.Flags
-		m.Version = record.Version
-		m.Address = record.Address
-		m.Zone = record.Zone
-		m.Region = record.Region
+	before := target.Member
+	target.Refutation = max(target.Refutation, record.Refutation)
+	if cause <= announcedLeft || before.State == Unknown {
+		target.Flags = record.Flags
+		target.Version = record.Version
+		target.Address = record.Address
+		target.Zone = record.Zone
+		target.Region = record.Region
 	}
-	m.State = t.next
-	if t.action != nil {
-		t.action(v, m, record)
+	target.State = row.next
+	if row.action != nil {
+		row.action(v, target, record)
 	}
-	if m.State != before.State {
-		v.afterStateChange(m, before.State)
+	if target.State != before.State {
+		v.afterStateChange(target, before.State)
 	}
-	if m.State != Suspect {
-		m.AccusedBy = ""
-		m.accusers = nil
-		m.expedited = false
+	if target.State != Suspect {
+		target.AccusedBy = ""
+		target.accusers = nil
+		target.expedited = false
 	}
-	changed := m.State != before.State || m.Flags != before.Flags
-	if changed || m.Refutation != before.Refutation {
-		v.rehash(m)
-		v.enqueueGossip(m)
+	changed := target.State != before.State || target.Flags != before.Flags
+	if changed || target.Refutation != before.Refutation {
+		v.rehash(target)
+		v.enqueueGossip(target)
 	}
 	if changed {
-		v.emit(Effect{Kind: MemberChanged, Member: m.Member, From: before.State, Reason: reasonFor(m)})
+		v.emit(Effect{Kind: MemberChanged, Member: target.Member, From: before.State, Reason: reasonFor(target)})
 	}
 	return changed
 }
 
-// afterStateChange brings the view's lists and counts in line with a member's new state.
+// afterStateChange updates the view's lists and counters for a member's new state.
 func (v *View) afterStateChange(m *member, before State) {
 	m.Since = v.now
-	if m.State == Suspect && !slices.Contains(v.suspect, m) {
-		v.suspect = append(v.suspect, m)
+	if m.State == Suspect && !slices.Contains(v.suspects, m) {
+		v.suspects = append(v.suspects, m)
 	}
-	v.live += boolToInt(m.State.IsLive()) - boolToInt(before.IsLive())
+	v.livePeers += boolToInt(m.State.IsLive()) - boolToInt(before.IsLive())
 	if m.State.IsLive() && !before.IsLive() {
 		v.addToRing(m)
 	}
 }
 
-// reasonFor returns the newest evidence about a member that is Suspect or Dead.
+// reasonFor returns the newest evidence about a member that is Suspect or Dead, and "" for other states.
 func reasonFor(m *member) string {
 	if len(m.evidence) == 0 || m.State != Suspect && m.State != Dead {
 		return ""
@@ -115,7 +120,7 @@
 	return newest.Observation + " (" + newest.Reporter + ")"
 }
 
-// addEvidence keeps an observation about a member.
+// addEvidence appends an observation about a member and drops the oldest one past maxEvidence.
 func (v *View) addEvidence(m *member, observation, reporter string) {
 	if len(m.evidence) >= maxEvidence {
 		m.evidence = append(m.evidence[:0], m.evidence[1:]...)
@@ -123,7 +128,7 @@
 	m.evidence = append(m.evidence, Evidence{At: v.now, Observation: observation, Reporter: reporter})
 }
 
-// insert adds a member that was not known, or returns nil where there is no room.
+// insert adds a member that was not known. It returns nil if the view is full and all its members are live.
 func (v *View) insert(record *Member) *member {
 	if len(v.byName) >= v.settings.MaxMembers && !v.evictOldest() {
 		v.counts.RejectedForSpace++
@@ -136,7 +141,7 @@
 	return m
 }
 
-// evictOldest removes the member that has been gone for longest, if there is one.
+// evictOldest removes the member that has not been live for longest. It returns false if all members are live.
 func (v *View) evictOldest() bool {
 	var oldest *member
 	for _, m := range v.byName {
@@ -154,28 +159,29 @@
 	return true
 }
 
+// remove deletes a member from the view, its probe ring and its hash.
 func (v *View) remove(m *member) {
 	delete(v.byName, m.Name)
 	if at, found := slices.BinarySearch(v.names, m.Name); found {
 		v.names = slices.Delete(v.names, at, at+1)
 	}
 	v.hash ^= m.hash
-	m.transmitsLeft = 0
+	m.transmitsLeft = 0 // drops its record from the gossip queue
 	if at := slices.Index(v.ring, m); at >= 0 {
 		v.ring = slices.Delete(v.ring, at, at+1)
 	}
 }
 
-// addToRing inserts a member at a random place of the probe ring.
+// addToRing inserts a member at a random position of the probe ring, unless it is there already.
 func (v *View) addToRing(m *member) {
 	if !slices.Contains(v.ring, m) {
 		v.ring = slices.Insert(v.ring, int(v.random()*float64(len(v.ring)+1)), m)
 	}
 }
 
-// resetIncarnation prepares a member for a later incarnation of its name.
+// resetIncarnation discards what is known of a member, whose name has a later incarnation now.
 func (v *View) resetIncarnation(m *member, record *Member) {
-	v.live -= boolToInt(m.State.IsLive())
+	v.livePeers -= boolToInt(m.State.IsLive())
 	v.ring = slices.DeleteFunc(v.ring, func(other *member) bool { return other == m })
 	v.hash ^= m.hash
 	m.hash = 0
@@ -185,7 +191,8 @@
 	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return p.target == m })
 }
 
-// rehash updates the view's hash for a member. Members that are not live are left out, as views forget them at different times.
+// rehash updates the view's hash after a change of a member. Members that are not live are left out, as views remove
+// them at different times.
 func (v *View) rehash(m *member) {
 	v.hash ^= m.hash
 	m.hash = 0
@@ -195,9 +202,9 @@
 	v.hash ^= m.hash
 }
 
-// prune removes members that have been gone for long.
+// prune removes members that have not been live for retainDeadMS.
 func (v *View) prune() {
-	v.pruneAt = v.now + pruneMS
+	v.pruneAt = v.now + pruneIntervalMS
 	var expired []*member
 	for _, m := range v.byName {
 		if m != v.self && !m.State.IsLive() && v.now-m.Since > retainDeadMS {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,53 +3,56 @@
 import "slices"
 
 const (
-	maxProbes         = 8   // under way at a time
-	maxIndirectProbes = 256 // on behalf of others
+	maxProbes         = 8   // own probes in flight
+	maxIndirectProbes = 256 // probes in flight on behalf of others
 	indirectProbers   = 3   // members that are asked to probe on this controller's behalf
-	nackShare         = 0.8 // of the time left, after which an indirect prober reports that it has no answer yet
+	nackShare         = 0.8 // share of the time for an indirect probe after which a negative answer is sent
 
-	// From this many suspects on, probes follow one another faster: members often fail together.
-	manySuspects      = 2
-	manySuspectsShare = 0.05 // of the live members
-	fasterFactor      = 3.0
+	// The probe interval is shorter while there are this many suspects and they are this share of the live members, as
+	// members often fail together.
+	fastProbeMinSuspects  = 2
+	fastProbeSuspectShare = 0.05
+	fastProbeFactor       = 3.0 // divides the probe interval
 
 	maxLocalHealth = 5
 )
 
-// probe is a direct probe that this controller has under way.
+// probe is a probe by this controller that is in flight.
 type probe struct {
 	target     *member
 	sequence   uint64
-	indirect   bool // others have been asked, too
-	nacks      int
+	indirect   bool // whether other members have been asked to probe the target, too
+	nacks      int  // negative answers of those members
 	answered   bool
-	indirectAt float64
+	indirectAt float64 // when other members are asked
 	deadline   float64
 }
 
-// indirectProbe is a probe under way on behalf of another member.
+// indirectProbe is a probe in flight on behalf of another member.
 type indirectProbe struct {
-	requester string // address
-	sequence  uint64 // the requester's
-	expiresAt float64
-	nackAt    float64 // 0: it has been sent
+	requesterAddress  string
+	requesterSequence uint64 // sequence number of the request
+	expiresAt         float64
+	nackAt            float64 // when a negative answer is due; 0 once it was sent
 }
 
-// scaleByHealth stretches a time while this controller itself is slow.
+// scaleByHealth lengthens a timeout according to the local health score.
 func (v *View) scaleByHealth(ms float64) float64 { return ms * float64(1+v.localHealth) }
 
-// adjustHealth changes this controller's judgement of its own slowness.
-func (v *View) adjustHealth(steps int) {
+// adjustHealth adds to the local health score, within its bounds.
+func (v *View) adjustHealth(delta int) {
 	if !v.settings.IgnoreOwnHealth {
-		v.localHealth = min(maxLocalHealth, max(0, v.localHealth+steps))
+		v.localHealth = min(maxLocalHealth, max(0, v.localHealth+delta))
 	}
 }
 
-// probeNext probes the next live member of the ring.
+// probeNext probes the next live member of the ring and schedules the next probe. The ring is shuffled after each
+// round.
 func (v *View) probeNext() {
 	v.probeAt = v.now + v.scaleByHealth(v.settings.ProbeMS)
-	if n := len(v.suspect); n >= manySuspects && float64(n) >= manySuspectsShare*float64(v.live) {
-		v.probeAt = v.now + v.scaleByHealth(v.settings.ProbeMS/fasterFactor)
+	suspects := len(v.suspects)
+	if suspects >= fastProbeMinSuspects && float64(suspects) >= fastProbeSuspectShare*float64(v.livePeers) {
+		v.probeAt = v.now + v.scaleByHealth(v.settings.ProbeMS/fastProbeFactor)
 	}
 	for range len(v.ring) + 1 {
 		if v.ringPos >= len(v.ring) {
@@ -67,6 +70,7 @@
 	}
 }
 
+// shuffleRing puts the probe ring into a random order.
 func (v *View) shuffleRing() {
 	for k := len(v.ring) - 1; k > 0; k-- {
 		other := int(v.random() * float64(k+1))
@@ -74,20 +78,23 @@
 	}
 }
 
-// startProbe probes a member unless a probe of it is under way.
+// startProbe probes a member. It returns false if a probe of the member is in flight already or too many others are.
 func (v *View) startProbe(m *member) bool {
 	if len(v.probes) >= maxProbes || slices.ContainsFunc(v.probes, func(p probe) bool { return p.target == m }) {
 		return false
 	}
 	sequence := v.nextSequence()
 	v.counts.Probes++
-	v.probes = append(v.probes, probe{target: m, sequence: sequence, indirectAt: v.now + v.scaleByHealth(v.settings.AnswerMS),
-		deadline: v.now + v.scaleByHealth(v.settings.ProbeMS)})
-	v.send(m, &message{kind: kindPing, sequence: sequence, target: m.Name, incarnation: m.Incarnation, members: v.someSuspects()}, m)
+	v.probes = append(v.probes, probe{target: m, sequence: sequence,
+		indirectAt: v.now + v.scaleByHealth(v.settings.AnswerMS),
+		deadline:   v.now + v.scaleByHealth(v.settings.ProbeMS)})
+	v.send(m, &message{kind: kindPing, sequence: sequence, target: m.Name, incarnation: m.Incarnation,
+		members: v.suspectRecords()}, m)
 	return true
 }
 
-// updateProbes starts indirect probes that are due and ends probes that were answered or timed out.
+// updateProbes starts the indirect probes that are due and removes probes that were answered or timed out. A timeout
+// makes the target Suspect.
 func (v *View) updateProbes() {
 	for k := 0; k < len(v.probes); k++ {
 		p := v.probes[k]
@@ -104,35 +111,37 @@
 			continue
 		}
 		v.counts.Unanswered++
-		if p.nacks == 0 { // a negative answer of an indirect prober would show that this controller is reachable
+		if p.nacks == 0 { // without negative answers from indirect probers, this controller may be the slow one
 			v.adjustHealth(1)
 		}
-		v.addEvidence(p.target, "no answer to a probe, nor by way of others", v.self.Name)
+		v.addEvidence(p.target, "no answer to a direct or indirect probe", v.self.Name)
 		v.applyInput(p.target, probeTimedOut, &Member{Name: p.target.Name, Incarnation: p.target.Incarnation,
 			Refutation: p.target.Refutation, State: Suspect, AccusedBy: v.self.Name})
 	}
 }
 
-// requestIndirectProbes asks other members to probe one that has not answered.
+// requestIndirectProbes asks other members to probe a member that has not answered.
 func (v *View) requestIndirectProbes(p *probe) {
 	p.indirect = true
 	v.counts.Indirect++
 	var asked []*member
-	unsuited := func(m *member) bool { return m == p.target || m.State != Alive || slices.Contains(asked, m) }
+	excluded := func(m *member) bool { return m == p.target || m.State != Alive || slices.Contains(asked, m) }
 	for range indirectProbers {
-		m := v.randomMember(unsuited)
+		m := v.randomMember(excluded)
 		if m == nil {
 			continue
 		}
 		asked = append(asked, m)
-		v.send(m, &message{kind: kindPingRequest, sequence: p.sequence, target: p.target.Address, incarnation: p.target.Incarnation}, p.target)
+		v.send(m, &message{kind: kindPingRequest, sequence: p.sequence, target: p.target.Address,
+			incarnation: p.target.Incarnation}, p.target)
 	}
 }
 
-// randomMember draws a live member that is not Suspect and not excluded, or returns nil.
+// randomMember returns a random live member that is neither Suspect nor excluded, or nil if it finds none. A nil
+// function excludes no member.
 func (v *View) randomMember(excluded func(*member) bool) *member {
-	const scanLimit = 64 // members in a row that don't fit, after which another place of the ring is drawn
-	if v.live == 0 {
+	const scanLimit = 64 // members scanned from one position of the ring before further positions are random
+	if v.livePeers == 0 {
 		return nil
 	}
 	start := int(v.random() * float64(len(v.ring)))
@@ -148,19 +157,19 @@
 	return nil
 }
 
-// handlePingRequest probes a member on behalf of another.
+// handlePingRequest probes a member on behalf of the sender. Requests past maxIndirectProbes are dropped.
 func (v *View) handlePingRequest(from string, msg *message) {
 	if len(v.indirectProbes) >= maxIndirectProbes {
 		return
 	}
 	sequence := v.nextSequence()
-	left := v.scaleByHealth(v.settings.ProbeMS - v.settings.AnswerMS)
-	v.indirectProbes[sequence] = indirectProbe{requester: from, sequence: msg.sequence, expiresAt: v.now + 2*left,
-		nackAt: v.now + nackShare*left/2}
+	timeLeft := v.scaleByHealth(v.settings.ProbeMS - v.settings.AnswerMS)
+	v.indirectProbes[sequence] = indirectProbe{requesterAddress: from, requesterSequence: msg.sequence,
+		expiresAt: v.now + 2*timeLeft, nackAt: v.now + nackShare*timeLeft/2}
 	v.sendTo(msg.target, &message{kind: kindPing, sequence: sequence, incarnation: msg.incarnation}, nil)
 }
 
-// expireIndirectProbes ends probes on behalf of others and sends the negative answers that are due.
+// expireIndirectProbes removes expired probes on behalf of others and sends the negative answers that are due.
 func (v *View) expireIndirectProbes() {
 	for sequence, p := range v.indirectProbes {
 		if v.now >= p.expiresAt {
@@ -176,15 +185,16 @@
 			due = append(due, sequence)
 		}
 	}
-	slices.Sort(due) // effects do not depend on the order of a map
+	slices.Sort(due) // effects must not depend on the iteration order of a map
 	for _, sequence := range due {
 		p := v.indirectProbes[sequence]
 		p.nackAt = 0
 		v.indirectProbes[sequence] = p
-		v.sendTo(p.requester, &message{kind: kindNack, sequence: p.sequence}, nil)
+		v.sendTo(p.requesterAddress, &message{kind: kindNack, sequence: p.requesterSequence}, nil)
 	}
 }
 
+// findProbe returns the probe with a sequence number, or nil.
 func (v *View) findProbe(sequence uint64) *probe {
 	for k := range v.probes {
 		if v.probes[k].sequence == sequence {
@@ -194,7 +204,7 @@
 	return nil
 }
 
-// handleAck takes the answer to a probe of this controller, or to one on behalf of another member.
+// handleAck handles the answer to a probe by this controller, or to one on behalf of another member.
 func (v *View) handleAck(msg *message, from *member) {
 	if p := v.findProbe(msg.sequence); p != nil {
 		if !p.answered {
@@ -206,7 +216,8 @@
 	}
 	if p, ok := v.indirectProbes[msg.sequence]; ok && from != nil {
 		delete(v.indirectProbes, msg.sequence)
-		v.sendTo(p.requester, &message{kind: kindAck, sequence: p.sequence, members: []Member{from.Member}}, nil)
+		v.sendTo(p.requesterAddress, &message{kind: kindAck, sequence: p.requesterSequence,
+			members: []Member{from.Member}}, nil)
 		return
 	}
 	if from != nil && v.self.State == Joining {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -3,11 +3,15 @@
 import "slices"
 
 const (
-	stallMS    = 400  // by which a tick is late only if the whole process was paused
-	distrustMS = 1000 // after a pause, until the view judges others again
+	stallThresholdMS = 400  // delay of an event beyond which the whole process is taken to have been paused
+	expiryPauseMS    = 1000 // time after such a pause in which no suspicion expires
 )
 
-// handleStall is called when this controller was paused. No member is judged by what was not received meanwhile.
+// reasonOwnAnnouncement is the reason of a MemberChanged effect about this controller itself.
+const reasonOwnAnnouncement = "announced by the member itself"
+
+// handleStall handles a pause of this process of the given length. Messages that could not be received in that time
+// must not count against other members: probes are cancelled and suspicions extended.
 func (v *View) handleStall(ms float64) {
 	v.counts.Stalls++
 	v.emit(Effect{Kind: SelfStalled, MS: ms})
@@ -16,14 +20,14 @@
 	}
 	v.probes = v.probes[:0]
 	v.localHealth = min(maxLocalHealth, v.localHealth+1+int(ms/v.settings.ProbeMS))
-	for _, m := range v.suspect {
+	for _, m := range v.suspects {
 		if m.State == Suspect {
 			m.suspectUntil += ms
 			m.suspectedAt += ms
 		}
 	}
-	v.trustSelfAt = v.now + distrustMS
-	if ms >= v.settings.SuspectMS/2 && v.self.State != Leaving { // others may have declared it dead: refuted at once
+	v.expiryPausedUntil = v.now + expiryPauseMS
+	if ms >= v.settings.SuspectMS/2 && v.self.State != Leaving { // others may have declared this controller dead
 		v.self.Refutation++
 		v.setFlags(v.self.Flags | Stalled)
 		v.enqueueGossip(v.self)
@@ -31,24 +35,26 @@
 	}
 }
 
-// raiseRefutation makes this controller's own record later than any other about it.
+// raiseRefutation raises this controller's refutation number, so that its own record supersedes all others about it,
+// and queues the record for gossip.
 func (v *View) raiseRefutation() {
 	v.self.Refutation++
 	v.rehash(v.self)
 	v.enqueueGossip(v.self)
 }
 
-// setFlags sets this controller's own flags.
+// setFlags sets this controller's own flags and announces them.
 func (v *View) setFlags(flags Flags) {
 	if flags == v.self.Flags {
 		return
 	}
 	v.self.Flags = flags
 	v.raiseRefutation()
-	v.emit(Effect{Kind: MemberChanged, Member: v.self.Member, From: v.self.State, Reason: "its own word"})
+	v.emit(Effect{Kind: MemberChanged, Member: v.self.Member, From: v.self.State, Reason: reasonOwnAnnouncement})
 }
 
-// announce sets this controller's own state. Left is final, and a controller that leaves does not become Alive again.
+// announce sets this controller's own state and announces it. Left is final, and a leaving controller does not become
+// Alive again.
 func (v *View) announce(state State) {
 	before := v.self.State
 	if before == state || before == Left || before == Leaving && state == Alive {
@@ -57,11 +63,12 @@
 	v.self.State = state
 	v.self.Since = v.now
 	v.raiseRefutation()
-	v.emit(Effect{Kind: MemberChanged, Member: v.self.Member, From: before, Reason: "its own word"})
+	v.emit(Effect{Kind: MemberChanged, Member: v.self.Member, From: before, Reason: reasonOwnAnnouncement})
 }
 
-// sendFarewell tells some members at once that this controller has left.
-func (v *View) sendFarewell() {
+// sendLeaveMessages sends this controller's record, which is Left by now, to a few members without waiting for the next
+// gossip round.
+func (v *View) sendLeaveMessages() {
 	var notified []*member
 	for range 2 * gossipFanout {
 		m := v.randomMember(func(m *member) bool { return slices.Contains(notified, m) })
@@ -73,28 +80,30 @@
 	}
 }
 
-// raiseIncarnation takes on a later incarnation than the fleet knows.
+// raiseIncarnation continues under the given incarnation, which is later than any that the fleet knows.
 func (v *View) raiseIncarnation(incarnation uint64) {
 	v.self.Incarnation = incarnation
 	v.raiseRefutation()
 	v.emit(Effect{Kind: SelfIncarnationRaised, Member: v.self.Member})
 }
 
-// handleReportOnSelf refutes what other members conclude about this controller.
-func (v *View) handleReportOnSelf(record *Member, reporter string) {
+// handleReportAboutSelf handles a record about this controller from another member, and refutes it if it makes this
+// controller Suspect or Dead.
+func (v *View) handleReportAboutSelf(record *Member, reporter string) {
 	if record.Incarnation != v.self.Incarnation || record.Address != v.self.Address {
 		v.handleDuplicate(record, false)
 		return
 	}
 	accused := record.State == Suspect || record.State == Dead
-	if record.Refutation < v.self.Refutation || !accused && record.Refutation == v.self.Refutation || v.self.State == Left {
+	if record.Refutation < v.self.Refutation || !accused && record.Refutation == v.self.Refutation ||
+		v.self.State == Left {
 		return
 	}
 	v.counts.Refuted++
 	if record.State == Dead {
 		v.counts.ReportedDead++
 	}
-	v.addEvidence(v.self, "said to be "+record.State.String()+", refuted", reporter)
+	v.addEvidence(v.self, "reported "+record.State.String()+", refuted", reporter)
 	v.adjustHealth(1)
 	v.self.Refutation = record.Refutation
 	v.raiseRefutation()
--- a/internal/membership/transitions.go
+++ b/internal/membership/transitions.go
@@ -1,19 +1,19 @@
 package membership
 
-// input is what moves a member from one state to another.
+// input is an input of the state machine of a member.
 type input uint8
 
-// Inputs. An announcement of a member counts if its refutation number is later than the known one, a report by others if it is not
-// earlier, and an announcement of a shutdown if it is not earlier either.
+// Inputs of the state machine. The announcements Joining and Alive apply only if their refutation number is greater
+// than the known one. The announcements Leaving and Left, and reports by other members, apply also if it is equal.
 const (
 	announcedJoining input = iota
 	announcedAlive
 	announcedLeaving
 	announcedLeft
-	reportedSuspect  // another member had no answer from it
-	reportedDead     // another member's suspicion expired
-	probeTimedOut    // neither this controller nor others on its behalf had an answer
-	suspicionExpired // the time for a refutation is over
+	reportedSuspect  // another member got no answer from the member
+	reportedDead     // the suspicion of another member expired
+	probeTimedOut    // a probe of this controller and the indirect probes on its behalf got no answer
+	suspicionExpired // the member did not refute a suspicion of this view in time
 )
 
 // transition is a row of the transition table.
@@ -24,7 +24,7 @@
 	action func(*View, *member, *Member)
 }
 
-// transitions gives for a state and an input the next state and an action. Inputs without a row change nothing.
+// transitions is the transition table. An input without a row for the current state has no effect.
 var transitions = []transition{
 	{Unknown, announcedJoining, Joining, nil},
 	{Unknown, announcedAlive, Alive, nil},
@@ -39,16 +39,16 @@
 	{Alive, announcedAlive, Alive, nil},
 	{Alive, reportedSuspect, Suspect, (*View).startSuspicion},
 	{Alive, probeTimedOut, Suspect, (*View).startSuspicion},
-	{Alive, reportedDead, Suspect, (*View).startExpeditedSuspicion}, // it may still refute before this view gives it up, too
+	{Alive, reportedDead, Suspect, (*View).startExpeditedSuspicion}, // the member may still refute
 	{Suspect, announcedJoining, Joining, (*View).clearSuspicion},
 	{Suspect, announcedAlive, Alive, (*View).clearSuspicion},
 	{Suspect, reportedSuspect, Suspect, (*View).confirmSuspicion},
 	{Suspect, probeTimedOut, Suspect, (*View).confirmSuspicion},
 	{Suspect, reportedDead, Dead, (*View).recordDeath},
 	{Suspect, suspicionExpired, Dead, (*View).recordDeath},
-	{Dead, announcedJoining, Joining, (*View).recordReturn},
-	{Dead, announcedAlive, Alive, (*View).recordReturn},
-	{Leaving, probeTimedOut, Left, nil}, // it had announced its shutdown
+	{Dead, announcedJoining, Joining, (*View).recordRefutation},
+	{Dead, announcedAlive, Alive, (*View).recordRefutation},
+	{Leaving, probeTimedOut, Left, nil}, // the member has announced its shutdown
 	{Leaving, reportedSuspect, Leaving, nil},
 	{Leaving, reportedDead, Left, nil},
 	{Left, announcedLeft, Left, nil},
@@ -56,7 +56,8 @@
 	{anyState, announcedLeft, Left, (*View).clearSuspicion},
 }
 
-// findTransition returns the row for a state and an input, or nil. A row for the state itself comes before a wildcard.
+// findTransition returns the row for a state and an input, or nil. The wildcard rows are last in the table and do not
+// apply to Left.
 func findTransition(state State, in input) *transition {
 	for k := range transitions {
 		t := &transitions[k]
@@ -70,6 +71,6 @@
 	return nil
 }
 
-// inputFor maps the state in a received record to the input that it is.
-var inputFor = [...]input{Joining: announcedJoining, Alive: announcedAlive, Suspect: reportedSuspect, Dead: reportedDead,
-	Leaving: announcedLeaving, Left: announcedLeft}
+// inputFor maps the state in a received record to an input.
+var inputFor = [...]input{Joining: announcedJoining, Alive: announcedAlive, Suspect: reportedSuspect,
+	Dead: reportedDead, Leaving: announcedLeaving, Left: announcedLeft}
