--- a/internal/clusternet/client.go
+++ b/internal/clusternet/client.go
@@ -15,20 +15,21 @@
 
 const (
 	callTimeout      = time.Second
-	maxOutgoingCalls = 24 // by Call, at a time
+	maxOutgoingCalls = 24 // calls by Call in flight
 	maxConnections   = 64
 	idleTimeout      = 20 * time.Second
 )
 
-// errTooManyCalls is the outcome of a Call past maxOutgoingCalls.
-var errTooManyCalls = errors.New("too many calls are under way")
+// errTooManyCalls is the error of a Call while maxOutgoingCalls others are in flight.
+var errTooManyCalls = errors.New("too many outgoing calls are in flight")
 
-// Call calls another member and passes the reply to callback from another goroutine. Past maxOutgoingCalls it fails at once.
+// Call calls another member and passes the reply to callback on another goroutine. It does not block, and fails at once
+// while maxOutgoingCalls others are in flight.
 func (t *Transport) Call(to, method string, data []byte, callback func(reply []byte, err error)) {
 	select {
 	case t.callSlots <- struct{}{}:
 	default:
-		t.Busy.Add(1)
+		t.CallsRejected.Add(1)
 		go callback(nil, errTooManyCalls)
 		return
 	}
@@ -42,7 +43,7 @@
 	}()
 }
 
-// CallSync calls another member and waits for the reply.
+// CallSync calls another member and waits for the reply, at most callTimeout. It is not bounded by maxOutgoingCalls.
 func (t *Transport) CallSync(to, method string, data []byte) ([]byte, error) {
 	conn, err := t.clients.get(to)
 	if err != nil {
@@ -60,23 +61,23 @@
 
 // connectionCache holds client connections by address.
 type connectionCache struct {
-	localAddr *net.TCPAddr // calls come from the address at which the member listens, as its datagrams do
+	localAddr *net.TCPAddr // source address of connections: the IP address at which this member listens
 
-	mu    sync.Mutex
-	conns map[string]*grpc.ClientConn
-	order []string // addresses, the oldest connection first
+	mu            sync.Mutex
+	conns         map[string]*grpc.ClientConn
+	creationOrder []string // addresses, the oldest connection first
 }
 
-// get returns the connection to an address and creates it if need be. Past maxConnections, the oldest one is closed.
+// get returns the connection to an address and creates one if there is none. Past maxConnections, it closes the oldest.
 func (c *connectionCache) get(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn := c.conns[address]; conn != nil {
 		return conn, nil
 	}
-	if len(c.order) >= maxConnections {
-		oldest := c.order[0]
-		c.order = slices.Delete(c.order, 0, 1)
+	if len(c.creationOrder) >= maxConnections {
+		oldest := c.creationOrder[0]
+		c.creationOrder = slices.Delete(c.creationOrder, 0, 1)
 		_ = c.conns[oldest].Close()
 		delete(c.conns, oldest)
 	}
@@ -84,13 +85,14 @@
 		return (&net.Dialer{LocalAddr: c.localAddr, KeepAlive: -1}).DialContext(ctx, "tcp", address)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithIdleTimeout(idleTimeout), grpc.WithContextDialer(dial), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithIdleTimeout(idleTimeout), grpc.WithContextDialer(dial),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithWriteBufferSize(grpcBufferBytes), grpc.WithReadBufferSize(grpcBufferBytes))
 	if err != nil {
 		return nil, err
 	}
 	c.conns[address] = conn
-	c.order = append(c.order, address)
+	c.creationOrder = append(c.creationOrder, address)
 	return conn, nil
 }
 
@@ -102,13 +104,13 @@
 		return
 	}
 	delete(c.conns, address)
-	if at := slices.Index(c.order, address); at >= 0 {
-		c.order = slices.Delete(c.order, at, at+1)
+	if at := slices.Index(c.creationOrder, address); at >= 0 {
+		c.creationOrder = slices.Delete(c.creationOrder, at, at+1)
 	}
 	_ = conn.Close()
 }
 
-// close closes all connections.
+// close closes all connections when the transport stops.
 func (c *connectionCache) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/clusternet/datagram.go
+++ b/internal/clusternet/datagram.go
@@ -9,7 +9,8 @@
 	"liftshift/internal/membership"
 )
 
-// Prefixes of datagrams. Those of the membership view begin with other letters. The values are part of the wire format.
+// Prefixes that tell datagrams apart. Datagrams of the membership view have none and begin with other bytes. The values
+// are part of the wire format.
 var (
 	handoffPrefix  = []byte("LE1")
 	localityPrefix = []byte("LZ1")
@@ -20,19 +21,21 @@
 	prefixBytes      = 3
 )
 
-// MaxHandoffDatagram is the longest content for SendHandoff and SendLocality.
+// MaxHandoffDatagram is the maximum length of the data for SendHandoff and SendLocality.
 const MaxHandoffDatagram = maxDatagramBytes - prefixBytes
 
-// SendHandoff sends a datagram about the hand-over of requests. It does not wait: what the system can't take is lost.
+// SendHandoff sends a datagram of the handoff protocol. It does not block: a datagram that can't be sent is dropped and
+// counted.
 func (t *Transport) SendHandoff(to netip.AddrPort, data []byte) {
 	t.sendPrefixed(to, handoffPrefix, data)
 }
 
-// SendLocality sends a datagram about traffic between zones in the same way.
+// SendLocality sends a datagram of the locality protocol in the same way as SendHandoff.
 func (t *Transport) SendLocality(to netip.AddrPort, data []byte) {
 	t.sendPrefixed(to, localityPrefix, data)
 }
 
+// sendPrefixed sends a datagram that consists of a prefix and data.
 func (t *Transport) sendPrefixed(to netip.AddrPort, prefix, data []byte) {
 	if len(data) > MaxHandoffDatagram {
 		t.Dropped.Add(1)
@@ -46,7 +49,7 @@
 	}
 }
 
-// sendMembership sends a datagram of the membership view. It does not wait, either.
+// sendMembership sends a datagram of the membership view. It does not block, either.
 func (t *Transport) sendMembership(to string, data []byte) {
 	address, err := netip.ParseAddrPort(to)
 	if err == nil {
@@ -57,9 +60,9 @@
 	}
 }
 
-// receiveDatagrams takes datagrams until the socket is closed.
+// receiveDatagrams receives datagrams until the socket is closed.
 func (t *Transport) receiveDatagrams() {
-	var buffer [maxDatagramBytes + 1]byte // a longer datagram is told by the last byte
+	var buffer [maxDatagramBytes + 1]byte // one byte more than allowed, to recognize a datagram that is too long
 	for {
 		n, from, err := t.udpConn.ReadFromUDPAddrPort(buffer[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -75,7 +78,8 @@
 	}
 }
 
-// dispatchDatagram passes a datagram to whom its prefix names. It returns false once the owner's goroutine has ended.
+// dispatchDatagram passes a datagram to the handler for its prefix, or queues it for the membership view if it has
+// none. It returns false if the event loop has ended.
 func (t *Transport) dispatchDatagram(from netip.AddrPort, data []byte) bool {
 	if content, found := bytes.CutPrefix(data, handoffPrefix); found {
 		if t.HandoffDatagram != nil {
@@ -94,7 +98,7 @@
 		t.step(now, &membership.Event{Kind: membership.DatagramReceived, From: sender, Data: data})
 	}
 	select {
-	case t.calls <- call:
+	case t.loopCalls <- call:
 	case <-t.done:
 		return false
 	default:
--- a/internal/clusternet/golden_test.go
+++ b/internal/clusternet/golden_test.go
@@ -18,7 +18,10 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares bytes with a file of testdata/golden and returns the content of the file.
+// goldenContent is the payload of the golden messages.
+const goldenContent = "what is said"
+
+// golden compares got with a file in testdata/golden and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -28,11 +31,11 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), name)
+	assert.Equal(t, string(want), string(got), "encoding differs from %s", path)
 	return want
 }
 
-// The service and its methods keep their names, on the server's side and on the client's.
+// The names of the gRPC service and its methods are stable, on the server's side and on the client's.
 func TestGolden_ClusterNetServiceNames(t *testing.T) {
 	assert.Equal(t, "liftshift.Fleet", serviceDesc.ServiceName)
 	var names []string
@@ -45,50 +48,53 @@
 		[]string{exchangeMethod, ConsensusMethod, HandoffMethod})
 }
 
-// The bytes of a call are wrapped as before.
+// The encoding of a call's payload is stable.
 func TestGolden_ClusterNetCall(t *testing.T) {
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(wrapperspb.Bytes([]byte("what is said")))
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(wrapperspb.Bytes([]byte(goldenContent)))
 	require.NoError(t, err)
-	out := &wrapperspb.BytesValue{}
-	require.NoError(t, proto.Unmarshal(golden(t, "call.pb", data), out))
-	assert.Equal(t, "what is said", string(out.GetValue()))
+	decoded := &wrapperspb.BytesValue{}
+	require.NoError(t, proto.Unmarshal(golden(t, "call.pb", data), decoded))
+	assert.Equal(t, goldenContent, string(decoded.GetValue()))
 }
 
-// Datagrams about the hand-over of requests and about zones keep their prefixes and are told apart by them.
+// The prefixes of handoff and locality datagrams are stable, and each kind reaches its own handler.
 func TestGolden_ClusterNetDatagrams(t *testing.T) {
-	socket := func() *net.UDPConn {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	openSocket := func() *net.UDPConn {
+		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
-		require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
-		return c
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(10*time.Second)))
+		return conn
 	}
-	peer := socket()
+	peer := openSocket()
 	defer peer.Close()
-	c := New("", logrus.New())
-	c.udpConn = socket()
+	transport := New("", logrus.New())
+	transport.udpConn = openSocket()
 	handoff, locality := make(chan string, 1), make(chan string, 1)
-	c.HandoffDatagram = func(_ netip.AddrPort, data []byte) { handoff <- string(data) }
-	c.LocalityDatagram = func(_ netip.AddrPort, data []byte) { locality <- string(data) }
+	transport.HandoffDatagram = func(_ netip.AddrPort, data []byte) { handoff <- string(data) }
+	transport.LocalityDatagram = func(_ netip.AddrPort, data []byte) { locality <- string(data) }
 	ended := make(chan struct{})
-	go func() { c.receiveDatagrams(); close(ended) }()
-	for _, m := range []struct {
+	go func() { transport.receiveDatagrams(); close(ended) }()
+	for _, test := range []struct {
 		file     string
 		send     func(netip.AddrPort, []byte)
 		received chan string
-	}{{"datagram-open-work.bin", c.SendHandoff, handoff}, {"datagram-zones.bin", c.SendLocality, locality}} {
-		m.send(peer.LocalAddr().(*net.UDPAddr).AddrPort(), []byte("what is said"))
-		var b [maxDatagramBytes]byte
-		n, err := peer.Read(b[:])
+	}{
+		{"datagram-open-work.bin", transport.SendHandoff, handoff},
+		{"datagram-zones.bin", transport.SendLocality, locality},
+	} {
+		test.send(peer.LocalAddr().(*net.UDPAddr).AddrPort(), []byte(goldenContent))
+		var buffer [maxDatagramBytes]byte
+		n, err := peer.Read(buffer[:])
 		require.NoError(t, err)
-		_, err = peer.WriteToUDP(golden(t, m.file, b[:n]), c.udpConn.LocalAddr().(*net.UDPAddr))
+		_, err = peer.WriteToUDP(golden(t, test.file, buffer[:n]), transport.udpConn.LocalAddr().(*net.UDPAddr))
 		require.NoError(t, err)
 		select {
-		case got := <-m.received:
-			assert.Equal(t, "what is said", got)
+		case got := <-test.received:
+			assert.Equal(t, goldenContent, got)
 		case <-time.After(10 * time.Second):
-			t.Fatal("a datagram did not come: ", m.file)
+			t.Fatalf("the datagram of %s did not reach its handler", test.file)
 		}
 	}
-	require.NoError(t, c.udpConn.Close())
+	require.NoError(t, transport.udpConn.Close())
 	<-ended
 }
--- a/internal/clusternet/server.go
+++ b/internal/clusternet/server.go
@@ -18,13 +18,13 @@
 	exchangeMethod = "/" + serviceName + "/Exchange"
 	// ConsensusMethod is the method for messages between consensus nodes.
 	ConsensusMethod = "/" + serviceName + "/Council"
-	// HandoffMethod is the method for the hand-over of requests.
+	// HandoffMethod is the method for messages of the handoff protocol.
 	HandoffMethod = "/" + serviceName + "/Estate"
 )
 
 const (
-	maxMessageBytes  = 4 << 20 // of a full state, or of a message between consensus nodes
-	maxIncomingCalls = 64      // on a connection
+	maxMessageBytes  = 4 << 20 // bounds full states of the view and messages between consensus nodes
+	maxIncomingCalls = 64      // concurrent calls on one connection
 	grpcBufferBytes  = 4 << 10
 )
 
@@ -33,13 +33,16 @@
 	Do(func(float64, *membership.View)) bool
 }
 
-var serviceDesc = grpc.ServiceDesc{ServiceName: serviceName, HandlerType: (*fleetServer)(nil), Metadata: "liftshift/fleet",
+// serviceDesc describes the gRPC service without generated code, as all its messages are wrapped bytes.
+var serviceDesc = grpc.ServiceDesc{
+	ServiceName: serviceName, HandlerType: (*fleetServer)(nil), Metadata: "liftshift/fleet",
 	Methods: []grpc.MethodDesc{
 		methodDesc("Exchange", (*Transport).handleExchange),
 		methodDesc("Council", (*Transport).handleConsensus),
 		methodDesc("Estate", (*Transport).handleHandoff),
 	}}
 
+// newServer returns a gRPC server with the service of a transport.
 func newServer(t *Transport) *grpc.Server {
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxIncomingCalls),
 		grpc.ConnectionTimeout(callTimeout), grpc.WriteBufferSize(grpcBufferBytes), grpc.ReadBufferSize(grpcBufferBytes))
@@ -47,8 +50,11 @@
 	return server
 }
 
-// methodDesc describes a method whose request and response are bytes.
-func methodDesc(name string, handle func(t *Transport, ctx context.Context, data []byte) ([]byte, error)) grpc.MethodDesc {
+// byteHandler handles a call whose request and response are bytes.
+type byteHandler func(t *Transport, ctx context.Context, data []byte) ([]byte, error)
+
+// methodDesc describes a method with a byteHandler. An error of the handler is sent as codes.Unavailable.
+func methodDesc(name string, handle byteHandler) grpc.MethodDesc {
 	handler := func(server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		request := &wrapperspb.BytesValue{}
 		if err := decode(request); err != nil {
@@ -63,14 +69,17 @@
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
+// handleExchange answers an exchange of full states.
 func (t *Transport) handleExchange(ctx context.Context, data []byte) ([]byte, error) {
-	return t.callOwner(ctx, func(now float64, reply func([]byte, error)) {
+	return t.callOnLoop(ctx, func(now float64, reply func([]byte, error)) {
 		reply(t.step(now, &membership.Event{Kind: membership.ExchangeRequested, Data: data}), nil)
 	})
 }
 
+// handleConsensus passes a message to the consensus node. The texts of its errors and of those of handleHandoff are
+// sent to peers.
 func (t *Transport) handleConsensus(ctx context.Context, data []byte) ([]byte, error) {
-	return t.callOwner(ctx, func(now float64, reply func([]byte, error)) {
+	return t.callOnLoop(ctx, func(now float64, reply func([]byte, error)) {
 		if t.consensus == nil {
 			reply(nil, errors.New("no council here"))
 			return
@@ -79,6 +88,7 @@
 	})
 }
 
+// handleHandoff passes a message of the handoff protocol to HandoffCall.
 func (t *Transport) handleHandoff(ctx context.Context, data []byte) ([]byte, error) {
 	if t.HandoffCall == nil {
 		return nil, errors.New("no copies are kept here")
@@ -86,20 +96,22 @@
 	return t.HandoffCall(ctx, data)
 }
 
-// response is the outcome of a call.
+// response is the result of a call on the event loop.
 type response struct {
 	data []byte
 	err  error
 }
 
-// callOwner has the owner's goroutine answer a call and waits for the reply no longer than ctx lasts.
-func (t *Transport) callOwner(ctx context.Context, handle func(now float64, reply func([]byte, error))) ([]byte, error) {
+// callOnLoop runs handle on the event loop and waits for its reply until ctx ends.
+func (t *Transport) callOnLoop(
+	ctx context.Context, handle func(now float64, reply func([]byte, error)),
+) ([]byte, error) {
 	responses := make(chan response, 1)
 	call := func(now float64) {
 		handle(now, func(data []byte, err error) { responses <- response{data, err} })
 	}
 	select {
-	case t.calls <- call:
+	case t.loopCalls <- call:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-t.done:
