--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -43,7 +43,7 @@
 	v.enqueueGossip(v.self)
 }
 
-// setFlags sets this controller's own flags and announces them.
+// setFlags sets this controller's own flags and queues its record for gossip if they changed.
 func (v *View) setFlags(flags Flags) {
 	if flags == v.self.Flags {
 		return
@@ -53,8 +53,8 @@
 	v.emit(Effect{Kind: MemberChanged, Member: v.self.Member, From: v.self.State, Reason: reasonOwnAnnouncement})
 }
 
-// announce sets this controller's own state and announces it. Left is final, and a leaving controller does not become
-// Alive again.
+// announce sets this controller's own state and queues its record for gossip. Left is final, and a leaving controller
+// does not become Alive again.
 func (v *View) announce(state State) {
 	before := v.self.State
 	if before == state || before == Left || before == Leaving && state == Alive {
@@ -87,8 +87,8 @@
 	v.emit(Effect{Kind: SelfIncarnationRaised, Member: v.self.Member})
 }
 
-// handleReportAboutSelf handles a record about this controller from another member, and refutes it if it makes this
-// controller Suspect or Dead.
+// handleReportAboutSelf handles a record about this controller from another member. It refutes the record if that makes
+// this controller Suspect or Dead, and supersedes it if it is later than this controller's own.
 func (v *View) handleReportAboutSelf(record *Member, reporter string) {
 	if record.Incarnation != v.self.Incarnation || record.Address != v.self.Address {
 		v.handleDuplicate(record, false)
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -91,7 +91,7 @@
 	FlagsChanged                       // this controller's own flags changed
 	IncarnationRaised                  // this controller's incarnation was declared lost; it continues under a later one
 	LeaveStarted                       // a planned shutdown begins
-	LeaveFinished                      // the shutdown ends; nothing is sent afterwards
+	LeaveFinished                      // the shutdown ends; the view schedules no work afterwards
 )
 
 // Event is an input of a View.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -110,6 +110,7 @@
 	return v.sequence
 }
 
+// emit appends an effect to those that Step returns.
 func (v *View) emit(e Effect) { v.effects = append(v.effects, e) }
 
 // Next returns the time at which the caller must pass a Ticked event to Step.
@@ -261,6 +262,7 @@
 	return due
 }
 
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
