--- a/internal/assembly/cluster_admin.go
+++ b/internal/assembly/cluster_admin.go
@@ -50,7 +50,7 @@
 // membersReply returns the whole view.
 func (c *cluster) membersReply(now float64, v *membership.View) adminapi.MembersReply {
 	n := v.Counts()
-	reply := adminapi.MembersReply{Cluster: c.file.Name, Self: v.Self().Name, Present: v.Present(), Slowness: v.Health(),
+	reply := adminapi.MembersReply{Cluster: c.file.Name, Self: v.Self().Name, Present: v.ControllerCount(), Slowness: v.LocalHealthScore(),
 		Probes: n.Probes, Unanswered: n.Unanswered, Sent: n.Sent, SentBytes: n.SentBytes, Received: n.Received,
 		Hash: strconv.FormatUint(v.Hash(), 16)}
 	for _, m := range v.Members() {
--- a/internal/assembly/cluster_events.go
+++ b/internal/assembly/cluster_events.go
@@ -27,7 +27,7 @@
 		c.log.always().WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "incarnation": m.Incarnation, "reason": e.Reason}).
 			Error("cluster: duplicate member name")
 	case membership.SelfStalled:
-		c.log.bounded(now).WithField("ms", math.Round(e.MS)).Warn("cluster: this controller stalled, and judges nobody by it")
+		c.log.bounded(now).WithField("ms", math.Round(e.StallMS)).Warn("cluster: this controller stalled, and judges nobody by it")
 	case membership.PartitionSuspected:
 		c.log.always().Warn("cluster: many members went at once; it may be this controller that is partitioned")
 	}
@@ -55,7 +55,7 @@
 // publishPresent hands on how many controllers share the executors, where that has changed. What finds no room goes with the next
 // change.
 func (c *cluster) publishPresent() {
-	n := c.view.Present()
+	n := c.view.ControllerCount()
 	if n == c.lastPresent {
 		return
 	}
--- a/internal/clusternet/datagram.go
+++ b/internal/clusternet/datagram.go
@@ -21,8 +21,8 @@
 	prefixBytes      = 3
 )
 
-// MaxHandoffDatagram is the maximum length of the data for SendHandoff and SendLocality.
-const MaxHandoffDatagram = maxDatagramBytes - prefixBytes
+// MaxDatagramPayload is the maximum length of the data for SendHandoff and SendLocality.
+const MaxDatagramPayload = maxDatagramBytes - prefixBytes
 
 // SendHandoff sends a datagram of the handoff protocol. It does not block: a datagram that can't be sent is dropped and
 // counted.
@@ -37,7 +37,7 @@
 
 // sendPrefixed sends a datagram that consists of a prefix and data.
 func (t *Transport) sendPrefixed(to netip.AddrPort, prefix, data []byte) {
-	if len(data) > MaxHandoffDatagram {
+	if len(data) > MaxDatagramPayload {
 		t.Dropped.Add(1)
 		return
 	}
--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -149,7 +149,7 @@
 	c.SetAddress(11, "10.8.8.8:7")
 	c.Start(11)
 	c.RunUntil(c.Now + 5000)
-	assert.Zero(t, c.Nodes[11].View.Size(), "nobody it knows is there")
+	assert.Zero(t, c.Nodes[11].View.LivePeers(), "nobody it knows is there")
 	c.Start(0)
 	requireConvergence(t, c, 10_000, "a seed is back")
 }
--- a/internal/clustersim/consensus.go
+++ b/internal/clustersim/consensus.go
@@ -187,7 +187,7 @@
 			delete(c.answers, e.Token)
 			answer(e.Reply)
 		}
-	case consensus.SendHello:
+	case consensus.RequestHello:
 		if to >= 0 {
 			c.requestHello(k, run, to)
 		}
--- a/internal/clustersim/convergence.go
+++ b/internal/clustersim/convergence.go
@@ -11,7 +11,7 @@
 		}
 	}
 	for _, node := range c.Nodes { // the cheap comparison first
-		if node.Up && node.View.Size() != running-1 {
+		if node.Up && node.View.LivePeers() != running-1 {
 			return false
 		}
 	}
--- a/internal/clustersim/handoff_step.go
+++ b/internal/clustersim/handoff_step.go
@@ -35,7 +35,7 @@
 		case handoff.ReplyBatch:
 			c.replyBatch(k, e)
 		case handoff.Propose:
-			c.propose(k, consensus.Proposal(consensus.EntryKind(e.Proposal), e.Claim, e.Version))
+			c.propose(k, consensus.PlacementProposal(consensus.EntryKind(e.Proposal), e.Claim, e.Version))
 		case handoff.RefreshPlacement:
 			c.refreshPlacement(k)
 		default:
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -71,7 +71,7 @@
 
 // PlacementProposal encodes an entry about placement of the kind EntryReady, EntryClaim, EntrySettled or
 // EntryReinitialize.
-func Proposal(kind EntryKind, c placement.AdoptionClaim, version uint64) []byte {
+func PlacementProposal(kind EntryKind, c placement.AdoptionClaim, version uint64) []byte {
 	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Incarnation: c.Incarnation, Successor: c.Successor,
 		SuccessorIncarnation: c.SuccessorIncarnation, Partitions: c.Partitions, Version: version})
 	return data
--- a/internal/consensus/formation.go
+++ b/internal/consensus/formation.go
@@ -20,7 +20,7 @@
 	g.nextHelloAt = g.now + helloIntervalMS*(0.75+0.5*g.random())
 	for _, name := range g.founders {
 		if name != g.name {
-			g.emit(Effect{Kind: SendHello, To: name})
+			g.emit(Effect{Kind: RequestHello, To: name})
 		}
 	}
 }
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -118,7 +118,7 @@
 	// ReplyLease has the caller answer the LeaseRequested event with this Token by Reply.
 	ReplyLease
 	// RequestHello has the caller ask the member To for its Hello. A HelloReceived event follows.
-	SendHello
+	RequestHello
 	// MemberLost reports that Name's Incarnation has been declared lost, in Term. Each member that replicates the
 	// record emits it once. Reason is empty unless the member shut down gracefully.
 	MemberLost
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if to := g.chooseLearner(replaced); to != "" {
-		g.emit(Effect{Kind: SendHello, To: to})
+		g.emit(Effect{Kind: RequestHello, To: to})
 	}
 }
 
--- a/internal/handoff/adoption.go
+++ b/internal/handoff/adoption.go
@@ -8,9 +8,9 @@
 	"liftshift/scheduler"
 )
 
-// inheritedPartition tracks the adoption of a lost owner's open requests in one partition that this controller has
+// claimedPartition tracks the adoption of a lost owner's open requests in one partition that this controller has
 // claimed.
-type inheritedPartition struct {
+type claimedPartition struct {
 	owner     Member
 	partition int
 	fetches   []*fetch
@@ -26,10 +26,10 @@
 	copy  Copy
 }
 
-// updateInherited follows the agreed claims of this controller: it drops partitions that are no longer claimed and adds
+// updateClaimedPartitions follows the agreed claims of this controller: it drops partitions that are no longer claimed and adds
 // new ones.
-func (m *Manager) updateInherited() {
-	m.inherited = slices.DeleteFunc(m.inherited, func(claimed *inheritedPartition) bool {
+func (m *Manager) updateClaimedPartitions() {
+	m.claimedPartitions = slices.DeleteFunc(m.claimedPartitions, func(claimed *claimedPartition) bool {
 		owner := claimed.owner
 		name, incarnation, found := m.table.SuccessorOf(owner.Name, owner.Incarnation, claimed.partition)
 		return !found || name != m.self.Name || incarnation != m.self.Incarnation
@@ -45,16 +45,16 @@
 func (m *Manager) addClaimedPartitions(claim *placement.AdoptionClaim) {
 	owner := Member{claim.Name, claim.Incarnation}
 	for partition := range placement.PartitionCount {
-		if claim.Partitions&(1<<partition) != 0 && m.findInherited(owner, partition) == nil {
-			m.inherited = append(m.inherited, &inheritedPartition{owner: owner, partition: partition, since: m.now})
+		if claim.Partitions&(1<<partition) != 0 && m.findClaimedPartition(owner, partition) == nil {
+			m.claimedPartitions = append(m.claimedPartitions, &claimedPartition{owner: owner, partition: partition, since: m.now})
 			m.counts.AdoptionClaims++
 		}
 	}
 }
 
-// findInherited returns the partition of a lost owner if this controller has claimed it, or nil.
-func (m *Manager) findInherited(owner Member, partition int) *inheritedPartition {
-	for _, claimed := range m.inherited {
+// findClaimedPartition returns the partition of a lost owner if this controller has claimed it, or nil.
+func (m *Manager) findClaimedPartition(owner Member, partition int) *claimedPartition {
+	for _, claimed := range m.claimedPartitions {
 		if claimed.owner == owner && claimed.partition == partition {
 			return claimed
 		}
@@ -62,11 +62,11 @@
 	return nil
 }
 
-// gatherInherited fetches the lost owners' open requests in claimed partitions and queues them for adoption. It fetches
+// fetchClaimedPartitions fetches the lost owners' open requests in claimed partitions and queues them for adoption. It fetches
 // from a quorum of replicas, as this controller may have missed requests that a quorum stored.
-func (m *Manager) gatherInherited() {
+func (m *Manager) fetchClaimedPartitions() {
 	running := 0
-	for _, claimed := range m.inherited {
+	for _, claimed := range m.claimedPartitions {
 		if !claimed.complete {
 			running++
 			if running > maxTransfers {
@@ -87,7 +87,7 @@
 }
 
 // queueOrphans queues a lost owner's open requests in a claimed partition for adoption, nearest deadline first.
-func (m *Manager) queueOrphans(claimed *inheritedPartition) {
+func (m *Manager) queueOrphans(claimed *claimedPartition) {
 	added := 0
 	for key, stored := range m.openByOwner[claimed.owner].inPartition(claimed.partition) {
 		_, queued := m.queuedForAdoption[key]
@@ -129,8 +129,8 @@
 // stillFetching reports whether adoption waits for recently claimed partitions that are still being fetched: the
 // request with the nearest deadline may be in one of them.
 func (m *Manager) stillFetching() bool {
-	return slices.ContainsFunc(m.inherited, func(claimed *inheritedPartition) bool {
-		return !claimed.complete && m.now < claimed.since+adoptionGatherMS
+	return slices.ContainsFunc(m.claimedPartitions, func(claimed *claimedPartition) bool {
+		return !claimed.complete && m.now < claimed.since+adoptionFetchWaitMS
 	})
 }
 
@@ -138,7 +138,7 @@
 // ended or changed its owner since it was queued.
 func (m *Manager) startAdoption(orphan *orphanedRequest) {
 	stored := m.copies[orphan.key]
-	if m.findInherited(orphan.owner, orphan.key.Partition()) == nil {
+	if m.findClaimedPartition(orphan.owner, orphan.key.Partition()) == nil {
 		return
 	}
 	if stored == nil || stored.Owner != orphan.owner || !stored.state.open() {
@@ -176,7 +176,7 @@
 // It updates this replica's copy by what the others know.
 func (m *Manager) cancelAdoption(req *ownedRequest) {
 	m.abandonOwned(req)
-	stored, known := m.copies[req.key], req.known
+	stored, known := m.copies[req.key], req.reportedCopy
 	if stored == nil || known == nil || stored.Owner != req.previousOwner || !stored.state.open() {
 		return
 	}
@@ -242,7 +242,7 @@
 // takeFromRetryBudget reports whether the retry budget allows one more idempotent request to run again, and if so
 // counts it.
 func (m *Manager) takeFromRetryBudget() bool {
-	m.reruns = after(m.reruns, m.now-m.retryBudget.WindowMS)
+	m.reruns = timesSince(m.reruns, m.now-m.retryBudget.WindowMS)
 	if float64(len(m.reruns)+1) > m.retryBudget.Floor+m.retryBudget.Share*float64(len(m.arrivals)) {
 		return false
 	}
--- a/internal/handoff/adoption_test.go
+++ b/internal/handoff/adoption_test.go
@@ -22,12 +22,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 6, 2, nil)
-			c.arrive(0, tc.class, "a", tc.key)
+			c.submitRequest(0, tc.class, "a", tc.key)
 			require.Len(t, c.effectsFor(0, Resume, "a"), 1)
 			if tc.attempted {
-				require.True(t, c.attempt(0, "a"))
+				require.True(t, c.startAttempt(0, "a"))
 			}
-			c.lose(0)
+			c.declareLost(0)
 			c.tick(1500)
 			successors := c.adopters("a")
 			require.Len(t, successors, 1)
@@ -38,10 +38,10 @@
 			if tc.attempted {
 				assert.Equal(t, "here", adopt[0].Prior.Zone)
 			}
-			c.finish(successors[0], "a", Succeeded, "rows")
+			c.finishRequest(successors[0], "a", Succeeded, "rows")
 			c.tick(1000)
 			if tc.key != "" {
-				c.arrive(5, tc.class, "b", tc.key)
+				c.submitRequest(5, tc.class, "b", tc.key)
 				c.tick(500)
 				require.Len(t, c.effectsFor(5, AnswerSuspended, "b"), 1)
 				assert.Equal(t, Succeeded, c.effectsFor(5, AnswerSuspended, "b")[0].Outcome)
@@ -60,14 +60,14 @@
 	for name, attempted := range map[string]bool{"before it adopts": false, "after an attempt": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 7, 2, nil)
-			c.arrive(0, "keyed", "a", "m")
-			c.lose(0)
+			c.submitRequest(0, "keyed", "a", "m")
+			c.declareLost(0)
 			first := -1
 			if attempted {
 				c.tick(1500)
 				require.Len(t, c.adopters("a"), 1)
 				first = c.adopters("a")[0]
-				require.True(t, c.attempt(first, "a"))
+				require.True(t, c.startAttempt(first, "a"))
 			} else { // the successor claims, and is lost before it learns that the claim is agreed
 				require.NotEmpty(t, c.proposals)
 				for k := range c.managers {
@@ -76,11 +76,11 @@
 					}
 				}
 				c.down[first] = true
-				c.agree()
+				c.applyProposals()
 				require.NotEmpty(t, c.table.Claims)
 			}
 			c.effects[first] = map[EffectKind][]Effect{}
-			c.lose(first)
+			c.declareLost(first)
 			c.tick(3000)
 			successors := c.adopters("a")
 			require.Len(t, successors, 1)
@@ -98,10 +98,10 @@
 	for name, adopted := range map[string]bool{"before adoption": false, "after adoption": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 6, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 1000 })
-			c.arrive(0, "keyed", "a", "m")
-			c.arrive(0, "keyed", "unsent", "m2")
-			require.True(t, c.attempt(0, "a"))
-			c.lose(0)
+			c.submitRequest(0, "keyed", "a", "m")
+			c.submitRequest(0, "keyed", "unsent", "m2")
+			require.True(t, c.startAttempt(0, "a"))
+			c.declareLost(0)
 			if adopted {
 				c.tick(1500)
 				require.Len(t, c.adopters("a"), 1)
@@ -109,9 +109,9 @@
 			c.down[0] = false
 			c.step(0, &Event{Kind: IncarnationChanged, Incarnation: 2})
 			c.announceTo(0)
-			assert.False(t, c.attempt(0, "unsent"))
+			assert.False(t, c.startAttempt(0, "unsent"))
 			assert.Len(t, c.effectsFor(0, BlockAttempt, "unsent"), 1)
-			assert.True(t, c.finish(0, "a", Succeeded, "rows"), "the answer must wait for the replicas")
+			assert.True(t, c.finishRequest(0, "a", Succeeded, "rows"), "the answer must wait for the replicas")
 			if !adopted {
 				require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
 				assert.Equal(t, Succeeded, c.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
@@ -120,7 +120,7 @@
 				return
 			}
 			assert.Empty(t, c.effectsFor(0, DeliverAnswer, "a"))
-			c.finish(c.adopters("a")[0], "a", Succeeded, "other")
+			c.finishRequest(c.adopters("a")[0], "a", Succeeded, "other")
 			c.tick(1500)
 			require.Len(t, c.effectsFor(0, DeliverAnswer, "a"), 1)
 			assert.Equal(t, "other", string(c.effectsFor(0, DeliverAnswer, "a")[0].Answer), "the first answer counts")
@@ -130,17 +130,17 @@
 
 // failedBySuccessor returns a cluster in which a request succeeded at member 0, which is cut off and then lost, and
 // whose successor recorded the request as failed.
-func failedBySuccessor(t *testing.T) *cluster {
+func failedBySuccessor(t *testing.T) *testCluster {
 	c := newCluster(t, 6, 2, nil)
-	c.arrive(0, "once", "a", "")
-	require.True(t, c.attempt(0, "a"))
+	c.submitRequest(0, "once", "a", "")
+	require.True(t, c.startAttempt(0, "a"))
 	c.drops = func(from, to int, _ *Item) bool { return from == 0 || to == 0 }
-	assert.False(t, c.finish(0, "a", Succeeded, "rows"), "an owner that holds its lease must answer at once")
-	c.lose(0)
+	assert.False(t, c.finishRequest(0, "a", Succeeded, "rows"), "an owner that holds its lease must answer at once")
+	c.declareLost(0)
 	c.tick(1500)
 	successors := c.adopters("a")
 	require.Len(t, successors, 1)
-	c.finish(successors[0], "a", Failed, "")
+	c.finishRequest(successors[0], "a", Failed, "")
 	c.tick(500)
 	return c
 }
@@ -194,7 +194,7 @@
 			Deadline:    c.now + 60e3 + float64(k%1000),
 		}})
 	}
-	c.lose(0)
+	c.declareLost(0)
 	done, lastDeadline := 0, make([]float64, 5)
 	for range 3000 {
 		c.tick(100)
@@ -205,7 +205,7 @@
 			for _, adopt := range adoptions {
 				assert.GreaterOrEqual(t, adopt.Copy.Deadline+1, lastDeadline[k], "adoption by deadline at n%d", k)
 				lastDeadline[k] = max(lastDeadline[k], adopt.Copy.Deadline)
-				c.finish(k, adopt.Copy.ID, Succeeded, "r")
+				c.finishRequest(k, adopt.Copy.ID, Succeeded, "r")
 				done++
 			}
 		}
@@ -223,8 +223,8 @@
 // Guards against a request that an operator gave up staying open for queries.
 func TestManager_ReleasesOrphanOnRequest(t *testing.T) {
 	c := newCluster(t, 5, 2, func(s *Settings) { s.MaxAdoptionsInFlight = 0 })
-	c.arrive(0, "keyed", "a", "m")
-	c.lose(0)
+	c.submitRequest(0, "keyed", "a", "m")
+	c.declareLost(0)
 	c.tick(1000)
 	for k := 1; k < 5; k++ {
 		c.step(k, &Event{Kind: ReleaseRequested, ID: "a"})
--- a/internal/handoff/attempts.go
+++ b/internal/handoff/attempts.go
@@ -38,13 +38,13 @@
 
 // blockAttempt rejects an attempt that has not been held.
 func (m *Manager) blockAttempt(req *ownedRequest, attempt int) {
-	m.counts.Withheld++
+	m.counts.AttemptsWithheld++
 	m.emit(Effect{Kind: BlockAttempt, ID: req.ID, Attempt: attempt})
 }
 
 // failAttempt rejects an attempt that has been held.
 func (m *Manager) failAttempt(req *ownedRequest, attempt int) {
-	m.counts.Withheld++
+	m.counts.AttemptsWithheld++
 	m.emit(Effect{Kind: FailAttempt, ID: req.ID, Attempt: attempt})
 }
 
--- a/internal/handoff/batch.go
+++ b/internal/handoff/batch.go
@@ -39,7 +39,7 @@
 // handleItems handles the items of a batch and returns the replies. A page that does not fit into the reply is refused
 // as busy; its receiver asks for it again.
 func (m *Manager) handleItems(batch *Batch) (replies []Item) {
-	remainingBytes := replyPages * pageBytes
+	remainingBytes := maxReplyPages * maxPageBytes
 	for i := range batch.Items {
 		reply := m.handleItem(batch.From, &batch.Items[i])
 		if reply.Op == OpPage {
@@ -124,12 +124,12 @@
 		return describe(stored)
 	}
 	if stored.Owner == owner && stored.state.awaitsAdoption() {
-		m.counts.AdoptionsLate++
+		m.counts.LateSuccesses++
 		return m.closeCopy(stored, item)
 	}
 	if item.Copy != nil && stored.ID == item.Copy.ID && stored.state == stateSettled && stored.Outcome == Failed {
 		// The request succeeded under its owner's lease, which the successor that recorded a failure could not know.
-		m.counts.AdoptionsLate++
+		m.counts.LateSuccesses++
 		stored.Sequence = max(stored.Sequence, item.Sequence)
 		stored.Outcome = Succeeded
 		stored.Answer = item.Answer
--- a/internal/handoff/claims.go
+++ b/internal/handoff/claims.go
@@ -169,7 +169,7 @@
 // unsettledPartitions returns the partitions in which requests of a lost owner are still to be adopted, or their
 // adoption is still to be acknowledged by replicas, as a bit mask.
 func (m *Manager) unsettledPartitions(owner Member) (mask uint32) {
-	for _, claimed := range m.inherited {
+	for _, claimed := range m.claimedPartitions {
 		if claimed.owner == owner && claimed.scannedAt == 0 {
 			mask |= 1 << claimed.partition
 		}
--- a/internal/handoff/closing.go
+++ b/internal/handoff/closing.go
@@ -115,7 +115,7 @@
 // settleWithheld delivers a withheld answer if a quorum has stored it, or a successor's answer if replicas report one.
 // When the time for withholding is over, it answers with a failure. It reports whether it answered.
 func (m *Manager) settleWithheld(req *ownedRequest, quorum bool) bool {
-	withheld, known := req.withheld, req.known
+	withheld, known := req.withheld, req.reportedCopy
 	effect := Effect{Kind: DeliverAnswer, ID: req.ID, Outcome: Failed}
 	switch {
 	case quorum:
@@ -144,7 +144,7 @@
 	if !m.quorumImpossible(req.key.Partition(), req.refusals) {
 		return false
 	}
-	known := req.known
+	known := req.reportedCopy
 	if known != nil && known.Sequence > req.Sequence {
 		return true
 	}
--- a/internal/handoff/copystore_test.go
+++ b/internal/handoff/copystore_test.go
@@ -18,12 +18,12 @@
 	c.drops = func(_, to int, item *Item) bool { return to == 4 && item.Op == OpRegister }
 	for k := range 5 {
 		id := fmt.Sprint(k)
-		c.arrive(0, "keyed", id, "m"+id)
+		c.submitRequest(0, "keyed", id, "m"+id)
 		require.Len(t, c.effectsFor(0, Resume, id), 1, "request %s is not registered", id)
 	}
 	assert.LessOrEqual(t, c.managers[3].Counts().CopiesStored, 3, "one copy, and id mappings")
 	c.drops = nil
-	require.True(t, c.attempt(0, "1"))
+	require.True(t, c.startAttempt(0, "1"))
 	c.tick(300)
 	assert.Equal(t, MayHaveRun, c.managers[4].copies[KeyOf("m1", "1")].RunState)
 	assert.True(t, c.managers[4].copies[KeyOf("m1", "1")].Complete)
@@ -34,12 +34,12 @@
 	c := newCluster(t, 9, 2, nil)
 	for k := range 300 {
 		id := fmt.Sprint(k)
-		c.arrive(0, "keyed", id, "m"+id)
-		require.True(t, c.attempt(0, id))
-		c.finish(0, id, Failed, "")
+		c.submitRequest(0, "keyed", id, "m"+id)
+		require.True(t, c.startAttempt(0, id))
+		c.finishRequest(0, id, Failed, "")
 	}
 	for _, k := range []int{3, 5, 7} {
-		c.lose(k)
+		c.declareLost(k)
 		c.tick(3000)
 	}
 	for k, partition := range c.table.Partitions {
@@ -47,7 +47,7 @@
 	}
 	for k := range 300 {
 		id := fmt.Sprint("x", k)
-		c.arrive(1, "keyed", id, fmt.Sprint("m", k))
+		c.submitRequest(1, "keyed", id, fmt.Sprint("m", k))
 		resumed := c.effectsFor(1, Resume, id)
 		require.Len(t, resumed, 1, "request %s is not registered", id)
 		require.NotZero(t, resumed[0].Prior.At, "request %s lacks the attempt of its key", id)
@@ -60,9 +60,9 @@
 func TestManager_RejectsAfterQuorumLossUntilReinitialized(t *testing.T) {
 	c := newCluster(t, 5, 2, nil)
 	for k := range 3 {
-		c.lose(k)
+		c.declareLost(k)
 	}
-	c.arrive(4, "keyed", "a", "m")
+	c.submitRequest(4, "keyed", "a", "m")
 	require.Len(t, c.effectsFor(4, AnswerSuspended, "a"), 1)
 	assert.Equal(t, Rejected, c.effectsFor(4, AnswerSuspended, "a")[0].Outcome)
 	for k := range 3 { // they return without their copies
@@ -75,10 +75,10 @@
 	c.table.Reassign(c.members, 0)
 	c.announce()
 	c.tick(15_000)
-	c.arrive(4, "keyed", "b", "m")
+	c.submitRequest(4, "keyed", "b", "m")
 	assert.Len(t, c.effectsFor(4, AnswerSuspended, "b"), 1)
 	c.tick(10_000)
-	c.arrive(4, "keyed", "c", "m")
+	c.submitRequest(4, "keyed", "c", "m")
 	assert.Len(t, c.effectsFor(4, Resume, "c"), 1)
 }
 
@@ -106,7 +106,7 @@
 	c.announce()
 	c.tick(2000)
 	assert.Empty(t, c.adopters("a"))
-	c.arrive(1, "keyed", "b", "m")
+	c.submitRequest(1, "keyed", "b", "m")
 	c.tick(500)
 	require.Len(t, c.effectsFor(1, AnswerSuspended, "b"), 1)
 	assert.Equal(t, Failed, c.effectsFor(1, AnswerSuspended, "b")[0].Outcome)
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -11,8 +11,8 @@
 	"liftshift/scheduler"
 )
 
-// cluster is a set of managers that exchange messages without delay. Members are referred to by their index.
-type cluster struct {
+// testCluster is a set of managers that exchange messages without delay. Members are referred to by their index.
+type testCluster struct {
 	t         *testing.T
 	now       float64
 	managers  []*Manager
@@ -27,8 +27,8 @@
 
 // newCluster returns a cluster of n members whose table asks for the given number of copies. Change may modify the
 // settings.
-func newCluster(t *testing.T, n, copies int, change func(*Settings)) *cluster {
-	c := &cluster{t: t, now: 1000, down: map[int]bool{}}
+func newCluster(t *testing.T, n, copies int, change func(*Settings)) *testCluster {
+	c := &testCluster{t: t, now: 1000, down: map[int]bool{}}
 	settings := DefaultSettings()
 	settings.Classes = []scheduler.RequestClass{
 		{Name: "keyed", Idempotency: scheduler.Keyed, DedupWindowMS: 20e3, DeadlineMS: 5e3},
@@ -52,20 +52,20 @@
 }
 
 // announce sends the agreed members and table to all members.
-func (c *cluster) announce() {
+func (c *testCluster) announce() {
 	c.table.Step++
 	for k := range c.managers {
 		c.announceTo(k)
 	}
 }
 
-func (c *cluster) announceTo(k int) {
+func (c *testCluster) announceTo(k int) {
 	table := c.table.Clone()
 	c.step(k, &Event{Kind: PlacementChanged, Members: slices.Clone(c.members), Table: &table})
 }
 
-// lose stops a member and has the consensus group declare it lost.
-func (c *cluster) lose(k int) {
+// declareLost stops a member and has the consensus group declare it lost.
+func (c *testCluster) declareLost(k int) {
 	c.down[k] = true
 	c.members[k].Lost = true
 	c.table.Reassign(c.members, 0)
@@ -73,18 +73,18 @@
 }
 
 // tick advances the time in steps of 100 ms, and agrees to all proposals.
-func (c *cluster) tick(ms float64) {
+func (c *testCluster) tick(ms float64) {
 	for until := c.now + ms; c.now < until; {
 		c.now += 100
 		for k := range c.managers {
 			c.step(k, &Event{Kind: Ticked})
 		}
-		c.agree()
+		c.applyProposals()
 	}
 }
 
-// agree applies the pending proposals to the table.
-func (c *cluster) agree() {
+// applyProposals applies the pending proposals to the table.
+func (c *testCluster) applyProposals() {
 	for len(c.proposals) > 0 {
 		proposal := c.proposals[0]
 		c.proposals = c.proposals[1:]
@@ -95,7 +95,7 @@
 }
 
 // apply applies a proposal to the table, and reports whether the table changed.
-func (c *cluster) apply(proposal Effect) (changed bool) {
+func (c *testCluster) apply(proposal Effect) (changed bool) {
 	claim := proposal.Claim
 	switch proposal.Proposal {
 	case ProposalReady:
@@ -111,7 +111,7 @@
 }
 
 // step sends an event to a member, delivers the batches that it sends, and records its other effects.
-func (c *cluster) step(k int, ev *Event) []Effect {
+func (c *testCluster) step(k int, ev *Event) []Effect {
 	if c.down[k] {
 		return nil
 	}
@@ -137,7 +137,7 @@
 }
 
 // deliver takes a batch to its receiver, and the reply back, both encoded and decoded as on the wire.
-func (c *cluster) deliver(from int, effect Effect, data []byte) {
+func (c *testCluster) deliver(from int, effect Effect, data []byte) {
 	sent := effect.Batch
 	deliverReply := func(reply *Batch) {
 		c.step(from, &Event{Kind: BatchAnswered, To: effect.To, Sent: sent, Batch: reply})
@@ -170,8 +170,8 @@
 	}
 }
 
-// arrive sends a client's request to a member.
-func (c *cluster) arrive(k int, class, id, idempotencyKey string) []Effect {
+// submitRequest sends a client's request to a member.
+func (c *testCluster) submitRequest(k int, class, id, idempotencyKey string) []Effect {
 	return c.step(k, &Event{Kind: RequestArriving, ID: id, Copy: &Copy{
 		RequestData: RequestData{ID: id, IdempotencyKey: idempotencyKey, Class: class, Body: []byte("select")},
 		Deadline:    c.now + 5000,
@@ -179,7 +179,7 @@
 }
 
 // effectsFor returns the recorded effects of a kind that a member returned for a request.
-func (c *cluster) effectsFor(k int, kind EffectKind, id string) (list []Effect) {
+func (c *testCluster) effectsFor(k int, kind EffectKind, id string) (list []Effect) {
 	for _, effect := range c.effects[k][kind] {
 		if effect.ID == id || effect.Copy != nil && effect.Copy.ID == id && kind == Adopt {
 			list = append(list, effect)
@@ -188,14 +188,14 @@
 	return list
 }
 
-// attempt starts an attempt of a request, and reports whether an attempt of the request has been released.
-func (c *cluster) attempt(k int, id string) bool {
+// startAttempt starts an startAttempt of a request, and reports whether an startAttempt of the request has been released.
+func (c *testCluster) startAttempt(k int, id string) bool {
 	c.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
 	return len(c.effectsFor(k, ReleaseAttempt, id)) > 0
 }
 
-// finish ends a request, and reports whether its answer is withheld.
-func (c *cluster) finish(k int, id string, outcome Outcome, answer string) (withheld bool) {
+// finishRequest ends a request, and reports whether its answer is withheld.
+func (c *testCluster) finishRequest(k int, id string, outcome Outcome, answer string) (withheld bool) {
 	for _, effect := range c.step(k, &Event{Kind: RequestEnding, ID: id, Outcome: outcome, Answer: []byte(answer)}) {
 		withheld = withheld || effect.Kind == WithholdAnswer
 	}
@@ -204,7 +204,7 @@
 }
 
 // checkCounts checks on all members that each received copy is counted under exactly one result.
-func (c *cluster) checkCounts() {
+func (c *testCluster) checkCounts() {
 	for k, m := range c.managers {
 		counts := m.Counts()
 		results := counts.Settled + counts.Adopted + counts.Failed + counts.Dropped + counts.Open
@@ -213,7 +213,7 @@
 }
 
 // adopters returns the members that have adopted a request.
-func (c *cluster) adopters(id string) (members []int) {
+func (c *testCluster) adopters(id string) (members []int) {
 	for k := range c.managers {
 		if len(c.effectsFor(k, Adopt, id)) > 0 {
 			members = append(members, k)
--- a/internal/handoff/limits.go
+++ b/internal/handoff/limits.go
@@ -20,8 +20,8 @@
 	shutdownGraceMS = 2000
 	// answerMarginMS is how long before its deadline a waiting request is answered.
 	answerMarginMS = 60
-	// adoptionGatherMS is how long a successor delays adoption until it has fetched everything that it claimed.
-	adoptionGatherMS = 1000
+	// adoptionFetchWaitMS is how long a successor delays adoption until it has fetched everything that it claimed.
+	adoptionFetchWaitMS = 1000
 	// claimRetentionMS is how long a claim is kept for replicas that have not acknowledged the adoption of a request.
 	claimRetentionMS = 3000
 	// proposalRetryMS is the interval between two proposals of the same change, and between two successors' claims.
@@ -45,12 +45,12 @@
 	// maxTransfers limits how many partitions are copied at a time.
 	maxTransfers = 8
 	maxProposals = 4 * placement.PartitionCount
-	pageBytes    = 256 << 10
-	pageItems    = 256
-	// pageItemBytes is the estimated size of a copy in a page without its body and answer.
-	pageItemBytes = 200
-	// replyPages is the number of full pages that fit into the reply to one batch.
-	replyPages = 4
+	maxPageBytes = 256 << 10
+	maxPageItems = 256
+	// pageItemOverheadBytes is the estimated size of a copy in a page without its body and answer.
+	pageItemOverheadBytes = 200
+	// maxReplyPages is the number of full pages that fit into the reply to one batch.
+	maxReplyPages = 4
 	// maxCopyBytes limits the bodies and answers that a replica stores.
 	maxCopyBytes = 64 << 20
 	// idMappingReplicas is the number of replicas that store which idempotency key a request id belongs to.
--- a/internal/handoff/manager.go
+++ b/internal/handoff/manager.go
@@ -73,7 +73,7 @@
 	queries         []*outcomeQuery
 
 	// The state of this controller as a successor.
-	inherited         []*inheritedPartition
+	claimedPartitions []*claimedPartition
 	adoptionQueue     []*orphanedRequest
 	queuedForAdoption map[Key]struct{}
 	adoptionsInFlight int
@@ -110,7 +110,7 @@
 		retryBudget:         settings.RetryBudget,
 		pacer: pacer{
 			maxInFlight: float64(settings.MaxAdoptionsInFlight),
-			started:     map[string]pacedRequest{},
+			started:     map[string]timedRequest{},
 		},
 		seed:              seed,
 		outgoing:          map[string]*Batch{},
@@ -132,7 +132,7 @@
 		class := requestClass{name: c.Name, effect: c.Idempotency, dedupWindowMS: c.DedupWindowMS}
 		class.adoptable = class.replicated() || slices.Contains(settings.AdoptClasses, c.Name)
 		m.classes = append(m.classes, class)
-		m.pacer.baselines = append(m.pacer.baselines, durations{})
+		m.pacer.baselines = append(m.pacer.baselines, durationBaseline{})
 		if class.effect == scheduler.Keyed {
 			m.quorumLossMS = max(m.quorumLossMS, class.dedupWindowMS, c.DeadlineMS)
 		}
@@ -281,14 +281,14 @@
 		return
 	}
 	m.updateLostOwners()
-	m.updateInherited()
+	m.updateClaimedPartitions()
 	m.renewRegistrations()
 	if versionChanged { // acknowledgements are valid only for the table version that they were given in
 		for _, req := range m.unacknowledged {
 			req.refusals = req.refusals[:0]
 			req.sentAt = 0
 		}
-		for _, in := range m.inherited {
+		for _, in := range m.claimedPartitions {
 			in.fetches = nil
 		}
 		clear(m.transfers)
@@ -317,7 +317,7 @@
 func (m *Manager) followPlacement() {
 	m.runTransfers()
 	m.claimOrphans()
-	m.gatherInherited()
+	m.fetchClaimedPartitions()
 	m.adoptQueued()
 	m.reinitializePartitions()
 }
--- a/internal/handoff/manager_test.go
+++ b/internal/handoff/manager_test.go
@@ -11,18 +11,18 @@
 // Concurrent requests with one idempotency key must run once, and all of them get its answer.
 func TestManager_RunsKeyOnceForConcurrentCallers(t *testing.T) {
 	cluster := newCluster(t, 5, 2, nil)
-	cluster.arrive(0, "keyed", "a", "m")
+	cluster.submitRequest(0, "keyed", "a", "m")
 	require.Len(t, cluster.effectsFor(0, Resume, "a"), 1)
-	cluster.arrive(1, "keyed", "b", "m")
-	cluster.arrive(2, "keyed", "c", "m")
-	cluster.arrive(0, "keyed", "d", "m")
+	cluster.submitRequest(1, "keyed", "b", "m")
+	cluster.submitRequest(2, "keyed", "c", "m")
+	cluster.submitRequest(0, "keyed", "d", "m")
 	cluster.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
 		effects := append(cluster.effectsFor(k, Resume, id), cluster.effectsFor(k, AnswerSuspended, id)...)
 		assert.Empty(t, effects, "request %s does not wait for the owner of its key", id)
 	}
-	assert.True(t, cluster.attempt(0, "a"))
-	assert.False(t, cluster.finish(0, "a", Succeeded, "rows"), "the answer of an owner with a lease is withheld")
+	assert.True(t, cluster.startAttempt(0, "a"))
+	assert.False(t, cluster.finishRequest(0, "a", Succeeded, "rows"), "the answer of an owner with a lease is withheld")
 	cluster.tick(1000)
 	for k, id := range map[int]string{1: "b", 2: "c", 0: "d"} {
 		answers := cluster.effectsFor(k, AnswerSuspended, id)
@@ -35,26 +35,26 @@
 // An attempt must not be sent before a quorum has stored it, and fails if no quorum does in time.
 func TestManager_HoldsAttemptsUntilQuorum(t *testing.T) {
 	cluster := newCluster(t, 5, 2, nil)
-	cluster.arrive(0, "keyed", "a", "m")
+	cluster.submitRequest(0, "keyed", "a", "m")
 	reached := map[int]bool{}
 	cluster.drops = func(_, to int, item *Item) bool { return item.Op == OpAttempt && !reached[to] }
-	assert.False(t, cluster.attempt(0, "a"), "one replica of five is not a quorum")
+	assert.False(t, cluster.startAttempt(0, "a"), "one replica of five is not a quorum")
 	reached[1] = true
 	cluster.tick(200)
 	assert.Empty(t, cluster.effectsFor(0, ReleaseAttempt, "a"), "two replicas of five are not a quorum")
 	reached[2] = true
 	cluster.tick(100)
 	assert.Len(t, cluster.effectsFor(0, ReleaseAttempt, "a"), 1)
-	cluster.arrive(0, "keyed", "b", "m2")
+	cluster.submitRequest(0, "keyed", "b", "m2")
 	cluster.drops = func(_, _ int, item *Item) bool { return item.Op == OpAttempt }
-	assert.False(t, cluster.attempt(0, "b"))
+	assert.False(t, cluster.startAttempt(0, "b"))
 	cluster.tick(500)
 	assert.Len(t, cluster.effectsFor(0, FailAttempt, "b"), 1)
 	cluster.step(0, &Event{Kind: AttemptEnded, ID: "b", NeverRan: true})
 	cluster.drops = nil
-	cluster.finish(0, "b", Rejected, "")
+	cluster.finishRequest(0, "b", Rejected, "")
 	cluster.tick(1000)
-	cluster.arrive(3, "keyed", "c", "m2")
+	cluster.submitRequest(3, "keyed", "c", "m2")
 	require.Len(t, cluster.effectsFor(3, Resume, "c"), 1)
 	assert.Zero(t, cluster.effectsFor(3, Resume, "c")[0].Prior, "no attempt of the key was sent before")
 }
@@ -63,10 +63,10 @@
 // that it was registered.
 func TestManager_WithholdsRejectionOfNonIdempotentUntilQuorum(t *testing.T) {
 	cluster := newCluster(t, 6, 2, nil)
-	cluster.arrive(0, "once", "a", "")
+	cluster.submitRequest(0, "once", "a", "")
 	unreachable := true
 	cluster.drops = func(_, _ int, item *Item) bool { return unreachable && item.Op == OpClose }
-	assert.True(t, cluster.finish(0, "a", Rejected, ""))
+	assert.True(t, cluster.finishRequest(0, "a", Rejected, ""))
 	assert.Empty(t, cluster.effectsFor(0, DeliverAnswer, "a"))
 	unreachable = false
 	cluster.tick(200)
@@ -74,10 +74,10 @@
 	assert.Equal(t, Rejected, cluster.effectsFor(0, DeliverAnswer, "a")[0].Outcome)
 	// The owner never learns that a quorum has registered the request, rejects the request, and is then lost.
 	cluster.drops = func(_, _ int, item *Item) bool { return item.Op == OpAttempt || item.Op == OpWithdraw }
-	cluster.arrive(0, "once", "b", "")
+	cluster.submitRequest(0, "once", "b", "")
 	cluster.managers[0].owned[KeyOf("", "b")].phase = phaseDone
 	cluster.drops = nil
-	cluster.lose(0)
+	cluster.declareLost(0)
 	cluster.tick(2000)
 	assert.Empty(t, cluster.adopters("b"))
 }
@@ -85,16 +85,16 @@
 // A key whose earlier attempt may have run must run again only while executors are sure to drop the repeat.
 func TestManager_ReusedKeyWithinAndPastWindow(t *testing.T) {
 	cluster := newCluster(t, 5, 2, nil)
-	cluster.arrive(0, "keyed", "a", "m")
-	require.True(t, cluster.attempt(0, "a"))
-	cluster.finish(0, "a", Failed, "")
+	cluster.submitRequest(0, "keyed", "a", "m")
+	require.True(t, cluster.startAttempt(0, "a"))
+	cluster.finishRequest(0, "a", Failed, "")
 	cluster.tick(500)
-	cluster.arrive(2, "keyed", "b", "m")
+	cluster.submitRequest(2, "keyed", "b", "m")
 	require.Len(t, cluster.effectsFor(2, Resume, "b"), 1)
 	assert.NotZero(t, cluster.effectsFor(2, Resume, "b")[0].Prior.At)
-	cluster.finish(2, "b", Failed, "")
+	cluster.finishRequest(2, "b", Failed, "")
 	cluster.tick(19_000)
-	cluster.arrive(3, "keyed", "c", "m")
+	cluster.submitRequest(3, "keyed", "c", "m")
 	require.Len(t, cluster.effectsFor(3, AnswerSuspended, "c"), 1)
 	assert.Equal(t, Failed, cluster.effectsFor(3, AnswerSuspended, "c")[0].Outcome)
 }
@@ -106,7 +106,7 @@
 	cluster.drops = func(_, to int, item *Item) bool {
 		return to != 1 && item.Op == OpRegister || item.Op == OpWithdraw // no quorum, and no withdrawal arrives
 	}
-	cluster.arrive(0, "keyed", "a", "m")
+	cluster.submitRequest(0, "keyed", "a", "m")
 	cluster.tick(1500)
 	require.Len(t, cluster.effectsFor(0, AnswerSuspended, "a"), 1)
 	assert.Equal(t, Rejected, cluster.effectsFor(0, AnswerSuspended, "a")[0].Outcome)
@@ -117,7 +117,7 @@
 		assert.Empty(t, cluster.managers[k].withdrawals, "n%d still has a withdrawal", k)
 		assert.Empty(t, cluster.managers[k].withdrawalsByID, "n%d still indexes a withdrawal", k)
 	}
-	cluster.arrive(3, "keyed", "b", "m")
+	cluster.submitRequest(3, "keyed", "b", "m")
 	assert.Len(t, cluster.effectsFor(3, Resume, "b"), 1, "the request with the withdrawn key is not resumed at once")
 	cluster.checkCounts()
 }
@@ -138,12 +138,12 @@
 			}
 		}
 		id := "a" + key
-		cluster.arrive(owner, "keyed", id, key)
-		require.True(t, cluster.attempt(owner, id))
-		cluster.finish(owner, id, Failed, "")
+		cluster.submitRequest(owner, "keyed", id, key)
+		require.True(t, cluster.startAttempt(owner, id))
+		cluster.finishRequest(owner, id, Failed, "")
 		cluster.tick(300)
 		cluster.dropAcks = true
-		cluster.arrive(other, "keyed", "b"+key, key)
+		cluster.submitRequest(other, "keyed", "b"+key, key)
 		cluster.tick(100)
 		cluster.dropAcks = false
 		cluster.tick(600)
@@ -158,7 +158,7 @@
 // Any member must answer outcome queries by id or idempotency key, and report unknown requests as Unknown.
 func TestManager_AnswersOutcomeQueries(t *testing.T) {
 	cluster := newCluster(t, 6, 2, nil)
-	cluster.arrive(0, "keyed", "a", "m")
+	cluster.submitRequest(0, "keyed", "a", "m")
 	query := func(k int, id, key string) Effect {
 		cluster.effects[k][ReplyOutcome] = nil
 		cluster.step(k, &Event{Kind: OutcomeQueried, ID: id, IdempotencyKey: key, Token: 7})
@@ -168,8 +168,8 @@
 	}
 	assert.Equal(t, Open, query(5, "", "m").Outcome)
 	assert.Equal(t, "n0", query(5, "a", "").Owner, "the owner is not found by the request id")
-	require.True(t, cluster.attempt(0, "a"))
-	cluster.finish(0, "a", Succeeded, "rows")
+	require.True(t, cluster.startAttempt(0, "a"))
+	cluster.finishRequest(0, "a", Succeeded, "rows")
 	for k := range 6 {
 		reply := query(k, "a", "")
 		assert.Equal(t, []any{Succeeded, "rows"}, []any{reply.Outcome, string(reply.Answer)})
@@ -181,14 +181,14 @@
 func TestManager_CopiesLongRunningIdempotentWithinBudget(t *testing.T) {
 	cluster := newCluster(t, 5, 2, func(s *Settings) { s.RetryBudget.Floor, s.RetryBudget.Share = 2, 0 })
 	for k := range 6 {
-		cluster.arrive(0, "idempotent", fmt.Sprint("s", k), "")
+		cluster.submitRequest(0, "idempotent", fmt.Sprint("s", k), "")
 	}
 	cluster.step(0, &Event{Kind: RequestClosed, ID: "s0", Outcome: Succeeded})
 	for k := 1; k < 5; k++ {
 		assert.Zero(t, cluster.managers[k].Counts().CopiesStored, "a request is copied before CopyAfterMS")
 	}
 	cluster.tick(200)
-	cluster.lose(0)
+	cluster.declareLost(0)
 	cluster.tick(2000)
 	assert.Empty(t, cluster.adopters("s0"))
 	reruns := 0
--- a/internal/handoff/message.go
+++ b/internal/handoff/message.go
@@ -100,10 +100,10 @@
 	// Copies stored here as a replica, by what became of them.
 	CopiesReceived, Settled, Adopted, Failed, Dropped, Open uint64
 	// Requests of this controller's own clients; the last field counts attempts that were not allowed to leave.
-	Registered, Waited, AnsweredFromCopy, Refused, Withheld uint64
+	Registered, Waited, AnsweredFromCopy, Refused, AttemptsWithheld uint64
 	// Adoption: partitions claimed, requests adopted, adopted requests that ended, and successes that lost owners
 	// reported late.
-	AdoptionClaims, AdoptionsStarted, AdoptionsDone, AdoptionsLate uint64
+	AdoptionClaims, AdoptionsStarted, AdoptionsDone, LateSuccesses uint64
 	// Attempts that left without any replica knowing of them.
 	AttemptsUnreplicated uint64
 	// Messages sent to other members, batches without a reply, and copies taken over from other replicas.
--- a/internal/handoff/pacer.go
+++ b/internal/handoff/pacer.go
@@ -24,21 +24,21 @@
 	pacePercentileRank = 99
 )
 
-// durations has the latest durations of successful requests of one class, and their usual duration.
-type durations struct {
+// durationBaseline has the latest durationBaseline of successful requests of one class, and their usual duration.
+type durationBaseline struct {
 	samples     [paceSamples]float64 // ring buffer, in ms
 	count       int                  // of all samples added
 	median, p99 float64              // as of the latest call of summarize; 0: not known
 }
 
 // add records a duration and overwrites the oldest one once the buffer is full.
-func (d *durations) add(durationMS float64) {
+func (d *durationBaseline) add(durationMS float64) {
 	d.samples[d.count%paceSamples] = durationMS
 	d.count++
 }
 
 // summarize updates the median and the 99th percentile if there are enough samples.
-func (d *durations) summarize() {
+func (d *durationBaseline) summarize() {
 	if d.count < paceMinSamples {
 		return
 	}
@@ -53,17 +53,17 @@
 type pacer struct {
 	maxInFlight float64 // upper bound of limit
 	limit       float64
-	baselines   []durations // by class
-	slowShare   float64     // moving share of requests that took longer than the usual median
-	lateExcess  float64     // late requests beyond the allowance
-	lastCutAt   float64     // when the limit was last cut or reset
-	adopting    bool        // adopted requests are waiting or in flight
-	started     map[string]pacedRequest
+	baselines   []durationBaseline // by class
+	slowShare   float64            // moving share of requests that took longer than the usual median
+	lateExcess  float64            // late requests beyond the allowance
+	lastCutAt   float64            // when the limit was last cut or reset
+	adopting    bool               // adopted requests are waiting or in flight
+	started     map[string]timedRequest
 	arrivals    int
 }
 
-// pacedRequest is a request in flight that is timed.
-type pacedRequest struct {
+// timedRequest is a request in flight that is timed.
+type timedRequest struct {
 	startedAt float64
 	class     int
 }
@@ -75,7 +75,7 @@
 		return
 	}
 	if always || p.adopting || p.arrivals%paceSampling == 0 {
-		p.started[id] = pacedRequest{now, class}
+		p.started[id] = timedRequest{now, class}
 	}
 }
 
@@ -110,7 +110,7 @@
 
 // recordDuration updates the shares of slow and late requests by a duration, compared with the usual durations of its
 // class.
-func (p *pacer) recordDuration(durationMS float64, usual *durations) {
+func (p *pacer) recordDuration(durationMS float64, usual *durationBaseline) {
 	slow := 0.0
 	if durationMS > usual.median {
 		slow = 1
--- a/internal/handoff/pacer_test.go
+++ b/internal/handoff/pacer_test.go
@@ -14,7 +14,7 @@
 // longer than 1.2 times the longest duration without load. Both exclude the first five seconds of adoption.
 func simulateAdoption(concurrency float64, ownRequests bool, beforeMS int) (inFlight, latePerThousand float64) {
 	random := rand.New(rand.NewPCG(3, 4))
-	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 2)}
+	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]timedRequest{}, baselines: make([]durationBaseline, 2)}
 	running := map[string]float64{} // end times by request id
 	var adoptedSum, samples, ownEnded, ownLate float64
 	nextID := 0
@@ -86,7 +86,7 @@
 
 // Guards against unbounded memory for timed requests, and against entries that outlive their request.
 func TestPacer_ForgetsEndedRequests(t *testing.T) {
-	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]pacedRequest{}, baselines: make([]durations, 1)}
+	adoptionPacer := &pacer{maxInFlight: 64, started: map[string]timedRequest{}, baselines: make([]durationBaseline, 1)}
 	for k := range 3 * paceMaxTracked {
 		adoptionPacer.start(0, fmt.Sprint(k), 0, true)
 	}
@@ -96,13 +96,13 @@
 	}
 	assert.Empty(t, adoptionPacer.started)
 	c := newCluster(t, 6, 2, nil)
-	c.arrive(0, "keyed", "a", "m")
-	c.arrive(1, "keyed", "b", "m") // waits for the request of the same key until its client leaves
+	c.submitRequest(0, "keyed", "a", "m")
+	c.submitRequest(1, "keyed", "b", "m") // waits for the request of the same key until its client leaves
 	c.step(1, &Event{Kind: ClientLeft, ID: "b"})
-	c.arrive(0, "keyed", "c", "n")
-	c.attempt(0, "c")
-	c.finish(0, "a", Succeeded, "rows")
-	c.finish(0, "c", Failed, "")
+	c.submitRequest(0, "keyed", "c", "n")
+	c.startAttempt(0, "c")
+	c.finishRequest(0, "a", Succeeded, "rows")
+	c.finishRequest(0, "c", Failed, "")
 	c.tick(3000)
 	for k := range c.managers {
 		assert.Empty(t, c.managers[k].pacer.started, "timed requests at n%d", k)
--- a/internal/handoff/recent.go
+++ b/internal/handoff/recent.go
@@ -27,7 +27,7 @@
 	if len(m.recent) == 0 {
 		m.recent = nil
 	}
-	m.arrivals = after(m.arrivals, m.now-m.retryBudget.WindowMS)
+	m.arrivals = timesSince(m.arrivals, m.now-m.retryBudget.WindowMS)
 }
 
 // copyRecent sends copies of an idempotent request to replicas if it is still open. Nothing waits for acknowledgements.
@@ -54,9 +54,9 @@
 	req.sends = 1
 }
 
-// after returns the times of an ascending list that are not before the given one. It returns nil if there are none, so
+// timesSince returns the times of an ascending list that are not before the given one. It returns nil if there are none, so
 // that the list's memory is freed.
-func after(times []float64, at float64) []float64 {
+func timesSince(times []float64, at float64) []float64 {
 	n := 0
 	for n < len(times) && times[n] < at {
 		n++
--- a/internal/handoff/registration.go
+++ b/internal/handoff/registration.go
@@ -140,7 +140,7 @@
 	m.withdraw(req)
 	m.removeOwned(req)
 	waiter := waitingFor(req, req.startedAt)
-	if m.answerFromCopy(waiter, req.known) {
+	if m.answerFromCopy(waiter, req.reportedCopy) {
 		return
 	}
 	m.addWaiting(waiter)
@@ -151,7 +151,7 @@
 func (m *Manager) expireRegistration(req *ownedRequest) {
 	m.withdraw(req)
 	m.removeOwned(req)
-	if req.known != nil && req.known.Outcome == Open && m.now < req.Deadline-answerMarginMS {
+	if req.reportedCopy != nil && req.reportedCopy.Outcome == Open && m.now < req.Deadline-answerMarginMS {
 		m.addWaiting(waitingFor(req, m.now))
 		return
 	}
--- a/internal/handoff/replication.go
+++ b/internal/handoff/replication.go
@@ -65,8 +65,8 @@
 		}
 		return false
 	case OpKnown:
-		if reply.Copy != nil && (req.known == nil || moreRecent(reply.Copy, req.known)) {
-			req.known = reply.Copy
+		if reply.Copy != nil && (req.reportedCopy == nil || moreRecent(reply.Copy, req.reportedCopy)) {
+			req.reportedCopy = reply.Copy
 		}
 		if reply.Copy != nil && m.correctReplica(req, from, sent, reply.Copy) {
 			return false
@@ -199,7 +199,7 @@
 	case m.registrationExpired(req):
 		m.expireRegistration(req)
 		return false
-	case req.phase == phaseAdopting && m.findInherited(req.previousOwner, partition) == nil:
+	case req.phase == phaseAdopting && m.findClaimedPartition(req.previousOwner, partition) == nil:
 		m.abandonOwned(req) // this controller's claim has ended, so another successor may adopt the request
 		return false
 	case req.phase == phaseActive && (req.bestEffort || req.sends > 3 && m.hasQuorum(partition, req.acks)):
--- a/internal/handoff/request.go
+++ b/internal/handoff/request.go
@@ -31,7 +31,7 @@
 	sends             int      // sends of messages so far; reset when the request starts to close
 	acks              []Member // replicas that stored the latest message
 	refusals          []Member // replicas that refused the latest message
-	known             *Copy    // the most recent copy that refusing replicas reported
+	reportedCopy      *Copy    // the most recent copy that refusing replicas reported
 	earlierAttempt    Item     // the reply with the most certain, then the oldest attempt under an earlier registration
 	uncertainAttempts int      // attempts that may have run or are in flight
 	attemptsInFlight  uint8    // a bit per attempt number
@@ -125,7 +125,7 @@
 func (m *Manager) replicate(req *ownedRequest) {
 	req.acks = req.acks[:0]
 	req.refusals = req.refusals[:0]
-	req.known = nil
+	req.reportedCopy = nil
 	req.sentAt = m.now
 	req.sends++
 	if !req.inUnacknowledged {
--- a/internal/handoff/transfer.go
+++ b/internal/handoff/transfer.go
@@ -94,7 +94,7 @@
 		}
 		return nil
 	}
-	if claimed := m.findInherited(sent.From, sent.Partition); claimed != nil {
+	if claimed := m.findClaimedPartition(sent.From, sent.Partition); claimed != nil {
 		return claimed.fetches
 	}
 	return nil
@@ -126,7 +126,7 @@
 		m.runTransfers()
 		return
 	}
-	m.gatherInherited()
+	m.fetchClaimedPartitions()
 	m.adoptQueued()
 }
 
@@ -137,8 +137,8 @@
 	size := 0
 	for n, key := range m.keysAfter(item) {
 		stored := m.copies[key]
-		size += pageItemBytes + len(stored.Body) + len(stored.Answer)
-		if n > 0 && (n >= pageItems || size > pageBytes) {
+		size += pageItemOverheadBytes + len(stored.Body) + len(stored.Answer)
+		if n > 0 && (n >= maxPageItems || size > maxPageBytes) {
 			reply.More = true
 			break
 		}
--- a/internal/handoff/waiting.go
+++ b/internal/handoff/waiting.go
@@ -16,7 +16,7 @@
 // waitingFor returns a waiting request for a request whose registration was withdrawn. Its sequence is above that of
 // the registration, messages of which may still be in transit.
 func waitingFor(req *ownedRequest, startedAt float64) *waitingRequest {
-	waiter := &waitingRequest{Copy: req.Copy, key: req.key, startedAt: startedAt, reportedCopy: req.known}
+	waiter := &waitingRequest{Copy: req.Copy, key: req.key, startedAt: startedAt, reportedCopy: req.reportedCopy}
 	waiter.Sequence = req.Sequence + 1
 	return waiter
 }
--- a/internal/handoffnet/effects.go
+++ b/internal/handoffnet/effects.go
@@ -47,7 +47,7 @@
 			"incarnation": effect.Claim.Incarnation,
 			"partitions":  effect.Claim.Partitions,
 		}).Info("handoff: proposed")
-		a.node.Propose(consensus.Proposal(consensus.EntryKind(effect.Proposal), effect.Claim, effect.Version))
+		a.node.Propose(consensus.PlacementProposal(consensus.EntryKind(effect.Proposal), effect.Claim, effect.Version))
 	case handoff.RefreshPlacement:
 		if now > a.refreshedAt+refreshIntervalMS {
 			a.refreshedAt = now
--- a/internal/handoffnet/receive.go
+++ b/internal/handoffnet/receive.go
@@ -26,7 +26,7 @@
 	frameMustCall = 'c' // the reply is too long for a datagram; the sender has to send the batch by a call
 
 	frameHeaderBytes = 9
-	maxDatagramBatch = clusternet.MaxHandoffDatagram - frameHeaderBytes // bytes of an encoded batch
+	maxDatagramBatch = clusternet.MaxDatagramPayload - frameHeaderBytes // bytes of an encoded batch
 )
 
 // datagramReply is an encoded reply to a datagram and the address that it goes to.
@@ -98,7 +98,7 @@
 			return // the sender repeats the batch by a call, whose reply can carry an error
 		}
 		encoded := encodeFrame(frameReply, number, data)
-		if len(encoded) > clusternet.MaxHandoffDatagram {
+		if len(encoded) > clusternet.MaxDatagramPayload {
 			encoded = encodeFrame(frameMustCall, number, nil)
 		}
 		select {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -60,7 +60,7 @@
 	}
 	counts := b.Counts()
 	assert.Equal(t, []uint64{1, 2, 1, 0}, []uint64{counts.Newer, counts.Foreign, counts.Malformed, counts.Received})
-	assert.Zero(t, b.Size())
+	assert.Zero(t, b.LivePeers())
 }
 
 // Fields that a later minor version appends to a record are skipped.
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -14,7 +14,7 @@
 // must not count against other members: probes are cancelled and suspicions extended.
 func (v *View) handleStall(ms float64) {
 	v.counts.Stalls++
-	v.emit(Effect{Kind: SelfStalled, MS: ms})
+	v.emit(Effect{Kind: SelfStalled, StallMS: ms})
 	if v.settings.IgnoreOwnHealth {
 		return
 	}
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -129,13 +129,13 @@
 
 // Effect is an output of a View: an action for the caller, or a notification.
 type Effect struct {
-	Kind   EffectKind
-	To     string
-	Data   []byte
-	Member Member  // MemberChanged, SelfIncarnationRaised, DuplicateName
-	From   State   // MemberChanged: the previous state
-	Reason string  // MemberChanged, DuplicateName: the cause, for the log
-	MS     float64 // SelfStalled: length of the pause in milliseconds
+	Kind    EffectKind
+	To      string
+	Data    []byte
+	Member  Member  // MemberChanged, SelfIncarnationRaised, DuplicateName
+	From    State   // MemberChanged: the previous state
+	Reason  string  // MemberChanged, DuplicateName: the cause, for the log
+	StallMS float64 // SelfStalled: length of the pause in milliseconds
 }
 
 // Counts holds the counters of a View since its start.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -119,13 +119,13 @@
 // Self returns this controller's own record.
 func (v *View) Self() Member { return v.self.Member }
 
-// Size returns the number of other members that are live.
-func (v *View) Size() int { return v.livePeers }
+// LivePeers returns the number of other members that are live.
+func (v *View) LivePeers() int { return v.livePeers }
 
-// Present returns the number of controllers, this one included, by which shared limits are divided. A controller that
+// ControllerCount returns the number of controllers, this one included, by which shared limits are divided. A controller that
 // has no majority of the members that have not left assumes that it is partitioned and returns the number of all of
 // them, so that its share does not grow.
-func (v *View) Present() float64 {
+func (v *View) ControllerCount() float64 {
 	known := 0
 	for _, m := range v.byName {
 		known += boolToInt(m.State != Left && m.State != Unknown)
@@ -142,8 +142,8 @@
 // Counts returns the counters since the start of the view.
 func (v *View) Counts() Counts { return v.counts }
 
-// Health returns Lifeguard's local health score: 0 is healthy, a higher value means that this controller is slower.
-func (v *View) Health() int { return v.localHealth }
+// LocalHealthScore returns Lifeguard's local health score: 0 is healthy, a higher value means that this controller is slower.
+func (v *View) LocalHealthScore() int { return v.localHealth }
 
 // Members returns all members, this controller included, sorted by name.
 func (v *View) Members() []Member {
--- a/internal/raftnode/effects.go
+++ b/internal/raftnode/effects.go
@@ -33,7 +33,7 @@
 			delete(n.leaseReplies, e.Token)
 			reply(json.Marshal(e.Reply))
 		}
-	case consensus.SendHello:
+	case consensus.RequestHello:
 		n.requestHello(now, e.To)
 	case consensus.PlacementChanged:
 		if members, table := n.group.Configuration(); table.Step > n.configurationStep {
