--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -137,8 +137,8 @@
 // safe for concurrent use.
 func (l *Loop) OpenRequests() int { return int(l.openCount.Load()) }
 
-// EarliestArrival returns the earliest time at which data that is read now may have arrived. It is earlier than now during and
-// shortly after a stall of this process. It is safe for concurrent use.
+// EarliestArrival returns the earliest time at which data that is read now may have arrived. It is earlier than now
+// during and shortly after a stall of this process. It is safe for concurrent use.
 func (l *Loop) EarliestArrival(now float64) float64 { return l.stalls.earliestArrival(now) }
 
 // Stop ends Run and waits until it has returned.
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -98,8 +98,8 @@
 	if len(c.settings.Scheduler.Classes) == 0 {
 		return errors.New("settings: Classes has no request class")
 	}
-	// Each controller sends a warming-up executor its share of what the executor can take. The shares add up to no more
-	// than that only if no controller assumes too few controllers.
+	// Each controller sends a warming-up executor at most the controller's share of the executor's warm-up budget. The
+	// shares add up to no more than the budget only if no controller assumes too few controllers.
 	c.settings.Scheduler.Controllers = max(c.settings.Scheduler.Controllers, len(c.Peers))
 	c.settings.Scheduler.PresumedNotifiedAfterMS = float64(listPropagationTime) / float64(time.Millisecond)
 	return nil
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -44,8 +44,8 @@
 	deregistrationTime = 700 * time.Millisecond
 	// maxDeadlineWait is the longest request deadline that a shutdown waits for.
 	maxDeadlineWait = 3 * time.Second
-	// listPropagationTime is the time after which the platform takes a change of the endpoint list as known to every
-	// controller, received or not.
+	// listPropagationTime is the time after which the platform presumes every controller notified of a change of the
+	// endpoint list, received or not.
 	listPropagationTime = 7 * time.Second
 )
 
@@ -77,7 +77,9 @@
 }
 
 // Run serves until ctx ends, then shuts down gracefully. Each signal from reload makes it reload the configuration.
-func Run(ctx context.Context, config *Config, extensions Extensions, reload <-chan os.Signal, log *logrus.Logger) error {
+func Run(
+	ctx context.Context, config *Config, extensions Extensions, reload <-chan os.Signal, log *logrus.Logger,
+) error {
 	applyRuntimeLimits(config)
 	c := newController(config, extensions, log)
 	if err := extensions.Open(config.Name, c.loop, config.settings, c.clock, log); err != nil {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -30,7 +30,7 @@
 		MayCancel       bool     `json:"Cancelling"`
 		MayHealthCheck  bool     `json:"Probing"`
 		MayMessagePeers bool     `json:"Peers"`
-		NamesRetryAfter bool     `json:"RetryAfter"`
+		SendsRetryAfter bool     `json:"RetryAfter"`
 		MaxRetryAfter   float64  `json:"MaxRetryAfter"`
 		ConnectTimeout  *float64 `json:"ConnectTimeout"`
 		IdleClose       *float64 `json:"IdleClose"`
@@ -46,7 +46,7 @@
 		ClassBlockedByHolders []bool     `json:"BlockedByLoads"`
 		KindCores             []*float64 `json:"KindCores"`
 		KindMemoryMB          []*float64 `json:"RamOfKindMb"`
-		LargestShare          *float64   `json:"LargestShare"`
+		MaxGrantShare         *float64   `json:"LargestShare"`
 		HonorsGrants          bool       `json:"Grants"`
 		ProgressInterval      float64    `json:"TellsEvery"`
 	} `json:"FamilyInfo"`
@@ -61,29 +61,29 @@
 		RetryFloor       *float64 `json:"ExtraFloor"`
 		RetryShare       *float64 `json:"ExtraPerRequest"`
 		RetryWindow      *float64 `json:"RatioSpan"`
-		OrderKeyRest     float64  `json:"KeyQuiet"`
+		OrderKeyHoldoff  float64  `json:"KeyQuiet"`
 	} `json:"Invariants"`
 }
 
 // platformClass is the JSON object of one request class.
 type platformClass struct {
-	Name                string   `json:"Name"`
-	Idempotency         string   `json:"Idempotency"`
-	DedupScope          string   `json:"DedupScope"`
-	DedupWindow         float64  `json:"DedupWindow"`
-	SoftDeadline        float64  `json:"Aim"`
-	SoftDeadlineStretch float64  `json:"AimStretch"`
-	Deadline            float64  `json:"HardLimit"`
-	Value               *float64 `json:"Worth"`
-	LateShare           float64  `json:"LateWorth"`
-	InOrder             bool     `json:"OneAtATime"`
-	Kinds               []string `json:"KindsOpen"`
-	Zones               []string `json:"ZonesOnly"`
+	Name                   string   `json:"Name"`
+	Idempotency            string   `json:"Idempotency"`
+	DedupScope             string   `json:"DedupScope"`
+	DedupWindow            float64  `json:"DedupWindow"`
+	SoftDeadline           float64  `json:"Aim"`
+	SoftDeadlineWorkFactor float64  `json:"AimStretch"`
+	Deadline               float64  `json:"HardLimit"`
+	Value                  *float64 `json:"Worth"`
+	LateValueShare         float64  `json:"LateWorth"`
+	InOrder                bool     `json:"OneAtATime"`
+	Kinds                  []string `json:"KindsOpen"`
+	Zones                  []string `json:"ZonesOnly"`
 }
 
 // These maps translate the platform's words. An empty word stands for a missing setting.
 var (
-	effectsByWord = map[string]scheduler.Idempotency{
+	idempotencyByWord = map[string]scheduler.Idempotency{
 		"safe":   scheduler.Idempotent,
 		"keyed":  scheduler.Keyed,
 		"unsafe": scheduler.NonIdempotent,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -133,7 +133,7 @@
 	if in.Name == "" {
 		return scheduler.RequestClass{}, &Error{Path: path + "Name", Want: "a name", Got: `""`}
 	}
-	effect, err := lookup(effectsByWord, path+"Idempotency", in.Idempotency)
+	idempotency, err := lookup(idempotencyByWord, path+"Idempotency", in.Idempotency)
 	if err != nil {
 		return scheduler.RequestClass{}, err
 	}
@@ -141,14 +141,14 @@
 	if err != nil {
 		return scheduler.RequestClass{}, err
 	}
-	class := scheduler.DefaultClass(in.Name, effect)
+	class := scheduler.DefaultClass(in.Name, idempotency)
 	class.DedupScope = scope
 	class.DedupWindowMS = in.DedupWindow / usPerMS
 	class.SoftDeadlineMS = in.SoftDeadline / usPerMS
-	class.SoftDeadlineWorkFactor = in.SoftDeadlineStretch
+	class.SoftDeadlineWorkFactor = in.SoftDeadlineWorkFactor
 	class.DeadlineMS = in.Deadline / usPerMS
 	class.Value = valueOr(in.Value, class.Value)
-	class.LateValueShare = in.LateShare
+	class.LateValueShare = in.LateValueShare
 	class.InOrder = in.InOrder
 	class.HoldsTableGroup = elementOrZero(p.Deployment.ClassHoldsTableGroup, index)
 	class.BlockedByHolders = elementOrZero(p.Deployment.ClassBlockedByHolders, index)
@@ -165,18 +165,18 @@
 	s.MayHealthCheck = bounds.MayHealthCheck
 	s.MayMessagePeers = bounds.MayMessagePeers
 	s.MaxAttempts = int(valueOr(bounds.MaxAttempts, float64(s.MaxAttempts)))
-	s.SendsRetryAfter = bounds.NamesRetryAfter
+	s.SendsRetryAfter = bounds.SendsRetryAfter
 	s.MaxRetryAfterMS = bounds.MaxRetryAfter / usPerMS
 	s.ConnectTimeoutMS = millisecondsOr(bounds.ConnectTimeout, 0)
 
 	deployment := &p.Deployment
-	s.MaxGrantShare = valueOr(deployment.LargestShare, s.MaxGrantShare)
+	s.MaxGrantShare = valueOr(deployment.MaxGrantShare, s.MaxGrantShare)
 	s.HonorsGrants = deployment.HonorsGrants
 	s.ProgressEveryMS = deployment.ProgressInterval / usPerMS
 
 	invariants := &p.Invariants
 	s.DrainGraceMS = invariants.DrainGrace / usPerMS
-	s.OrderKeyHoldoffMS = invariants.OrderKeyRest / usPerMS
+	s.OrderKeyHoldoffMS = invariants.OrderKeyHoldoff / usPerMS
 	s.RetryBudget = p.retryBudget(scheduler.RetryBudget{})
 	s.WarmupMS = invariants.Warmup / usPerMS
 	s.ColdCapacity = valueOr(invariants.ColdCapacity, s.ColdCapacity)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -111,5 +111,5 @@
 	var syntaxError *json.SyntaxError
 	assert.ErrorAs(t, err, &syntaxError)
 	_, err = Read([]byte(`{"Classes": [{"Name": "a", "Idempotency": "safe"}, {"Name": "a", "Idempotency": "safe"}]}`))
-	assert.ErrorContains(t, err, `class "a" stands there twice`)
+	assert.ErrorContains(t, err, `class "a" is defined twice`)
 }
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,8 +2,8 @@
 
 // Admission decides which requests are accepted, which attempts may be sent and which requests may be rejected.
 //
-// Every accepted request gets exactly one final answer before its deadline. Effects are never duplicated: after an
-// attempt that may have run, a non-idempotent request gets no further attempt, and a keyed request gets one only on
+// Every accepted request gets exactly one final answer before its deadline. Side effects are never duplicated: after
+// an attempt that may have run, a non-idempotent request gets no further attempt, and a keyed request gets one only on
 // executors that deduplicate it, within the dedup window. Requests with the same order key run one at a time. The
 // placement constraints of a class (executor kinds and zones) always hold.
 
@@ -19,7 +19,7 @@
 		return
 	}
 	index := s.classIndex(ev.Class)
-	if index < 0 { // without a class, the effect and the placement constraints are unknown
+	if index < 0 { // without a class, the idempotency and the placement constraints are unknown
 		s.emit(Action{Kind: Reject, Request: ev.Request})
 		return
 	}
@@ -83,8 +83,8 @@
 }
 
 // isEligible reports whether an executor may currently run a request of a class: its kind and zone satisfy the
-// placement constraints, its zone is within reach, its warm-up share has room, and it is neither ejected nor possibly
-// draining.
+// placement constraints, its zone is within reach, this controller's share of its warm-up budget has room, and it is
+// neither ejected nor possibly draining.
 func (s *Scheduler) isEligible(r *request, class *classState, e *executor) bool {
 	if !allows(class.kinds, e.kind) || !allows(class.zones, e.zone) {
 		return false
@@ -122,7 +122,7 @@
 }
 
 // mayReject decides whether a request may be rejected. Clients retry rejected requests, so nothing of the request
-// may have run unless every executor that a repeat can reach handles it without a second effect.
+// may have run unless every executor that a repeat can reach drops the repeat or may run it again.
 func (s *Scheduler) mayReject(r *request) bool {
 	class := &s.classes[r.class]
 	droppedEverywhere := class.idempotency == Keyed && class.dedupScope == DedupAll
@@ -141,8 +141,8 @@
 	s.cancelAttempts(slot)
 }
 
-// retryAfterMS returns the delay after which a rejected client is asked to retry, or 0 to name none. The delay is
-// randomized so that rejected clients don't all return at once.
+// retryAfterMS returns the delay after which a rejected client is asked to retry, or 0 if rejections carry none. The
+// delay is randomized so that rejected clients don't all return at once.
 func (s *Scheduler) retryAfterMS() float64 {
 	if !s.settings.SendsRetryAfter {
 		return 0
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -15,8 +15,8 @@
 	// bad plan. It keeps attempts whose work was estimated far too low but that are close to their end.
 	badPlanRemainingFactor = 2
 
-	// waitingForGroupHolder is the Value of a Waiting report of an attempt that waits for a request that holds its
-	// table group.
+	// waitingForGroupHolder is the Value of a Waiting report of an attempt that waits for a holder of its table
+	// group.
 	waitingForGroupHolder = 2
 )
 
@@ -44,7 +44,7 @@
 	s.emit(Action{Kind: Send, Request: r.id, Executor: e.id, LatestStart: latest})
 }
 
-// recordProgress handles a progress report of an attempt in flight. It abandons an attempt that waits behind a
+// recordProgress handles a progress report of an attempt in flight. It abandons an attempt that waits for a
 // holder of its table group or has a bad plan, if another attempt can follow.
 func (s *Scheduler) recordProgress(slot int, a *attempt, ev *Event) {
 	r := s.requests.at(slot)
@@ -77,14 +77,14 @@
 	}
 }
 
-// shouldLeaveHolder reports whether an attempt that waits behind a holder of its table group is sent to another
+// shouldLeaveHolder reports whether an attempt that waits for a holder of its table group is sent to another
 // executor instead. That is so only for an idempotent request whose attempt has completed nothing yet.
 func (s *Scheduler) shouldLeaveHolder(r *request, class *classState, a *attempt) bool {
 	mayRunAgain := r.state == requestRunning && class.idempotency == Idempotent
 	return mayRunAgain && a.completedShare == 0 && s.mayReplaceAttempt(r)
 }
 
-// hasBadPlan reports whether an attempt is much slower than usual for its class and executor and may be replaced.
+// hasBadPlan reports whether an attempt is much slower than expected for its class and executor and may be replaced.
 // The executor has chosen a bad execution plan for it, or has lost it.
 func (s *Scheduler) hasBadPlan(r *request, class *classState, e *executor, a *attempt) bool {
 	if r.state != requestRunning || class.idempotency != Idempotent || a.runningMS <= badPlanMinRunMS {
--- a/scheduler/classes.go
+++ b/scheduler/classes.go
@@ -20,7 +20,7 @@
 	zones                  []string
 
 	meanWorkMS      float64 // moving average of the expected work of a request
-	workSamples     float64 // number of samples in usualWorkMS
+	workSamples     float64 // number of samples in meanWorkMS
 	slowdown        float64 // moving average of the running time divided by the work per thread
 	memoryFactor    float64 // memory to grant per MB of the client's estimate
 	actualWorkMS    float64 // moving average of the work that answers reported
@@ -73,8 +73,8 @@
 	return true
 }
 
-// overallMeanWork returns the mean work of a request over all classes, in ms. If no request has arrived yet, it returns the
-// mean of the given class.
+// overallMeanWork returns the mean work of a request over all classes, in ms. If no request has arrived yet, it returns
+// the mean work of the given class.
 func (s *Scheduler) overallMeanWork(class *classState) float64 {
 	work := 0.0
 	samples := 0.0
@@ -94,10 +94,10 @@
 func (s *Scheduler) meanWorkRange() (smallest, largest float64) {
 	smallest = math.Inf(1)
 	for i := range s.classes {
-		usual := s.classes[i].meanWorkMS
-		if usual > 0 {
-			smallest = min(smallest, usual)
-			largest = max(largest, usual)
+		meanWorkMS := s.classes[i].meanWorkMS
+		if meanWorkMS > 0 {
+			smallest = min(smallest, meanWorkMS)
+			largest = max(largest, meanWorkMS)
 		}
 	}
 	return smallest, largest
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	minLateShare    = 0.25 // share of the value below which a late answer isn't worth keeping a request queued
-	longQueueLength = 50   // queue length from which on the queue is dispatched at most once per clock value
+	minLateValueShare = 0.25 // LateValueShare below which a late answer isn't worth keeping a request queued
+	longQueueLength   = 50   // queue length from which on the queue is dispatched at most once per clock value
 )
 
 // dispatchDue reports whether the queue may be dispatched in this step. A long queue is dispatched only once the
@@ -78,7 +78,7 @@
 // for a late answer to keep the request queued.
 func (s *Scheduler) isTooLateToQueue(r *request) bool {
 	class := &s.classes[r.class]
-	return class.lateValueShare < minLateShare && s.now+class.minRunMS(r) > r.softDeadline
+	return class.lateValueShare < minLateValueShare && s.now+class.minRunMS(r) > r.softDeadline
 }
 
 // valueDensity returns the value that a request can still earn per millisecond of its work. It is 0 for a request
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestScheduler_QueuesLateRequestOnlyWithEnoughLateShare(t *testing.T) {
-	for lateShare, want := range map[float64][]ActionKind{0.1: {Reject}, 0.5: nil} {
-		s := newTestScheduler(0, func(s *Settings) { s.Classes[0].LateValueShare = lateShare })
+func TestScheduler_QueuesLateRequestOnlyWithEnoughLateValueShare(t *testing.T) {
+	for lateValueShare, want := range map[float64][]ActionKind{0.1: {Reject}, 0.5: nil} {
+		s := newTestScheduler(0, func(s *Settings) { s.Classes[0].LateValueShare = lateValueShare })
 		arrive(s, 1000, "a", "read")
 		assert.Empty(t, actionKinds(tickAt(s, 1800)))
-		assert.Equal(t, want, actionKinds(tickAt(s, 1950)), "late share %v", lateShare)
+		assert.Equal(t, want, actionKinds(tickAt(s, 1950)), "late value share %v", lateValueShare)
 	}
 }
 
--- a/scheduler/drains.go
+++ b/scheduler/drains.go
@@ -1,16 +1,17 @@
 package scheduler
 
 // Drains while the endpoint list is unavailable. A draining executor accepts new attempts until a grace period after
-// the notification of its drain has passed, and a controller counts as notified after a given time even if it received
-// nothing. Without the list, an executor therefore gets new attempts only while no drain that this controller may have
-// missed can have taken effect.
+// the notification of its drain has passed, and a controller is presumed notified after a given time even if it
+// received nothing. Without the list, an executor therefore gets new attempts only while no drain that this controller
+// may have missed can have taken effect.
 
 import (
 	"math"
 	"slices"
 )
 
-// maxPresumedNotifications bounds the number of stored times at which pending list updates count as received.
+// maxPresumedNotifications bounds the number of stored times at which this controller is presumed notified of pending
+// list updates.
 const maxPresumedNotifications = 32
 
 // drainSafeUntil returns the time until which an executor surely accepts new attempts. The executor was not draining
@@ -29,8 +30,8 @@
 	return notifiedAt + s.settings.DrainGraceMS - answerMarginMS
 }
 
-// recordPresumedNotification stores the time at which pending list updates count as received; 0 stands for none. It
-// drops stored times that are more than NotifiedWithinMS ago.
+// recordPresumedNotification stores the time at which this controller is presumed notified of pending list updates; 0
+// stands for none. It drops stored times that are more than PresumedNotifiedAfterMS ago.
 func (s *Scheduler) recordPresumedNotification(at float64) {
 	oldest := s.now - s.settings.PresumedNotifiedAfterMS
 	isOld := func(presumed float64) bool { return presumed < oldest }
--- a/scheduler/drains_test.go
+++ b/scheduler/drains_test.go
@@ -49,20 +49,23 @@
 	assert.Equal(t, []ActionKind{SetResources, Send}, actionKinds(out))
 	s = newTestScheduler(1, func(settings *Settings) { settings.DrainGraceMS = 500 })
 	s.Step(1500, &Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400}, nil)
-	assert.NotEmpty(t, arrive(s, 8900, "a", "read"), "without NotifiedWithinMS, drains don't count as notified")
+	assert.NotEmpty(t, arrive(s, 8900, "a", "read"),
+		"without PresumedNotifiedAfterMS, the controller isn't presumed notified of drains")
 }
 
-// List updates that were pending when the list became unavailable count as received at a time of their own. From then
-// on, executors that have not accepted an attempt since are closed. An executor that has accepted one stays open until
-// the next such time or until NotifiedWithinMS has passed.
+// List updates that were pending when the list became unavailable have their own time from which on the controller is
+// presumed notified of them. From then on, executors that have not accepted an attempt since are closed. An executor
+// that has accepted one stays open until the next such time or until PresumedNotifiedAfterMS has passed.
 func TestScheduler_ClosesExecutorsOncePendingNewsCountsAsKnown(t *testing.T) {
 	s := newTestScheduler(1, func(settings *Settings) {
 		settings.PresumedNotifiedAfterMS = 7000
 		settings.DrainGraceMS = 500
 	})
 	e := &s.executors[0]
-	loseList := func(now, presumedAt float64) {
-		lost := Event{Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedNotifiedAt: presumedAt}
+	loseList := func(now, presumedNotifiedAt float64) {
+		lost := Event{
+			Kind: EndpointsUpdated, List: ListUnavailable, Deadline: 1400, PresumedNotifiedAt: presumedNotifiedAt,
+		}
 		s.Step(now, &lost, nil)
 	}
 	loseList(1500, 3400)
--- a/scheduler/ejection.go
+++ b/scheduler/ejection.go
@@ -69,7 +69,7 @@
 
 // recordFailure counts a failed attempt against its executor and ejects the executor after maxFailures consecutive
 // failures. A single failure is enough while the executor has done no work since it last started or recovered, and a
-// single refused connection where this controller's share is too small to see many attempts fail.
+// single refused connection where this controller's share of the executor is too small to see many attempts fail.
 func (s *Scheduler) recordFailure(index int, outcome Outcome) {
 	e := &s.executors[index]
 	e.failures++
@@ -110,7 +110,7 @@
 
 // missedProgress reports whether an attempt is to be replaced because its progress report is late although its
 // executor has sent others since: the attempt was dropped, or its reply or stream was lost. Attempts that wait in the
-// executor's queue send no reports.
+// executor's own queue send no reports.
 func (s *Scheduler) missedProgress(r *request, a *attempt) bool {
 	interval := s.settings.ProgressEveryMS
 	e := &s.executors[a.executor]
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -13,7 +13,7 @@
 )
 
 // expectedWorkMS returns the expected work of a request: the client's estimate, corrected by the ratio of actual to
-// estimated work of the class. Without an estimate it is the usual work of the class.
+// estimated work of the class. Without an estimate it is the mean work of the class.
 func (c *classState) expectedWorkMS(estimateMS float64) float64 {
 	if c.estimatedWorkMS > 0 {
 		estimateMS *= c.actualWorkMS / c.estimatedWorkMS
@@ -21,7 +21,8 @@
 	return cmp.Or(max(0, estimateMS), c.meanWorkMS, 1)
 }
 
-// recordArrival updates the usual work of a class with that of a new request. The first arrivals are weighted equally.
+// recordArrival updates the mean work of a class with the work of a new request. The first arrivals are weighted
+// equally.
 func (c *classState) recordArrival(workMS float64) {
 	c.workSamples++
 	c.meanWorkMS += max(costSmoothingFactor, 1/c.workSamples) * (workMS - c.meanWorkMS)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -138,8 +138,8 @@
 	MemoryShare float64 // RequestArrived, PriorityCapped: fraction of its memory grant that the request gets; 0: all
 	Immediate   bool    // RequestArrived: start the request in this step, or emit ReturnRequest
 
-	// PresumedNotifiedAt is the time from which on this controller is presumed to know the changes of the endpoint list that it
-	// has not received. 0 means that there are none. It applies to EndpointsUpdated with ListUnavailable.
+	// PresumedNotifiedAt is the time from which on this controller is presumed notified of the changes of the endpoint
+	// list that it has not received. 0 means that there are none. It applies to EndpointsUpdated with ListUnavailable.
 	PresumedNotifiedAt float64
 
 	HalfClosed bool // ClientLeft: the client can still read, so the request gets a final answer
--- a/scheduler/executors.go
+++ b/scheduler/executors.go
@@ -41,15 +41,15 @@
 	probeFailed    bool // the last health check failed
 	probesAnswered int  // consecutive successful health checks
 	warmupUntil    float64
-	warmupSent     slidingWindow // usual work of the requests sent during the warm-up, in milliseconds
+	warmupSent     slidingWindow // mean work of the classes of the requests sent during the warm-up, in ms
 
 	// Load from all controllers.
-	reportedThreads float64 // of the last load report, plus the attempts that this controller has sent since
-	reportedMB      float64
-	reportedAt      float64
-	peerThreads     float64 // sum over all controllers; kept by aggregators only
-	peerMemoryShare float64 // sum over all controllers; kept by aggregators only
-	loadLevel       float64 // as published by an aggregator
+	reportedThreads  float64 // of the last load report, plus the attempts that this controller has sent since
+	reportedMB       float64
+	lastLoadReportAt float64 // 0: there was none
+	peerThreads      float64 // sum over all controllers; kept by aggregators only
+	peerMemoryShare  float64 // sum over all controllers; kept by aggregators only
+	loadLevel        float64 // as published by an aggregator
 }
 
 // groupHolder states that a request holds a table group on an executor, up to a point in time.
@@ -117,7 +117,7 @@
 			WarmingUp:           now < e.warmupUntil,
 			WarmupUntil:         e.warmupUntil,
 			SinceActivityMS:     since(e.lastActivityAt),
-			SinceReportMS:       since(e.reportedAt),
+			SinceReportMS:       since(e.lastLoadReportAt),
 		})
 	}
 	return out
@@ -224,7 +224,7 @@
 }
 
 // updateTrafficShare recomputes this controller's share of all requests and of each executor. The number of
-// controllers is the counted one if it is known, and otherwise that of the settings.
+// controllers is controllerCount if it is known, and otherwise that of the settings.
 func (s *Scheduler) updateTrafficShare() {
 	controllers := cmp.Or(s.controllerCount, float64(s.settings.Controllers))
 	s.trafficShare = 1 / max(1, controllers)
--- a/scheduler/executors_test.go
+++ b/scheduler/executors_test.go
@@ -34,7 +34,7 @@
 	assert.Empty(t, s.requests.byID)
 }
 
-// The number of counted controllers changes the traffic share, but not the share of a warm-up budget.
+// The controller count changes the traffic share, but not the share of a warm-up budget.
 func TestScheduler_ControllerCountSetsTrafficShare(t *testing.T) {
 	s := newTestScheduler(1, func(settings *Settings) {
 		settings.Controllers = 4
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// testSettings returns the settings of a deployment with one class of each effect, after the given changes.
+// testSettings returns the settings of a deployment with one class of each idempotency, after the given changes.
 func testSettings(changes ...func(*Settings)) Settings {
 	settings := DefaultSettings()
 	settings.MaxAttempts = 4
@@ -29,10 +29,10 @@
 }
 
 // testClass returns a class with one thread per request and half of the value for late answers.
-func testClass(name string, effect Idempotency) RequestClass {
+func testClass(name string, idempotency Idempotency) RequestClass {
 	return RequestClass{
 		Name:           name,
-		Idempotency:    effect,
+		Idempotency:    idempotency,
 		DedupScope:     DedupAll,
 		DedupWindowMS:  5000,
 		SoftDeadlineMS: 1000,
--- a/scheduler/loadexchange.go
+++ b/scheduler/loadexchange.go
@@ -11,7 +11,10 @@
 	aggregatorCount     = 3 // more than one, since some may be stalled or down
 	exchangeIntervalMS  = 250
 	levelThreadsPerCore = 0.2 // threads per core that one load level stands for; the highest is twice maxThreadsPerCore
-	failingExtraThreads = 4   // added to the reported threads of a failing executor, which would otherwise look idle
+
+	// failingExtraThreads is added to the threads of a failing executor in the load message, because the executor would
+	// otherwise look idle.
+	failingExtraThreads = 4
 )
 
 // exchangeLoad sends this controller's load message to the aggregators if one is due. If this controller is an
@@ -70,7 +73,7 @@
 		}
 		e.reportedThreads = e.loadLevel * levelThreadsPerCore * e.cores
 		e.reportedMB = 0
-		e.reportedAt = s.now
+		e.lastLoadReportAt = s.now
 	}
 	s.dispatchNeeded = true
 }
--- a/scheduler/loadexchange_test.go
+++ b/scheduler/loadexchange_test.go
@@ -27,7 +27,7 @@
 	assert.Zero(t, reporter.executors[0].reportedThreads)
 	// A message with the length that a shorter endpoint list has is ignored.
 	reporter.Step(1030, &Event{Kind: PeerMessage, FromPeer: 0, Payload: levels.Payload[:2]}, nil)
-	assert.Equal(t, 1020.0, e.reportedAt)
+	assert.Equal(t, 1020.0, e.lastLoadReportAt)
 }
 
 func TestScheduler_ReportsFailingExecutorAsFuller(t *testing.T) {
@@ -43,7 +43,7 @@
 	s := newSmallShareScheduler(2, allowPeerMessages)
 	for index := range s.executors {
 		e := &s.executors[index]
-		e.reportedThreads, e.reportedAt = 3*e.cores*float64(index), 1000
+		e.reportedThreads, e.lastLoadReportAt = 3*e.cores*float64(index), 1000
 	}
 	for k := range 5 {
 		arrive(s, 1000, string(rune('a'+k)), "read")
--- a/scheduler/orderkeys.go
+++ b/scheduler/orderkeys.go
@@ -20,8 +20,8 @@
 	return false
 }
 
-// blockOrderKey blocks the order key of a request for the configured time after an attempt that may still be running
-// on its executor.
+// blockOrderKey blocks the order key of a request for OrderKeyHoldoffMS after an attempt that may still be running on
+// its executor.
 func (s *Scheduler) blockOrderKey(r *request, outcome Outcome) {
 	if r.orderKey == "" || s.settings.OrderKeyHoldoffMS <= 0 {
 		return
--- a/scheduler/priority.go
+++ b/scheduler/priority.go
@@ -40,7 +40,7 @@
 }
 
 // accountRunningTime adds the time since the last tick to the running time of an attempt, and decays its priority. An
-// attempt that is queued on its executor isn't running.
+// attempt that waits in its executor's own queue isn't running.
 func (s *Scheduler) accountRunningTime(r *request, a *attempt, elapsedMS float64) {
 	if a.queued {
 		return
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -14,11 +14,11 @@
 	executor       int // index of its executor
 	sentAt         float64
 	progressAt     float64 // time of the last progress report, or of sending
-	runningMS      float64 // running time so far, without the time queued on the executor
+	runningMS      float64 // running time so far, without the time in the executor's own queue
 	completedShare float64 // share of the work that the last progress report named as done
 	grantMB        float64
 	threads        int
-	queued         bool // it waits on its executor
+	queued         bool // it waits in its executor's own queue
 	inFlight       bool // it has no outcome yet
 	mayHaveRun     bool // it is in flight, or ended without proof that it never ran
 }
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -47,7 +47,8 @@
 	s.addRemoteThreads(e.zone, -a.threads)
 }
 
-// setQueued records whether an attempt waits on its executor, and updates the executor's count of queued attempts.
+// setQueued records whether an attempt waits in its executor's own queue, and updates the executor's count of queued
+// attempts.
 func (s *Scheduler) setQueued(a *attempt, queued bool) {
 	if a.queued == queued {
 		return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -65,9 +65,12 @@
 	peerLoads        []peerLoad // by controller index; only kept by an aggregator
 
 	// The endpoint list.
-	resubscribeAt      float64
-	listContactAt      float64   // time of the last contact while the list is unavailable; 0: none is known
-	presumedNotifiedAt []float64 // when pending changes are presumed known, while the list is unavailable
+	resubscribeAt float64
+	listContactAt float64 // time of the last contact while the list is unavailable; 0: none is known
+
+	// presumedNotifiedAt holds the times at which this controller is presumed notified of list updates that were pending
+	// when the list became unavailable.
+	presumedNotifiedAt []float64
 }
 
 // New returns an instance without executors or requests. The seed determines its random numbers.
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -81,7 +81,7 @@
 // loadOf returns the reported load of the whole executor if the report is current, and otherwise the load of this
 // controller's attempts on its share of the executor.
 func (s *Scheduler) loadOf(e *executor) executorLoad {
-	if s.reportIsCurrent(e) {
+	if s.loadReportIsCurrent(e) {
 		return executorLoad{threads: e.reportedThreads, memoryMB: e.reportedMB, share: 1, cores: e.cores}
 	}
 	threads := float64(e.threads)
@@ -147,11 +147,11 @@
 // executor at once.
 func (s *Scheduler) skipsRandomly(r *request, index int, load executorLoad, limit float64) bool {
 	e := &s.executors[index]
-	if !s.settings.MayMessagePeers || !s.sharesUnderOneThread(e) || !s.reportIsCurrent(e) {
+	if !s.settings.MayMessagePeers || !s.sharesUnderOneThread(e) || !s.loadReportIsCurrent(e) {
 		return false
 	}
 	// A request draws the same number for an executor until that executor's next load report.
-	drawn := s.randomAt(r.sequence*7919 + uint64(e.reportedAt)*31 + uint64(index))
+	drawn := s.randomAt(r.sequence*7919 + uint64(e.lastLoadReportAt)*31 + uint64(index))
 	return drawn > 1-load.threads/(limit*load.cores)
 }
 
@@ -162,19 +162,19 @@
 	return trafficShare * (1 + math.Sqrt((1/trafficShare-1)/cores))
 }
 
-// reportIsCurrent reports whether the last load report of an executor still counts. The report of a full executor
+// loadReportIsCurrent reports whether the last load report of an executor still counts. The report of a full executor
 // counts twice as long, so that the controllers don't all return to it at the same time.
-func (s *Scheduler) reportIsCurrent(e *executor) bool {
-	age := s.now - e.reportedAt
+func (s *Scheduler) loadReportIsCurrent(e *executor) bool {
+	age := s.now - e.lastLoadReportAt
 	isFull := e.reportedThreads > maxShortThreadsPerCore*e.cores
-	return e.reportedAt > 0 && (age < reportLifetimeMS || isFull && age < 2*reportLifetimeMS)
+	return e.lastLoadReportAt > 0 && (age < reportLifetimeMS || isFull && age < 2*reportLifetimeMS)
 }
 
 // awaitsLoadReport reports whether a request has to wait for the load report of an executor. It sends the health
 // check that brings the report, unless one is in flight or the probe tokens are used up.
 func (s *Scheduler) awaitsLoadReport(index int) bool {
 	e := &s.executors[index]
-	if !s.settings.ReportsByProbe || s.reportIsCurrent(e) || !s.sharesUnderOneThread(e) {
+	if !s.settings.ReportsByProbe || s.loadReportIsCurrent(e) || !s.sharesUnderOneThread(e) {
 		return false
 	}
 	if !e.probing && s.probeTokens >= 1 {
@@ -196,7 +196,7 @@
 // recordLoadReport stores the load report of an executor, with disk utilization converted to threads. An executor
 // that queues requests counts as full, since further requests would be queued there, too.
 func (s *Scheduler) recordLoadReport(e *executor, ev *Event) {
-	e.reportedAt = s.now
+	e.lastLoadReportAt = s.now
 	s.lastLoadReportAt = s.now
 	e.reportedMB = s.loadReportValue(ev, ReportMemoryShare) * e.memoryMB
 	diskThreads := s.loadReportValue(ev, ReportDiskShare) * diskThreadsPerCore * e.cores
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -8,15 +8,15 @@
 // Idempotency says whether a request of a class may run more than once.
 type Idempotency uint8
 
-// The effects. The zero value is the strictest one.
+// The kinds of idempotency. The zero value is the strictest one.
 const (
 	NonIdempotent Idempotency = iota // must not run more than once
 	Keyed                            // idempotent by key: executors drop repeats within a deduplication scope and window
 	Idempotent                       // may run any number of times
 )
 
-// String returns the name of the effect.
-func (e Idempotency) String() string { return nameOf(e, "non-idempotent", "keyed", "idempotent") }
+// String returns the name of the idempotency.
+func (i Idempotency) String() string { return nameOf(i, "non-idempotent", "keyed", "idempotent") }
 
 // DedupScope says which executors drop repeats of a keyed request.
 type DedupScope uint8
@@ -82,8 +82,8 @@
 
 	SubscribesToEndpoints bool // the endpoint list is sent only after a Subscribe action
 
-	// PresumedNotifiedAfterMS is the time after which this controller is presumed to know a change of the endpoint list, even
-	// if it has not received it. 0 means that it knows a change only once it has received it.
+	// PresumedNotifiedAfterMS is the time after which this controller is presumed notified of a change of the endpoint
+	// list, even if it has not received it. 0 means that it counts as notified only once it has received the change.
 	PresumedNotifiedAfterMS float64
 
 	DrainGraceMS    float64  // time for which a draining executor still accepts attempts
@@ -124,9 +124,9 @@
 	}
 }
 
-// DefaultClass returns a class with default settings for all but the name and the effect.
-func DefaultClass(name string, effect Idempotency) RequestClass {
-	return RequestClass{Name: name, Idempotency: effect, Value: 1, Threads: 1}
+// DefaultClass returns a class with default settings for all but the name and the idempotency.
+func DefaultClass(name string, idempotency Idempotency) RequestClass {
+	return RequestClass{Name: name, Idempotency: idempotency, Value: 1, Threads: 1}
 }
 
 // DefaultKind returns a kind with default settings for all but the name.
@@ -143,7 +143,7 @@
 		case class.Name == "":
 			return fmt.Errorf("class %d has no name", k)
 		case seen[class.Name]:
-			return fmt.Errorf("class %q stands there twice", class.Name)
+			return fmt.Errorf("class %q is defined twice", class.Name)
 		case class.Threads < 1:
 			return fmt.Errorf("class %q: Threads is %d, must be at least 1", class.Name, class.Threads)
 		}
@@ -181,7 +181,7 @@
 	return kind
 }
 
-// LongestRetryAfterMS returns the longest retry delay that a rejection may name. 0 means that rejections name none.
+// LongestRetryAfterMS returns the longest retry delay that a rejection may carry. 0 means that rejections carry none.
 func (s *Settings) LongestRetryAfterMS() float64 {
 	if !s.SendsRetryAfter {
 		return 0
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -8,8 +8,11 @@
 import "math"
 
 const (
-	warmupMargin        = 0.9     // share of the budget that is divided; each controller estimates usual work by itself
-	maxWarmupPieceShare = 0.8     // largest share of the divided budget that is reserved for one large request
+	// warmupMargin is the fraction of the warm-up budget that is divided. The rest allows for differences between the
+	// controllers' estimates of mean work.
+	warmupMargin = 0.9
+
+	maxWarmupPieceShare = 0.8     // largest fraction of the divided budget that is reserved for one large request
 	restartsPerWindow   = 2       // restarts of each controller within the window that the budget allows for
 	restartChanceFactor = 0.6     // margin on the probability with which a restarted controller uses its full share
 	smallBudgetRequests = 30      // budgets of fewer requests tolerate a larger relative excess
@@ -61,7 +64,7 @@
 	s.abandonAttempts(index, e.ejectedAt, true)
 }
 
-// fitsWarmupShare reports whether a request with the usual work of a class fits into what is left of this
+// fitsWarmupShare reports whether a request with the mean work of a class fits into what is left of this
 // controller's share of an executor's warm-up budget.
 func (s *Scheduler) fitsWarmupShare(class *classState, e *executor) bool {
 	since := s.now - s.settings.CollapseWindowMS - tickMS
@@ -93,8 +96,8 @@
 	return 0
 }
 
-// warmupBudget returns the work, in milliseconds of one thread, that an executor can take within the window at its
-// lowest capacity without collapsing.
+// warmupBudget returns the warm-up budget of an executor: the work, in milliseconds of one thread, that it can take
+// within the window at its lowest capacity without collapsing.
 func (s *Scheduler) warmupBudget(e *executor) float64 {
 	capacity := s.settings.ColdCapacity * e.cores
 	return s.settings.CollapseMultiple * capacity * s.settings.CollapseWindowMS
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -48,14 +48,14 @@
 
 // Guards against warm-up shares that overload an executor when every controller sends as many requests of each class as
 // it may, and against shares that leave no room for large requests or waste much of the budget. In rounds after the
-// first, the controllers' estimates of the usual work are off by up to a quarter.
+// first, the controllers' estimates of the mean work are off by up to a quarter.
 func TestScheduler_WarmupSharesAddUpToBudget(t *testing.T) {
 	const budget = 3 * 0.3 * 8 * 2000
 	workloads := [][]float64{
 		{1000}, {5600, 3400, 190}, {5000, 500, 50}, {2000, 300, 20}, {20000}, {40, 30, 20},
 	}
 	for _, controllers := range []float64{1, 2, 3, 30, 300} {
-		for _, usualWork := range workloads {
+		for _, classMeanWork := range workloads {
 			for round := range 5 {
 				estimatedWork, actualWork, requests := 0.0, 0.0, 0.0
 				classesSent := map[int]bool{}
@@ -66,10 +66,10 @@
 					})
 					e := &s.executors[0]
 					e.warmupUntil, s.seed = 9000, uint64(round)<<32+uint64(controller)
-					for k, workMS := range usualWork {
+					for k, workMS := range classMeanWork {
 						s.classes[k].meanWorkMS = workMS * (1 + float64(min(1, round))*(s.random()/2-0.25))
 					}
-					for k, workMS := range usualWork {
+					for k, workMS := range classMeanWork {
 						class := &s.classes[k]
 						for s.fitsWarmupShare(class, e) {
 							e.warmupSent.add(s.now, class.meanWorkMS)
@@ -80,19 +80,19 @@
 					}
 					estimatedWork += e.warmupSent.total()
 				}
-				meanWork := actualWork / max(1, requests)
-				toleratedWork := budget + meanWork*(2*math.Sqrt(budget/max(1, meanWork))+2)
+				overallMeanWork := actualWork / max(1, requests)
+				toleratedWork := budget + overallMeanWork*(2*math.Sqrt(budget/max(1, overallMeanWork))+2)
 				assert.LessOrEqual(t, actualWork, toleratedWork,
-					"%v controllers, usual work %v ms", controllers, usualWork)
+					"%v controllers, mean work %v ms", controllers, classMeanWork)
 				if round == 0 {
 					assert.LessOrEqual(t, estimatedWork, warmupMargin*budget+1e-6,
-						"%v controllers, usual work %v ms", controllers, usualWork)
-					assert.True(t, usualWork[0] > 10000 || classesSent[0],
-						"%v controllers, usual work %v ms: no request of the largest class was sent",
-						controllers, usualWork)
-					assert.True(t, usualWork[0] > 10000 || estimatedWork > 0.6*warmupMargin*budget,
-						"%v controllers, usual work %v ms: only %v ms were sent",
-						controllers, usualWork, estimatedWork)
+						"%v controllers, mean work %v ms", controllers, classMeanWork)
+					assert.True(t, classMeanWork[0] > 10000 || classesSent[0],
+						"%v controllers, mean work %v ms: no request of the largest class was sent",
+						controllers, classMeanWork)
+					assert.True(t, classMeanWork[0] > 10000 || estimatedWork > 0.6*warmupMargin*budget,
+						"%v controllers, mean work %v ms: only %v ms were sent",
+						controllers, classMeanWork, estimatedWork)
 				}
 			}
 		}
@@ -125,9 +125,9 @@
 // window, each time after they have sent all that they may.
 func TestScheduler_WarmupBudgetOutlastsControllerRestarts(t *testing.T) {
 	for _, controllers := range []int{1, 2, 3, 10, 30, 300} {
-		for _, usualWorkMS := range []float64{20, 100, 300, 1000, 3000} {
+		for _, meanWorkMS := range []float64{20, 100, 300, 1000, 3000} {
 			for _, killedInTen := range []int{7, 10} {
-				budget := 3 * 0.3 * 8 * 2000 / usualWorkMS
+				budget := 3 * 0.3 * 8 * 2000 / meanWorkMS
 				toleratedExcess := 2*math.Sqrt(budget) + 2
 				if budget < 30 {
 					toleratedExcess = 3*math.Sqrt(budget) + 3
@@ -148,15 +148,15 @@
 						list := []Endpoint{{Executor: 1, Kind: "big", StartedAt: 950}}
 						s.Step(1000, &Event{Kind: EndpointsUpdated, List: ListRestored, Endpoints: list}, nil)
 						e, class := &s.executors[0], &s.classes[0]
-						class.meanWorkMS, class.workSamples = usualWorkMS, 50
+						class.meanWorkMS, class.workSamples = meanWorkMS, 50
 						for ; s.fitsWarmupShare(class, e); sent++ {
-							e.warmupSent.add(s.now, usualWorkMS)
+							e.warmupSent.add(s.now, meanWorkMS)
 						}
 					}
 				}
 				assert.LessOrEqual(t, float64(sent), budget+toleratedExcess,
 					"requests sent by %d controllers, %d in ten killed, %v ms per request",
-					controllers, killedInTen, usualWorkMS)
+					controllers, killedInTen, meanWorkMS)
 			}
 		}
 	}
--- a/scheduler/states.go
+++ b/scheduler/states.go
@@ -38,7 +38,7 @@
 const (
 	executorHealthy   executorState = iota
 	executorEjected                 // gets no attempts until it has passed health checks
-	executorWarmingUp               // gets attempts only within a warm-up budget
+	executorWarmingUp               // gets attempts only within its warm-up budget
 	executorAnyState                // wildcard in a state table: matches every state
 )
 
@@ -51,7 +51,7 @@
 type executorInput uint8
 
 const (
-	inputUnresponsive   executorInput = iota // the executor shows no sign of work, or its attempts keep failing
+	inputUnresponsive   executorInput = iota // the executor shows no activity, or its attempts keep failing
 	inputProbesAnswered                      // the executor has passed enough health checks
 	inputRestarted                           // the endpoint list names a new start time
 	inputWarmedUp                            // the warm-up time is over
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -9,10 +9,10 @@
 }
 
 // updateRemoteZones replaces the remote zones. All other zones are near.
-func (s *Scheduler) updateRemoteZones(reaches []ZoneReach) {
+func (s *Scheduler) updateRemoteZones(zones []ZoneReach) {
 	s.remoteZones = s.remoteZones[:0]
-	for _, reach := range reaches {
-		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: reach})
+	for _, zone := range zones {
+		s.remoteZones = append(s.remoteZones, remoteZone{ZoneReach: zone})
 	}
 	s.recountRemoteThreads()
 	s.dispatchNeeded = true
