--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -18,7 +18,7 @@
 	assert.Empty(t, s.requests.byID)
 }
 
-func TestScheduler_NeverRepeatsEffect(t *testing.T) {
+func TestScheduler_RepeatsOnlyAsIdempotencyAllows(t *testing.T) {
 	for _, test := range []struct {
 		class   string
 		outcome Outcome
--- a/scheduler/drains_test.go
+++ b/scheduler/drains_test.go
@@ -56,7 +56,7 @@
 // List updates that were pending when the list became unavailable have their own time from which on the controller is
 // presumed notified of them. From then on, executors that have not accepted an attempt since are closed. An executor
 // that has accepted one stays open until the next such time or until PresumedNotifiedAfterMS has passed.
-func TestScheduler_ClosesExecutorsOncePendingNewsCountsAsKnown(t *testing.T) {
+func TestScheduler_ClosesExecutorsOncePresumedNotified(t *testing.T) {
 	s := newTestScheduler(1, func(settings *Settings) {
 		settings.PresumedNotifiedAfterMS = 7000
 		settings.DrainGraceMS = 500
