--- a/internal/ipprefix/ipprefix.go
+++ b/internal/ipprefix/ipprefix.go
@@ -1,5 +1,5 @@
-// Package ipprefix finds the longest address prefix that contains an address: a path-compressed binary trie, for IPv4 and IPv6. It does
-// not know what a prefix stands for.
+// Package ipprefix finds the longest address prefix that contains an address. It uses a path-compressed binary trie and
+// supports IPv4 and IPv6.
 package ipprefix
 
 import (
@@ -7,17 +7,17 @@
 	"net/netip"
 )
 
-// Table holds a value for each of some prefixes. Its zero value is empty and ready.
+// Table maps address prefixes to values. The zero value is an empty table.
 type Table[V any] struct {
 	roots [2]*node[V] // IPv4, IPv6
 	count int
 }
 
-// node stands for the first bits of key. Its children differ in the next bit.
+// node represents the prefix of the first length bits of key. Its children differ in the next bit.
 type node[V any] struct {
 	key      [16]byte
-	bits     int
-	set      bool
+	length   int
+	hasValue bool // false: the node only branches
 	value    V
 	children [2]*node[V]
 }
@@ -25,13 +25,13 @@
 // Len returns the number of prefixes.
 func (t *Table[V]) Len() int { return t.count }
 
-func bit(key *[16]byte, at int) int { return int(key[at/8]>>(7-at%8)) & 1 }
+func bitAt(key *[16]byte, index int) int { return int(key[index/8]>>(7-index%8)) & 1 }
 
-// commonBits returns how many of the first limit bits two keys share.
+// commonBits returns the length of the common prefix of two keys, at most limit.
 func commonBits(a, b *[16]byte, limit int) int {
 	for i := range a {
-		if d := a[i] ^ b[i]; d != 0 {
-			return min(limit, 8*i+bits.LeadingZeros8(d))
+		if diff := a[i] ^ b[i]; diff != 0 {
+			return min(limit, 8*i+bits.LeadingZeros8(diff))
 		}
 		if 8*(i+1) >= limit {
 			break
@@ -40,78 +40,79 @@
 	return limit
 }
 
-// rootAndKey returns the index of an address's root, and its bits.
-func rootAndKey(a netip.Addr) (root int, key [16]byte) {
-	a = a.Unmap()
-	if a.Is4() {
-		b := a.As4()
+// rootAndKey returns the index of the root for an address, and the bits of the address.
+func rootAndKey(addr netip.Addr) (root int, key [16]byte) {
+	addr = addr.Unmap()
+	if addr.Is4() {
+		b := addr.As4()
 		copy(key[:], b[:])
 		return 0, key
 	}
-	return 1, a.As16()
+	return 1, addr.As16()
 }
 
 // Put sets the value of a prefix.
-func (t *Table[V]) Put(p netip.Prefix, v V) {
-	p = p.Masked()
-	root, key := rootAndKey(p.Addr())
-	length := p.Bits()
-	if p.Addr().Is4In6() {
+func (t *Table[V]) Put(prefix netip.Prefix, value V) {
+	prefix = prefix.Masked()
+	root, key := rootAndKey(prefix.Addr())
+	length := prefix.Bits()
+	if prefix.Addr().Is4In6() {
 		length -= 96
 	}
-	at := &t.roots[root]
+	link := &t.roots[root]
 	for {
-		n := *at
-		if n == nil {
-			*at = &node[V]{key: key, bits: length, set: true, value: v}
+		current := *link
+		if current == nil {
+			*link = &node[V]{key: key, length: length, hasValue: true, value: value}
 			t.count++
 			return
 		}
-		common := commonBits(&key, &n.key, min(length, n.bits))
+		common := commonBits(&key, &current.key, min(length, current.length))
 		switch {
-		case common == n.bits && common == length:
-			if !n.set {
+		case common == current.length && common == length:
+			if !current.hasValue {
 				t.count++
 			}
-			n.set, n.value = true, v
+			current.hasValue, current.value = true, value
 			return
-		case common == n.bits:
-			at = &n.children[bit(&key, common)]
+		case common == current.length:
+			link = &current.children[bitAt(&key, common)]
 		default:
-			*at = split(n, common, &node[V]{key: key, bits: length, set: true, value: v})
+			*link = split(current, common, &node[V]{key: key, length: length, hasValue: true, value: value})
 			t.count++
 			return
 		}
 	}
 }
 
-// split returns the parent of a node and a new one that shares only its first common bits; the new one itself where it has no more.
-func split[V any](n *node[V], common int, added *node[V]) *node[V] {
+// split returns the parent of an existing and an added node that share their first common bits. The parent is the added
+// node itself if it is no longer than that, and a node without a value otherwise.
+func split[V any](existing *node[V], common int, added *node[V]) *node[V] {
 	parent := added
-	if common < added.bits {
-		parent = &node[V]{key: added.key, bits: common}
-		parent.children[bit(&added.key, common)] = added
+	if common < added.length {
+		parent = &node[V]{key: added.key, length: common}
+		parent.children[bitAt(&added.key, common)] = added
 	}
-	parent.children[bit(&n.key, common)] = n
+	parent.children[bitAt(&existing.key, common)] = existing
 	return parent
 }
 
-// Get returns the value of the longest prefix that contains an address.
-func (t *Table[V]) Get(a netip.Addr) (v V, ok bool) {
-	if !a.IsValid() {
-		return v, false
+// Get returns the value of the longest prefix that contains an address. Ok is false if no prefix does.
+func (t *Table[V]) Get(addr netip.Addr) (value V, ok bool) {
+	if !addr.IsValid() {
+		return value, false
 	}
-	root, key := rootAndKey(a)
+	root, key := rootAndKey(addr)
 	width := 32 + 96*root
-	n := t.roots[root]
-	for n != nil && commonBits(&key, &n.key, n.bits) == n.bits {
-		if n.set {
-			v, ok = n.value, true
+	current := t.roots[root]
+	for current != nil && commonBits(&key, &current.key, current.length) == current.length {
+		if current.hasValue {
+			value, ok = current.value, true
 		}
-		if n.bits == width {
+		if current.length == width {
 			break
 		}
-		n = n.children[bit(&key, n.bits)]
+		current = current.children[bitAt(&key, current.length)]
 	}
-	return v, ok
+	return value, ok
 }
