--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -10,43 +10,44 @@
 	"liftshift/scheduler"
 )
 
-// resendDelayMS is the least time between the cancellation of an attempt and sending its request to the same executor again. They go
-// over different connections, and a cancellation that came last would end the new attempt. It is far above the way to an executor and
-// far below what a request takes.
+// resendDelayMS is the minimum time between the cancellation of an attempt and the next attempt of the same request on
+// the same executor. The two travel over different connections, and a cancellation that arrives after the new attempt
+// would cancel that one. The delay is well above the network latency and well below the run time of a request.
 const resendDelayMS = 5
 
-// attempt is an attempt on a connection. It implements dispatch.RunningAttempt. Its fields are guarded by the client's lock.
+// attempt is an attempt that was assigned to a connection. It implements dispatch.RunningAttempt. The client's lock
+// guards its fields.
 type attempt struct {
 	client        *Client
 	conn          *executorConn
 	spec          dispatch.Attempt
 	seq           uint64
-	repliesBefore uint64   // replies on the connection when the attempt was written
-	onUsedConn    bool     // its connection had carried others
-	resumed       bool     // its connection was lost between pages: the rest comes over another
-	pages         [][]byte // nil: its answer has not begun
+	repliesBefore uint64   // replies received on the connection before the attempt was written
+	onUsedConn    bool     // the connection had received replies before the attempt was assigned to it
+	resumed       bool     // the connection was lost during the answer, and another one fetches the missing pages
+	pages         [][]byte // nil until the first page of the answer arrives
 	pagesReceived int
 	bytesReceived int
-	held          bool // until Release
-	written       bool // its bytes were handed to the socket
-	end           scheduler.Event
+	held          bool // must not be written before Release
+	written       bool // queued for the socket
+	endEvent      scheduler.Event
 }
 
 // Send implements dispatch.ExecutorTransport.
 func (c *Client) Send(spec dispatch.Attempt) (running dispatch.RunningAttempt, delayMS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.executors[spec.Executor]
-	if e == nil {
+	target := c.executors[spec.Executor]
+	if target == nil {
 		return nil, 0
 	}
 	id := spec.Request.ID
-	conn := c.pickConn(e, id)
+	conn := c.pickConn(target, id)
 	if conn == nil {
 		return nil, 0
 	}
-	if at, ok := e.cancelledAt[id]; ok {
-		delayMS = max(0, at+resendDelayMS-c.clock.Now())
+	if cancelledAt, ok := target.cancelledAt[id]; ok {
+		delayMS = max(0, cancelledAt+resendDelayMS-c.clock.Now())
 	}
 	c.lastSeq++
 	a := &attempt{
@@ -56,24 +57,24 @@
 		seq:        c.lastSeq,
 		onUsedConn: conn.replies > 0,
 		held:       delayMS > 0 || spec.Held,
-		end:        scheduler.Event{Kind: scheduler.AttemptEnded, Request: id, Attempt: spec.Number},
+		endEvent:   scheduler.Event{Kind: scheduler.AttemptEnded, Request: id, Attempt: spec.Number},
 	}
-	conn.open[id] = a
+	conn.openAttempts[id] = a
 	if !a.held && !conn.queueAttempt(a) {
-		delete(conn.open, id)
+		delete(conn.openAttempts, id)
 		conn.drain()
 		return nil, 0
 	}
 	return a, delayMS
 }
 
-// Release lets an attempt leave that was held or delayed, unless it was cancelled meanwhile.
+// Release permits sending an attempt that was held or delayed. It has no effect on a cancelled attempt.
 func (a *attempt) Release() {
 	a.client.mu.Lock()
 	defer a.client.mu.Unlock()
-	if a.held && a.conn.open[a.spec.Request.ID] == a {
+	if a.held && a.conn.openAttempts[a.spec.Request.ID] == a {
 		a.held = false
-		a.conn.queueAttempt(a) // on a connection that has ended meanwhile it never leaves: remove reports that
+		a.conn.queueAttempt(a) // if the connection has ended, remove reports that the attempt was not sent
 	}
 }
 
@@ -81,35 +82,37 @@
 func (a *attempt) Cancel() dispatch.CancelResult {
 	a.client.mu.Lock()
 	defer a.client.mu.Unlock()
-	c := a.conn
+	conn := a.conn
 	id := a.spec.Request.ID
-	if c.open[id] != a {
+	if conn.openAttempts[id] != a {
 		return dispatch.AlreadyEnded
 	}
-	delete(c.open, id)
-	defer c.endIfDrained()
+	delete(conn.openAttempts, id)
+	defer conn.endIfDrained()
 	if !a.written && a.pages == nil {
 		return dispatch.CancelledUnsent
 	}
-	if a.pages != nil { // only pages are still under way
-		c.send("done", id)
+	if a.pages != nil { // the request has run, only pages are outstanding
+		conn.send("done", id)
 	} else {
-		c.send("abort", id)
+		conn.send("abort", id)
 	}
-	c.executor.recordCancel(id, a.client.clock.Now())
-	c.excludeID(id)
-	// It may be the connection that is lost, not the executor: it gets nothing new, unless other attempts still get replies on it.
-	if len(c.open) == 0 || c.replies == a.repliesBefore {
-		c.draining = true
+	conn.executor.recordCancel(id, a.client.clock.Now())
+	conn.excludeID(id)
+	// The connection may be dead while the executor is not. It gets new attempts only if it has other open attempts and
+	// has received a reply since this attempt was written.
+	if len(conn.openAttempts) == 0 || conn.replies == a.repliesBefore {
+		conn.draining = true
 	}
 	return dispatch.CancelSent
 }
 
-// recordCancel records the time of a cancellation and drops those that are past. The client's lock is held.
+// recordCancel records the time of a cancellation and drops the times that no longer delay an attempt. The client's
+// lock is held.
 func (e *executor) recordCancel(id string, now float64) {
-	for other, at := range e.cancelledAt {
-		if now > at+resendDelayMS {
-			delete(e.cancelledAt, other)
+	for otherID, cancelledAt := range e.cancelledAt {
+		if now > cancelledAt+resendDelayMS {
+			delete(e.cancelledAt, otherID)
 		}
 	}
 	e.cancelledAt[id] = now
@@ -119,33 +122,34 @@
 func (a *attempt) SetLevel(level int) {
 	a.client.mu.Lock()
 	defer a.client.mu.Unlock()
-	c := a.conn
+	conn := a.conn
 	a.spec.Level = level
-	if a.written && c.open[a.spec.Request.ID] == a && a.pages == nil {
-		c.send("renice", a.spec.Request.ID, strconv.Itoa(level))
+	if a.written && conn.openAttempts[a.spec.Request.ID] == a && a.pages == nil {
+		conn.send("renice", a.spec.Request.ID, strconv.Itoa(level))
 	}
 }
 
-// outcomeOfLoss returns the outcome of an attempt whose connection ended with the given one.
-func (a *attempt) outcomeOfLoss(outcome scheduler.Outcome) scheduler.Outcome {
+// outcomeOfLoss returns the outcome of an attempt whose connection ended with the given outcome.
+func (a *attempt) outcomeOfLoss(connOutcome scheduler.Outcome) scheduler.Outcome {
 	switch {
 	case a.pages != nil:
-		return scheduler.ConnectionLost // it ran, whatever became of the second connection
-	case !a.written && outcome == scheduler.ConnectionLost:
-		return scheduler.ConnectFailed // no byte of it left
+		return scheduler.ConnectionLost // the request ran, even if a second connection could not be established
+	case !a.written && connOutcome == scheduler.ConnectionLost:
+		return scheduler.ConnectFailed // the executor received no byte of the attempt
 	}
-	return outcome
+	return connOutcome
 }
 
-// queueAttempt has the goroutine of the connection write an attempt, or ask for the pages that are missing, once it is connected.
-// Nothing is encoded before that: an attempt that is cancelled, or may not start any more, until the socket takes it has surely never
-// run. The client's lock is held.
+// queueAttempt has the connection's goroutine write the attempt, or request its missing pages, once the connection is
+// established. It returns false if the connection has ended. The attempt is encoded only right before the write, so
+// that an attempt that is cancelled or blocked until then has certainly not run. The client's lock is held.
 func (c *executorConn) queueAttempt(a *attempt) bool {
 	c.pending = append(c.pending, a)
 	return !c.connected || c.Wake()
 }
 
-// writePending encodes what is pending. It is the last step before the socket and the last check whether an attempt may start.
+// writePending encodes the pending attempts. It runs right before the connection writes to its socket and is the last
+// check whether an attempt may still be sent.
 func (c *executorConn) writePending() {
 	client := c.client
 	client.mu.Lock()
@@ -156,7 +160,7 @@
 	var blocked []dispatch.QueueItem
 	for _, a := range c.pending {
 		switch {
-		case c.open[a.spec.Request.ID] != a: // cancelled
+		case c.openAttempts[a.spec.Request.ID] != a: // cancelled
 		case a.pages != nil:
 			c.requestPages(a)
 		default:
@@ -166,8 +170,8 @@
 				continue
 			}
 			client.Blocked.Add(1)
-			delete(c.open, a.spec.Request.ID)
-			event := a.end
+			delete(c.openAttempts, a.spec.Request.ID)
+			event := a.endEvent
 			event.Outcome = scheduler.NeverSent
 			event.Blocked = reason == connpool.LeaseLost
 			blocked = append(blocked, dispatch.QueueItem{Event: event})
@@ -178,11 +182,11 @@
 	c.endIfDrained()
 	client.mu.Unlock()
 	for _, item := range blocked {
-		client.queue.Put(item) // not under the lock
+		client.queue.Put(item) // may block, so not under the lock
 	}
 }
 
-// finalCheck returns why an attempt may not start any more; 0: it may. The client's lock is held.
+// finalCheck returns why an attempt must no longer be sent, or 0 if it may be sent. The client's lock is held.
 func (c *executorConn) finalCheck(a *attempt) connpool.BlockReason {
 	client := c.client
 	check := connpool.FinalCheck{
@@ -197,18 +201,20 @@
 
 // writeAttempt encodes an attempt. The client's lock is held.
 func (c *executorConn) writeAttempt(a *attempt) {
-	r := a.spec.Request
+	request := a.spec.Request
 	c.lastUsed = time.Now()
 	a.repliesBefore = c.replies
-	list := make([]byte, 0, 128)
-	list = append(append(list, "profile="...), r.Class...)
-	list = strconv.AppendInt(append(list, ",max="...), int64(max(1, r.Deadline-c.client.clock.Now())), 10)
-	if r.IdempotencyKey != "" {
-		list = append(append(list, ",replay="...), r.IdempotencyKey...)
+	fields := make([]byte, 0, 128)
+	fields = append(append(fields, "profile="...), request.Class...)
+	fields = strconv.AppendInt(append(fields, ",max="...), int64(max(1, request.Deadline-c.client.clock.Now())), 10)
+	if request.IdempotencyKey != "" {
+		fields = append(append(fields, ",replay="...), request.IdempotencyKey...)
 	}
 	if a.spec.GrantMB > 0 {
-		list = strconv.AppendInt(append(list, ",mb="...), int64(math.Ceil(a.spec.GrantMB)), 10)
+		fields = strconv.AppendInt(append(fields, ",mb="...), int64(math.Ceil(a.spec.GrantMB)), 10)
 	}
-	list = strconv.AppendInt(append(list, ",nice="...), int64(a.spec.Level), 10)
-	a.written = c.Push(func(b []byte) []byte { return appendArray(b, "fetch", r.ID, string(list), string(r.Body)) })
+	fields = strconv.AppendInt(append(fields, ",nice="...), int64(a.spec.Level), 10)
+	a.written = c.Push(func(b []byte) []byte {
+		return appendArray(b, "fetch", request.ID, string(fields), string(request.Body))
+	})
 }
--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -1,7 +1,8 @@
-// Package resp connects to executors: requests, progress, answers in pages and health checks as arrays of bulk strings, as in RESP.
+// Package resp connects to executors. Requests, progress reports, pages of answers and health checks travel as arrays
+// of bulk strings, as in RESP.
 //
-// It owns the table of executors with their connections, the attempts and health checks under way, and the codec. Package connpool
-// decides which connection an attempt takes; nothing else is decided here. Names on the wire are literals in the codec.
+// The package owns the table of executors with their connections, the attempts and health checks in flight, and the
+// codec. Package connpool decides which connection an attempt takes. Names on the wire are literals in the codec.
 package resp
 
 import (
@@ -17,48 +18,60 @@
 	"liftshift/internal/netconn"
 )
 
-// idleShare is the share of the executors' idle time after which a connection is closed here: before the executor closes it.
-const idleShare = 0.8
+// idleTimeoutFactor is the part of the executors' idle timeout after which the client closes an unused connection, so
+// that it does so before the executor.
+const idleTimeoutFactor = 0.8
 
-// EventQueue takes the ends of attempts and the results of health checks.
+// EventQueue receives the ends of attempts and the results of health checks.
 type EventQueue interface{ Put(dispatch.QueueItem) }
 
 // Client holds the connections to all executors. It implements dispatch.ExecutorTransport.
 type Client struct {
-	LeaseHeld func() bool // whether an attempt that was held may leave at this moment; nil: it may. Set before the first attempt
+	// LeaseHeld returns whether a held attempt may be sent at this moment. Nil permits every attempt. It is set before
+	// the first attempt.
+	LeaseHeld func() bool
 
 	queue              EventQueue
 	clock              dispatch.Clock
 	log                logrus.FieldLogger
 	budget             *netconn.ByteBudget
-	connectTimeout     time.Duration // for dialing, and for a write to get through
-	idleTimeout        time.Duration // unused connections are closed by then
+	connectTimeout     time.Duration // for dialing, and for a write that makes no progress
+	idleTimeout        time.Duration // after which an unused connection is closed
 	maxPerConn         int           // attempts on one connection
 	dial               func(network, address string) (net.Conn, error)
 	healthCheckCommand string
 	reportNames        []string
 
-	mu          sync.Mutex
-	maxConns    int // to all executors; 0 once stopped
-	executors   map[uint32]*executor
-	connections map[*executorConn]struct{} // those of executors that are gone included
-	lastSeq     uint64
-	losses      connpool.LossStats
-	poolView    []connpool.Conn // scratch of pickConn
-	retired     []int           // scratch of pickConn
+	mu             sync.Mutex
+	maxConns       int // to all executors; 0 after Stop
+	executors      map[uint32]*executor
+	connections    map[*executorConn]struct{} // includes connections to removed executors
+	lastSeq        uint64
+	losses         connpool.LossStats
+	poolView       []connpool.Conn // reused by pickConn
+	retiredIndices []int           // reused by pickConn
 
-	Strays, Malformed, Dials, DialFailures, LocalFailures, Resumed, Blocked atomic.Uint64
+	// Counters of events since the start.
+	Strays        atomic.Uint64 // replies that match no open attempt or health check, and duplicate pages
+	Malformed     atomic.Uint64 // malformed replies; each ends its connection
+	Dials         atomic.Uint64
+	DialFailures  atomic.Uint64
+	LocalFailures atomic.Uint64 // dial failures that this host caused
+	Resumed       atomic.Uint64 // answers whose missing pages were requested over a second connection
+	Blocked       atomic.Uint64 // attempts that the final check kept from being sent
 }
 
-// Limits are the limits of a client and the platform's settings of executors.
+// Limits are the limits of a client and the executor settings of the platform.
 type Limits struct {
-	ConnectMS, IdleMS    float64
+	ConnectMS, IdleMS    float64 // connect timeout, and the idle timeout of the executors
 	MaxPerConn, MaxConns int
-	ReportNames          []string // the values of load reports, if there are any
+	ReportNames          []string // names of the values of a load report; empty if executors send none
 }
 
-// NewClient returns a client without executors. Budget bounds the queued output of all connections.
-func NewClient(queue EventQueue, clock dispatch.Clock, budget *netconn.ByteBudget, limits Limits, log logrus.FieldLogger) *Client {
+// NewClient returns a client without executors. Budget limits the queued output of all connections together.
+func NewClient(
+	queue EventQueue, clock dispatch.Clock, budget *netconn.ByteBudget, limits Limits, log logrus.FieldLogger,
+) *Client {
 	healthCheckCommand := "alive"
 	if len(limits.ReportNames) > 0 {
 		healthCheckCommand = "stats"
@@ -70,7 +83,7 @@
 		log:                log,
 		budget:             budget,
 		connectTimeout:     netconn.Millis(limits.ConnectMS),
-		idleTimeout:        netconn.Millis(limits.IdleMS * idleShare),
+		idleTimeout:        netconn.Millis(limits.IdleMS * idleTimeoutFactor),
 		maxPerConn:         max(1, limits.MaxPerConn),
 		maxConns:           max(1, limits.MaxConns),
 		dial:               dialer.Dial,
@@ -81,7 +94,7 @@
 	}
 }
 
-// Stop ends all connections. No attempt starts after it.
+// Stop ends all connections. No attempt can be sent afterwards.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,25 +105,30 @@
 	}
 }
 
-// pickConn returns the connection that an attempt takes, as package connpool decides, or makes one; nil if there can be no more. Where
-// all connections are in use, the one that has been idle for longest, to another executor, is closed for it. The lock is held.
-func (c *Client) pickConn(e *executor, requestID string) *executorConn {
+// pickConn returns the connection that package connpool picks for an attempt, or a new one, or nil if the limit of
+// connections is reached. At the limit, the connection that has been idle for longest is closed to make room for a new
+// one. The lock is held.
+func (c *Client) pickConn(target *executor, requestID string) *executorConn {
 	now := time.Now()
 	c.poolView = c.poolView[:0]
-	for _, conn := range e.conns {
+	for _, conn := range target.conns {
 		c.poolView = append(c.poolView, connpool.Conn{
 			Up:           conn.connected,
 			Draining:     conn.draining,
-			Excluded:     conn.open[requestID] != nil || conn.endedIDs[requestID],
-			Attempts:     len(conn.open),
+			Excluded:     conn.openAttempts[requestID] != nil || conn.endedIDs[requestID],
+			Attempts:     len(conn.openAttempts),
 			HealthChecks: len(conn.healthChecks),
 			IdleMS:       float64(now.Sub(conn.lastUsed)) / float64(time.Millisecond),
 		})
 	}
-	limits := connpool.Limits{MaxPerConn: c.maxPerConn, MaxConns: c.maxConns, IdleMS: float64(c.idleTimeout) / float64(time.Millisecond)}
-	picked, retired := limits.Pick(c.poolView, len(c.connections), &c.losses, c.retired[:0])
-	c.retired = retired
-	conns := e.conns[:len(e.conns):len(e.conns)]
+	limits := connpool.Limits{
+		MaxPerConn: c.maxPerConn,
+		MaxConns:   c.maxConns,
+		IdleMS:     float64(c.idleTimeout) / float64(time.Millisecond),
+	}
+	picked, retired := limits.Pick(c.poolView, len(c.connections), &c.losses, c.retiredIndices[:0])
+	c.retiredIndices = retired
+	conns := target.conns[:len(target.conns):len(target.conns)]
 	for _, index := range retired {
 		conns[index].drain()
 	}
@@ -120,16 +138,16 @@
 	if picked == connpool.NoConn && (c.maxConns == 0 || !c.evictIdleConn()) {
 		return nil
 	}
-	return c.connect(e, now)
+	return c.connect(target, now)
 }
 
-// connect adds a connection, which comes up later. The lock is held.
-func (c *Client) connect(e *executor, now time.Time) *executorConn {
+// connect adds a connection and starts its goroutine, which establishes it. The lock is held.
+func (c *Client) connect(target *executor, now time.Time) *executorConn {
 	conn := &executorConn{
 		client:       c,
-		executor:     e,
+		executor:     target,
 		lastUsed:     now,
-		open:         map[string]*attempt{},
+		openAttempts: map[string]*attempt{},
 		endedIDs:     map[string]bool{},
 		healthChecks: map[string]uint64{},
 	}
@@ -139,14 +157,14 @@
 	conn.OnIdle = conn.checkIdle
 	conn.IdleDeadline = func() time.Time { return time.Now().Add(idleCheckInterval) }
 	conn.BeforeWrite = conn.writePending
-	e.conns = append(e.conns, conn)
+	target.conns = append(target.conns, conn)
 	c.connections[conn] = struct{}{}
 	go conn.serve()
 	return conn
 }
 
-// evictIdleConn ends the connection that has been idle for longest and returns whether there was one. It counts until it has ended,
-// which is at once. The lock is held.
+// evictIdleConn closes the connection that has been idle for longest and returns whether there was one. Its goroutine
+// removes it from the table shortly afterwards; until then it counts towards the limit. The lock is held.
 func (c *Client) evictIdleConn() bool {
 	var oldest *executorConn
 	for conn := range c.connections {
--- a/internal/resp/client_test.go
+++ b/internal/resp/client_test.go
@@ -17,349 +17,374 @@
 )
 
 func TestClient_SendsAttemptAndJoinsPages(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	run, _ := client.Send(newAttempt("a"))
-	e.expect(t, `fetch a profile=load,max=[1-4]\d\d\d,replay=k1,mb=64,nice=3 SELECT 1`)
-	c := <-e.conns
-	sendReply(c, "a", "news", "remark=queued,num=2", "")
-	it := queue.next(t)
-	assert.Equal(t, []any{scheduler.ProgressReported, scheduler.Waiting, 2.0}, []any{it.Event.Kind, it.Event.Progress, it.Event.Value})
-	run.SetLevel(1)
-	e.expect(t, "renice a 1")
-	sendReply(c, "a", "data", "batches=3", "one\t1\tx\n")
-	e.expect(t, "more a 1")
-	e.expect(t, "more a 2")
-	sendReply(c, "a", "data", "batches=3", "one\t2\tx\n") // second copies and what nobody asked for don't harm the good one
-	sendReply(c, "a", "page", "batch=2", "three\t1\tx\n")
-	sendReply(c, "a", "page", "batch=2", "four\t1\tx\n")
-	sendReply(c, "zz", "data", "-", "never asked for\n")
-	sendReply(c, "a", "page", "batch=1", "two\t1\tx\n")
-	e.expect(t, "done a")
-	it = queue.next(t)
-	assert.Equal(t, scheduler.Succeeded, it.Event.Outcome)
-	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(it.Body))
-	assert.Equal(t, dispatch.AlreadyEnded, run.Cancel())
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	running, _ := client.Send(newAttempt("a"))
+	fake.expect(t, `fetch a profile=load,max=[1-4]\d\d\d,replay=k1,mb=64,nice=3 SELECT 1`)
+	conn := <-fake.conns
+	sendReply(conn, "a", "news", "remark=queued,num=2", "")
+	item := queue.next(t)
+	assert.Equal(t, []any{scheduler.ProgressReported, scheduler.Waiting, 2.0},
+		[]any{item.Event.Kind, item.Event.Progress, item.Event.Value})
+	running.SetLevel(1)
+	fake.expect(t, "renice a 1")
+	sendReply(conn, "a", "data", "batches=3", "one\t1\tx\n")
+	fake.expect(t, "more a 1")
+	fake.expect(t, "more a 2")
+	sendReply(conn, "a", "data", "batches=3", "one\t2\tx\n") // duplicates and unrequested pages are ignored
+	sendReply(conn, "a", "page", "batch=2", "three\t1\tx\n")
+	sendReply(conn, "a", "page", "batch=2", "four\t1\tx\n")
+	sendReply(conn, "zz", "data", "-", "unrequested\n")
+	sendReply(conn, "a", "page", "batch=1", "two\t1\tx\n")
+	fake.expect(t, "done a")
+	item = queue.next(t)
+	assert.Equal(t, scheduler.Succeeded, item.Event.Outcome)
+	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(item.Body))
+	assert.Equal(t, dispatch.AlreadyEnded, running.Cancel())
 	assert.Equal(t, uint64(3), client.Strays.Load())
 	client.Send(newAttempt("b"))
-	e.expect(t, "fetch b .*")
-	sendReply(c, "b", "page", "batch=1", "two\t1\tx\n")
-	sendReply(c, "b", "data", "-", "one\t1\tx\n")
+	fake.expect(t, "fetch b .*")
+	sendReply(conn, "b", "page", "batch=1", "two\t1\tx\n")
+	sendReply(conn, "b", "data", "-", "one\t1\tx\n")
 	assert.Equal(t, "one\t1\tx\n", string(queue.next(t).Body))
 }
 
-// What shares a connection is lost with it: each attempt has one to itself while there may be more, and one that was cancelled without
-// any reply has its connection closed, which may be dead.
+// Attempts that share a connection are lost together, so each one gets its own while connections are available. The
+// connection of an attempt that was cancelled before any reply may be dead and must be closed.
 func TestClient_AttemptsShareNoConnectionBelowLimit(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 	client.Send(newAttempt("a"))
-	e.expect(t, "fetch a .*")
-	first := <-e.conns
+	fake.expect(t, "fetch a .*")
+	first := <-fake.conns
 	b, _ := client.Send(newAttempt("b"))
-	e.expect(t, "fetch b .*")
-	<-e.conns
+	fake.expect(t, "fetch b .*")
+	<-fake.conns
 	_, _ = first.Write([]byte("*1\r\n$9\r\nspoilt"))
 	first.Close()
 	assert.Equal(t, "a", queue.next(t).Event.Request)
-	e.expect(t, "closed")
-	assert.Empty(t, queue, "b goes on")
+	fake.expect(t, "closed")
+	assert.Empty(t, queue, "attempt b is not affected")
 	assert.Equal(t, dispatch.CancelSent, b.Cancel())
-	e.expect(t, "abort b")
-	e.expect(t, "closed")
+	fake.expect(t, "abort b")
+	fake.expect(t, "closed")
 	client.HealthCheck(1, 1)
-	e.expect(t, "alive probe-1")
-	sendReply(<-e.conns, "probe-1", "well", "-", "")
+	fake.expect(t, "alive probe-1")
+	sendReply(<-fake.conns, "probe-1", "well", "-", "")
 	queue.next(t)
 	client.Send(newAttempt("c"))
-	e.expect(t, "fetch c .*")
-	assert.Empty(t, e.conns, "an unused one is used again")
+	fake.expect(t, "fetch c .*")
+	assert.Empty(t, fake.conns, "the unused connection is used again")
 }
 
-// A connection may end between the pages of an answer: the request has run, and the rest is asked for over another one.
+// If a connection is lost between the pages of an answer, the missing pages must be requested over another one.
 func TestClient_ResumesPagesOnce(t *testing.T) {
-	for _, known := range []bool{true, false} {
-		e := newFakeExecutor(t, "127.0.0.1:0")
-		client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+	for _, pagesKept := range []bool{true, false} {
+		fake := newFakeExecutor(t, "127.0.0.1:0")
+		client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 		client.Send(newAttempt("a"))
-		e.expect(t, "fetch a .*")
-		c := e.nextConn(t)
-		sendReply(c, "a", "data", "batches=3", "one\t1\tx\n")
-		e.expect(t, "more a 1")
-		e.expect(t, "more a 2")
-		sendReply(c, "a", "page", "batch=2", "three\t1\tx\n")
-		c.Close()
-		e.expect(t, "closed|more a 1")
-		e.expect(t, "closed|more a 1")
-		c = e.nextConn(t)
-		if !known {
-			sendReply(c, "a", "failed", "-", "")
+		fake.expect(t, "fetch a .*")
+		conn := fake.nextConn(t)
+		sendReply(conn, "a", "data", "batches=3", "one\t1\tx\n")
+		fake.expect(t, "more a 1")
+		fake.expect(t, "more a 2")
+		sendReply(conn, "a", "page", "batch=2", "three\t1\tx\n")
+		conn.Close()
+		fake.expect(t, "closed|more a 1")
+		fake.expect(t, "closed|more a 1")
+		conn = fake.nextConn(t)
+		if !pagesKept {
+			sendReply(conn, "a", "failed", "-", "")
 			assert.Equal(t, scheduler.Errored, queue.next(t).Event.Outcome)
 			continue
 		}
-		sendReply(c, "a", "page", "batch=1", "two\t1\tx\n")
-		e.expect(t, "done a")
+		sendReply(conn, "a", "page", "batch=1", "two\t1\tx\n")
+		fake.expect(t, "done a")
 		assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(queue.next(t).Body))
 		assert.Equal(t, uint64(1), client.Resumed.Load())
 	}
 }
 
-// A second connection that doesn't come up proves nothing: the request ran.
+// If no second connection can be established for the missing pages, the request has still run.
 func TestClient_AnswerLostBetweenPagesMayHaveRun(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 	client.Send(newAttempt("b"))
-	e.expect(t, "fetch b .*")
-	c := e.nextConn(t)
-	e.listener.Close()
-	sendReply(c, "b", "data", "batches=2", "one\t1\tx\n")
-	e.expect(t, "more b 1")
-	c.Close()
+	fake.expect(t, "fetch b .*")
+	conn := fake.nextConn(t)
+	fake.listener.Close()
+	sendReply(conn, "b", "data", "batches=2", "one\t1\tx\n")
+	fake.expect(t, "more b 1")
+	conn.Close()
 	assert.Equal(t, scheduler.ConnectionLost, queue.next(t).Event.Outcome)
 }
 
-// A lost attempt is counted by whether its connection had carried others.
+// Losses must be counted separately for new connections and those that have carried an attempt before.
 func TestClient_CountsLossesByKindOfConnection(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 	client.Send(newAttempt("a"))
-	e.expect(t, "fetch a .*")
-	c := e.nextConn(t)
-	sendReply(c, "a", "data", "-", "")
+	fake.expect(t, "fetch a .*")
+	conn := fake.nextConn(t)
+	sendReply(conn, "a", "data", "-", "")
 	queue.next(t)
-	client.Send(newAttempt("b")) // over the same, and lost with it
-	e.expect(t, "fetch b .*")
-	c.Close()
+	client.Send(newAttempt("b")) // over the same connection, and lost with it
+	fake.expect(t, "fetch b .*")
+	conn.Close()
 	assert.Equal(t, scheduler.ConnectionLost, queue.next(t).Event.Outcome)
-	assert.Equal(t, connpool.LossStats{New: connpool.LossCount{Attempts: 1}, Used: connpool.LossCount{Attempts: 1, Lost: 1}}, client.losses)
+	want := connpool.LossStats{New: connpool.LossCount{Attempts: 1}, Used: connpool.LossCount{Attempts: 1, Lost: 1}}
+	assert.Equal(t, want, client.losses)
 }
 
-// Bytes may be corrupted where every length still fits.
+// Corruption that leaves all lengths consistent must be detected.
 func TestIsCompleteRows(t *testing.T) {
-	for page, want := range map[string]bool{"": true, "a\tb\tc\n": true, "a\tb\tc\n\t\t\n": true, "ä\t\u20ac\t\n": true, "a\tb\tc": false,
-		"a\tb\n": false, "a\tb\tc\td\n": false, "a\t\xff\tc\n": false, "a\t\x01\tc\n": false, "a\tb\tc\r\n": false, "\n": false} {
+	for page, want := range map[string]bool{
+		"":                true,
+		"a\tb\tc\n":       true,
+		"a\tb\tc\n\t\t\n": true,
+		"ä\t\u20ac\t\n":   true,
+		"a\tb\tc":         false,
+		"a\tb\n":          false,
+		"a\tb\tc\td\n":    false,
+		"a\t\xff\tc\n":    false,
+		"a\t\x01\tc\n":    false,
+		"a\tb\tc\r\n":     false,
+		"\n":              false,
+	} {
 		assert.Equal(t, want, isCompleteRows([]byte(page)), "%q", page)
 	}
 }
 
 func TestClient_EndWordGivesOutcome(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	var c net.Conn
-	for word, want := range map[string]scheduler.Outcome{"full": scheduler.Overloaded, "failed": scheduler.Errored, "moot": scheduler.NeverSent} {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	var conn net.Conn
+	for word, want := range map[string]scheduler.Outcome{
+		"full":   scheduler.Overloaded,
+		"failed": scheduler.Errored,
+		"moot":   scheduler.NeverSent,
+	} {
 		client.Send(newAttempt(word))
-		e.expect(t, "fetch .*")
-		if c == nil {
-			c = <-e.conns
+		fake.expect(t, "fetch .*")
+		if conn == nil {
+			conn = <-fake.conns
 		}
-		sendReply(c, word, word, "-", "")
+		sendReply(conn, word, word, "-", "")
 		assert.Equal(t, want, queue.next(t).Event.Outcome)
 	}
-	client.Send(newAttempt("lost")) // pages lost: it may have run
-	e.expect(t, "fetch .*")
-	sendReply(c, "lost", "data", "batches=2", "one\t1\tx\n")
-	e.expect(t, "more lost 1")
-	sendReply(c, "lost", "failed", "-", "")
+	client.Send(newAttempt("lost")) // the executor lost the pages, the request may have run
+	fake.expect(t, "fetch .*")
+	sendReply(conn, "lost", "data", "batches=2", "one\t1\tx\n")
+	fake.expect(t, "more lost 1")
+	sendReply(conn, "lost", "failed", "-", "")
 	assert.Equal(t, scheduler.Errored, queue.next(t).Event.Outcome)
 }
 
-// Refused proves that nothing ran; reset or malformed answers do not.
+// A refused connection proves that the attempt did not run. A reset or a malformed reply does not.
 func TestClient_ConnectionFailureGivesOutcome(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	for _, last := range []string{"", "*9\r\n", "*4\r\n$1\r\na\r\n$4\r\ndata\r\n$1\r\n-\r\n$5\r\nnoise\r\n", "*1\r\n$1\r\na\r\n",
-		"*3\r\n$1\r\na\r\n$4\r\ndata\r\n$11\r\nbatches=999\r\n", "*3\r\n$1\r\na\r\n$4\r\nwhat\r\n$1\r\n-\r\n"} {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	for _, reply := range []string{
+		"", // the executor closes the connection instead of replying
+		"*9\r\n",
+		"*4\r\n$1\r\na\r\n$4\r\ndata\r\n$1\r\n-\r\n$5\r\nnoise\r\n",
+		"*1\r\n$1\r\na\r\n",
+		"*3\r\n$1\r\na\r\n$4\r\ndata\r\n$11\r\nbatches=999\r\n",
+		"*3\r\n$1\r\na\r\n$4\r\nwhat\r\n$1\r\n-\r\n",
+	} {
 		client.Send(newAttempt("a"))
-		e.expect(t, "fetch .*")
-		c := <-e.conns
-		if last == "" {
-			c.Close()
+		fake.expect(t, "fetch .*")
+		conn := <-fake.conns
+		if reply == "" {
+			conn.Close()
 		}
-		_, _ = c.Write([]byte(last))
-		assert.Equal(t, scheduler.ConnectionLost, queue.next(t).Event.Outcome, last)
-		e.expect(t, "closed")
+		_, _ = conn.Write([]byte(reply))
+		assert.Equal(t, scheduler.ConnectionLost, queue.next(t).Event.Outcome, "%q", reply)
+		fake.expect(t, "closed")
 	}
 	assert.Equal(t, uint64(5), client.Malformed.Load())
-	e.listener.Close()
+	fake.listener.Close()
 	client.Send(newAttempt("b"))
 	assert.Equal(t, scheduler.ConnectFailed, queue.next(t).Event.Outcome)
 	client.HealthCheck(1, 4)
-	it := queue.next(t)
-	assert.Equal(t, []any{scheduler.HealthChecked, scheduler.ConnectFailed, uint64(4)}, []any{it.Event.Kind, it.Event.Outcome, it.Token})
-	run, _ := client.Send(dispatch.Attempt{Request: &dispatch.Request{}, Executor: 9})
-	assert.Nil(t, run, "an executor that isn't listed")
+	item := queue.next(t)
+	assert.Equal(t, []any{scheduler.HealthChecked, scheduler.ConnectFailed, uint64(4)},
+		[]any{item.Event.Kind, item.Event.Outcome, item.Token})
+	running, _ := client.Send(dispatch.Attempt{Request: &dispatch.Request{}, Executor: 9})
+	assert.Nil(t, running, "executor 9 is not in the endpoint list")
 }
 
-// The late answer of a cancelled attempt must not pass for the next attempt's, which goes out on another connection and not before the
-// cancellation has arrived: coming last, that would end the new attempt.
+// The late answer of a cancelled attempt must not be taken for the next attempt's. That one must go over another
+// connection, and be delayed so that the cancellation cannot arrive after it and end it.
 func TestClient_LateAnswerIsNotTheNextAttempts(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	run, held := client.Send(newAttempt("a"))
-	assert.Zero(t, held)
-	e.expect(t, "fetch a .*")
-	first := <-e.conns
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	running, delayMS := client.Send(newAttempt("a"))
+	assert.Zero(t, delayMS)
+	fake.expect(t, "fetch a .*")
+	first := <-fake.conns
 	client.maxConns = 2
 	client.Send(newAttempt("other"))
-	e.expect(t, "fetch other .*")
-	client.Send(newAttempt("heard")) // it shares, as there may be no more connections
-	e.expect(t, "fetch heard .*")
-	sendReply(first, "heard", "news", "remark=pct,num=0.5", "")
+	fake.expect(t, "fetch other .*")
+	client.Send(newAttempt("shared")) // shares a connection, as the limit is reached
+	fake.expect(t, "fetch shared .*")
+	sendReply(first, "shared", "news", "remark=pct,num=0.5", "")
 	queue.next(t)
-	assert.Equal(t, dispatch.CancelSent, run.Cancel())
-	e.expect(t, "abort a")
+	assert.Equal(t, dispatch.CancelSent, running.Cancel())
+	fake.expect(t, "abort a")
 	client.mu.Lock()
 	assert.InDelta(t, client.clock.Now(), client.executors[1].cancelledAt["a"], 2000)
-	client.executors[1].cancelledAt["a"] += 60000 // later than it was, so that a slow machine doesn't let the time go by
+	client.executors[1].cancelledAt["a"] += 60000 // far enough ahead that the delay cannot pass on a slow machine
 	client.mu.Unlock()
-	run, held = client.Send(newAttempt("a"))
-	assert.InDelta(t, 60000+resendDelayMS, held, 5000)
-	second := <-e.conns
-	assert.Equal(t, dispatch.CancelledUnsent, run.Cancel(), "held back, it never ran")
-	run.Release()
-	run, _ = client.Send(newAttempt("a"))
-	run.Release()
-	e.expect(t, "fetch a .*")
+	running, delayMS = client.Send(newAttempt("a"))
+	assert.InDelta(t, 60000+resendDelayMS, delayMS, 5000)
+	second := <-fake.conns
+	assert.Equal(t, dispatch.CancelledUnsent, running.Cancel(), "a delayed attempt is not sent")
+	running.Release()
+	running, _ = client.Send(newAttempt("a"))
+	running.Release()
+	fake.expect(t, "fetch a .*")
 	sendReply(first, "a", "data", "-", "old\t1\tx\n")
 	assert.Eventually(t, func() bool { return client.Strays.Load() == 1 }, 3*time.Second, time.Millisecond)
 	sendReply(second, "a", "data", "-", "new\t1\tx\n")
 	assert.Equal(t, "new\t1\tx\n", string(queue.next(t).Body))
-	sendReply(second, "zz", "data", "-", "never asked for\n")
+	sendReply(second, "zz", "data", "-", "unrequested\n")
 	assert.Eventually(t, func() bool { return client.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
 	assert.Empty(t, queue)
-	assert.Empty(t, e.received)
+	assert.Empty(t, fake.received)
 }
 
 func TestClient_CancelBeforeWriteIsUnsent(t *testing.T) {
 	client, _ := newTestClient(t, "127.0.0.1:9", 15000)
-	client.mu.Lock() // the connection can't come up meanwhile
-	l := &executorConn{client: client, open: map[string]*attempt{}, endedIDs: map[string]bool{}}
-	r := &attempt{client: client, conn: l, spec: newAttempt("a")}
-	l.open["a"] = r
+	client.mu.Lock()
+	conn := &executorConn{client: client, openAttempts: map[string]*attempt{}, endedIDs: map[string]bool{}}
+	pending := &attempt{client: client, conn: conn, spec: newAttempt("a")}
+	conn.openAttempts["a"] = pending
 	client.mu.Unlock()
-	assert.Equal(t, dispatch.CancelledUnsent, r.Cancel())
-	assert.Empty(t, l.open)
+	assert.Equal(t, dispatch.CancelledUnsent, pending.Cancel())
+	assert.Empty(t, conn.openAttempts)
 }
 
-// A machine that vanished refuses no connection: none comes up, and what waited for one never ran.
+// A host that is down refuses no connection. The connect timeout must end the attempts that wait for a connection.
 func TestClient_ConnectTimeoutProvesNothingRan(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	defer syscall.Close(fd)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, syscall.Listen(fd, 0))
-	bound, err := syscall.Getsockname(fd)
+	socketName, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
-	at := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
-	for range 3 { // nobody accepts: its line is full from then on
-		if c, err := net.DialTimeout("tcp", at, 50*time.Millisecond); err == nil {
-			defer c.Close()
+	address := fmt.Sprintf("127.0.0.1:%d", socketName.(*syscall.SockaddrInet4).Port)
+	for range 3 { // fill the accept queue
+		if conn, err := net.DialTimeout("tcp", address, 50*time.Millisecond); err == nil {
+			defer conn.Close()
 		}
 	}
-	client, queue := newTestClient(t, at, 15000)
-	began := time.Now()
+	client, queue := newTestClient(t, address, 15000)
+	start := time.Now()
 	client.Send(newAttempt("a"))
 	assert.Equal(t, scheduler.ConnectFailed, queue.next(t).Event.Outcome)
-	assert.GreaterOrEqual(t, time.Since(began), 150*time.Millisecond)
+	assert.GreaterOrEqual(t, time.Since(start), 150*time.Millisecond)
 }
 
 func TestClient_ClosesIdleConnectionsFirst(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 50)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 50)
 	client.Send(newAttempt("a"))
-	e.expect(t, "fetch a .*")
-	sendReply(<-e.conns, "a", "data", "-", "")
+	fake.expect(t, "fetch a .*")
+	sendReply(<-fake.conns, "a", "data", "-", "")
 	queue.next(t)
-	time.Sleep(60 * time.Millisecond) // the executor may close it from now on
+	time.Sleep(60 * time.Millisecond) // the connection is idle for too long
 	client.Send(newAttempt("b"))
 	select {
-	case <-e.conns:
+	case <-fake.conns:
 	case <-time.After(3 * time.Second):
-		t.Fatal("an old connection was used")
+		t.Fatal("the idle connection was used for attempt b, want a new one")
 	}
 }
 
-func TestClient_HealthChecks(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000, "queue", "x0")
+func TestClient_ReportsHealthCheckResults(t *testing.T) {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000, "queue", "x0")
 	assert.True(t, client.HealthCheck(1, 7))
-	e.expect(t, "stats probe-7")
-	c := <-e.conns
-	sendReply(c, "probe-7", "well", "report=backlog:1;x0:2", "")
-	it := queue.next(t)
-	assert.Equal(t, []any{scheduler.Succeeded, uint64(7), []float64{1, 2}}, []any{it.Event.Outcome, it.Token, it.Event.LoadReport})
+	fake.expect(t, "stats probe-7")
+	conn := <-fake.conns
+	sendReply(conn, "probe-7", "well", "report=backlog:1;x0:2", "")
+	item := queue.next(t)
+	assert.Equal(t, []any{scheduler.Succeeded, uint64(7), []float64{1, 2}},
+		[]any{item.Event.Outcome, item.Token, item.Event.LoadReport})
 	client.HealthCheck(1, 8)
-	e.expect(t, "stats probe-8")
-	sendReply(c, "probe-8", "ill", "-", "")
+	fake.expect(t, "stats probe-8")
+	sendReply(conn, "probe-8", "ill", "-", "")
 	assert.Equal(t, scheduler.Errored, queue.next(t).Event.Outcome)
 	client.HealthCheck(1, 9)
-	e.expect(t, "stats probe-9")
-	client.ForgetHealthCheck(1, 9) // a connection that fell silent gets nothing new
+	fake.expect(t, "stats probe-9")
+	client.ForgetHealthCheck(1, 9) // drains the unresponsive connection
 	client.Send(newAttempt("a"))
-	<-e.conns
+	<-fake.conns
 }
 
-// A new executor at the address of one that is gone must not get that one's connections.
+// A new executor at the address of a removed one must not get its connections.
 func TestClient_ReusedAddressGetsNewConnections(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	at := e.listener.Addr().String()
-	client, _ := newTestClient(t, at, 15000)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	address := fake.listener.Addr().String()
+	client, _ := newTestClient(t, address, 15000)
 	client.Send(newAttempt("a"))
-	e.expect(t, "fetch a .*")
-	<-e.conns
-	client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: 1, Availability: scheduler.Removed}, "s-1", at},
-		{scheduler.Endpoint{Executor: 2}, "s-2", at}})
-	run, _ := client.Send(newAttempt("b"))
-	assert.Nil(t, run)
-	s := newAttempt("c")
-	s.Executor = 2
-	client.Send(s)
-	<-e.conns
-	e.expect(t, "fetch c .*")
+	fake.expect(t, "fetch a .*")
+	<-fake.conns
+	client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: 1, Availability: scheduler.Removed}, "s-1", address},
+		{scheduler.Endpoint{Executor: 2}, "s-2", address}})
+	running, _ := client.Send(newAttempt("b"))
+	assert.Nil(t, running)
+	spec := newAttempt("c")
+	spec.Executor = 2
+	client.Send(spec)
+	<-fake.conns
+	fake.expect(t, "fetch c .*")
 	client.Update(true, nil)
-	s.Request.ID = "d"
-	run, _ = client.Send(s)
-	assert.Nil(t, run, "a complete list leaves out what is gone")
+	spec.Request.ID = "d"
+	running, _ = client.Send(spec)
+	assert.Nil(t, running, "an executor missing from a complete list is removed")
 }
 
 func TestClient_LimitsConnections(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, _ := newTestClient(t, e.listener.Addr().String(), 15000)
-	for _, id := range strings.Fields("a b c d e f") { // three connections of two attempts each
-		run, _ := client.Send(newAttempt(id))
-		assert.NotNil(t, run)
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, _ := newTestClient(t, fake.listener.Addr().String(), 15000)
+	for _, id := range strings.Fields("a b c d e f") { // 3 connections of 2 attempts
+		running, _ := client.Send(newAttempt(id))
+		assert.NotNil(t, running)
 	}
-	run, _ := client.Send(newAttempt("g"))
-	assert.Nil(t, run)
+	running, _ := client.Send(newAttempt("g"))
+	assert.Nil(t, running)
 }
 
-// Nothing is kept of executors that are gone, also where others come at their address.
-func TestClient_KeepsNothingOfGoneExecutors(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	at := e.listener.Addr().String()
-	client, queue := newTestClient(t, at, 15000)
+// The state of removed executors must be freed, also if other executors get their address.
+func TestClient_FreesStateOfRemovedExecutors(t *testing.T) {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	address := fake.listener.Addr().String()
+	client, queue := newTestClient(t, address, 15000)
 	client.maxConns = 100
 	for id := uint32(1); id <= 50; id++ {
-		shot := newAttempt(fmt.Sprint("a", id))
-		shot.Executor = id
-		run, _ := client.Send(shot)
+		spec := newAttempt(fmt.Sprint("a", id))
+		spec.Executor = id
+		running, _ := client.Send(spec)
 		assert.True(t, client.HealthCheck(id, uint64(id)))
-		e.expect(t, "fetch .*|alive .*")
-		e.expect(t, "fetch .*|alive .*")
+		fake.expect(t, "fetch .*|alive .*")
+		fake.expect(t, "fetch .*|alive .*")
 		if id%2 == 0 {
-			run.Cancel()
+			running.Cancel()
 		}
-		client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: id, Availability: scheduler.Removed}, "s", at},
-			{scheduler.Endpoint{Executor: id + 1}, "s", at}})
+		client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: id, Availability: scheduler.Removed}, "s", address},
+			{scheduler.Endpoint{Executor: id + 1}, "s", address}})
 		for range 2 {
-			e.nextConn(t).Close() // it ends, and its connections with it
+			fake.nextConn(t).Close() // the removed executor exits
 		}
 		for closed := 0; closed < 2; {
 			select {
-			case word := <-e.received:
+			case word := <-fake.received:
 				closed += strings.Count(word, "closed")
 			case <-time.After(3 * time.Second):
-				require.Fail(t, "a connection stays")
+				require.Fail(t, "a connection to a removed executor was not closed", "executor %d, closed %d of 2", id, closed)
 			}
 		}
 	}
@@ -369,31 +394,32 @@
 		defer client.mu.Unlock()
 		return len(client.connections) == 0 && len(client.executors[51].conns) == 0
 	}, 3*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, len(queue), 25+50, "each attempt and each health check has its end")
+	assert.GreaterOrEqual(t, len(queue), 25+50, "each uncancelled attempt and each health check has an end event")
 	assert.Zero(t, client.budget.Held())
 }
 
-// An attempt that is held leaves at its release and not before, also when its connection is up; cancelled before, it never left.
-func TestClient_HeldAttemptLeavesAtRelease(t *testing.T) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	shot := newAttempt("a")
-	shot.Held = true
-	run, _ := client.Send(shot)
-	e.nextConn(t)
-	client.HealthCheck(1, 7) // its own connection, heard
-	e.expect(t, "alive probe-7")
+// A held attempt must not be sent before Release, even if its connection is established, and never if it is cancelled
+// before.
+func TestClient_HeldAttemptIsSentAtRelease(t *testing.T) {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	spec := newAttempt("a")
+	spec.Held = true
+	running, _ := client.Send(spec)
+	fake.nextConn(t)
+	client.HealthCheck(1, 7) // over a second connection
+	fake.expect(t, "alive probe-7")
 	select {
-	case got := <-e.received:
-		assert.Fail(t, "left early: "+got)
+	case got := <-fake.received:
+		assert.Fail(t, "sent before Release: "+got)
 	case <-time.After(50 * time.Millisecond):
 	}
-	run.Release()
-	e.expect(t, "fetch a .*")
-	shot = newAttempt("b")
-	shot.Held = true
-	run, _ = client.Send(shot)
-	assert.Equal(t, dispatch.CancelledUnsent, run.Cancel())
-	run.Release()
+	running.Release()
+	fake.expect(t, "fetch a .*")
+	spec = newAttempt("b")
+	spec.Held = true
+	running, _ = client.Send(spec)
+	assert.Equal(t, dispatch.CancelledUnsent, running.Cancel())
+	running.Release()
 	assert.Empty(t, queue)
 }
--- a/internal/resp/codec.go
+++ b/internal/resp/codec.go
@@ -8,36 +8,36 @@
 	"liftshift/internal/netconn"
 )
 
-// Limits of a reply: far above what the protocol has.
+// Limits of a reply, well above what executors send.
 const (
 	maxParts     = 8
 	maxBulkBytes = 64 << 10
 )
 
-// readLength reads a line of a type byte and a length up to a limit.
-func readLength(r *bufio.Reader, kind byte, limit int) (int, error) {
+// readLength reads a line that consists of a type byte and a length of at most limit.
+func readLength(r *bufio.Reader, typeByte byte, limit int) (int, error) {
 	line, err := netconn.ReadLine(r)
 	if err != nil {
 		return 0, err
 	}
-	if len(line) < 2 || line[0] != kind || line[1] < '0' || line[1] > '9' {
-		return 0, netconn.Malformed("%q where a length behind %q is due", netconn.Clip(line), kind)
+	if len(line) < 2 || line[0] != typeByte || line[1] < '0' || line[1] > '9' {
+		return 0, netconn.Malformed("got line %q, want %q and a length", netconn.Clip(line), typeByte)
 	}
-	n, err := strconv.Atoi(string(line[1:]))
-	if err != nil || n > limit {
-		return 0, netconn.Malformed("a length of %q, at most %d", netconn.Clip(line[1:]), limit)
+	length, err := strconv.Atoi(string(line[1:]))
+	if err != nil || length > limit {
+		return 0, netconn.Malformed("length %q is not a number or exceeds %d", netconn.Clip(line[1:]), limit)
 	}
-	return n, nil
+	return length, nil
 }
 
-// readArray reads an array of bulk strings into parts, which is reused.
+// readArray reads an array of bulk strings. The result reuses the memory of parts.
 func readArray(r *bufio.Reader, parts [][]byte) ([][]byte, error) {
-	n, err := readLength(r, '*', maxParts)
+	count, err := readLength(r, '*', maxParts)
 	if err != nil {
 		return nil, err
 	}
 	parts = parts[:0]
-	for range n {
+	for range count {
 		size, err := readLength(r, '$', maxBulkBytes)
 		if err != nil {
 			return nil, netconn.UnexpectedEOF(err)
@@ -46,12 +46,12 @@
 		if err != nil {
 			return nil, netconn.UnexpectedEOF(err)
 		}
-		end, err := netconn.ReadLine(r)
+		rest, err := netconn.ReadLine(r)
 		if err != nil {
 			return nil, netconn.UnexpectedEOF(err)
 		}
-		if len(end) > 0 {
-			return nil, netconn.Malformed("%q behind a bulk string", netconn.Clip(end))
+		if len(rest) > 0 {
+			return nil, netconn.Malformed("got %q after a bulk string, want a line end", netconn.Clip(rest))
 		}
 		parts = append(parts, bulk)
 	}
@@ -68,24 +68,24 @@
 	return b
 }
 
-// forEachField calls each for every name and value of a list name=value,name=value. A part without a name belongs to the value before
-// it: load reports are lists themselves.
-func forEachField(list string, each func(name, value string) error) error {
+// forEachField calls visit for each field of a list name=value,name=value. A part without a name continues the value of
+// the field before it, because a load report is a comma-separated list itself.
+func forEachField(list string, visit func(name, value string) error) error {
 	if list == "" || list == "-" {
 		return nil
 	}
-	name, value, open := "", "", false
+	name, value, hasField := "", "", false
 	flush := func() error {
-		if !open {
+		if !hasField {
 			return nil
 		}
-		return each(name, value)
+		return visit(name, value)
 	}
 	for part := range strings.SplitSeq(list, ",") {
-		n, v, ok := strings.Cut(part, "=")
-		if !ok {
-			if !open {
-				return netconn.Malformed("a field without a name: %q", netconn.Clip([]byte(part)))
+		nextName, nextValue, named := strings.Cut(part, "=")
+		if !named {
+			if !hasField {
+				return netconn.Malformed("the first field has no name: %q", netconn.Clip([]byte(part)))
 			}
 			value += "," + part
 			continue
@@ -93,7 +93,7 @@
 		if err := flush(); err != nil {
 			return err
 		}
-		name, value, open = n, v, true
+		name, value, hasField = nextName, nextValue, true
 	}
 	return flush()
 }
--- a/internal/resp/endpoints.go
+++ b/internal/resp/endpoints.go
@@ -11,107 +11,111 @@
 	"liftshift/scheduler"
 )
 
-// Endpoint is one entry of the list of executors.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Entry         scheduler.Endpoint
 	Name, Address string
 }
 
-// executor is one executor as listed. Its connections belong to it, not to its address.
+// executor is the client's state of one executor of the endpoint list. Connections belong to an executor, not to an
+// address: another executor may get the same address later.
 type executor struct {
 	id            uint32
 	name, address string
-	entry         scheduler.Endpoint // as it was listed first
+	entry         scheduler.Endpoint // as first listed
 	startedAt     float64
 	conns         []*executorConn
-	cancelledAt   map[string]float64 // by request id: clocks of cancellations within the last resendDelayMS
-	closed        bool               // it drains or is gone by the list, or another has its address
+	cancelledAt   map[string]float64 // times of the cancellations of the last resendDelayMS, by request id
+	closed        bool               // takes no new attempts: draining or removed, or its address was reassigned
 }
 
-// Update takes over entries of the list, all there are or only those that changed. It is called before the scheduler gets them. It
-// returns what follows besides: an executor whose address a new one has is gone, though the list does not say so yet.
+// Update applies entries of the endpoint list: all entries if complete is set, only the changed ones otherwise. It must
+// be called before the scheduler gets the entries. It returns removed entries for the executors that an entry displaced
+// from their address, although the list does not report them as removed yet.
 func (c *Client) Update(complete bool, list []Endpoint) (displaced []Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	listed := map[uint32]bool{} // and not removed
-	for _, e := range list {
-		listed[e.Entry.Executor] = e.Entry.Availability != scheduler.Removed
-		c.updateEndpoint(e)
+	listed := map[uint32]bool{} // executors that the list contains and does not report as removed
+	for _, endpoint := range list {
+		listed[endpoint.Entry.Executor] = endpoint.Entry.Availability != scheduler.Removed
+		c.updateEndpoint(endpoint)
 	}
 	if complete {
-		for id, e := range c.executors {
+		for id, known := range c.executors {
 			if !listed[id] {
-				c.removeExecutor(e)
+				c.removeExecutor(known)
 			}
 		}
 	}
 	return c.displace(list, listed)
 }
 
-// updateEndpoint takes over one entry. The lock is held.
-func (c *Client) updateEndpoint(e Endpoint) {
-	id := e.Entry.Executor
+// updateEndpoint applies one entry. The lock is held.
+func (c *Client) updateEndpoint(endpoint Endpoint) {
+	id := endpoint.Entry.Executor
 	known := c.executors[id]
 	if known != nil {
-		known.closed = e.Entry.Availability != scheduler.Active
-		if known.name != e.Name {
-			c.log.WithFields(logrus.Fields{"one": known.name, "other": e.Name}).Error("executor ids collide")
+		known.closed = endpoint.Entry.Availability != scheduler.Active
+		if known.name != endpoint.Name {
+			c.log.WithFields(logrus.Fields{"one": known.name, "other": endpoint.Name}).Error("executor ids collide")
 		}
 	}
-	if known != nil && known.isReplacedBy(e) {
+	if known != nil && known.isReplacedBy(endpoint) {
 		known.retire()
 		known = nil
 	}
 	switch {
-	case e.Entry.Availability == scheduler.Removed:
+	case endpoint.Entry.Availability == scheduler.Removed:
 		delete(c.executors, id)
 	case known == nil:
 		c.executors[id] = &executor{
 			id:          id,
-			name:        e.Name,
-			address:     e.Address,
-			entry:       e.Entry,
-			startedAt:   e.Entry.StartedAt,
+			name:        endpoint.Name,
+			address:     endpoint.Address,
+			entry:       endpoint.Entry,
+			startedAt:   endpoint.Entry.StartedAt,
 			cancelledAt: map[string]float64{},
-			closed:      e.Entry.Availability != scheduler.Active,
+			closed:      endpoint.Entry.Availability != scheduler.Active,
 		}
 	}
 }
 
-// isReplacedBy returns whether an entry tells that this executor is gone, or is another process now.
-func (e *executor) isReplacedBy(entry Endpoint) bool {
-	return e.address != entry.Address || entry.Entry.StartedAt != e.startedAt || entry.Entry.Availability == scheduler.Removed
+// isReplacedBy returns whether an entry shows that the executor is removed or now is another process.
+func (e *executor) isReplacedBy(endpoint Endpoint) bool {
+	return e.address != endpoint.Address || endpoint.Entry.StartedAt != e.startedAt ||
+		endpoint.Entry.Availability == scheduler.Removed
 }
 
-// displace removes executors whose address an active entry has and that are not listed with it. The lock is held.
+// displace removes the executors whose address belongs to an active entry of the list and which the list does not
+// contain themselves. The lock is held.
 func (c *Client) displace(list []Endpoint, listed map[uint32]bool) (displaced []Endpoint) {
-	taken := map[string]bool{}
-	for _, e := range list {
-		if e.Entry.Availability == scheduler.Active {
-			taken[e.Address] = true
+	activeAddresses := map[string]bool{}
+	for _, endpoint := range list {
+		if endpoint.Entry.Availability == scheduler.Active {
+			activeAddresses[endpoint.Address] = true
 		}
 	}
-	for id, e := range c.executors {
-		if taken[e.address] && !listed[id] {
-			c.removeExecutor(e)
-			gone := Endpoint{Entry: e.entry, Name: e.name, Address: e.address}
-			gone.Entry.Availability = scheduler.Removed
-			displaced = append(displaced, gone)
+	for id, known := range c.executors {
+		if activeAddresses[known.address] && !listed[id] {
+			c.removeExecutor(known)
+			removed := Endpoint{Entry: known.entry, Name: known.name, Address: known.address}
+			removed.Entry.Availability = scheduler.Removed
+			displaced = append(displaced, removed)
 		}
 	}
 	slices.SortFunc(displaced, func(a, b Endpoint) int { return cmp.Compare(a.Entry.Executor, b.Entry.Executor) })
 	return displaced
 }
 
-// removeExecutor retires an executor and forgets it. The lock is held.
-func (c *Client) removeExecutor(e *executor) {
-	e.retire()
-	delete(c.executors, e.id)
+// removeExecutor retires an executor and removes it from the table. The lock is held.
+func (c *Client) removeExecutor(known *executor) {
+	known.retire()
+	delete(c.executors, known.id)
 }
 
-// retire keeps new attempts off an executor. The lock is held.
+// retire keeps new attempts off an executor and drains its connections. The lock is held.
 func (e *executor) retire() {
-	e.closed = true // also for what still waits for a connection to come up
+	e.closed = true // also blocks attempts that are queued on a connection that is not yet established
 	for _, conn := range e.conns {
 		conn.drain()
 	}
@@ -121,14 +125,14 @@
 func (c *Client) ConnectionState(id uint32) dispatch.ConnectionState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.executors[id]
-	if e == nil {
+	known := c.executors[id]
+	if known == nil {
 		return dispatch.ConnectionState{}
 	}
-	state := dispatch.ConnectionState{Name: e.name, Connections: len(e.conns), IdleMS: -1}
+	state := dispatch.ConnectionState{Name: known.name, Connections: len(known.conns), IdleMS: -1}
 	lastUsed := time.Time{}
-	for _, conn := range e.conns {
-		state.Attempts += len(conn.open)
+	for _, conn := range known.conns {
+		state.Attempts += len(conn.openAttempts)
 		if conn.lastUsed.After(lastUsed) {
 			lastUsed = conn.lastUsed
 			state.IdleMS = float64(time.Since(lastUsed)) / float64(time.Millisecond)
--- a/internal/resp/healthcheck.go
+++ b/internal/resp/healthcheck.go
@@ -9,15 +9,15 @@
 	"liftshift/scheduler"
 )
 
-// HealthCheck implements dispatch.ExecutorTransport. It asks for a load report, too, where there are any.
+// HealthCheck implements dispatch.ExecutorTransport. It also requests a load report if the platform has load reports.
 func (c *Client) HealthCheck(id uint32, token uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.executors[id]
-	if e == nil {
+	target := c.executors[id]
+	if target == nil {
 		return false
 	}
-	conn := c.pickConn(e, "")
+	conn := c.pickConn(target, "")
 	if conn == nil {
 		return false
 	}
@@ -33,17 +33,18 @@
 
 func healthCheckTag(token uint64) string { return "probe-" + strconv.FormatUint(token, 10) }
 
-// ForgetHealthCheck implements dispatch.ExecutorTransport. A connection that left a check unanswered gets no new attempts: on a new
-// one a dead executor shows by never coming up, which proves that nothing ran.
+// ForgetHealthCheck implements dispatch.ExecutorTransport. It drains the connection that left the health check
+// unanswered, so that further attempts need a new connection: if the executor is dead, that one cannot be established,
+// which proves that the attempts did not run.
 func (c *Client) ForgetHealthCheck(id uint32, token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.executors[id]
-	if e == nil {
+	target := c.executors[id]
+	if target == nil {
 		return
 	}
 	tag := healthCheckTag(token)
-	for _, conn := range e.conns {
+	for _, conn := range target.conns {
 		if _, ok := conn.healthChecks[tag]; ok {
 			delete(conn.healthChecks, tag)
 			conn.drain()
@@ -51,8 +52,8 @@
 	}
 }
 
-// begin takes over the socket of a connection that came up and sends the health checks that waited for it.
-func (c *executorConn) begin(socket net.Conn) {
+// onConnected stores the socket of a connection that was established and sends the health checks that are queued on it.
+func (c *executorConn) onConnected(socket net.Conn) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	c.Socket = socket
@@ -68,8 +69,10 @@
 	c.endIfDrained()
 }
 
-// healthCheckResult returns the result of a health check that was answered. The client's lock is held.
-func (c *executorConn) healthCheckResult(tag string, token uint64, healthy bool, report []float64) dispatch.QueueItem {
+// healthCheckResult closes an answered health check and returns its result. The client's lock is held.
+func (c *executorConn) healthCheckResult(
+	tag string, token uint64, healthy bool, report []float64,
+) dispatch.QueueItem {
 	delete(c.healthChecks, tag)
 	event := scheduler.Event{Kind: scheduler.HealthChecked, Executor: c.executor.id, LoadReport: report}
 	if !healthy {
--- a/internal/resp/helpers_test.go
+++ b/internal/resp/helpers_test.go
@@ -17,17 +17,17 @@
 	"liftshift/scheduler"
 )
 
-// fakeQueue is an event queue that a test reads.
+// fakeQueue is an event queue whose items a test receives.
 type fakeQueue chan dispatch.QueueItem
 
-func (m fakeQueue) Put(it dispatch.QueueItem) { m <- it }
+func (q fakeQueue) Put(item dispatch.QueueItem) { q <- item }
 
-func (m fakeQueue) next(t *testing.T) dispatch.QueueItem {
+func (q fakeQueue) next(t *testing.T) dispatch.QueueItem {
 	select {
-	case it := <-m:
-		return it
+	case item := <-q:
+		return item
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "nothing came")
+		require.Fail(t, "the event queue got no item")
 	}
 	return dispatch.QueueItem{}
 }
@@ -38,43 +38,44 @@
 	return log
 }
 
-// fakeExecutor records the commands that it gets and lets the test reply.
+// fakeExecutor records the commands that it receives, and "closed" for each connection that ends. The test sends the
+// replies.
 type fakeExecutor struct {
 	listener net.Listener
 	conns    chan net.Conn
 	received chan string
 }
 
-func newFakeExecutor(t *testing.T, at string) *fakeExecutor {
-	l, err := net.Listen("tcp", at)
+func newFakeExecutor(t *testing.T, address string) *fakeExecutor {
+	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	e := &fakeExecutor{listener: l, conns: make(chan net.Conn, 20), received: make(chan string, 100)}
-	t.Cleanup(func() { l.Close() })
+	fake := &fakeExecutor{listener: listener, conns: make(chan net.Conn, 20), received: make(chan string, 100)}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			e.conns <- c
+			fake.conns <- conn
 			go func() {
-				r := bufio.NewReader(c)
+				r := bufio.NewReader(conn)
 				for {
 					parts, err := readArray(r, nil)
 					if err != nil {
-						e.received <- "closed"
+						fake.received <- "closed"
 						return
 					}
 					words := make([]string, len(parts))
 					for k := range parts {
 						words[k] = string(parts[k])
 					}
-					e.received <- strings.Join(words, " ")
+					fake.received <- strings.Join(words, " ")
 				}
 			}()
 		}
 	}()
-	return e
+	return fake
 }
 
 func (e *fakeExecutor) expect(t *testing.T, want string) {
@@ -83,34 +84,39 @@
 	case got := <-e.received:
 		assert.Regexp(t, "^"+want+"$", got)
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "not received: "+want)
+		require.Fail(t, "the executor received no command that matches "+want)
 	}
 }
 
 func (e *fakeExecutor) nextConn(t *testing.T) net.Conn {
 	select {
-	case c := <-e.conns:
-		return c
+	case conn := <-e.conns:
+		return conn
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "no connection")
+		require.Fail(t, "the executor accepted no connection")
 	}
 	return nil
 }
 
-func sendReply(c net.Conn, words ...string) { _, _ = c.Write(appendArray(nil, words...)) }
+func sendReply(conn net.Conn, words ...string) { _, _ = conn.Write(appendArray(nil, words...)) }
 
-// newTestClient returns a client with executor 1 at an address, which closes unused connections after idleMS.
-func newTestClient(t *testing.T, at string, idleMS float64, reports ...string) (*Client, fakeQueue) {
-	m := make(fakeQueue, 100)
-	f := NewClient(m, dispatch.NewClock(), netconn.NewByteBudget(1<<20), Limits{ConnectMS: 200, IdleMS: idleMS, MaxPerConn: 2, MaxConns: 3,
-		ReportNames: reports},
-		discardLog())
-	f.Update(true, []Endpoint{{scheduler.Endpoint{Executor: 1}, "s-1", at}})
-	t.Cleanup(f.Stop)
-	return f, m
+// newTestClient returns a client with executor 1 at the address. It allows 3 connections with 2 attempts each.
+func newTestClient(t *testing.T, address string, idleMS float64, reports ...string) (*Client, fakeQueue) {
+	queue := make(fakeQueue, 100)
+	limits := Limits{ConnectMS: 200, IdleMS: idleMS, MaxPerConn: 2, MaxConns: 3, ReportNames: reports}
+	client := NewClient(queue, dispatch.NewClock(), netconn.NewByteBudget(1<<20), limits, discardLog())
+	client.Update(true, []Endpoint{{scheduler.Endpoint{Executor: 1}, "s-1", address}})
+	t.Cleanup(client.Stop)
+	return client, queue
 }
 
 func newAttempt(id string) dispatch.Attempt {
-	s := &dispatch.Request{ID: id, Class: "load", IdempotencyKey: "k1", Body: []byte("SELECT 1"), Deadline: dispatch.NewClock().Now() + 5000}
-	return dispatch.Attempt{Request: s, Executor: 1, GrantMB: 63.2, Level: 3}
+	request := &dispatch.Request{
+		ID:             id,
+		Class:          "load",
+		IdempotencyKey: "k1",
+		Body:           []byte("SELECT 1"),
+		Deadline:       dispatch.NewClock().Now() + 5000,
+	}
+	return dispatch.Attempt{Request: request, Executor: 1, GrantMB: 63.2, Level: 3}
 }
--- a/internal/resp/pages.go
+++ b/internal/resp/pages.go
@@ -15,7 +15,7 @@
 	rowColumns     = 3
 )
 
-// requestPages asks for the pages that are missing. The client's lock is held.
+// requestPages requests the missing pages of an answer. The client's lock is held.
 func (c *executorConn) requestPages(a *attempt) {
 	for page := 1; page < len(a.pages); page++ {
 		if a.pages[page] == nil {
@@ -24,24 +24,25 @@
 	}
 }
 
-// resume asks for the rest of an answer over another connection, once, and returns whether it could. The request has run, and its
-// pages are lost only when the executor ends; run again, it would cost one more attempt. The client's lock is held.
+// resume requests the missing pages of an answer over another connection and returns whether it could. It does so once
+// per attempt. The executor keeps the pages of a finished request until it exits, and running the request again would
+// cost another attempt. The client's lock is held.
 func (c *executorConn) resume(a *attempt) bool {
-	client, e := c.client, c.executor
-	if a.pagesReceived == 0 || a.resumed || client.executors[e.id] != e {
+	client, target := c.client, c.executor
+	if a.pagesReceived == 0 || a.resumed || client.executors[target.id] != target {
 		return false
 	}
 	id := a.spec.Request.ID
-	next := client.pickConn(e, id)
+	next := client.pickConn(target, id)
 	if next == nil {
 		return false
 	}
 	a.conn = next
 	a.resumed = true
 	a.repliesBefore = next.replies
-	next.open[id] = a
+	next.openAttempts[id] = a
 	if !next.queueAttempt(a) {
-		delete(next.open, id)
+		delete(next.openAttempts, id)
 		next.drain()
 		return false
 	}
@@ -49,23 +50,27 @@
 	return true
 }
 
-// beginAnswer takes the first page of an answer and asks for the others. The client's lock is held.
-func (c *executorConn) beginAnswer(a *attempt, fields replyFields, body []byte) (item dispatch.QueueItem, ok bool, err error) {
-	if fields.pages < 1 || fields.pages > maxPages {
-		return item, false, netconn.Malformed("an answer of %d pages", fields.pages)
+// beginAnswer stores the first page of an answer and requests the others. It returns the end of the attempt if there is
+// one page only. The client's lock is held.
+func (c *executorConn) beginAnswer(
+	a *attempt, fields replyFields, body []byte,
+) (item dispatch.QueueItem, ok bool, err error) {
+	if fields.pageCount < 1 || fields.pageCount > maxPages {
+		return item, false, netconn.Malformed("answer has %d pages, want 1 to %d", fields.pageCount, maxPages)
 	}
-	a.pages = make([][]byte, fields.pages)
-	a.end.LoadReport = fields.report
-	a.end.CostMS = fields.costMS
-	a.end.UsedMB = fields.usedMB
+	a.pages = make([][]byte, fields.pageCount)
+	a.endEvent.LoadReport = fields.report
+	a.endEvent.CostMS = fields.costMS
+	a.endEvent.UsedMB = fields.usedMB
 	c.requestPages(a)
 	return c.addPage(a, 0, body)
 }
 
-// addPage adds a page; the item is the end of the attempt once its answer is complete. The client's lock is held.
+// addPage stores a page of an answer. It returns the end of the attempt once the answer is complete. The client's lock
+// is held.
 func (c *executorConn) addPage(a *attempt, page int, body []byte) (item dispatch.QueueItem, ok bool, err error) {
 	if !isCompleteRows(body) {
-		return item, false, netconn.Malformed("a page that is not rows: %q", netconn.Clip(body))
+		return item, false, netconn.Malformed("page %d is not rows of %d columns: %q", page, rowColumns, netconn.Clip(body))
 	}
 	if body == nil {
 		body = []byte{}
@@ -74,7 +79,7 @@
 	a.pagesReceived++
 	a.bytesReceived += len(body)
 	if a.bytesReceived > maxAnswerBytes {
-		return item, false, netconn.Malformed("an answer of over %d bytes", maxAnswerBytes)
+		return item, false, netconn.Malformed("answer exceeds %d bytes", maxAnswerBytes)
 	}
 	if a.pagesReceived < len(a.pages) {
 		return item, false, nil
@@ -84,12 +89,12 @@
 		c.send("done", id)
 		body = slices.Concat(a.pages...)
 	}
-	delete(c.open, id)
-	return dispatch.QueueItem{Event: a.end, Body: body}, true, nil
+	delete(c.openAttempts, id)
+	return dispatch.QueueItem{Event: a.endEvent, Body: body}, true, nil
 }
 
-// isCompleteRows returns whether a page is lines of three columns of text. Where bytes were corrupted, a length may fit by chance; this
-// keeps what no executor made from being passed on.
+// isCompleteRows returns whether a page consists of complete lines of rowColumns columns of text. It detects corrupted
+// replies whose lengths happen to be consistent.
 func isCompleteRows(page []byte) bool {
 	if len(page) > 0 && page[len(page)-1] != '\n' || !utf8.Valid(page) {
 		return false
--- a/internal/resp/races_test.go
+++ b/internal/resp/races_test.go
@@ -17,155 +17,160 @@
 	"liftshift/scheduler"
 )
 
-// newLateClient returns a client with one executor whose connections come up when the test says so.
-func newLateClient(t *testing.T) (*Client, fakeQueue, *fakeExecutor, chan struct{}) {
-	e := newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
-	up := make(chan struct{}, 10)
+// newClientWithGatedDial returns a client with one executor. Each dial waits until the test sends to the channel.
+func newClientWithGatedDial(t *testing.T) (*Client, fakeQueue, *fakeExecutor, chan struct{}) {
+	fake := newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
+	dialGate := make(chan struct{}, 10)
 	client.dial = func(network, address string) (net.Conn, error) {
-		<-up
+		<-dialGate
 		return net.Dial(network, address)
 	}
-	return client, queue, e, up
+	return client, queue, fake, dialGate
 }
 
-// What happens between the decision and the socket is checked at the last step: nothing leaves, and the attempt ends as never sent.
+// The state may change between Send and the write to the socket. The attempt must then not be sent, and end as such.
 func TestClient_FinalCheckBlocksAttempt(t *testing.T) {
-	for name, cross := range map[string]func(*Client, *dispatch.Attempt){
-		"its client has gone": func(_ *Client, s *dispatch.Attempt) { s.Request.ClientGone.Store(true) },
-		"its executor drains": func(client *Client, _ *dispatch.Attempt) {
-			client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: 1, Availability: scheduler.Draining}, "s-1", client.executors[1].address}})
+	for name, change := range map[string]func(*Client, *dispatch.Attempt){
+		"client disconnected": func(_ *Client, spec *dispatch.Attempt) { spec.Request.ClientGone.Store(true) },
+		"executor drains": func(client *Client, _ *dispatch.Attempt) {
+			draining := scheduler.Endpoint{Executor: 1, Availability: scheduler.Draining}
+			client.Update(false, []Endpoint{{draining, "s-1", client.executors[1].address}})
 		},
-		"its executor is gone": func(client *Client, _ *dispatch.Attempt) { client.Update(true, nil) },
-		"a new executor has the address": func(client *Client, _ *dispatch.Attempt) {
+		"executor removed": func(client *Client, _ *dispatch.Attempt) { client.Update(true, nil) },
+		"another executor at the address": func(client *Client, _ *dispatch.Attempt) {
 			client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: 2}, "s-2", client.executors[1].address}})
 		},
-		"its time is over": func(*Client, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
+		"latest start passed": func(*Client, *dispatch.Attempt) { time.Sleep(60 * time.Millisecond) },
 	} {
-		client, queue, e, up := newLateClient(t)
-		shot := newAttempt("a")
-		shot.Request.ClientGone = &atomic.Bool{}
-		if name == "its time is over" {
-			shot.LatestStart = client.clock.Now() + 50
+		client, queue, fake, dialGate := newClientWithGatedDial(t)
+		spec := newAttempt("a")
+		spec.Request.ClientGone = &atomic.Bool{}
+		if name == "latest start passed" {
+			spec.LatestStart = client.clock.Now() + 50
 		}
-		run, _ := client.Send(shot)
-		require.NotNil(t, run)
-		cross(client, &shot)
-		up <- struct{}{}
-		it := queue.next(t)
-		assert.Equal(t, []any{scheduler.AttemptEnded, scheduler.NeverSent, false}, []any{it.Event.Kind, it.Event.Outcome, it.Event.Blocked}, name)
-		assert.True(t, it.Event.Outcome.NeverRan())
-		assert.Equal(t, dispatch.AlreadyEnded, run.Cancel(), name)
+		running, _ := client.Send(spec)
+		require.NotNil(t, running)
+		change(client, &spec)
+		dialGate <- struct{}{}
+		item := queue.next(t)
+		assert.Equal(t, []any{scheduler.AttemptEnded, scheduler.NeverSent, false},
+			[]any{item.Event.Kind, item.Event.Outcome, item.Event.Blocked}, name)
+		assert.True(t, item.Event.Outcome.NeverRan())
+		assert.Equal(t, dispatch.AlreadyEnded, running.Cancel(), name)
 		client.Stop()
-		e.expect(t, "closed") // and nothing before it
+		fake.expect(t, "closed") // no command before it
 		assert.Empty(t, queue, name)
 	}
 }
 
-// A second copy of an end, some ms later, must not pass for the end of the next attempt of the same request.
+// A duplicate of the reply that ended an attempt must not end the next attempt of the same request.
 func TestClient_DuplicateEndEndsNoOtherAttempt(t *testing.T) {
 	for _, word := range []string{"full", "failed", "moot"} {
-		e := newFakeExecutor(t, "127.0.0.1:0")
-		client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+		fake := newFakeExecutor(t, "127.0.0.1:0")
+		client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 		client.Send(newAttempt("a"))
-		e.expect(t, "fetch a .*")
-		first := e.nextConn(t)
+		fake.expect(t, "fetch a .*")
+		first := fake.nextConn(t)
 		sendReply(first, "a", word, "-", "")
 		queue.next(t)
-		shot := newAttempt("a")
-		shot.Number = 1
-		client.Send(shot)
-		e.expect(t, "fetch a .*")
-		second := e.nextConn(t) // not over the first
+		spec := newAttempt("a")
+		spec.Number = 1
+		client.Send(spec)
+		fake.expect(t, "fetch a .*")
+		second := fake.nextConn(t) // the id is excluded from the first connection
 		sendReply(first, "a", word, "-", "")
 		sendReply(first, "a", word, "-", "")
 		assert.Eventually(t, func() bool { return client.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
 		sendReply(second, "a", "data", "-", "x\ty\tz\n")
-		it := queue.next(t)
-		assert.Equal(t, []any{scheduler.Succeeded, 1}, []any{it.Event.Outcome, it.Event.Attempt}, word)
+		item := queue.next(t)
+		assert.Equal(t, []any{scheduler.Succeeded, 1}, []any{item.Event.Outcome, item.Event.Attempt}, word)
 		assert.Empty(t, queue)
 	}
 }
 
-// What waits behind bytes that an executor does not read never left, and ends as such.
+// An attempt that is queued behind output that the executor does not read was never sent, and must end as such.
 func TestClient_AttemptBehindStuckWriteNeverRan(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	client, queue := newTestClient(t, l.Addr().String(), 15000)
+	defer listener.Close()
+	client, queue := newTestClient(t, listener.Addr().String(), 15000)
 	client.maxConns, client.connectTimeout = 1, time.Minute
 	big := newAttempt("big")
-	big.Request.Body = bytes.Repeat([]byte("x"), 32<<20) // more than the system holds for both sides
+	big.Request.Body = bytes.Repeat([]byte("x"), 32<<20) // exceeds the socket buffers of both sides
 	client.Send(big)
-	c, err := l.Accept()
+	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	defer c.Close()
-	link := client.executors[1].conns[0]
+	defer accepted.Close()
+	conn := client.executors[1].conns[0]
 	require.Eventually(t, func() bool {
 		client.mu.Lock()
 		defer client.mu.Unlock()
-		return link.connected && !link.Flushed() && link.open["big"].written
+		return conn.connected && !conn.Flushed() && conn.openAttempts["big"].written
 	}, 3*time.Second, time.Millisecond)
 	second, _ := client.Send(newAttempt("b"))
 	assert.Equal(t, dispatch.CancelledUnsent, second.Cancel())
 	third, _ := client.Send(newAttempt("c"))
 	require.NotNil(t, third)
-	c.Close()
-	ends := map[string]scheduler.Outcome{}
+	accepted.Close()
+	outcomes := map[string]scheduler.Outcome{}
 	for range 2 {
-		it := queue.next(t)
-		ends[it.Event.Request] = it.Event.Outcome
+		item := queue.next(t)
+		outcomes[item.Event.Request] = item.Event.Outcome
 	}
-	assert.Equal(t, map[string]scheduler.Outcome{"big": scheduler.ConnectionLost, "c": scheduler.ConnectFailed}, ends)
+	assert.Equal(t, map[string]scheduler.Outcome{"big": scheduler.ConnectionLost, "c": scheduler.ConnectFailed}, outcomes)
 }
 
-// A new executor at an address shows that the one listed there is gone, whatever the list still says of it.
+// An executor that is listed at the address of another one shows that the other one is gone, even if the endpoint list
+// has not reported that yet.
 func TestClient_NewExecutorDisplacesOldAtAddress(t *testing.T) {
 	client, _ := newTestClient(t, "127.0.0.1:9", 15000)
 	old := Endpoint{scheduler.Endpoint{Executor: 1}, "s-1", "127.0.0.1:9"}
 	next := Endpoint{scheduler.Endpoint{Executor: 2, StartedAt: 5}, "s-2", "127.0.0.1:9"}
-	gone := old
-	gone.Entry.Availability = scheduler.Removed
-	assert.Equal(t, []Endpoint{gone}, client.Update(false, []Endpoint{next}))
-	assert.Empty(t, client.Update(false, []Endpoint{next}), "told once")
+	removed := old
+	removed.Entry.Availability = scheduler.Removed
+	assert.Equal(t, []Endpoint{removed}, client.Update(false, []Endpoint{next}))
+	assert.Empty(t, client.Update(false, []Endpoint{next}), "it is reported once")
 	assert.Empty(t, client.Update(true, []Endpoint{next, {scheduler.Endpoint{Executor: 3}, "s-3", "127.0.0.1:10"}}))
-	leaving := next
-	leaving.Entry.Availability, leaving.Entry.Executor, leaving.Name = scheduler.Draining, 4, "s-4"
-	assert.Empty(t, client.Update(false, []Endpoint{leaving}), "one that drains displaces nobody")
+	draining := next
+	draining.Entry.Availability, draining.Entry.Executor, draining.Name = scheduler.Draining, 4, "s-4"
+	assert.Empty(t, client.Update(false, []Endpoint{draining}), "a draining executor displaces no other")
 	assert.Contains(t, client.executors, uint32(2))
 }
 
-// Idle connections to some executors must not keep others from having their first one.
+// Idle connections to some executors must not keep another executor from getting its first connection.
 func TestClient_EvictsIdleConnectionForFirstOne(t *testing.T) {
-	e, other := newFakeExecutor(t, "127.0.0.1:0"), newFakeExecutor(t, "127.0.0.1:0")
-	client, queue := newTestClient(t, e.listener.Addr().String(), 15000)
+	fake, other := newFakeExecutor(t, "127.0.0.1:0"), newFakeExecutor(t, "127.0.0.1:0")
+	client, queue := newTestClient(t, fake.listener.Addr().String(), 15000)
 	client.Update(false, []Endpoint{{scheduler.Endpoint{Executor: 2}, "s-2", other.listener.Addr().String()}})
 	for range client.maxConns {
 		client.Send(newAttempt(fmt.Sprint("a", len(client.connections))))
-		e.expect(t, "fetch .*")
+		fake.expect(t, "fetch .*")
 	}
-	shot := newAttempt("b")
-	shot.Executor = 2
-	run, _ := client.Send(shot)
-	assert.Nil(t, run, "none is idle")
+	spec := newAttempt("b")
+	spec.Executor = 2
+	running, _ := client.Send(spec)
+	assert.Nil(t, running, "no connection is idle")
 	for k := range client.maxConns {
-		sendReply(e.nextConn(t), fmt.Sprint("a", k), "data", "-", "")
+		sendReply(fake.nextConn(t), fmt.Sprint("a", k), "data", "-", "")
 		queue.next(t)
 	}
-	run, _ = client.Send(shot)
-	assert.NotNil(t, run)
+	running, _ = client.Send(spec)
+	assert.NotNil(t, running)
 	other.expect(t, "fetch b .*")
-	e.expect(t, "closed")
+	fake.expect(t, "closed")
 	client.Stop()
-	run, _ = client.Send(newAttempt("c"))
-	assert.Nil(t, run, "nothing begins after the end")
+	running, _ = client.Send(newAttempt("c"))
+	assert.Nil(t, running, "no attempt can be sent after Stop")
 }
 
-// What fails on this side tells nothing about an executor: no descriptor, port, buffer or route for a moment. It proves that nothing
-// ran, and it is distinguished from an executor's refusal, for attempts and health checks.
+// A dial that fails for lack of descriptors, ports, buffers or a route says nothing about the executor. For attempts
+// and health checks it must be distinguished from a refusal by the executor.
 func TestClient_LocalErrorIsLocalFailure(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EPERM} {
+	for _, errno := range []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EPERM,
+	} {
 		client, queue := newTestClient(t, "127.0.0.1:9", 15000)
 		client.dial = func(string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
@@ -175,7 +180,9 @@
 		assert.True(t, client.HealthCheck(1, 7))
 		assert.Equal(t, scheduler.LocalFailure, queue.next(t).Event.Outcome, errno.Error())
 	}
-	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
+	for _, errno := range []syscall.Errno{
+		syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	} {
 		client, queue := newTestClient(t, "127.0.0.1:9", 15000)
 		client.dial = func(string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -13,15 +13,26 @@
 	"liftshift/scheduler"
 )
 
-// endOutcomes are the outcomes of attempts that end without an answer, by the word on the wire.
-var endOutcomes = map[string]scheduler.Outcome{"full": scheduler.Overloaded, "failed": scheduler.Errored, "moot": scheduler.NeverSent}
+// outcomeByReply maps the replies that end an attempt without an answer to its outcome.
+var outcomeByReply = map[string]scheduler.Outcome{
+	"full":   scheduler.Overloaded,
+	"failed": scheduler.Errored,
+	"moot":   scheduler.NeverSent,
+}
 
-// progressKinds are the kinds of progress, by the word on the wire.
-var progressKinds = map[string]scheduler.ProgressKind{"pct": scheduler.Progress, "overflow": scheduler.Spilling, "queued": scheduler.Waiting}
+// progressKindByName maps the kinds of progress on the wire to those of the scheduler.
+var progressKindByName = map[string]scheduler.ProgressKind{
+	"pct":      scheduler.Progress,
+	"overflow": scheduler.Spilling,
+	"queued":   scheduler.Waiting,
+}
 
-// handleReply handles one reply and returns the item for the event queue that comes of it, if any. An error ends the connection.
-func (c *executorConn) handleReply(id, word, list string, body []byte) (item dispatch.QueueItem, ok bool, err error) {
-	fields, err := parseReplyFields(list, c.client.reportNames)
+// handleReply handles one reply: the id of an attempt or the tag of a health check, the reply's type, its list of
+// fields and its body. It returns the item for the event queue that results, if any. An error ends the connection.
+func (c *executorConn) handleReply(
+	id, replyType, fieldList string, body []byte,
+) (item dispatch.QueueItem, ok bool, err error) {
+	fields, err := parseReplyFields(fieldList, c.client.reportNames)
 	if err != nil {
 		return item, false, err
 	}
@@ -31,10 +42,10 @@
 	defer c.endIfDrained()
 	c.lastUsed = time.Now()
 	c.replies++
-	if token, ok := c.healthChecks[id]; ok && (word == "well" || word == "ill") {
-		return c.healthCheckResult(id, token, word == "well", fields.report), true, nil
+	if token, ok := c.healthChecks[id]; ok && (replyType == "well" || replyType == "ill") {
+		return c.healthCheckResult(id, token, replyType == "well", fields.report), true, nil
 	}
-	a := c.open[id]
+	a := c.openAttempts[id]
 	if a == nil {
 		client.Strays.Add(1)
 		return item, false, nil
@@ -42,10 +53,10 @@
 	if c.replies == a.repliesBefore+1 {
 		client.losses.Record(a.onUsedConn, false)
 	}
-	if outcome, ended := endOutcomes[word]; ended {
+	if outcome, ended := outcomeByReply[replyType]; ended {
 		return c.endWithoutAnswer(a, outcome, fields.report), true, nil
 	}
-	switch word {
+	switch replyType {
 	case "news":
 		item, ok = c.progress(a, fields)
 		return item, ok, nil
@@ -53,48 +64,49 @@
 		if a.pages == nil {
 			return c.beginAnswer(a, fields, body)
 		}
-		client.Strays.Add(1) // a second copy: the first one counts
+		client.Strays.Add(1) // duplicate of the first page
 		return item, false, nil
 	case "page":
-		return c.handlePage(a, fields.page, body)
+		return c.handlePage(a, fields.pageIndex, body)
 	}
-	return item, false, a.unexpected(word)
+	return item, false, a.unexpectedReply(replyType)
 }
 
-// handlePage handles a page behind the first one. The client's lock is held.
+// handlePage handles a page other than the first one. The client's lock is held.
 func (c *executorConn) handlePage(a *attempt, page int, body []byte) (item dispatch.QueueItem, ok bool, err error) {
 	switch {
-	case a.pages == nil: // nothing that was asked for
+	case a.pages == nil: // no page was requested
 		c.client.Strays.Add(1)
 		return item, false, nil
 	case page < 1 || page >= len(a.pages):
-		return item, false, a.unexpected("page")
-	case a.pages[page] != nil: // a second copy
+		return item, false, a.unexpectedReply("page")
+	case a.pages[page] != nil: // duplicate
 		c.client.Strays.Add(1)
 		return item, false, nil
 	}
 	return c.addPage(a, page, body)
 }
 
-// unexpected returns the error for a reply that does not fit the state of the attempt.
-func (a *attempt) unexpected(word string) error {
-	return netconn.Malformed("a reply %q to an attempt that has %d pages of %d", netconn.Clip([]byte(word)), a.pagesReceived, len(a.pages))
+// unexpectedReply returns the error for a reply that does not fit the state of the attempt.
+func (a *attempt) unexpectedReply(replyType string) error {
+	return netconn.Malformed("unexpected reply %q to attempt %d of request %q, which has received %d of %d pages",
+		netconn.Clip([]byte(replyType)), a.spec.Number, a.spec.Request.ID, a.pagesReceived, len(a.pages))
 }
 
-// endWithoutAnswer ends an attempt. Its id is excluded from the connection: a second copy of the end, some ms later, must not end the
-// next attempt of the request. The client's lock is held.
+// endWithoutAnswer ends an attempt. It excludes the request's id from the connection, because a duplicate of the reply
+// would end the next attempt of the request. The client's lock is held.
 func (c *executorConn) endWithoutAnswer(a *attempt, outcome scheduler.Outcome, report []float64) dispatch.QueueItem {
 	id := a.spec.Request.ID
-	a.end.Outcome = outcome
-	a.end.LoadReport = report
-	delete(c.open, id)
+	a.endEvent.Outcome = outcome
+	a.endEvent.LoadReport = report
+	delete(c.openAttempts, id)
 	c.excludeID(id)
-	return dispatch.QueueItem{Event: a.end}
+	return dispatch.QueueItem{Event: a.endEvent}
 }
 
-// progress returns the progress that an executor reports of an attempt; false if its kind is not known.
+// progress returns the progress event of an attempt, or false if the kind of progress is unknown.
 func (c *executorConn) progress(a *attempt, fields replyFields) (item dispatch.QueueItem, ok bool) {
-	kind := progressKinds[fields.remark]
+	kind := progressKindByName[fields.progressKind]
 	if kind == 0 {
 		return item, false
 	}
@@ -104,32 +116,32 @@
 		Attempt:  a.spec.Number,
 		Executor: c.executor.id,
 		Progress: kind,
-		Value:    fields.value,
+		Value:    fields.progressValue,
 	}}, true
 }
 
-// replyFields are the fields of a reply.
+// replyFields are the parsed fields of a reply.
 type replyFields struct {
-	pages, page           int // how many there are; which one this is, -1: not said
-	remark                string
-	value, costMS, usedMB float64
-	report                []float64
+	pageCount, pageIndex          int // pageIndex -1: the reply has no index
+	progressKind                  string
+	progressValue, costMS, usedMB float64
+	report                        []float64
 }
 
-// parseReplyFields parses the list of a reply's fields. Unknown fields are ignored.
+// parseReplyFields parses the list of a reply's fields. It ignores unknown fields.
 func parseReplyFields(list string, reportNames []string) (fields replyFields, err error) {
-	fields.pages = 1
-	fields.page = -1
+	fields.pageCount = 1
+	fields.pageIndex = -1
 	err = forEachField(list, func(name, value string) (err error) {
 		switch name {
 		case "batches":
-			fields.pages, err = strconv.Atoi(value)
+			fields.pageCount, err = strconv.Atoi(value)
 		case "batch":
-			fields.page, err = strconv.Atoi(value)
+			fields.pageIndex, err = strconv.Atoi(value)
 		case "remark":
-			fields.remark = value
+			fields.progressKind = value
 		case "num":
-			fields.value, err = parseNumber(value)
+			fields.progressValue, err = parseNumber(value)
 		case "cpu":
 			fields.costMS, err = parseNumber(value)
 		case "used":
@@ -138,7 +150,7 @@
 			fields.report = parseLoadReport(value, reportNames)
 		}
 		if err != nil {
-			return netconn.Malformed("%s=%q", name, netconn.Clip([]byte(value)))
+			return netconn.Malformed("field %s=%q is not a valid number", name, netconn.Clip([]byte(value)))
 		}
 		return nil
 	})
@@ -147,15 +159,16 @@
 
 // parseNumber parses a finite number.
 func parseNumber(s string) (float64, error) {
-	n, err := strconv.ParseFloat(s, 64)
-	if err == nil && (math.IsNaN(n) || math.IsInf(n, 0)) {
+	number, err := strconv.ParseFloat(s, 64)
+	if err == nil && (math.IsNaN(number) || math.IsInf(number, 0)) {
 		err = netconn.ErrMalformed
 	}
-	return n, err
+	return number, err
 }
 
-// parseLoadReport parses a load report: name:value;name:value in any order, or the values alone in the order of names. A value that
-// it does not name is 0. A report that can't be parsed counts as none: it costs no answer.
+// parseLoadReport parses a load report: either name:value;name:value in any order, or the values alone in the order of
+// names. A named report may omit values, which are then 0. An invalid report yields nil instead of an error, so that
+// the answer that carries it is not lost.
 func parseLoadReport(s string, names []string) []float64 {
 	report := make([]float64, len(names))
 	for k, part := range strings.FieldsFunc(s, func(c rune) bool { return strings.ContainsRune(",; []", c) }) {
@@ -163,13 +176,13 @@
 		if !named {
 			value = name
 		} else if k = slices.Index(names, settings.ReportName(name)); k < 0 {
-			continue // more than the settings name
+			continue // not among the names in the settings
 		}
-		n, err := parseNumber(value)
+		number, err := parseNumber(value)
 		if err != nil || k >= len(report) {
 			return nil
 		}
-		report[k] = n
+		report[k] = number
 	}
 	return report
 }
