--- a/internal/discovery/changes.go
+++ b/internal/discovery/changes.go
@@ -13,23 +13,24 @@
 	"liftshift/scheduler"
 )
 
-// maxChanges is the limit of events of one page, and of entries of one event.
-const maxChanges = 10000
+// maxPageItems limits both the events of one page and the endpoints of one event.
+const maxPageItems = 10000
 
-// listChange is one event of the change log about the list of executors.
+// listChange is one event of the change log that is about the endpoint list.
 type listChange struct {
-	seq       uint64
-	version   uint64 // of the list
-	complete  bool   // it has all entries that there are
+	seq       uint64 // sequence number of the event
+	version   uint64 // version of the endpoint list
+	complete  bool   // endpoints is the whole list, not only the entries that changed
 	endpoints []resp.Endpoint
 }
 
-// changesPage is a page of the change log.
+// changesPage is the JSON form of one page of the change log. Seq is a pointer to tell a missing number from 0.
 type changesPage struct {
 	Seq     *uint64        `json:"seq"`
 	Results []changesEvent `json:"results"`
 }
 
+// changesEvent is the JSON form of one event. Fleet is nil for events that are not about the endpoint list.
 type changesEvent struct {
 	Seq   uint64 `json:"seq"`
 	Fleet *struct {
@@ -39,6 +40,7 @@
 	} `json:"fleet"`
 }
 
+// changesEndpoint is the JSON form of one entry of the endpoint list.
 type changesEndpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -50,20 +52,27 @@
 	Since   float64 `json:"since_ms"`
 }
 
-var availabilities = map[string]scheduler.Availability{"Ready": scheduler.Active, "Terminating": scheduler.Draining, "Gone": scheduler.Removed}
+// availabilities maps the statuses of the change log to those of the scheduler.
+var availabilities = map[string]scheduler.Availability{
+	"Ready":       scheduler.Active,
+	"Terminating": scheduler.Draining,
+	"Gone":        scheduler.Removed,
+}
 
-// parseChanges parses a page of events, all or nothing. Events of other kinds only advance the sequence number.
+// parseChanges parses a page of events and returns the page's sequence number and its changes of the endpoint list.
+// If any event is malformed, it returns no change at all. Events of other kinds only advance the sequence number.
 func parseChanges(text []byte) (last uint64, changes []listChange, err error) {
 	var page changesPage
 	if err := json.Unmarshal(text, &page); err != nil {
-		return 0, nil, netconn.Malformed("%v", err)
+		return 0, nil, netconn.Malformed("page of changes: %v", err)
 	}
-	if page.Seq == nil || len(page.Results) > maxChanges {
-		return 0, nil, netconn.Malformed("a page without its number, or of %d events", len(page.Results))
+	if page.Seq == nil || len(page.Results) > maxPageItems {
+		return 0, nil, netconn.Malformed("page of changes without a seq, or with %d events where %d are allowed",
+			len(page.Results), maxPageItems)
 	}
 	for _, event := range page.Results {
 		if event.Seq <= last {
-			return 0, nil, netconn.Malformed("event %d behind event %d", event.Seq, last)
+			return 0, nil, netconn.Malformed("event %d follows event %d: sequence numbers must ascend from 1", event.Seq, last)
 		}
 		last = event.Seq
 		if event.Fleet == nil {
@@ -76,38 +85,45 @@
 		changes = append(changes, change)
 	}
 	if *page.Seq < last {
-		return 0, nil, netconn.Malformed("page of event %d with event %d", *page.Seq, last)
+		return 0, nil, netconn.Malformed("page of changes with seq %d has the later event %d", *page.Seq, last)
 	}
 	return *page.Seq, changes, nil
 }
 
+// listChange converts an event about the endpoint list.
 func (e *changesEvent) listChange() (listChange, error) {
 	change := listChange{seq: e.Seq, version: e.Fleet.Index, complete: e.Fleet.Snapshot}
-	if len(e.Fleet.Endpoints) > maxChanges {
-		return change, netconn.Malformed("event %d of %d entries", e.Seq, len(e.Fleet.Endpoints))
+	if len(e.Fleet.Endpoints) > maxPageItems {
+		return change, netconn.Malformed("event %d has %d endpoints where %d are allowed",
+			e.Seq, len(e.Fleet.Endpoints), maxPageItems)
 	}
 	for _, entry := range e.Fleet.Endpoints {
 		availability, ok := availabilities[entry.Status]
 		if !ok || entry.Name == "" || entry.Address == "" && availability != scheduler.Removed {
-			return change, netconn.Malformed("event %d: executor %q at %q is %q", e.Seq, entry.Name, entry.Address, entry.Status)
+			return change, netconn.Malformed("event %d: invalid endpoint with name %q, address %q and status %q",
+				e.Seq, entry.Name, entry.Address, entry.Status)
 		}
-		change.endpoints = append(change.endpoints, resp.Endpoint{Name: entry.Name, Address: entry.Address, Entry: scheduler.Endpoint{
-			Executor:     executorID(entry.Name),
-			Zone:         entry.Zone,
-			Kind:         entry.Type,
-			Cell:         entry.Group,
-			Availability: availability,
-			Units:        entry.Weight,
-			StartedAt:    entry.Since,
-		}})
+		change.endpoints = append(change.endpoints, resp.Endpoint{
+			Name:    entry.Name,
+			Address: entry.Address,
+			Entry: scheduler.Endpoint{
+				Executor:     executorID(entry.Name),
+				Zone:         entry.Zone,
+				Kind:         entry.Type,
+				Cell:         entry.Group,
+				Availability: availability,
+				Units:        entry.Weight,
+				StartedAt:    entry.Since,
+			},
+		})
 	}
 	return change, nil
 }
 
-// executorID returns the id that an executor has by its name alone, so that all controllers have the same.
+// executorID derives the id of an executor from its name alone, so that all controllers use the same id.
 func executorID(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) }
 
-// apply hands on the changes behind the last one that was applied.
+// apply applies the changes that are later than the last one applied, and advances the sequence number.
 func (c *Client) apply(last uint64, changes []listChange, completeKind scheduler.ListKind) {
 	for _, change := range changes {
 		if change.seq > c.lastSeq {
@@ -117,12 +133,14 @@
 	c.lastSeq = max(c.lastSeq, last)
 }
 
-// applyChange hands one change to the table, then, with the executors that it displaced, to the event loop.
+// applyChange applies one change to the endpoint table, then queues it for the event loop together with the executors
+// that it displaced. A complete list is queued with the kind completeKind.
 func (c *Client) applyChange(change listChange, completeKind scheduler.ListKind) {
 	c.assignIDs(change.complete, change.endpoints)
 	displaced := c.table.Update(change.complete, change.endpoints)
 	for _, e := range displaced {
-		c.log.WithFields(logrus.Fields{"name": e.Name, "address": e.Address, "seq": change.seq}).Info("discovery: endpoint displaced")
+		c.log.WithFields(logrus.Fields{"name": e.Name, "address": e.Address, "seq": change.seq}).
+			Info("discovery: endpoint displaced")
 	}
 	change.endpoints = append(change.endpoints, displaced...)
 	event := scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListDelta, ListVersion: change.version}
@@ -139,8 +157,8 @@
 		Info("discovery: endpoints changed")
 }
 
-// assignIDs gives each entry the id of its executor: that of its name, or, where another executor that is listed has that id, the next
-// free one. All controllers have the same ids but for those few.
+// assignIDs sets the executor id of each entry: the one derived from the name or, if another listed executor has that
+// id, the next free one. Only ids assigned after such a collision can differ between controllers.
 func (c *Client) assignIDs(complete bool, list []resp.Endpoint) {
 	if complete {
 		c.forgetUnlisted(list)
@@ -165,7 +183,7 @@
 	}
 }
 
-// forgetUnlisted drops the ids of executors that a complete list leaves out.
+// forgetUnlisted drops the ids of the executors that a complete list does not contain.
 func (c *Client) forgetUnlisted(list []resp.Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range list {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,9 @@
-// Package discovery watches the list of executors: long polls over HTTP/1.1 of the platform's change log.
+// Package discovery follows the endpoint list, the list of executors, by long polls of the platform's change log over
+// HTTP/1.1.
 //
-// It keeps the place in the log and the ids of executors, and hands each change to the table of endpoints and to the event loop. While
-// the list is out of reach, it says when what the log owes counts as known; it decides nothing else.
+// It keeps the position in the log and the ids of the executors, and passes each change on to the endpoint table and to
+// the event loop. While the list is unavailable, it reports when this controller counts as notified of changes that it
+// has not received. It makes no other decision.
 package discovery
 
 import (
@@ -26,88 +28,108 @@
 )
 
 const (
-	pollTimeoutMS        = 1000                   // the longest that a call may be held: a log that fell silent shows by then
-	callGrace            = 500 * time.Millisecond // on top, until a call counts as lost; and for a connection to come up
-	retryInterval        = 200 * time.Millisecond // after a failed call
-	presumedAfterBreakMS = 2000                   // after a break, or the end of a wait: what the log owed counts as known
-	presumedAfterMoveMS  = 4000                   // the same after a change of the address
-	callBufferBytes      = 4 << 10
+	// pollTimeoutMS is the time for which the server may hold a poll. It bounds how long a silent server goes unnoticed.
+	pollTimeoutMS = 1000
+
+	// pollGrace is added to pollTimeoutMS until a poll counts as failed. It is also the timeout of a dial.
+	pollGrace = 500 * time.Millisecond
+
+	// retryInterval is the least wait between two short-lived connections; jitter adds up to as much again.
+	retryInterval = 200 * time.Millisecond
+
+	// presumedNotifiedAfterFailureMS is the time from a broken response, or from the end of an unanswered poll, until
+	// this controller counts as notified of the changes that the poll should have brought.
+	presumedNotifiedAfterFailureMS = 2000
+
+	// presumedNotifiedAfterAddressChangeMS is the time from a change of the address until this controller counts as
+	// notified of the changes that it has not received.
+	presumedNotifiedAfterAddressChangeMS = 4000
+
+	readBufferBytes = 4 << 10
 )
 
-// EventQueue takes the changes of the list.
+// EventQueue takes the changes of the endpoint list for the event loop.
 type EventQueue interface{ Put(dispatch.QueueItem) }
 
-// EndpointTable holds the executors that are listed.
+// EndpointTable holds the listed executors.
 type EndpointTable interface {
-	// Update takes over entries, all there are or only those that changed, and returns the executors that others displaced.
+	// Update applies the whole list, or only the entries that changed. It returns the executors that other executors
+	// have displaced from their addresses.
 	Update(complete bool, list []resp.Endpoint) (displaced []resp.Endpoint)
 }
 
-// Client watches the list. It implements dispatch.ListWatcher.
+// Client follows the endpoint list. It implements dispatch.ListWatcher.
 type Client struct {
 	table   EndpointTable
 	clock   dispatch.Clock
-	seed    uint64 // of the jitter between calls
+	seed    uint64 // of the jitter between connections
 	queue   EventQueue
 	log     logrus.FieldLogger
 	refresh chan struct{}
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	// These belong to the goroutine of Run, and to Start before it.
-	lastSeq     uint64
-	initialSeq  uint64
-	initial     []listChange
-	lastHeard   float64 // clock as of which the last complete answer had all there was
-	calledAt    float64 // clock of the call under way
-	presumedAt  float64 // clock at which what the failed call was to tell counts as known; 0: nothing is known to be owed
+	// These belong to the goroutine of Run, and to Start before it. Fields that end in At are clock readings.
+	lastSeq        uint64
+	initialSeq     uint64
+	initialChanges []listChange
+	listContactAt  float64 // all changes up to this time have been received
+	pollStartedAt  float64 // start of the last poll
+
+	// presumedNotifiedAt is the time at which this controller counts as notified of the changes that the failed poll
+	// should have brought. 0 means that nothing shows that there were any.
+	presumedNotifiedAt float64
+
 	unavailable bool
-	turns       uint32
-	namesByID   map[uint32]string // of the executors listed
-	idsByName   map[string]uint32 // the same the other way round
+	connections uint32            // connections attempted so far
+	namesByID   map[uint32]string // of the listed executors
+	idsByName   map[string]uint32 // the inverse of namesByID
+
+	mu            sync.Mutex
+	address       string
+	cancelAddress context.CancelFunc // ends the connection to this address
 
-	mu           sync.Mutex
-	address      string
-	leaveAddress context.CancelFunc // ends what is under way at this address
-	movedAt      float64            // clock of the last change of the address that no call has followed yet; 0: none
+	// addressChangedAt is the time of the last change of the address. 0 means that a poll has succeeded since.
+	addressChangedAt float64
 
+	// Lost counts failed connections and polls, Malformed the responses that could not be parsed.
 	Calls, Lost, Malformed atomic.Uint64
 }
 
-// NewClient returns a client that watches the log behind the events of known, which Start hands on.
+// NewClient returns a client that follows the log from the end of known, a page of events that Start passes on.
 func NewClient(address string, known []byte, table EndpointTable, clock dispatch.Clock, seed uint64, queue EventQueue,
 	log logrus.FieldLogger) (*Client, error) {
 	last, changes, err := parseChanges(known)
 	if err != nil {
-		return nil, fmt.Errorf("known: %w", err)
+		return nil, fmt.Errorf("known: initial endpoint list: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
-		table:        table,
-		clock:        clock,
-		seed:         seed,
-		queue:        queue,
-		log:          log,
-		refresh:      make(chan struct{}, 1),
-		ctx:          ctx,
-		cancel:       cancel,
-		initialSeq:   last,
-		initial:      changes,
-		namesByID:    map[uint32]string{},
-		idsByName:    map[string]uint32{},
-		address:      address,
-		leaveAddress: func() {},
+		table:          table,
+		clock:          clock,
+		seed:           seed,
+		queue:          queue,
+		log:            log,
+		refresh:        make(chan struct{}, 1),
+		ctx:            ctx,
+		cancel:         cancel,
+		initialSeq:     last,
+		initialChanges: changes,
+		namesByID:      map[uint32]string{},
+		idsByName:      map[string]uint32{},
+		address:        address,
+		cancelAddress:  func() {},
 	}, nil
 }
 
-// Start hands on the events known at the start.
+// Start applies the events that were known when the client was made.
 func (c *Client) Start() {
-	c.lastHeard = c.clock.Now()
-	c.apply(c.initialSeq, c.initial, scheduler.ListRestored)
-	c.initial = nil
+	c.listContactAt = c.clock.Now()
+	c.apply(c.initialSeq, c.initialChanges, scheduler.ListRestored)
+	c.initialChanges = nil
 }
 
-// Refresh implements dispatch.ListWatcher: it cuts the wait after a failed call short.
+// Refresh implements dispatch.ListWatcher: it ends the wait before the next connection.
 func (c *Client) Refresh() {
 	select {
 	case c.refresh <- struct{}{}:
@@ -115,14 +137,14 @@
 	}
 }
 
-// Follow goes on with the log at another address, from the last event, without waiting for a call under way. For the same address it
-// opens a new connection: the old one may be dead.
+// Follow continues the log at another address, from the last event on, without waiting for the poll in progress. If the
+// address is the same, it opens a new connection all the same, because the old one may be dead.
 func (c *Client) Follow(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
-	c.movedAt = c.clock.Now()
-	c.leaveAddress()
+	c.addressChangedAt = c.clock.Now()
+	c.cancelAddress()
 }
 
 // Stop ends Run.
@@ -131,36 +153,36 @@
 // Run polls until Stop.
 func (c *Client) Run() {
 	for c.ctx.Err() == nil {
-		address, ctx, leave := c.enterAddress()
-		began := time.Now()
-		err := c.poll(ctx, address)
-		switch moved := ctx.Err() != nil; {
+		address, ctx, cancel := c.addressContext()
+		startedAt := time.Now()
+		err := c.pollConnection(ctx, address)
+		switch addressChanged := ctx.Err() != nil; {
 		case c.ctx.Err() != nil:
-		case moved:
+		case addressChanged:
 			c.log.WithField("from", address).Info("discovery: address changed")
 		case err != nil:
 			c.Lost.Add(1)
 			c.reportUnavailable(err)
 		}
-		c.waitForTurn(ctx, time.Since(began))
-		leave()
+		c.waitToReconnect(ctx, time.Since(startedAt))
+		cancel()
 	}
 }
 
-// enterAddress returns the address in force and a context that ends with it.
-func (c *Client) enterAddress() (address string, ctx context.Context, leave context.CancelFunc) {
+// addressContext returns the current address and a context that is cancelled once the address changes.
+func (c *Client) addressContext() (address string, ctx context.Context, cancel context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ctx, leave = context.WithCancel(c.ctx)
-	c.leaveAddress = leave
-	return c.address, ctx, leave
+	ctx, cancel = context.WithCancel(c.ctx)
+	c.cancelAddress = cancel
+	return c.address, ctx, cancel
 }
 
-// waitForTurn waits between two connections, with jitter, so that no controller polls in a tight loop nor all at once. It does not wait
-// where the address changed or the connection had lasted for a while.
-func (c *Client) waitForTurn(ctx context.Context, lasted time.Duration) {
-	c.turns++
-	wait := retryInterval + retryInterval*time.Duration(c.jitter(c.turns))/256
+// waitToReconnect waits before the next connection, so that controllers neither reconnect in a tight loop nor all at
+// once. It does not wait if the address has changed or if the last connection lasted longer than retryInterval.
+func (c *Client) waitToReconnect(ctx context.Context, lasted time.Duration) {
+	c.connections++
+	wait := retryInterval + retryInterval*time.Duration(c.jitter(c.connections))/256
 	if ctx.Err() != nil || lasted > retryInterval {
 		wait = 0
 	}
@@ -171,124 +193,128 @@
 	}
 }
 
-// jitter returns a number below 256 that depends on the seed and the turn.
-func (c *Client) jitter(turn uint32) uint8 {
+// jitter returns a number below 256 that depends on the seed and on the number of the connection.
+func (c *Client) jitter(connection uint32) uint8 {
 	key := binary.LittleEndian.AppendUint64(nil, c.seed)
-	return uint8(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(key, turn)))
+	return uint8(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(key, connection)))
 }
 
-// poll calls over one connection until that fails, serves no more calls, or is to be left.
-func (c *Client) poll(ctx context.Context, address string) error {
-	conn, err := (&net.Dialer{Timeout: callGrace}).DialContext(ctx, "tcp", address)
+// pollConnection polls over one connection until a poll fails, the connection can't be reused, or ctx is cancelled.
+func (c *Client) pollConnection(ctx context.Context, address string) error {
+	conn, err := (&net.Dialer{Timeout: pollGrace}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	r := bufio.NewReaderSize(conn, callBufferBytes)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
-		again, err := c.call(conn, r, address)
-		if err != nil || !again {
+		reusable, err := c.poll(conn, reader, address)
+		if err != nil || !reusable {
 			return err
 		}
 	}
 }
 
-// call makes one call and applies what it brings; again: the connection serves further calls.
-func (c *Client) call(conn net.Conn, r *bufio.Reader, address string) (again bool, err error) {
+// poll makes one poll and applies the changes that it brings. It returns whether to poll on over the same connection.
+func (c *Client) poll(conn net.Conn, reader *bufio.Reader, address string) (reusable bool, err error) {
 	c.Calls.Add(1)
-	began := time.Now()
-	c.calledAt = c.clock.Now()
-	p, err := c.fetch(conn, r, address)
+	startedAt := time.Now()
+	c.pollStartedAt = c.clock.Now()
+	result, err := c.fetch(conn, reader, address)
 	if err != nil {
 		return false, err
 	}
 	c.mu.Lock()
-	if c.movedAt < c.calledAt {
-		c.movedAt = 0
+	if c.addressChangedAt < c.pollStartedAt {
+		c.addressChangedAt = 0
 	}
 	c.mu.Unlock()
-	c.lastHeard = c.calledAt
-	if len(p.changes) == 0 && time.Since(began) >= netconn.Millis(pollTimeoutMS) {
-		c.lastHeard += pollTimeoutMS // the call was held for as long as was asked: nothing changed until then
+	c.listContactAt = c.pollStartedAt
+	if len(result.changes) == 0 && time.Since(startedAt) >= netconn.Millis(pollTimeoutMS) {
+		c.listContactAt += pollTimeoutMS // the server held the poll to its timeout, so nothing changed until then
 	}
-	if c.unavailable && len(p.changes) == 0 { // the scheduler has to know that nothing changed
+	if c.unavailable && len(result.changes) == 0 { // tells the scheduler that the list is available and unchanged
 		c.queue.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListDelta}})
 	}
-	c.apply(p.last, p.changes, scheduler.ListComplete)
+	c.apply(result.last, result.changes, scheduler.ListComplete)
 	if c.unavailable {
 		c.unavailable = false
 		c.log.Info("discovery: available again")
 	}
-	// A log that doesn't hold calls until something changes must not be called in a tight loop.
-	notHeld := len(p.changes) == 0 && time.Since(began) < retryInterval
-	return !p.closesConnection && !notHeld, nil
+	// A server that doesn't hold polls until something changes must not be polled in a tight loop.
+	notHeld := len(result.changes) == 0 && time.Since(startedAt) < retryInterval
+	return !result.closesConnection && !notHeld, nil
 }
 
-// page is the answer to a call.
-type page struct {
-	last             uint64
+// pollResult is the parsed response to a poll.
+type pollResult struct {
+	last             uint64 // sequence number of the page
 	changes          []listChange
 	closesConnection bool
 }
 
-// fetch makes one call. Where it fails in a way that tells until when the log owes something, presumedAt is set.
-func (c *Client) fetch(conn net.Conn, r *bufio.Reader, address string) (p page, err error) {
-	_ = conn.SetDeadline(time.Now().Add(netconn.Millis(pollTimeoutMS) + callGrace))
-	request := fmt.Sprintf("GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s\r\n\r\n", c.lastSeq, pollTimeoutMS, address)
+// fetch sends one poll and reads the response. It sets presumedNotifiedAt if it fails with a broken response or at the
+// end of the poll.
+func (c *Client) fetch(conn net.Conn, reader *bufio.Reader, address string) (result pollResult, err error) {
+	_ = conn.SetDeadline(time.Now().Add(netconn.Millis(pollTimeoutMS) + pollGrace))
+	request := fmt.Sprintf("GET /changes?since=%d&timeout=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+		c.lastSeq, pollTimeoutMS, address)
 	if _, err := conn.Write([]byte(request)); err != nil {
-		return p, err
+		return result, err
 	}
-	if _, err := r.Peek(1); err != nil {
+	if _, err := reader.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.presumedAt = c.calledAt + pollTimeoutMS + presumedAfterBreakMS
+			c.presumedNotifiedAt = c.pollStartedAt + pollTimeoutMS + presumedNotifiedAfterFailureMS
 		}
-		return p, err
+		return result, err
 	}
-	answer, err := readResponse(r)
-	if err == nil && answer.status != 200 {
-		return p, fmt.Errorf("status %d", answer.status)
+	response, err := readResponse(reader)
+	if err == nil && response.status != 200 {
+		return result, fmt.Errorf("change log at %s: poll answered with status %d, expected 200", address, response.status)
 	}
-	p.closesConnection = answer.closesConnection
+	result.closesConnection = response.closesConnection
 	if err == nil {
-		p.last, p.changes, err = parseChanges(answer.body)
+		result.last, result.changes, err = parseChanges(response.body)
 	}
 	if errors.Is(err, netconn.ErrMalformed) {
 		c.Malformed.Add(1)
 	}
-	if err != nil { // an answer had begun: there was something to tell
-		c.presumedAt = c.clock.Now() + presumedAfterBreakMS
+	if err != nil { // the response had begun, so it was about a change
+		c.presumedNotifiedAt = c.clock.Now() + presumedNotifiedAfterFailureMS
 	}
-	return p, err
+	return result, err
 }
 
-// reportUnavailable tells the event loop that the list is out of reach, and when what it owes counts as known, where that can be said.
-func (c *Client) reportUnavailable(why error) {
-	presumedAt := c.takePresumedAt()
-	if c.unavailable && presumedAt == 0 {
+// reportUnavailable tells the event loop that the list is unavailable and when this controller counts as notified of
+// changes that it has not received. While the list stays unavailable, it reports only further such times.
+func (c *Client) reportUnavailable(cause error) {
+	presumedNotifiedAt := c.takePresumedNotifiedAt()
+	if c.unavailable && presumedNotifiedAt == 0 {
 		return
 	}
 	if !c.unavailable {
-		c.log.WithField("error", why).Warn("discovery: unavailable")
+		c.log.WithField("error", cause).Warn("discovery: unavailable")
 	}
 	c.unavailable = true
 	c.queue.Put(dispatch.QueueItem{Event: scheduler.Event{
 		Kind:               scheduler.EndpointsUpdated,
 		List:               scheduler.ListUnavailable,
-		Deadline:           c.lastHeard,
-		PresumedNotifiedAt: presumedAt,
+		Deadline:           c.listContactAt,
+		PresumedNotifiedAt: presumedNotifiedAt,
 	}})
 }
 
-// takePresumedAt returns the earlier of the times after the failed call and after a change of the address, once.
-func (c *Client) takePresumedAt() float64 {
+// takePresumedNotifiedAt returns the earlier of the times set by the failed poll and by a change of the address, and
+// clears both. 0 means that there is none.
+func (c *Client) takePresumedNotifiedAt() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	presumedAt := c.presumedAt
-	if c.movedAt > 0 && (presumedAt == 0 || c.movedAt+presumedAfterMoveMS < presumedAt) {
-		presumedAt = c.movedAt + presumedAfterMoveMS
+	earliest := c.presumedNotifiedAt
+	if c.addressChangedAt > 0 && (earliest == 0 || c.addressChangedAt+presumedNotifiedAfterAddressChangeMS < earliest) {
+		earliest = c.addressChangedAt + presumedNotifiedAfterAddressChangeMS
 	}
-	c.presumedAt = 0
-	c.movedAt = 0
-	return presumedAt
+	c.presumedNotifiedAt = 0
+	c.addressChangedAt = 0
+	return earliest
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -13,17 +13,19 @@
 	"liftshift/internal/dispatch"
 )
 
-// fakeQueue is an event queue that a test reads.
+// fakeQueue is an event queue from which a test reads.
 type fakeQueue chan dispatch.QueueItem
 
-func (m fakeQueue) Put(it dispatch.QueueItem) { m <- it }
+// Put implements EventQueue.
+func (q fakeQueue) Put(item dispatch.QueueItem) { q <- item }
 
-func (m fakeQueue) next(t *testing.T) dispatch.QueueItem {
+// next returns the next item. It fails the test if there is none within 3 s.
+func (q fakeQueue) next(t *testing.T) dispatch.QueueItem {
 	select {
-	case it := <-m:
-		return it
+	case item := <-q:
+		return item
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "nothing came")
+		require.Fail(t, "no item was queued within 3 s")
 	}
 	return dispatch.QueueItem{}
 }
