--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// If the address changes during a poll, the client polls the new address at once and from the last event on, even if the
-// old address holds the connection open without a response.
+// If the address changes during a poll, the client polls the new address at once and from the last event on, even if
+// the old address holds the connection open without a response.
 func TestClient_FollowsChangeOfAddress(t *testing.T) {
 	oldAddress, oldPolls := newFakeDiscovery(t, endpointEvent(2, "s-2", "Ready"), "silent")
 	newAddress, newPolls := newFakeDiscovery(t, endpointEvent(3, "s-2", "Gone"), "silent")
--- a/internal/netconn/arrival.go
+++ b/internal/netconn/arrival.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceLastData returns for how many milliseconds the system has had the last bytes that came on a connection; 0 if not known.
+// SinceLastData returns the time since the kernel last received data on a connection, in milliseconds. It returns 0 if
+// the time is not known.
 func SinceLastData(conn net.Conn) (ms float64) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -26,5 +27,5 @@
 	return ms
 }
 
-// Millis returns a duration of so many milliseconds.
+// Millis converts a number of milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/netconn/budget.go
+++ b/internal/netconn/budget.go
@@ -2,26 +2,26 @@
 
 import "sync/atomic"
 
-// ByteBudget bounds the bytes that all connections together hold. It is safe for concurrent use.
+// ByteBudget limits the bytes that all connections together buffer. It is safe for concurrent use.
 type ByteBudget struct {
-	max      int64
+	limit    int64
 	reserved atomic.Int64
 }
 
-// NewByteBudget returns a budget of so many bytes.
-func NewByteBudget(bytes int64) *ByteBudget { return &ByteBudget{max: bytes} }
+// NewByteBudget returns a budget with a limit in bytes.
+func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
-// Reserve reserves n bytes and returns whether they fit; where they don't, they are not reserved.
+// Reserve reserves n bytes if they fit into the budget, and returns whether they do.
 func (b *ByteBudget) Reserve(n int) bool {
-	if b.reserved.Add(int64(n)) > b.max {
+	if b.reserved.Add(int64(n)) > b.limit {
 		b.reserved.Add(int64(-n))
 		return false
 	}
 	return true
 }
 
-// Held returns how many bytes are reserved.
+// Held returns the number of reserved bytes.
 func (b *ByteBudget) Held() int64 { return b.reserved.Load() }
 
-// Free gives n bytes back. A negative n reserves bytes past the budget.
+// Free returns n reserved bytes to the budget. A negative n reserves -n bytes even if they exceed the limit.
 func (b *ByteBudget) Free(n int) { b.reserved.Add(int64(-n)) }
--- a/internal/netconn/conn.go
+++ b/internal/netconn/conn.go
@@ -1,7 +1,7 @@
-// Package netconn is what the packages of the protocols share: a buffered connection that one goroutine reads and writes, a budget for
-// the bytes that connections hold, bounded readers, and the classes of network errors.
+// Package netconn holds what the protocol packages share: a buffered connection that one goroutine reads and writes, a
+// budget for the bytes that connections buffer, bounded readers, and the classes of network errors.
 //
-// It knows no protocol and no request.
+// It knows neither protocols nor requests.
 package netconn
 
 import (
@@ -14,93 +14,121 @@
 )
 
 const (
-	maxKeptBuffer          = 16 << 10               // of an output buffer that is reused
-	writeChunkBytes        = 16 << 10               // written at a time
-	scarceTimeout          = 200 * time.Millisecond // the longest that the other side may take nothing while the budget is exceeded
-	briefReadTime          = time.Millisecond
-	transientRetryInterval = 5 * time.Millisecond // after a call that failed with a transient error
-	maxFailedReads         = 200                  // in a row
-	endReadTime            = 5 * time.Millisecond // for which an ended connection still reads what is there already
-	lingerTime             = 200 * time.Millisecond
-	lingerBufferBytes      = 4 << 10
+	maxReusedBufferBytes = 16 << 10 // a larger output buffer is not used again
+	writeChunkBytes      = 16 << 10 // limit of one write
+
+	// overBudgetTimeout limits the write timeout while the byte budget is exceeded.
+	overBudgetTimeout = 200 * time.Millisecond
+
+	// idleReadTimeout is for the last read before a connection counts as idle.
+	idleReadTimeout = time.Millisecond
+
+	// transientRetryInterval is the wait after a read that failed with a transient error.
+	transientRetryInterval = 5 * time.Millisecond
+
+	// maxFailedReads is the number of failed reads in a row that ends a connection even if each error was transient.
+	maxFailedReads = 200
+
+	// drainTimeout is the time for which an ended connection still reads input that has already arrived.
+	drainTimeout = 5 * time.Millisecond
+
+	// lingerTimeout limits the time for which Linger reads and drops input.
+	lingerTimeout = 200 * time.Millisecond
+
+	lingerBufferBytes = 4 << 10
 )
 
-// WriteTurn is the time for a write, then for a read, while the other side takes nothing: a fifth of the time in which a cancellation
-// must be noticed.
+// WriteTurn is the time slice for a write, and then for a read, while the remote end accepts no data. It is a fifth of
+// the time within which a cancellation must be noticed.
 const WriteTurn = 20 * time.Millisecond
 
-// LingerBytes is how many bytes are read and dropped behind the last answer, so that a reset does not overtake it.
+// LingerBytes limits the input that is read and dropped after the last output, so that a reset of the connection does
+// not destroy output that the remote end has not read yet.
 const LingerBytes = 256 << 10
 
 // pastDeadline makes a read return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Conn is a connection whose one goroutine reads and writes. Read first writes what is queued, and is woken out of its wait when more
-// is. While the other side takes nothing, Read goes on reading in between, so that a message of that side is handled however little
-// it reads itself. A write on which nothing gets through in time ends the connection.
+// Conn is a connection that a single goroutine both reads and writes. Read first writes the queued output. More output
+// wakes it from its wait for input. While the remote end accepts no data, Read alternates between writing and reading,
+// so that messages are handled even from a remote end that does not read. A write that makes no progress for
+// WriteTimeout ends the connection.
 //
-// The exported fields are set before the first call. Push, Wake, End and Flushed are safe for concurrent use; the other methods are
-// for the connection's own goroutine.
+// The exported fields are set before the first call, except LastWrite. Push, Wake, End and Flushed are safe for
+// concurrent use. The other methods are for the connection's own goroutine.
 type Conn struct {
 	Socket       net.Conn
-	Budget       *ByteBudget
-	WriteTimeout time.Duration    // the longest that a write may make no progress
-	OnIdle       func() error     // called when nothing came until IdleDeadline: returns why to end, if so
-	IdleDeadline func() time.Time // returns how long to wait for something to come
-	BeforeWrite  func()           // called before each look at what is queued: pushes what is encoded only at the last step; nil: nothing
-	DrainOnEnd   bool             // after End, output for what was read already is still taken, and input that is there already is still read
-	MaxQueued    int              // bytes of output
-
-	LastWrite time.Time // when the last byte was written; for the connection's own goroutine
-
-	mu      sync.Mutex
-	queued  []byte
-	spare   []byte // buffer for the next queued
-	reading bool
-	woken   bool // since the last look at what is queued
-	writing bool
-	stuck   bool // the other side takes nothing for now
-	ended   bool // ends once all is written
-	aborted bool // ends at once
+	Budget       *ByteBudget   // of the output of all connections
+	WriteTimeout time.Duration // limit of the time without write progress
+
+	// OnIdle is called when no input arrived until IdleDeadline. An error ends the connection and is returned by Read.
+	OnIdle func() error
+
+	// IdleDeadline returns until when to wait for input.
+	IdleDeadline func() time.Time
+
+	// BeforeWrite, if set, is called before each check for queued output. It may push output that must not be encoded
+	// any earlier.
+	BeforeWrite func()
+
+	// DrainOnEnd makes an ended connection still accept output, and read input that has already arrived.
+	DrainOnEnd bool
+
+	MaxQueued int // limit of the queued output, in bytes
+
+	// LastWrite is the time at which the last byte was written. It is for the connection's own goroutine.
+	LastWrite time.Time
+
+	mu           sync.Mutex
+	queued       []byte
+	spare        []byte // empty buffer that becomes the next queued
+	reading      bool   // the goroutine waits for input; cleared by a wake-up
+	woken        bool   // since the last check for queued output
+	writing      bool   // output is not completely written
+	writeBlocked bool   // the remote end accepted no more data at the last write
+	ended        bool   // ends once all output is written
+	aborted      bool   // ends at once
 
 	// These belong to the connection's own goroutine.
-	output       []byte // being written
-	outputDone   int    // bytes of it that are written
-	lastProgress time.Time
-	failedReads  int       // in a row
-	endedAt      time.Time // when the goroutine found the connection ended; zero: it has not
+	output         []byte // the output that is being written
+	outputWritten  int    // bytes of output that are already written
+	lastProgressAt time.Time
+	failedReads    int       // in a row
+	drainStartedAt time.Time // when the goroutine first found the connection ended; zero before that
 }
 
-// Push queues the bytes that write appends; false if the connection has ended. A connection that already has bytes queued is aborted
-// where they are too many, or where its other side does not read and all connections together exceed the budget. Any other is written
-// to, whatever the others hold: those that do not read get less time meanwhile.
-func (c *Conn) Push(write func([]byte) []byte) bool {
+// Push queues the bytes that encode appends. It returns false if the connection has ended.
+//
+// A connection that already has output queued is aborted if the output exceeds its limit, or if the budget is exceeded
+// while the remote end accepts no data. Any other connection may exceed the budget. While it is exceeded, connections
+// whose remote end accepts no data have less time.
+func (c *Conn) Push(encode func([]byte) []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended && (c.aborted || !c.DrainOnEnd) {
 		return false
 	}
 	before := len(c.queued)
-	c.queued = write(c.queued)
+	c.queued = encode(c.queued)
 	added := len(c.queued) - before
 	full := before > 0 && len(c.queued) > c.MaxQueued
 	reserved := !full && c.Budget.Reserve(added)
 	switch {
 	case reserved:
-	case full, before > 0 && c.stuck:
+	case full, before > 0 && c.writeBlocked:
 		c.queued = c.queued[:before]
 		c.ended = true
 		c.aborted = true
 		c.wakeLocked()
 		return false
-	default: // past the budget
+	default: // exceeds the budget
 		c.Budget.Free(-added)
 	}
 	c.wakeLocked()
 	return true
 }
 
-// Wake has the goroutine look again at what is to be written; false if the connection has ended.
+// Wake makes the goroutine check for output again. It returns false if the connection has ended.
 func (c *Conn) Wake() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +136,7 @@
 	return !c.ended
 }
 
-// End ends the connection, at once or when all that is queued is written.
+// End ends the connection, either at once or when all queued output is written.
 func (c *Conn) End(atOnce bool) {
 	c.mu.Lock()
 	c.ended = true
@@ -117,7 +145,7 @@
 	c.mu.Unlock()
 }
 
-// wakeLocked gets the goroutine out of its wait.
+// wakeLocked makes the goroutine check for output, and interrupts its wait for input. The lock is held.
 func (c *Conn) wakeLocked() {
 	c.woken = true
 	if c.reading {
@@ -126,28 +154,29 @@
 	}
 }
 
-// Busy returns whether output that was begun waits for the other side.
+// Busy returns whether output is partly written, so that further output has to wait.
 func (c *Conn) Busy() bool { return c.output != nil }
 
-// Flushed returns whether nothing waits to be written.
+// Flushed returns whether all output is written.
 func (c *Conn) Flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queued) == 0 && !c.writing
 }
 
-// Read writes what is queued, then reads. It returns ErrClosed once the connection was ended on this side.
+// Read writes the queued output, then reads. It returns ErrClosed once this process has ended the connection.
 func (c *Conn) Read(b []byte) (int, error) {
 	for {
-		n, again, err := c.readOnce(b)
-		if !again {
+		n, retry, err := c.readOnce(b)
+		if !retry {
 			return n, err
 		}
 	}
 }
 
-// readOnce writes what is queued and waits for input once; again: there was none.
-func (c *Conn) readOnce(b []byte) (n int, again bool, err error) {
+// readOnce writes the queued output and waits for input once. It returns retry if there is neither input nor a reason
+// to end the connection.
+func (c *Conn) readOnce(b []byte) (n int, retry bool, err error) {
 	deadline := c.IdleDeadline()
 	c.mu.Lock()
 	c.woken = false
@@ -162,17 +191,17 @@
 		n, err = c.readAfterEnd(b)
 		return n, false, err
 	case outputPending:
-		stuck, err := c.flush()
+		blocked, err := c.flush()
 		if err != nil {
 			return 0, false, err
 		}
-		if !stuck {
+		if !blocked {
 			return 0, true, nil
 		}
 		deadline = time.Now().Add(WriteTurn)
 	case outputNone:
 	}
-	stuck, ok := c.beginRead(deadline)
+	blocked, ok := c.beginRead(deadline)
 	if !ok {
 		return 0, true, nil
 	}
@@ -190,40 +219,46 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, false, err
 	}
-	if woken || stuck {
+	if woken || blocked {
 		return 0, true, nil
 	}
-	// A deadline that passed while this process stalled tells nothing: what came meanwhile is read first.
-	if n := c.readBriefly(b); n > 0 {
+	// If this process stalled past the deadline, input may have arrived in time.
+	if n := c.readBeforeIdle(b); n > 0 {
 		return n, false, nil
 	}
 	err = c.OnIdle()
 	return 0, err == nil, err
 }
 
-// outputState is what the goroutine finds to write.
+// outputState is the result of a check for output.
 type outputState uint8
 
 const (
-	outputNone    outputState = iota
-	outputPending             // there is output
-	outputEnded               // the connection is ended and all is written
-	outputAborted             // the connection ends at once
+	outputNone    outputState = iota // there is no output, and the connection goes on
+	outputPending                    // there is output to write
+	outputEnded                      // the connection has ended and all output is written
+	outputAborted                    // the connection ends at once
 )
 
-var outputStateNames = [...]string{outputNone: "none", outputPending: "pending", outputEnded: "ended", outputAborted: "aborted"}
+var outputStateNames = [...]string{
+	outputNone:    "none",
+	outputPending: "pending",
+	outputEnded:   "ended",
+	outputAborted: "aborted",
+}
 
 // String returns the name of the state.
 func (s outputState) String() string { return outputStateNames[s] }
 
-// takeQueued makes the queued bytes the output that is being written, unless some is already.
+// takeQueued starts writing the queued bytes, unless earlier output is not completely written or the connection is
+// aborted.
 func (c *Conn) takeQueued() outputState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.writing && len(c.queued) > 0 && !c.aborted {
 		c.output = c.queued
-		c.outputDone = 0
-		c.lastProgress = time.Now()
+		c.outputWritten = 0
+		c.lastProgressAt = time.Now()
 		c.writing = true
 		c.queued = c.spare[:0]
 		c.spare = nil
@@ -239,13 +274,13 @@
 	return outputNone
 }
 
-// beginRead sets the deadline of a read that may be woken; false if there is something to do first. Stuck tells that output waits for
-// the other side.
-func (c *Conn) beginRead(deadline time.Time) (stuck, ok bool) {
+// beginRead sets the deadline of a read that can be woken. It returns whether output is blocked by the remote end, and
+// false for ok if there is something else to do before the read.
+func (c *Conn) beginRead(deadline time.Time) (blocked, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing {
-		c.stuck = true
+		c.writeBlocked = true
 	}
 	if c.woken && !c.writing || c.aborted {
 		return c.writing, false
@@ -255,7 +290,7 @@
 	return c.writing, true
 }
 
-// endRead returns whether the read was woken.
+// endRead ends the read that beginRead has begun, and returns whether it was woken.
 func (c *Conn) endRead() (woken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,15 +299,16 @@
 	return woken
 }
 
-// readAfterEnd reads what is there already, for a limited time, where the connection drains on its end.
+// readAfterEnd reads input that has already arrived on an ended connection, for a limited time and only with
+// DrainOnEnd. If there is none, it returns ErrClosed.
 func (c *Conn) readAfterEnd(b []byte) (int, error) {
 	if !c.DrainOnEnd {
 		return 0, ErrClosed
 	}
-	if c.endedAt.IsZero() {
-		c.endedAt = time.Now()
+	if c.drainStartedAt.IsZero() {
+		c.drainStartedAt = time.Now()
 	}
-	if time.Since(c.endedAt) < endReadTime {
+	if time.Since(c.drainStartedAt) < drainTimeout {
 		if n := c.readBuffered(b); n > 0 {
 			return n, nil
 		}
@@ -280,14 +316,14 @@
 	return 0, ErrClosed
 }
 
-// readBriefly reads what is there already.
-func (c *Conn) readBriefly(b []byte) int {
-	_ = c.Socket.SetReadDeadline(time.Now().Add(briefReadTime))
+// readBeforeIdle reads with a short timeout and returns the number of bytes read.
+func (c *Conn) readBeforeIdle(b []byte) int {
+	_ = c.Socket.SetReadDeadline(time.Now().Add(idleReadTimeout))
 	n, _ := c.Socket.Read(b)
 	return n
 }
 
-// readBuffered reads what is in the system's buffer, without any wait.
+// readBuffered reads from the kernel's buffer without waiting. It returns 0 if the buffer is empty or can't be read.
 func (c *Conn) readBuffered(b []byte) (n int) {
 	socket, ok := c.Socket.(syscall.Conn)
 	if !ok {
@@ -305,32 +341,33 @@
 	return max(0, n)
 }
 
-// flush writes the output, as far as that goes; stuck if the other side takes no more for now.
-func (c *Conn) flush() (stuck bool, err error) {
-	for c.outputDone < len(c.output) {
+// flush writes the output. It returns blocked if the remote end accepts no more data for now.
+func (c *Conn) flush() (blocked bool, err error) {
+	for c.outputWritten < len(c.output) {
 		_ = c.Socket.SetWriteDeadline(time.Now().Add(WriteTurn))
-		chunkEnd := min(len(c.output), (c.outputDone/writeChunkBytes+1)*writeChunkBytes)
-		n, err := c.Socket.Write(c.output[c.outputDone:chunkEnd])
+		chunkEnd := min(len(c.output), (c.outputWritten/writeChunkBytes+1)*writeChunkBytes)
+		n, err := c.Socket.Write(c.output[c.outputWritten:chunkEnd])
 		now := time.Now()
-		c.outputDone += n
+		c.outputWritten += n
 		if n > 0 {
 			c.LastWrite = now
 		}
-		if err == nil { // a whole chunk: a slow reader makes progress, one that takes a byte at a time does not
-			c.lastProgress = now
+		// Only a whole chunk counts as progress: a slow remote end goes on, one that takes a byte at a time times out.
+		if err == nil {
+			c.lastProgressAt = now
 			continue
 		}
-		retriable := errors.Is(err, os.ErrDeadlineExceeded) || IsTransient(err)
-		if !retriable || now.Sub(c.lastProgress) > c.stallTimeout() {
-			return false, err // Close frees what is left
+		retryable := errors.Is(err, os.ErrDeadlineExceeded) || IsTransient(err)
+		if !retryable || now.Sub(c.lastProgressAt) > c.stallTimeout() {
+			return false, err // Close returns the reserved bytes to the budget
 		}
 		return true, nil
 	}
 	c.Budget.Free(len(c.output))
 	c.mu.Lock()
 	c.writing = false
-	c.stuck = false
-	if cap(c.output) <= maxKeptBuffer {
+	c.writeBlocked = false
+	if cap(c.output) <= maxReusedBufferBytes {
 		c.spare = c.output[:0]
 	}
 	c.output = nil
@@ -338,15 +375,15 @@
 	return false, nil
 }
 
-// stallTimeout is how long the other side may take nothing: less while the budget is exceeded.
+// stallTimeout returns the limit of the time without write progress, which is shorter while the budget is exceeded.
 func (c *Conn) stallTimeout() time.Duration {
-	if c.Budget.Held() > c.Budget.max {
-		return min(c.WriteTimeout, scarceTimeout)
+	if c.Budget.Held() > c.Budget.limit {
+		return min(c.WriteTimeout, overBudgetTimeout)
 	}
 	return c.WriteTimeout
 }
 
-// Close closes the socket and frees what is queued.
+// Close closes the socket, discards the output that is not written and returns its bytes to the budget.
 func (c *Conn) Close() {
 	_ = c.Socket.Close()
 	c.mu.Lock()
@@ -357,17 +394,17 @@
 	c.mu.Unlock()
 }
 
-// Linger ends the writing side and drops what still comes, for a limited time: a close over unread bytes resets the connection, and
-// what was written last is lost with it. It is called once all is written.
+// Linger shuts down the writing side, then reads and drops input for a limited time. A close with unread input would
+// reset the connection, and the remote end could lose the last output. Linger is called once all output is written.
 func (c *Conn) Linger() {
 	tcp, ok := c.Socket.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
 		return
 	}
-	var scrap [lingerBufferBytes]byte
-	_ = tcp.SetReadDeadline(time.Now().Add(lingerTime))
+	var discarded [lingerBufferBytes]byte
+	_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
 	for read := 0; read < LingerBytes; {
-		n, err := tcp.Read(scrap[:])
+		n, err := tcp.Read(discarded[:])
 		if err != nil {
 			return
 		}
--- a/internal/netconn/errors.go
+++ b/internal/netconn/errors.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// ErrClosed is what Conn.Read returns once the connection was ended on this side.
-var ErrClosed = errors.New("closed on this side")
+// ErrClosed is returned by Conn.Read once this process has ended the connection.
+var ErrClosed = errors.New("connection closed by this side")
 
-// ErrMalformed marks bytes that break a protocol: what follows them can't be trusted.
+// ErrMalformed marks input that violates a protocol. The rest of the stream can't be parsed reliably.
 var ErrMalformed = errors.New("malformed")
 
 // Malformed returns an error that wraps ErrMalformed.
@@ -19,7 +19,8 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// UnexpectedEOF turns io.EOF into io.ErrUnexpectedEOF: an end within a message is one.
+// UnexpectedEOF turns io.EOF into io.ErrUnexpectedEOF. It is for reads within a message, and returns other errors as
+// they are.
 func UnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -27,27 +28,30 @@
 	return err
 }
 
-// The system's errors by what they tell, as Linux documents them for socket, connect, accept, send and recv.
+// Classes of system errors, after the Linux manual pages of socket, connect, accept, send and recv.
 var (
-	// scarceErrors: this process or this machine has no descriptor left.
-	scarceErrors = []error{syscall.EMFILE, syscall.ENFILE}
+	// descriptorErrors mean that the process or the machine has no file descriptor left.
+	descriptorErrors = []error{syscall.EMFILE, syscall.ENFILE}
 
-	// transientErrors: the call may succeed at the next try, the connection is as it was.
+	// transientErrors leave the connection unchanged, and a retry of the call may succeed.
 	transientErrors = []error{syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM}
 
-	// localErrors: a connection could not be opened for a reason on this side. They tell nothing about the other side.
-	localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM}
+	// localErrors mean that a connection could not be opened for a local reason. They say nothing about the remote end.
+	localErrors = []error{
+		syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM,
+	}
 )
 
+// isAny returns whether err matches any of the targets.
 func isAny(err error, targets []error) bool {
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// IsScarce returns whether there was no file descriptor left.
-func IsScarce(err error) bool { return isAny(err, scarceErrors) }
+// IsScarce returns whether a call failed because no file descriptor was left.
+func IsScarce(err error) bool { return isAny(err, descriptorErrors) }
 
-// IsTransient returns whether the call may be made again on the same connection.
+// IsTransient returns whether a failed call may be retried on the same connection.
 func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
-// IsLocal returns whether a connection could not be opened for a reason on this side.
+// IsLocal returns whether a connection could not be opened for a local reason, such as a lack of ports or memory.
 func IsLocal(err error) bool { return IsScarce(err) || IsTransient(err) || isAny(err, localErrors) }
--- a/internal/netconn/read.go
+++ b/internal/netconn/read.go
@@ -6,11 +6,15 @@
 	"io"
 )
 
-// ReadLine reads a line that ends with CR LF or LF; one longer than the reader's buffer is malformed.
+// maxClipBytes limits the excerpts of input in error messages.
+const maxClipBytes = 40
+
+// ReadLine reads a line that ends with CR LF or LF and returns it without its end, valid until the next read. A line
+// longer than the reader's buffer is malformed.
 func ReadLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, Malformed("a line of over %d bytes", len(line))
+		return nil, Malformed("line longer than %d bytes", len(line))
 	}
 	if err != nil {
 		if len(line) > 0 && err == io.EOF {
@@ -25,13 +29,13 @@
 	return line, nil
 }
 
-// ReadBody reads n bytes into buffer, as far as that goes. It grows the buffer as bytes come, so that a claimed length alone takes no
-// memory.
+// ReadBody reads n bytes and returns them in buffer or, if that is too small, in a new one. The new buffer grows as
+// bytes arrive, so that a large announced length alone allocates no memory.
 func ReadBody(r io.Reader, n int, buffer []byte) ([]byte, error) {
-	const firstBytes = 4 << 10
+	const initialBytes = 4 << 10
 	body := buffer[:0]
 	if cap(buffer) == 0 {
-		body = make([]byte, 0, min(n, firstBytes))
+		body = make([]byte, 0, min(n, initialBytes))
 	}
 	for len(body) < n {
 		if len(body) == cap(body) {
@@ -39,8 +43,8 @@
 			copy(grown, body)
 			body = grown
 		}
-		m, err := io.ReadFull(r, body[len(body):min(n, cap(body))])
-		body = body[:len(body)+m]
+		added, err := io.ReadFull(r, body[len(body):min(n, cap(body))])
+		body = body[:len(body)+added]
 		if err != nil {
 			return nil, err
 		}
@@ -48,5 +52,5 @@
 	return body, nil
 }
 
-// Clip returns the first bytes of b, for an error message.
-func Clip(b []byte) []byte { return b[:min(len(b), 40)] }
+// Clip returns the first bytes of b, short enough for an error message.
+func Clip(b []byte) []byte { return b[:min(len(b), maxClipBytes)] }
