--- a/internal/simproto/endpoints.go
+++ b/internal/simproto/endpoints.go
@@ -6,14 +6,15 @@
 	"liftshift/scheduler"
 )
 
-// availabilities are the protocol's words for what the endpoint list says of an executor.
+// availabilities maps the protocol's words for the state of an executor in the endpoint list.
 var availabilities = map[string]scheduler.Availability{
 	"active":  scheduler.Active,
 	"leaving": scheduler.Draining,
 	"left":    scheduler.Removed,
 }
 
-// readList reads a numbered endpoint list: a SNAPSHOT_ROWS line and an ITEM line for each entry.
+// readList reads a numbered endpoint list, which is a SNAPSHOT_ROWS line followed by an ITEM line for each entry, and
+// stores it for later events.
 func (r *Reader) readList(line string) error {
 	number := 0
 	count := 0
@@ -30,13 +31,13 @@
 		return err
 	}
 	if number < 0 || number >= listCount || count < 0 {
-		return r.errorf("SNAPSHOT_ROWS: no list numbered %d of %d entries", number, count)
+		return r.errorf("SNAPSHOT_ROWS: invalid Bank %d (from 0 to %d) or Records %d", number, listCount-1, count)
 	}
 	list := r.lists[number][:0]
 	for len(list) < count {
 		line, err := r.next()
 		if err == io.EOF {
-			return r.errorf("SNAPSHOT_ROWS: %d entries of %d", len(list), count)
+			return r.errorf("SNAPSHOT_ROWS: input ends after %d of %d ITEM lines", len(list), count)
 		}
 		if err != nil {
 			return err
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// parseEndpoint reads an ITEM line.
+// parseEndpoint parses an ITEM line.
 func (r *Reader) parseEndpoint(line string) (scheduler.Endpoint, error) {
 	var endpoint scheduler.Endpoint
 	hasExecutor := false
@@ -70,7 +71,7 @@
 			cell, err = parseInt(value)
 			endpoint.Cell = int64(cell)
 		case "Availability":
-			endpoint.Availability, err = parseWord(availabilities, "standing", value)
+			endpoint.Availability, err = parseWord(availabilities, "availability", value)
 		case "Units":
 			endpoint.Units, err = parseNumber(value)
 		case "UpSince":
@@ -82,7 +83,7 @@
 		return scheduler.Endpoint{}, err
 	}
 	if tag != "ITEM" || !hasExecutor {
-		return scheduler.Endpoint{}, r.errorf("SNAPSHOT_ROWS: an ITEM with its Executor expected, not %.80q", line)
+		return scheduler.Endpoint{}, r.errorf("SNAPSHOT_ROWS: expected an ITEM line with the field Executor, got %.80q", line)
 	}
 	return endpoint, nil
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -9,8 +9,8 @@
 	"liftshift/scheduler"
 )
 
-// The protocol's words for typed values of the scheduler.
 var (
+	// outcomes maps the protocol's words for the outcome of an attempt or a health check.
 	outcomes = map[string]scheduler.Outcome{
 		"completed":    scheduler.Succeeded,
 		"errored":      scheduler.Errored,
@@ -21,6 +21,8 @@
 		"recalled":     scheduler.Cancelled,
 		"superseded":   scheduler.NeverSent,
 	}
+
+	// listKinds maps the protocol's words for the kind of an endpoint list.
 	listKinds = map[string]scheduler.ListKind{
 		"update":      scheduler.ListDelta,
 		"replace":     scheduler.ListComplete,
@@ -29,13 +31,14 @@
 	}
 )
 
-// eventTag is a kind of event, and the fields that its line can't do without.
-type eventTag struct {
+// eventFormat describes the lines of one kind of event.
+type eventFormat struct {
 	kind     scheduler.EventKind
-	required []string
+	required []string // fields that must be present and not empty
 }
 
-var eventTags = map[string]eventTag{
+// eventFormats holds the format of each event by the tag of its lines.
+var eventFormats = map[string]eventFormat{
 	"ENDPOINTS":   {scheduler.EndpointsUpdated, []string{"Kind"}},
 	"ARRIVAL":     {scheduler.RequestArrived, []string{"Handle", "TierClass", "DropDead"}},
 	"CLIENT_GONE": {scheduler.ClientLeft, []string{"Handle"}},
@@ -47,19 +50,19 @@
 	"MESSAGE":     {scheduler.PeerMessage, nil},
 }
 
-// playEvent reads the line of an event and hands it to its instance.
-func (r *Reader) playEvent(tag, line string, now float64, host Host) error {
-	known, ok := eventTags[tag]
+// handleEvent parses the line of an event and passes the event to its instance.
+func (r *Reader) handleEvent(tag, line string, now float64, host Host) error {
+	format, ok := eventFormats[tag]
 	if !ok {
 		return r.errorf("unknown event %.80q", tag)
 	}
-	r.event = scheduler.Event{Kind: known.kind}
-	ev := &r.event
+	r.event = scheduler.Event{Kind: format.kind}
+	event := &r.event
 	instance := 0
 	list := 0
 	found := 0
 	_, err := r.eachField(line, "", func(name, value string) (err error) {
-		if value != "" && slices.Contains(known.required, name) {
+		if value != "" && slices.Contains(format.required, name) {
 			found++
 		}
 		switch name {
@@ -68,121 +71,122 @@
 		case "Bank":
 			list, err = parseInt(value)
 		default:
-			err = r.setField(ev, name, value)
+			err = r.setField(event, name, value)
 		}
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if found != len(known.required) {
-		return r.errorf("%s: needs %s: %.120q", tag, strings.Join(known.required, " "), line)
+	if found != len(format.required) {
+		return r.errorf("%s: needs the fields %s, got %.120q", tag, strings.Join(format.required, ", "), line)
 	}
-	if ev.Kind == scheduler.EndpointsUpdated && ev.List != scheduler.ListUnavailable {
+	if event.Kind == scheduler.EndpointsUpdated && event.List != scheduler.ListUnavailable {
 		if list < 0 || list >= listCount || !r.hasList[list] {
-			return r.errorf("ENDPOINTS: no list numbered %d", list)
+			return r.errorf("ENDPOINTS: no endpoint list with the Bank %d was read", list)
 		}
-		ev.Endpoints = r.lists[list]
+		event.Endpoints = r.lists[list]
 	}
-	return r.hostError(tag, host.HandleEvent(instance, now, ev))
+	return r.hostError(tag, host.HandleEvent(instance, now, event))
 }
 
-// setField sets what a field of a line says of its event. Fields that no event has are passed over.
-func (r *Reader) setField(ev *scheduler.Event, name, value string) (err error) {
+// setField sets the part of an event that a field of its line holds. Unknown fields are ignored.
+func (r *Reader) setField(event *scheduler.Event, name, value string) (err error) {
 	switch name {
 	case "Handle":
-		ev.Request = value
+		event.Request = value
 	case "N":
-		ev.Attempt, err = parseInt(value)
+		event.Attempt, err = parseInt(value)
 	case "Executor":
-		ev.Executor, err = parseExecutor(value)
+		event.Executor, err = parseExecutor(value)
 	case "Code":
-		ev.Outcome, err = parseWord(outcomes, "outcome", value)
+		event.Outcome, err = parseWord(outcomes, "outcome", value)
 	case "Spent":
-		ev.ElapsedMS, err = parseTime(value)
+		event.ElapsedMS, err = parseTime(value)
 	case "Over":
-		ev.Final, err = parseBool(value)
+		event.Final, err = parseBool(value)
 	case "UsedUp":
-		err = setUsage(ev, value)
+		err = setUsage(event, value)
 	case "Load":
-		err = r.setLoadReport(ev, value)
+		err = r.setLoadReport(event, value)
 	case "What":
-		ev.Progress, err = parseProgressKind(value)
+		event.Progress, err = parseProgressKind(value)
 	case "X":
-		ev.Value, err = parseNumber(value)
+		event.Value, err = parseNumber(value)
 	case "KeyBack":
-		ev.Token, err = parseUint(value)
+		event.Token, err = parseUint(value)
 	case "Kind":
-		ev.List, err = parseWord(listKinds, "kind of list", value)
+		event.List, err = parseWord(listKinds, "list kind", value)
 	case "Neighbour":
-		ev.FromPeer, err = parseInt(value)
+		event.FromPeer, err = parseInt(value)
 	case "Data":
 		if value != "-" {
-			ev.Payload, err = base64.StdEncoding.DecodeString(value)
+			event.Payload, err = base64.StdEncoding.DecodeString(value)
 		}
 	default:
-		err = r.setArrivalField(ev, name, value)
+		err = r.setArrivalField(event, name, value)
 	}
 	return err
 }
 
-// setArrivalField sets what a field says of a new request.
-func (r *Reader) setArrivalField(ev *scheduler.Event, name, value string) (err error) {
+// setArrivalField sets the part of a RequestArrived event that a field holds. Unknown fields are ignored.
+func (r *Reader) setArrivalField(event *scheduler.Event, name, value string) (err error) {
 	switch name {
 	case "TierClass":
-		ev.Class = r.intern(value)
+		event.Class = r.intern(value)
 	case "TableGroup":
-		ev.TableGroup, err = parseUint(value)
+		event.TableGroup, err = parseUint(value)
 	case "Table":
-		ev.OrderKey = r.intern(value)
+		event.OrderKey = r.intern(value)
 	case "WantMb":
-		ev.MemoryMB, err = parseNumber(value)
+		event.MemoryMB, err = parseNumber(value)
 	case "Estimate":
-		ev.WorkMS, err = parseTime(value)
+		event.WorkMS, err = parseTime(value)
 	case "DropDead":
-		ev.Deadline, err = parseTime(value)
+		event.Deadline, err = parseTime(value)
 	case "Resent":
-		ev.Retried, err = parseBool(value)
+		event.Retried, err = parseBool(value)
 	}
 	return err
 }
 
-// The packing of a request's usage into one number: its work in milliseconds above its memory in units.
+// A request's usage is packed into one number: the work in milliseconds times usageMemoryUnits, plus the memory in
+// units of usageUnitMB.
 const (
 	usageMemoryUnits = 4096
 	usageUnitMB      = 4
 )
 
-// setUsage sets the work and the memory that a request took.
-func setUsage(ev *scheduler.Event, value string) error {
+// setUsage sets the work and the memory that a request has used.
+func setUsage(event *scheduler.Event, value string) error {
 	usage, err := parseUint(value)
-	ev.CostMS = float64(usage / usageMemoryUnits)
-	ev.UsedMB = float64(usage%usageMemoryUnits) * usageUnitMB
+	event.CostMS = float64(usage / usageMemoryUnits)
+	event.UsedMB = float64(usage%usageMemoryUnits) * usageUnitMB
 	return err
 }
 
-// setLoadReport sets the figures of a load report.
-func (r *Reader) setLoadReport(ev *scheduler.Event, value string) error {
+// setLoadReport sets the load report, a list of numbers separated by commas.
+func (r *Reader) setLoadReport(event *scheduler.Event, value string) error {
 	r.loadReport = r.loadReport[:0]
-	for _, figure := range strings.Split(value, ",") {
-		n, err := parseNumber(figure)
+	for _, text := range strings.Split(value, ",") {
+		number, err := parseNumber(text)
 		if err != nil {
 			return err
 		}
-		r.loadReport = append(r.loadReport, n)
+		r.loadReport = append(r.loadReport, number)
 	}
-	ev.LoadReport = r.loadReport
+	event.LoadReport = r.loadReport
 	return nil
 }
 
-// parseProgressKind returns what a progress report is about; the protocol has the scheduler's numbers.
+// parseProgressKind parses the kind of a progress report, for which the protocol uses the scheduler's numbers.
 func parseProgressKind(value string) (scheduler.ProgressKind, error) {
 	n, err := parseInt(value)
 	if err != nil {
 		return 0, err
 	}
 	if n < int(scheduler.Progress) || n > int(scheduler.Waiting) {
-		return 0, fmt.Errorf("unknown note %d", n)
+		return 0, fmt.Errorf("unknown progress kind %d", n)
 	}
 	return scheduler.ProgressKind(n), nil
 }
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -11,45 +11,47 @@
 	"liftshift/scheduler"
 )
 
-// listCount is the number of endpoint lists that the protocol keeps by number.
+// listCount is the number of endpoint lists that can be stored. They are numbered from 0.
 const listCount = 16
 
-// bufferBytes is enough for nearly all lines.
+// bufferBytes is the size of the input buffer, which holds nearly all lines whole.
 const bufferBytes = 1 << 20
 
-// Reader reads batches.
+// Reader reads batches of lines and passes their events to a Host. It keeps the endpoint lists between batches.
 type Reader struct {
 	in       *bufio.Reader
 	line     int    // number of the last line read
-	longLine []byte // of a line longer than the buffer
+	longLine []byte // reused for lines longer than the input buffer
 
+	// lists holds the endpoint lists by number, hasList which of them were read.
 	lists   [listCount][]scheduler.Endpoint
 	hasList [listCount]bool
 
-	names      map[string]string // recurring names, one copy of each
-	event      scheduler.Event
-	loadReport []float64
+	names      map[string]string // interned strings
+	event      scheduler.Event   // reused for each event
+	loadReport []float64         // reused for each event
 }
 
-// NewReader returns a Reader on in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, bufferBytes), names: map[string]string{}}
 }
 
-// ReadBatch plays the next batch to the host and returns its number. At the end of the input it returns io.EOF.
+// ReadBatch reads the next batch, has the host handle it line by line, and returns the number of the batch. At the end
+// of the input it returns io.EOF.
 func (r *Reader) ReadBatch(host Host) (uint64, error) {
 	line, err := r.next()
 	if err != nil {
 		return 0, err
 	}
-	number, now, err := r.batchStart(line)
+	number, now, err := r.parseBatchStart(line)
 	if err != nil {
 		return 0, err
 	}
 	for {
 		line, err := r.next()
 		if err == io.EOF {
-			return 0, r.errorf("the batch has no EOF_BATCH")
+			return 0, r.errorf("input ends within a batch: no EOF_BATCH line")
 		}
 		if err != nil {
 			return 0, err
@@ -57,14 +59,14 @@
 		if line == "EOF_BATCH" {
 			return number, nil
 		}
-		if err := r.playLine(line, now, host); err != nil {
+		if err := r.handleLine(line, now, host); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// batchStart reads the first line of a batch: its number and the time of its events.
-func (r *Reader) batchStart(line string) (number uint64, now float64, err error) {
+// parseBatchStart parses the first line of a batch, which has the batch's number and the time of its events.
+func (r *Reader) parseBatchStart(line string) (number uint64, now float64, err error) {
 	hasClock := false
 	tag, err := r.eachField(line, "", func(name, value string) (err error) {
 		switch name {
@@ -80,15 +82,15 @@
 	case err != nil:
 		return 0, 0, err
 	case tag != "BEGIN_BATCH":
-		return 0, 0, r.errorf("BEGIN_BATCH expected, not %.80q", line)
+		return 0, 0, r.errorf("expected BEGIN_BATCH, got %.80q", line)
 	case !hasClock:
-		return 0, 0, r.errorf("BEGIN_BATCH: Clock is missing")
+		return 0, 0, r.errorf("BEGIN_BATCH: field Clock is missing")
 	}
 	return number, now, nil
 }
 
-// playLine plays one line of a batch.
-func (r *Reader) playLine(line string, now float64, host Host) error {
+// handleLine handles one line of a batch, and with SNAPSHOT_ROWS the lines that belong to it.
+func (r *Reader) handleLine(line string, now float64, host Host) error {
 	tag, _, _ := strings.Cut(line, "\t")
 	switch tag {
 	case "SNAPSHOT_ROWS":
@@ -98,10 +100,10 @@
 	case "STOP":
 		return r.stopInstance(line, host)
 	}
-	return r.playEvent(tag, line, now, host)
+	return r.handleEvent(tag, line, now, host)
 }
 
-// startInstance reads an ATTACH line.
+// startInstance handles an ATTACH line: it starts an instance and passes it the Started event.
 func (r *Reader) startInstance(line string, now float64, host Host) error {
 	instance := 0
 	seed := uint64(0)
@@ -121,19 +123,19 @@
 		return err
 	}
 	if text == "" {
-		return r.errorf("ATTACH: Settings is missing")
+		return r.errorf("ATTACH: field Settings is missing")
 	}
-	s, err := settings.Read([]byte(text))
+	parsed, err := settings.Read([]byte(text))
 	if err != nil {
 		return r.errorf("ATTACH: Settings: %w", err)
 	}
-	if err := host.StartInstance(instance, seed, s.Scheduler); err != nil {
+	if err := host.StartInstance(instance, seed, parsed.Scheduler); err != nil {
 		return r.hostError(tag, err)
 	}
 	return r.hostError(tag, host.HandleEvent(instance, now, &scheduler.Event{Kind: scheduler.Started}))
 }
 
-// stopInstance reads a STOP line.
+// stopInstance handles a STOP line.
 func (r *Reader) stopInstance(line string, host Host) error {
 	instance := 0
 	tag, err := r.eachField(line, "", func(name, value string) (err error) {
@@ -148,7 +150,7 @@
 	return r.hostError(tag, host.StopInstance(instance))
 }
 
-// next returns the next line without its end.
+// next returns the next line without its line end.
 func (r *Reader) next() (string, error) {
 	r.line++
 	b, err := r.in.ReadSlice('\n')
@@ -162,7 +164,7 @@
 		b = r.longLine
 	}
 	if err == io.EOF && len(b) > 0 {
-		return "", r.errorf("the line breaks off: %.80q", b)
+		return "", r.errorf("input ends within a line: %.80q", b)
 	}
 	if err != nil {
 		return "", err
@@ -170,9 +172,9 @@
 	return string(b[:len(b)-1]), nil
 }
 
-// eachField calls a function for each name=value field of a line and returns the line's tag. The field named by last runs to the
-// end of the line.
-func (r *Reader) eachField(line, last string, each func(name, value string) error) (string, error) {
+// eachField calls a function for each name=value field of a line and returns the line's tag. The field named last, if
+// any, extends to the end of the line and may contain tabs.
+func (r *Reader) eachField(line, last string, handle func(name, value string) error) (string, error) {
 	tag, rest, _ := strings.Cut(line, "\t")
 	for rest != "" {
 		var field string
@@ -184,16 +186,16 @@
 		}
 		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return tag, r.errorf("%s: a part without a name: %.80q", tag, field)
+			return tag, r.errorf("%s: field without a name: %.80q", tag, field)
 		}
-		if err := each(name, value); err != nil {
+		if err := handle(name, value); err != nil {
 			return tag, r.errorf("%s: %s: %w", tag, name, err)
 		}
 	}
 	return tag, nil
 }
 
-// intern returns the one copy of a recurring name.
+// intern returns a copy of a string that does not refer to the line. Equal strings share one copy.
 func (r *Reader) intern(name string) string {
 	if known, ok := r.names[name]; ok {
 		return known
@@ -203,11 +205,12 @@
 	return name
 }
 
+// errorf returns a LineError for the last line read.
 func (r *Reader) errorf(format string, args ...any) error {
 	return &LineError{Line: r.line, Err: fmt.Errorf(format, args...)}
 }
 
-// hostError returns an error of the host as one of the line that led to it.
+// hostError wraps an error of the host in a LineError for the line that caused it. It returns nil for nil.
 func (r *Reader) hostError(tag string, err error) error {
 	if err != nil {
 		return r.errorf("%s: %w", tag, err)
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,8 +1,9 @@
-// Package simproto reads and writes the text lines through which the simulator drives the scheduler. The names of that protocol
-// end here: what leaves this package are events of package scheduler, and what enters are its actions. It decides nothing.
+// Package simproto implements the text protocol through which the simulator drives the scheduler. It turns the lines of
+// the simulator into events of package scheduler, and the scheduler's actions into lines. The names of the protocol are
+// used in this package only.
 //
-// A line is a tag and name=value fields, separated by tabs. The simulator sends batches of lines that carry one time; the answer
-// to a batch are the actions, one a line, and the number of the batch.
+// A line is a tag and name=value fields, separated by tabs. The simulator sends batches of lines, each with the time of
+// all its events. The reply to a batch has one line for each action, and ends with a line with the number of the batch.
 package simproto
 
 import (
@@ -11,27 +12,27 @@
 	"liftshift/scheduler"
 )
 
-// usPerMS is the unit of time of the protocol: microseconds.
-const usPerMS = 1000
+// microsecondsPerMS converts the protocol's times, which are in microseconds, to milliseconds.
+const microsecondsPerMS = 1000
 
-// Host runs the instances that batches are for.
+// Host runs the scheduler instances that the lines of a batch are for. Instances are identified by number.
 type Host interface {
-	// StartInstance starts an instance.
+	// StartInstance starts an instance with a seed for its random choices.
 	StartInstance(instance int, seed uint64, settings scheduler.Settings) error
-	// StopInstance ends an instance.
+	// StopInstance stops an instance.
 	StopInstance(instance int) error
-	// HandleEvent hands an event to an instance. The event is valid until HandleEvent returns.
-	HandleEvent(instance int, now float64, ev *scheduler.Event) error
+	// HandleEvent passes an event to an instance at a time in milliseconds. The event is valid until HandleEvent returns.
+	HandleEvent(instance int, now float64, event *scheduler.Event) error
 }
 
-// LineError is an error in a line of the input, or of the host at that line.
+// LineError is an error in a line of the input, or an error that the host returned for that line.
 type LineError struct {
-	Line int // from 1
+	Line int // number of the line; the first one is 1
 	Err  error
 }
 
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the error of the line.
+// Unwrap returns the error without the line number.
 func (e *LineError) Unwrap() error { return e.Err }
