--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -115,8 +115,8 @@
 	assert.ErrorContains(t, err, "known")
 }
 
-// A list that is available again is reported even if it has not changed, because the scheduler has counted it as
-// outdated in the meantime.
+// A list that is available again is reported even if it has not changed, because the scheduler treats the list as
+// unavailable until then.
 func TestClient_ReportsUnchangedListAfterOutage(t *testing.T) {
 	address, _ := newFakeDiscovery(t, emptyPage, "", emptyPage, "silent")
 	queue := make(fakeQueue, 100)
