--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -92,8 +92,8 @@
 	// addressChangedAt is the time of the last change of the address. 0 means that a poll has succeeded since.
 	addressChangedAt float64
 
-	// Lost counts failed connections and polls, Malformed the responses that could not be parsed.
-	Calls, Lost, Malformed atomic.Uint64
+	// FailedPolls counts failed connections and polls, MalformedResponses the responses that could not be parsed.
+	Polls, FailedPolls, MalformedResponses atomic.Uint64
 }
 
 // NewClient returns a client that follows the log from the end of known, a page of events that Start passes on.
@@ -137,9 +137,9 @@
 	}
 }
 
-// Follow continues the log at another address, from the last event on, without waiting for the poll in progress. If the
+// SetAddress continues the log at another address, from the last event on, without waiting for the poll in progress. If the
 // address is the same, it opens a new connection all the same, because the old one may be dead.
-func (c *Client) Follow(address string) {
+func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
@@ -161,7 +161,7 @@
 		case addressChanged:
 			c.log.WithField("from", address).Info("discovery: address changed")
 		case err != nil:
-			c.Lost.Add(1)
+			c.FailedPolls.Add(1)
 			c.reportUnavailable(err)
 		}
 		c.waitToReconnect(ctx, time.Since(startedAt))
@@ -218,7 +218,7 @@
 
 // poll makes one poll and applies the changes that it brings. It returns whether to poll on over the same connection.
 func (c *Client) poll(conn net.Conn, reader *bufio.Reader, address string) (reusable bool, err error) {
-	c.Calls.Add(1)
+	c.Polls.Add(1)
 	startedAt := time.Now()
 	c.pollStartedAt = c.clock.Now()
 	result, err := c.fetch(conn, reader, address)
@@ -278,7 +278,7 @@
 		result.last, result.changes, err = parseChanges(response.body)
 	}
 	if errors.Is(err, netconn.ErrMalformed) {
-		c.Malformed.Add(1)
+		c.MalformedResponses.Add(1)
 	}
 	if err != nil { // the response had begun, so it was about a change
 		c.presumedNotifiedAt = c.clock.Now() + presumedNotifiedAfterFailureMS
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -110,7 +110,7 @@
 	for _, since := range []int{1, 2, 2, 2, 2, 3} {
 		assert.Equal(t, fmt.Sprintf("GET /changes?since=%d&timeout=%d HTTP/1.1", since, pollTimeoutMS), <-polls)
 	}
-	assert.Equal(t, uint64(1), client.Malformed.Load(), "malformed responses")
+	assert.Equal(t, uint64(1), client.MalformedResponses.Load(), "malformed responses")
 	_, err = NewClient(address, []byte("{}"), executors, dispatch.NewClock(), 0, queue, discardLog())
 	assert.ErrorContains(t, err, "known")
 }
@@ -148,13 +148,13 @@
 	queue.next(t)
 	<-oldPolls
 	assert.Contains(t, <-oldPolls, "since=2")
-	client.Follow(oldAddress) // the same address first, then another one
-	client.Follow(newAddress)
+	client.SetAddress(oldAddress) // the same address first, then another one
+	client.SetAddress(newAddress)
 	assert.Contains(t, <-newPolls, "since=2")
 	assert.Equal(t, scheduler.Removed, queue.next(t).Event.Endpoints[0].Availability)
 	assert.Less(t, time.Since(startedAt), netconn.Millis(pollTimeoutMS))
 	assert.Empty(t, queue, "no event is applied twice, and the list is never reported as unavailable")
-	assert.Zero(t, client.Lost.Load(), "failed polls")
+	assert.Zero(t, client.FailedPolls.Load(), "failed polls")
 }
 
 // The controller counts as notified of missed changes 2 s after a response that breaks off, 2 s after the end of a poll
@@ -205,7 +205,7 @@
 				assert.Zero(t, queue.next(t).Event.PresumedNotifiedAt, "a lost connection alone shows no missed change")
 			}
 			missedSince = clock.Now()
-			client.Follow(listener.Addr().String())
+			client.SetAddress(listener.Addr().String())
 		}
 		event := queue.next(t).Event
 		assert.Equal(t, scheduler.ListUnavailable, event.List, name)
--- a/internal/jsonrpc/accept.go
+++ b/internal/jsonrpc/accept.go
@@ -46,10 +46,10 @@
 	if s.AcceptPauses.Add(1) == 1 {
 		s.log.WithField("error", err).Warn("client server: accepting pauses")
 	}
-	if netconn.IsScarce(err) {
+	if netconn.IsOutOfDescriptors(err) {
 		s.evictIdle()
 	}
-	if netconn.IsScarce(err) || netconn.IsTransient(err) {
+	if netconn.IsOutOfDescriptors(err) || netconn.IsTransient(err) {
 		time.Sleep(acceptRetryInterval)
 	} else {
 		time.Sleep(acceptErrorPause)
@@ -68,7 +68,7 @@
 	c.Socket = socket
 	c.Budget = s.outputBudget
 	c.WriteTimeout = writeTimeout
-	c.MaxQueued = maxQueuedBytes
+	c.MaxQueuedBytes = maxQueuedBytes
 	c.OnIdle = c.checkIdle
 	c.IdleDeadline = c.idleDeadline
 	c.DrainOnEnd = true
--- a/internal/jsonrpc/crossings_test.go
+++ b/internal/jsonrpc/crossings_test.go
@@ -30,7 +30,7 @@
 	pipe.WriteTimeout = time.Minute // nothing but the word itself may end it
 	first.Client.Succeeded(first.Tag, make([]byte, 24<<20))
 	require.Eventually(t, func() bool { return !pipe.Flushed() }, 3*time.Second, time.Millisecond)
-	time.Sleep(2 * netconn.WriteTurn) // into the stuck write
+	time.Sleep(2 * netconn.IOTimeSlice) // into the stuck write
 	send(c, `{"jsonrpc":"2.0","method":"giveUp","params":{"req":"b"}}`)
 	it := queue.next(t)
 	assert.Equal(t, []any{scheduler.ClientLeft, "b"}, []any{it.Event.Kind, it.Event.Request})
--- a/internal/jsonrpc/server_test.go
+++ b/internal/jsonrpc/server_test.go
@@ -35,7 +35,7 @@
 		assert.Contains(t, string(got), map[int]string{8: `"code":-32008,"message":"denied","data":{"holdoff":200}`,
 			9: `"code":-32000`}[id])
 	}
-	assert.Zero(t, server.requestBudget.Held())
+	assert.Zero(t, server.requestBudget.Reserved())
 }
 
 // A bad request gets an error and affects no other on its connection.
@@ -80,7 +80,7 @@
 		assert.NoError(t, err)
 	}
 	assertReply(t, r, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
-	assert.Zero(t, server.requestBudget.Held())
+	assert.Zero(t, server.requestBudget.Reserved())
 }
 
 // Silent connections and incomplete messages cost other clients nothing: they are closed soon, and sooner where slots are needed.
@@ -182,10 +182,10 @@
 		case <-time.After(2500 * time.Millisecond):
 			cut = true
 		}
-		assert.LessOrEqual(t, server.outputBudget.Held(), int64(2<<20))
+		assert.LessOrEqual(t, server.outputBudget.Reserved(), int64(2<<20))
 	}
 	assert.True(t, cut)
-	assert.Eventually(t, func() bool { return server.outputBudget.Held() == 0 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return server.outputBudget.Reserved() == 0 }, 5*time.Second, time.Millisecond)
 }
 
 // Nothing is kept of clients and connections that are gone.
@@ -210,7 +210,7 @@
 		defer server.mu.Unlock()
 		return len(server.connections) == 0 && len(server.slots) == 0
 	}, 3*time.Second, time.Millisecond)
-	assert.Zero(t, server.requestBudget.Held()+server.outputBudget.Held())
+	assert.Zero(t, server.requestBudget.Reserved()+server.outputBudget.Reserved())
 }
 
 // A client learns what became of a request by its id or its idempotency key, where outcomes are served; a call that can't be used gets
@@ -242,7 +242,7 @@
 	got, err := readMessage(r, nil)
 	require.NoError(t, err)
 	assert.Contains(t, string(got), `"code":-32601`, "off where nothing is kept")
-	assert.Zero(t, server.requestBudget.Held())
+	assert.Zero(t, server.requestBudget.Reserved())
 }
 
 // What is read after a stall of this process may have come as that began: its deadline counts from there.
--- a/internal/netconn/budget.go
+++ b/internal/netconn/budget.go
@@ -20,8 +20,8 @@
 	return true
 }
 
-// Held returns the number of reserved bytes.
-func (b *ByteBudget) Held() int64 { return b.reserved.Load() }
+// Reserved returns the number of reserved bytes.
+func (b *ByteBudget) Reserved() int64 { return b.reserved.Load() }
 
 // Free returns n reserved bytes to the budget. A negative n reserves -n bytes even if they exceed the limit.
 func (b *ByteBudget) Free(n int) { b.reserved.Add(int64(-n)) }
--- a/internal/netconn/conn.go
+++ b/internal/netconn/conn.go
@@ -38,9 +38,9 @@
 	lingerBufferBytes = 4 << 10
 )
 
-// WriteTurn is the time slice for a write, and then for a read, while the remote end accepts no data. It is a fifth of
+// IOTimeSlice is the time slice for a write, and then for a read, while the remote end accepts no data. It is a fifth of
 // the time within which a cancellation must be noticed.
-const WriteTurn = 20 * time.Millisecond
+const IOTimeSlice = 20 * time.Millisecond
 
 // LingerBytes limits the input that is read and dropped after the last output, so that a reset of the connection does
 // not destroy output that the remote end has not read yet.
@@ -74,7 +74,7 @@
 	// DrainOnEnd makes an ended connection still accept output, and read input that has already arrived.
 	DrainOnEnd bool
 
-	MaxQueued int // limit of the queued output, in bytes
+	MaxQueuedBytes int // limit of the queued output, in bytes
 
 	// LastWrite is the time at which the last byte was written. It is for the connection's own goroutine.
 	LastWrite time.Time
@@ -111,7 +111,7 @@
 	before := len(c.queued)
 	c.queued = encode(c.queued)
 	added := len(c.queued) - before
-	full := before > 0 && len(c.queued) > c.MaxQueued
+	full := before > 0 && len(c.queued) > c.MaxQueuedBytes
 	reserved := !full && c.Budget.Reserve(added)
 	switch {
 	case reserved:
@@ -154,8 +154,8 @@
 	}
 }
 
-// Busy returns whether output is partly written, so that further output has to wait.
-func (c *Conn) Busy() bool { return c.output != nil }
+// WriteInProgress returns whether output is partly written, so that further output has to wait.
+func (c *Conn) WriteInProgress() bool { return c.output != nil }
 
 // Flushed returns whether all output is written.
 func (c *Conn) Flushed() bool {
@@ -198,7 +198,7 @@
 		if !blocked {
 			return 0, true, nil
 		}
-		deadline = time.Now().Add(WriteTurn)
+		deadline = time.Now().Add(IOTimeSlice)
 	case outputNone:
 	}
 	blocked, ok := c.beginRead(deadline)
@@ -344,7 +344,7 @@
 // flush writes the output. It returns blocked if the remote end accepts no more data for now.
 func (c *Conn) flush() (blocked bool, err error) {
 	for c.outputWritten < len(c.output) {
-		_ = c.Socket.SetWriteDeadline(time.Now().Add(WriteTurn))
+		_ = c.Socket.SetWriteDeadline(time.Now().Add(IOTimeSlice))
 		chunkEnd := min(len(c.output), (c.outputWritten/writeChunkBytes+1)*writeChunkBytes)
 		n, err := c.Socket.Write(c.output[c.outputWritten:chunkEnd])
 		now := time.Now()
@@ -377,7 +377,7 @@
 
 // stallTimeout returns the limit of the time without write progress, which is shorter while the budget is exceeded.
 func (c *Conn) stallTimeout() time.Duration {
-	if c.Budget.Held() > c.Budget.limit {
+	if c.Budget.Reserved() > c.Budget.limit {
 		return min(c.WriteTimeout, overBudgetTimeout)
 	}
 	return c.WriteTimeout
--- a/internal/netconn/conn_test.go
+++ b/internal/netconn/conn_test.go
@@ -73,12 +73,12 @@
 		flaky.readFailures.Store(failures)
 		flaky.writeFailures.Store(failures)
 		conn := &Conn{
-			Socket:       flaky,
-			Budget:       NewByteBudget(1 << 20),
-			WriteTimeout: time.Second,
-			MaxQueued:    1 << 20,
-			IdleDeadline: func() time.Time { return time.Now().Add(time.Second) },
-			OnIdle:       func() error { return ErrClosed },
+			Socket:         flaky,
+			Budget:         NewByteBudget(1 << 20),
+			WriteTimeout:   time.Second,
+			MaxQueuedBytes: 1 << 20,
+			IdleDeadline:   func() time.Time { return time.Now().Add(time.Second) },
+			OnIdle:         func() error { return ErrClosed },
 		}
 		conn.Push(func(b []byte) []byte { return append(b, output...) })
 		received := make(chan string, 1)
--- a/internal/netconn/errors.go
+++ b/internal/netconn/errors.go
@@ -47,11 +47,13 @@
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// IsScarce returns whether a call failed because no file descriptor was left.
-func IsScarce(err error) bool { return isAny(err, descriptorErrors) }
+// IsOutOfDescriptors returns whether a call failed because no file descriptor was left.
+func IsOutOfDescriptors(err error) bool { return isAny(err, descriptorErrors) }
 
 // IsTransient returns whether a failed call may be retried on the same connection.
 func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
 // IsLocal returns whether a connection could not be opened for a local reason, such as a lack of ports or memory.
-func IsLocal(err error) bool { return IsScarce(err) || IsTransient(err) || isAny(err, localErrors) }
+func IsLocal(err error) bool {
+	return IsOutOfDescriptors(err) || IsTransient(err) || isAny(err, localErrors)
+}
--- a/internal/resp/attempt.go
+++ b/internal/resp/attempt.go
@@ -153,7 +153,7 @@
 func (c *executorConn) writePending() {
 	client := c.client
 	client.mu.Lock()
-	if len(c.pending) == 0 || c.Busy() {
+	if len(c.pending) == 0 || c.WriteInProgress() {
 		client.mu.Unlock()
 		return
 	}
@@ -169,7 +169,7 @@
 				c.writeAttempt(a)
 				continue
 			}
-			client.Blocked.Add(1)
+			client.BlockedAttempts.Add(1)
 			delete(c.openAttempts, a.spec.Request.ID)
 			event := a.endEvent
 			event.Outcome = scheduler.NeverSent
--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -52,13 +52,13 @@
 	retiredIndices []int           // reused by pickConn
 
 	// Counters of events since the start.
-	Strays        atomic.Uint64 // replies that match no open attempt or health check, and duplicate pages
-	Malformed     atomic.Uint64 // malformed replies; each ends its connection
-	Dials         atomic.Uint64
-	DialFailures  atomic.Uint64
-	LocalFailures atomic.Uint64 // dial failures that this host caused
-	Resumed       atomic.Uint64 // answers whose missing pages were requested over a second connection
-	Blocked       atomic.Uint64 // attempts that the final check kept from being sent
+	StrayReplies      atomic.Uint64 // replies that match no open attempt or health check, and duplicate pages
+	MalformedReplies  atomic.Uint64 // malformed replies; each ends its connection
+	Dials             atomic.Uint64
+	DialFailures      atomic.Uint64
+	LocalDialFailures atomic.Uint64 // dial failures that this host caused
+	ResumedAnswers    atomic.Uint64 // answers whose missing pages were requested over a second connection
+	BlockedAttempts   atomic.Uint64 // attempts that the final check kept from being sent
 }
 
 // Limits are the limits of a client and the executor settings of the platform.
@@ -153,7 +153,7 @@
 	}
 	conn.Budget = c.budget
 	conn.WriteTimeout = c.connectTimeout
-	conn.MaxQueued = maxOutputBytes
+	conn.MaxQueuedBytes = maxOutputBytes
 	conn.OnIdle = conn.checkIdle
 	conn.IdleDeadline = func() time.Time { return time.Now().Add(idleCheckInterval) }
 	conn.BeforeWrite = conn.writePending
--- a/internal/resp/client_test.go
+++ b/internal/resp/client_test.go
@@ -41,7 +41,7 @@
 	assert.Equal(t, scheduler.Succeeded, item.Event.Outcome)
 	assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(item.Body))
 	assert.Equal(t, dispatch.AlreadyEnded, running.Cancel())
-	assert.Equal(t, uint64(3), client.Strays.Load())
+	assert.Equal(t, uint64(3), client.StrayReplies.Load())
 	client.Send(newAttempt("b"))
 	fake.expect(t, "fetch b .*")
 	sendReply(conn, "b", "page", "batch=1", "two\t1\tx\n")
@@ -101,7 +101,7 @@
 		sendReply(conn, "a", "page", "batch=1", "two\t1\tx\n")
 		fake.expect(t, "done a")
 		assert.Equal(t, "one\t1\tx\ntwo\t1\tx\nthree\t1\tx\n", string(queue.next(t).Body))
-		assert.Equal(t, uint64(1), client.Resumed.Load())
+		assert.Equal(t, uint64(1), client.ResumedAnswers.Load())
 	}
 }
 
@@ -202,7 +202,7 @@
 		assert.Equal(t, scheduler.ConnectionLost, queue.next(t).Event.Outcome, "%q", reply)
 		fake.expect(t, "closed")
 	}
-	assert.Equal(t, uint64(5), client.Malformed.Load())
+	assert.Equal(t, uint64(5), client.MalformedReplies.Load())
 	fake.listener.Close()
 	client.Send(newAttempt("b"))
 	assert.Equal(t, scheduler.ConnectFailed, queue.next(t).Event.Outcome)
@@ -245,11 +245,11 @@
 	running.Release()
 	fake.expect(t, "fetch a .*")
 	sendReply(first, "a", "data", "-", "old\t1\tx\n")
-	assert.Eventually(t, func() bool { return client.Strays.Load() == 1 }, 3*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return client.StrayReplies.Load() == 1 }, 3*time.Second, time.Millisecond)
 	sendReply(second, "a", "data", "-", "new\t1\tx\n")
 	assert.Equal(t, "new\t1\tx\n", string(queue.next(t).Body))
 	sendReply(second, "zz", "data", "-", "unrequested\n")
-	assert.Eventually(t, func() bool { return client.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return client.StrayReplies.Load() == 2 }, 3*time.Second, time.Millisecond)
 	assert.Empty(t, queue)
 	assert.Empty(t, fake.received)
 }
@@ -395,7 +395,7 @@
 		return len(client.connections) == 0 && len(client.executors[51].conns) == 0
 	}, 3*time.Second, time.Millisecond)
 	assert.GreaterOrEqual(t, len(queue), 25+50, "each uncancelled attempt and each health check has an end event")
-	assert.Zero(t, client.budget.Held())
+	assert.Zero(t, client.budget.Reserved())
 }
 
 // A held attempt must not be sent before Release, even if its connection is established, and never if it is cancelled
--- a/internal/resp/conn.go
+++ b/internal/resp/conn.go
@@ -45,7 +45,7 @@
 		client.DialFailures.Add(1)
 		outcome := scheduler.ConnectFailed
 		if netconn.IsLocal(err) {
-			client.LocalFailures.Add(1)
+			client.LocalDialFailures.Add(1)
 			outcome = scheduler.LocalFailure
 		}
 		c.remove(outcome)
@@ -54,7 +54,7 @@
 	c.onConnected(socket)
 	err = c.readReplies(bufio.NewReaderSize(&c.Conn, answerBufferBytes))
 	if errors.Is(err, netconn.ErrMalformed) {
-		client.Malformed.Add(1)
+		client.MalformedReplies.Add(1)
 		client.log.WithFields(logrus.Fields{"executor": c.executor.name, "error": err}).Warn("executor: malformed reply")
 	}
 	c.Close()
--- a/internal/resp/pages.go
+++ b/internal/resp/pages.go
@@ -46,7 +46,7 @@
 		next.drain()
 		return false
 	}
-	client.Resumed.Add(1)
+	client.ResumedAnswers.Add(1)
 	return true
 }
 
--- a/internal/resp/races_test.go
+++ b/internal/resp/races_test.go
@@ -81,7 +81,7 @@
 		second := fake.nextConn(t) // the id is excluded from the first connection
 		sendReply(first, "a", word, "-", "")
 		sendReply(first, "a", word, "-", "")
-		assert.Eventually(t, func() bool { return client.Strays.Load() == 2 }, 3*time.Second, time.Millisecond)
+		assert.Eventually(t, func() bool { return client.StrayReplies.Load() == 2 }, 3*time.Second, time.Millisecond)
 		sendReply(second, "a", "data", "-", "x\ty\tz\n")
 		item := queue.next(t)
 		assert.Equal(t, []any{scheduler.Succeeded, 1}, []any{item.Event.Outcome, item.Event.Attempt}, word)
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -47,7 +47,7 @@
 	}
 	a := c.openAttempts[id]
 	if a == nil {
-		client.Strays.Add(1)
+		client.StrayReplies.Add(1)
 		return item, false, nil
 	}
 	if c.replies == a.repliesBefore+1 {
@@ -64,7 +64,7 @@
 		if a.pages == nil {
 			return c.beginAnswer(a, fields, body)
 		}
-		client.Strays.Add(1) // duplicate of the first page
+		client.StrayReplies.Add(1) // duplicate of the first page
 		return item, false, nil
 	case "page":
 		return c.handlePage(a, fields.pageIndex, body)
@@ -76,12 +76,12 @@
 func (c *executorConn) handlePage(a *attempt, page int, body []byte) (item dispatch.QueueItem, ok bool, err error) {
 	switch {
 	case a.pages == nil: // no page was requested
-		c.client.Strays.Add(1)
+		c.client.StrayReplies.Add(1)
 		return item, false, nil
 	case page < 1 || page >= len(a.pages):
 		return item, false, a.unexpectedReply("page")
 	case a.pages[page] != nil: // duplicate
-		c.client.Strays.Add(1)
+		c.client.StrayReplies.Add(1)
 		return item, false, nil
 	}
 	return c.addPage(a, page, body)
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -37,7 +37,7 @@
 		c.log.WithField("error", err).Error("reload: not read, the old configuration stays in force")
 		return false
 	}
-	c.discovery.Follow(next.DiscoveryAddress)
+	c.discovery.SetAddress(next.DiscoveryAddress)
 	needsRestart := append(c.config.changedFields(next), applyExtensions()...)
 	c.log.WithFields(logrus.Fields{
 		"changelog":     next.DiscoveryAddress,
