--- a/internal/quota/caps.go
+++ b/internal/quota/caps.go
@@ -1,22 +1,22 @@
 package quota
 
 const (
-	shortBelow       = 0.9  // of its fair share below which a team that waits is short
-	capDelayMS       = 200  // that a team must be short until others are capped
-	uncapDelayMS     = 500  // that no team must be short until caps are lifted
-	requestChangeMS  = 1000 // between two changes of one request: each is a message to its executor
-	changeIntervalMS = 20   // between changes of all requests together
-	changeBurstMS    = 200  // of those intervals that may be used at once
-	cappedPriority   = 500
+	underservedFactor       = 0.9  // a waiting team below this multiple of its fair share is underserved
+	capDelayMS              = 200  // time a team must have been underserved before priorities are capped
+	uncapDelayMS            = 500  // time without an underserved team before the caps are lifted
+	requestChangeIntervalMS = 1000 // between two changes of one request: each change is a message to its executor
+	changeIntervalMS        = 20   // average interval between changes of all requests together
+	changeBurstMS           = 200  // unused change intervals that may be made up for at once
+	cappedPriority          = 500
 )
 
-// capState is whether the priority of a request is capped.
+// capState says whether the priority of a request is capped.
 type capState uint8
 
 const (
 	uncapped capState = iota
 	capped
-	neverCapped // it holds its table group, and would hold it longer
+	neverCapped // the request holds its table group, and a cap would make it hold the group longer
 )
 
 // String returns the name of the state.
@@ -24,70 +24,73 @@
 	return [...]string{uncapped: "uncapped", capped: "capped", neverCapped: "never capped"}[c]
 }
 
-// capInput is what was observed of the teams.
+// capInput is an observation that changes cap states.
 type capInput uint8
 
 const (
-	teamShort   capInput = iota // a team that waits has been short for long enough
-	noTeamShort                 // none has been for long enough
+	teamUnderserved   capInput = iota // a waiting team has been underserved for capDelayMS
+	noTeamUnderserved                 // no team has been underserved for uncapDelayMS
 )
 
-// capTransitions tells what becomes of a running request of a team over its fair share, or of one that is capped.
+// capTransitions is the state machine of priority caps. It applies to the running requests of teams over their fair
+// share, and to requests that are capped.
 var capTransitions = []struct {
 	from  capState
 	input capInput
 	to    capState
 }{
-	{uncapped, teamShort, capped},
-	{capped, noTeamShort, uncapped},
+	{uncapped, teamUnderserved, capped},
+	{capped, noTeamUnderserved, uncapped},
 }
 
-func nextCap(from capState, input capInput) (to capState, ok bool) {
-	for _, t := range capTransitions {
-		if t.from == from && t.input == input {
-			return t.to, true
+func nextCapState(from capState, input capInput) (to capState, ok bool) {
+	for _, transition := range capTransitions {
+		if transition.from == from && transition.input == input {
+			return transition.to, true
 		}
 	}
 	return from, false
 }
 
-// adjustCaps looks whether a team that waits is short of its fair share, and then caps the priorities of what runs for teams over
-// theirs, the latest first, until that makes up for their excess. It lifts the caps when no team has been short for a while.
+// adjustCaps caps the priorities of running requests of teams over their fair share while a waiting team is
+// underserved, the latest request first, until the capped requests make up for their team's excess. It lifts the
+// caps when no team has been underserved for uncapDelayMS.
 func (t *Tree) adjustCaps() {
-	short := t.anyShort()
+	underserved := t.anyTeamUnderserved()
 	switch {
-	case short && t.shortAt == 0:
-		t.shortAt, t.calmAt = t.now, 0
-	case !short && t.calmAt == 0:
-		t.shortAt, t.calmAt = 0, t.now
+	case underserved && t.underservedSince == 0:
+		t.underservedSince, t.satisfiedSince = t.now, 0
+	case !underserved && t.satisfiedSince == 0:
+		t.underservedSince, t.satisfiedSince = 0, t.now
 	}
 	switch {
-	case t.shortAt > 0 && t.now-t.shortAt >= capDelayMS:
-		t.applyCaps(teamShort)
-	case t.calmAt > 0 && t.now-t.calmAt >= uncapDelayMS && t.anyCapped:
-		t.applyCaps(noTeamShort)
+	case t.underservedSince > 0 && t.now-t.underservedSince >= capDelayMS:
+		t.applyCaps(teamUnderserved)
+	case t.satisfiedSince > 0 && t.now-t.satisfiedSince >= uncapDelayMS && t.anyCapped:
+		t.applyCaps(noTeamUnderserved)
 	}
 }
 
-// anyShort tells whether a team that waits, and is not held by a limit of its own, is short of its fair share.
-func (t *Tree) anyShort() bool {
+// anyTeamUnderserved reports whether a team with waiting requests is underserved. Teams held back by their own
+// limits do not count.
+func (t *Tree) anyTeamUnderserved() bool {
 	for i := 1; i < len(t.nodes); i++ {
-		n := &t.nodes[i]
-		waits := len(n.children) == 0 && n.queued > 0 && n.blocked == notBlocked
-		if waits && n.threads < shortBelow*t.fairThreads(n) {
+		node := &t.nodes[i]
+		waits := len(node.children) == 0 && node.queued > 0 && node.blocked == notBlocked
+		if waits && node.threads < underservedFactor*t.fairThreads(node) {
 			return true
 		}
 	}
 	return false
 }
 
-// excessThreads returns the threads of teams over their fair share that caps are to make up for.
+// excessThreads returns, by leaf, the threads above the fair share of each team over its share.
 func (t *Tree) excessThreads() map[int32]float64 {
 	excess := map[int32]float64{}
 	for i := 1; i < len(t.nodes); i++ {
-		n := &t.nodes[i]
-		if fair := t.fairThreads(n); len(n.children) == 0 && n.threads > overAbove*fair {
-			excess[int32(i)] = n.threads - fair
+		node := &t.nodes[i]
+		if fair := t.fairThreads(node); len(node.children) == 0 && node.threads > overShareFactor*fair {
+			excess[int32(i)] = node.threads - fair
 		}
 	}
 	return excess
@@ -96,57 +99,57 @@
 // applyCaps caps or uncaps running requests, the latest first.
 func (t *Tree) applyCaps(input capInput) {
 	excess := map[int32]float64{}
-	if input == teamShort {
+	if input == teamUnderserved {
 		excess = t.excessThreads()
 	}
 	postponed := false
-	for p := t.running.last; p != none; p = t.slab.at(p).links[listRunning].prev {
-		r := t.slab.at(p)
-		class := &t.classes[r.class]
+	for index := t.running.last; index != none; index = t.slab.at(index).links[listRunning].prev {
+		req := t.slab.at(index)
+		class := &t.classes[req.class]
 		if class.holdsTableGroup {
-			r.cap = neverCapped
+			req.capState = neverCapped
 		}
-		if input == teamShort && r.cap == capped {
-			excess[r.leaf] -= class.threads
+		if input == teamUnderserved && req.capState == capped {
+			excess[req.leaf] -= class.threads
 		}
-		if input == teamShort && r.cap == uncapped && excess[r.leaf] < class.threads {
+		if input == teamUnderserved && req.capState == uncapped && excess[req.leaf] < class.threads {
 			continue
 		}
-		to, ok := nextCap(r.cap, input)
+		to, ok := nextCapState(req.capState, input)
 		if !ok {
 			continue
 		}
-		if !t.mayChangeCap(r) {
+		if !t.mayChangeCap(req) {
 			postponed = true
 			continue
 		}
-		excess[r.leaf] -= class.threads
-		t.setCap(r, to)
+		excess[req.leaf] -= class.threads
+		t.setCap(req, to)
 	}
-	if input == noTeamShort {
+	if input == noTeamUnderserved {
 		t.anyCapped = postponed
 	}
 }
 
-// mayChangeCap tells whether a request may be changed now, as changes are limited.
-func (t *Tree) mayChangeCap(r *request) bool {
-	if t.now-r.capChangedAt < requestChangeMS {
+// mayChangeCap reports whether the rate limits allow a change of the request's cap now.
+func (t *Tree) mayChangeCap(req *request) bool {
+	if t.now-req.capChangedAt < requestChangeIntervalMS {
 		return false
 	}
 	return t.now-t.lastChangeAt >= changeIntervalMS || t.lastChangeAt <= 0
 }
 
-func (t *Tree) setCap(r *request, to capState) {
-	r.cap, r.capChangedAt = to, t.now
+func (t *Tree) setCap(req *request, to capState) {
+	req.capState, req.capChangedAt = to, t.now
 	t.lastChangeAt = max(t.lastChangeAt+changeIntervalMS, t.now-changeBurstMS)
 	if to == capped {
 		t.counts.Capped++
-		t.nodes[r.leaf].capped++
+		t.nodes[req.leaf].capped++
 		t.anyCapped = true
-		t.emit(Effect{Kind: CapPriority, ID: r.id, PriorityCap: cappedPriority, MemoryShare: overShareMemory})
+		t.emit(Effect{Kind: CapPriority, ID: req.id, PriorityCap: cappedPriority, MemoryShare: overShareMemory})
 		return
 	}
 	t.counts.Uncapped++
-	t.nodes[r.leaf].capped--
-	t.emit(Effect{Kind: UncapPriority, ID: r.id})
+	t.nodes[req.leaf].capped--
+	t.emit(Effect{Kind: UncapPriority, ID: req.id})
 }
--- a/internal/quota/heap.go
+++ b/internal/quota/heap.go
@@ -1,31 +1,32 @@
 package quota
 
-// heap holds children of a node in the order of their start times, the next first. Each child knows its place.
-type heap []int32
+// childHeap is a binary heap of a node's waiting children, the earliest start time first. node.heapPositions holds
+// the position of each child.
+type childHeap []int32
 
-func (h heap) set(t *Tree, class, place int, child int32) {
-	h[place] = child
-	t.nodes[child].heapPlaces[class] = int32(place) + 1
+func (h childHeap) set(t *Tree, class, position int, child int32) {
+	h[position] = child
+	t.nodes[child].heapPositions[class] = int32(position) + 1
 }
 
-func (h *heap) push(t *Tree, class int, child int32) {
+func (h *childHeap) push(t *Tree, class int, child int32) {
 	*h = append(*h, child)
 	h.set(t, class, len(*h)-1, child)
 	h.fix(t, class, int32(len(*h)-1))
 }
 
-// fix moves the child at a place to where it belongs.
-func (h heap) fix(t *Tree, class int, place int32) {
-	i, child := int(place), h[place]
-	for i > 0 && t.before(child, h[(i-1)/2]) {
+// fix restores the heap order after the start time of the child at a position has changed.
+func (h childHeap) fix(t *Tree, class int, position int32) {
+	i, child := int(position), h[position]
+	for i > 0 && t.startsBefore(child, h[(i-1)/2]) {
 		h.set(t, class, i, h[(i-1)/2])
 		i = (i - 1) / 2
 	}
 	for next := 2*i + 1; next < len(h); next = 2*i + 1 {
-		if next+1 < len(h) && t.before(h[next+1], h[next]) {
+		if next+1 < len(h) && t.startsBefore(h[next+1], h[next]) {
 			next++
 		}
-		if !t.before(h[next], child) {
+		if !t.startsBefore(h[next], child) {
 			break
 		}
 		h.set(t, class, i, h[next])
@@ -34,35 +35,36 @@
 	h.set(t, class, i, child)
 }
 
-func (h *heap) remove(t *Tree, class int, place int32) {
+func (h *childHeap) remove(t *Tree, class int, position int32) {
 	s := *h
-	t.nodes[s[place]].heapPlaces[class] = 0
+	t.nodes[s[position]].heapPositions[class] = 0
 	last := s[len(s)-1]
 	*h = s[:len(s)-1]
-	if int(place) < len(*h) {
-		h.set(t, class, int(place), last)
-		h.fix(t, class, place)
+	if int(position) < len(*h) {
+		h.set(t, class, int(position), last)
+		h.fix(t, class, position)
 	}
 }
 
-// deadlineHeap holds the times at which requests can wait no longer, the earliest first. One of a request that is gone stays in it
-// until its time.
+// deadlineHeap is a binary heap of the times at which waiting requests must be offered, the earliest first. The
+// entry of a request that is closed or offered earlier stays until its time and is then dropped.
 type deadlineHeap []deadline
 
+// deadline is the time at which the request at an index of the slab must be offered.
 type deadline struct {
 	at         float64
-	place      int32
-	generation uint32
+	index      int32
+	generation uint32 // of the request; the entry is stale if the slab has another generation at the index
 }
 
-func (h *deadlineHeap) push(at float64, place int32, generation uint32) {
-	s := append(*h, deadline{at, place, generation})
+func (h *deadlineHeap) push(at float64, index int32, generation uint32) {
+	s := append(*h, deadline{at, index, generation})
 	i := len(s) - 1
 	for i > 0 && s[(i-1)/2].at > at {
 		s[i] = s[(i-1)/2]
 		i = (i - 1) / 2
 	}
-	s[i] = deadline{at, place, generation}
+	s[i] = deadline{at, index, generation}
 	*h = s
 }
 
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -10,45 +10,53 @@
 	"liftshift/scheduler"
 )
 
-// testSettings has three classes: look of one thread, report of two, load of two that holds its table group.
+// testSettings returns settings with three request classes: look takes one thread, report and load take two, and
+// load holds its table group. An ageMS of 0 is the default.
 func testSettings(ageMS float64) Settings {
 	s := DefaultSettings()
 	if ageMS > 0 {
 		s.AgeMS = ageMS
 	}
-	s.Classes = []scheduler.RequestClass{{Name: "look", Threads: 1}, {Name: "report", Threads: 2}, {Name: "load", Threads: 2, HoldsTableGroup: true}}
+	s.Classes = []scheduler.RequestClass{
+		{Name: "look", Threads: 1},
+		{Name: "report", Threads: 2},
+		{Name: "load", Threads: 2, HoldsTableGroup: true},
+	}
 	return s
 }
 
-// simulation is a tree before executors of so many threads, which run what is offered in the order of offers while there are threads. It
-// plays the scheduler, which holds back what can't run.
+// simulation runs a tree with a simulated scheduler and executors. The scheduler sends offered requests in the order
+// of their offers as threads become free, and holds the others back.
 type simulation struct {
 	*Tree
-	t            require.TestingT
-	now          float64
-	threads      float64 // free
-	classThreads map[string]float64
-	offers       []simOffer // the module's
-	runs         []simRun
-	done         map[string]float64 // work by team
-	waits        map[string][]float64
-	late         map[string]int // by team: requests whose deadline had passed
-	caps         map[string]int
-	requests     map[string]simRequest
-	count        int
-	slowdown     float64
+	t                require.TestingT
+	now              float64
+	freeThreads      float64
+	freeClassThreads map[string]float64 // by class; nil: only freeThreads limits a class
+	offers           []simOffer         // offered and not sent
+	runs             []simRun
+	doneWork         map[string]float64   // by team, in ms of one thread
+	waits            map[string][]float64 // by team, from arrival to start
+	late             map[string]int       // by team: requests rejected because they could not meet their deadline
+	caps             map[string]int       // by request: 1 while its priority is capped, otherwise 0
+	requests         map[string]simRequest
+	count            int     // requests submitted
+	slowdown         float64 // factor on the duration of every run
 }
 
+// simOffer is a request that waits at the simulated scheduler.
 type simOffer struct {
 	id        string
 	immediate bool
 }
 
+// simRun is a request that runs on a simulated executor.
 type simRun struct {
 	id  string
 	end float64
 }
 
+// simRequest is a request as it was submitted.
 type simRequest struct {
 	team, class string
 	work, at    float64
@@ -58,118 +66,139 @@
 func newSimulation(t require.TestingT, threads float64, teams []Team, ageMS float64) *simulation {
 	tree, err := New(teams, "other", testSettings(ageMS))
 	require.NoError(t, err)
-	w := &simulation{Tree: tree, t: t, now: 1000, threads: threads, done: map[string]float64{}, waits: map[string][]float64{},
-		late: map[string]int{}, caps: map[string]int{}, requests: map[string]simRequest{}, slowdown: 1}
-	w.play(&Event{Kind: CapacityChanged, Cores: threads / threadsPerCore})
-	return w
+	s := &simulation{
+		Tree:        tree,
+		t:           t,
+		now:         1000,
+		freeThreads: threads,
+		doneWork:    map[string]float64{},
+		waits:       map[string][]float64{},
+		late:        map[string]int{},
+		caps:        map[string]int{},
+		requests:    map[string]simRequest{},
+		slowdown:    1,
+	}
+	s.step(&Event{Kind: CapacityChanged, Cores: threads / threadsPerCore})
+	return s
 }
 
-var threadsOf = map[string]float64{"look": 1, "report": 2, "load": 2}
+// threadsByClass are the threads of each class in testSettings.
+var threadsByClass = map[string]float64{"look": 1, "report": 2, "load": 2}
 
-func (w *simulation) play(ev *Event) {
-	for _, e := range w.Step(w.now, ev) {
-		switch e.Kind {
+// step passes an event to the tree and carries out its effects.
+func (s *simulation) step(event *Event) {
+	for _, effect := range s.Step(s.now, event) {
+		switch effect.Kind {
 		case Offer:
-			w.offers = append(w.offers, simOffer{e.ID, e.Immediate})
+			s.offers = append(s.offers, simOffer{effect.ID, effect.Immediate})
 		case CapPriority:
-			w.caps[e.ID]++
+			s.caps[effect.ID]++
 		case UncapPriority:
-			w.caps[e.ID]--
+			s.caps[effect.ID]--
 		}
 	}
 }
 
-// submit enqueues a request of a team; the estimate may be wrong.
-func (w *simulation) submit(team, class string, work, estimate, deadline float64) string {
-	w.count++
-	id := fmt.Sprint(team, "-", w.count)
-	w.requests[id] = simRequest{team, class, work, w.now, deadline}
-	w.play(&Event{Kind: RequestQueued, ID: id, Team: team, Class: class, WorkMS: estimate, MemoryMB: 10, Deadline: deadline})
-	w.run()
+// submit queues a request of a team and returns its id. The estimate may differ from the actual work.
+func (s *simulation) submit(team, class string, work, estimate, deadline float64) string {
+	s.count++
+	id := fmt.Sprint(team, "-", s.count)
+	s.requests[id] = simRequest{team, class, work, s.now, deadline}
+	s.step(&Event{
+		Kind:     RequestQueued,
+		ID:       id,
+		Team:     team,
+		Class:    class,
+		WorkMS:   estimate,
+		MemoryMB: 10,
+		Deadline: deadline,
+	})
+	s.dispatch()
 	return id
 }
 
-// run runs what is at the scheduler, as far as threads go, and rejects what is too late.
-func (w *simulation) run() {
-	for k := 0; k < len(w.offers); k++ {
-		id := w.offers[k].id
-		a := w.requests[id]
-		need := threadsOf[a.class]
+// dispatch sends the offered requests for which threads are free, and rejects those that can't meet their deadline.
+func (s *simulation) dispatch() {
+	for k := 0; k < len(s.offers); k++ {
+		id := s.offers[k].id
+		req := s.requests[id]
+		need := threadsByClass[req.class]
 		switch {
-		case w.now+a.work/need > a.deadline:
-			w.late[a.team]++
-			w.offers = append(w.offers[:k], w.offers[k+1:]...)
-			w.play(&Event{Kind: RequestClosed, ID: id})
+		case s.now+req.work/need > req.deadline:
+			s.late[req.team]++
+			s.offers = append(s.offers[:k], s.offers[k+1:]...)
+			s.step(&Event{Kind: RequestClosed, ID: id})
 			k = -1
-		case w.threads >= need && (w.classThreads == nil || w.classThreads[a.class] >= need):
-			w.threads -= need
-			if w.classThreads != nil {
-				w.classThreads[a.class] -= need
+		case s.freeThreads >= need && (s.freeClassThreads == nil || s.freeClassThreads[req.class] >= need):
+			s.freeThreads -= need
+			if s.freeClassThreads != nil {
+				s.freeClassThreads[req.class] -= need
 			}
-			w.waits[a.team] = append(w.waits[a.team], w.now-a.at)
-			w.runs = append(w.runs, simRun{id, w.now + a.work/need*w.slowdown})
-			w.offers = append(w.offers[:k], w.offers[k+1:]...)
-			w.play(&Event{Kind: AttemptStarted, ID: id})
+			s.waits[req.team] = append(s.waits[req.team], s.now-req.at)
+			s.runs = append(s.runs, simRun{id, s.now + req.work/need*s.slowdown})
+			s.offers = append(s.offers[:k], s.offers[k+1:]...)
+			s.step(&Event{Kind: AttemptStarted, ID: id})
 			k = -1
-		case w.offers[k].immediate:
-			w.offers = append(w.offers[:k], w.offers[k+1:]...)
-			w.play(&Event{Kind: RequestReturned, ID: id})
+		case s.offers[k].immediate:
+			s.offers = append(s.offers[:k], s.offers[k+1:]...)
+			s.step(&Event{Kind: RequestReturned, ID: id})
 			k--
 		}
 	}
 }
 
-// advance plays time up to a clock, in steps of 10 ms; each step calls arrivals.
-func (w *simulation) advance(clock float64, arrivals func()) {
-	for w.now < clock {
-		w.now += 10
+// advance runs the simulation until the given time in steps of 10 ms and calls arrivals, unless nil, in each step.
+func (s *simulation) advance(until float64, arrivals func()) {
+	for s.now < until {
+		s.now += 10
 		if arrivals != nil {
 			arrivals()
 		}
-		for k := 0; k < len(w.runs); k++ {
-			if r := w.runs[k]; r.end <= w.now {
-				a := w.requests[r.id]
-				w.done[a.team] += a.work
-				w.threads += threadsOf[a.class]
-				if w.classThreads != nil {
-					w.classThreads[a.class] += threadsOf[a.class]
+		for k := 0; k < len(s.runs); k++ {
+			if run := s.runs[k]; run.end <= s.now {
+				req := s.requests[run.id]
+				s.doneWork[req.team] += req.work
+				s.freeThreads += threadsByClass[req.class]
+				if s.freeClassThreads != nil {
+					s.freeClassThreads[req.class] += threadsByClass[req.class]
 				}
-				w.runs = append(w.runs[:k], w.runs[k+1:]...)
-				w.play(&Event{Kind: AttemptEnded, ID: r.id})
-				w.play(&Event{Kind: RequestClosed, ID: r.id})
+				s.runs = append(s.runs[:k], s.runs[k+1:]...)
+				s.step(&Event{Kind: AttemptEnded, ID: run.id})
+				s.step(&Event{Kind: RequestClosed, ID: run.id})
 				k--
 			}
 		}
-		if math.Mod(w.now, 100) == 0 {
-			w.play(&Event{Kind: Ticked})
+		if math.Mod(s.now, 100) == 0 {
+			s.step(&Event{Kind: Ticked})
 		}
-		w.run()
+		s.dispatch()
 	}
 }
 
-// saturate keeps a team's queue at a length.
-func (w *simulation) saturate(team, class string, n int, work, estimate float64) {
-	for w.nodes[w.byName[team]].queued < n {
-		w.submit(team, class, work, estimate, w.now+1e6)
+// saturate submits requests until n of the team are queued.
+func (s *simulation) saturate(team, class string, n int, work, estimate float64) {
+	for s.nodes[s.byName[team]].queued < n {
+		s.submit(team, class, work, estimate, s.now+1e6)
 	}
 }
 
-func (w *simulation) share(team string) float64 {
-	all := 0.0
-	for _, x := range w.done {
-		all += x
+// workShare returns the team's fraction of the work done since doneWork was last cleared.
+func (s *simulation) workShare(team string) float64 {
+	total := 0.0
+	for _, work := range s.doneWork {
+		total += work
 	}
-	return w.done[team] / all
+	return s.doneWork[team] / total
 }
 
 func longest(waits []float64) (most float64) {
-	for _, x := range waits {
-		most = max(most, x)
+	for _, wait := range waits {
+		most = max(most, wait)
 	}
 	return most
 }
 
-// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
+// Unless the command line overrides them, property tests use a fixed seed and write no failure files.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/quota/node.go
+++ b/internal/quota/node.go
@@ -1,6 +1,6 @@
 package quota
 
-// blockReason is why a node's requests may not be offered.
+// blockReason is the limit that keeps a node's requests from being offered.
 type blockReason uint8
 
 const (
@@ -11,47 +11,54 @@
 	ceilingLimit
 )
 
-// blockNames are shown by the control socket.
-var blockNames = [...]string{notBlocked: "", inFlightLimit: "the limit of requests in flight", threadLimit: "the limit of threads",
-	memoryLimit: "the limit of memory", ceilingLimit: "the ceiling"}
+// blockNames are the texts that the control socket shows.
+var blockNames = [...]string{
+	notBlocked:    "",
+	inFlightLimit: "the limit of requests in flight",
+	threadLimit:   "the limit of threads",
+	memoryLimit:   "the limit of memory",
+	ceilingLimit:  "the ceiling",
+}
 
 // String returns the reason as it is shown to operators, empty for none.
 func (b blockReason) String() string { return blockNames[b] }
 
-// node is the quota of one team. Siblings are ordered by start time: the virtual time at which a node's next request would begin if
-// each sibling had its share to itself. A node that was idle comes back at the present virtual time: nothing is saved up.
+// node is a team in the quota tree. Siblings are served in the order of their start times, as in start-time fair
+// queueing: the start time is the virtual time at which the node's next request would begin if the node received
+// exactly its share. A node that was idle resumes at its parent's current virtual time, so that an idle team
+// accumulates no credit.
 type node struct {
 	team              Team
-	index             int32
-	parent            int32
+	index             int32 // in Tree.nodes
+	parent            int32 // index in Tree.nodes; -1 for the root
 	children          []int32
-	share, totalShare float64 // of the parent's, of the installation's
+	share, totalShare float64 // fraction of the parent, and of the installation
 	startTime         float64
-	virtualTime       float64   // of its children
-	waitingChildren   []heap    // by class: the children that wait, by start time
-	heapPlaces        []int32   // by class: its place + 1 in its parent's heap
-	queues            []list    // by class: the requests of a leaf
-	ratios            []float64 // by class: of what requests took to their estimates; 0: not known
+	virtualTime       float64       // the clock of its children's start times
+	waitingChildren   []childHeap   // by class: unblocked children with waiting requests
+	heapPositions     []int32       // by class: position in the parent's heap plus 1; 0: not in it
+	queues            []requestList // by class: the waiting requests of a leaf
+	costRatios        []float64     // by class: moving average of work over estimate; 0: unknown
 	queued, inFlight  int
 	threads           float64
 	memoryMB          float64
-	workMS            float64 // done so far, of one thread
-	enqueuedMS        float64 // work that has entered a leaf's queues
-	dequeuedMS        float64 // and left them
+	workMS            float64 // work of closed requests in ms of one thread
+	enqueuedMS        float64 // expected work of all requests that have entered a leaf's queues
+	dequeuedMS        float64 // expected work of all requests that have left a leaf's queues
 	blocked           blockReason
-	tokens            float64 // of its ceiling, ms of one thread
-	refilledAt        float64
-	throttled         bool // it is in Tree.throttled
-	capped            int  // requests
+	tokens            float64 // token bucket of the ceiling in ms of one thread
+	refilledAt        float64 // time of the last refill of tokens; 0: never
+	throttled         bool    // it is listed in Tree.throttled
+	capped            int     // requests whose priority is capped
 }
 
 func (n *node) init(classes int) {
-	n.waitingChildren = make([]heap, classes)
-	n.heapPlaces = make([]int32, classes)
-	n.queues = make([]list, classes)
-	n.ratios = make([]float64, classes)
+	n.waitingChildren = make([]childHeap, classes)
+	n.heapPositions = make([]int32, classes)
+	n.queues = make([]requestList, classes)
+	n.costRatios = make([]float64, classes)
 	for i := range n.queues {
-		n.queues[i] = empty
+		n.queues[i] = emptyList
 	}
 }
 
@@ -62,15 +69,15 @@
 	return 1
 }
 
-// hasCeiling tells whether the node has a ceiling below the whole installation.
+// hasCeiling reports whether the node has a ceiling below the whole installation.
 func (n *node) hasCeiling() bool { return n.team.Ceiling > 0 && n.team.Ceiling < 1 }
 
-// ceilingThreads is what a node's ceiling allows, in threads.
+// ceilingThreads returns the threads that this controller may use under the node's ceiling.
 func (n *node) ceilingThreads(t *Tree) float64 {
 	return n.team.Ceiling * t.totalThreads * t.ceilingShare
 }
 
-// refill adds the tokens of the time since the last refill, up to a burst.
+// refill adds the tokens earned since the last refill, up to the size of the burst.
 func (n *node) refill(t *Tree) {
 	burst := n.team.BurstMS
 	if burst <= 0 {
@@ -85,50 +92,50 @@
 	n.refilledAt = t.now
 }
 
-// charge charges work to a leaf and all nodes above it. Work that is given back is below 0.
+// charge charges work to a leaf and its ancestors. Negative work is a refund.
 func (t *Tree) charge(leaf int32, workMS float64) {
 	if workMS == 0 {
 		return
 	}
 	for i := leaf; i > 0; i = t.nodes[i].parent {
-		n := &t.nodes[i]
-		parent := &t.nodes[n.parent]
+		node := &t.nodes[i]
+		parent := &t.nodes[node.parent]
 		if workMS > 0 {
-			parent.virtualTime = max(parent.virtualTime, n.startTime)
+			parent.virtualTime = max(parent.virtualTime, node.startTime)
 		}
-		n.startTime += workMS / n.share
-		for class, place := range n.heapPlaces {
-			if place != 0 {
-				parent.waitingChildren[class].fix(t, class, place-1)
+		node.startTime += workMS / node.share
+		for class, position := range node.heapPositions {
+			if position != 0 {
+				parent.waitingChildren[class].fix(t, class, position-1)
 			}
 		}
-		if n.hasCeiling() {
-			n.refill(t)
-			n.tokens -= workMS
+		if node.hasCeiling() {
+			node.refill(t)
+			node.tokens -= workMS
 			t.updateBlocked(i)
 		}
 	}
 }
 
-// updateBlocked blocks a node that is at a limit, and opens one that no longer is.
+// updateBlocked blocks a node that has reached a limit, and unblocks it once it is below all of them.
 func (t *Tree) updateBlocked(i int32) {
-	n := &t.nodes[i]
-	before := n.blocked
-	n.blocked = n.limitReached()
-	if n.blocked == ceilingLimit && !n.throttled {
-		n.throttled = true
+	node := &t.nodes[i]
+	before := node.blocked
+	node.blocked = node.limitReached()
+	if node.blocked == ceilingLimit && !node.throttled {
+		node.throttled = true
 		t.throttled = append(t.throttled, i)
 	}
 	for class := range t.classes {
-		if before == notBlocked && n.blocked != notBlocked {
+		if before == notBlocked && node.blocked != notBlocked {
 			t.deactivate(i, class)
-		} else if before != notBlocked && n.blocked == notBlocked && t.hasWaiting(i, class) {
+		} else if before != notBlocked && node.blocked == notBlocked && t.hasWaiting(i, class) {
 			t.activate(i, class)
 		}
 	}
 }
 
-// limitReached returns the limit that a node is at.
+// limitReached returns the first limit that the node has reached.
 func (n *node) limitReached() blockReason {
 	switch {
 	case n.team.MaxInFlight > 0 && n.inFlight >= n.team.MaxInFlight:
@@ -144,59 +151,65 @@
 	}
 }
 
-// hasWaiting tells whether anything under a node waits that its children's limits let through.
+// hasWaiting reports whether requests of a class wait under a node, apart from those that limits of its descendants
+// block.
 func (t *Tree) hasWaiting(i int32, class int) bool {
-	n := &t.nodes[i]
-	if len(n.children) > 0 {
-		return len(n.waitingChildren[class]) > 0
+	node := &t.nodes[i]
+	if len(node.children) > 0 {
+		return len(node.waitingChildren[class]) > 0
 	}
-	return n.queues[class].first != none
+	return node.queues[class].first != none
 }
 
-// activate puts a node among its parent's waiting children, and so on up.
+// activate adds a node to its parent's waiting children, and likewise its ancestors, up to the first that is blocked
+// or already waits.
 func (t *Tree) activate(i int32, class int) {
 	for i > 0 {
-		n := &t.nodes[i]
-		if n.blocked != notBlocked || n.heapPlaces[class] != 0 {
+		node := &t.nodes[i]
+		if node.blocked != notBlocked || node.heapPositions[class] != 0 {
 			return
 		}
-		parent := &t.nodes[n.parent]
-		if !n.active() {
-			n.startTime = max(n.startTime, parent.virtualTime)
+		parent := &t.nodes[node.parent]
+		if !node.active() {
+			node.startTime = max(node.startTime, parent.virtualTime)
 		}
 		parent.waitingChildren[class].push(t, class, i)
-		i = n.parent
+		i = node.parent
 	}
 }
 
+// active reports whether the node is among its parent's waiting children for any class.
 func (n *node) active() bool {
-	for _, place := range n.heapPlaces {
-		if place != 0 {
+	for _, position := range n.heapPositions {
+		if position != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// deactivate takes a node out of its parent's waiting children, and the parent too where none is left.
+// deactivate removes a node from its parent's waiting children, and the parent likewise if no waiting child is left.
 func (t *Tree) deactivate(i int32, class int) {
 	for i > 0 {
-		n := &t.nodes[i]
-		if n.heapPlaces[class] == 0 {
+		node := &t.nodes[i]
+		if node.heapPositions[class] == 0 {
 			return
 		}
-		waiting := &t.nodes[n.parent].waitingChildren[class]
-		waiting.remove(t, class, n.heapPlaces[class]-1)
+		waiting := &t.nodes[node.parent].waitingChildren[class]
+		waiting.remove(t, class, node.heapPositions[class]-1)
 		if len(*waiting) > 0 {
 			return
 		}
-		i = n.parent
+		i = node.parent
 	}
 }
 
-// pick returns the request that is next by the fair order, of one class or, below 0, of all; none where there is none, or where it
-// is being tried.
-func (t *Tree) pick(class int) int32 {
+// allClasses has nextInFairOrder consider the requests of every class.
+const allClasses = -1
+
+// nextInFairOrder returns the next request of a class, or of allClasses, by the fair order. It returns none if no
+// unblocked request waits, or if an immediate offer of the next one has not been answered.
+func (t *Tree) nextInFairOrder(class int) int32 {
 	from, to := 0, len(t.classes)
 	if class >= 0 {
 		from, to = class, class+1
@@ -211,29 +224,31 @@
 	}
 	oldest := none
 	for _, queue := range t.nodes[i].queues[from:to] {
-		if p := queue.first; p != none && (oldest == none || t.slab.at(p).queuedAt < t.slab.at(oldest).queuedAt) {
-			oldest = p
+		first := queue.first
+		if first != none && (oldest == none || t.slab.at(first).queuedAt < t.slab.at(oldest).queuedAt) {
+			oldest = first
 		}
 	}
-	if oldest != none && t.slab.at(oldest).trying {
+	if oldest != none && t.slab.at(oldest).immediatePending {
 		return none
 	}
 	return oldest
 }
 
-// nextChild returns the waiting child of a node that is next, among some classes; none where there is none.
+// nextChild returns the waiting child of a node with the earliest start time, among the classes from up to but not
+// including to. It returns none if no child waits.
 func (t *Tree) nextChild(i int32, from, to int) int32 {
 	next := none
-	for _, h := range t.nodes[i].waitingChildren[from:to] {
-		if len(h) > 0 && (next == none || t.before(h[0], next)) {
-			next = h[0]
+	for _, heap := range t.nodes[i].waitingChildren[from:to] {
+		if len(heap) > 0 && (next == none || t.startsBefore(heap[0], next)) {
+			next = heap[0]
 		}
 	}
 	return next
 }
 
-// before is the order among siblings.
-func (t *Tree) before(a, b int32) bool {
-	m, n := &t.nodes[a], &t.nodes[b]
-	return m.startTime < n.startTime || m.startTime == n.startTime && a < b
+// startsBefore reports whether sibling a comes before sibling b: by start time, then by index.
+func (t *Tree) startsBefore(a, b int32) bool {
+	nodeA, nodeB := &t.nodes[a], &t.nodes[b]
+	return nodeA.startTime < nodeB.startTime || nodeA.startTime == nodeB.startTime && a < b
 }
--- a/internal/quota/queue.go
+++ b/internal/quota/queue.go
@@ -1,50 +1,51 @@
 package quota
 
 const (
-	schedulerSlots   = 4  // requests that the scheduler has at hand and has not sent; it takes the next at each send
-	maxAtScheduler   = 16 // requests that wait at the scheduler, stuck ones included
-	stuckAfter       = 2  // later requests sent before one that waits at the scheduler counts as stuck and gives its slot to another
-	agedLookahead    = 16 // of the oldest requests that are looked at for one that may be offered
-	deadlineMarginMS = 25 // before its deadline by which the scheduler has answered a request
-	recentArrivalMS  = 1000
+	schedulerSlots   = 4    // requests from offerNext that the scheduler may hold unsent; each send frees a slot
+	maxAtScheduler   = 16   // a stuck request gives up its slot only while fewer requests wait at the scheduler
+	stuckAfter       = 2    // a request at the scheduler is stuck once this many later ones were sent before it
+	agedLookahead    = 16   // number of the oldest requests searched for one that may be offered
+	deadlineMarginMS = 25   // time that the scheduler needs to answer a request before its deadline
+	recentArrivalMS  = 1000 // time after an arrival during which its team counts as active
 
-	overShareStartPriority = 500 // of a request of a team over its share, while others are active
-	overShareMemory        = 0.7 // share of the memory asked for that it is granted
+	overShareStartPriority = 500 // priority cap of a request of a team over its share, while other teams are active
+	overShareMemory        = 0.7 // fraction of the requested memory that such a request is granted
 )
 
-// enqueue takes a request into its team's queue.
-func (t *Tree) enqueue(ev *Event) {
-	class := t.classIndex(ev.Class)
-	leaf := t.leafOf(ev.Team)
-	n := &t.nodes[leaf]
-	full := n.team.MaxQueued > 0 && n.queued >= n.team.MaxQueued
-	if class < 0 || t.shuttingDown || full || t.slab.find(ev.ID) != none { // nothing to order here: the scheduler decides
+// enqueue puts a request in its team's queue.
+func (t *Tree) enqueue(event *Event) {
+	class := t.classIndex(event.Class)
+	leaf := t.leafOf(event.Team)
+	node := &t.nodes[leaf]
+	full := node.team.MaxQueued > 0 && node.queued >= node.team.MaxQueued
+	if class < 0 || t.shuttingDown || full || t.slab.find(event.ID) != none { // cannot be queued: the scheduler decides
 		if full {
 			t.counts.Overflow++
 		}
-		t.emit(Effect{Kind: Offer, ID: ev.ID, QueueFull: full})
+		t.emit(Effect{Kind: Offer, ID: event.ID, QueueFull: full})
 		return
 	}
-	p := t.slab.add(ev.ID)
-	r := t.slab.at(p)
-	r.leaf, r.class = leaf, int16(class)
-	r.queuedAt, r.deadline = t.now, ev.Deadline
-	r.memoryMB = ev.MemoryMB
-	r.estimateMS = ev.WorkMS
-	r.costMS = t.expectedCost(n, class, ev.WorkMS)
-	t.noteArrival(leaf)
-	r.enqueuedBeforeMS = n.enqueuedMS
-	n.enqueuedMS += r.costMS
-	t.addWaiting(p)
-	if ev.Ordered && t.classes[class].inOrder {
-		t.offer(p, false)
+	index := t.slab.add(event.ID)
+	req := t.slab.at(index)
+	req.leaf, req.class = leaf, int16(class)
+	req.queuedAt, req.deadline = t.now, event.Deadline
+	req.memoryMB = event.MemoryMB
+	req.estimateMS = event.WorkMS
+	req.costMS = t.expectedCost(node, class, event.WorkMS)
+	t.recordArrival(leaf)
+	req.enqueuedBeforeMS = node.enqueuedMS
+	node.enqueuedMS += req.costMS
+	t.addWaiting(index)
+	if event.Ordered && t.classes[class].inOrder {
+		t.offer(index, false)
 		return
 	}
-	// Where it can't be done in time any more, it is offered whoever else waits, so that its answer comes at once.
-	t.deadlines.push(ev.Deadline-deadlineMarginMS-r.costMS/t.classes[class].threads, p, r.generation)
+	// Once the request can no longer finish in time, it is offered ahead of the others, so that it is answered at
+	// once.
+	t.deadlines.push(event.Deadline-deadlineMarginMS-req.costMS/t.classes[class].threads, index, req.generation)
 }
 
-// classIndex returns the index of a request class, -1 for an unknown one.
+// classIndex returns the index of a request class, or -1 for an unknown one.
 func (t *Tree) classIndex(name string) int {
 	found := -1
 	for i := range t.classes {
@@ -55,7 +56,8 @@
 	return found
 }
 
-// leafOf returns the node that takes the requests of a team, the default where there is none.
+// leafOf returns the node that queues the requests of a team: its own, or the default where the team is unknown or
+// has child teams.
 func (t *Tree) leafOf(team string) int32 {
 	leaf, known := t.byName[team]
 	if known && len(t.nodes[leaf].children) == 0 {
@@ -67,80 +69,84 @@
 	return t.defaultLeaf
 }
 
-// expectedCost is what a request will take, in ms of one thread: its estimate, corrected by what estimates of this team came to.
+// expectedCost returns the expected work of a request in ms of one thread: its estimate, corrected by how far the
+// earlier estimates of its team and class were off.
 func (t *Tree) expectedCost(n *node, class int, estimateMS float64) float64 {
 	if estimateMS <= 0 {
 		estimateMS = defaultWorkMS
 	}
-	if n.ratios[class] > 0 {
-		estimateMS *= n.ratios[class]
+	if n.costRatios[class] > 0 {
+		estimateMS *= n.costRatios[class]
 	}
 	return estimateMS
 }
 
-// offerNext offers whose turn it is while the scheduler has slots. Without one, what waits there may be waiting for few
-// executors: then a request of each class that has none there is tried, to be sent at once or not at all, so that it takes no slot from
-// others. A team over its share gets such a try only where all at the scheduler are stuck.
+// offerNext offers requests while the scheduler has free slots. With no slot left, the requests at the scheduler may
+// all be waiting for a few executors, so one request of each class that has none there is offered to be sent at once
+// or not at all; it takes no slot from others. A team over its share gets such an offer only if all requests that
+// hold a slot are stuck.
 func (t *Tree) offerNext() {
-	for t.queue.first != none && t.freeSlots > 0 {
-		p := t.next()
-		if p == none {
+	for t.waiting.first != none && t.freeSlots > 0 {
+		index := t.nextToOffer()
+		if index == none {
 			return
 		}
-		t.offer(p, true)
+		t.offer(index, true)
 	}
-	if t.queue.first == none {
+	if t.waiting.first == none {
 		return
 	}
 	for i := range t.classes {
 		class := &t.classes[i]
-		if class.atScheduler > 0 || class.trying {
+		if class.atScheduler > 0 || class.immediatePending {
 			continue
 		}
-		p := t.pick(i)
-		if p == none {
+		index := t.nextInFairOrder(i)
+		if index == none {
 			continue
 		}
-		r := t.slab.at(p)
-		if t.advancing == 0 || !t.overShare(r.leaf) {
-			class.trying, r.trying = true, true
-			t.emit(Effect{Kind: Offer, ID: r.id, Immediate: true})
+		req := t.slab.at(index)
+		if t.activeSlots == 0 || !t.isOverShare(req.leaf) {
+			class.immediatePending, req.immediatePending = true, true
+			t.emit(Effect{Kind: Offer, ID: req.id, Immediate: true})
 		}
 	}
 }
 
-// next returns the request that is to be offered now, or none.
-func (t *Tree) next() int32 {
-	if t.agedWorkMS > 0 {
-		if p := t.oldest(); p != none {
-			t.agedWorkMS -= t.slab.at(p).costMS
+// nextToOffer returns the request to offer now, or none.
+func (t *Tree) nextToOffer() int32 {
+	if t.agedCreditMS > 0 {
+		if index := t.oldestAged(); index != none {
+			t.agedCreditMS -= t.slab.at(index).costMS
 			t.counts.Aged++
-			return p
+			return index
 		}
 	}
-	return t.pick(-1)
+	return t.nextInFairOrder(allClasses)
 }
 
-// oldest returns the request that has waited longest past the age and may be offered, or none.
-func (t *Tree) oldest() int32 {
-	p := t.queue.first
+// oldestAged returns the oldest request that has waited at least ageMS and may be offered, or none.
+func (t *Tree) oldestAged() int32 {
+	index := t.waiting.first
 	for range agedLookahead {
-		if p == none || t.now-t.slab.at(p).queuedAt < t.ageMS {
+		if index == none || t.now-t.slab.at(index).queuedAt < t.ageMS {
 			return none
 		}
-		if t.mayOffer(p) {
-			return p
+		if t.mayOffer(index) {
+			return index
 		}
-		p = t.slab.at(p).links[listAll].next
+		index = t.slab.at(index).links[listWaiting].next
 	}
 	return none
 }
 
-func (t *Tree) mayOffer(p int32) bool { return !t.slab.at(p).trying && t.blockedBy(p) == "" }
+func (t *Tree) mayOffer(index int32) bool {
+	return !t.slab.at(index).immediatePending && t.blockedBy(index) == ""
+}
 
-// blockedBy says which limit keeps a request from being offered, empty for none.
-func (t *Tree) blockedBy(p int32) string {
-	for i := t.slab.at(p).leaf; i > 0; i = t.nodes[i].parent {
+// blockedBy returns the limit that keeps a request from being offered, with the name of its team; empty for none.
+func (t *Tree) blockedBy(index int32) string {
+	for i := t.slab.at(index).leaf; i > 0; i = t.nodes[i].parent {
 		if reason := t.nodes[i].blocked; reason != notBlocked {
 			return reason.String() + " of " + t.nodes[i].team.Name
 		}
@@ -151,256 +157,260 @@
 // offerOverdue offers the requests that can wait no longer.
 func (t *Tree) offerOverdue() {
 	for len(t.deadlines) > 0 && t.deadlines[0].at <= t.now {
-		d := t.deadlines.pop()
-		r := t.slab.at(d.place)
+		next := t.deadlines.pop()
+		req := t.slab.at(next.index)
 		switch {
-		case r.generation != d.generation || r.state != queued:
-		case r.trying: // RequestReturned, or AttemptStarted, is on its way
-			t.deadlines.push(t.now+1, d.place, d.generation)
+		case req.generation != next.generation || req.state != queued:
+		case req.immediatePending: // RequestReturned or AttemptStarted will answer the immediate offer
+			t.deadlines.push(t.now+1, next.index, next.generation)
 		default:
 			t.counts.Overdue++
-			t.offer(d.place, false)
+			t.offer(next.index, false)
 		}
 	}
 }
 
 // offer hands a request to the scheduler.
-func (t *Tree) offer(p int32, takesSlot bool) {
-	r := t.slab.at(p)
-	offer := Effect{Kind: Offer, ID: r.id}
-	if t.overShare(r.leaf) && t.othersActive(r.leaf) {
+func (t *Tree) offer(index int32, holdsSlot bool) {
+	req := t.slab.at(index)
+	offer := Effect{Kind: Offer, ID: req.id}
+	if t.isOverShare(req.leaf) && t.othersActive(req.leaf) {
 		offer.PriorityCap, offer.MemoryShare = overShareStartPriority, overShareMemory
 	}
-	t.admit(p)
-	r.state, r.takesSlot = offered, takesSlot
-	t.classes[r.class].atScheduler++
+	t.admit(index)
+	req.state, req.holdsSlot = offered, holdsSlot
+	t.classes[req.class].atScheduler++
 	t.atScheduler++
-	if takesSlot {
+	if holdsSlot {
 		t.freeSlots--
-		t.advancing++
+		t.activeSlots++
 	}
-	t.slab.pushBack(&t.offered, listOffered, p)
+	t.slab.pushBack(&t.offered, listOffered, index)
 	t.emit(offer)
 }
 
 // admit takes a request out of its queue and charges it to its team.
-func (t *Tree) admit(p int32) {
-	r := t.slab.at(p)
-	t.removeWaiting(p)
-	class := &t.classes[r.class]
-	if r.trying {
-		class.trying, r.trying = false, false
+func (t *Tree) admit(index int32) {
+	req := t.slab.at(index)
+	t.removeWaiting(index)
+	class := &t.classes[req.class]
+	if req.immediatePending {
+		class.immediatePending, req.immediatePending = false, false
 	}
 	t.counts.Offered++
-	t.counts.LongestMS = max(t.counts.LongestMS, t.now-r.queuedAt)
-	t.agedWorkMS = min(t.agedWorkMS+agedShare*r.costMS, maxAgedWorkMS)
-	t.charge(r.leaf, r.costMS)
-	r.chargedMS = r.costMS
-	for i := r.leaf; i > 0; i = t.nodes[i].parent {
-		n := &t.nodes[i]
-		n.inFlight++
-		n.threads += class.threads
-		n.memoryMB += r.memoryMB
+	t.counts.LongestMS = max(t.counts.LongestMS, t.now-req.queuedAt)
+	t.agedCreditMS = min(t.agedCreditMS+agedWorkShare*req.costMS, maxAgedCreditMS)
+	t.charge(req.leaf, req.costMS)
+	req.chargedMS = req.costMS
+	for i := req.leaf; i > 0; i = t.nodes[i].parent {
+		node := &t.nodes[i]
+		node.inFlight++
+		node.threads += class.threads
+		node.memoryMB += req.memoryMB
 		t.updateBlocked(i)
 	}
 }
 
-// attemptStarted records an attempt that was sent. Requests that it overtook at the scheduler may be stuck there.
-func (t *Tree) attemptStarted(ev *Event) {
-	p := t.slab.find(ev.ID)
-	if p == none {
+// attemptStarted records that an attempt was sent. Earlier requests that still wait at the scheduler are overtaken
+// by it.
+func (t *Tree) attemptStarted(event *Event) {
+	index := t.slab.find(event.ID)
+	if index == none {
 		return
 	}
-	r := t.slab.at(p)
-	if r.state == queued { // it was tried
-		t.admit(p)
+	req := t.slab.at(index)
+	if req.state == queued { // it was an immediate offer
+		t.admit(index)
 	}
-	if r.inFlight == 0 {
-		r.usedUntil = t.now
+	if req.attemptsInFlight == 0 {
+		req.usedUntil = t.now
 	}
-	r.inFlight++
-	if r.state == running {
+	req.attemptsInFlight++
+	if req.state == running {
 		return
 	}
-	t.slab.pushBack(&t.running, listRunning, p)
-	t.countOvertaken(p)
-	if r.state == offered {
-		t.leaveScheduler(p)
+	t.slab.pushBack(&t.running, listRunning, index)
+	t.countOvertaken(index)
+	if req.state == offered {
+		t.leaveScheduler(index)
 	}
-	r.state = running
+	req.state = running
 }
 
-// countOvertaken counts the requests that one overtook at the scheduler. Those that are stuck give their slots to others.
+// countOvertaken counts, for each earlier request at the scheduler, that the given request was sent before it.
+// Requests that are stuck give up their slots.
 func (t *Tree) countOvertaken(by int32) {
-	q := t.offered.first
+	index := t.offered.first
 	for range maxAtScheduler + schedulerSlots {
-		if q == by || q == none {
+		if index == by || index == none {
 			return
 		}
-		other := t.slab.at(q)
-		if other.overtakenBy < stuckAfter {
-			other.overtakenBy++
-			if other.overtakenBy == stuckAfter && other.takesSlot {
-				t.advancing--
+		other := t.slab.at(index)
+		if other.overtakenCount < stuckAfter {
+			other.overtakenCount++
+			if other.overtakenCount == stuckAfter && other.holdsSlot {
+				t.activeSlots--
 			}
 		}
-		if other.overtakenBy >= stuckAfter && other.takesSlot && t.atScheduler < maxAtScheduler {
-			other.takesSlot = false
+		if other.overtakenCount >= stuckAfter && other.holdsSlot && t.atScheduler < maxAtScheduler {
+			other.holdsSlot = false
 			t.freeSlots++
 		}
-		q = other.links[listOffered].next
+		index = other.links[listOffered].next
 	}
 }
 
-// leaveScheduler ends a request's wait at the scheduler.
-func (t *Tree) leaveScheduler(p int32) {
-	r := t.slab.at(p)
-	t.slab.unlink(&t.offered, listOffered, p)
-	t.classes[r.class].atScheduler--
+// leaveScheduler removes a request from the offered list and frees its slot.
+func (t *Tree) leaveScheduler(index int32) {
+	req := t.slab.at(index)
+	t.slab.unlink(&t.offered, listOffered, index)
+	t.classes[req.class].atScheduler--
 	t.atScheduler--
-	if !r.takesSlot {
+	if !req.holdsSlot {
 		return
 	}
-	r.takesSlot = false
+	req.holdsSlot = false
 	t.freeSlots++
-	if r.overtakenBy < stuckAfter {
-		t.advancing--
+	if req.overtakenCount < stuckAfter {
+		t.activeSlots--
 	}
 }
 
-// attemptEnded counts what a request has used of executors.
-func (t *Tree) attemptEnded(ev *Event) {
-	p := t.slab.find(ev.ID)
-	if p == none {
+// attemptEnded records the work that an attempt has done until its end.
+func (t *Tree) attemptEnded(event *Event) {
+	index := t.slab.find(event.ID)
+	if index == none {
 		return
 	}
-	if r := t.slab.at(p); r.inFlight > 0 {
-		t.countUse(r)
-		r.inFlight--
+	if req := t.slab.at(index); req.attemptsInFlight > 0 {
+		t.recordUsage(req)
+		req.attemptsInFlight--
 	}
 }
 
-// countUse counts the time that a request has been on executors, and charges what goes beyond its estimate as it comes: a team
-// gains nothing by estimates that are too low.
-func (t *Tree) countUse(r *request) {
-	if r.inFlight == 0 {
+// recordUsage adds the time since the last call to the work of a running request. Work beyond the expected cost is
+// charged while the request runs, so that a team gains nothing from estimates that are too low.
+func (t *Tree) recordUsage(req *request) {
+	if req.attemptsInFlight == 0 {
 		return
 	}
-	r.usedMS += (t.now - r.usedUntil) * t.classes[r.class].threads
-	r.usedUntil = t.now
-	if r.usedMS > r.chargedMS {
-		t.charge(r.leaf, r.usedMS-r.chargedMS)
-		r.chargedMS = r.usedMS
+	req.usedMS += (t.now - req.usedUntil) * t.classes[req.class].threads
+	req.usedUntil = t.now
+	if req.usedMS > req.chargedMS {
+		t.charge(req.leaf, req.usedMS-req.chargedMS)
+		req.chargedMS = req.usedMS
 	}
 }
 
-// closeRequest settles a request: what it was charged beyond what it used is given back.
-func (t *Tree) closeRequest(ev *Event) {
-	p := t.slab.find(ev.ID)
-	if p == none {
+// closeRequest removes a request and charges or refunds the difference between the work it was charged and the work
+// it did.
+func (t *Tree) closeRequest(event *Event) {
+	index := t.slab.find(event.ID)
+	if index == none {
 		return
 	}
-	r := t.slab.at(p)
-	if r.state == queued {
-		if r.trying {
-			t.classes[r.class].trying = false
+	req := t.slab.at(index)
+	if req.state == queued {
+		if req.immediatePending {
+			t.classes[req.class].immediatePending = false
 		}
-		t.removeWaiting(p)
-		t.slab.remove(p)
+		t.removeWaiting(index)
+		t.slab.remove(index)
 		return
 	}
-	t.countUse(r)
-	if r.state == offered {
-		t.leaveScheduler(p)
+	t.recordUsage(req)
+	if req.state == offered {
+		t.leaveScheduler(index)
 	} else {
-		t.slab.unlink(&t.running, listRunning, p)
-	}
-	if r.cap == capped {
-		t.nodes[r.leaf].capped--
-	}
-	took := r.usedMS
-	if ev.CostMS > 0 {
-		took = ev.CostMS
-	}
-	t.charge(r.leaf, took-r.chargedMS)
-	if r.usedMS > 0 {
-		t.nodes[r.leaf].learnRatio(int(r.class), took, r.estimateMS)
-	}
-	threads := t.classes[r.class].threads
-	for i := r.leaf; i > 0; i = t.nodes[i].parent {
-		n := &t.nodes[i]
-		n.inFlight--
-		n.threads -= threads
-		n.memoryMB -= r.memoryMB
-		n.workMS += took
+		t.slab.unlink(&t.running, listRunning, index)
+	}
+	if req.capState == capped {
+		t.nodes[req.leaf].capped--
+	}
+	workMS := req.usedMS
+	if event.CostMS > 0 {
+		workMS = event.CostMS
+	}
+	t.charge(req.leaf, workMS-req.chargedMS)
+	if req.usedMS > 0 {
+		t.nodes[req.leaf].updateCostRatio(int(req.class), workMS, req.estimateMS)
+	}
+	threads := t.classes[req.class].threads
+	for i := req.leaf; i > 0; i = t.nodes[i].parent {
+		node := &t.nodes[i]
+		node.inFlight--
+		node.threads -= threads
+		node.memoryMB -= req.memoryMB
+		node.workMS += workMS
 		t.updateBlocked(i)
 	}
-	t.slab.remove(p)
+	t.slab.remove(index)
 }
 
-// learnRatio takes in what a request took over its estimate.
-func (n *node) learnRatio(class int, took, estimateMS float64) {
-	ratio := min(maxRatio, took/max(1, estimateMS))
+// updateCostRatio adds the ratio of a request's work to its estimate to the moving average of its class.
+func (n *node) updateCostRatio(class int, workMS, estimateMS float64) {
+	ratio := min(maxCostRatio, workMS/max(1, estimateMS))
 	if estimateMS <= 0 {
-		ratio = min(maxRatio, max(1.0/maxRatio, took/defaultWorkMS))
+		ratio = min(maxCostRatio, max(1.0/maxCostRatio, workMS/defaultWorkMS))
 	}
-	if n.ratios[class] == 0 {
-		n.ratios[class] = ratio
+	if n.costRatios[class] == 0 {
+		n.costRatios[class] = ratio
 	}
-	n.ratios[class] += meanWeight * (ratio - n.ratios[class])
+	n.costRatios[class] += ratioSmoothing * (ratio - n.costRatios[class])
 }
 
-// othersActive tells whether another team waits, or has had an arrival lately: it will have the next one soon.
+// othersActive reports whether another team has waiting requests, or had an arrival within recentArrivalMS and is
+// likely to have another one soon.
 func (t *Tree) othersActive(leaf int32) bool {
 	if t.slab.queued > t.nodes[leaf].queued {
 		return true
 	}
-	for _, a := range t.lastArrivals {
-		if a.leaf != leaf && a.leaf > 0 && t.now-a.at < recentArrivalMS {
+	for _, last := range t.lastArrivals {
+		if last.leaf != leaf && last.leaf > 0 && t.now-last.at < recentArrivalMS {
 			return true
 		}
 	}
 	return false
 }
 
-// noteArrival notes that a request of a team has arrived. The last two teams are known.
-func (t *Tree) noteArrival(leaf int32) {
+// recordArrival records the time of a team's latest request. Only the last two teams are remembered.
+func (t *Tree) recordArrival(leaf int32) {
 	if t.lastArrivals[0].leaf != leaf {
 		t.lastArrivals[1] = t.lastArrivals[0]
 	}
 	t.lastArrivals[0] = arrival{leaf, t.now}
 }
 
-// addWaiting puts a request in its team's queue.
-func (t *Tree) addWaiting(p int32) {
-	r := t.slab.at(p)
-	class := int(r.class)
-	t.slab.pushBack(&t.queue, listAll, p)
-	first := t.nodes[r.leaf].queues[class].first == none
-	t.slab.pushBack(&t.nodes[r.leaf].queues[class], listOfTeam, p)
+// addWaiting appends a request to the waiting list and to its team's queue.
+func (t *Tree) addWaiting(index int32) {
+	req := t.slab.at(index)
+	class := int(req.class)
+	t.slab.pushBack(&t.waiting, listWaiting, index)
+	first := t.nodes[req.leaf].queues[class].first == none
+	t.slab.pushBack(&t.nodes[req.leaf].queues[class], listTeamQueue, index)
 	t.slab.queued++
-	t.backlogMS += r.costMS
-	for i := r.leaf; i > 0; i = t.nodes[i].parent {
+	t.backlogMS += req.costMS
+	for i := req.leaf; i > 0; i = t.nodes[i].parent {
 		t.nodes[i].queued++
 	}
 	if first {
-		t.activate(r.leaf, class)
+		t.activate(req.leaf, class)
 	}
 }
 
-// removeWaiting takes a request out of its team's queue.
-func (t *Tree) removeWaiting(p int32) {
-	r := t.slab.at(p)
-	class := int(r.class)
-	t.slab.unlink(&t.queue, listAll, p)
-	t.slab.unlink(&t.nodes[r.leaf].queues[class], listOfTeam, p)
+// removeWaiting takes a request out of the waiting list and its team's queue.
+func (t *Tree) removeWaiting(index int32) {
+	req := t.slab.at(index)
+	class := int(req.class)
+	t.slab.unlink(&t.waiting, listWaiting, index)
+	t.slab.unlink(&t.nodes[req.leaf].queues[class], listTeamQueue, index)
 	t.slab.queued--
-	t.backlogMS = max(0, t.backlogMS-r.costMS)
-	t.nodes[r.leaf].dequeuedMS += r.costMS
-	for i := r.leaf; i > 0; i = t.nodes[i].parent {
+	t.backlogMS = max(0, t.backlogMS-req.costMS)
+	t.nodes[req.leaf].dequeuedMS += req.costMS
+	for i := req.leaf; i > 0; i = t.nodes[i].parent {
 		t.nodes[i].queued--
 	}
-	if t.nodes[r.leaf].queues[class].first == none {
-		t.deactivate(r.leaf, class)
+	if t.nodes[req.leaf].queues[class].first == none {
+		t.deactivate(req.leaf, class)
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,84 +1,94 @@
-// Package quota decides which request is offered to the scheduler next, where several teams share one installation. It keeps a tree of
-// quotas with a fair queue in it; events and a time in ms go in, effects come out. It has no clock, no goroutine and no I/O. It chooses
-// no executor, decides on no retry and rejects nothing: the scheduler does. What waits too long here is offered all the same, and
-// the scheduler rejects it.
+// Package quota decides which request is offered to the scheduler next when several teams share one installation. It
+// is a hierarchical fair queue with guaranteed shares, ceilings and limits per team. Events and a time in ms go in,
+// effects come out; the package has no clock, goroutines or I/O. It chooses no executor, retries nothing and rejects
+// nothing: that is the scheduler's part. A request that can wait no longer is offered regardless of the fair order,
+// and the scheduler rejects it.
 package quota
 
 import "fmt"
 
 const (
-	threadsPerCore = 1.2  // that count as the whole: at that load the scheduler's routing calls an executor full
-	overAbove      = 1.1  // times its fair share past which a team is over it
-	meanWeight     = 0.1  // of the newest value in moving averages
-	maxRatio       = 100  // by which an estimate is corrected at most
-	agedShare      = 0.04 // of all work offered that may go to the requests that have waited longest, past the age
-	maxAgedWorkMS  = 1e5  // of one thread, of that share, that are saved up at most
+	// threadsPerCore gives the threads of the whole installation. At this load the scheduler treats an executor as
+	// full.
+	threadsPerCore  = 1.2
+	overShareFactor = 1.1  // a team above this multiple of its fair share is over it
+	ratioSmoothing  = 0.1  // weight of the newest value in the moving averages of node.costRatios
+	maxCostRatio    = 100  // largest factor by which an estimate is corrected
+	agedWorkShare   = 0.04 // fraction of all offered work that may go to the requests past the age
+	maxAgedCreditMS = 1e5  // largest Tree.agedCreditMS
 )
 
-// requestClass is what the settings say of one request class.
+// requestClass is the configuration and the state of one request class.
 type requestClass struct {
-	name            string
-	threads         float64
-	holdsTableGroup bool // while it runs: its priority is never capped
-	inOrder         bool // it keeps the order of its keys
-	atScheduler     int  // requests that the scheduler has and has not sent
-	trying          bool // one is offered to be sent at once
+	name             string
+	threads          float64 // threads that a running request occupies
+	holdsTableGroup  bool    // a request holds its table group while it runs; its priority is never capped
+	inOrder          bool    // requests with the same order key run one after another
+	atScheduler      int     // requests offered and not sent
+	immediatePending bool    // an immediate offer of one of its requests has not been answered
 }
 
-// Tree is the quotas of one installation, as one controller has them.
+// Tree is the quota tree of one controller. Its root is the installation, and every other node is a team. Requests
+// wait in the queues of the leaves.
 type Tree struct {
 	now     float64
 	effects []Effect
 
 	ageMS       float64
 	classes     []requestClass
-	nodes       []node // 0 is the installation; parents stand before their children
+	nodes       []node // node 0 is the installation; parents come before their children
 	byName      map[string]int32
-	defaultLeaf int32
+	defaultLeaf int32 // takes the requests of unknown teams
 
 	slab      slab
-	queue     list // all that wait, oldest first
-	offered   list // at the scheduler and not sent, oldest first
-	running   list // all that have been sent, oldest first
+	waiting   requestList // all requests in state queued
+	offered   requestList // all requests in state offered
+	running   requestList // all requests in state running
 	deadlines deadlineHeap
 
-	freeSlots   int // at the scheduler
-	atScheduler int // requests that wait there, stuck ones included
-	advancing   int // those of them that have a slot and are not stuck
+	freeSlots   int // slots at the scheduler, of schedulerSlots
+	atScheduler int // requests offered and not sent, including stuck ones
+	activeSlots int // slots held by requests that are not stuck
 
 	totalThreads float64 // of the installation
-	ownShare     float64 // of it that is this controller's
-	ceilingShare float64 // of every ceiling that this controller may use: its own, less what it lends, with what it borrows
-	agedWorkMS   float64 // that may go to the oldest
-	backlogMS    float64 // work that waits
+	ownShare     float64 // this controller's fraction of the installation
+	ceilingShare float64 // fraction of every ceiling that this controller may use, with borrowed and without lent shares
+	agedCreditMS float64 // work that may be offered to the oldest requests ahead of the fair order
+	backlogMS    float64 // expected work of all waiting requests
 	lastArrivals [2]arrival
 	shuttingDown bool
 	throttled    []int32 // nodes at their ceiling
 
-	shortAt      float64 // since when a team has been short; 0: none is
-	calmAt       float64 // since when none has been
-	anyCapped    bool
-	lastChangeAt float64 // of a priority cap
+	underservedSince float64 // time since which a team has been underserved; 0: none is
+	satisfiedSince   float64 // time since which no team has been underserved; 0: a team is
+	anyCapped        bool
+	lastChangeAt     float64 // time of the last cap change, set back by up to changeBurstMS for unused change intervals
 
 	counts Counts
 }
 
-// arrival is the last request that arrived of a team.
+// arrival is the time of a team's latest request.
 type arrival struct {
 	leaf int32
 	at   float64
 }
 
-// New returns a tree. The team named by defaultTeam takes requests of unknown teams.
+// New returns a tree of the given teams. Requests of unknown teams are queued under defaultTeam, which must be a
+// leaf.
 func New(teams []Team, defaultTeam string, settings Settings) (*Tree, error) {
 	share := 1 / max(1, float64(settings.Controllers))
 	t := &Tree{
 		ageMS: settings.AgeMS, byName: map[string]int32{},
-		queue: empty, offered: empty, running: empty, freeSlots: schedulerSlots,
+		waiting: emptyList, offered: emptyList, running: emptyList, freeSlots: schedulerSlots,
 		totalThreads: threadsPerCore, ownShare: share, ceilingShare: share,
 	}
-	for _, c := range settings.Classes {
-		t.classes = append(t.classes, requestClass{name: c.Name, threads: float64(max(1, c.Threads)), holdsTableGroup: c.HoldsTableGroup, inOrder: c.InOrder})
+	for _, class := range settings.Classes {
+		t.classes = append(t.classes, requestClass{
+			name:            class.Name,
+			threads:         float64(max(1, class.Threads)),
+			holdsTableGroup: class.HoldsTableGroup,
+			inOrder:         class.InOrder,
+		})
 	}
 	t.nodes = append(t.nodes, node{parent: -1, share: 1})
 	if err := t.addTeams(teams); err != nil {
@@ -93,7 +103,7 @@
 	}
 	leaf, ok := t.byName[defaultTeam]
 	if !ok || len(t.nodes[leaf].children) > 0 {
-		return nil, fmt.Errorf("the default team %q is not there, or has teams under it", defaultTeam)
+		return nil, fmt.Errorf("default team %q does not exist or has child teams", defaultTeam)
 	}
 	t.defaultLeaf = leaf
 	if err := t.computeShares(); err != nil {
@@ -102,7 +112,7 @@
 	return t, nil
 }
 
-// addTeams adds nodes, each after its parent.
+// addTeams adds a node for each team, parents before their children.
 func (t *Tree) addTeams(teams []Team) error {
 	for pending := teams; len(pending) > 0; {
 		var later []Team
@@ -115,21 +125,23 @@
 				later = append(later, team)
 				continue
 			}
-			if _, twice := t.byName[team.Name]; twice || team.Name == "" {
-				return fmt.Errorf("team %q stands there twice, or has no name", team.Name)
+			if _, duplicate := t.byName[team.Name]; duplicate || team.Name == "" {
+				return fmt.Errorf("team %q is listed twice or has an empty name", team.Name)
 			}
 			t.byName[team.Name] = int32(len(t.nodes))
 			t.nodes = append(t.nodes, node{team: team, parent: parent, index: int32(len(t.nodes))})
 		}
 		if len(later) == len(pending) {
-			return fmt.Errorf("team %q is under %q, which is not there or stands under it", later[0].Name, later[0].Parent)
+			return fmt.Errorf("team %q has parent %q, which does not exist or is its descendant",
+				later[0].Name, later[0].Parent)
 		}
 		pending = later
 	}
 	return nil
 }
 
-// computeShares computes the nodes' shares: what is guaranteed, and of the rest by weight. Shares of siblings add up to one.
+// computeShares computes the share of every node: its guaranteed share, and a part of what is not guaranteed by
+// weight. The shares of siblings add up to 1.
 func (t *Tree) computeShares() error {
 	for i := range t.nodes {
 		guaranteed, weights := 0.0, 0.0
@@ -138,7 +150,8 @@
 			weights += t.nodes[c].weight()
 		}
 		if guaranteed > 1+1e-9 {
-			return fmt.Errorf("what is guaranteed under %q adds up to %g", t.nodes[i].team.Name, guaranteed)
+			return fmt.Errorf("guaranteed shares of the teams under %q add up to %g, want at most 1",
+				t.nodes[i].team.Name, guaranteed)
 		}
 		for _, c := range t.nodes[i].children {
 			n := &t.nodes[c]
@@ -154,35 +167,35 @@
 	return nil
 }
 
-// Step takes one event. The effects are valid until the next call.
-func (t *Tree) Step(now float64, ev *Event) []Effect {
+// Step processes one event. The returned effects are valid until the next call.
+func (t *Tree) Step(now float64, event *Event) []Effect {
 	t.now, t.effects = max(t.now, now), t.effects[:0]
-	switch ev.Kind {
+	switch event.Kind {
 	case RequestQueued:
-		t.enqueue(ev)
+		t.enqueue(event)
 	case AttemptStarted:
-		t.attemptStarted(ev)
+		t.attemptStarted(event)
 	case AttemptEnded:
-		t.attemptEnded(ev)
+		t.attemptEnded(event)
 	case RequestClosed:
-		t.closeRequest(ev)
+		t.closeRequest(event)
 	case CapacityChanged:
-		t.totalThreads = threadsPerCore * max(1, ev.Cores)
+		t.totalThreads = threadsPerCore * max(1, event.Cores)
 	case Ticked:
 		t.tick()
 	case ShutdownStarted:
 		t.shuttingDown = true
-		for t.queue.first != none {
-			t.offer(t.queue.first, false)
+		for t.waiting.first != none {
+			t.offer(t.waiting.first, false)
 		}
 	case RequestReturned:
-		if p := t.slab.find(ev.ID); p != none {
-			r := t.slab.at(p)
-			t.classes[r.class].trying, r.trying = false, false
-			return t.effects // no slot has become free by it
+		if index := t.slab.find(event.ID); index != none {
+			req := t.slab.at(index)
+			t.classes[req.class].immediatePending, req.immediatePending = false, false
+			return t.effects // an immediate offer held no slot, so none has become free
 		}
 	case TeamChanged:
-		t.changeTeam(ev.NewLimits)
+		t.changeTeam(event.NewLimits)
 	}
 	t.offerNext()
 	return t.effects
@@ -190,11 +203,12 @@
 
 func (t *Tree) emit(e Effect) { t.effects = append(t.effects, e) }
 
-// tick offers what can wait no longer, charges what runs, opens ceilings that have refilled, and caps priorities.
+// tick offers overdue requests, charges running ones, unblocks nodes whose ceiling has refilled, and adjusts
+// priority caps.
 func (t *Tree) tick() {
 	t.offerOverdue()
-	for p := t.running.first; p != none; p = t.slab.at(p).links[listRunning].next {
-		t.countUse(t.slab.at(p))
+	for index := t.running.first; index != none; index = t.slab.at(index).links[listRunning].next {
+		t.recordUsage(t.slab.at(index))
 	}
 	still := t.throttled[:0]
 	for _, i := range t.throttled {
@@ -210,7 +224,8 @@
 	t.adjustCaps()
 }
 
-// changeTeam gives a team other limits; its place in the tree stays. Limits that can't hold are not taken.
+// changeTeam replaces the limits of a team; its parent stays. Limits whose guaranteed shares exceed the whole are
+// ignored.
 func (t *Tree) changeTeam(team Team) {
 	i, ok := t.byName[team.Name]
 	if !ok {
@@ -227,14 +242,14 @@
 	t.updateBlocked(i)
 }
 
-// SetCeilingShare sets the share of every ceiling that this controller may use, from 0 to 1.
+// SetCeilingShare sets the fraction of every ceiling that this controller may use, from 0 to 1.
 func (t *Tree) SetCeilingShare(share float64) { t.ceilingShare = min(1, max(0, share)) }
 
-// fairThreads is a node's share of the threads that this controller has.
+// fairThreads returns the node's share of this controller's threads.
 func (t *Tree) fairThreads(n *node) float64 { return n.totalShare * t.totalThreads * t.ownShare }
 
-// overShare tells whether a team uses more threads than its fair share.
-func (t *Tree) overShare(leaf int32) bool {
+// isOverShare reports whether a team uses more threads than its fair share.
+func (t *Tree) isOverShare(leaf int32) bool {
 	n := &t.nodes[leaf]
-	return n.threads > overAbove*t.fairThreads(n)
+	return n.threads > overShareFactor*t.fairThreads(n)
 }
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -1,15 +1,15 @@
 package quota
 
-// none is no place.
+// none is the index of no request or node.
 const none int32 = -1
 
-// requestState is where a request stands.
+// requestState is the stage that a request has reached.
 type requestState uint8
 
 const (
 	queued  requestState = iota
-	offered              // the scheduler has it; no attempt of it was sent
-	running
+	offered              // handed to the scheduler, which has not sent an attempt yet
+	running              // an attempt was sent
 )
 
 // String returns the name of the state.
@@ -17,118 +17,125 @@
 	return [...]string{queued: "queued", offered: "offered", running: "running"}[s]
 }
 
-// The lists that a request may be in.
+// The linked lists that a request may be in, as indexes of request.links.
 const (
-	listAll     = iota // all that wait
-	listOfTeam         // those of its team and class that wait
-	listOffered        // all that are offered and not sent
-	listRunning        // all that have been sent
+	listWaiting   = iota // Tree.waiting
+	listTeamQueue        // node.queues: the waiting requests of one team and class
+	listOffered          // Tree.offered
+	listRunning          // Tree.running
 	listCount
 )
 
+// links are the slab indexes of a request's neighbours in one list.
 type links struct{ prev, next int32 }
 
-// list is a linked list of requests, oldest first.
-type list struct{ first, last int32 }
+// requestList is a doubly linked list of requests, the oldest first.
+type requestList struct{ first, last int32 }
 
-var empty = list{none, none}
+var emptyList = requestList{none, none}
 
-// request is one entry of the slab.
+// request is an entry of the slab.
 type request struct {
 	id               string
 	links            [listCount]links
-	leaf             int32
-	generation       uint32 // of its place: a later request there has another
-	class            int16
+	leaf             int32  // index of its team's node
+	generation       uint32 // changes whenever the slab entry is taken or released
+	class            int16  // index in Tree.classes
 	state            requestState
-	takesSlot        bool // at the scheduler
-	trying           bool // it is offered to be sent at once
-	cap              capState
-	overtakenBy      uint8 // later requests that were sent before it
-	inFlight         uint8 // attempts
+	holdsSlot        bool // it occupies one of the schedulerSlots
+	immediatePending bool // an immediate offer of it has not been answered
+	capState         capState
+	overtakenCount   uint8 // later requests that were sent before it, up to stuckAfter
+	attemptsInFlight uint8
 	queuedAt         float64
 	deadline         float64
 	memoryMB         float64
-	estimateMS       float64 // as the client gave it
-	costMS           float64 // expected, of one thread
-	enqueuedBeforeMS float64 // work that its team had enqueued before it
-	chargedMS        float64
-	usedMS           float64
+	estimateMS       float64 // the client's estimate
+	costMS           float64 // expected work in ms of one thread
+	enqueuedBeforeMS float64 // node.enqueuedMS of its team when it arrived
+	chargedMS        float64 // work charged to its team so far
+	usedMS           float64 // work measured so far
 	usedUntil        float64 // time up to which usedMS counts
 	capChangedAt     float64
 }
 
-const pageBits = 10 // requests of a page: 1024
+const pageBits = 10 // a page of the slab holds 1<<pageBits requests
 
-// slab keeps the requests in pages and uses their places again.
+// slab stores requests in pages of a fixed size and reuses released entries. Requests are referred to by index.
 type slab struct {
-	pages      [][]request
-	placesUsed int32
-	free       []int32
-	byID       map[string]int32
-	queued     int
+	pages     [][]request
+	allocated int32 // entries taken so far, released ones included
+	free      []int32
+	byID      map[string]int32
+	queued    int // requests in state queued
 }
 
-func (s *slab) at(p int32) *request { return &s.pages[p>>pageBits][p&(1<<pageBits-1)] }
+func (s *slab) at(index int32) *request { return &s.pages[index>>pageBits][index&(1<<pageBits-1)] }
 
+// find returns the index of the request with an id, or none.
 func (s *slab) find(id string) int32 {
-	if p, ok := s.byID[id]; ok {
-		return p
+	if index, ok := s.byID[id]; ok {
+		return index
 	}
 	return none
 }
 
+// add stores a new request with an id and returns its index.
 func (s *slab) add(id string) int32 {
-	p := s.takePlace()
+	index := s.allocate()
 	if s.byID == nil {
 		s.byID = map[string]int32{}
 	}
-	s.byID[id] = p
-	r := s.at(p)
-	*r = request{id: id, generation: r.generation + 1}
-	return p
+	s.byID[id] = index
+	req := s.at(index)
+	*req = request{id: id, generation: req.generation + 1}
+	return index
 }
 
-func (s *slab) takePlace() int32 {
+// allocate returns the index of a released or new entry.
+func (s *slab) allocate() int32 {
 	if n := len(s.free); n > 0 {
-		p := s.free[n-1]
+		index := s.free[n-1]
 		s.free = s.free[:n-1]
-		return p
+		return index
 	}
-	p := s.placesUsed
-	s.placesUsed++
-	if int(p>>pageBits) >= len(s.pages) {
+	index := s.allocated
+	s.allocated++
+	if int(index>>pageBits) >= len(s.pages) {
 		s.pages = append(s.pages, make([]request, 1<<pageBits))
 	}
-	return p
+	return index
 }
 
-func (s *slab) remove(p int32) {
-	r := s.at(p)
-	delete(s.byID, r.id)
-	*r = request{generation: r.generation + 1} // so that a stale reference to the place shows
-	s.free = append(s.free, p)
+// remove deletes a request and releases its entry.
+func (s *slab) remove(index int32) {
+	req := s.at(index)
+	delete(s.byID, req.id)
+	*req = request{generation: req.generation + 1} // marks references to the removed request as stale
+	s.free = append(s.free, index)
 }
 
-func (s *slab) pushBack(l *list, which int, p int32) {
-	s.at(p).links[which] = links{l.last, none}
-	if l.last == none {
-		l.first = p
+// pushBack appends a request to a list, whose links are at the index which of request.links.
+func (s *slab) pushBack(list *requestList, which int, index int32) {
+	s.at(index).links[which] = links{list.last, none}
+	if list.last == none {
+		list.first = index
 	} else {
-		s.at(l.last).links[which].next = p
+		s.at(list.last).links[which].next = index
 	}
-	l.last = p
+	list.last = index
 }
 
-func (s *slab) unlink(l *list, which int, p int32) {
-	at := s.at(p).links[which]
+// unlink removes a request from a list, whose links are at the index which of request.links.
+func (s *slab) unlink(list *requestList, which int, index int32) {
+	at := s.at(index).links[which]
 	if at.prev == none {
-		l.first = at.next
+		list.first = at.next
 	} else {
 		s.at(at.prev).links[which].next = at.next
 	}
 	if at.next == none {
-		l.last = at.prev
+		list.last = at.prev
 	} else {
 		s.at(at.next).links[which].prev = at.prev
 	}
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -5,46 +5,56 @@
 	"math"
 )
 
-// Counts are counters since the start of the tree, and what waits now.
+// Counts are counters since the start of the tree, and the requests that wait now.
 type Counts struct {
 	Offered, Aged, Capped, Uncapped, Overdue, Overflow, Unknown uint64
 	Queued                                                      int
-	LongestMS                                                   float64 // of all waits so far
+	LongestMS                                                   float64 // longest wait of any offered request
 }
 
-// Counts returns the counters.
+// Counts returns the current counters.
 func (t *Tree) Counts() Counts {
 	c := t.counts
 	c.Queued = t.slab.queued
 	return c
 }
 
-// TeamStatus is how one team stands.
+// TeamStatus describes the queue and the resource use of one team.
 type TeamStatus struct {
 	Team                         Team
 	Queued, InFlight             int
 	Threads, FairShare, MemoryMB float64
-	WorkMS                       float64 // done so far, ms of one thread
-	Blocked                      string
-	OldestMS, BoundMS            float64
-	Borrows, Lends               float64 // threads
-	Capped                       int
+	WorkMS                       float64 // work of closed requests in ms of one thread
+	Blocked                      string  // the limit that holds its requests back; empty: none
+	OldestMS                     float64 // wait of the request that has waited longest
+	BoundMS                      float64 // see Tree.MaxWaitMS
+	Borrows, Lends               float64 // threads above and, where no request of it waits, below its fair share
+	Capped                       int     // requests whose priority is capped
 }
 
-// Statuses returns how all teams stand, in their order.
+// Statuses returns the status of every team, parents before their children.
 func (t *Tree) Statuses() []TeamStatus {
 	list := make([]TeamStatus, 0, len(t.nodes))
 	for i := 1; i < len(t.nodes); i++ {
-		n := &t.nodes[i]
-		fair := t.fairThreads(n)
+		node := &t.nodes[i]
+		fair := t.fairThreads(node)
 		status := TeamStatus{
-			Team: n.team, Queued: n.queued, InFlight: n.inFlight, Threads: n.threads, FairShare: fair, MemoryMB: n.memoryMB, WorkMS: n.workMS,
-			Blocked: n.blocked.String(), BoundMS: t.MaxWaitMS(), Borrows: max(0, n.threads-fair), Capped: n.capped,
+			Team:      node.team,
+			Queued:    node.queued,
+			InFlight:  node.inFlight,
+			Threads:   node.threads,
+			FairShare: fair,
+			MemoryMB:  node.memoryMB,
+			WorkMS:    node.workMS,
+			Blocked:   node.blocked.String(),
+			BoundMS:   t.MaxWaitMS(),
+			Borrows:   max(0, node.threads-fair),
+			Capped:    node.capped,
 		}
-		if n.queued == 0 {
-			status.Lends = max(0, fair-n.threads)
+		if node.queued == 0 {
+			status.Lends = max(0, fair-node.threads)
 		}
-		for _, queue := range n.queues {
+		for _, queue := range node.queues {
 			if queue.first != none {
 				status.OldestMS = max(status.OldestMS, t.now-t.slab.at(queue.first).queuedAt)
 			}
@@ -54,27 +64,29 @@
 	return list
 }
 
-// MaxWaitMS returns the longest that a request which arrives now waits for its offer, as long as it may be offered at all and the
-// executors do their work: past the age, a share of all work goes to the oldest.
+// MaxWaitMS returns the longest that a request which arrives now waits to be offered, provided that no limit of its
+// team blocks it and the executors keep working: once it has waited ageMS, a fixed share of all work goes to the
+// oldest requests.
 func (t *Tree) MaxWaitMS() float64 {
 	if t.slab.queued == 0 {
 		return 0
 	}
-	return t.ageMS + t.backlogMS/(agedShare*t.totalThreads*t.ownShare)
+	return t.ageMS + t.backlogMS/(agedWorkShare*t.totalThreads*t.ownShare)
 }
 
-// CeilingUse returns which share of its ceiling the busiest team uses, and whether a team waits at its ceiling.
+// CeilingUse returns the largest fraction that any team uses of its ceiling, and whether a team has requests waiting
+// because of its ceiling.
 func (t *Tree) CeilingUse() (used float64, waits bool) {
 	for i := 1; i < len(t.nodes); i++ {
-		if n := &t.nodes[i]; n.hasCeiling() {
-			used = max(used, n.threads/max(1e-9, n.ceilingThreads(t)))
-			waits = waits || n.queued > 0 && n.blocked == ceilingLimit
+		if node := &t.nodes[i]; node.hasCeiling() {
+			used = max(used, node.threads/max(1e-9, node.ceilingThreads(t)))
+			waits = waits || node.queued > 0 && node.blocked == ceilingLimit
 		}
 	}
 	return used, waits
 }
 
-// Teams returns all teams as they are set now.
+// Teams returns the current quotas of all teams, parents before their children.
 func (t *Tree) Teams() []Team {
 	list := make([]Team, 0, len(t.nodes))
 	for i := 1; i < len(t.nodes); i++ {
@@ -83,52 +95,52 @@
 	return list
 }
 
-// WaitQueue returns what is ahead of a request that waits: the work of its team, and the threads that do such work. The third is how long
-// it will run itself.
+// WaitQueue returns the work ahead of a request in ms of one thread, the threads that process it, and how long the
+// request will run itself.
 func (t *Tree) WaitQueue(id string) (aheadMS, threads, runMS float64) {
-	p := t.slab.find(id)
-	if p == none {
+	index := t.slab.find(id)
+	if index == none {
 		return 0, 1, 0
 	}
-	r := t.slab.at(p)
-	n := &t.nodes[r.leaf]
-	threads = max(t.fairThreads(n), n.threads)
-	runMS = r.costMS / t.classes[r.class].threads
-	if r.state == queued {
-		aheadMS = max(0, r.enqueuedBeforeMS-n.dequeuedMS)
+	req := t.slab.at(index)
+	node := &t.nodes[req.leaf]
+	threads = max(t.fairThreads(node), node.threads)
+	runMS = req.costMS / t.classes[req.class].threads
+	if req.state == queued {
+		aheadMS = max(0, req.enqueuedBeforeMS-node.dequeuedMS)
 	}
-	if t.slab.queued > 0 || t.freeSlots <= 0 { // what is at the scheduler and does not run yet, for all teams
-		aheadMS += float64(t.atScheduler) * r.costMS * n.totalShare
+	if t.slab.queued > 0 || t.freeSlots <= 0 { // this team's share of the work that waits at the scheduler
+		aheadMS += float64(t.atScheduler) * req.costMS * node.totalShare
 	}
 	return aheadMS, threads, runMS
 }
 
-// Explain says why a request waits; empty if it does not.
+// Explain returns why a request waits, for operators. It is empty if the request is unknown or has been sent.
 func (t *Tree) Explain(id string) string {
-	p := t.slab.find(id)
-	if p == none {
+	index := t.slab.find(id)
+	if index == none {
 		return ""
 	}
-	r := t.slab.at(p)
-	switch r.state {
+	req := t.slab.at(index)
+	switch req.state {
 	case offered:
 		return "the scheduler has it and finds no executor with capacity, or one that it should wait for"
 	case running:
 		return ""
 	}
-	n := &t.nodes[r.leaf]
-	why := t.blockedBy(p)
+	node := &t.nodes[req.leaf]
+	reason := t.blockedBy(index)
 	switch {
-	case why != "":
+	case reason != "":
 	case t.freeSlots <= 0:
-		why = "no executor has room for more"
+		reason = "no executor has room for more"
 	default:
-		why = "others are due before it"
+		reason = "others are due before it"
 	}
 	ahead := 0
-	for q := n.queues[r.class].first; q != p && q != none; q = t.slab.at(q).links[listOfTeam].next {
+	for q := node.queues[req.class].first; q != index && q != none; q = t.slab.at(q).links[listTeamQueue].next {
 		ahead++
 	}
-	return fmt.Sprintf("%s; %d of %s are ahead of it, %d in all; %.0f ms so far, at most %.0f", why, ahead, n.team.Name,
-		t.slab.queued-1, t.now-r.queuedAt, math.Ceil(t.MaxWaitMS()))
+	return fmt.Sprintf("%s; %d of %s are ahead of it, %d in all; %.0f ms so far, at most %.0f",
+		reason, ahead, node.team.Name, t.slab.queued-1, t.now-req.queuedAt, math.Ceil(t.MaxWaitMS()))
 }
--- a/internal/quotashare/golden_test.go
+++ b/internal/quotashare/golden_test.go
@@ -10,9 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+// golden compares encoded bytes with a golden file and returns the contents of the file. With -update it writes the
+// file first.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -22,18 +23,18 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	assert.Equal(t, string(want), string(got), "encoding differs from golden file %s", name)
 	return want
 }
 
-// TestGolden_ShareMessages checks that a question for a loan and the loan are written as they always were, and that the loan is read back.
+// TestGolden_ShareMessages guards the wire format of loan requests and loans.
 func TestGolden_ShareMessages(t *testing.T) {
 	borrower, lender := New(0, 2, 0, true, 0x0123456789abcdef), New(0, 2, 1, true, 7)
-	question := borrower.Tick(10000, 1, true)
-	require.Len(t, question, 1)
-	assert.Equal(t, -1, question[0].To)
+	request := borrower.Tick(10000, 1, true)
+	require.Len(t, request, 1)
+	assert.Equal(t, -1, request[0].To)
 	lender.Tick(10000, 0.1, false)
-	answer := lender.HandleMessage(10000, 0, golden(t, "ask.bin", question[0].Data))
+	answer := lender.HandleMessage(10000, 0, golden(t, "ask.bin", request[0].Data))
 	require.Len(t, answer, 1)
 	assert.Equal(t, 0, answer[0].To)
 	borrower.HandleMessage(10001, 1, golden(t, "loan.bin", answer[0].Data))
--- a/internal/quotashare/quotashare.go
+++ b/internal/quotashare/quotashare.go
@@ -1,10 +1,11 @@
-// Package quotashare decides which share of the installation's ceilings this controller may use. Each of n controllers owns an n-th;
-// one that has more than it needs lends to one that asks, for a time. The package has no I/O, clock or goroutine: messages and a
-// time in ms go in, messages and a share come out.
+// Package quotashare decides which share of the installation's ceilings this controller may use. Each of n
+// controllers owns 1/n. A controller with spare share lends some of it for a limited time to one that asks. The
+// package has no I/O, clock or goroutines: messages and a time in ms go in, messages and a share come out.
 //
-// Whatever becomes of messages, lost, late, doubled or out of order, and whoever is cut off or comes back, the shares in use add up to
-// one at most: a lender does without before it lends, and for longer than the borrower may use the loan. The borrower counts
-// from when it asked, the lender from when it received the question, which is later; so no two clocks are compared.
+// The shares in use never add up to more than 1, even if messages are lost, delayed, duplicated or reordered, and
+// controllers are partitioned or restart: a lender gives up a share before it sends the loan, and takes it back
+// later than the borrower stops using it. The borrower's lease starts when it sends the loan request, the lender's
+// when it receives the request, which is later, so no two clocks are compared.
 package quotashare
 
 import (
@@ -13,77 +14,91 @@
 )
 
 const (
-	leaseMS       = 2000 // for which a loan may be used, from the question on: a dead borrower's share is back in that time
-	lenderGraceMS = 400  // that a lender does without for longer, as clocks of two machines may drift
-	askIntervalMS = 500  // between questions: a loan is renewed three times before it ends
+	// leaseMS is how long a loan may be used, counted from its request. The share of a failed borrower returns to the
+	// lender leaseMS and lenderGraceMS after the request was received.
+	leaseMS           = 2000
+	lenderGraceMS     = 400 // added to the lease by the lender, as the clocks of two machines may drift
+	requestIntervalMS = 500 // between loan requests: a loan is renewed three times before it ends
 
 	fullShare    = 10000 // shares are counted in ten-thousandths
-	minLoan      = 20
-	reserveShare = 0.1 // of its own share that a lender keeps
-	lendShare    = 0.5 // of what it has to spare that it lends to one
-
-	kindAsk   = 0
-	kindLoan  = 1
-	askBytes  = 1 + 1 + 8
-	loanBytes = 1 + 1 + 8 + 2
+	minLoan      = 20    // smaller loans are not made
+	reserveShare = 0.1   // fraction of its own share that a lender keeps in reserve
+	lendShare    = 0.5   // fraction of the spare share that goes into one loan
+
+	kindRequest  = 0
+	kindLoan     = 1
+	requestBytes = 1 + 1 + 8     // tag, kind, nonce
+	loanBytes    = 1 + 1 + 8 + 2 // tag, kind, nonce, amount
 )
 
-// Tag is the first byte of these messages. Those of the scheduler begin otherwise.
+// Tag is the first byte of every message of this package. Messages of the scheduler begin with other bytes.
 const Tag = 2
 
-// Message is what goes to another controller, or to all where To is below 0.
+// Message is a message to another controller, or to all others if To is negative.
 type Message struct {
 	To   int
 	Data []byte
 }
 
-// need is how this controller stands.
-type need uint8
+// demand is how much of its share this controller uses.
+type demand uint8
 
 const (
-	satisfied need = iota // it uses less than it has
-	tight                 // it uses what it has
-	starved               // a team waits at a ceiling
+	satisfied demand = iota // the busiest team uses at most 1-reserveShare of its ceiling
+	saturated               // the busiest team uses more than that
+	starved                 // a team waits at its ceiling
 )
 
-// String returns the name of the need.
-func (n need) String() string {
-	return [...]string{satisfied: "satisfied", tight: "tight", starved: "starved"}[n]
+// String returns the name of the demand.
+func (d demand) String() string {
+	return [...]string{satisfied: "satisfied", saturated: "saturated", starved: "starved"}[d]
 }
 
-// needPolicies tells who asks, and who may lend.
-var needPolicies = [...]struct{ asks, lends bool }{satisfied: {false, true}, tight: {false, false}, starved: {true, false}}
+// demandPolicies says by demand whether a controller asks for loans, and whether it lends.
+var demandPolicies = [...]struct{ borrows, lends bool }{
+	satisfied: {false, true},
+	saturated: {false, false},
+	starved:   {true, false},
+}
 
 // loan is a share that was lent or borrowed.
 type loan struct {
-	controller int // the other one; -1: any
-	amount     int
+	controller int // the other party; -1: unknown
+	amount     int // in ten-thousandths
 	until      float64
-	nonce      uint64
+	nonce      uint64 // of the loan request
 }
 
-// Shares is one controller's share of the ceilings.
+// Shares tracks the share of the ceilings that one controller may use.
 type Shares struct {
-	controllers int
-	index       int // of this controller
-	messaging   bool
-	seed        uint64
-	own         int
-	used        float64 // of its ceiling, by the busiest team
-	need        need
-	lent        []loan
-	borrowed    []loan
-	nonce       uint64 // number of the last question
-	askedAt     float64
-	asked       map[uint64]float64 // questions that may still be answered: nonce, and when they were asked
+	controllers   int
+	index         int // of this controller
+	messaging     bool
+	seed          uint64
+	own           int     // share without loans
+	used          float64 // fraction of its ceiling that the busiest team uses
+	demand        demand
+	lent          []loan
+	borrowed      []loan
+	nonceCounter  uint64 // loan requests sent so far
+	lastRequestAt float64
+	pending       map[uint64]float64 // send times of the loan requests that may still be answered, by nonce
 }
 
-// New returns the share of the controller of an index, of n, that starts now. What an earlier incarnation of it may have lent still
-// counts as lent. Without messaging, shares are fixed.
+// New returns the share of the controller with the given index, of n, when it starts. As an earlier incarnation of
+// the controller may have lent all that it could, that part counts as lent at first. Without messaging, shares are
+// fixed.
 func New(now float64, n, index int, messaging bool, seed uint64) *Shares {
 	n = max(1, n)
-	s := &Shares{controllers: n, index: index, messaging: messaging && n > 1, seed: seed, own: fullShare / n, asked: map[uint64]float64{},
-		askedAt: now - askIntervalMS}
+	s := &Shares{
+		controllers:   n,
+		index:         index,
+		messaging:     messaging && n > 1,
+		seed:          seed,
+		own:           fullShare / n,
+		pending:       map[uint64]float64{},
+		lastRequestAt: now - requestIntervalMS,
+	}
 	if s.messaging {
 		lendable := s.own - int(reserveShare*float64(s.own))
 		s.lent = append(s.lent, loan{controller: -1, amount: lendable, until: now + leaseMS + lenderGraceMS})
@@ -91,8 +106,8 @@
 	return s
 }
 
-// SetControllers sets how many controllers own a share. More of them count at once; fewer never do, as one that is silent may still use its
-// share.
+// SetControllers raises the number of controllers that own a share. A lower number is ignored, as a controller that
+// is no longer heard of may still use its share.
 func (s *Shares) SetControllers(n int) {
 	if n > s.controllers {
 		s.controllers, s.own = n, fullShare/n
@@ -112,54 +127,54 @@
 	return float64(max(0, sum)) / fullShare
 }
 
-// expire ends loans whose time is over, and drops questions that can't be answered any more.
+// expire ends the loans whose lease is over, and drops the loan requests that can no longer be answered.
 func (s *Shares) expire(now float64) {
-	over := func(l loan) bool { return now >= l.until }
-	s.lent = slices.DeleteFunc(s.lent, over)
-	s.borrowed = slices.DeleteFunc(s.borrowed, over)
-	for nonce, at := range s.asked {
-		if now >= at+leaseMS {
-			delete(s.asked, nonce)
+	expired := func(l loan) bool { return now >= l.until }
+	s.lent = slices.DeleteFunc(s.lent, expired)
+	s.borrowed = slices.DeleteFunc(s.borrowed, expired)
+	for nonce, sentAt := range s.pending {
+		if now >= sentAt+leaseMS {
+			delete(s.pending, nonce)
 		}
 	}
 }
 
-// Tick takes how this controller stands: the share of its ceiling that its busiest team uses, and whether a team waits at its ceiling.
-// It returns what is to be sent.
+// Tick updates the demand of this controller from the fraction that its busiest team uses of its ceiling, and from
+// whether a team waits at its ceiling. It returns the messages to send.
 func (s *Shares) Tick(now, used float64, waits bool) []Message {
 	s.expire(now)
 	s.used = used
 	switch {
 	case waits:
-		s.need = starved
+		s.demand = starved
 	case used > 1-reserveShare:
-		s.need = tight
+		s.demand = saturated
 	default:
-		s.need = satisfied
+		s.demand = satisfied
 	}
-	if !s.messaging || !needPolicies[s.need].asks || now < s.askedAt+askIntervalMS {
+	if !s.messaging || !demandPolicies[s.demand].borrows || now < s.lastRequestAt+requestIntervalMS {
 		return nil
 	}
-	s.askedAt = now
-	s.nonce++
-	nonce := s.seed ^ s.nonce<<16 ^ uint64(s.index)
-	s.asked[nonce] = now
-	data := binary.BigEndian.AppendUint64([]byte{Tag, kindAsk}, nonce)
+	s.lastRequestAt = now
+	s.nonceCounter++
+	nonce := s.seed ^ s.nonceCounter<<16 ^ uint64(s.index)
+	s.pending[nonce] = now
+	data := binary.BigEndian.AppendUint64([]byte{Tag, kindRequest}, nonce)
 	return []Message{{To: -1, Data: data}}
 }
 
-// HandleMessage takes a message of another controller and returns the answer. What can't be read is ignored.
+// HandleMessage processes a message from another controller and returns the answers. Malformed messages are ignored.
 func (s *Shares) HandleMessage(now float64, from int, data []byte) []Message {
 	s.expire(now)
-	if !s.messaging || !s.isPeer(from) || len(data) < askBytes || data[0] != Tag {
+	if !s.messaging || !s.isPeer(from) || len(data) < requestBytes || data[0] != Tag {
 		return nil
 	}
 	nonce := binary.BigEndian.Uint64(data[2:])
 	switch {
-	case data[1] == kindAsk && len(data) == askBytes:
+	case data[1] == kindRequest && len(data) == requestBytes:
 		return s.lend(now, from, nonce)
 	case data[1] == kindLoan && len(data) == loanBytes:
-		s.borrow(now, from, nonce, int(binary.BigEndian.Uint16(data[askBytes:])))
+		s.borrow(now, from, nonce, int(binary.BigEndian.Uint16(data[requestBytes:])))
 	}
 	return nil
 }
@@ -168,25 +183,25 @@
 	return controller >= 0 && controller < s.controllers && controller != s.index
 }
 
-// lend answers a question once, with a part of what is to spare. A loan to the same controller that still runs stays beside the new
-// one: this controller does without both for their times.
+// lend answers a loan request once, with a part of the spare share. An earlier loan to the same controller continues
+// beside the new one; both stay deducted from this controller's share until they expire.
 func (s *Shares) lend(now float64, to int, nonce uint64) []Message {
-	if !needPolicies[s.need].lends {
+	if !demandPolicies[s.demand].lends {
 		return nil
 	}
-	lentToIt, left := 0, s.own
+	lentToBorrower, left := 0, s.own
 	for _, l := range s.lent {
 		if l.nonce == nonce {
-			return nil // the question was doubled on its way
+			return nil // duplicate of a request that was answered
 		}
 		left -= l.amount
 		if l.controller == to {
-			lentToIt += l.amount
+			lentToBorrower += l.amount
 		}
 	}
 	spare := float64(left) - float64(s.own)*min(1, s.used+reserveShare)
 	amount := int(lendShare * spare)
-	if amount < minLoan || lentToIt+amount > s.own {
+	if amount < minLoan || lentToBorrower+amount > s.own {
 		return nil
 	}
 	s.lent = append(s.lent, loan{controller: to, amount: amount, until: now + leaseMS + lenderGraceMS, nonce: nonce})
@@ -194,14 +209,14 @@
 	return []Message{{To: to, Data: binary.BigEndian.AppendUint16(data, uint16(amount))}}
 }
 
-// borrow takes a loan in answer to a question of this controller, for what is left of its time since that was asked.
+// borrow accepts a loan that answers a pending loan request. Its lease is counted from when the request was sent.
 func (s *Shares) borrow(now float64, from int, nonce uint64, amount int) {
-	at, ok := s.asked[nonce]
-	if !ok || amount > fullShare || now >= at+leaseMS {
+	sentAt, ok := s.pending[nonce]
+	if !ok || amount > fullShare || now >= sentAt+leaseMS {
 		return
 	}
-	doubled := slices.ContainsFunc(s.borrowed, func(l loan) bool { return l.nonce == nonce && l.controller == from })
-	if !doubled {
-		s.borrowed = append(s.borrowed, loan{controller: from, amount: amount, until: at + leaseMS, nonce: nonce})
+	duplicate := slices.ContainsFunc(s.borrowed, func(l loan) bool { return l.nonce == nonce && l.controller == from })
+	if !duplicate {
+		s.borrowed = append(s.borrowed, loan{controller: from, amount: amount, until: sentAt + leaseMS, nonce: nonce})
 	}
 }
