--- a/internal/jsonrpc/accept.go
+++ b/internal/jsonrpc/accept.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	acceptRetryInterval = 50 * time.Millisecond // after an error of this machine
-	acceptErrorPause    = time.Millisecond      // after an error of one connection
-	slotPollInterval    = 20 * time.Millisecond // between looks for an idle connection to close
+	acceptRetryInterval = 50 * time.Millisecond // after a shortage of descriptors or a transient error
+	acceptErrorPause    = time.Millisecond      // after an error that concerns a single connection
+	slotPollInterval    = 20 * time.Millisecond // between attempts to evict an idle connection
 )
 
-// Run accepts connections until Stop. Where there is no slot left, the connection that has been idle for longest is closed; where
-// none is idle or no descriptor is left, accepting pauses.
+// Run accepts connections until Drain or Stop. When all slots are taken, it closes the connection that has been idle
+// longest. When no connection is idle or no file descriptor is left, it pauses accepting.
 func (s *Server) Run() {
 	for {
 		socket, err := s.listener.Accept()
-		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // the deadline of Drain
+		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // Drain sets the deadline
 			_ = s.listener.Close()
 			return
 		}
@@ -33,7 +33,7 @@
 		c := s.newConn(socket, hasSlot)
 		s.mu.Lock()
 		s.connections[c] = struct{}{}
-		if s.draining { // it was accepted as the listener closed
+		if s.draining { // Drain did not see this connection
 			c.drain()
 		}
 		s.mu.Unlock()
@@ -41,7 +41,8 @@
 	}
 }
 
-// pauseAccept waits after a failed accept, as long as its error suggests.
+// pauseAccept waits after a failed accept: longer after a shortage of descriptors or a transient error than after
+// others.
 func (s *Server) pauseAccept(err error) {
 	if s.AcceptPauses.Add(1) == 1 {
 		s.log.WithField("error", err).Warn("client server: accepting pauses")
@@ -56,14 +57,15 @@
 	}
 }
 
+// newConn returns the connection of an accepted socket, with its limits and timeouts set.
 func (s *Server) newConn(socket net.Conn, hasSlot bool) *clientConn {
 	now := time.Now()
 	c := &clientConn{server: s, hasSlot: hasSlot, lastMessage: now, messageDeadline: now.Add(messageTimeout)}
 	if remote, ok := socket.RemoteAddr().(*net.TCPAddr); ok {
-		c.addr = remote.AddrPort().Addr().Unmap()
+		c.clientAddr = remote.AddrPort().Addr().Unmap()
 	}
 	if tcp, ok := socket.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(kernelBufferBytes)
+		_ = tcp.SetWriteBuffer(socketBufferBytes)
 	}
 	c.Socket = socket
 	c.Budget = s.outputBudget
@@ -75,8 +77,8 @@
 	return c
 }
 
-// acquireSlot waits for a slot; false if there was none by the time that the server drains. Connections that are idle, or become so
-// meanwhile, are closed.
+// acquireSlot waits for a free slot and takes it. Meanwhile it evicts idle connections, also those that become idle
+// while it waits. It returns false if no slot was free when the server began to drain.
 func (s *Server) acquireSlot() bool {
 	for waited := false; ; waited = true {
 		select {
@@ -97,8 +99,9 @@
 	}
 }
 
-// evictIdle closes the connection that has been idle for longest and returns whether there was one. The time counts from the last
-// message, or from the accept where none came: silent connections by the hundred must not cost active clients their slots.
+// evictIdle closes the connection that has been idle longest and reports whether there was one. A connection is idle
+// since its last message, or since its accept if it has sent none, so that many silent connections cannot take the
+// slots of active clients.
 func (s *Server) evictIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/jsonrpc/call.go
+++ b/internal/jsonrpc/call.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Error codes of JSON-RPC, and this server's own.
+// Error codes. Those up to codeInvalidParams are defined by JSON-RPC, the others by this server.
 const (
 	codeParseError     = -32700
 	codeInvalidRequest = -32600
@@ -16,23 +16,23 @@
 	codeFailed         = -32000
 )
 
-// call is one message of a client. Its fields are slices of the message's bytes.
-type call struct {
+// rpcCall is a JSON-RPC call or notification. The slices refer to the bytes of its message.
+type rpcCall struct {
 	id     []byte // unparsed; nil if there is none
 	method string
 	params []byte
 }
 
-// rpcError is the error that a message is answered with.
+// rpcError is the error object of a JSON-RPC response.
 type rpcError struct {
 	code    int
 	message string
 }
 
-// parseCall parses a message. With an error, the id is set if it could be read.
-func parseCall(text []byte) (c call, wrong *rpcError) {
+// parseCall parses the body of a message. If it returns an error, the id of the call is set if it could be read.
+func parseCall(text []byte) (call rpcCall, rpcErr *rpcError) {
 	if !json.Valid(text) {
-		return c, &rpcError{codeParseError, "not JSON"}
+		return call, &rpcError{codeParseError, "not JSON"}
 	}
 	var version, method, id []byte
 	if !forEachMember(text, func(name, value []byte) {
@@ -44,50 +44,50 @@
 		case "id":
 			id = value
 		case "params":
-			c.params = value
+			call.params = value
 		}
 	}) {
-		return c, &rpcError{codeInvalidRequest, "not an object"}
+		return call, &rpcError{codeInvalidRequest, "not an object"}
 	}
 	switch {
 	case len(id) > 0 && (id[0] != '"' && id[0] != '-' && !isDigit(id[0]) || len(id) > 64):
-		return c, &rpcError{codeInvalidRequest, "id is neither a number nor a short text"}
+		return call, &rpcError{codeInvalidRequest, "id is neither a number nor a short text"}
 	case string(version) != `"2.0"`:
-		c.id = id
-		return c, &rpcError{codeInvalidRequest, "jsonrpc is not 2.0"}
+		call.id = id
+		return call, &rpcError{codeInvalidRequest, "jsonrpc is not 2.0"}
 	case len(method) == 0:
-		c.id = id
-		return c, &rpcError{codeInvalidRequest, "no method"}
+		call.id = id
+		return call, &rpcError{codeInvalidRequest, "no method"}
 	}
-	c.id, c.method = id, string(method)
-	return c, nil
+	call.id, call.method = id, string(method)
+	return call, nil
 }
 
-// requestParams are the params of a request.
+// requestParams holds the params of a call that submits a request.
 type requestParams struct {
 	id, idempotencyKey, orderKey string
 	team                         string
-	wantsWait                    bool
+	wantsWait                    bool // the client accepts estimates of how long the request will wait
 	timeoutMS, workMS, memoryMB  float64
-	retried                      bool
+	retried                      bool // the client sends the request again
 	body                         []byte
 }
 
-// paramsReader collects the members of a request's params. It keeps the name of the last one that is wrong.
+// paramsReader collects the members of a request's params.
 type paramsReader struct {
 	requestParams
-	data  []byte // base64; nil: missing
-	wrong string
+	data        []byte // body in base64; nil if missing
+	invalidName string // the last member with an invalid value; empty: none
 }
 
 // parseRequestParams reads and validates the params of a request.
 func parseRequestParams(params []byte) (requestParams, *rpcError) {
 	reader := paramsReader{}
-	if len(params) == 0 || !forEachMember(params, reader.member) {
+	if len(params) == 0 || !forEachMember(params, reader.readMember) {
 		return requestParams{}, &rpcError{codeInvalidParams, "params don't fit"}
 	}
-	if text := reader.problem(); text != "" {
-		return requestParams{}, &rpcError{codeInvalidParams, text}
+	if problem := reader.problem(); problem != "" {
+		return requestParams{}, &rpcError{codeInvalidParams, problem}
 	}
 	body := make([]byte, base64.StdEncoding.DecodedLen(len(reader.data)))
 	n, err := base64.StdEncoding.Decode(body, reader.data)
@@ -98,21 +98,22 @@
 	return reader.requestParams, nil
 }
 
-func (r *paramsReader) member(name, value []byte) {
+// readMember stores one member of the params; members with unknown names are ignored.
+func (r *paramsReader) readMember(name, value []byte) {
 	switch string(name) {
 	case "req":
-		r.text(&r.id, "req", value)
+		r.readText(&r.id, "req", value)
 	case "opkey":
-		r.text(&r.idempotencyKey, "opkey", value)
+		r.readText(&r.idempotencyKey, "opkey", value)
 	case "subject":
-		r.text(&r.orderKey, "subject", value)
+		r.readText(&r.orderKey, "subject", value)
 	case "timeout":
-		r.number(&r.timeoutMS, "timeout", value)
+		r.readNumber(&r.timeoutMS, "timeout", value)
 	case "ms":
-		r.number(&r.workMS, "ms", value)
+		r.readNumber(&r.workMS, "ms", value)
 	case "ram":
-		r.number(&r.memoryMB, "ram", value)
-	case "team": // one that is no name counts as none
+		r.readNumber(&r.memoryMB, "ram", value)
+	case "team": // an invalid team name is ignored: the request then has no team
 		if text, ok := stringValue(value); ok && isPlainName(string(text)) {
 			r.team = string(text)
 		}
@@ -124,35 +125,37 @@
 		var ok bool
 		r.data, ok = stringValue(value)
 		if !ok {
-			r.wrong = "data"
+			r.invalidName = "data"
 		}
 	}
 }
 
-func (r *paramsReader) text(to *string, name string, value []byte) {
+// readText stores a string value in target, and marks the member as invalid if the value is not a string.
+func (r *paramsReader) readText(target *string, name string, value []byte) {
 	text, ok := stringValue(value)
 	if !ok {
-		r.wrong = name
+		r.invalidName = name
 	}
-	*to = string(text)
+	*target = string(text)
 }
 
-func (r *paramsReader) number(to *float64, name string, value []byte) {
-	n, ok := numberValue(value)
-	if !ok || n < 0 {
-		r.wrong = name
+// readNumber stores a number in target, and marks the member as invalid if the value is not a number or is negative.
+func (r *paramsReader) readNumber(target *float64, name string, value []byte) {
+	number, ok := numberValue(value)
+	if !ok || number < 0 {
+		r.invalidName = name
 	}
-	*to = n
+	*target = number
 }
 
-// problem returns what is wrong with the members; empty: nothing.
+// problem returns why the params are invalid, or an empty string if they are valid.
 func (r *paramsReader) problem() string {
 	switch {
-	case r.wrong != "":
-		return r.wrong + " is wrong"
+	case r.invalidName != "":
+		return r.invalidName + " is wrong"
 	case !isPlainName(r.id):
 		return "req is missing or wrong"
-	case !(r.timeoutMS > 0) || r.timeoutMS > math.MaxInt32: // NaN is wrong, too
+	case !(r.timeoutMS > 0) || r.timeoutMS > math.MaxInt32: // the negation also catches NaN
 		return "timeout is missing or wrong"
 	case r.idempotencyKey != "" && !isPlainName(r.idempotencyKey):
 		return "opkey is wrong"
@@ -162,7 +165,8 @@
 	return ""
 }
 
-// isPlainName returns whether a text can go into any field of any protocol as it is.
+// isPlainName reports whether a text can be used without escaping in any field of any protocol of the controller: it
+// consists of 1 to 64 ASCII letters, digits, '-', '_' and '.'.
 func isPlainName(s string) bool {
 	for _, c := range []byte(s) {
 		if !isDigit(c) && (c|0x20 < 'a' || c|0x20 > 'z') && c != '-' && c != '_' && c != '.' {
@@ -172,10 +176,11 @@
 	return s != "" && len(s) <= 64
 }
 
-// parseCancelParams returns the request that a cancellation names: by its id, or by the id of its call.
-func parseCancelParams(c call) (requestID, callID string) {
-	callID = string(c.id)
-	forEachMember(c.params, func(name, value []byte) {
+// parseCancelParams returns the request that a cancellation names: by request id, or by the id of the call that
+// submitted it. The latter defaults to the id of the cancellation itself.
+func parseCancelParams(call rpcCall) (requestID, callID string) {
+	callID = string(call.id)
+	forEachMember(call.params, func(name, value []byte) {
 		switch string(name) {
 		case "req":
 			text, _ := stringValue(value)
@@ -187,7 +192,8 @@
 	return requestID, callID
 }
 
-// parseOutcomeParams returns the request that a query names, by its id or by its idempotency key.
+// parseOutcomeParams returns the request that an outcome query names, by its id or by its idempotency key. It returns
+// false if the params do not hold exactly one of the two.
 func parseOutcomeParams(params []byte) (requestID, key string, ok bool) {
 	ok = len(params) > 0 && forEachMember(params, func(name, value []byte) {
 		text, _ := stringValue(value)
--- a/internal/jsonrpc/conn.go
+++ b/internal/jsonrpc/conn.go
@@ -14,31 +14,32 @@
 	"liftshift/scheduler"
 )
 
-// lingerAfterWrite is the time after a write within which the other side may not have read all: a reset would take it along.
+// lingerAfterWrite is how long after the last write the client may not have read everything yet. A connection that is
+// closed within this time lingers, since a reset would discard the unread output.
 const lingerAfterWrite = time.Second
 
-// clientConn is one connection of a client. It implements dispatch.Client for the requests that are open on it.
+// clientConn is a connection of a client. It implements dispatch.Client for the requests that are open on it.
 type clientConn struct {
 	netconn.Conn
-	server  *Server
-	addr    netip.Addr
-	hasSlot bool
+	server     *Server
+	clientAddr netip.Addr
+	hasSlot    bool // occupies an element of Server.slots
 
-	// These belong to the connection's own goroutine.
+	// Used only by the connection's goroutine.
 	badMessages     int
-	receivedAny     bool
-	messageDeadline time.Time // when the message that is being read must be complete; zero: none is
-
-	mu          sync.Mutex
-	open        []openRequest // by ascending tag
-	lastTag     uint64
-	lastMessage time.Time
-	closing     bool // takes no more requests
+	receivedAny     bool      // a message was read before
+	messageDeadline time.Time // when the message that is being read must be complete; zero between messages
+
+	mu           sync.Mutex    // guards the fields below
+	openRequests []openRequest // in ascending order of their tags
+	lastTag      uint64
+	lastMessage  time.Time // when the last message was read, or the connection was accepted
+	closing      bool      // further requests are rejected
 }
 
-// serve is the goroutine of a connection.
+// serve reads and handles messages until the connection ends, then cleans up. It runs on the connection's goroutine.
 func (c *clientConn) serve() {
-	s := c.server
+	server := c.server
 	err := c.readMessages(bufio.NewReaderSize(&c.Conn, readBufferBytes))
 	switch {
 	case errors.Is(err, netconn.ErrMalformed):
@@ -49,12 +50,12 @@
 		c.answerHalfClosed()
 	}
 	c.Close()
-	c.abandonOpen()
-	s.mu.Lock()
-	delete(s.connections, c)
-	s.mu.Unlock()
+	c.abandonOpenRequests()
+	server.mu.Lock()
+	delete(server.connections, c)
+	server.mu.Unlock()
 	if c.hasSlot {
-		<-s.slots
+		<-server.slots
 	}
 }
 
@@ -75,22 +76,22 @@
 			return err
 		}
 		buffer = nil
-		if cap(text) <= maxKeptBuffer {
+		if cap(text) <= maxReusedBufferBytes {
 			buffer = text[:0]
 		}
 		c.messageDeadline = time.Time{}
 		c.mu.Lock()
 		c.lastMessage = time.Now()
 		c.mu.Unlock()
-		c.handleMessage(text, c.arrivalTime()) // deadlines count from the last byte
+		c.handleMessage(text, c.arrivalTime()) // a request's deadline counts from the last byte of its message
 		if c.badMessages >= maxBadMessages {
 			return netconn.Malformed("%d messages that can't be used", c.badMessages)
 		}
 	}
 }
 
-// arrivalTime returns the clock at which the message that was just read came. The first one may have been in the system's buffer for
-// as long as the connection waited to be accepted.
+// arrivalTime returns the time at which the message that was just read arrived. The first message may have been in the
+// kernel's buffer for as long as the connection waited to be accepted.
 func (c *clientConn) arrivalTime() float64 {
 	now := c.server.arrivalTime()
 	if c.receivedAny {
@@ -100,12 +101,13 @@
 	return min(now, c.server.clock.Now()-netconn.SinceLastData(c.Socket))
 }
 
-// answerHalfClosed ends a connection whose client has closed its writing side: it may have gone, or may still read. Nothing begins
-// any more for its open requests, and each gets its final answer, for as long as that takes to be written.
+// answerHalfClosed ends a connection whose client has closed its writing side. The client may have left, or may still
+// read. No further attempt is started for its open requests, and each request gets its final answer. The connection
+// stays open until the answers are written, for at most writeTimeout.
 func (c *clientConn) answerHalfClosed() {
 	c.mu.Lock()
 	c.closing = true
-	waiting := slices.Clone(c.open)
+	waiting := slices.Clone(c.openRequests)
 	for _, r := range waiting {
 		r.halfClosed.Store(true)
 		r.clientGone.Store(true)
@@ -115,33 +117,33 @@
 		event := scheduler.Event{Kind: scheduler.ClientLeft, Request: r.requestID, HalfClosed: true}
 		c.server.queue.Put(dispatch.QueueItem{Event: event, Client: c, Token: r.tag})
 	}
-	var scrap [1]byte
-	for began := time.Now(); time.Since(began) < writeTimeout; time.Sleep(stopPollInterval) {
+	var discarded [1]byte
+	for start := time.Now(); time.Since(start) < writeTimeout; time.Sleep(stopPollInterval) {
 		if c.isDone() {
 			return
 		}
-		if _, err := c.Read(scrap[:]); !errors.Is(err, io.EOF) { // it writes what is queued first
+		if _, err := c.Read(discarded[:]); !errors.Is(err, io.EOF) { // Read writes the queued output first
 			return
 		}
 	}
 }
 
-// failAndClose ends a connection whose framing is lost, or that sends nothing but messages that can't be used. All that is open on it
-// fails at once, so that nobody waits, and nothing is written behind the error.
-func (c *clientConn) failAndClose(why error) {
-	s := c.server
-	if s.FramingErrors.Add(1) == 1 {
-		s.log.WithField("error", why).Warn("client server: framing lost")
+// failAndClose ends a connection whose framing is lost, or that has sent too many unusable messages. Its open requests
+// fail at once, so that the client does not wait for them, and nothing is written after the last error.
+func (c *clientConn) failAndClose(cause error) {
+	server := c.server
+	if server.FramingErrors.Add(1) == 1 {
+		server.log.WithField("error", cause).Warn("client server: framing lost")
 	}
-	for _, r := range c.takeOpen() {
+	for _, r := range c.takeOpenRequests() {
 		c.abandon(r)
-		c.Push(func(b []byte) []byte { return appendError(b, r.id, rpcError{codeFailed, "framing lost"}, 0) })
+		c.Push(func(b []byte) []byte { return appendError(b, r.callID, rpcError{codeFailed, "framing lost"}, 0) })
 	}
 	c.Push(func(b []byte) []byte { return appendError(b, nil, rpcError{codeParseError, "framing lost"}, 0) })
 	c.End(false)
-	var scrap [readBufferBytes]byte
-	for read := 0; read < netconn.LingerBytes; { // until all is written
-		n, err := c.Read(scrap[:])
+	var discarded [readBufferBytes]byte
+	for read := 0; read < netconn.LingerBytes; { // Read returns ErrClosed once everything is written
+		n, err := c.Read(discarded[:])
 		if errors.Is(err, netconn.ErrClosed) {
 			c.Linger()
 		}
@@ -152,20 +154,21 @@
 	}
 }
 
-// idleDeadline returns until when something must come.
+// idleDeadline returns the time by which the client must send something.
 func (c *clientConn) idleDeadline() time.Time {
 	if !c.messageDeadline.IsZero() {
 		return c.messageDeadline
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) > 0 {
+	if len(c.openRequests) > 0 {
 		return time.Now().Add(openCheckInterval)
 	}
 	return c.lastMessage.Add(idleTimeout)
 }
 
-// checkIdle returns why a connection on which nothing came in time is to end, if so.
+// checkIdle is called when nothing arrived before the idle deadline. It returns why the connection must end, or nil if
+// it may go on.
 func (c *clientConn) checkIdle() error {
 	now := time.Now()
 	c.mu.Lock()
@@ -174,21 +177,21 @@
 	case !c.messageDeadline.IsZero() && now.After(c.messageDeadline):
 		c.server.TimedOut.Add(1)
 		return netconn.Malformed("no whole message within %v", messageTimeout)
-	case c.messageDeadline.IsZero() && len(c.open) == 0 && now.After(c.lastMessage.Add(idleTimeout)):
+	case c.messageDeadline.IsZero() && len(c.openRequests) == 0 && now.After(c.lastMessage.Add(idleTimeout)):
 		c.closing = true
 		return netconn.ErrClosed
 	}
 	return nil
 }
 
-// idleSince returns when the last message came, and whether the connection is idle.
+// idleSince returns when the last message arrived, and whether the connection is idle.
 func (c *clientConn) idleSince() (since time.Time, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastMessage, c.isIdleLocked()
 }
 
-// closeIfIdle has an idle connection take no more requests; false if it is not idle.
+// closeIfIdle makes an idle connection reject further requests. It returns false if the connection is not idle.
 func (c *clientConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,4 +200,5 @@
 	return idle
 }
 
-func (c *clientConn) isIdleLocked() bool { return len(c.open) == 0 && !c.closing }
+// isIdleLocked reports whether the connection has no open request and is not closing. The caller holds mu.
+func (c *clientConn) isIdleLocked() bool { return len(c.openRequests) == 0 && !c.closing }
--- a/internal/jsonrpc/helpers_test.go
+++ b/internal/jsonrpc/helpers_test.go
@@ -17,70 +17,79 @@
 	"liftshift/scheduler"
 )
 
-// fakeQueue is an event queue that a test reads.
+// fakeQueue is an event queue whose items the test reads itself.
 type fakeQueue chan dispatch.QueueItem
 
-func (m fakeQueue) Put(it dispatch.QueueItem) { m <- it }
+func (q fakeQueue) Put(item dispatch.QueueItem) { q <- item }
 
-func (m fakeQueue) Submit(s *dispatch.Request) {
-	m <- dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: s}
+func (q fakeQueue) Submit(request *dispatch.Request) {
+	q <- dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.RequestArrived}, Request: request}
 }
 
-func (m fakeQueue) OpenRequests() int { return 0 }
+func (q fakeQueue) OpenRequests() int { return 0 }
 
-func (m fakeQueue) next(t *testing.T) dispatch.QueueItem {
+// next returns the next item of the queue and fails the test if none arrives in time.
+func (q fakeQueue) next(t *testing.T) dispatch.QueueItem {
 	select {
-	case it := <-m:
-		return it
+	case item := <-q:
+		return item
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "nothing came")
+		require.Fail(t, "the server queued no item within 3 s")
 	}
 	return dispatch.QueueItem{}
 }
 
-func discardLog() *logrus.Logger {
+// newDiscardLogger returns a logger without output.
+func newDiscardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// newTestServer returns a server with a request class of each kind, and one client.
-func newTestServer(t *testing.T, doors Limits) (*Server, fakeQueue, net.Conn, *bufio.Reader) {
-	m := make(fakeQueue, 100)
-	if doors.MaxConns == 0 {
-		doors.MaxConns = 5
+// newTestServer starts a server with a request class without and one with idempotency keys. It returns the server, its
+// event queue, and the connection of one client with its reader.
+func newTestServer(t *testing.T, limits Limits) (*Server, fakeQueue, net.Conn, *bufio.Reader) {
+	queue := make(fakeQueue, 100)
+	if limits.MaxConns == 0 {
+		limits.MaxConns = 5
 	}
-	doors.OutputBudget = netconn.NewByteBudget(1 << 20)
-	if doors.RequestBudget == nil {
-		doors.RequestBudget = netconn.NewByteBudget(1 << 20)
+	limits.OutputBudget = netconn.NewByteBudget(1 << 20)
+	if limits.RequestBudget == nil {
+		limits.RequestBudget = netconn.NewByteBudget(1 << 20)
 	}
-	f, err := NewServer("127.0.0.1:0", map[string]ClassLimits{"look": {}, "load": {Keyed: true}}, m, dispatch.NewClock(),
-		doors, discardLog())
+	classes := map[string]ClassLimits{"look": {}, "load": {Keyed: true}}
+	server, err := NewServer("127.0.0.1:0", classes, queue, dispatch.NewClock(), limits, newDiscardLogger())
 	require.NoError(t, err)
-	go f.Run()
-	t.Cleanup(func() { f.Stop(0) })
-	c, r := dialServer(t, f)
-	return f, m, c, r
+	go server.Run()
+	t.Cleanup(func() { server.Stop(0) })
+	conn, reader := dialServer(t, server)
+	return server, queue, conn, reader
 }
 
-func dialServer(t *testing.T, f *Server) (net.Conn, *bufio.Reader) {
-	c, err := net.Dial("tcp", f.listener.Addr().String())
+// dialServer connects a client to the server. Its reads and writes fail after 5 s.
+func dialServer(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
+	conn, err := net.Dial("tcp", server.listener.Addr().String())
 	require.NoError(t, err)
-	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	t.Cleanup(func() { c.Close() })
-	return c, bufio.NewReader(c)
+	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+	t.Cleanup(func() { conn.Close() })
+	return conn, bufio.NewReader(conn)
 }
 
-func send(c net.Conn, text string) { fmt.Fprintf(c, "Content-Length: %d\r\n\r\n%s", len(text), text) }
+// send writes a message with its Content-Length header.
+func send(conn net.Conn, text string) {
+	fmt.Fprintf(conn, "Content-Length: %d\r\n\r\n%s", len(text), text)
+}
 
-func lookRequest(id int, req string) string {
+// requestCall returns a call that submits the request "SELECT 1 FROM sales_17.t" of the class "look".
+func requestCall(callID int, requestID string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"look","params":{"req":"%s","timeout":1500,"ms":82,"ram":96,`+
-		`"data":"U0VMRUNUIDEgRlJPTSBzYWxlc18xNy50"}}`, id, req)
+		`"data":"U0VMRUNUIDEgRlJPTSBzYWxlc18xNy50"}}`, callID, requestID)
 }
 
-func assertReply(t *testing.T, r *bufio.Reader, want string) {
+// assertReply reads a message and compares it with the expected JSON.
+func assertReply(t *testing.T, reader *bufio.Reader, want string) {
 	t.Helper()
-	got, err := readMessage(r, nil)
+	got, err := readMessage(reader, nil)
 	require.NoError(t, err)
 	assert.JSONEq(t, want, string(got))
 }
--- a/internal/jsonrpc/json.go
+++ b/internal/jsonrpc/json.go
@@ -5,85 +5,87 @@
 	"strconv"
 )
 
-// forEachMember calls each for every member of an object, with the unparsed bytes of its value. The text must be valid JSON; false if
-// it is no object. Nothing is copied or unescaped.
-func forEachMember(text []byte, each func(name, value []byte)) bool {
-	at := skipSpace(text, 0)
-	if at >= len(text) || text[at] != '{' {
+// forEachMember calls visit for every member of a JSON object, with the member's name and the unparsed bytes of its
+// value. The text must be valid JSON. forEachMember returns false if the text is not an object. It neither copies nor
+// unescapes anything.
+func forEachMember(text []byte, visit func(name, value []byte)) bool {
+	pos := skipSpace(text, 0)
+	if pos >= len(text) || text[pos] != '{' {
 		return false
 	}
-	for at = skipSpace(text, at+1); text[at] != '}'; at = skipSpace(text, at) {
-		if text[at] == ',' {
-			at = skipSpace(text, at+1)
+	for pos = skipSpace(text, pos+1); text[pos] != '}'; pos = skipSpace(text, pos) {
+		if text[pos] == ',' {
+			pos = skipSpace(text, pos+1)
 		}
-		name := at
-		at = skipValue(text, at)
-		colon := skipSpace(text, at)
+		name := pos
+		pos = skipValue(text, pos)
+		colon := skipSpace(text, pos)
 		start := skipSpace(text, colon+1)
 		end := skipValue(text, start)
-		each(text[name+1:at-1], text[start:end])
-		at = end
+		visit(text[name+1:pos-1], text[start:end])
+		pos = end
 	}
 	return true
 }
 
-// skipSpace returns the index behind white space.
-func skipSpace(text []byte, at int) int {
-	for at < len(text) && (text[at] == ' ' || text[at] == '\t' || text[at] == '\n' || text[at] == '\r') {
-		at++
+// skipSpace returns the index of the first byte from pos on that is not white space.
+func skipSpace(text []byte, pos int) int {
+	for pos < len(text) && (text[pos] == ' ' || text[pos] == '\t' || text[pos] == '\n' || text[pos] == '\r') {
+		pos++
 	}
-	return at
+	return pos
 }
 
-// skipValue returns the index behind the value at an index.
-func skipValue(text []byte, at int) int {
-	for depth := 0; at < len(text); {
-		switch c := text[at]; c {
+// skipValue returns the index behind the JSON value that starts at pos.
+func skipValue(text []byte, pos int) int {
+	for depth := 0; pos < len(text); {
+		switch c := text[pos]; c {
 		case '"':
-			for at++; text[at] != '"'; at++ {
-				if text[at] == '\\' {
-					at++
+			for pos++; text[pos] != '"'; pos++ {
+				if text[pos] == '\\' {
+					pos++
 				}
 			}
-			at++
+			pos++
 		case '{', '[':
 			depth++
-			at++
+			pos++
 		case '}', ']':
 			depth--
-			at++
+			pos++
 		case ',', ':', ' ', '\t', '\n', '\r':
-			at++
+			pos++
 			continue
 		default:
-			for at < len(text) && text[at] > ' ' && text[at] != ',' && text[at] != '}' && text[at] != ']' {
-				at++
+			for pos < len(text) && text[pos] > ' ' && text[pos] != ',' && text[pos] != '}' && text[pos] != ']' {
+				pos++
 			}
 		}
 		if depth == 0 {
-			return at
+			return pos
 		}
 	}
-	return at
+	return pos
 }
 
-// stringValue returns the text of a string value; without escapes, which are rare, it is a slice of the value's bytes.
-func stringValue(v []byte) (text []byte, ok bool) {
-	if len(v) < 2 || v[0] != '"' {
+// stringValue returns the text of a JSON string. A string without escapes is returned as a slice of the value's bytes;
+// only one with escapes, which is rare, is copied.
+func stringValue(value []byte) (text []byte, ok bool) {
+	if len(value) < 2 || value[0] != '"' {
 		return nil, false
 	}
-	for _, c := range v {
+	for _, c := range value {
 		if c == '\\' {
 			var s string
-			err := json.Unmarshal(v, &s)
+			err := json.Unmarshal(value, &s)
 			return []byte(s), err == nil
 		}
 	}
-	return v[1 : len(v)-1], true
+	return value[1 : len(value)-1], true
 }
 
-// numberValue returns the number of a number value.
-func numberValue(v []byte) (float64, bool) {
-	n, err := strconv.ParseFloat(string(v), 64)
-	return n, err == nil && (v[0] == '-' || isDigit(v[0]))
+// numberValue returns a JSON number; false if the value is not a number.
+func numberValue(value []byte) (float64, bool) {
+	number, err := strconv.ParseFloat(string(value), 64)
+	return number, err == nil && (value[0] == '-' || isDigit(value[0]))
 }
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -14,14 +14,14 @@
 	maxMessageBytes = 64 << 10
 )
 
-// readMessage reads the header and the body of a message, the body into buffer if that is large enough. An ErrMalformed means that
-// framing is lost.
+// readMessage reads a message and returns its body, in buffer if that is large enough. An error that wraps
+// netconn.ErrMalformed means that the framing is lost: nothing more can be read from the connection.
 func readMessage(r *bufio.Reader, buffer []byte) ([]byte, error) {
 	length := -1
-	for n := 0; ; n++ {
+	for lineCount := 0; ; lineCount++ {
 		line, err := netconn.ReadLine(r)
 		if err != nil {
-			if n > 0 {
+			if lineCount > 0 {
 				err = netconn.UnexpectedEOF(err)
 			}
 			return nil, err
@@ -30,38 +30,40 @@
 			break
 		}
 		name, value, ok := strings.Cut(string(line), ":")
-		if !ok || n == maxHeaderLines {
-			return nil, netconn.Malformed("head %q", netconn.Clip(line))
+		if !ok || lineCount == maxHeaderLines {
+			return nil, netconn.Malformed(`header line %q: want at most %d lines "name: value"`,
+				netconn.Clip(line), maxHeaderLines)
 		}
 		if !strings.EqualFold(strings.TrimSpace(name), "Content-Length") {
 			continue
 		}
 		value = strings.TrimSpace(value)
-		m, err := strconv.ParseUint(value, 10, 31)
-		if err != nil || m > maxMessageBytes || length >= 0 {
-			return nil, netconn.Malformed("length %q", netconn.Clip([]byte(value)))
+		parsed, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || parsed > maxMessageBytes || length >= 0 {
+			return nil, netconn.Malformed("Content-Length %q: want a single number up to %d",
+				netconn.Clip([]byte(value)), maxMessageBytes)
 		}
-		length = int(m)
+		length = int(parsed)
 	}
 	if length < 0 {
-		return nil, netconn.Malformed("a head without a length")
+		return nil, netconn.Malformed("header without Content-Length")
 	}
 	body, err := netconn.ReadBody(r, length, buffer)
 	return body, netconn.UnexpectedEOF(err)
 }
 
-// appendMessage appends a message of a header and a body, which write appends.
-func appendMessage(b []byte, write func([]byte) []byte) []byte {
-	const maxDigits = 7 // of a length; the body is moved up to the digits that it takes
+// appendMessage appends a message: a Content-Length header and the body that appendBody appends.
+func appendMessage(b []byte, appendBody func([]byte) []byte) []byte {
+	const maxDigits = 7 // space for the length; the body is moved up by the digits that the length does not need
 	b = append(b, "Content-Length: "...)
-	at := len(b)
+	lengthPos := len(b)
 	b = append(b, "0000000\r\n\r\n"...)
 	start := len(b)
-	b = write(b)
+	b = appendBody(b)
 	var digits [maxDigits]byte
 	length := strconv.AppendInt(digits[:0], int64(len(b)-start), 10)
 	spare := maxDigits - len(length)
-	copy(b[at:], length)
-	copy(b[at+len(length):], b[at+maxDigits:])
+	copy(b[lengthPos:], length)
+	copy(b[lengthPos+len(length):], b[lengthPos+maxDigits:])
 	return b[:len(b)-spare]
 }
--- a/internal/jsonrpc/parsers_test.go
+++ b/internal/jsonrpc/parsers_test.go
@@ -47,61 +47,96 @@
 }
 
 func TestReadMessage(t *testing.T) {
-	r := newReader("Content-Length: 2\r\n\r\n{}content-length:3\r\nContent-Type: x\r\n\r\n[1]")
-	a, err := readMessage(r, nil)
+	reader := newReader("Content-Length: 2\r\n\r\n{}content-length:3\r\nContent-Type: x\r\n\r\n[1]")
+	body, err := readMessage(reader, nil)
 	assert.NoError(t, err)
-	assert.Equal(t, "{}", string(a))
-	a, _ = readMessage(r, nil)
-	assert.Equal(t, "[1]", string(a))
-	_, err = readMessage(r, nil)
+	assert.Equal(t, "{}", string(body))
+	body, _ = readMessage(reader, nil)
+	assert.Equal(t, "[1]", string(body))
+	_, err = readMessage(reader, nil)
 	assert.Equal(t, io.EOF, err)
-	for _, lost := range []string{"\r\n", "Content-Length: -1\r\n\r\n", "Content-Length: 999999999\r\n\r\n",
-		"Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "what\r\n\r\n", strings.Repeat("x", 5000) + "\r\n",
-		strings.Repeat("a: b\r\n", 30), "Content-Length: 0x10\r\n\r\n"} {
-		_, err = readMessage(newReader(lost), nil)
-		assert.ErrorIs(t, err, netconn.ErrMalformed, lost)
+	for _, malformed := range []string{
+		"\r\n",
+		"Content-Length: -1\r\n\r\n",
+		"Content-Length: 999999999\r\n\r\n",
+		"Content-Length: 1\r\nContent-Length: 1\r\n\r\nx",
+		"what\r\n\r\n",
+		strings.Repeat("x", 5000) + "\r\n",
+		strings.Repeat("a: b\r\n", 30),
+		"Content-Length: 0x10\r\n\r\n",
+	} {
+		_, err = readMessage(newReader(malformed), nil)
+		assert.ErrorIs(t, err, netconn.ErrMalformed, malformed)
 	}
-	for _, half := range []string{"Content-Le", "Content-Length: 5\r\n", "Content-Length: 5\r\n\r\nab"} {
-		_, err = readMessage(newReader(half), nil)
-		assert.Equal(t, io.ErrUnexpectedEOF, err, half)
+	for _, truncated := range []string{"Content-Le", "Content-Length: 5\r\n", "Content-Length: 5\r\n\r\nab"} {
+		_, err = readMessage(newReader(truncated), nil)
+		assert.Equal(t, io.ErrUnexpectedEOF, err, truncated)
 	}
 }
 
 func TestParseCall(t *testing.T) {
-	for in, want := range map[string]int{"{": codeParseError, "[]": codeInvalidRequest, "null": codeInvalidRequest, `"x"`: codeInvalidRequest,
-		`{"jsonrpc":"1.0","id":1,"method":"x"}`: codeInvalidRequest, `{"jsonrpc":"2.0","id":1}`: codeInvalidRequest,
-		`{"jsonrpc":"2.0","id":{},"method":"x"}`: codeInvalidRequest, `{"jsonrpc":"2.0","id":1,"method":7}`: codeInvalidRequest} {
-		_, f := parseCall([]byte(in))
-		assert.Equal(t, want, f.code, in)
+	for text, want := range map[string]int{
+		"{":                                      codeParseError,
+		"[]":                                     codeInvalidRequest,
+		"null":                                   codeInvalidRequest,
+		`"x"`:                                    codeInvalidRequest,
+		`{"jsonrpc":"1.0","id":1,"method":"x"}`:  codeInvalidRequest,
+		`{"jsonrpc":"2.0","id":1}`:               codeInvalidRequest,
+		`{"jsonrpc":"2.0","id":{},"method":"x"}`: codeInvalidRequest,
+		`{"jsonrpc":"2.0","id":1,"method":7}`:    codeInvalidRequest,
+	} {
+		_, rpcErr := parseCall([]byte(text))
+		assert.Equal(t, want, rpcErr.code, text)
 	}
-	c, f := parseCall([]byte(`{"jsonrpc":"2.0","id":007,"method":"x"}`))
-	assert.Equal(t, codeParseError, f.code, "%v", c)
-	c, f = parseCall([]byte(`{"jsonrpc":"2.0","id":12,"method":"x","params":{"a":1}}`))
-	assert.Nil(t, f)
-	assert.Equal(t, []string{"12", "x", `{"a":1}`}, []string{string(c.id), c.method, string(c.params)})
+	call, rpcErr := parseCall([]byte(`{"jsonrpc":"2.0","id":007,"method":"x"}`))
+	assert.Equal(t, codeParseError, rpcErr.code, "%v", call)
+	call, rpcErr = parseCall([]byte(`{"jsonrpc":"2.0","id":12,"method":"x","params":{"a":1}}`))
+	assert.Nil(t, rpcErr)
+	assert.Equal(t, []string{"12", "x", `{"a":1}`}, []string{string(call.id), call.method, string(call.params)})
 }
 
 func TestParseRequestParams(t *testing.T) {
-	a, f := parseRequestParams([]byte(`{"req":"9b1f","timeout":1500,"opkey":"5c","ms":820.5,"ram":96,"data":"c2VsZWN0"}`))
-	assert.Nil(t, f)
-	assert.Equal(t, requestParams{id: "9b1f", idempotencyKey: "5c", timeoutMS: 1500, workMS: 820.5, memoryMB: 96, body: []byte("select")}, a)
-	for _, bad := range []string{``, `[]`, `{"timeout":5,"data":""}`, `{"req":"a","data":""}`,
-		`{"req":"a","timeout":0,"data":""}`, `{"req":"a","timeout":"5","data":""}`, `{"req":"a","timeout":5}`,
-		`{"req":"a","timeout":5,"data":"%"}`, `{"req":"a,b=c","timeout":5,"data":""}`,
-		`{"req":"a","timeout":5,"opkey":"x y","data":""}`, `{"req":"a","timeout":5,"ms":-1,"data":""}`,
-		`{"req":"a","timeout":1e300,"data":""}`} {
-		_, f := parseRequestParams([]byte(bad))
-		assert.NotNil(t, f, bad)
+	const valid = `{"req":"9b1f","timeout":1500,"opkey":"5c","ms":820.5,"ram":96,"data":"c2VsZWN0"}`
+	got, rpcErr := parseRequestParams([]byte(valid))
+	assert.Nil(t, rpcErr)
+	want := requestParams{
+		id:             "9b1f",
+		idempotencyKey: "5c",
+		timeoutMS:      1500,
+		workMS:         820.5,
+		memoryMB:       96,
+		body:           []byte("select"),
+	}
+	assert.Equal(t, want, got)
+	for _, invalid := range []string{
+		``,
+		`[]`,
+		`{"timeout":5,"data":""}`,
+		`{"req":"a","data":""}`,
+		`{"req":"a","timeout":0,"data":""}`,
+		`{"req":"a","timeout":"5","data":""}`,
+		`{"req":"a","timeout":5}`,
+		`{"req":"a","timeout":5,"data":"%"}`,
+		`{"req":"a,b=c","timeout":5,"data":""}`,
+		`{"req":"a","timeout":5,"opkey":"x y","data":""}`,
+		`{"req":"a","timeout":5,"ms":-1,"data":""}`,
+		`{"req":"a","timeout":1e300,"data":""}`,
+	} {
+		_, rpcErr := parseRequestParams([]byte(invalid))
+		assert.NotNil(t, rpcErr, invalid)
 	}
 }
 
 func TestAppendReplies(t *testing.T) {
 	assert.Equal(t, "Content-Length: 53\r\n\r\n"+`{"jsonrpc":"2.0","id":7,"result":{"data":"YQliCg=="}}`,
 		string(appendResult(nil, []byte("7"), []byte("a\tb\n"))))
-	got, err := readMessage(bufio.NewReader(bytes.NewReader(appendError(nil, nil, rpcError{codeRejected, "no"}, 200.9))), nil)
+	message := appendError(nil, nil, rpcError{codeRejected, "no"}, 200.9)
+	got, err := readMessage(bufio.NewReader(bytes.NewReader(message)), nil)
 	assert.NoError(t, err)
-	assert.JSONEq(t, `{"jsonrpc":"2.0","id":null,"error":{"code":-32008,"message":"no","data":{"holdoff":200}}}`, string(got))
-	got, _ = readMessage(bufio.NewReader(bytes.NewReader(appendReady(nil, []byte(`"x"`), true))), nil)
+	assert.JSONEq(t, `{"jsonrpc":"2.0","id":null,"error":{"code":-32008,"message":"no","data":{"holdoff":200}}}`,
+		string(got))
+	message = appendProbeResult(nil, []byte(`"x"`), true)
+	got, _ = readMessage(bufio.NewReader(bytes.NewReader(message)), nil)
 	assert.JSONEq(t, `{"jsonrpc":"2.0","id":"x","result":{"fit":true}}`, string(got))
 }
 
@@ -110,21 +145,27 @@
 	f.Add(appendMessage(nil, func(b []byte) []byte {
 		return append(b, `{"id":1,"jsonrpc":"2.0","method":"x","params":{"req":"a","timeout":5,"data":"c2VsZWN0"}}`...)
 	}))
-	for _, bad := range []string{"Content-Length: -1\r\n\r\n", "Content-Length: 60000000\r\n\r\n{", "Content-Length: 9\r\n\r\n{}", "x",
-		"Content-Length: 83\r\n\r\n" + `{"id":1,"jsonrpc":"2.0","method":"x","params":{"req":"","timeout":1e999,"ms":"NaN"}}`} {
-		f.Add([]byte(bad))
+	for _, malformed := range []string{
+		"Content-Length: -1\r\n\r\n",
+		"Content-Length: 60000000\r\n\r\n{",
+		"Content-Length: 9\r\n\r\n{}",
+		"x",
+		"Content-Length: 83\r\n\r\n" + `{"id":1,"jsonrpc":"2.0","method":"x","params":{"req":"","timeout":1e999,"ms":"NaN"}}`,
+	} {
+		f.Add([]byte(malformed))
 	}
-	f.Fuzz(func(t *testing.T, in []byte) {
-		r := bufio.NewReader(bytes.NewReader(in))
+	f.Fuzz(func(t *testing.T, input []byte) {
+		reader := bufio.NewReader(bytes.NewReader(input))
 		for {
-			m, err := readMessage(r, nil)
+			text, err := readMessage(reader, nil)
 			if err != nil {
 				return
 			}
-			c, fault := parseCall(m)
-			parseCancelParams(c)
-			if a, wrong := parseRequestParams(c.params); fault == nil && wrong == nil && (!isPlainName(a.id) || a.timeoutMS <= 0) {
-				t.Fatalf("taken: %+v", a)
+			call, callErr := parseCall(text)
+			parseCancelParams(call)
+			params, paramsErr := parseRequestParams(call.params)
+			if callErr == nil && paramsErr == nil && (!isPlainName(params.id) || params.timeoutMS <= 0) {
+				t.Fatalf("parseRequestParams accepted %s as %+v", call.params, params)
 			}
 		}
 	})
@@ -133,24 +174,25 @@
 func FuzzStatement(f *testing.F) {
 	f.Add("SELECT 'it''s', \"a\"\"b\" /* x */ FROM sales_17.orders -- y")
 	f.Add("WITH w AS (SELECT * FROM lake_9.visits) SELECT 1 FROM w, x_1.y")
-	f.Fuzz(func(_ *testing.T, in string) { tableGroupOf([]byte(in)) })
+	f.Fuzz(func(_ *testing.T, statement string) { tableGroupOf([]byte(statement)) })
 }
 
+// FuzzMembers compares forEachMember with encoding/json.
 func FuzzMembers(f *testing.F) {
 	f.Add([]byte(`{"a":1, "b" : {"c":[1,"]}",{}]},"d":"x\"y","e":null ,"f":-1.5e3}`))
 	f.Add([]byte(` { } `))
-	f.Fuzz(func(t *testing.T, in []byte) {
+	f.Fuzz(func(t *testing.T, input []byte) {
 		var want map[string]json.RawMessage
-		if !json.Valid(in) || bytes.ContainsAny(in, "\\") || !utf8.Valid(in) {
+		if !json.Valid(input) || bytes.ContainsAny(input, "\\") || !utf8.Valid(input) {
 			return
 		}
-		object := json.Unmarshal(in, &want) == nil && want != nil
+		isObject := json.Unmarshal(input, &want) == nil && want != nil
 		got := map[string]json.RawMessage{}
-		if forEachMember(in, func(name, value []byte) { got[string(name)] = value }) != object {
-			t.Fatalf("object: %v", object)
+		if forEachMember(input, func(name, value []byte) { got[string(name)] = value }) != isObject {
+			t.Fatalf("forEachMember(%s) = %v, want %v", input, !isObject, isObject)
 		}
-		if object && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s, not %s", got, want)
+		if isObject && !reflect.DeepEqual(got, want) {
+			t.Fatalf("members of %s: got %s, want %s", input, got, want)
 		}
 	})
 }
--- a/internal/jsonrpc/request.go
+++ b/internal/jsonrpc/request.go
@@ -10,108 +10,116 @@
 	"liftshift/scheduler"
 )
 
-// openRequest is a request that is open on a connection.
+// openRequest is a request that was submitted on a connection and is not answered yet.
 type openRequest struct {
-	tag        uint64
-	id         []byte // of the JSON-RPC call
+	tag        uint64 // identifies the request on its connection
+	callID     []byte // id of the JSON-RPC call
 	requestID  string
-	bodyBytes  int
-	clientGone *atomic.Bool
-	halfClosed *atomic.Bool // the client closed its writing side only
+	bodyBytes  int          // reserved in the server's requestBudget
+	clientGone *atomic.Bool // set once no further attempt may start
+	halfClosed *atomic.Bool // set if the client closed only its writing side
 }
 
-// handleMessage handles one message. What is wrong with it affects no other.
+// handleMessage handles one message that arrived at time now. An unusable message is answered with an error and does
+// not affect other messages of the connection.
 func (c *clientConn) handleMessage(text []byte, now float64) {
-	m, wrong := parseCall(text)
-	if wrong != nil {
-		c.replyError(m.id, *wrong)
+	call, rpcErr := parseCall(text)
+	if rpcErr != nil {
+		c.replyError(call.id, *rpcErr)
 		return
 	}
-	switch m.method {
+	switch call.method {
 	case "probe":
-		c.Push(func(b []byte) []byte { return appendReady(b, m.id, c.server.ready.Load()) })
+		c.Push(func(b []byte) []byte { return appendProbeResult(b, call.id, c.server.ready.Load()) })
 	case "giveUp":
-		c.cancel(m)
+		c.cancel(call)
 	case "outcome":
-		if wrong = c.queryOutcome(m); wrong != nil {
-			c.replyError(m.id, *wrong)
+		if rpcErr = c.queryOutcome(call); rpcErr != nil {
+			c.replyError(call.id, *rpcErr)
 		}
 	default:
-		if wrong = c.submit(m, now); wrong != nil {
-			c.replyError(m.id, *wrong)
+		if rpcErr = c.submit(call, now); rpcErr != nil {
+			c.replyError(call.id, *rpcErr)
 		}
 	}
 }
 
-// queryOutcome asks what became of a request, by its id or its idempotency key. It opens no request.
-func (c *clientConn) queryOutcome(m call) *rpcError {
+// queryOutcome asks the event loop for the outcome of a request, by its id or its idempotency key. It opens no request.
+func (c *clientConn) queryOutcome(call rpcCall) *rpcError {
 	if !c.server.servesOutcomes {
 		return &rpcError{codeMethodNotFound, "no such method"}
 	}
-	if m.id == nil {
+	if call.id == nil {
 		return &rpcError{codeInvalidRequest, "no id"}
 	}
-	requestID, key, ok := parseOutcomeParams(m.params)
+	requestID, key, ok := parseOutcomeParams(call.params)
 	if !ok {
 		return &rpcError{codeInvalidParams, "either req or opkey is needed"}
 	}
-	id := slices.Clone(m.id)
-	reply := func(e ledger.Effect) {
-		c.Push(func(b []byte) []byte { return appendOutcome(b, id, e) })
+	callID := slices.Clone(call.id)
+	reply := func(effect ledger.Effect) {
+		c.Push(func(b []byte) []byte { return appendOutcomeResult(b, callID, effect) })
 	}
-	c.server.queue.Put(dispatch.QueueItem{Query: &dispatch.OutcomeQuery{ID: requestID, IdempotencyKey: key, Reply: reply}})
+	query := &dispatch.OutcomeQuery{ID: requestID, IdempotencyKey: key, Reply: reply}
+	c.server.queue.Put(dispatch.QueueItem{Query: query})
 	return nil
 }
 
-// replyError answers a message that can't be used. Under an id that is open no error may go out: it would pass for the answer of the
-// open request.
-func (c *clientConn) replyError(id []byte, e rpcError) {
+// replyError answers an unusable message. If a request with the same call id is open, the error goes out without an id:
+// the client would take it for the answer of the open request.
+func (c *clientConn) replyError(callID []byte, e rpcError) {
 	c.server.BadRequests.Add(1)
 	c.mu.Lock()
-	if !c.closing { // what comes as its connection ends is no fault of the client
+	if !c.closing { // messages that arrive while the connection ends are not the client's fault
 		c.badMessages++
 	}
-	if slices.ContainsFunc(c.open, func(r openRequest) bool { return string(r.id) == string(id) }) {
-		id = nil
+	if slices.ContainsFunc(c.openRequests, func(r openRequest) bool { return string(r.callID) == string(callID) }) {
+		callID = nil
 	}
 	c.mu.Unlock()
 	retryAfterMS := 0.0
 	if e.code == codeRejected {
 		retryAfterMS = c.server.retryAfterMS
 	}
-	c.Push(func(b []byte) []byte { return appendError(b, id, e, retryAfterMS) })
+	c.Push(func(b []byte) []byte { return appendError(b, callID, e, retryAfterMS) })
 }
 
-// submit hands a request to the event loop.
-func (c *clientConn) submit(m call, now float64) *rpcError {
-	s := c.server
-	class, ok := s.classes[m.method]
+// submit validates a request that arrived at time now and submits it to the event loop.
+func (c *clientConn) submit(call rpcCall, now float64) *rpcError {
+	server := c.server
+	class, ok := server.classes[call.method]
 	if !ok {
 		return &rpcError{codeMethodNotFound, "no such method"}
 	}
-	if m.id == nil {
+	if call.id == nil {
 		return &rpcError{codeInvalidRequest, "no id"}
 	}
-	params, wrong := parseRequestParams(m.params)
-	if wrong != nil {
-		return wrong
+	params, rpcErr := parseRequestParams(call.params)
+	if rpcErr != nil {
+		return rpcErr
 	}
 	if class.Keyed && params.idempotencyKey == "" {
 		return &rpcError{codeInvalidParams, "opkey is missing"}
 	}
-	var flags [2]atomic.Bool // in one allocation
-	r := openRequest{id: slices.Clone(m.id), requestID: params.id, bodyBytes: len(params.body), clientGone: &flags[0], halfClosed: &flags[1]}
-	if wrong = c.admit(&r); wrong != nil {
-		return wrong
+	var flags [2]atomic.Bool // one allocation for both
+	open := openRequest{
+		callID:     slices.Clone(call.id),
+		requestID:  params.id,
+		bodyBytes:  len(params.body),
+		clientGone: &flags[0],
+		halfClosed: &flags[1],
+	}
+	if rpcErr = c.admit(&open); rpcErr != nil {
+		return rpcErr
 	}
 	timeoutMS := params.timeoutMS
-	if class.MaxDeadlineMS > 0 { // state that is kept until the deadline must not be kept for as long as a client says
+	if class.MaxDeadlineMS > 0 { // clients must not choose for how long state that lives until the deadline is kept
 		timeoutMS = min(timeoutMS, class.MaxDeadlineMS)
 	}
 	group, schema, _ := parseTables(params.body)
-	s.queue.Submit(&dispatch.Request{
+	server.queue.Submit(&dispatch.Request{
 		ID:                params.id,
-		Class:             m.method,
+		Class:             call.method,
 		OrderKey:          params.orderKey,
 		IdempotencyKey:    params.idempotencyKey,
 		TableGroup:        group,
@@ -119,119 +127,127 @@
 		WorkMS:            params.workMS,
 		Deadline:          now + timeoutMS,
 		Team:              params.team,
-		ClientAddr:        c.addr,
+		ClientAddr:        c.clientAddr,
 		Schema:            schema,
 		WantsWaitEstimate: params.wantsWait,
 		Retried:           params.retried,
 		Body:              params.body,
 		Client:            c,
-		Tag:               r.tag,
-		ClientGone:        r.clientGone,
-		HalfClosed:        r.halfClosed,
+		Tag:               open.tag,
+		ClientGone:        open.clientGone,
+		HalfClosed:        open.halfClosed,
 	})
 	return nil
 }
 
-// admit adds a request to the open ones, unless there is no room for it.
+// admit assigns a tag to a request and adds it to the open requests, unless a limit is reached or the connection is
+// closing.
 func (c *clientConn) admit(r *openRequest) *rpcError {
-	s := c.server
+	server := c.server
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case slices.ContainsFunc(c.open, func(o openRequest) bool { return string(o.id) == string(r.id) }):
+	case slices.ContainsFunc(c.openRequests, func(o openRequest) bool { return string(o.callID) == string(r.callID) }):
 		return &rpcError{codeInvalidRequest, "id is open"}
 	case c.closing:
 		return &rpcError{codeRejected, "this connection takes no more"}
-	case len(c.open) >= maxOpenRequests, s.maxOpen > 0 && s.queue.OpenRequests() >= s.maxOpen, !s.requestBudget.Reserve(r.bodyBytes):
-		s.Rejected.Add(1)
+	case len(c.openRequests) >= maxOpenRequests,
+		server.maxOpen > 0 && server.queue.OpenRequests() >= server.maxOpen,
+		!server.requestBudget.Reserve(r.bodyBytes):
+		server.Rejected.Add(1)
 		return &rpcError{codeRejected, "too much is open here"}
 	}
 	c.lastTag++
 	r.tag = c.lastTag
-	c.open = append(c.open, *r)
+	c.openRequests = append(c.openRequests, *r)
 	return nil
 }
 
-// cancel ends a request of this connection on the client's behalf. A call with an id of its own gets an answer of its own.
-func (c *clientConn) cancel(m call) {
-	requestID, callID := parseCancelParams(m)
+// cancel ends a request of this connection on behalf of the client. If the cancellation has an id that differs
+// from that of the cancelled call, it gets an empty result of its own.
+func (c *clientConn) cancel(call rpcCall) {
+	requestID, callID := parseCancelParams(call)
 	matches := func(r openRequest) bool {
-		return r.requestID == requestID || requestID == "" && string(r.id) == callID
+		return r.requestID == requestID || requestID == "" && string(r.callID) == callID
 	}
-	var r openRequest
+	var cancelled openRequest
 	c.mu.Lock()
-	at := slices.IndexFunc(c.open, matches)
-	if at >= 0 {
-		r = c.open[at]
-		c.open = slices.Delete(c.open, at, at+1)
+	index := slices.IndexFunc(c.openRequests, matches)
+	if index >= 0 {
+		cancelled = c.openRequests[index]
+		c.openRequests = slices.Delete(c.openRequests, index, index+1)
 	}
 	c.mu.Unlock()
-	if at >= 0 {
-		c.abandon(r)
+	if index >= 0 {
+		c.abandon(cancelled)
 		c.endIfDone()
 	}
-	if m.id != nil && string(m.id) != string(r.id) {
-		c.Push(func(b []byte) []byte { return appendEmptyResult(b, m.id) })
+	if call.id != nil && string(call.id) != string(cancelled.callID) {
+		c.Push(func(b []byte) []byte { return appendEmptyResult(b, call.id) })
 	}
 }
 
-// abandonOpen abandons all open requests.
-func (c *clientConn) abandonOpen() {
-	for _, r := range c.takeOpen() {
+// abandonOpenRequests abandons all open requests.
+func (c *clientConn) abandonOpenRequests() {
+	for _, r := range c.takeOpenRequests() {
 		c.abandon(r)
 	}
 }
 
-// abandon tells the event loop that nobody waits for a request any more. An attempt on its way to an executor sees clientGone at its
-// last step, however much is in the queue before the event.
+// abandon tells the event loop that the client no longer waits for a request. It sets clientGone first: an attempt that
+// is about to be sent to an executor checks the flag, even while the event still waits in the queue.
 func (c *clientConn) abandon(r openRequest) {
 	r.clientGone.Store(true)
 	c.server.requestBudget.Free(r.bodyBytes)
 	if r.halfClosed.Load() {
-		return // the event was sent
+		return // answerHalfClosed has sent the event
 	}
 	event := scheduler.Event{Kind: scheduler.ClientLeft, Request: r.requestID}
 	c.server.queue.Put(dispatch.QueueItem{Event: event, Client: c, Token: r.tag})
 }
 
-// takeOpen takes out the open requests: nothing more is answered here.
-func (c *clientConn) takeOpen() []openRequest {
+// takeOpenRequests removes and returns all open requests, so that none of them is answered any more, and makes the
+// connection reject further requests.
+func (c *clientConn) takeOpenRequests() []openRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	open := c.open
-	c.open = nil
+	taken := c.openRequests
+	c.openRequests = nil
 	c.closing = true
-	for _, r := range open {
-		r.clientGone.Store(true) // all at once: the first event may have to wait for room in the queue
+	for _, r := range taken {
+		r.clientGone.Store(true) // for all requests before the first event, which may have to wait for room in the queue
 	}
-	return open
+	return taken
 }
 
-// find returns the index of an open request by its tag.
-func (c *clientConn) find(tag uint64) (at int, ok bool) {
-	return slices.BinarySearchFunc(c.open, tag, func(r openRequest, tag uint64) int { return cmp.Compare(r.tag, tag) })
+// findLocked returns the index of the open request with a tag. The caller holds mu.
+func (c *clientConn) findLocked(tag uint64) (index int, ok bool) {
+	return slices.BinarySearchFunc(c.openRequests, tag, func(r openRequest, tag uint64) int {
+		return cmp.Compare(r.tag, tag)
+	})
 }
 
-// reply writes the one answer of an open request.
-func (c *clientConn) reply(tag uint64, write func(b, id []byte) []byte) {
+// reply queues the final answer of a request and closes the request. It does nothing if the request is no longer open.
+func (c *clientConn) reply(tag uint64, appendReply func(b, callID []byte) []byte) {
 	c.mu.Lock()
-	at, ok := c.find(tag)
+	index, ok := c.findLocked(tag)
 	if !ok {
 		c.mu.Unlock()
 		return
 	}
-	r := c.open[at]
-	c.open = slices.Delete(c.open, at, at+1)
-	c.Push(func(b []byte) []byte { return write(b, r.id) }) // under the lock: who sees it no longer open sees its answer queued
+	r := c.openRequests[index]
+	c.openRequests = slices.Delete(c.openRequests, index, index+1)
+	// Push while holding mu: isDone must not see the request closed before its answer is queued.
+	c.Push(func(b []byte) []byte { return appendReply(b, r.callID) })
 	c.mu.Unlock()
 	c.server.requestBudget.Free(r.bodyBytes)
 	c.endIfDone()
 }
 
-// endIfDone ends a connection that takes no more requests and has its last answer.
+// endIfDone ends a closing connection once it has no open request.
 func (c *clientConn) endIfDone() {
 	c.mu.Lock()
-	done := c.closing && len(c.open) == 0
+	done := c.closing && len(c.openRequests) == 0
 	c.mu.Unlock()
 	if done {
 		c.End(false)
@@ -241,28 +257,32 @@
 // WaitEstimated implements dispatch.WaitListener.
 func (c *clientConn) WaitEstimated(tag uint64, startMS, endMS float64) {
 	c.mu.Lock()
-	at, ok := c.find(tag)
-	var id []byte
+	index, ok := c.findLocked(tag)
+	var callID []byte
 	if ok {
-		id = c.open[at].id
+		callID = c.openRequests[index].callID
 	}
 	c.mu.Unlock()
 	if ok {
-		c.Push(func(b []byte) []byte { return appendWait(b, id, startMS, endMS) })
+		c.Push(func(b []byte) []byte { return appendWaitEstimate(b, callID, startMS, endMS) })
 	}
 }
 
 // Succeeded implements dispatch.Client.
 func (c *clientConn) Succeeded(tag uint64, body []byte) {
-	c.reply(tag, func(b, id []byte) []byte { return appendResult(b, id, body) })
+	c.reply(tag, func(b, callID []byte) []byte { return appendResult(b, callID, body) })
 }
 
 // Rejected implements dispatch.Client.
-func (c *clientConn) Rejected(tag uint64, afterMS float64) {
-	c.reply(tag, func(b, id []byte) []byte { return appendError(b, id, rpcError{codeRejected, "denied"}, afterMS) })
+func (c *clientConn) Rejected(tag uint64, retryAfterMS float64) {
+	c.reply(tag, func(b, callID []byte) []byte {
+		return appendError(b, callID, rpcError{codeRejected, "denied"}, retryAfterMS)
+	})
 }
 
 // Failed implements dispatch.Client.
 func (c *clientConn) Failed(tag uint64) {
-	c.reply(tag, func(b, id []byte) []byte { return appendError(b, id, rpcError{codeFailed, "written off"}, 0) })
+	c.reply(tag, func(b, callID []byte) []byte {
+		return appendError(b, callID, rpcError{codeFailed, "written off"}, 0)
+	})
 }
--- a/internal/jsonrpc/server.go
+++ b/internal/jsonrpc/server.go
@@ -1,7 +1,8 @@
-// Package jsonrpc serves clients: JSON-RPC 2.0 in messages with a Content-Length header, over TCP.
+// Package jsonrpc serves clients over TCP with JSON-RPC 2.0. Each JSON-RPC message follows a Content-Length header.
 //
-// It owns the clients' connections, the limits on them, and the codec. It decides nothing about requests: it hands them to the event
-// loop and writes the answers that come back. Names on the wire are literals in the codec.
+// The package owns the clients' connections, their limits and the codec. It makes no scheduling decisions: it submits
+// requests to the event loop and writes the answers that the event loop returns. Names on the wire are literals in the
+// codec.
 package jsonrpc
 
 import (
@@ -17,70 +18,79 @@
 	"liftshift/internal/retry"
 )
 
-// Limits of a connection.
+// Limits of one connection.
 const (
-	maxOpenRequests   = 32              // on a connection
-	maxQueuedBytes    = 3 << 20         // of output: the largest answers of a full connection
-	writeTimeout      = 2 * time.Second // for an answer to get through to a client that reads
-	messageTimeout    = 2 * time.Second // for the first message, and for each from its first byte on, to be complete
-	idleTimeout       = 5 * time.Second // without a message and with nothing open; usual clients close after 4 s
-	openCheckInterval = 15 * time.Second
-	maxBadMessages    = 64 // until the connection is closed
-	readBufferBytes   = 4 << 10
-	maxKeptBuffer     = 16 << 10  // of a message buffer that is reused
-	kernelBufferBytes = 128 << 10 // of output that the system holds for a client that does not read
+	maxOpenRequests      = 32
+	maxQueuedBytes       = 3 << 20         // of output; fits the largest answers of maxOpenRequests requests
+	writeTimeout         = 2 * time.Second // the longest that a write may make no progress
+	messageTimeout       = 2 * time.Second // from the accept to the end of the first message, then from first to last byte
+	idleTimeout          = 5 * time.Second // without a message and without open requests; typical clients close after 4 s
+	openCheckInterval    = 15 * time.Second
+	maxBadMessages       = 64 // the connection is closed at this many
+	readBufferBytes      = 4 << 10
+	maxReusedBufferBytes = 16 << 10  // larger message buffers are not reused
+	socketBufferBytes    = 128 << 10 // output that the kernel buffers for a client that does not read
 )
 
-// EventQueue takes what clients ask for.
+// EventQueue receives the requests and events of clients.
 type EventQueue interface {
 	Put(dispatch.QueueItem)
 	Submit(*dispatch.Request)
-	OpenRequests() int // requests taken and not answered
+	OpenRequests() int // requests that were submitted and are not answered yet
 }
 
-// ClassLimits is what a server has to know of a request class.
+// ClassLimits holds the rules of a request class that the server enforces.
 type ClassLimits struct {
 	Keyed         bool    // an idempotency key is required
-	MaxDeadlineMS float64 // longest deadline that a client may ask for; 0: unknown
+	MaxDeadlineMS float64 // longest deadline that a client may ask for; 0: no limit
 }
 
-// Limits are the limits of a server and what it serves besides requests.
+// Limits holds the limits of a server and its optional features.
 type Limits struct {
-	MaxConns, MaxOpen           int     // connections; open requests of the whole controller, 0: any number
-	RetryAfterMS                float64 // told to clients that are rejected here; 0: nothing may be told
-	ServeOutcomes               bool    // the method outcome is served
-	RequestBudget, OutputBudget *netconn.ByteBudget
+	MaxConns      int                 // connections that are served at a time
+	MaxOpen       int                 // open requests of the whole controller; 0: no limit
+	RetryAfterMS  float64             // sent to clients that the server itself rejects; 0: nothing is sent
+	ServeOutcomes bool                // serve the method "outcome"
+	RequestBudget *netconn.ByteBudget // bodies of open requests
+	OutputBudget  *netconn.ByteBudget // queued output
 
-	// Arrival returns the earliest clock at which what is read now may have come: earlier than now where this process stalled
-	// meanwhile. Nil: now.
+	// EarliestArrival returns the earliest time at which data that is read now may have arrived. That is before now if
+	// this process stalled in the meantime. If it is nil, data counts as having arrived now.
 	Arrival func(now float64) float64
 }
 
 // Server accepts clients' connections and serves them.
 type Server struct {
-	queue          EventQueue
-	clock          dispatch.Clock
-	log            logrus.FieldLogger
-	requestBudget  *netconn.ByteBudget // bodies of open requests
-	outputBudget   *netconn.ByteBudget // queued output
-	classes        map[string]ClassLimits
-	maxOpen        int
-	retryAfterMS   float64
-	servesOutcomes bool
-	arrival        func(now float64) float64
-	listener       net.Listener
-	slots          chan struct{} // one for each connection that there may be
-	stopped        chan struct{}
-	ready          atomic.Bool
+	queue           EventQueue
+	clock           dispatch.Clock
+	log             logrus.FieldLogger
+	requestBudget   *netconn.ByteBudget // bodies of open requests
+	outputBudget    *netconn.ByteBudget // queued output
+	classes         map[string]ClassLimits
+	maxOpen         int
+	retryAfterMS    float64
+	servesOutcomes  bool
+	earliestArrival func(now float64) float64 // nil: data arrives when it is read
+	listener        net.Listener
+	slots           chan struct{} // holds one element per served connection; its capacity is the connection limit
+	stopped         chan struct{} // closed when draining begins
+	ready           atomic.Bool
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards connections and draining
 	connections map[*clientConn]struct{}
 	draining    bool
 
-	Accepted, BadRequests, FramingErrors, AcceptPauses, Rejected, TimedOut, Evicted atomic.Uint64
+	// Counters since the start.
+	Accepted      atomic.Uint64 // connections
+	BadRequests   atomic.Uint64 // messages answered with an error before they reached the event loop
+	FramingErrors atomic.Uint64 // connections closed because their framing was lost or too many messages were unusable
+	AcceptPauses  atomic.Uint64 // failed accepts, and accepted connections that had to wait for a slot
+	Rejected      atomic.Uint64 // requests over a limit of open requests or of their bytes
+	TimedOut      atomic.Uint64 // connections that did not send a whole message within messageTimeout
+	Evicted       atomic.Uint64 // idle connections closed to free a slot or a descriptor
 }
 
-// NewServer listens at an address. Nothing is accepted before Run.
+// NewServer returns a server that listens on an address. It accepts connections only once Run is called.
 func NewServer(listen string, classes map[string]ClassLimits, queue EventQueue, clock dispatch.Clock, limits Limits,
 	log logrus.FieldLogger) (*Server, error) {
 	var listener net.Listener
@@ -92,31 +102,31 @@
 		return nil, err
 	}
 	return &Server{
-		queue:          queue,
-		clock:          clock,
-		log:            log,
-		requestBudget:  limits.RequestBudget,
-		outputBudget:   limits.OutputBudget,
-		classes:        classes,
-		maxOpen:        limits.MaxOpen,
-		retryAfterMS:   limits.RetryAfterMS,
-		servesOutcomes: limits.ServeOutcomes,
-		arrival:        limits.Arrival,
-		listener:       listener,
-		slots:          make(chan struct{}, max(1, limits.MaxConns)),
-		stopped:        make(chan struct{}),
-		connections:    map[*clientConn]struct{}{},
+		queue:           queue,
+		clock:           clock,
+		log:             log,
+		requestBudget:   limits.RequestBudget,
+		outputBudget:    limits.OutputBudget,
+		classes:         classes,
+		maxOpen:         limits.MaxOpen,
+		retryAfterMS:    limits.RetryAfterMS,
+		servesOutcomes:  limits.ServeOutcomes,
+		earliestArrival: limits.Arrival,
+		listener:        listener,
+		slots:           make(chan struct{}, max(1, limits.MaxConns)),
+		stopped:         make(chan struct{}),
+		connections:     map[*clientConn]struct{}{},
 	}, nil
 }
 
-// arrivalTime returns the clock at which what is read now may have come.
+// arrivalTime returns the earliest time at which data that is read now may have arrived.
 func (s *Server) arrivalTime() float64 {
 	now := s.clock.Now()
-	if s.arrival == nil {
+	if s.earliestArrival == nil {
 		return now
 	}
-	return s.arrival(now)
+	return s.earliestArrival(now)
 }
 
-// SetReady sets what the method probe answers.
+// SetReady sets the answer to the method "probe".
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
--- a/internal/jsonrpc/server_test.go
+++ b/internal/jsonrpc/server_test.go
@@ -18,189 +18,211 @@
 )
 
 func TestServer_AnswersRequestOnce(t *testing.T) {
-	server, queue, c, r := newTestServer(t, Limits{})
-	send(c, lookRequest(7, "a1"))
-	s := queue.next(t).Request
+	server, queue, conn, reader := newTestServer(t, Limits{})
+	send(conn, requestCall(7, "a1"))
+	request := queue.next(t).Request
 	assert.Equal(t, []any{"a1", "look", uint64(17), 96.0, 82.0, "SELECT 1 FROM sales_17.t"},
-		[]any{s.ID, s.Class, s.TableGroup, s.MemoryMB, s.WorkMS, string(s.Body)})
-	assert.InDelta(t, server.clock.Now()+1500, s.Deadline, 1400)
-	s.Client.Succeeded(s.Tag, []byte("x\n"))
-	s.Client.Rejected(s.Tag, 5)
-	assertReply(t, r, `{"jsonrpc":"2.0","id":7,"result":{"data":"eAo="}}`)
-	for id, give := range map[int]func(*dispatch.Request){8: func(s *dispatch.Request) { s.Client.Rejected(s.Tag, 200) },
-		9: func(s *dispatch.Request) { s.Client.Failed(s.Tag) }} {
-		send(c, lookRequest(id, "b"))
-		give(queue.next(t).Request)
-		got, _ := readMessage(r, nil)
-		assert.Contains(t, string(got), map[int]string{8: `"code":-32008,"message":"denied","data":{"holdoff":200}`,
-			9: `"code":-32000`}[id])
+		[]any{request.ID, request.Class, request.TableGroup, request.MemoryMB, request.WorkMS, string(request.Body)})
+	assert.InDelta(t, server.clock.Now()+1500, request.Deadline, 1400)
+	request.Client.Succeeded(request.Tag, []byte("x\n"))
+	request.Client.Rejected(request.Tag, 5)
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":7,"result":{"data":"eAo="}}`)
+	for id, answer := range map[int]func(*dispatch.Request){
+		8: func(request *dispatch.Request) { request.Client.Rejected(request.Tag, 200) },
+		9: func(request *dispatch.Request) { request.Client.Failed(request.Tag) },
+	} {
+		send(conn, requestCall(id, "b"))
+		answer(queue.next(t).Request)
+		got, _ := readMessage(reader, nil)
+		assert.Contains(t, string(got), map[int]string{
+			8: `"code":-32008,"message":"denied","data":{"holdoff":200}`,
+			9: `"code":-32000`,
+		}[id])
 	}
 	assert.Zero(t, server.requestBudget.Held())
 }
 
-// A bad request gets an error and affects no other on its connection.
+// A bad request must get an error and must not affect other requests on its connection.
 func TestServer_BadRequestAffectsNoOther(t *testing.T) {
-	_, queue, c, r := newTestServer(t, Limits{})
-	send(c, lookRequest(1, "a"))
-	s := queue.next(t).Request
-	for _, bad := range []string{`{`, `[]`, `{"jsonrpc":"2.0","id":4,"method":"none"}`, lookRequest(1, "again"), lookRequest(5, "no good"),
-		`{"jsonrpc":"2.0","method":"look","params":{}}`, strings.Replace(lookRequest(6, "b"), "look", "load", 1)} {
-		send(c, bad)
-		got, err := readMessage(r, nil)
+	_, queue, conn, reader := newTestServer(t, Limits{})
+	send(conn, requestCall(1, "a"))
+	request := queue.next(t).Request
+	for _, bad := range []string{
+		`{`,
+		`[]`,
+		`{"jsonrpc":"2.0","id":4,"method":"none"}`,
+		requestCall(1, "again"),
+		requestCall(5, "no good"),
+		`{"jsonrpc":"2.0","method":"look","params":{}}`,
+		strings.Replace(requestCall(6, "b"), "look", "load", 1),
+	} {
+		send(conn, bad)
+		got, err := readMessage(reader, nil)
 		assert.NoError(t, err)
 		assert.Contains(t, string(got), `"error"`, bad)
-		assert.NotContains(t, string(got), `"id":1,`, "it would pass for the answer of the first")
+		assert.NotContains(t, string(got), `"id":1,`, "the client would take the error for the answer of call 1")
 	}
-	send(c, `{"jsonrpc":"2.0","id":"p","method":"probe"}`)
-	assertReply(t, r, `{"jsonrpc":"2.0","id":"p","result":{"fit":false}}`)
-	s.Client.Succeeded(s.Tag, nil)
-	assertReply(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
+	send(conn, `{"jsonrpc":"2.0","id":"p","method":"probe"}`)
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":"p","result":{"fit":false}}`)
+	request.Client.Succeeded(request.Tag, nil)
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
 	assert.Empty(t, queue)
 }
 
-// A client that sends what can't be read gets an error at once, and what is open there fails: an answer that came later would pass for
-// a good one, and the connection would be kept for as long as the longest request.
+// When framing is lost, the client must get an error and its open requests must fail at once: otherwise the connection
+// stays open for as long as its longest request, and the client may trust answers that arrive after the error.
 func TestServer_LostFramingFailsOpenRequests(t *testing.T) {
-	server, queue, c, r := newTestServer(t, Limits{})
-	for _, bad := range []string{"no head\r\n\r\n", "Content-Length: 60000000\r\n\r\n", "Content-Length: -1\r\n\r\n"} {
-		send(c, lookRequest(1, "a"))
-		s := queue.next(t).Request
-		fmt.Fprint(c, bad+strings.Repeat("x", 1000))
-		assertReply(t, r, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"framing lost"}}`)
-		assertReply(t, r, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
-		assert.Equal(t, scheduler.ClientLeft, queue.next(t).Event.Kind, "its attempts are cancelled")
-		s.Client.Succeeded(s.Tag, nil)
-		_, err := r.ReadByte()
+	server, queue, conn, reader := newTestServer(t, Limits{})
+	for _, malformed := range []string{
+		"no head\r\n\r\n",
+		"Content-Length: 60000000\r\n\r\n",
+		"Content-Length: -1\r\n\r\n",
+	} {
+		send(conn, requestCall(1, "a"))
+		request := queue.next(t).Request
+		fmt.Fprint(conn, malformed+strings.Repeat("x", 1000))
+		assertReply(t, reader, `{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"framing lost"}}`)
+		assertReply(t, reader, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
+		assert.Equal(t, scheduler.ClientLeft, queue.next(t).Event.Kind, "the attempts of the request are not cancelled")
+		request.Client.Succeeded(request.Tag, nil)
+		_, err := reader.ReadByte()
 		assert.Error(t, err)
-		c, r = dialServer(t, server)
+		conn, reader = dialServer(t, server)
 	}
-	for id := range maxBadMessages { // the same again as soon as it is rejected
-		send(c, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"none"}`, id+1))
-		_, err := readMessage(r, nil)
+	for id := range maxBadMessages { // a client that resends each message as soon as it is rejected
+		send(conn, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"none"}`, id+1))
+		_, err := readMessage(reader, nil)
 		assert.NoError(t, err)
 	}
-	assertReply(t, r, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"framing lost"}}`)
 	assert.Zero(t, server.requestBudget.Held())
 }
 
-// Silent connections and incomplete messages cost other clients nothing: they are closed soon, and sooner where slots are needed.
+// Silent connections and incomplete messages must not affect other clients: they are closed after a timeout, or as soon
+// as a slot is needed.
 func TestServer_EvictsSilentConnections(t *testing.T) {
-	server, queue, c, r := newTestServer(t, Limits{MaxConns: 3})
-	send(c, lookRequest(1, "a"))
-	s := queue.next(t).Request
-	began := time.Now()
-	silent, _ := dialServer(t, server)
-	half, _ := dialServer(t, server)
-	fmt.Fprint(half, "Content-Length: 100\r\n\r\n{")
-	late, rl := dialServer(t, server) // no place: the silent one gives way at once
-	send(late, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
-	assertReply(t, rl, `{"jsonrpc":"2.0","id":1,"result":{"fit":false}}`)
-	assert.Less(t, time.Since(began), messageTimeout/2)
-	_, err := silent.Read(make([]byte, 1))
+	server, queue, conn, reader := newTestServer(t, Limits{MaxConns: 3})
+	send(conn, requestCall(1, "a"))
+	request := queue.next(t).Request
+	start := time.Now()
+	silentConn, _ := dialServer(t, server)
+	incompleteConn, _ := dialServer(t, server)
+	fmt.Fprint(incompleteConn, "Content-Length: 100\r\n\r\n{")
+	lateConn, lateReader := dialServer(t, server) // no slot is free: the silent connection is evicted at once
+	send(lateConn, `{"jsonrpc":"2.0","id":1,"method":"probe"}`)
+	assertReply(t, lateReader, `{"jsonrpc":"2.0","id":1,"result":{"fit":false}}`)
+	assert.Less(t, time.Since(start), messageTimeout/2)
+	_, err := silentConn.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 	assert.Equal(t, []uint64{1, 0}, []uint64{server.Evicted.Load(), server.AcceptPauses.Load()})
-	got, _ := readMessage(bufio.NewReader(half), nil)
+	got, _ := readMessage(bufio.NewReader(incompleteConn), nil)
 	assert.Contains(t, string(got), "error")
-	assert.Less(t, time.Since(began), 3*time.Second)
-	s.Client.Succeeded(s.Tag, nil)
-	assertReply(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
-	old := &clientConn{server: server, lastMessage: time.Now().Add(-idleTimeout)}
+	assert.Less(t, time.Since(start), 3*time.Second)
+	request.Client.Succeeded(request.Tag, nil)
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
+	idleConn := &clientConn{server: server, lastMessage: time.Now().Add(-idleTimeout)}
 	assert.NoError(t, (&clientConn{server: server, lastMessage: time.Now()}).checkIdle())
-	assert.ErrorIs(t, old.checkIdle(), netconn.ErrClosed, "asked once and stayed")
-	assert.Equal(t, codeRejected, old.admit(&openRequest{}).code, "what crosses the close is not taken")
-	assert.False(t, old.closeIfIdle())
+	assert.ErrorIs(t, idleConn.checkIdle(), netconn.ErrClosed, "a connection idle for idleTimeout is not closed")
+	assert.Equal(t, codeRejected, idleConn.admit(&openRequest{}).code, "a closing connection admits a request")
+	assert.False(t, idleConn.closeIfIdle())
 }
 
 func TestServer_CancelAndCloseEndRequests(t *testing.T) {
-	_, queue, c, r := newTestServer(t, Limits{})
+	_, queue, conn, reader := newTestServer(t, Limits{})
 	var open []*dispatch.Request
 	for id := 1; id < 5; id++ {
-		send(c, lookRequest(id, fmt.Sprint("a", id)))
+		send(conn, requestCall(id, fmt.Sprint("a", id)))
 		open = append(open, queue.next(t).Request)
 	}
-	for _, give := range []string{`{"jsonrpc":"2.0","method":"giveUp","params":{"req":"a1"}}`,
-		`{"jsonrpc":"2.0","id":2,"method":"giveUp"}`, `{"jsonrpc":"2.0","id":77,"method":"giveUp","params":{"id":3}}`} {
-		send(c, give)
-		it := queue.next(t)
-		assert.Equal(t, []any{scheduler.ClientLeft, open[0].ID, open[0].Tag}, []any{it.Event.Kind, it.Event.Request, it.Token})
-		open[0].Client.Succeeded(open[0].Tag, nil) // too late: no answer is owed
+	for _, cancellation := range []string{
+		`{"jsonrpc":"2.0","method":"giveUp","params":{"req":"a1"}}`,
+		`{"jsonrpc":"2.0","id":2,"method":"giveUp"}`,
+		`{"jsonrpc":"2.0","id":77,"method":"giveUp","params":{"id":3}}`,
+	} {
+		send(conn, cancellation)
+		item := queue.next(t)
+		assert.Equal(t, []any{scheduler.ClientLeft, open[0].ID, open[0].Tag},
+			[]any{item.Event.Kind, item.Event.Request, item.Token})
+		open[0].Client.Succeeded(open[0].Tag, nil) // an answer after the cancellation is dropped
 		open = open[1:]
 	}
-	assertReply(t, r, `{"jsonrpc":"2.0","id":77,"result":{}}`)
-	c.Close()
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":77,"result":{}}`)
+	conn.Close()
 	assert.Equal(t, "a4", queue.next(t).Event.Request)
 }
 
 func TestServer_LimitsConnectionsAndBytes(t *testing.T) {
-	server, queue, c, r := newTestServer(t, Limits{MaxConns: 2, RequestBudget: netconn.NewByteBudget(60), RetryAfterMS: 300})
-	send(c, lookRequest(1, "a"))
-	s := queue.next(t).Request
-	send(c, strings.Replace(lookRequest(2, "b"), "U0VM", strings.Repeat("U0VM", 20), 1)) // more bytes than may be open
-	got, _ := readMessage(r, nil)
+	limits := Limits{MaxConns: 2, RequestBudget: netconn.NewByteBudget(60), RetryAfterMS: 300}
+	server, queue, conn, reader := newTestServer(t, limits)
+	send(conn, requestCall(1, "a"))
+	request := queue.next(t).Request
+	send(conn, strings.Replace(requestCall(2, "b"), "U0VM", strings.Repeat("U0VM", 20), 1)) // body over the request budget
+	got, _ := readMessage(reader, nil)
 	assert.Contains(t, string(got), `-32008,"message":"too much is open here","data":{"holdoff":300}`)
-	s.Client.Failed(s.Tag)
-	_, _ = readMessage(r, nil)
-	send(c, lookRequest(4, "d"))
+	request.Client.Failed(request.Tag)
+	_, _ = readMessage(reader, nil)
+	send(conn, requestCall(4, "d"))
 	queue.next(t)
-	busy, _ := dialServer(t, server)
-	send(busy, lookRequest(5, "e"))
+	busyConn, _ := dialServer(t, server)
+	send(busyConn, requestCall(5, "e"))
 	queue.next(t)
-	waits, rw := dialServer(t, server) // no place, and nobody idle: it has its turn once another leaves
-	send(waits, lookRequest(3, "c"))
+	waitingConn, waitingReader := dialServer(t, server) // no slot is free and no connection idle: waits until one ends
+	send(waitingConn, requestCall(3, "c"))
 	assert.Eventually(t, func() bool { return server.AcceptPauses.Load() > 0 }, 3*time.Second, time.Millisecond)
 	assert.Empty(t, queue)
-	c.Close()
+	conn.Close()
 	assert.Equal(t, scheduler.ClientLeft, queue.next(t).Event.Kind)
-	s = queue.next(t).Request
-	s.Client.Succeeded(s.Tag, nil)
-	assertReply(t, rw, `{"jsonrpc":"2.0","id":3,"result":{"data":""}}`)
+	request = queue.next(t).Request
+	request.Client.Succeeded(request.Tag, nil)
+	assertReply(t, waitingReader, `{"jsonrpc":"2.0","id":3,"result":{"data":""}}`)
 }
 
 func TestServer_LimitsOpenRequestsPerConnection(t *testing.T) {
-	_, queue, c, r := newTestServer(t, Limits{})
+	_, queue, conn, reader := newTestServer(t, Limits{})
 	for id := 1; id <= maxOpenRequests+1; id++ {
-		send(c, lookRequest(id, fmt.Sprint("a", id)))
+		send(conn, requestCall(id, fmt.Sprint("a", id)))
 	}
-	got, _ := readMessage(r, nil)
+	got, _ := readMessage(reader, nil)
 	assert.Contains(t, string(got), fmt.Sprintf(`"id":%d,"error":{"code":-32008`, maxOpenRequests+1))
 	assert.Len(t, queue, maxOpenRequests)
 }
 
-// A client that doesn't read must not fill the memory: past its limit it is closed, and its bytes are freed.
+// A client that does not read must not exhaust the memory: its connection is closed at a limit, and its queued bytes
+// are freed.
 func TestServer_ClosesSlowReader(t *testing.T) {
-	server, queue, c, _ := newTestServer(t, Limits{})
-	page := make([]byte, 48000)
-	cut := false
-	for id := 1; id < 500 && !cut; id++ {
-		send(c, lookRequest(id, fmt.Sprint("a", id)))
+	server, queue, conn, _ := newTestServer(t, Limits{})
+	body := make([]byte, 48000)
+	closed := false
+	for id := 1; id < 500 && !closed; id++ {
+		send(conn, requestCall(id, fmt.Sprint("a", id)))
 		select {
-		case it := <-queue:
-			cut = it.Event.Kind == scheduler.ClientLeft
-			if !cut {
-				it.Request.Client.Succeeded(it.Request.Tag, page)
+		case item := <-queue:
+			closed = item.Event.Kind == scheduler.ClientLeft
+			if !closed {
+				item.Request.Client.Succeeded(item.Request.Tag, body)
 			}
 		case <-time.After(2500 * time.Millisecond):
-			cut = true
+			closed = true
 		}
 		assert.LessOrEqual(t, server.outputBudget.Held(), int64(2<<20))
 	}
-	assert.True(t, cut)
+	assert.True(t, closed)
 	assert.Eventually(t, func() bool { return server.outputBudget.Held() == 0 }, 5*time.Second, time.Millisecond)
 }
 
-// Nothing is kept of clients and connections that are gone.
+// Guards against leaks of connections, slots and budgets after clients have left.
 func TestServer_KeepsNothingOfGoneClients(t *testing.T) {
-	server, queue, first, _ := newTestServer(t, Limits{MaxConns: 10})
-	first.Close()
+	server, queue, firstConn, _ := newTestServer(t, Limits{MaxConns: 10})
+	firstConn.Close()
 	for n := range 100 {
-		c, r := dialServer(t, server)
-		send(c, lookRequest(1, fmt.Sprint("a", n)))
-		s := queue.next(t).Request
+		conn, reader := dialServer(t, server)
+		send(conn, requestCall(1, fmt.Sprint("a", n)))
+		request := queue.next(t).Request
 		if n%2 == 0 {
-			s.Client.Succeeded(s.Tag, nil)
-			_, _ = readMessage(r, nil)
+			request.Client.Succeeded(request.Tag, nil)
+			_, _ = readMessage(reader, nil)
 		}
-		c.Close()
+		conn.Close()
 		if n%2 == 1 {
 			assert.Equal(t, scheduler.ClientLeft, queue.next(t).Event.Kind)
 		}
@@ -213,101 +235,104 @@
 	assert.Zero(t, server.requestBudget.Held()+server.outputBudget.Held())
 }
 
-// A client learns what became of a request by its id or its idempotency key, where outcomes are served; a call that can't be used gets
-// an error, and no call opens a request.
+// A client can query the outcome of a request by its id or its idempotency key, if the server serves outcomes. An
+// invalid query must get an error, and no query may open a request.
 func TestServer_AnswersOutcomeQuery(t *testing.T) {
-	server, queue, c, r := newTestServer(t, Limits{ServeOutcomes: true})
-	call := func(params string) string {
+	server, queue, conn, reader := newTestServer(t, Limits{ServeOutcomes: true})
+	outcomeCall := func(params string) string {
 		return `{"jsonrpc":"2.0","id":4,"method":"outcome","params":` + params + `}`
 	}
-	send(c, call(`{"req":"a1"}`))
-	it := queue.next(t)
-	assert.Equal(t, []string{"a1", ""}, []string{it.Query.ID, it.Query.IdempotencyKey})
-	it.Query.Reply(ledger.Effect{Outcome: ledger.Succeeded, AgeMS: 1520.7, Body: []byte("x\n")})
-	assertReply(t, r, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"handled","age":1520,"data":"eAo="}}`)
-	send(c, call(`{"opkey":"k9"}`))
-	it = queue.next(t)
-	assert.Equal(t, []string{"", "k9"}, []string{it.Query.ID, it.Query.IdempotencyKey})
-	it.Query.Reply(ledger.Effect{})
-	assertReply(t, r, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"unknown"}}`)
+	send(conn, outcomeCall(`{"req":"a1"}`))
+	item := queue.next(t)
+	assert.Equal(t, []string{"a1", ""}, []string{item.Query.ID, item.Query.IdempotencyKey})
+	item.Query.Reply(ledger.Effect{Outcome: ledger.Succeeded, AgeMS: 1520.7, Body: []byte("x\n")})
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"handled","age":1520,"data":"eAo="}}`)
+	send(conn, outcomeCall(`{"opkey":"k9"}`))
+	item = queue.next(t)
+	assert.Equal(t, []string{"", "k9"}, []string{item.Query.ID, item.Query.IdempotencyKey})
+	item.Query.Reply(ledger.Effect{})
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":4,"result":{"outcome":"unknown"}}`)
 	for _, params := range []string{`{}`, `{"req":"a","opkey":"b"}`, `{"req":3}`, `[]`, `{"req":"a b"}`} {
-		send(c, call(params))
-		got, err := readMessage(r, nil)
+		send(conn, outcomeCall(params))
+		got, err := readMessage(reader, nil)
 		require.NoError(t, err)
 		assert.Contains(t, string(got), `"code":-32602`, params)
 	}
 	assert.Empty(t, queue)
-	_, _, c, r = newTestServer(t, Limits{})
-	send(c, call(`{"req":"a1"}`))
-	got, err := readMessage(r, nil)
+	_, _, conn, reader = newTestServer(t, Limits{})
+	send(conn, outcomeCall(`{"req":"a1"}`))
+	got, err := readMessage(reader, nil)
 	require.NoError(t, err)
-	assert.Contains(t, string(got), `"code":-32601`, "off where nothing is kept")
+	assert.Contains(t, string(got), `"code":-32601`, "a server without ServeOutcomes serves the method outcome")
 	assert.Zero(t, server.requestBudget.Held())
 }
 
-// What is read after a stall of this process may have come as that began: its deadline counts from there.
+// Data that is read after a stall of the process may have arrived at the start of the stall: deadlines count from
+// there.
 func TestServer_DeadlineCountsFromBeforeStall(t *testing.T) {
-	server, queue, c, _ := newTestServer(t, Limits{Arrival: func(now float64) float64 { return now - 700 }})
+	server, queue, conn, _ := newTestServer(t, Limits{Arrival: func(now float64) float64 { return now - 700 }})
 	now := server.clock.Now()
-	send(c, lookRequest(1, "a"))
+	send(conn, requestCall(1, "a"))
 	assert.InDelta(t, now+1500-700, queue.next(t).Request.Deadline, 200)
 }
 
-// A request may be in the system's buffer for long before its connection is accepted: its deadline counts from when it came there.
+// A request may wait in the kernel's buffer until its connection is accepted: its deadline must count from its arrival
+// in that buffer.
 func TestServer_DeadlineCountsWaitForAccept(t *testing.T) {
-	server, queue, busy, _ := newTestServer(t, Limits{MaxConns: 1})
-	send(busy, lookRequest(1, "a"))
+	server, queue, busyConn, _ := newTestServer(t, Limits{MaxConns: 1})
+	send(busyConn, requestCall(1, "a"))
 	queue.next(t)
-	waits, _ := dialServer(t, server)
-	send(waits, lookRequest(2, "b"))
-	came := server.clock.Now()
+	waitingConn, _ := dialServer(t, server)
+	send(waitingConn, requestCall(2, "b"))
+	sentAt := server.clock.Now()
 	time.Sleep(600 * time.Millisecond)
-	busy.Close()
-	it := queue.next(t)
-	for it.Request == nil {
-		it = queue.next(t)
+	busyConn.Close()
+	item := queue.next(t)
+	for item.Request == nil {
+		item = queue.next(t)
 	}
-	assert.InDelta(t, came+1500, it.Request.Deadline, 100)
+	assert.InDelta(t, sentAt+1500, item.Request.Deadline, 100)
 }
 
-// Where all slots are taken by clients that wait for answers, the next client waits only until one of them has its answer and is idle.
+// While clients with open requests take all slots, the next client must wait only until one of them has its answer and
+// is idle.
 func TestServer_WaitingClientGetsSlotOfIdleOne(t *testing.T) {
-	server, queue, busy, r := newTestServer(t, Limits{MaxConns: 1})
-	send(busy, lookRequest(1, "a"))
+	server, queue, busyConn, reader := newTestServer(t, Limits{MaxConns: 1})
+	send(busyConn, requestCall(1, "a"))
 	first := queue.next(t).Request
-	waits, _ := dialServer(t, server)
-	send(waits, lookRequest(2, "b"))
+	waitingConn, _ := dialServer(t, server)
+	send(waitingConn, requestCall(2, "b"))
 	require.Eventually(t, func() bool { return server.AcceptPauses.Load() > 0 }, 3*time.Second, time.Millisecond)
 	first.Client.Succeeded(first.Tag, nil)
-	assertReply(t, r, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
-	go func() { // as clients do that find their connection ended
-		_, _ = r.ReadByte()
-		busy.Close()
+	assertReply(t, reader, `{"jsonrpc":"2.0","id":1,"result":{"data":""}}`)
+	go func() { // like a client that closes its connection once the server has ended it
+		_, _ = reader.ReadByte()
+		busyConn.Close()
 	}()
-	began := time.Now()
+	start := time.Now()
 	assert.Equal(t, "b", queue.next(t).Request.ID)
-	assert.Less(t, time.Since(began), 200*time.Millisecond)
+	assert.Less(t, time.Since(start), 200*time.Millisecond)
 }
 
-// A request on a connection that waits for a slot, or that only the system has accepted, is rejected in a shutdown and not closed
+// During a drain, a request on a connection that waits for a slot or in the listen backlog must be rejected, not closed
 // without an answer.
 func TestServer_DrainRejectsWaitingConnections(t *testing.T) {
-	server, queue, busy, _ := newTestServer(t, Limits{MaxConns: 1})
-	send(busy, lookRequest(1, "a"))
+	server, queue, busyConn, _ := newTestServer(t, Limits{MaxConns: 1})
+	send(busyConn, requestCall(1, "a"))
 	queue.next(t)
 	var readers []*bufio.Reader
-	for id := range 3 { // one waits for a place, the others in the system
-		c, r := dialServer(t, server)
-		send(c, lookRequest(id+2, fmt.Sprint("b", id)))
-		readers = append(readers, r)
+	for id := range 3 { // the first waits for a slot, the others in the listen backlog
+		conn, reader := dialServer(t, server)
+		send(conn, requestCall(id+2, fmt.Sprint("b", id)))
+		readers = append(readers, reader)
 	}
 	require.Eventually(t, func() bool { return server.AcceptPauses.Load() > 0 }, 3*time.Second, time.Millisecond)
 	server.Drain()
-	for k, r := range readers {
-		got, err := readMessage(r, nil)
-		if assert.NoError(t, err, "%d", k) {
-			assert.Contains(t, string(got), fmt.Sprintf(`"id":%d,"error":{"code":-32008`, k+2))
-			_, err = r.ReadByte()
+	for i, reader := range readers {
+		got, err := readMessage(reader, nil)
+		if assert.NoError(t, err, "connection %d", i) {
+			assert.Contains(t, string(got), fmt.Sprintf(`"id":%d,"error":{"code":-32008`, i+2))
+			_, err = reader.ReadByte()
 			assert.ErrorIs(t, err, io.EOF)
 		}
 	}
--- a/internal/jsonrpc/shutdown.go
+++ b/internal/jsonrpc/shutdown.go
@@ -3,12 +3,13 @@
 import "time"
 
 const (
-	drainAcceptTime  = 5 * time.Millisecond // for which connections that are there already are accepted once the server drains
+	drainAcceptTime  = 5 * time.Millisecond // how long a draining server still accepts connections of the backlog
 	stopPollInterval = 2 * time.Millisecond
 )
 
-// Drain takes no more requests. Connections that already wait to be accepted still are, to reject their requests. Each connection
-// ends once nothing is open on it and all is written; requests that still come are rejected.
+// Drain stops taking requests. Connections that already wait in the listen backlog are still accepted, so that their
+// requests are rejected instead of lost. Each connection ends once it has no open request and its output is written.
+// Requests that arrive until then are rejected.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,16 +27,17 @@
 	}
 }
 
-// Stop drains and waits until all connections have ended; after the timeout they are closed at once.
+// Stop drains the server and waits until all connections have ended. Connections that are left after the timeout are
+// closed without writing their queued output.
 func (s *Server) Stop(timeout time.Duration) {
 	s.Drain()
-	for began, atOnce := time.Now(), false; s.endAll(atOnce) > 0 && !atOnce; time.Sleep(stopPollInterval) {
-		atOnce = time.Since(began) > timeout
+	for start, atOnce := time.Now(), false; s.endAll(atOnce) > 0 && !atOnce; time.Sleep(stopPollInterval) {
+		atOnce = time.Since(start) > timeout
 	}
 	_ = s.listener.Close()
 }
 
-// endAll ends all connections, once all is written or at once, and returns how many there were.
+// endAll ends all connections, at once or after their queued output is written, and returns their number.
 func (s *Server) endAll(atOnce bool) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +47,7 @@
 	return len(s.connections)
 }
 
-// Done returns whether no request is open and every answer has been written.
+// Done reports whether no request is open and every answer has been written.
 func (s *Server) Done() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,17 +59,18 @@
 	return true
 }
 
+// isDone reports whether the connection has neither an open request nor unwritten output.
 func (c *clientConn) isDone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.open) == 0 && c.Flushed()
+	return len(c.openRequests) == 0 && c.Flushed()
 }
 
-// drain takes no more requests on a connection and ends it once nothing is open.
+// drain makes the connection reject further requests, and ends it if none is open. Otherwise the last answer ends it.
 func (c *clientConn) drain() {
 	c.mu.Lock()
 	c.closing = true
-	open := len(c.open)
+	open := len(c.openRequests)
 	c.mu.Unlock()
 	if open == 0 {
 		c.End(false)
