--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -27,7 +27,7 @@
 	WorkMS                       float64 // work of closed requests in ms of one thread
 	Blocked                      string  // the limit that holds its requests back; empty: none
 	OldestMS                     float64 // wait of the request that has waited longest
-	BoundMS                      float64 // see Tree.MaxWaitMS
+	MaxWaitMS                    float64 // see Tree.MaxWaitMS
 	Borrows, Lends               float64 // threads above and, where no request of it waits, below its fair share
 	Capped                       int     // requests whose priority is capped
 }
@@ -47,7 +47,7 @@
 			MemoryMB:  node.memoryMB,
 			WorkMS:    node.workMS,
 			Blocked:   node.blocked.String(),
-			BoundMS:   t.MaxWaitMS(),
+			MaxWaitMS: t.MaxWaitMS(),
 			Borrows:   max(0, node.threads-fair),
 			Capped:    node.capped,
 		}
