--- a/internal/assembly/quota.go
+++ b/internal/assembly/quota.go
@@ -128,7 +128,7 @@
 }
 
 func (m *quotaManager) estimate(now float64, id string, r *openRequest) waitestimate.Estimate {
-	ahead, threads, run := m.tree.WaitQueue(id)
+	ahead, threads, run := m.tree.WorkAhead(id)
 	return m.estimator.Estimate(now, r.team, r.class, waitestimate.Backlog{AheadMS: ahead, Threads: threads, RunMS: run})
 }
 
--- a/internal/jsonrpc/server.go
+++ b/internal/jsonrpc/server.go
@@ -56,7 +56,7 @@
 
 	// EarliestArrival returns the earliest time at which data that is read now may have arrived. That is before now if
 	// this process stalled in the meantime. If it is nil, data counts as having arrived now.
-	Arrival func(now float64) float64
+	EarliestArrival func(now float64) float64
 }
 
 // Server accepts clients' connections and serves them.
@@ -111,7 +111,7 @@
 		maxOpen:         limits.MaxOpen,
 		retryAfterMS:    limits.RetryAfterMS,
 		servesOutcomes:  limits.ServeOutcomes,
-		earliestArrival: limits.Arrival,
+		earliestArrival: limits.EarliestArrival,
 		listener:        listener,
 		slots:           make(chan struct{}, max(1, limits.MaxConns)),
 		stopped:         make(chan struct{}),
--- a/internal/jsonrpc/server_test.go
+++ b/internal/jsonrpc/server_test.go
@@ -270,7 +270,7 @@
 // Data that is read after a stall of the process may have arrived at the start of the stall: deadlines count from
 // there.
 func TestServer_DeadlineCountsFromBeforeStall(t *testing.T) {
-	server, queue, conn, _ := newTestServer(t, Limits{Arrival: func(now float64) float64 { return now - 700 }})
+	server, queue, conn, _ := newTestServer(t, Limits{EarliestArrival: func(now float64) float64 { return now - 700 }})
 	now := server.clock.Now()
 	send(conn, requestCall(1, "a"))
 	assert.InDelta(t, now+1500-700, queue.next(t).Request.Deadline, 200)
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -95,9 +95,9 @@
 	return list
 }
 
-// WaitQueue returns the work ahead of a request in ms of one thread, the threads that process it, and how long the
+// WorkAhead returns the work ahead of a request in ms of one thread, the threads that process it, and how long the
 // request will run itself.
-func (t *Tree) WaitQueue(id string) (aheadMS, threads, runMS float64) {
+func (t *Tree) WorkAhead(id string) (aheadMS, threads, runMS float64) {
 	index := t.slab.find(id)
 	if index == none {
 		return 0, 1, 0
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -125,13 +125,13 @@
 	classes, maxDeadline := classLimits(platform.Scheduler.Classes)
 	c.maxDeadline = maxDeadline
 	c.clients, err = jsonrpc.NewServer(config.Listen, classes, c.loop, c.clock, jsonrpc.Limits{
-		MaxConns:      shareOf(config.Limits.Sockets, clientSocketShare),
-		MaxOpen:       platform.MaxRequests,
-		RequestBudget: c.requestBytes,
-		OutputBudget:  c.outputBytes,
-		RetryAfterMS:  platform.Scheduler.LongestRetryAfterMS(),
-		ServeOutcomes: c.loop.HasLedger(),
-		Arrival:       c.loop.EarliestArrival,
+		MaxConns:        shareOf(config.Limits.Sockets, clientSocketShare),
+		MaxOpen:         platform.MaxRequests,
+		RequestBudget:   c.requestBytes,
+		OutputBudget:    c.outputBytes,
+		RetryAfterMS:    platform.Scheduler.LongestRetryAfterMS(),
+		ServeOutcomes:   c.loop.HasLedger(),
+		EarliestArrival: c.loop.EarliestArrival,
 	}, c.log)
 	if err != nil {
 		return err
