--- a/internal/assembly/quota_admin.go
+++ b/internal/assembly/quota_admin.go
@@ -36,7 +36,7 @@
 	for _, s := range m.tree.Statuses() {
 		reply.Teams = append(reply.Teams, adminapi.Team{Name: s.Team.Name, Parent: s.Team.Parent, Weight: s.Team.Weight,
 			Queued: s.Queued, InFlight: s.InFlight, Threads: s.Threads, FairShare: s.FairShare, MemoryMB: s.MemoryMB,
-			WorkMS: math.Round(s.WorkMS), Blocked: s.Blocked, OldestMS: s.OldestMS, BoundMS: s.BoundMS, Borrows: s.Borrows,
+			WorkMS: math.Round(s.WorkMS), Blocked: s.Blocked, OldestMS: s.OldestMS, BoundMS: s.MaxWaitMS, Borrows: s.Borrows,
 			Lends: s.Lends, Capped: s.Capped, Ceiling: s.Team.Ceiling, MaxInFlight: s.Team.MaxInFlight})
 	}
 	return reply
