--- a/internal/ledger/clocks.go
+++ b/internal/ledger/clocks.go
@@ -2,35 +2,38 @@
 
 import "math"
 
-const incarnationIntervalMS = 1000 // between records of the time; what a crash loses of it counts as elapsed
+// incarnationIntervalMS is the time between records of the current log time. The time between the last such record
+// and a crash counts as elapsed after the restart.
+const incarnationIntervalMS = 1000
 
 // Clocks is a reading of the machine's clocks.
 type Clocks struct {
 	WallMS float64 // Unix time
-	UpMS   float64 // since the machine was booted; 0: not known
-	Boot   string  // names that boot
+	UpMS   float64 // time since the machine was booted; 0: unknown
+	Boot   string  // identifies the boot since which the uptime counts
 }
 
 // interval is a duration of which only bounds are known.
 type interval struct{ min, max float64 }
 
-// incarnation is one run of a controller from start to end, as its records tell.
+// incarnation is one run of a controller from start to end, as described by its records.
 type incarnation struct {
-	startedAt   float64 // log time; 0: there was none
-	clocks      Clocks  // at the start
-	persistedAt float64 // log time of its last record
-	clean       bool    // it ended by a planned shutdown
+	startedAt   float64 // log time of the start; 0: no previous incarnation
+	clocks      Clocks  // the clocks at the start
+	persistedAt float64 // log time of the last incarnation record
+	clean       bool    // the incarnation ended by a planned shutdown
 }
 
-// elapsedSince returns how long ago a log time of an earlier incarnation was. Only the machine's uptime, within one boot, is believed. The
-// wall clock may have been set forward or back, so by itself it neither shortens a window nor proves one.
+// elapsedSince returns how much time has passed since the log time last of an earlier incarnation. It relies only on
+// the machine's uptime, and only within one boot: the wall clock may have been set forward or back, so it can neither
+// shorten a deduplication window nor prove that one is still open.
 func (i *incarnation) elapsedSince(last float64, now Clocks) interval {
 	if now.UpMS <= 0 || i.clocks.UpMS <= 0 || now.Boot == "" || now.Boot != i.clocks.Boot {
 		return interval{0, math.Inf(1)}
 	}
 	elapsed := (now.UpMS - i.clocks.UpMS) - (last - i.startedAt)
 	if elapsed < 0 {
-		return interval{} // records run ahead of the uptime by the step of that clock
+		return interval{} // the uptime clock has a coarser resolution than log time
 	}
 	return interval{elapsed, elapsed}
 }
@@ -49,11 +52,15 @@
 	w.persist(incarnationKey, 0)
 }
 
-func (i *incarnation) decode(r *decodedRecord) {
+func (i *incarnation) decode(record *decodedRecord) {
 	*i = incarnation{
-		startedAt:   r.number(fieldIncarnationStartedAt),
-		clocks:      Clocks{WallMS: r.number(fieldWallClock), UpMS: r.number(fieldUptime), Boot: r.text(fieldBoot)},
-		persistedAt: r.number(fieldAt),
-		clean:       r.number(fieldClean) != 0,
+		startedAt: record.number(fieldIncarnationStartedAt),
+		clocks: Clocks{
+			WallMS: record.number(fieldWallClock),
+			UpMS:   record.number(fieldUptime),
+			Boot:   record.text(fieldBoot),
+		},
+		persistedAt: record.number(fieldAt),
+		clean:       record.number(fieldClean) != 0,
 	}
 }
--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -3,11 +3,13 @@
 import "slices"
 
 const (
-	maxHoldMS           = 300 // for which an attempt waits for its record; shorter than any grace period of a draining executor
-	diskProbeIntervalMS = 250 // between trial writes to a disk that failed
+	// maxHoldMS is how long an attempt is held for its record to become durable. It is shorter than any grace period
+	// of a draining executor.
+	maxHoldMS           = 300
+	diskProbeIntervalMS = 250 // between trial writes to a failing disk
 )
 
-// diskHealth is whether records can be made durable in time.
+// diskHealth tells whether records become durable in time.
 type diskHealth uint8
 
 const (
@@ -20,24 +22,28 @@
 	return [...]string{diskHealthy: "healthy", diskFailing: "failing"}[h]
 }
 
-// diskInput is what was observed of the disk.
+// diskInput is an observation that may change the diskHealth.
 type diskInput uint8
 
 const (
-	diskStored diskInput = iota
-	diskFailed           // a record could not be made durable
-	diskSlow             // that takes longer than an attempt may be held
+	diskInputStored diskInput = iota // a record was made durable
+	diskInputFailed                  // a record could not be made durable
+	diskInputSlow                    // a record took longer than maxHoldMS to become durable
 )
 
+// diskTransitions lists the state changes of the disk and the log message of each. An input without a row changes
+// nothing.
 var diskTransitions = []struct {
 	from    diskHealth
 	input   diskInput
 	to      diskHealth
 	message string
 }{
-	{diskHealthy, diskFailed, diskFailing, "records cannot be made durable: keyed and non-idempotent requests are rejected, idempotent ones go on"},
-	{diskHealthy, diskSlow, diskFailing, "the disk is slower than an attempt may wait: keyed and non-idempotent requests are rejected, idempotent ones go on"},
-	{diskFailing, diskStored, diskHealthy, "records are durable again"},
+	{diskHealthy, diskInputFailed, diskFailing,
+		"records cannot be made durable: keyed and non-idempotent requests are rejected, idempotent ones go on"},
+	{diskHealthy, diskInputSlow, diskFailing,
+		"the disk is slower than an attempt may wait: keyed and non-idempotent requests are rejected, idempotent ones go on"},
+	{diskFailing, diskInputStored, diskHealthy, "records are durable again"},
 }
 
 func (l *Ledger) diskTransition(input diskInput) {
@@ -51,38 +57,38 @@
 	}
 }
 
-// heldAttempt is an attempt that waits until its record is durable.
+// heldAttempt is an attempt that is not sent until its record is durable.
 type heldAttempt struct {
-	token   uint64
-	id      string
+	token   uint64 // of the Sync that makes the record durable
+	id      string // of the request
 	attempt int
-	since   float64
+	since   float64 // log time
 }
 
-// recordsStored handles the report on a Sync: attempts that waited for it are released, or fail.
+// recordsStored handles the result of a Sync: the attempts held for it are released if it succeeded and fail otherwise.
 func (l *Ledger) recordsStored(ev *Event) {
-	input := diskFailed
+	input := diskInputFailed
 	if ev.OK {
-		input = diskStored
+		input = diskInputStored
 	}
 	l.diskTransition(input)
-	waiting := l.held[:0]
-	for _, h := range l.held {
+	stillHeld := l.held[:0]
+	for _, held := range l.held {
 		switch {
-		case h.token != ev.Token:
-			waiting = append(waiting, h)
+		case held.token != ev.Token:
+			stillHeld = append(stillHeld, held)
 		case ev.OK:
 			l.counts.AttemptsHeld++
-			l.counts.AttemptsHeldMS += l.now - h.since
-			l.emit(Effect{Kind: ReleaseAttempt, ID: h.id, Attempt: h.attempt})
+			l.counts.AttemptsHeldMS += l.now - held.since
+			l.emit(Effect{Kind: ReleaseAttempt, ID: held.id, Attempt: held.attempt})
 		default:
-			l.failAttempt(h)
+			l.failAttempt(held)
 		}
 	}
-	l.held = waiting
+	l.held = stillHeld
 }
 
-// failOverdueAttempts fails the attempts that were held too long.
+// failOverdueAttempts fails the attempts that have been held for longer than maxHoldMS.
 func (l *Ledger) failOverdueAttempts() {
 	overdue := 0
 	for overdue < len(l.held) && l.now-l.held[overdue].since > maxHoldMS {
@@ -91,14 +97,14 @@
 	if overdue == 0 {
 		return
 	}
-	l.diskTransition(diskSlow)
-	for _, h := range l.held[:overdue] {
-		l.failAttempt(h)
+	l.diskTransition(diskInputSlow)
+	for _, held := range l.held[:overdue] {
+		l.failAttempt(held)
 	}
 	l.held = slices.Delete(l.held, 0, overdue)
 }
 
-func (l *Ledger) failAttempt(h heldAttempt) {
+func (l *Ledger) failAttempt(held heldAttempt) {
 	l.counts.AttemptsFailed++
-	l.emit(Effect{Kind: FailAttempt, ID: h.id, Attempt: h.attempt})
+	l.emit(Effect{Kind: FailAttempt, ID: held.id, Attempt: held.attempt})
 }
--- a/internal/ledger/event.go
+++ b/internal/ledger/event.go
@@ -2,7 +2,7 @@
 
 import "liftshift/scheduler"
 
-// EventKind tells what an Event reports.
+// EventKind identifies what an Event reports.
 type EventKind uint8
 
 // The kinds of events.
@@ -12,83 +12,94 @@
 	RequestReceived                   // a client sent a request
 	AttemptStarting                   // an attempt is about to be sent
 	AttemptEnded                      // an attempt has its outcome
-	RequestClosed                     // a request has its final answer, or its client left
-	RecordsStored                     // the store reports what became of a Sync
+	RequestClosed                     // a request got its final answer, or its client disconnected
+	RecordsStored                     // a Sync succeeded or failed
 	EndpointsUpdated                  // the endpoint list changed
 	Ticked                            // time passed; sent every 100 ms
-	OutcomeQueried                    // a client asks what became of a request id or an idempotency key
+	OutcomeQueried                    // a client asks for the outcome of a request id or an idempotency key
 	ShutdownFinished                  // a planned shutdown is complete
-	SettingsChanged                   // new settings hold from now on
-	OperatorNoteSet                   // an operator set something durable: ID names it, Body holds it, IdempotencyKey is its author
+	SettingsChanged                   // new settings apply from now on
+	// OperatorNoteSet says that an operator set a durable note: ID is its name, Body its content, and IdempotencyKey
+	// its author. An empty Body deletes the note.
+	OperatorNoteSet
 )
 
-// Event is one thing that the ledger learns. Only the fields of its kind are set.
+// Event is one input of the ledger. Only the fields of its kind are set.
 type Event struct {
-	Kind               EventKind
-	ID, IdempotencyKey string // RequestReceived, AttemptStarting, AttemptEnded, RequestClosed, OutcomeQueried, OperatorNoteSet
-	Class              string // RequestReceived
-	Deadline           float64
-	Prior              scheduler.PriorAttempt // RequestReceived: an attempt elsewhere that may have run under the idempotency key
-	Attempt            int
-	Executor           uint32 // AttemptStarting
-	NeverRan           bool   // AttemptEnded: the attempt is known not to have run
-	Outcome            Outcome
-	Body               []byte // RequestClosed: the answer
-
-	Key     Key // RecordRead
-	Expires int64
-	Value   []byte // nil: the record was deleted
+	Kind EventKind
+
+	// ID and IdempotencyKey are set for RequestReceived, AttemptStarting, AttemptEnded, RequestClosed, OutcomeQueried
+	// and OperatorNoteSet.
+	ID, IdempotencyKey string
+
+	Class    string  // RequestReceived
+	Deadline float64 // RequestReceived; by the caller's clock
+
+	// Prior is set for RequestReceived: an attempt by another controller that may have run under the idempotency key.
+	Prior scheduler.PriorAttempt
+
+	Attempt  int    // AttemptStarting, AttemptEnded: its number within the request, from 0
+	Executor uint32 // AttemptStarting
+	NeverRan bool   // AttemptEnded: the attempt is known not to have run
+
+	Outcome Outcome // RequestClosed
+	Body    []byte  // RequestClosed: the answer
+
+	Key     Key    // RecordRead
+	Expires int64  // RecordRead
+	Value   []byte // RecordRead; nil: the record was deleted
 
 	Clocks      Clocks // RecoveryDone
 	TailInDoubt bool   // RecoveryDone: the last records may be missing
 
-	Token uint64 // RecordsStored
-	OK    bool
+	Token uint64 // RecordsStored: the token of the Sync
+	OK    bool   // RecordsStored: the Sync succeeded
 
 	Settings *Settings // SettingsChanged
 
-	ListVersion uint64 // EndpointsUpdated; 0 where the list has no version
+	ListVersion uint64 // EndpointsUpdated; 0: the list has no version
 	Restored    bool   // EndpointsUpdated: the list is the one known at the start
-	Complete    bool
+	Complete    bool   // EndpointsUpdated: executors that are not listed are gone
 	Endpoints   []scheduler.Endpoint
 
-	ExecutorViews []scheduler.ExecutorView // Ticked, where WantsExecutorViews asked for them
-	Estimates     []scheduler.Estimate
+	ExecutorViews []scheduler.ExecutorView // Ticked, if WantsExecutorViews returned true
+	Estimates     []scheduler.Estimate     // Ticked, if WantsExecutorViews returned true
 }
 
-// EffectKind tells what an Effect asks for.
+// EffectKind identifies what an Effect asks for.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
 	Persist          EffectKind = iota // store Value under Key until Expires
 	Delete                             // delete the record under Key
-	Sync                               // make the records of this step durable and report Token
+	Sync                               // make the records of this step durable, then send RecordsStored with Token
 	HoldAttempt                        // hold this attempt until ReleaseAttempt or FailAttempt
 	ReleaseAttempt                     // send the attempt
-	FailAttempt                        // neither this attempt nor another one of the request may be sent now
-	Admit                              // the request goes on; Prior is an attempt that may have run under its idempotency key
-	AdmitBlocked                       // the request goes on, but no attempt may be sent for it
-	AnswerFromRecord                   // the request is answered by what is on record
-	RestoreState                       // SchedulerEvent carries state from before the start
-	LogMessage                         // Text is for the log
-	OperatorNote                       // an operator's note from before the start: ID, Body, Text is the author, AgeMS
+	FailAttempt                        // send neither this attempt nor another one of the request for now
+	Admit                              // admit the request; Prior may have run under its idempotency key
+	AdmitBlocked                       // admit the request, but send no attempt for it
+	AnswerFromRecord                   // answer the request or the query with the recorded Outcome and Body
+	RestoreState                       // pass SchedulerEvent, which holds state from before the start, to the scheduler
+	LogMessage                         // log Text
+	OperatorNote                       // restore an operator's note with the name ID, the author Text, Body and AgeMS
 )
 
-// Effect is one thing that the ledger wants done, in the order given. Its slices are valid until the next Step.
+// Effect is one output of the ledger. The caller carries out the effects of a step in order. Slices in an Effect are
+// valid until the next Step.
 type Effect struct {
 	Kind           EffectKind
 	Key            Key
 	Value          []byte
-	Expires        int64
+	Expires        int64 // log time; 0: never
 	Token          uint64
 	ID             string
 	Attempt        int
 	Prior          scheduler.PriorAttempt
 	Outcome        Outcome
-	Body           []byte // of an answer on record; nil: it was not kept
-	AfterMS        float64
-	AgeMS          float64 // since the outcome
+	Body           []byte  // the recorded answer; nil: it was not kept
+	AfterMS        float64 // AnswerFromRecord of a rejected request: when the client may retry; 0: unspecified
+	AgeMS          float64 // time since the outcome was recorded, or since the note was set
 	SchedulerEvent scheduler.Event
 	Text           string
 }
--- a/internal/ledger/executor.go
+++ b/internal/ledger/executor.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	viewsIntervalMS      = 1000   // between looks at the scheduler's view of the executors
-	executorStateTTLMS   = 600000 // for which the state of an executor is kept without being written again
-	executorStateRefresh = 0.5    // share of the TTL after which it is written again
-	warmupChangeMS       = 100    // by which the end of a warm-up must have moved to be worth a record
+	viewsIntervalMS    = 1000   // between readings of the scheduler's executor views and estimates
+	executorStateTTLMS = 600000 // lifetime of an executor record that is not rewritten
+
+	executorStateRefresh = 0.5 // share of the lifetime after which a state that must not expire is rewritten
+	warmupChangeMS       = 100 // smaller changes of the end of a warm-up are not recorded
 )
 
-// executorState is what is remembered of an executor.
+// executorState is the recorded state of an executor.
 type executorState struct {
 	id           uint32
 	zone         string
@@ -23,23 +24,23 @@
 	warmupUntil  float64 // log time
 	ejected      bool
 	ejections    int
-	drainVersion uint64 // of the endpoint list that first said draining; 0: it is not draining
-	startedAt    float64
-	persistedAt  float64
-	draining     bool // the list of this incarnation says so
+	drainVersion uint64  // version of the endpoint list with the draining state; 0: not draining
+	startedAt    float64 // as reported by the endpoint list
+	persistedAt  float64 // log time of the last record
+	draining     bool    // the endpoint list of this incarnation marks it as draining
 }
 
-// updateEndpoints takes over zones, cells and drains from the endpoint list.
+// updateEndpoints applies the zones, cells and draining states of an endpoint list.
 func (l *Ledger) updateEndpoints(ev *Event) {
 	listed := map[uint32]bool{}
 	for i := range ev.Endpoints {
-		e := &ev.Endpoints[i]
-		if e.Availability == scheduler.Removed {
-			l.removeExecutor(e.Executor)
+		endpoint := &ev.Endpoints[i]
+		if endpoint.Availability == scheduler.Removed {
+			l.removeExecutor(endpoint.Executor)
 			continue
 		}
-		listed[e.Executor] = true
-		l.updateExecutor(ev, e)
+		listed[endpoint.Executor] = true
+		l.updateExecutor(ev, endpoint)
 	}
 	if !ev.Complete {
 		return
@@ -55,43 +56,45 @@
 	}
 }
 
-func (l *Ledger) updateExecutor(ev *Event, e *scheduler.Endpoint) {
-	x := l.executors[e.Executor]
-	if x == nil {
-		x = &executorState{id: e.Executor}
-		l.executors[e.Executor] = x
+func (l *Ledger) updateExecutor(ev *Event, endpoint *scheduler.Endpoint) {
+	executor := l.executors[endpoint.Executor]
+	if executor == nil {
+		executor = &executorState{id: endpoint.Executor}
+		l.executors[endpoint.Executor] = executor
 	}
-	drainVersion := x.drainVersionAfter(ev, e)
-	changed := drainVersion != x.drainVersion || x.zone != e.Zone || x.cell != e.Cell || x.startedAt != e.StartedAt
-	x.zone, x.cell = e.Zone, e.Cell
-	x.startedAt = e.StartedAt
-	x.drainVersion = drainVersion
-	x.draining = e.Availability == scheduler.Draining
+	drainVersion := executor.drainVersionAfter(ev, endpoint)
+	changed := drainVersion != executor.drainVersion || executor.zone != endpoint.Zone ||
+		executor.cell != endpoint.Cell || executor.startedAt != endpoint.StartedAt
+	executor.zone, executor.cell = endpoint.Zone, endpoint.Cell
+	executor.startedAt = endpoint.StartedAt
+	executor.drainVersion = drainVersion
+	executor.draining = endpoint.Availability == scheduler.Draining
 	if changed {
-		l.persistExecutor(x)
+		l.persistExecutor(executor)
 	}
 }
 
-// drainVersionAfter returns the version of the list that first said draining, after this one. A list known at the start that is
-// older than a drain on record does not end that drain.
-func (x *executorState) drainVersionAfter(ev *Event, e *scheduler.Endpoint) uint64 {
-	if e.Availability == scheduler.Draining {
+// drainVersionAfter returns the drainVersion of the executor after an endpoint list. A list known at the start that
+// is older than the recorded drain does not end that drain, unless the executor has been restarted since.
+func (x *executorState) drainVersionAfter(ev *Event, endpoint *scheduler.Endpoint) uint64 {
+	if endpoint.Availability == scheduler.Draining {
 		return max(1, ev.ListVersion)
 	}
 	olderList := ev.Restored && (ev.ListVersion == 0 || ev.ListVersion < x.drainVersion)
-	if x.drainVersion > 0 && olderList && e.StartedAt <= x.startedAt {
+	if x.drainVersion > 0 && olderList && endpoint.StartedAt <= x.startedAt {
 		return x.drainVersion
 	}
 	return 0
 }
 
 func (l *Ledger) removeExecutor(id uint32) {
-	if x := l.executors[id]; x != nil {
+	if executor := l.executors[id]; executor != nil {
 		delete(l.executors, id)
-		l.emit(Effect{Kind: Delete, Key: x.key()})
+		l.emit(Effect{Kind: Delete, Key: executor.key()})
 	}
 }
 
+// executorIDs returns the ids of all known executors in ascending order.
 func (l *Ledger) executorIDs() []uint32 {
 	ids := make([]uint32, 0, len(l.executors))
 	for id := range l.executors {
@@ -101,7 +104,8 @@
 	return ids
 }
 
-// WantsExecutorViews tells whether the next Ticked should carry the scheduler's view of the executors and its estimates.
+// WantsExecutorViews returns whether the next Ticked event has to carry the scheduler's executor views and estimates.
+// It returns true once per viewsIntervalMS.
 func (l *Ledger) WantsExecutorViews(now float64) bool {
 	due := now+l.clockOffset >= l.viewsDueAt
 	if due {
@@ -110,49 +114,51 @@
 	return due
 }
 
-// persistViews records the scheduler's view of executors where it changed, and again before such a record expires.
+// persistViews records the executor views that have changed, and rewrites records that must not expire.
 func (l *Ledger) persistViews(views []scheduler.ExecutorView) {
-	for _, v := range views {
-		x := l.executors[v.Executor]
-		if x == nil {
+	for _, view := range views {
+		executor := l.executors[view.Executor]
+		if executor == nil {
 			continue
 		}
 		warmupUntil := 0.0
-		if v.WarmingUp {
-			warmupUntil = v.WarmupUntil + l.clockOffset
+		if view.WarmingUp {
+			warmupUntil = view.WarmupUntil + l.clockOffset
 		}
-		if !x.viewChanged(v, warmupUntil) && !l.needsRefresh(x, warmupUntil) {
+		if !executor.viewChanged(view, warmupUntil) && !l.needsRefresh(executor, warmupUntil) {
 			continue
 		}
-		x.ejected, x.ejections = v.Ejected, v.Ejections
-		x.warmupUntil = warmupUntil
-		l.persistExecutor(x)
+		executor.ejected, executor.ejections = view.Ejected, view.Ejections
+		executor.warmupUntil = warmupUntil
+		l.persistExecutor(executor)
 	}
 }
 
-func (x *executorState) viewChanged(v scheduler.ExecutorView, warmupUntil float64) bool {
-	return x.ejected != v.Ejected || v.Ejected && x.ejections != v.Ejections || math.Abs(x.warmupUntil-warmupUntil) > warmupChangeMS
+func (x *executorState) viewChanged(view scheduler.ExecutorView, warmupUntil float64) bool {
+	return x.ejected != view.Ejected || view.Ejected && x.ejections != view.Ejections ||
+		math.Abs(x.warmupUntil-warmupUntil) > warmupChangeMS
 }
 
-// needsRefresh tells whether the record of a state that must not be forgotten gets old.
-func (l *Ledger) needsRefresh(x *executorState, warmupUntil float64) bool {
-	lasting := x.ejected || warmupUntil > 0 || x.drainVersion > 0
-	return lasting && l.now > x.persistedAt+executorStateRefresh*executorStateTTLMS
+// needsRefresh returns whether an executor is ejected, warming up or draining and its record is due to be rewritten
+// before it expires.
+func (l *Ledger) needsRefresh(executor *executorState, warmupUntil float64) bool {
+	mustNotExpire := executor.ejected || warmupUntil > 0 || executor.drainVersion > 0
+	return mustNotExpire && l.now > executor.persistedAt+executorStateRefresh*executorStateTTLMS
 }
 
-// restoreExecutors tells the scheduler the states from before the start: ejected executors stay so until they have answered
-// health checks, warm-ups go on, and drains that the first endpoint list does not know hold.
+// restoreExecutors passes the executor states from before the start to the scheduler: executors stay ejected until they
+// have passed health checks, warm-ups continue, and drains that the first endpoint list does not contain stay in force.
 func (l *Ledger) restoreExecutors() {
 	ev := scheduler.Event{Kind: scheduler.StateRestored}
 	for _, id := range l.executorIDs() {
-		x := l.executors[id]
-		if x.ejected || x.warmupUntil > l.now || x.drainVersion > 0 {
+		executor := l.executors[id]
+		if executor.ejected || executor.warmupUntil > l.now || executor.drainVersion > 0 {
 			ev.RestoredExecutors = append(ev.RestoredExecutors, scheduler.RestoredExecutor{
 				Executor:    id,
-				WarmupUntil: x.warmupUntil - l.clockOffset,
-				Ejected:     x.ejected,
-				Ejections:   x.ejections,
-				Draining:    x.drainVersion > 0 && !x.draining,
+				WarmupUntil: executor.warmupUntil - l.clockOffset,
+				Ejected:     executor.ejected,
+				Ejections:   executor.ejections,
+				Draining:    executor.drainVersion > 0 && !executor.draining,
 			})
 		}
 	}
@@ -161,31 +167,31 @@
 
 func (x *executorState) key() Key { return recordKey('e', strconv.FormatUint(uint64(x.id), 10)) }
 
-func (l *Ledger) persistExecutor(x *executorState) {
-	x.persistedAt = l.now
+func (l *Ledger) persistExecutor(executor *executorState) {
+	executor.persistedAt = l.now
 	w := l.newRecord(kindExecutor)
-	w.number(fieldExecutor, float64(x.id))
-	w.text(fieldZone, x.zone)
-	w.number(fieldCell, float64(x.cell))
-	w.number(fieldWarmupUntil, x.warmupUntil)
-	w.flag(fieldEjected, x.ejected)
-	w.number(fieldEjections, float64(x.ejections))
-	w.number(fieldDrainVersion, float64(x.drainVersion))
-	w.number(fieldExecutorStartedAt, x.startedAt)
-	w.persist(x.key(), clampMS(l.now+executorStateTTLMS))
+	w.number(fieldExecutor, float64(executor.id))
+	w.text(fieldZone, executor.zone)
+	w.number(fieldCell, float64(executor.cell))
+	w.number(fieldWarmupUntil, executor.warmupUntil)
+	w.flag(fieldEjected, executor.ejected)
+	w.number(fieldEjections, float64(executor.ejections))
+	w.number(fieldDrainVersion, float64(executor.drainVersion))
+	w.number(fieldExecutorStartedAt, executor.startedAt)
+	w.persist(executor.key(), clampMS(l.now+executorStateTTLMS))
 }
 
-func (l *Ledger) restoreExecutor(r *decodedRecord) {
-	x := &executorState{
-		id:           uint32(r.number(fieldExecutor)),
-		zone:         r.text(fieldZone),
-		cell:         int64(r.number(fieldCell)),
-		warmupUntil:  r.number(fieldWarmupUntil),
-		ejected:      r.number(fieldEjected) != 0,
-		ejections:    int(r.number(fieldEjections)),
-		drainVersion: uint64(r.number(fieldDrainVersion)),
-		startedAt:    r.number(fieldExecutorStartedAt),
-		persistedAt:  r.number(fieldAt),
+func (l *Ledger) restoreExecutor(record *decodedRecord) {
+	executor := &executorState{
+		id:           uint32(record.number(fieldExecutor)),
+		zone:         record.text(fieldZone),
+		cell:         int64(record.number(fieldCell)),
+		warmupUntil:  record.number(fieldWarmupUntil),
+		ejected:      record.number(fieldEjected) != 0,
+		ejections:    int(record.number(fieldEjections)),
+		drainVersion: uint64(record.number(fieldDrainVersion)),
+		startedAt:    record.number(fieldExecutorStartedAt),
+		persistedAt:  record.number(fieldAt),
 	}
-	l.executors[x.id] = x
+	l.executors[executor.id] = executor
 }
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -6,59 +6,64 @@
 	"liftshift/scheduler"
 )
 
-// testSettings has a class of each effect; executors of a zone drop repeats of a key for 20 s.
+// testSettings has one class of each scheduler.Idempotency, with a deduplication window of 20 s within the zone.
 func testSettings() Settings {
 	s := DefaultSettings()
 	s.RememberMS, s.MaxAnswerBytes = 60000, 8
 	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
-	for _, c := range []scheduler.RequestClass{
-		{Name: "look", Idempotency: scheduler.Idempotent}, {Name: "mark", Idempotency: scheduler.Keyed}, {Name: "once", Idempotency: scheduler.NonIdempotent},
+	for _, class := range []scheduler.RequestClass{
+		{Name: "look", Idempotency: scheduler.Idempotent},
+		{Name: "mark", Idempotency: scheduler.Keyed},
+		{Name: "once", Idempotency: scheduler.NonIdempotent},
 	} {
-		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
-		s.Classes = append(s.Classes, c)
+		class.DedupScope, class.DedupWindowMS, class.DeadlineMS = scheduler.DedupZone, 20000, 5000
+		s.Classes = append(s.Classes, class)
 	}
 	return s
 }
 
-// memoryDisk holds the records of ledgers, as a store would, and can be looked at after any step.
-type memoryDisk struct {
+// memoryStore keeps the records of a ledger in memory, so that a test can start another ledger from them after any
+// step.
+type memoryStore struct {
 	records map[Key]Effect
 }
 
-// testLedger is a ledger on a memory disk.
+// testLedger is a ledger whose records go to a memoryStore.
 type testLedger struct {
 	*Ledger
-	disk     *memoryDisk
-	restored []scheduler.Event
+	store    *memoryStore
+	restored []scheduler.Event // of the RestoreState effects
 	logged   []string
 }
 
-// startLedger returns a ledger that starts at a time with what the disk holds.
-func startLedger(d *memoryDisk, now float64, m Clocks, doubt bool) *testLedger {
-	l := &testLedger{Ledger: New(testSettings()), disk: d}
-	for k, e := range d.records {
-		l.Step(0, &Event{Kind: RecordRead, Key: k, Expires: e.Expires, Value: e.Value})
+// startLedger returns a ledger that recovers from a store at the given time.
+func startLedger(store *memoryStore, now float64, clocks Clocks, tailInDoubt bool) *testLedger {
+	l := &testLedger{Ledger: New(testSettings()), store: store}
+	for key, record := range store.records {
+		l.Step(0, &Event{Kind: RecordRead, Key: key, Expires: record.Expires, Value: record.Value})
 	}
-	l.play(now, Event{Kind: RecoveryDone, Clocks: m, TailInDoubt: doubt})
+	l.step(now, Event{Kind: RecoveryDone, Clocks: clocks, TailInDoubt: tailInDoubt})
 	return l
 }
 
+// newTestLedger returns a ledger that starts with an empty store.
 func newTestLedger(now float64) *testLedger {
-	return startLedger(&memoryDisk{records: map[Key]Effect{}}, now, clocksAt(now), false)
+	return startLedger(&memoryStore{records: map[Key]Effect{}}, now, clocksAt(now), false)
 }
 
-// clocksAt returns the clocks of a machine that was booted at 0.
+// clocksAt returns the clocks of a machine that was booted at time 0.
 func clocksAt(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
 
-// play takes a step, stores its records, and returns the other effects.
-func (l *testLedger) play(now float64, ev Event) (rest []Effect) {
+// step takes one step, applies its records to the store, and returns the effects that neither the store nor the
+// scheduler nor the log gets.
+func (l *testLedger) step(now float64, ev Event) (rest []Effect) {
 	for _, e := range l.Step(now, &ev) {
 		switch e.Kind {
 		case Persist:
 			e.Value = append([]byte(nil), e.Value...)
-			l.disk.records[e.Key] = e
+			l.store.records[e.Key] = e
 		case Delete:
-			delete(l.disk.records, e.Key)
+			delete(l.store.records, e.Key)
 		case RestoreState:
 			l.restored = append(l.restored, e.SchedulerEvent)
 		case LogMessage:
@@ -71,16 +76,17 @@
 	return rest
 }
 
+// receive receives a request with a deadline in 5 s and returns the effect that decides on it.
 func (l *testLedger) receive(now float64, class, id, key string) Effect {
-	return l.play(now, Event{Kind: RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: now + 5000})[0]
+	return l.step(now, Event{Kind: RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: now + 5000})[0]
 }
 
-// startAttempt puts an attempt on record, reports that as durable, and tells whether the attempt was released.
-func (l *testLedger) startAttempt(now float64, id string, n int, executor uint32) bool {
-	for _, e := range l.play(now, Event{Kind: AttemptStarting, ID: id, Attempt: n, Executor: executor}) {
+// startAttempt starts an attempt, reports its record as durable, and returns whether the attempt may be sent.
+func (l *testLedger) startAttempt(now float64, id string, attempt int, executor uint32) bool {
+	for _, e := range l.step(now, Event{Kind: AttemptStarting, ID: id, Attempt: attempt, Executor: executor}) {
 		if e.Kind == HoldAttempt {
-			r := l.play(now, Event{Kind: RecordsStored, Token: e.Token, OK: true})
-			return len(r) == 1 && r[0].Kind == ReleaseAttempt && r[0].ID == id && r[0].Attempt == n
+			r := l.step(now, Event{Kind: RecordsStored, Token: e.Token, OK: true})
+			return len(r) == 1 && r[0].Kind == ReleaseAttempt && r[0].ID == id && r[0].Attempt == attempt
 		}
 	}
 	return true
@@ -88,29 +94,31 @@
 
 // outcomes returns the outcome of a request id and that of an idempotency key.
 func (l *testLedger) outcomes(now float64, id, key string) (ofID, ofKey Outcome) {
-	ofID = l.play(now, Event{Kind: OutcomeQueried, ID: id})[0].Outcome
-	return ofID, l.play(now, Event{Kind: OutcomeQueried, IdempotencyKey: key})[0].Outcome
+	ofID = l.step(now, Event{Kind: OutcomeQueried, ID: id})[0].Outcome
+	return ofID, l.step(now, Event{Kind: OutcomeQueried, IdempotencyKey: key})[0].Outcome
 }
 
-// updateEndpoints sends a complete list: executors 1 and 2 in zone here, 3 in zone there, some of them draining.
+// updateEndpoints sends a complete list with executors 1 and 2 in zone "here" and executor 3 in zone "there". The
+// executors in draining are marked as draining.
 func (l *testLedger) updateEndpoints(now float64, version uint64, draining ...uint32) {
 	var list []scheduler.Endpoint
 	for id := range uint32(3) {
-		e := scheduler.Endpoint{Executor: id + 1, Zone: "here"}
+		endpoint := scheduler.Endpoint{Executor: id + 1, Zone: "here"}
 		if id == 2 {
-			e.Zone = "there"
+			endpoint.Zone = "there"
 		}
-		for _, x := range draining {
-			if x == id+1 {
-				e.Availability = scheduler.Draining
+		for _, executor := range draining {
+			if executor == id+1 {
+				endpoint.Availability = scheduler.Draining
 			}
 		}
-		list = append(list, e)
+		list = append(list, endpoint)
 	}
-	l.play(now, Event{Kind: EndpointsUpdated, ListVersion: version, Restored: true, Complete: true, Endpoints: list})
+	l.step(now, Event{Kind: EndpointsUpdated, ListVersion: version, Restored: true, Complete: true, Endpoints: list})
 }
 
-// The same cases are drawn in every run, and no files are left behind, unless the command line says otherwise.
+// init makes rapid generate the same cases in every run and write no failure files, unless the command line says
+// otherwise.
 func init() {
 	_ = flag.Set("rapid.seed", "7")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/ledger/idempotencykey.go
+++ b/internal/ledger/idempotencykey.go
@@ -6,21 +6,21 @@
 	"liftshift/scheduler"
 )
 
-// idempotencyKey is what is remembered of an idempotency key.
+// idempotencyKey is the recorded state of an idempotency key.
 type idempotencyKey struct {
 	text       string
-	firstAt    float64 // log time of the first attempt that may have run; far in the past where its age is not known
-	lastAt     float64
-	executor   uint32
-	zone       string
-	cell       int64
-	class      int // index in Ledger.classes
-	unresolved int // attempts that may have run, or are in flight
+	firstAt    float64 // log time of the first attempt that may have run; in the distant past if its age is unknown
+	lastAt     float64 // log time of the last attempt or of the answer
+	executor   uint32  // executor of the last attempt
+	zone       string  // zone of the last attempt
+	cell       int64   // cell of the last attempt
+	class      int     // index in Ledger.classes
+	unresolved int     // number of attempts that are in flight or may have run
 	succeeded  bool
-	answer     []byte // nil: it was too long to be kept
+	answer     []byte // nil: not recorded
 }
 
-// idempotencyRecordKey returns the key of the record of an idempotency key, zero for none.
+// idempotencyRecordKey returns the key of the record of an idempotency key, or the zero Key if text is empty.
 func idempotencyRecordKey(text string) Key {
 	if text == "" {
 		return Key{}
@@ -28,14 +28,14 @@
 	return recordKey('m', text)
 }
 
-// keyState is what became of an idempotency key.
+// keyState classifies an idempotency key by what its attempts have done.
 type keyState uint8
 
 const (
-	keyUnused    keyState = iota // no attempt of it can have run
-	keyInDoubt                   // one may have run
-	keyAnswered                  // it succeeded, and the answer is on record
-	keySucceeded                 // it succeeded, and the answer was not kept
+	keyUnused    keyState = iota // no attempt can have run
+	keyInDoubt                   // an attempt may have run
+	keyAnswered                  // an attempt succeeded, and its answer is recorded
+	keySucceeded                 // an attempt succeeded, and its answer was not kept
 )
 
 // String returns the name of the state.
@@ -57,93 +57,99 @@
 }
 
 func (k *idempotencyKey) outcome() Outcome {
-	return [...]Outcome{keyUnused: Rejected, keyInDoubt: Failed, keyAnswered: Succeeded, keySucceeded: Succeeded}[k.state()]
+	return [...]Outcome{
+		keyUnused: Rejected, keyInDoubt: Failed, keyAnswered: Succeeded, keySucceeded: Succeeded,
+	}[k.state()]
 }
 
-// keyVerdict is what becomes of a request whose idempotency key is on record.
-type keyVerdict uint8
+// keyDecision is how a request is handled with regard to its idempotency key.
+type keyDecision uint8
 
 const (
-	verdictNew          keyVerdict = iota // it goes on like any other
-	verdictRetry                          // it goes where its repeat is dropped
-	verdictReplayAnswer                   // it gets the answer on record
-	verdictSucceeded                      // it succeeded, and its answer is gone
-	verdictFailed                         // it may have run, and no executor drops repeats of it any more
+	decisionAdmitNew      keyDecision = iota // admit the request like one without a recorded key
+	decisionAdmitRetry                       // admit the request for executors that drop repeats of the key
+	decisionReplayAnswer                     // answer with the recorded answer
+	decisionReportSuccess                    // answer that the key succeeded; its answer was not kept
+	decisionReportFailure                    // answer that the key failed: it may have run and must not be sent again
 )
 
-// keyVerdicts tells whether a key may be sent. Within the window, the executors of its dedup scope drop repeats.
-var keyVerdicts = []struct {
+// keyDecisions maps the state of a key to a decision. While withinWindow holds, the executors in the deduplication
+// scope of the key drop repeats of it.
+var keyDecisions = []struct {
 	state        keyState
 	withinWindow bool
-	verdict      keyVerdict
+	decision     keyDecision
 }{
-	{keyUnused, true, verdictNew},
-	{keyUnused, false, verdictNew},
-	{keyInDoubt, true, verdictRetry},
-	{keyInDoubt, false, verdictFailed},
-	{keyAnswered, true, verdictReplayAnswer},
-	{keyAnswered, false, verdictReplayAnswer},
-	{keySucceeded, true, verdictRetry},
-	{keySucceeded, false, verdictSucceeded},
+	{keyUnused, true, decisionAdmitNew},
+	{keyUnused, false, decisionAdmitNew},
+	{keyInDoubt, true, decisionAdmitRetry},
+	{keyInDoubt, false, decisionReportFailure},
+	{keyAnswered, true, decisionReplayAnswer},
+	{keyAnswered, false, decisionReplayAnswer},
+	{keySucceeded, true, decisionAdmitRetry},
+	{keySucceeded, false, decisionReportSuccess},
 }
 
-func judgeKey(state keyState, withinWindow bool) keyVerdict {
-	for _, v := range keyVerdicts {
-		if v.state == state && v.withinWindow == withinWindow {
-			return v.verdict
+func decideByKeyState(state keyState, withinWindow bool) keyDecision {
+	for _, row := range keyDecisions {
+		if row.state == state && row.withinWindow == withinWindow {
+			return row.decision
 		}
 	}
-	return verdictFailed
+	return decisionReportFailure
 }
 
-// judgeRequest returns the verdict on a request, and its idempotency key where that is on record.
-func (l *Ledger) judgeRequest(ev *Event, index int, class *requestClass) (keyVerdict, *idempotencyKey) {
+// decideByKey returns the decision on a request and the state of its idempotency key, which is nil if none is recorded.
+func (l *Ledger) decideByKey(ev *Event, index int, class *requestClass) (keyDecision, *idempotencyKey) {
 	if ev.IdempotencyKey == "" || !class.mustPersist() {
-		return verdictNew, nil
+		return decisionAdmitNew, nil
 	}
-	l.importPrior(ev, index, class)
-	k := l.keys.Get(idempotencyRecordKey(ev.IdempotencyKey))
-	if k == nil {
-		return verdictNew, nil
+	l.importPriorAttempt(ev, index, class)
+	key := l.keys.Get(idempotencyRecordKey(ev.IdempotencyKey))
+	if key == nil {
+		return decisionAdmitNew, nil
 	}
-	return judgeKey(k.state(), l.withinWindow(k)), k
+	return decideByKeyState(key.state(), l.withinWindow(key)), key
 }
 
-// answerFromKey answers a request by what its idempotency key came to, where the verdict says so.
-func (l *Ledger) answerFromKey(verdict keyVerdict, k *idempotencyKey) bool {
+// answerFromKey answers a request from the state of its idempotency key if the decision is to do so, and returns
+// whether it did.
+func (l *Ledger) answerFromKey(decision keyDecision, key *idempotencyKey) bool {
 	answer := Effect{Kind: AnswerFromRecord}
-	switch verdict {
-	case verdictReplayAnswer:
-		answer.Outcome, answer.Body = Succeeded, k.answer
-	case verdictSucceeded:
+	switch decision {
+	case decisionReplayAnswer:
+		answer.Outcome, answer.Body = Succeeded, key.answer
+	case decisionReportSuccess:
 		answer.Outcome = Succeeded
-	case verdictFailed:
+	case decisionReportFailure:
 		answer.Outcome = Failed
 	default:
 		return false
 	}
 	l.counts.AnsweredFromRecord++
-	answer.AgeMS = l.now - k.lastAt
+	answer.AgeMS = l.now - key.lastAt
 	l.emit(answer)
 	return true
 }
 
-// withinWindow tells whether executors surely still drop repeats of a key.
-func (l *Ledger) withinWindow(k *idempotencyKey) bool {
-	return l.now <= k.firstAt+l.classes[k.class].windowMS
+// withinWindow returns whether the deduplication window of a key is certainly still open.
+func (l *Ledger) withinWindow(key *idempotencyKey) bool {
+	return l.now <= key.firstAt+l.classes[key.class].windowMS
 }
 
-// priorAttempt returns the first attempt that may have run under a key, by the caller's clock. A time of zero would mean none.
-func (l *Ledger) priorAttempt(k *idempotencyKey) scheduler.PriorAttempt {
-	prior := scheduler.PriorAttempt{At: k.firstAt - l.clockOffset, Zone: k.zone, Cell: k.cell}
-	if math.IsInf(k.firstAt, 0) || prior.At == 0 {
+// priorAttempt returns the first attempt that may have run under a key, by the caller's clock. Its time is never
+// zero, which would stand for no attempt.
+func (l *Ledger) priorAttempt(key *idempotencyKey) scheduler.PriorAttempt {
+	prior := scheduler.PriorAttempt{At: key.firstAt - l.clockOffset, Zone: key.zone, Cell: key.cell}
+	if math.IsInf(key.firstAt, 0) || prior.At == 0 {
 		prior.At = -math.MaxFloat64
 	}
 	return prior
 }
 
-// importPrior records an attempt that may have run elsewhere under a key. The key is as old here as there.
-func (l *Ledger) importPrior(ev *Event, index int, class *requestClass) {
+// importPriorAttempt records an attempt of another controller that may have run under the idempotency key of a
+// request. Of the imported attempt and one already recorded, the earlier one counts.
+func (l *Ledger) importPriorAttempt(ev *Event, index int, class *requestClass) {
 	if ev.Prior.At == 0 {
 		return
 	}
@@ -152,134 +158,138 @@
 	if known := l.keys.Get(storeKey); known != nil && known.state() != keyUnused && known.firstAt <= firstAt {
 		return
 	}
-	k, _ := l.keys.Put(storeKey, clampMS(l.now+class.windowMS+l.rememberMS))
-	l.answerBytes -= len(k.answer)
-	*k = idempotencyKey{text: ev.IdempotencyKey, class: index, firstAt: firstAt, lastAt: l.now, zone: ev.Prior.Zone, cell: ev.Prior.Cell,
-		unresolved: 1}
-	l.persistKey(storeKey, k)
+	key, _ := l.keys.Put(storeKey, clampMS(l.now+class.windowMS+l.retentionMS))
+	l.answerBytes -= len(key.answer)
+	*key = idempotencyKey{
+		text: ev.IdempotencyKey, class: index, firstAt: firstAt, lastAt: l.now, zone: ev.Prior.Zone, cell: ev.Prior.Cell,
+		unresolved: 1,
+	}
+	l.persistKey(storeKey, key)
 }
 
-// startKeyedAttempt records an attempt under the idempotency key of a request. It returns false where it must not be sent.
-func (l *Ledger) startKeyedAttempt(r *request, class *requestClass, executor uint32) bool {
-	if k := l.keys.Get(r.keyRecord); k != nil && !l.mayReach(class, k, executor) {
+// startKeyedAttempt records an attempt under the idempotency key of a request. It returns false if the attempt must
+// not be sent.
+func (l *Ledger) startKeyedAttempt(req *request, class *requestClass, executorID uint32) bool {
+	if key := l.keys.Get(req.keyRecord); key != nil && !l.maySendTo(class, key, executorID) {
 		return false
 	}
-	k, _ := l.keys.Put(r.keyRecord, clampMS(l.now+class.windowMS+l.rememberMS))
-	if k.unresolved == 0 && !k.succeeded {
-		k.firstAt = l.now
+	key, _ := l.keys.Put(req.keyRecord, clampMS(l.now+class.windowMS+l.retentionMS))
+	if key.unresolved == 0 && !key.succeeded {
+		key.firstAt = l.now
 	}
-	k.text, k.class = r.idempotencyKey, r.class
-	k.lastAt = l.now
-	k.unresolved++
-	k.executor = executor
-	if x := l.executors[executor]; x != nil {
-		k.zone, k.cell = x.zone, x.cell
+	key.text, key.class = req.idempotencyKey, req.class
+	key.lastAt = l.now
+	key.unresolved++
+	key.executor = executorID
+	if executor := l.executors[executorID]; executor != nil {
+		key.zone, key.cell = executor.zone, executor.cell
 	}
-	l.persistKey(r.keyRecord, k)
+	l.persistKey(req.keyRecord, key)
 	return true
 }
 
-// mayReach tells whether an attempt of a key may go to an executor: where the key may have run, only to those that drop its
-// repeats, and only while they do. The scheduler keeps to this for what it knows; two requests of one key may have been received
-// before either was sent.
-func (l *Ledger) mayReach(class *requestClass, k *idempotencyKey, executor uint32) bool {
-	if k.state() == keyUnused {
+// maySendTo returns whether an attempt under a key may be sent to an executor. If an earlier attempt may have run,
+// only executors in its deduplication scope qualify, and only within the deduplication window. The scheduler observes
+// the same rule for the prior attempts it knows of, but two requests with the same key may be received before either
+// is sent.
+func (l *Ledger) maySendTo(class *requestClass, key *idempotencyKey, executorID uint32) bool {
+	if key.state() == keyUnused {
 		return true
 	}
-	if !l.withinWindow(k) {
+	if !l.withinWindow(key) {
 		return false
 	}
-	x := l.executors[executor]
-	if x == nil {
+	executor := l.executors[executorID]
+	if executor == nil {
 		return true
 	}
 	switch class.scope {
 	case scheduler.DedupZone:
-		return x.zone == k.zone
+		return executor.zone == key.zone
 	case scheduler.DedupCell:
-		return x.cell == k.cell
+		return executor.cell == key.cell
 	default:
 		return true
 	}
 }
 
-// resolveKeyedAttempt takes back an attempt that is known not to have run.
-func (l *Ledger) resolveKeyedAttempt(storeKey Key) {
-	if k := l.keys.Get(storeKey); k != nil && k.unresolved > 0 {
-		k.unresolved--
-		l.persistKey(storeKey, k)
+// discountAttempt removes an attempt that is known not to have run from the unresolved attempts of its idempotency key.
+func (l *Ledger) discountAttempt(storeKey Key) {
+	if key := l.keys.Get(storeKey); key != nil && key.unresolved > 0 {
+		key.unresolved--
+		l.persistKey(storeKey, key)
 	}
 }
 
-// storeAnswer records that a key succeeded, with the answer where there is room for it.
+// storeAnswer records that a key succeeded, and its answer unless that exceeds the limits on stored answers.
 func (l *Ledger) storeAnswer(storeKey Key, body []byte) {
-	k := l.keys.Get(storeKey)
-	if k == nil {
+	key := l.keys.Get(storeKey)
+	if key == nil {
 		return
 	}
-	l.answerBytes -= len(k.answer)
-	k.succeeded = true
-	k.answer = nil
-	k.lastAt = l.now
+	l.answerBytes -= len(key.answer)
+	key.succeeded = true
+	key.answer = nil
+	key.lastAt = l.now
 	if len(body) <= l.maxAnswerBytes && l.answerBytes+len(body) <= maxTotalAnswerBytes {
-		k.answer = append([]byte{}, body...)
-		l.answerBytes += len(k.answer)
+		key.answer = append([]byte{}, body...)
+		l.answerBytes += len(key.answer)
 	}
-	l.persistKey(storeKey, k)
+	l.persistKey(storeKey, key)
 }
 
-// ageKeys makes keys as old as they can be after a restart whose duration is not known. What decides how long they are kept is as
-// young as it can be.
+// ageKeys moves the first attempt of each key back to the earliest time possible after a restart of unknown duration.
+// The retention of the keys is left as it is, so they are kept for at least as long as they have to be.
 func (l *Ledger) ageKeys(elapsed interval) {
 	if elapsed.max <= elapsed.min {
 		return
 	}
 	for place := range l.keys.Places() {
-		storeKey, _, k := l.keys.Next(place)
-		if k != nil && k.state() != keyUnused {
-			k.firstAt -= elapsed.max - elapsed.min
-			l.persistKey(storeKey, k)
+		storeKey, _, key := l.keys.Next(place)
+		if key != nil && key.state() != keyUnused {
+			key.firstAt -= elapsed.max - elapsed.min
+			l.persistKey(storeKey, key)
 		}
 	}
 }
 
-func (l *Ledger) persistKey(storeKey Key, k *idempotencyKey) {
-	class := &l.classes[k.class]
+func (l *Ledger) persistKey(storeKey Key, key *idempotencyKey) {
+	class := &l.classes[key.class]
 	w := l.newRecord(kindIdempotencyKey)
-	w.text(fieldIdempotencyKey, k.text)
+	w.text(fieldIdempotencyKey, key.text)
 	w.text(fieldClass, class.name)
-	w.number(fieldFirstAttempt, k.firstAt)
-	w.number(fieldUntil, k.lastAt)
-	w.number(fieldExecutor, float64(k.executor))
-	w.text(fieldZone, k.zone)
-	w.number(fieldCell, float64(k.cell))
-	w.number(fieldUnresolved, float64(k.unresolved))
-	w.flag(fieldMayHaveRun, k.succeeded)
-	w.flag(fieldHasBody, k.answer != nil)
-	w.bytes(fieldBody, k.answer)
-	w.persist(storeKey, clampMS(k.lastAt+class.windowMS+l.rememberMS))
+	w.number(fieldFirstAttempt, key.firstAt)
+	w.number(fieldUntil, key.lastAt)
+	w.number(fieldExecutor, float64(key.executor))
+	w.text(fieldZone, key.zone)
+	w.number(fieldCell, float64(key.cell))
+	w.number(fieldUnresolved, float64(key.unresolved))
+	w.flag(fieldMayHaveRun, key.succeeded)
+	w.flag(fieldHasBody, key.answer != nil)
+	w.bytes(fieldBody, key.answer)
+	w.persist(storeKey, clampMS(key.lastAt+class.windowMS+l.retentionMS))
 }
 
-func (l *Ledger) restoreKey(ev *Event, d *decodedRecord) {
-	index, class := l.class(d.text(fieldClass))
+func (l *Ledger) restoreKey(ev *Event, record *decodedRecord) {
+	index, class := l.class(record.text(fieldClass))
 	if class == nil {
 		return
 	}
-	k, _ := l.keys.Put(ev.Key, ev.Expires)
-	l.answerBytes -= len(k.answer)
-	*k = idempotencyKey{
-		text:       d.text(fieldIdempotencyKey),
+	key, _ := l.keys.Put(ev.Key, ev.Expires)
+	l.answerBytes -= len(key.answer)
+	*key = idempotencyKey{
+		text:       record.text(fieldIdempotencyKey),
 		class:      index,
-		firstAt:    d.number(fieldFirstAttempt),
-		lastAt:     d.number(fieldUntil),
-		executor:   uint32(d.number(fieldExecutor)),
-		zone:       d.text(fieldZone),
-		cell:       int64(d.number(fieldCell)),
-		unresolved: int(d.number(fieldUnresolved)),
-		succeeded:  d.number(fieldMayHaveRun) != 0,
+		firstAt:    record.number(fieldFirstAttempt),
+		lastAt:     record.number(fieldUntil),
+		executor:   uint32(record.number(fieldExecutor)),
+		zone:       record.text(fieldZone),
+		cell:       int64(record.number(fieldCell)),
+		unresolved: int(record.number(fieldUnresolved)),
+		succeeded:  record.number(fieldMayHaveRun) != 0,
 	}
-	if d.number(fieldHasBody) != 0 {
-		k.answer = append([]byte{}, d.texts[fieldBody]...)
-		l.answerBytes += len(k.answer)
+	if record.number(fieldHasBody) != 0 {
+		key.answer = append([]byte{}, record.texts[fieldBody]...)
+		l.answerBytes += len(key.answer)
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,13 +1,14 @@
-// Package ledger decides what a controller must remember through a crash and what follows from it: whether a request whose
-// idempotency key is known may be sent again and where, how requests that were open at a crash end, how much of the retry
-// budget is left, and in which state the executors were.
+// Package ledger decides what a controller must record to survive a crash, and recovers from the records: whether a
+// request with a known idempotency key may be sent again and to which executors, how requests that were open at the
+// crash end, how much of the retry budget is left, and which state the executors were in.
 //
-// Events with a time go in and effects come out. The package has no clock, no disk and no goroutine: what must be remembered
-// leaves as Persist effects, which the caller carries to a store, and RecordsStored reports what became of it. The ledger
-// chooses no executor, decides on no retry and sheds no load; the scheduler does, and learns through RestoreState effects what
-// held before the crash.
+// Events with a time go in and effects come out. The package has no clock, does no I/O and starts no goroutine:
+// records leave as Persist effects, which the caller passes to a store, and the result comes back as a RecordsStored
+// event. The ledger does not choose executors, retry or shed load; the scheduler does, and receives the state from
+// before the crash through RestoreState effects.
 //
-// All stored times are log time, in ms: a clock that goes on from one incarnation of the controller to the next and never back.
+// All stored times are log time in ms: a clock that continues from one incarnation of the controller to the next and
+// never goes back.
 package ledger
 
 import (
@@ -17,70 +18,72 @@
 	"liftshift/scheduler"
 )
 
-// Key names a record in the store.
+// Key is the key of a record in the store.
 type Key = index.Key
 
-// Ledger is the durable memory of one controller.
+// Ledger holds the durable state of one controller.
 type Ledger struct {
 	settings         Settings
 	classes          []requestClass
-	longestWindowMS  float64 // within which a key may come again: the longest window or deadline of a keyed class
-	rememberMS       float64
+	longestWindowMS  float64 // the longest deduplication window or deadline of a keyed class
+	retentionMS      float64 // Settings.RetentionMS
 	maxAnswerBytes   int
 	maxRecords       int
-	successorsResume bool // other controllers end what is open at a crash
-	skipDiskWait     bool // attempts do not wait for this disk, as other controllers keep copies
+	successorsResume bool // Settings.SuccessorsResume
+	skipDiskWait     bool // Settings.SkipDiskWait
 
 	now         float64 // log time of this step
 	callerNow   float64 // the caller's clock at this step
-	clockOffset float64 // log time less the caller's clock
+	clockOffset float64 // log time minus the caller's clock
 	effects     []Effect
-	buf         []byte // values of this step's Persist effects
+	valueBuffer []byte // backs the values of this step's Persist effects
 
 	requests    index.Table[request]
 	keys        index.Table[idempotencyKey]
-	answerBytes int // of all stored answers
+	answerBytes int // total size of the stored answers
 	retryBudget retryBudget
 	executors   map[uint32]*executorState
-	viewsDueAt  float64
+	viewsDueAt  float64 // log time
 	estimates   []scheduler.Estimate
-	estimatesAt float64
-	notes       []operatorNote // those read at the start, until they are handed over
+	estimatesAt float64        // log time of the last record of the estimates
+	notes       []operatorNote // read at the start; nil once they have been restored
 
 	incarnation       incarnation
 	started           bool    // recovery is done
-	executorsRestored bool    // the scheduler has the states of executors from before the start
-	inDoubtUntil      float64 // until then a key that is not on record may have run
+	executorsRestored bool    // the executor states from before the start have been passed to the scheduler
+	inDoubtUntil      float64 // log time until which a key without a record may have run
 	disk              diskHealth
-	diskProbeAt       float64
-	lastToken         uint64
+	diskProbeAt       float64 // log time of the next trial write while the disk is failing
+	lastToken         uint64  // token of the last Sync
 	held              []heldAttempt
 	counts            Counts
 }
 
-// Counts are counters since the start of the ledger, and the sizes of what it holds now.
+// Counts holds counters since the start of the ledger, and the current sizes of its tables.
 type Counts struct {
 	AttemptsHeldNow    uint64
-	AttemptsHeld       uint64 // attempts that were held and then released
-	AttemptsHeldMS     float64
-	AttemptsFailed     uint64 // attempts that were not sent
-	RequestsBlocked    uint64
-	AnsweredFromRecord uint64
-	KeysRetried        uint64 // requests admitted as a retry of a known idempotency key
-	ClosedAtStart      uint64 // requests that were open at the crash
+	AttemptsHeld       uint64  // attempts that were held and then released
+	AttemptsHeldMS     float64 // total time for which these attempts were held
+	AttemptsFailed     uint64  // attempts that were not sent
+	RequestsBlocked    uint64  // requests admitted with AdmitBlocked
+	AnsweredFromRecord uint64  // requests answered without an attempt
+	KeysRetried        uint64  // requests admitted as a retry of a known idempotency key
+	ClosedAtStart      uint64  // requests that were open at the crash
 	Requests, Keys     int
 	DiskFailing        bool
-	TailInDoubt        bool
+	TailInDoubt        bool // keys without a record may have run
 }
 
-// New returns an empty ledger.
+// New returns an empty ledger. Its first events must be a RecordRead for each record in the store and one RecoveryDone.
 func New(settings Settings) *Ledger {
 	l := &Ledger{settings: settings, executors: map[uint32]*executorState{}}
 	l.applySettings(&settings)
 	for _, c := range settings.Classes {
-		class := requestClass{name: c.Name, effect: c.Idempotency, scope: c.DedupScope, windowMS: c.DedupWindowMS, deadlineMS: c.DeadlineMS}
+		class := requestClass{
+			name: c.Name, idempotency: c.Idempotency, scope: c.DedupScope, windowMS: c.DedupWindowMS, deadlineMS: c.DeadlineMS,
+		}
 		l.classes = append(l.classes, class)
-		if class.effect == scheduler.Keyed {
+		if class.idempotency == scheduler.Keyed {
 			l.longestWindowMS = max(l.longestWindowMS, class.windowMS, class.deadlineMS)
 		}
 	}
@@ -88,9 +91,10 @@
 	return l
 }
 
-// Step takes one event at the caller's clock in ms. The effects are valid until the next call.
+// Step handles one event at the time now of the caller's clock, in ms, and returns the effects to carry out. They are
+// valid until the next call.
 func (l *Ledger) Step(now float64, ev *Event) []Effect {
-	l.effects, l.buf = l.effects[:0], l.buf[:0]
+	l.effects, l.valueBuffer = l.effects[:0], l.valueBuffer[:0]
 	if l.started {
 		l.callerNow = max(l.callerNow, now)
 		l.now = l.callerNow + l.clockOffset
@@ -129,20 +133,21 @@
 	return l.effects
 }
 
-// emit adds an effect to those of this step. The pointer is valid until the next effect.
+// emit adds an effect to this step and returns a pointer to it, which is valid until the next effect is added.
 func (l *Ledger) emit(e Effect) *Effect {
 	l.effects = append(l.effects, e)
 	return &l.effects[len(l.effects)-1]
 }
 
-// sync asks for this step's records to be made durable and returns the token under which that will be reported.
+// sync emits a Sync for this step's records and returns its token.
 func (l *Ledger) sync() uint64 {
 	l.lastToken++
 	l.emit(Effect{Kind: Sync, Token: l.lastToken})
 	return l.lastToken
 }
 
-// tick fails attempts that were held too long, writes what is due and drops what has expired.
+// tick fails attempts that were held too long, probes a failing disk, writes the periodic records that are due and
+// drops expired requests and keys.
 func (l *Ledger) tick(ev *Event) {
 	l.failOverdueAttempts()
 	switch {
@@ -167,13 +172,13 @@
 	l.expire()
 }
 
-// expire drops what nobody can ask for any more.
+// expire drops the requests and idempotency keys whose retention is over.
 func (l *Ledger) expire() {
 	l.requests.Expire(int64(l.now), nil)
 	l.keys.Expire(int64(l.now), func(_ Key, k *idempotencyKey) { l.answerBytes -= len(k.answer) })
 }
 
-// Counts returns the counters.
+// Counts returns a snapshot of the counters and sizes.
 func (l *Ledger) Counts() Counts {
 	c := l.counts
 	c.AttemptsHeldNow = uint64(len(l.held))
@@ -183,9 +188,10 @@
 	return c
 }
 
-// LogTime returns the time that records bear at the caller's clock.
+// LogTime returns the log time at the time now of the caller's clock.
 func (l *Ledger) LogTime(now float64) int64 { return int64(now + l.clockOffset) }
 
+// clampMS converts a log time to an integer that a float64 represents exactly; NaN and negative times become 0.
 func clampMS(ms float64) int64 {
 	if ms < 0 || math.IsNaN(ms) {
 		return 0
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -1,26 +1,27 @@
 package ledger
 
-// Outcome is what became of a request.
+// Outcome tells how a request or an idempotency key has ended.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
-	Unknown Outcome = iota
-	Open
-	Succeeded
-	Rejected
-	Failed
-	Abandoned
+	Unknown   Outcome = iota // not recorded
+	Open                     // no final answer yet
+	Succeeded                // an attempt succeeded
+	Rejected                 // the controller rejected the request; the client may send it again
+	Failed                   // the request did not succeed; an attempt may have run
+	Abandoned                // the client disconnected
 )
 
-// outcomeNames are sent to clients and peers, so they never change.
-var outcomeNames = [...]string{Unknown: "unknown", Open: "open", Succeeded: "handled", Rejected: "denied", Failed: "written_off",
-	Abandoned: "left"}
+// outcomeNames are part of the protocols between client and controller and between controllers, so they never change.
+var outcomeNames = [...]string{
+	Unknown: "unknown", Open: "open", Succeeded: "handled", Rejected: "denied", Failed: "written_off", Abandoned: "left",
+}
 
 // String returns the name of the outcome in the client protocol.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// queryOutcome answers what became of a request id or, without one, of an idempotency key.
+// queryOutcome answers a query for the outcome of a request id or, if that is empty, of an idempotency key.
 func (l *Ledger) queryOutcome(ev *Event) {
 	answer := l.emit(Effect{Kind: AnswerFromRecord, ID: ev.ID})
 	switch {
@@ -32,35 +33,36 @@
 }
 
 func (l *Ledger) requestOutcome(id string, answer *Effect) {
-	r := l.requests.Get(requestKey(id))
-	if r == nil {
+	req := l.requests.Get(requestKey(id))
+	if req == nil {
 		answer.Outcome = l.unknownOutcome()
 		return
 	}
-	answer.Outcome, answer.AgeMS = r.state.outcome(), l.now-r.updatedAt
+	answer.Outcome, answer.AgeMS = req.state.outcome(), l.now-req.updatedAt
 	if answer.Outcome != Succeeded {
 		return
 	}
-	if k := l.keys.Get(r.keyRecord); k != nil {
-		answer.Body = k.answer
+	if key := l.keys.Get(req.keyRecord); key != nil {
+		answer.Body = key.answer
 	}
 }
 
 func (l *Ledger) keyOutcome(text string, answer *Effect) {
-	k := l.keys.Get(idempotencyRecordKey(text))
-	if k == nil {
+	key := l.keys.Get(idempotencyRecordKey(text))
+	if key == nil {
 		answer.Outcome = l.unknownOutcome()
 		return
 	}
-	answer.Outcome, answer.AgeMS, answer.Body = k.outcome(), l.now-k.lastAt, k.answer
-	if k.state() == keyUnused && l.unknownOutcome() != Unknown {
+	answer.Outcome, answer.AgeMS, answer.Body = key.outcome(), l.now-key.lastAt, key.answer
+	if key.state() == keyUnused && l.unknownOutcome() != Unknown {
 		answer.Outcome = l.unknownOutcome()
 	}
 }
 
-// unknownOutcome is the outcome of what is not on record. While records may be missing it is Failed, which promises nothing.
+// unknownOutcome returns the outcome of a request or key without a record. As long as records may be missing it is
+// Failed, because an attempt may have run.
 func (l *Ledger) unknownOutcome() Outcome {
-	if l.inDoubtUntil > 0 && l.now < l.inDoubtUntil+l.rememberMS {
+	if l.inDoubtUntil > 0 && l.now < l.inDoubtUntil+l.retentionMS {
 		return Failed
 	}
 	return Unknown
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -9,11 +9,10 @@
 	"liftshift/scheduler"
 )
 
-// Records are protobuf messages without a schema file. A field has the same meaning in all kinds, so that a record can be shown
-// without knowing its kind. Times are log time in ms. The numbers of kinds and fields are stored: none changes, and none is used
-// a second time.
+// Records are protobuf messages without a schema file. Times are log time in ms. The numbers of kinds and fields are
+// stored: they never change, and the number of a removed one is never reused.
 
-// recordKind tells what a record is of.
+// recordKind identifies the type of a record.
 type recordKind int
 
 const (
@@ -26,26 +25,30 @@
 	kindOperatorNote   recordKind = 7
 )
 
-// kindNames are printed by the commands that show a store, and scripts read them.
-var kindNames = [...]string{"?", kindRequest: "search", kindIdempotencyKey: "mark", kindRetryBudget: "ration", kindExecutor: "executor",
-	kindIncarnation: "life", kindEstimates: "learnt", kindOperatorNote: "note"}
+// kindNames are printed by the commands that show a store, and scripts parse them, so they never change.
+var kindNames = [...]string{
+	"?", kindRequest: "search", kindIdempotencyKey: "mark", kindRetryBudget: "ration", kindExecutor: "executor",
+	kindIncarnation: "life", kindEstimates: "learnt", kindOperatorNote: "note",
+}
 
-// String returns the name under which the kind is printed.
+// String returns the printed name of the kind.
 func (k recordKind) String() string { return kindNames[k] }
 
-// known tells whether this program can read records of the kind.
+// known returns whether this version can read records of the kind.
 func (k recordKind) known() bool { return k >= kindRequest && k <= kindOperatorNote }
 
+// The field numbers. A field has the same meaning in all kinds, except where noted, so that a record can be printed
+// without knowledge of its kind.
 const (
 	fieldKind                 protowire.Number = 1
 	fieldAt                   protowire.Number = 2
 	fieldID                   protowire.Number = 3
-	fieldIdempotencyKey       protowire.Number = 4 // of a note: its author
+	fieldIdempotencyKey       protowire.Number = 4 // in an operator note: the author
 	fieldClass                protowire.Number = 5
 	fieldState                protowire.Number = 6
-	fieldUntil                protowire.Number = 7 // of a request: its deadline; of a key: its last use
+	fieldUntil                protowire.Number = 7 // in a request: the deadline; in an idempotency key: the last change
 	fieldInFlight             protowire.Number = 8
-	fieldMayHaveRun           protowire.Number = 9
+	fieldMayHaveRun           protowire.Number = 9 // in an idempotency key: an attempt succeeded
 	fieldFirstAttempt         protowire.Number = 10
 	fieldExecutor             protowire.Number = 11
 	fieldZone                 protowire.Number = 12
@@ -70,155 +73,162 @@
 	fieldCount                protowire.Number = 31
 )
 
-// fieldNames are printed by the commands that show a store, and scripts read them.
+// fieldNames are printed by the commands that show a store, and scripts parse them, so they never change.
 var fieldNames = [fieldCount]string{
-	fieldKind: "kind", fieldAt: "at", fieldID: "id", fieldIdempotencyKey: "mark", fieldClass: "offering", fieldState: "state",
-	fieldUntil: "until", fieldInFlight: "out", fieldMayHaveRun: "may_have_run", fieldFirstAttempt: "first", fieldExecutor: "executor",
-	fieldZone: "place", fieldCell: "cell", fieldUnresolved: "unsure", fieldBody: "body", fieldHasBody: "has_body", fieldSlots: "slots",
+	fieldKind: "kind", fieldAt: "at", fieldID: "id", fieldIdempotencyKey: "mark", fieldClass: "offering",
+	fieldState: "state", fieldUntil: "until", fieldInFlight: "out", fieldMayHaveRun: "may_have_run",
+	fieldFirstAttempt: "first", fieldExecutor: "executor", fieldZone: "place", fieldCell: "cell",
+	fieldUnresolved: "unsure", fieldBody: "body", fieldHasBody: "has_body", fieldSlots: "slots",
 	fieldWarmupUntil: "cold_until", fieldEjected: "aside", fieldEjections: "strikes", fieldDrainVersion: "drain",
-	fieldExecutorStartedAt: "up_since", fieldIncarnationStartedAt: "began", fieldWallClock: "wall", fieldUptime: "up", fieldBoot: "boot",
-	fieldClean: "clean", fieldInDoubtUntil: "doubt_until", fieldEstimateName: "figure", fieldEstimateValue: "value",
+	fieldExecutorStartedAt: "up_since", fieldIncarnationStartedAt: "began", fieldWallClock: "wall",
+	fieldUptime: "up", fieldBoot: "boot", fieldClean: "clean", fieldInDoubtUntil: "doubt_until",
+	fieldEstimateName: "figure", fieldEstimateValue: "value",
 }
 
-// recordKey returns the key of a record: a hash of the text, with a prefix that keeps kinds apart.
-func recordKey(prefix byte, text string) (k Key) {
-	var buf [96]byte
-	sum := sha256.Sum256(append(append(buf[:0], prefix), text...))
-	copy(k[:], sum[:])
-	return k
+// recordKey returns the key of a record: a hash of its text, prefixed by a byte that is unique to the kind.
+func recordKey(prefix byte, text string) (key Key) {
+	var buffer [96]byte
+	sum := sha256.Sum256(append(append(buffer[:0], prefix), text...))
+	copy(key[:], sum[:])
+	return key
 }
 
-// decodedRecord holds the fields of a record. Texts point into the record's bytes.
+// decodedRecord holds the fields of a record. The texts alias the encoded record.
 type decodedRecord struct {
 	kind      recordKind
 	numbers   [fieldCount]float64
 	texts     [fieldCount][]byte
 	estimates []scheduler.Estimate
-	set       [fieldCount]bool
+	present   [fieldCount]bool
 }
 
-func (r *decodedRecord) number(n protowire.Number) float64 { return r.numbers[n] }
-func (r *decodedRecord) text(n protowire.Number) string    { return string(r.texts[n]) }
-
-// decodeRecord takes a record apart. It returns false for one that is malformed or of an unknown kind.
-func decodeRecord(b []byte) (r decodedRecord, ok bool) {
-	estimate := "" // the name of the next value
-	for len(b) > 0 {
-		n, wireType, used := protowire.ConsumeTag(b)
-		if used < 0 {
-			return r, false
+func (r *decodedRecord) number(field protowire.Number) float64 { return r.numbers[field] }
+func (r *decodedRecord) text(field protowire.Number) string    { return string(r.texts[field]) }
+
+// decodeRecord decodes a record. It returns false if the record is malformed or of an unknown kind. Unknown fields are
+// skipped.
+func decodeRecord(encoded []byte) (record decodedRecord, ok bool) {
+	estimate := "" // name of the next estimate
+	for len(encoded) > 0 {
+		field, wireType, length := protowire.ConsumeTag(encoded)
+		if length < 0 {
+			return record, false
 		}
-		b = b[used:]
-		known := n < fieldCount
+		encoded = encoded[length:]
+		known := field < fieldCount
 		switch wireType {
 		case protowire.Fixed64Type:
 			var bits uint64
-			bits, used = protowire.ConsumeFixed64(b)
+			bits, length = protowire.ConsumeFixed64(encoded)
 			value := math.Float64frombits(bits)
-			if used >= 0 && n == fieldEstimateValue {
-				r.estimates = append(r.estimates, scheduler.Estimate{Name: estimate, Value: value})
-			} else if used >= 0 && known {
-				r.numbers[n], r.set[n] = value, true
+			if length >= 0 && field == fieldEstimateValue {
+				record.estimates = append(record.estimates, scheduler.Estimate{Name: estimate, Value: value})
+			} else if length >= 0 && known {
+				record.numbers[field], record.present[field] = value, true
 			}
 		case protowire.BytesType:
 			var text []byte
-			text, used = protowire.ConsumeBytes(b)
-			if used >= 0 && n == fieldEstimateName {
+			text, length = protowire.ConsumeBytes(encoded)
+			if length >= 0 && field == fieldEstimateName {
 				estimate = string(text)
-			} else if used >= 0 && known {
-				r.texts[n], r.set[n] = text, true
+			} else if length >= 0 && known {
+				record.texts[field], record.present[field] = text, true
 			}
-		default: // of a later version
-			used = protowire.ConsumeFieldValue(n, wireType, b)
+		default: // a wire type that only later versions use
+			length = protowire.ConsumeFieldValue(field, wireType, encoded)
 		}
-		if used < 0 {
-			return r, false
+		if length < 0 {
+			return record, false
 		}
-		b = b[used:]
+		encoded = encoded[length:]
 	}
-	r.kind = recordKind(r.numbers[fieldKind])
-	return r, r.kind.known()
+	record.kind = recordKind(record.numbers[fieldKind])
+	return record, record.kind.known()
 }
 
-// DescribeRecord returns a record's kind and its fields by name, for people; false for one that it can't read.
-func DescribeRecord(value []byte) (kind string, shown map[string]any, ok bool) {
-	r, ok := decodeRecord(value)
+// DescribeRecord returns the kind of a record and its fields by name, for display. It returns false if the record
+// cannot be decoded.
+func DescribeRecord(value []byte) (kind string, fields map[string]any, ok bool) {
+	record, ok := decodeRecord(value)
 	if !ok {
 		return "", nil, false
 	}
-	shown = map[string]any{}
-	for n := fieldAt; n < fieldCount; n++ {
-		if r.set[n] && n != fieldBody && n != fieldSlots {
-			shown[fieldNames[n]] = r.describe(n)
+	fields = map[string]any{}
+	for field := fieldAt; field < fieldCount; field++ {
+		if record.present[field] && field != fieldBody && field != fieldSlots {
+			fields[fieldNames[field]] = record.describe(field)
 		}
 	}
-	if r.set[fieldBody] {
-		shown["body_bytes"] = len(r.texts[fieldBody])
+	if record.present[fieldBody] {
+		fields["body_bytes"] = len(record.texts[fieldBody])
 	}
-	for _, e := range r.estimates {
-		if e.Name != "ran" { // how long the scheduler has run, which is no estimate
-			shown[e.Name] = e.Value
+	for _, e := range record.estimates {
+		if e.Name != "ran" { // the time for which the scheduler has run; not an estimate
+			fields[e.Name] = e.Value
 		}
 	}
-	return r.kind.String(), shown, true
+	return record.kind.String(), fields, true
 }
 
-// describe returns the value of a field as DescribeRecord shows it.
-func (r *decodedRecord) describe(n protowire.Number) any {
+// describe returns the value of a field in the form that DescribeRecord returns.
+func (r *decodedRecord) describe(field protowire.Number) any {
 	switch {
-	case r.texts[n] != nil:
-		return string(r.texts[n])
-	case n == fieldState:
-		return requestState(r.numbers[n]).outcome().String()
-	case math.IsInf(r.numbers[n], 0):
+	case r.texts[field] != nil:
+		return string(r.texts[field])
+	case field == fieldState:
+		return requestState(r.numbers[field]).outcome().String()
+	case math.IsInf(r.numbers[field], 0):
 		return "not known"
 	default:
-		return r.numbers[n]
+		return r.numbers[field]
 	}
 }
 
-// recordWriter appends the fields of one record to the ledger's buffer. Zero values are left out.
+// recordWriter appends the fields of one record to Ledger.valueBuffer. Zero values are omitted.
 type recordWriter struct {
 	ledger *Ledger
-	start  int
+	start  int // offset of the record in Ledger.valueBuffer
 }
 
 func (l *Ledger) newRecord(kind recordKind) recordWriter {
-	w := recordWriter{ledger: l, start: len(l.buf)}
+	w := recordWriter{ledger: l, start: len(l.valueBuffer)}
 	w.number(fieldKind, float64(kind))
 	w.number(fieldAt, l.now)
 	return w
 }
 
-func (w recordWriter) number(n protowire.Number, v float64) {
-	if v != 0 {
-		w.ledger.buf = protowire.AppendTag(w.ledger.buf, n, protowire.Fixed64Type)
-		w.ledger.buf = protowire.AppendFixed64(w.ledger.buf, math.Float64bits(v))
+func (w recordWriter) number(field protowire.Number, value float64) {
+	if value != 0 {
+		w.ledger.valueBuffer = protowire.AppendTag(w.ledger.valueBuffer, field, protowire.Fixed64Type)
+		w.ledger.valueBuffer = protowire.AppendFixed64(w.ledger.valueBuffer, math.Float64bits(value))
 	}
 }
 
-func (w recordWriter) flag(n protowire.Number, v bool) {
-	if v {
-		w.number(n, 1)
+func (w recordWriter) flag(field protowire.Number, value bool) {
+	if value {
+		w.number(field, 1)
 	}
 }
 
-func (w recordWriter) text(n protowire.Number, v string) {
-	if v != "" {
-		w.ledger.buf = protowire.AppendTag(w.ledger.buf, n, protowire.BytesType)
-		w.ledger.buf = protowire.AppendString(w.ledger.buf, v)
+func (w recordWriter) text(field protowire.Number, value string) {
+	if value != "" {
+		w.ledger.valueBuffer = protowire.AppendTag(w.ledger.valueBuffer, field, protowire.BytesType)
+		w.ledger.valueBuffer = protowire.AppendString(w.ledger.valueBuffer, value)
 	}
 }
 
-func (w recordWriter) bytes(n protowire.Number, v []byte) {
-	if len(v) > 0 {
-		w.ledger.buf = protowire.AppendTag(w.ledger.buf, n, protowire.BytesType)
-		w.ledger.buf = protowire.AppendBytes(w.ledger.buf, v)
+func (w recordWriter) bytes(field protowire.Number, value []byte) {
+	if len(value) > 0 {
+		w.ledger.valueBuffer = protowire.AppendTag(w.ledger.valueBuffer, field, protowire.BytesType)
+		w.ledger.valueBuffer = protowire.AppendBytes(w.ledger.valueBuffer, value)
 	}
 }
 
-// persist asks for the record to be stored under a key until a log time; 0: for good.
-func (w recordWriter) persist(k Key, expires int64) {
-	buf := w.ledger.buf
-	w.ledger.emit(Effect{Kind: Persist, Key: k, Value: buf[w.start:len(buf):len(buf)], Expires: expires})
+// persist emits a Persist effect that stores the record under a key until the log time expires, or forever if that is
+// 0.
+func (w recordWriter) persist(storeKey Key, expires int64) {
+	buffer := w.ledger.valueBuffer
+	w.ledger.emit(Effect{
+		Kind: Persist, Key: storeKey, Value: buffer[w.start:len(buffer):len(buffer)], Expires: expires,
+	})
 }
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -7,39 +7,41 @@
 	"liftshift/scheduler"
 )
 
-// restoreRecord takes a record from before the start. One that this program can't read is left alone and expires by itself.
+// restoreRecord restores the state in a record from before the start. A record that this version cannot decode is
+// ignored and stays in the store until it expires.
 func (l *Ledger) restoreRecord(ev *Event) {
 	if ev.Value == nil {
 		l.requests.Delete(ev.Key)
 		l.keys.Delete(ev.Key)
-		l.notes = slices.DeleteFunc(l.notes, func(n operatorNote) bool { return n.key == ev.Key })
+		l.notes = slices.DeleteFunc(l.notes, func(note operatorNote) bool { return note.key == ev.Key })
 		return
 	}
-	r, ok := decodeRecord(ev.Value)
+	record, ok := decodeRecord(ev.Value)
 	if !ok {
 		return
 	}
-	switch r.kind {
+	switch record.kind {
 	case kindRequest:
-		l.restoreRequest(ev, &r)
+		l.restoreRequest(ev, &record)
 	case kindIdempotencyKey:
-		l.restoreKey(ev, &r)
+		l.restoreKey(ev, &record)
 	case kindRetryBudget:
-		l.retryBudget.decode(&r)
+		l.retryBudget.decode(&record)
 	case kindExecutor:
-		l.restoreExecutor(&r)
+		l.restoreExecutor(&record)
 	case kindIncarnation:
-		l.incarnation.decode(&r)
-		l.inDoubtUntil = max(l.inDoubtUntil, r.number(fieldInDoubtUntil))
+		l.incarnation.decode(&record)
+		l.inDoubtUntil = max(l.inDoubtUntil, record.number(fieldInDoubtUntil))
 	case kindEstimates:
-		l.estimates = r.estimates
+		l.estimates = record.estimates
 	case kindOperatorNote:
-		l.readNote(ev.Key, &r)
+		l.readNote(ev.Key, &record)
 	}
-	l.now = max(l.now, r.number(fieldAt))
+	l.now = max(l.now, record.number(fieldAt))
 }
 
-// finishRecovery closes what the crash left open and hands the scheduler what held before it.
+// finishRecovery ends the recovery once all records have been read: it resumes log time, closes the requests that
+// were open, starts a new incarnation and passes the restored state to the scheduler.
 func (l *Ledger) finishRecovery(now float64, ev *Event) {
 	elapsed := l.resumeClock(now, ev.Clocks)
 	l.expire()
@@ -48,8 +50,11 @@
 	}
 	if l.now < l.inDoubtUntil {
 		seconds := int((l.inDoubtUntil-l.now)/1000 + 1)
-		l.emit(Effect{Kind: LogMessage, Text: "the tail of the log is in doubt: requests with unknown idempotency keys are rejected for " +
-			strconv.Itoa(seconds) + " s"})
+		l.emit(Effect{
+			Kind: LogMessage,
+			Text: "the tail of the log is in doubt: requests with unknown idempotency keys are rejected for " +
+				strconv.Itoa(seconds) + " s",
+		})
 	}
 	closed := l.closeOpenRequests(ev.TailInDoubt)
 	l.ageKeys(elapsed)
@@ -62,14 +67,18 @@
 	l.emit(Effect{Kind: RestoreState, SchedulerEvent: restored})
 	l.restoreNotes()
 	if !clean || closed > 0 {
-		l.emit(Effect{Kind: LogMessage, Text: "the previous run ended without a planned shutdown; " + strconv.Itoa(closed) +
-			" open requests were closed"})
+		l.emit(Effect{
+			Kind: LogMessage,
+			Text: "the previous run ended without a planned shutdown; " + strconv.Itoa(closed) +
+				" open requests were closed",
+		})
 	}
 }
 
-// resumeClock lets log time go on from the last record and returns how long ago that was.
+// resumeClock continues log time from the last record, advanced by the least time that has passed since, and returns
+// the bounds of that time.
 func (l *Ledger) resumeClock(now float64, clocks Clocks) interval {
-	last, elapsed := now, interval{} // of the first incarnation: log time begins as the caller's clock
+	last, elapsed := now, interval{} // in the first incarnation, log time starts at the caller's clock
 	if l.incarnation.startedAt != 0 {
 		last, elapsed = l.now, l.incarnation.elapsedSince(l.now, clocks)
 	}
@@ -80,27 +89,27 @@
 	return elapsed
 }
 
-// closeOpenRequests closes all requests that are open and returns how many there were. Where the last records may be missing,
-// one of them may be that of an attempt that was sent: then nothing proves that none was.
+// closeOpenRequests closes all open requests and returns how many there were. If the last records may be missing, the
+// records do not prove that a request has not been attempted.
 func (l *Ledger) closeOpenRequests(tailInDoubt bool) int {
 	closed := 0
 	for place := range l.requests.Places() {
-		k, _, r := l.requests.Next(place)
-		if r == nil || !r.state.open() {
+		storeKey, _, req := l.requests.Next(place)
+		if req == nil || !req.state.open() {
 			continue
 		}
 		closed++
-		r.inFlight = 0
-		if l.successorsResume { // its key stays in doubt; the successors tell what became of it
-			l.requests.Delete(k)
-			l.emit(Effect{Kind: Delete, Key: k})
+		req.inFlight = 0
+		if l.successorsResume { // successors decide the outcome; here the idempotency key stays in doubt
+			l.requests.Delete(storeKey)
+			l.emit(Effect{Kind: Delete, Key: storeKey})
 			continue
 		}
 		input := inputCrashUnrecorded
-		if l.classes[r.class].mustPersist() && !tailInDoubt {
+		if l.classes[req.class].mustPersist() && !tailInDoubt {
 			input = inputCrashRecorded
 		}
-		l.transition(k, r, input)
+		l.transition(storeKey, req, input)
 	}
 	l.counts.ClosedAtStart += uint64(closed)
 	return closed
--- a/internal/ledger/request.go
+++ b/internal/ledger/request.go
@@ -1,65 +1,69 @@
 package ledger
 
-// maxAttempts is how many attempts of a request are recorded: the bits of request.inFlight.
+// maxAttempts is the number of attempts that are recorded of a request. It is the number of bits in request.inFlight.
 const maxAttempts = 8
 
-// request is what is remembered of a request.
+// request is the recorded state of a request.
 type request struct {
 	id             string
 	idempotencyKey string
-	keyRecord      Key // of the idempotency key; zero: it has none that counts
+	keyRecord      Key // key of the record of the idempotency key; zero: no key, or the class is idempotent
 	class          int // index in Ledger.classes
 	state          requestState
-	updatedAt      float64 // log time at which it was received, then at which it was closed
-	deadline       float64
-	inFlight       uint8 // a bit for each attempt
-	mayHaveRun     bool  // an attempt that has ended may have run
+	updatedAt      float64 // log time at which the request was closed or, while it is open, received
+	deadline       float64 // log time
+	inFlight       uint8   // bit n: attempt n is in flight
+	mayHaveRun     bool    // an attempt that has ended may have run
 }
 
 func requestKey(id string) Key { return recordKey('s', id) }
 
-// requestState is where a request stands. Its numbers are stored: they do not change.
+// requestState is the state of a request. The numbers are stored, so they never change.
 type requestState uint8
 
 const (
-	requestPending    requestState = 0 // no attempt may have run, none is in flight
+	requestPending    requestState = 0 // no attempt is in flight or may have run
 	requestInFlight   requestState = 1 // an attempt is in flight
-	requestUnresolved requestState = 2 // none is in flight, one may have run
-	requestSucceeded  requestState = 3 // this one and those below are final
+	requestUnresolved requestState = 2 // no attempt is in flight, but one may have run
+	requestSucceeded  requestState = 3 // this state and the following ones are final
 	requestRejected   requestState = 4
 	requestFailed     requestState = 5
 	requestAbandoned  requestState = 6
 	requestStateCount requestState = 7
 )
 
-var requestStateNames = [requestStateCount]string{requestPending: "pending", requestInFlight: "in flight", requestUnresolved: "unresolved",
-	requestSucceeded: "succeeded", requestRejected: "rejected", requestFailed: "failed", requestAbandoned: "abandoned"}
+var requestStateNames = [requestStateCount]string{
+	requestPending: "pending", requestInFlight: "in flight", requestUnresolved: "unresolved",
+	requestSucceeded: "succeeded", requestRejected: "rejected", requestFailed: "failed", requestAbandoned: "abandoned",
+}
 
 // String returns the name of the state.
 func (s requestState) String() string { return requestStateNames[s] }
 
-var requestOutcomes = [requestStateCount]Outcome{requestPending: Open, requestInFlight: Open, requestUnresolved: Open,
-	requestSucceeded: Succeeded, requestRejected: Rejected, requestFailed: Failed, requestAbandoned: Abandoned}
+var requestOutcomes = [requestStateCount]Outcome{
+	requestPending: Open, requestInFlight: Open, requestUnresolved: Open,
+	requestSucceeded: Succeeded, requestRejected: Rejected, requestFailed: Failed, requestAbandoned: Abandoned,
+}
 
 func (s requestState) outcome() Outcome { return requestOutcomes[s] }
 func (s requestState) open() bool       { return s <= requestUnresolved }
 
-// requestInput is what happens to a request.
+// requestInput is an input of the state machine of a request.
 type requestInput uint8
 
 const (
 	inputAttemptStarted    requestInput = iota
-	inputAttemptsNeverRan               // the last attempt in flight has ended, and none may have run
-	inputAttemptMayHaveRun              // the last attempt in flight has ended, and one may have run
+	inputAttemptsNeverRan               // the last attempt in flight has ended, and no attempt can have run
+	inputAttemptMayHaveRun              // the last attempt in flight has ended, and an attempt may have run
 	inputSucceeded
 	inputRejected
 	inputFailed
 	inputAbandoned
-	inputCrashRecorded   // the controller crashed; all attempts that it sent are on record
-	inputCrashUnrecorded // the controller crashed; it may have sent attempts that are not on record
+	inputCrashRecorded   // the controller crashed; all attempts that it sent are recorded
+	inputCrashUnrecorded // the controller crashed; it may have sent attempts that are not recorded
 )
 
-// requestTransitions tells what becomes of a request. An input without a row changes nothing.
+// requestTransitions lists the state changes of a request and their effects. An input without a row changes nothing.
 var requestTransitions = []struct {
 	from   requestState
 	input  requestInput
@@ -83,7 +87,7 @@
 	{requestPending, inputAbandoned, requestAbandoned, (*Ledger).persistClosed},
 	{requestInFlight, inputAbandoned, requestAbandoned, (*Ledger).persistClosed},
 	{requestUnresolved, inputAbandoned, requestAbandoned, (*Ledger).persistClosed},
-	// After a crash a request is rejected only where no attempt can have run.
+	// After a crash a request is rejected only if no attempt can have run.
 	{requestPending, inputCrashRecorded, requestRejected, (*Ledger).persistClosed},
 	{requestInFlight, inputCrashRecorded, requestFailed, (*Ledger).persistClosed},
 	{requestUnresolved, inputCrashRecorded, requestFailed, (*Ledger).persistClosed},
@@ -92,32 +96,32 @@
 	{requestUnresolved, inputCrashUnrecorded, requestFailed, (*Ledger).persistClosed},
 }
 
-// transition applies an input to a request and tells whether a row matched.
-func (l *Ledger) transition(k Key, r *request, input requestInput) bool {
+// transition applies an input to a request and returns whether requestTransitions has a row for it.
+func (l *Ledger) transition(storeKey Key, req *request, input requestInput) bool {
 	for i := range requestTransitions {
 		t := &requestTransitions[i]
-		if t.from != r.state || t.input != input {
+		if t.from != req.state || t.input != input {
 			continue
 		}
-		r.state = t.to
+		req.state = t.to
 		if t.effect != nil {
-			t.effect(l, k, r)
+			t.effect(l, storeKey, req)
 		}
 		return true
 	}
 	return false
 }
 
-func (l *Ledger) persistClosed(k Key, r *request) {
-	r.updatedAt = l.now
-	l.persistRequest(k, r)
+func (l *Ledger) persistClosed(storeKey Key, req *request) {
+	req.updatedAt = l.now
+	l.persistRequest(storeKey, req)
 }
 
-// receive decides on a request that a client sent: it goes on, with what may have run under its idempotency key, or it is
-// answered by what is on record, or no attempt of it may be sent now.
+// receive admits a client's request, along with any attempt that may have run under its idempotency key, answers it
+// from the records, or admits it without permission to send an attempt.
 func (l *Ledger) receive(ev *Event) {
-	if r := l.requests.Get(requestKey(ev.ID)); r != nil {
-		l.answerFromRecord(r)
+	if req := l.requests.Get(requestKey(ev.ID)); req != nil {
+		l.answerFromRecord(req)
 		return
 	}
 	index, class := l.class(ev.Class)
@@ -125,41 +129,43 @@
 		l.emit(Effect{Kind: Admit})
 		return
 	}
-	verdict, key := l.judgeRequest(ev, index, class)
-	if l.answerFromKey(verdict, key) {
+	decision, key := l.decideByKey(ev, index, class)
+	if l.answerFromKey(decision, key) {
 		return
 	}
 	admitted := Effect{Kind: Admit}
-	if verdict == verdictRetry {
+	if decision == decisionAdmitRetry {
 		l.counts.KeysRetried++
 		admitted.Prior = l.priorAttempt(key)
 	}
-	if l.mustBlock(class, ev.IdempotencyKey, verdict) {
+	if l.mustBlock(class, ev.IdempotencyKey, decision) {
 		l.counts.RequestsBlocked++
 		admitted.Kind = AdmitBlocked
 	}
 	l.emit(admitted)
 	l.retryBudget.countRequest(l.now)
-	if admitted.Kind == Admit && l.requests.Len() < l.maxRecords { // without a record its outcome is unknown, and nothing of it can be lost
+	// Past maxRecords, idempotent requests are admitted without a record. No durable state depends on it, but a query
+	// for the outcome of such a request is answered by Unknown.
+	if admitted.Kind == Admit && l.requests.Len() < l.maxRecords {
 		l.addRequest(ev, index, class)
 	}
 }
 
-// addRequest puts a request on record. Nobody waits for that: until an attempt is sent, nothing of it can be lost.
+// addRequest records a request. The record need not be durable before an attempt is sent, so there is no Sync.
 func (l *Ledger) addRequest(ev *Event, index int, class *requestClass) {
-	k := requestKey(ev.ID)
+	storeKey := requestKey(ev.ID)
 	deadline := ev.Deadline + l.clockOffset
-	r, _ := l.requests.Put(k, l.requestExpiry(class, deadline))
-	*r = request{id: ev.ID, idempotencyKey: ev.IdempotencyKey, class: index, updatedAt: l.now, deadline: deadline}
+	req, _ := l.requests.Put(storeKey, l.requestExpiry(class, deadline))
+	*req = request{id: ev.ID, idempotencyKey: ev.IdempotencyKey, class: index, updatedAt: l.now, deadline: deadline}
 	if class.mustPersist() {
-		r.keyRecord = idempotencyRecordKey(ev.IdempotencyKey)
+		req.keyRecord = idempotencyRecordKey(ev.IdempotencyKey)
 	}
-	l.persistRequest(k, r)
+	l.persistRequest(storeKey, req)
 }
 
-// mustBlock tells whether no attempt of a request may be sent now: its record would not be durable or has no room, or records
-// that may have told of its idempotency key are missing.
-func (l *Ledger) mustBlock(class *requestClass, text string, verdict keyVerdict) bool {
+// mustBlock returns whether no attempt of a request may be sent for now: its record would not become durable, there
+// is no room for it, or a record of its idempotency key may be missing.
+func (l *Ledger) mustBlock(class *requestClass, keyText string, decision keyDecision) bool {
 	if !class.mustPersist() {
 		return false
 	}
@@ -169,137 +175,142 @@
 	if max(l.requests.Len(), l.keys.Len()) >= l.maxRecords {
 		return true
 	}
-	return text != "" && verdict == verdictNew && l.now < l.inDoubtUntil
+	return keyText != "" && decision == decisionAdmitNew && l.now < l.inDoubtUntil
 }
 
-// answerFromRecord answers a request whose id is on record.
-func (l *Ledger) answerFromRecord(r *request) {
+// answerFromRecord answers a request whose id is already recorded.
+func (l *Ledger) answerFromRecord(req *request) {
 	l.counts.AnsweredFromRecord++
-	answer := l.emit(Effect{Kind: AnswerFromRecord, Outcome: r.state.outcome(), AgeMS: l.now - r.updatedAt})
+	answer := l.emit(Effect{Kind: AnswerFromRecord, Outcome: req.state.outcome(), AgeMS: l.now - req.updatedAt})
 	switch answer.Outcome {
 	case Succeeded:
-		if k := l.keys.Get(r.keyRecord); k != nil {
-			answer.Body = k.answer
+		if key := l.keys.Get(req.keyRecord); key != nil {
+			answer.Body = key.answer
 		}
 	case Rejected:
 		answer.AfterMS = l.settings.RetryAfterMS
 	}
 }
 
-// requestExpiry returns when a request is forgotten. An idempotent one is once nobody can ask under its id any more.
+// requestExpiry returns the log time at which the record of a request expires: its deadline, plus the retention time
+// unless the class is idempotent.
 func (l *Ledger) requestExpiry(class *requestClass, deadline float64) int64 {
 	until := deadline
 	if class.mustPersist() {
-		until += l.rememberMS
+		until += l.retentionMS
 	}
 	return clampMS(max(until, l.now+1))
 }
 
-// startAttempt puts an attempt on record. Unless its class is idempotent, it is held until the record is durable.
+// startAttempt records an attempt. Unless its class is idempotent, the attempt is held until the record is durable.
 func (l *Ledger) startAttempt(ev *Event) {
-	k := requestKey(ev.ID)
-	r := l.requests.Get(k)
-	if r == nil || ev.Attempt >= maxAttempts {
+	storeKey := requestKey(ev.ID)
+	req := l.requests.Get(storeKey)
+	if req == nil || ev.Attempt >= maxAttempts {
 		return
 	}
-	class := &l.classes[r.class]
+	class := &l.classes[req.class]
 	if ev.Attempt > 0 {
 		l.retryBudget.countRetry(l.now)
 	}
-	l.transition(k, r, inputAttemptStarted)
-	r.inFlight |= 1 << ev.Attempt
+	l.transition(storeKey, req, inputAttemptStarted)
+	req.inFlight |= 1 << ev.Attempt
 	if !class.mustPersist() {
 		return
 	}
-	if r.keyRecord != (Key{}) && !l.startKeyedAttempt(r, class, ev.Executor) {
-		// Another request of the key went first, elsewhere or too long ago.
-		r.inFlight &^= 1 << ev.Attempt
-		l.transition(k, r, inputAttemptsNeverRan)
-		l.emit(Effect{Kind: HoldAttempt, ID: r.id, Attempt: ev.Attempt})
-		l.failAttempt(heldAttempt{id: r.id, attempt: ev.Attempt})
+	if req.keyRecord != (Key{}) && !l.startKeyedAttempt(req, class, ev.Executor) {
+		// Another request with the same key was attempted first, outside the deduplication scope or window of this
+		// attempt.
+		req.inFlight &^= 1 << ev.Attempt
+		l.transition(storeKey, req, inputAttemptsNeverRan)
+		l.emit(Effect{Kind: HoldAttempt, ID: req.id, Attempt: ev.Attempt})
+		l.failAttempt(heldAttempt{id: req.id, attempt: ev.Attempt})
 		return
 	}
-	l.persistRequest(k, r)
+	l.persistRequest(storeKey, req)
 	if l.skipDiskWait {
 		return
 	}
-	held := heldAttempt{token: l.sync(), id: r.id, attempt: ev.Attempt, since: l.now}
-	l.emit(Effect{Kind: HoldAttempt, ID: r.id, Attempt: ev.Attempt, Token: held.token})
+	held := heldAttempt{token: l.sync(), id: req.id, attempt: ev.Attempt, since: l.now}
+	l.emit(Effect{Kind: HoldAttempt, ID: req.id, Attempt: ev.Attempt, Token: held.token})
 	l.held = append(l.held, held)
 }
 
-// endAttempt records the end of an attempt. One that is known not to have run no longer counts for its idempotency key.
+// endAttempt records the end of an attempt. An attempt that is known not to have run no longer counts as unresolved
+// for its idempotency key.
 func (l *Ledger) endAttempt(ev *Event) {
-	k := requestKey(ev.ID)
-	r := l.requests.Get(k)
-	if r == nil || ev.Attempt >= maxAttempts || r.inFlight&(1<<ev.Attempt) == 0 {
+	storeKey := requestKey(ev.ID)
+	req := l.requests.Get(storeKey)
+	if req == nil || ev.Attempt >= maxAttempts || req.inFlight&(1<<ev.Attempt) == 0 {
 		return
 	}
-	r.inFlight &^= 1 << ev.Attempt
-	r.mayHaveRun = r.mayHaveRun || !ev.NeverRan
-	if r.inFlight == 0 {
+	req.inFlight &^= 1 << ev.Attempt
+	req.mayHaveRun = req.mayHaveRun || !ev.NeverRan
+	if req.inFlight == 0 {
 		input := inputAttemptsNeverRan
-		if r.mayHaveRun {
+		if req.mayHaveRun {
 			input = inputAttemptMayHaveRun
 		}
-		l.transition(k, r, input)
+		l.transition(storeKey, req, input)
 	}
-	if !l.classes[r.class].mustPersist() {
+	if !l.classes[req.class].mustPersist() {
 		return
 	}
 	if ev.NeverRan {
-		l.resolveKeyedAttempt(r.keyRecord)
+		l.discountAttempt(req.keyRecord)
 	}
-	if r.state.open() {
-		l.persistRequest(k, r)
+	if req.state.open() {
+		l.persistRequest(storeKey, req)
 	}
 }
 
-var closingInputs = map[Outcome]requestInput{Succeeded: inputSucceeded, Rejected: inputRejected, Failed: inputFailed, Abandoned: inputAbandoned}
+var closingInputs = map[Outcome]requestInput{
+	Succeeded: inputSucceeded, Rejected: inputRejected, Failed: inputFailed, Abandoned: inputAbandoned,
+}
 
-// closeRequest records the final answer of a request. It has been sent already: nobody waits for the record.
+// closeRequest records the final answer of a request. The answer has been sent already, so there is no Sync.
 func (l *Ledger) closeRequest(ev *Event) {
-	k := requestKey(ev.ID)
-	r := l.requests.Get(k)
+	storeKey := requestKey(ev.ID)
+	req := l.requests.Get(storeKey)
 	input, closing := closingInputs[ev.Outcome]
-	if r == nil || !closing || !l.transition(k, r, input) {
+	if req == nil || !closing || !l.transition(storeKey, req, input) {
 		return
 	}
 	if ev.Outcome == Succeeded {
-		l.storeAnswer(r.keyRecord, ev.Body)
+		l.storeAnswer(req.keyRecord, ev.Body)
 	}
 }
 
-func (l *Ledger) persistRequest(k Key, r *request) {
-	class := &l.classes[r.class]
+func (l *Ledger) persistRequest(storeKey Key, req *request) {
+	class := &l.classes[req.class]
 	w := l.newRecord(kindRequest)
-	w.text(fieldID, r.id)
-	w.text(fieldIdempotencyKey, r.idempotencyKey)
+	w.text(fieldID, req.id)
+	w.text(fieldIdempotencyKey, req.idempotencyKey)
 	w.text(fieldClass, class.name)
-	w.number(fieldState, float64(r.state))
-	w.number(fieldUntil, r.deadline)
-	w.number(fieldInFlight, float64(r.inFlight))
-	w.flag(fieldMayHaveRun, r.mayHaveRun)
-	w.persist(k, l.requestExpiry(class, r.deadline))
+	w.number(fieldState, float64(req.state))
+	w.number(fieldUntil, req.deadline)
+	w.number(fieldInFlight, float64(req.inFlight))
+	w.flag(fieldMayHaveRun, req.mayHaveRun)
+	w.persist(storeKey, l.requestExpiry(class, req.deadline))
 }
 
-func (l *Ledger) restoreRequest(ev *Event, d *decodedRecord) {
-	index, class := l.class(d.text(fieldClass))
-	if class == nil { // a class that is no more: nothing of it can come again
+func (l *Ledger) restoreRequest(ev *Event, record *decodedRecord) {
+	index, class := l.class(record.text(fieldClass))
+	if class == nil { // the class has been removed, so the request cannot be repeated
 		return
 	}
-	r, _ := l.requests.Put(ev.Key, ev.Expires)
-	*r = request{
-		id:             d.text(fieldID),
-		idempotencyKey: d.text(fieldIdempotencyKey),
+	req, _ := l.requests.Put(ev.Key, ev.Expires)
+	*req = request{
+		id:             record.text(fieldID),
+		idempotencyKey: record.text(fieldIdempotencyKey),
 		class:          index,
-		state:          min(requestState(d.number(fieldState)), requestAbandoned),
-		updatedAt:      d.number(fieldAt),
-		deadline:       d.number(fieldUntil),
-		inFlight:       uint8(d.number(fieldInFlight)),
-		mayHaveRun:     d.number(fieldMayHaveRun) != 0,
+		state:          min(requestState(record.number(fieldState)), requestAbandoned),
+		updatedAt:      record.number(fieldAt),
+		deadline:       record.number(fieldUntil),
+		inFlight:       uint8(record.number(fieldInFlight)),
+		mayHaveRun:     record.number(fieldMayHaveRun) != 0,
 	}
 	if class.mustPersist() {
-		r.keyRecord = idempotencyRecordKey(r.idempotencyKey)
+		req.keyRecord = idempotencyRecordKey(req.idempotencyKey)
 	}
 }
--- a/internal/ledger/retrybudget.go
+++ b/internal/ledger/retrybudget.go
@@ -8,9 +8,9 @@
 	"liftshift/scheduler"
 )
 
-const budgetSlotMS = 100
+const budgetSlotMS = 100 // length of a budgetSlot
 
-// budgetSlot counts the requests received and the retries sent in one slot of log time.
+// budgetSlot counts the requests received and the retries sent in one interval of budgetSlotMS of log time.
 type budgetSlot struct {
 	number   int64 // log time divided by budgetSlotMS
 	requests int
@@ -23,15 +23,15 @@
 // end returns the log time at which the slot ends.
 func (s budgetSlot) end() float64 { return float64(s.number+1) * budgetSlotMS }
 
-// retryBudget counts what the scheduler's retry budget is computed from, in slots, so that its size does not grow with the
-// traffic.
+// retryBudget counts the requests and retries from which the scheduler computes its retry budget. It counts them in
+// slots, so that its size does not grow with the traffic.
 type retryBudget struct {
-	windowMS float64 // 0: there is no budget
+	windowMS float64 // 0: retries are not limited by a budget
 	slots    []budgetSlot
 	dirty    bool // changed since the last record
 }
 
-// slotAt returns the slot of a log time.
+// slotAt returns the slot of the log time now, which it appends if it does not exist yet.
 func (b *retryBudget) slotAt(now float64) *budgetSlot {
 	number := int64(now) / budgetSlotMS
 	if last := len(b.slots) - 1; last >= 0 && b.slots[last].number >= number {
@@ -42,7 +42,7 @@
 	return &b.slots[len(b.slots)-1]
 }
 
-// expire drops the slots that lie wholly before the window.
+// expire drops the slots that ended before the window.
 func (b *retryBudget) expire(now float64) {
 	expired := 0
 	for expired < len(b.slots) && b.slots[expired].end() < now-b.windowMS {
@@ -65,14 +65,16 @@
 	}
 }
 
-// restore tells the scheduler what is used of the budget. Retries are dated as late as they can have been, requests as early.
-// After a crash the budget that the records leave for the time since counts as used up, because the last retries may not have
-// reached the disk. Requests of that time, lost or not, earned at most a share of what is counted here.
+// restore adds the recorded requests and retries to a StateRestored event, so that the scheduler allows no more
+// retries than before the restart. Retries get the latest time at which they can have been sent, and requests the
+// earliest at which they can have been received. Requests are left out if it is unknown how long ago that was. After
+// a crash the rest of the budget counts as used, because the records of the last retries may not have reached the
+// disk. Requests whose records are missing would only have added to the budget.
 func (b *retryBudget) restore(l *Ledger, ev *scheduler.Event, elapsed interval, crashed bool) {
 	if b.windowMS <= 0 {
 		return
 	}
-	left := b.unused(l)
+	unused := b.unused(l)
 	b.expire(l.now)
 	for _, s := range b.slots {
 		early := s.start() - l.clockOffset
@@ -89,13 +91,13 @@
 	if !crashed || l.incarnation.startedAt == 0 {
 		return
 	}
-	for range left {
+	for range unused {
 		ev.Retries = append(ev.Retries, l.callerNow)
 		b.countRetry(l.now)
 	}
 }
 
-// unused returns how many retries the slots on record leave at most.
+// unused returns the largest number of further retries that the budget allows by the recorded slots.
 func (b *retryBudget) unused(l *Ledger) int {
 	earned, used := l.settings.RetryBudget.Floor, 0
 	for _, s := range b.slots {
@@ -123,16 +125,16 @@
 	w.persist(retryBudgetKey, 0)
 }
 
-func (b *retryBudget) decode(r *decodedRecord) {
+func (b *retryBudget) decode(record *decodedRecord) {
 	b.slots = b.slots[:0]
-	for packed := r.texts[fieldSlots]; len(packed) > 0; {
+	for packed := record.texts[fieldSlots]; len(packed) > 0; {
 		var values [3]uint64
 		for i := range values {
-			n, used := protowire.ConsumeVarint(packed)
-			if used < 0 {
+			value, length := protowire.ConsumeVarint(packed)
+			if length < 0 {
 				return
 			}
-			values[i], packed = n, packed[used:]
+			values[i], packed = value, packed[length:]
 		}
 		b.slots = append(b.slots, budgetSlot{number: int64(values[0]), requests: int(values[1]), retries: int(values[2])})
 	}
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -2,53 +2,55 @@
 
 import "liftshift/scheduler"
 
-// Settings are what a ledger goes by. Only RememberMS, MaxAnswerBytes, MaxRecords, SuccessorsResume and SkipDiskWait may change
-// while it runs.
+// Settings configure a Ledger. A SettingsChanged event applies RetentionMS, MaxAnswerBytes, MaxRecords,
+// SuccessorsResume and SkipDiskWait; the other fields keep the values given to New.
 type Settings struct {
 	Classes      []scheduler.RequestClass
 	RetryBudget  scheduler.RetryBudget
-	RetryAfterMS float64 // sent with a rejection that is on record; 0: none
-
-	RememberMS       float64 // for which an idempotency key is kept past its window
-	MaxAnswerBytes   int     // longer answers are not kept
-	MaxRecords       int     // of keys, and of requests
-	SuccessorsResume bool    // what is open at a crash is for other controllers to end
-	SkipDiskWait     bool    // attempts do not wait for this disk, as other controllers keep copies
+	RetryAfterMS float64 // Effect.RetryAfterMS of an answer that repeats a recorded rejection; 0: none
+
+	// RetentionMS is how long an idempotency key is kept past its deduplication window, and a request past its
+	// deadline.
+	RememberMS       float64
+	MaxAnswerBytes   int  // longer answers are not stored
+	MaxRecords       int  // limit for idempotency keys and for requests, each
+	SuccessorsResume bool // other controllers take over the requests that are open at a crash
+	SkipDiskWait     bool // attempts do not wait for the local disk, because other controllers keep replicas
 }
 
 const (
-	defaultRememberMS     = 600000
+	defaultRetentionMS    = 600000
 	defaultMaxAnswerBytes = 4096
 	defaultMaxRecords     = 200000
-	maxTotalAnswerBytes   = 16e6 // of all stored answers; past it further ones are not kept
+	maxTotalAnswerBytes   = 16e6 // limit for the total size of the stored answers; answers past it are not stored
 )
 
-// DefaultSettings returns what holds where the operators say nothing.
+// DefaultSettings returns the defaults of the settings that operators may leave out.
 func DefaultSettings() Settings {
-	return Settings{RememberMS: defaultRememberMS, MaxAnswerBytes: defaultMaxAnswerBytes, MaxRecords: defaultMaxRecords}
+	return Settings{RememberMS: defaultRetentionMS, MaxAnswerBytes: defaultMaxAnswerBytes, MaxRecords: defaultMaxRecords}
 }
 
-// applySettings takes over what may change while the ledger runs. Records keep the expiry that they were written with.
+// applySettings applies the settings that may change while the ledger runs. Existing records keep their expiry.
 func (l *Ledger) applySettings(s *Settings) {
-	l.rememberMS = s.RememberMS
+	l.retentionMS = s.RememberMS
 	l.maxAnswerBytes = s.MaxAnswerBytes
 	l.maxRecords = s.MaxRecords
 	l.successorsResume, l.skipDiskWait = s.SuccessorsResume, s.SkipDiskWait
 }
 
-// requestClass is what the settings say of one request class.
+// requestClass holds the settings of a request class that the ledger needs.
 type requestClass struct {
-	name       string
-	effect     scheduler.Idempotency
-	scope      scheduler.DedupScope
-	windowMS   float64 // within which executors drop repeats of a key
-	deadlineMS float64
+	name        string
+	idempotency scheduler.Idempotency
+	scope       scheduler.DedupScope
+	windowMS    float64 // time for which the executors in scope drop repeats of a key
+	deadlineMS  float64
 }
 
-// mustPersist tells whether attempts of the class must be on record before they are sent.
-func (c *requestClass) mustPersist() bool { return c.effect != scheduler.Idempotent }
+// mustPersist returns whether attempts of the class must be recorded before they are sent.
+func (c *requestClass) mustPersist() bool { return c.idempotency != scheduler.Idempotent }
 
-// class returns a request class by name, with its index; nil if there is none.
+// class returns the index and the settings of the named request class, or -1 and nil if it does not exist.
 func (l *Ledger) class(name string) (int, *requestClass) {
 	for i := range l.classes {
 		if l.classes[i].name == name {
