--- a/internal/vfs/crash.go
+++ b/internal/vfs/crash.go
@@ -6,19 +6,21 @@
 	"slices"
 )
 
-const sectorBytes = 512 // that a disk writes whole or not at all
+// sectorBytes is the unit that a disk writes atomically.
+const sectorBytes = 512
 
-// CrashLoss tells what becomes, at a crash, of what was not synced.
+// CrashLoss selects how much of the unsynced data and names a crash loses.
 type CrashLoss int
 
 // The losses of a crash.
 const (
-	LoseAll     CrashLoss = iota // nothing of it is durable
-	LosePart                     // any of it is, in any order, torn at sectors
-	LoseNothing                  // all of it is, as when only the process was killed
+	LoseAll     CrashLoss = iota // all unsynced changes are lost
+	LosePart                     // a random part is lost: sectors of writes independently, name changes from some point on
+	LoseNothing                  // no change is lost, as when only the process was killed
 )
 
-// Crash returns the folder as it is found after a crash. The seed decides which part of what was not synced is durable.
+// Crash stops m, whose calls then return ErrCrashed, and returns the directory as it is found after the crash. The seed
+// selects the part that is lost with LosePart.
 func (m *MemoryFS) Crash(loss CrashLoss, seed uint64) *MemoryFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -28,27 +30,29 @@
 	files := m.namesAfterCrash(loss, random)
 	for _, name := range sortedNames(files) {
 		content := files[name].afterCrash(loss, random)
-		f := &memoryFile{content: content, durable: slices.Clone(content)}
-		after.names[name], after.durableNames[name] = f, f
+		file := &memoryFile{content: content, durable: slices.Clone(content)}
+		after.names[name], after.durableNames[name] = file, file
 	}
 	return after
 }
 
-// namesAfterCrash returns the files by name after a crash. Names change in order, as in a journal.
+// namesAfterCrash returns the files by name after a crash. A prefix of the name changes survives, as on a journaling
+// file system.
 func (m *MemoryFS) namesAfterCrash(loss CrashLoss, random *rand.Rand) map[string]*memoryFile {
 	names := maps.Clone(m.durableNames)
-	durable := 0 // of the name changes
+	durable := 0 // number of surviving name changes
 	switch loss {
 	case LoseNothing:
 		durable = len(m.nameChanges)
 	case LosePart:
 		durable = random.IntN(len(m.nameChanges) + 1)
 	}
-	if durable > 0 && durable < len(m.nameChanges) && m.nameChanges[durable].file == nil && m.nameChanges[durable-1].file != nil {
-		durable++ // a new name and the removal of the old one may be a rename
+	if durable > 0 && durable < len(m.nameChanges) &&
+		m.nameChanges[durable].file == nil && m.nameChanges[durable-1].file != nil {
+		durable++ // the two changes may be one rename, which is atomic
 	}
-	for _, c := range m.nameChanges[:durable] {
-		c.apply(names)
+	for _, change := range m.nameChanges[:durable] {
+		change.apply(names)
 	}
 	return names
 }
@@ -60,14 +64,15 @@
 	}
 	content := slices.Clone(f.durable)
 	if loss == LosePart {
-		for _, w := range f.unsynced {
-			content = w.applyTorn(content, random)
+		for _, write := range f.unsynced {
+			content = write.applyTorn(content, random)
 		}
 	}
 	return content
 }
 
-// applyTorn applies a write as far as chance lets it come, sector by sector.
+// applyTorn applies a random selection of the sectors of a write to content. An extension is applied as a whole or not
+// at all.
 func (w pendingWrite) applyTorn(content []byte, random *rand.Rand) []byte {
 	if w.data == nil {
 		if random.IntN(2) == 0 {
@@ -86,6 +91,7 @@
 	return content
 }
 
+// apply applies the write to content, which it extends with zeros as needed, and returns the result.
 func (w pendingWrite) apply(content []byte) []byte {
 	if size := max(w.size, w.offset+int64(len(w.data))); int64(len(content)) < size {
 		content = append(content, make([]byte, size-int64(len(content)))...)
--- a/internal/vfs/dir.go
+++ b/internal/vfs/dir.go
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// Dir is a folder of the real file system.
+// Dir is an FS for a directory of the operating system.
 type Dir struct{ path string }
 
-// OpenDir returns the folder at a path. With create, it is made where it is missing.
+// OpenDir returns the directory at a path. If create is set, it creates a missing directory and its parents.
 func OpenDir(path string, create bool) (Dir, error) {
 	if create {
 		if err := os.MkdirAll(path, 0o700); err != nil {
@@ -24,7 +24,7 @@
 		return Dir{}, err
 	}
 	if !info.IsDir() {
-		return Dir{}, fmt.Errorf("%s is no folder", path)
+		return Dir{}, fmt.Errorf("%s is not a directory", path)
 	}
 	return Dir{path}, nil
 }
@@ -40,11 +40,11 @@
 func (d Dir) Open(name string) (File, error) { return openFile(d.join(name), os.O_RDONLY) }
 
 func openFile(path string, flags int) (File, error) {
-	f, err := os.OpenFile(path, flags, 0o600)
+	file, err := os.OpenFile(path, flags, 0o600)
 	if err != nil {
-		return nil, err // not a File around a nil *os.File
+		return nil, err // a nil File, not one that holds a nil *os.File
 	}
-	return osFile{f}, nil
+	return osFile{file}, nil
 }
 
 // Remove implements FS.
@@ -57,9 +57,9 @@
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.path)
 	var names []string
-	for _, e := range entries {
-		if e.Type().IsRegular() {
-			names = append(names, e.Name())
+	for _, entry := range entries {
+		if entry.Type().IsRegular() {
+			names = append(names, entry.Name())
 		}
 	}
 	return names, err
@@ -67,30 +67,31 @@
 
 // SyncDir implements FS.
 func (d Dir) SyncDir() error {
-	f, err := os.Open(d.path)
+	dir, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	err = f.Sync()
-	return errors.Join(err, f.Close())
+	err = dir.Sync()
+	return errors.Join(err, dir.Close())
 }
 
-// Lock implements FS. The lock ends with the process, however that ends.
+// Lock implements FS. The operating system releases the lock when the process ends, even if it is killed.
 func (d Dir) Lock(name string) (io.Closer, error) {
-	f, err := os.OpenFile(d.join(name), os.O_RDWR|os.O_CREATE, 0o600)
+	file, err := os.OpenFile(d.join(name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close()
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = file.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, ErrInUse
 		}
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
+// osFile is a File of the operating system.
 type osFile struct{ *os.File }
 
 // Size implements File.
@@ -102,7 +103,7 @@
 	return info.Size(), nil
 }
 
-// Allocate implements File. Where the system can't reserve space, the file is extended only.
+// Allocate implements File. If the system does not support reserving space, it only extends the file.
 func (f osFile) Allocate(size int64) error {
 	err := reserve(f.File, size)
 	if errors.Is(err, syscall.EOPNOTSUPP) || errors.Is(err, errors.ErrUnsupported) {
--- a/internal/vfs/faults_off.go
+++ b/internal/vfs/faults_off.go
@@ -2,5 +2,5 @@
 
 package vfs
 
-// WithFaults returns the folder itself. With the build tag faults, it returns one whose calls fail on command.
+// WithFaults returns the directory unchanged. With the build tag faults, it returns one that injects errors and delays.
 func WithFaults(d Dir) FS { return d }
--- a/internal/vfs/faults_on.go
+++ b/internal/vfs/faults_on.go
@@ -10,46 +10,48 @@
 	"time"
 )
 
-// FaultFile is the environment variable that names a file with the state of the disk: "sound", "full", "failing", or "slow 300ms". The
-// file is read at each call that changes something. Only builds for the chaos tests have this layer.
-const FaultFile = "LIFTSHIFT_DISK"
+// faultFileVariable is the environment variable with the path of the fault file. That file holds the simulated state of
+// the disk: "sound", "full", "failing", or "slow" with a delay such as "slow 300ms". Each modifying call reads it anew.
+const faultFileVariable = "LIFTSHIFT_DISK"
 
-// WithFaults returns a folder whose changing calls fail as the fault file says, or the folder itself where no fault file is named.
+// WithFaults returns a directory whose modifying calls fail or wait as the fault file says. It returns the directory
+// unchanged if the environment names no fault file. Only builds for the chaos tests include this layer.
 func WithFaults(d Dir) FS {
-	if os.Getenv(FaultFile) == "" {
+	if os.Getenv(faultFileVariable) == "" {
 		return d
 	}
 	return faultyDir{d}
 }
 
-// faultyDir fails what changes the folder. Reading, removing and locking go on.
+// faultyDir injects faults into modifying calls other than Remove. Reading, removing and locking always work.
 type faultyDir struct{ Dir }
 
-// injectFault waits or fails as the fault file says. Without such a file the disk is sound.
+// injectFault waits or returns an error as the fault file says. It does nothing if the file cannot be read.
 func injectFault() error {
-	b, err := os.ReadFile(os.Getenv(FaultFile))
+	content, err := os.ReadFile(os.Getenv(faultFileVariable))
 	if err != nil {
 		return nil
 	}
-	state, rest, _ := strings.Cut(strings.TrimSpace(string(b)), " ")
+	state, argument, _ := strings.Cut(strings.TrimSpace(string(content)), " ")
 	switch state {
 	case "full":
 		return syscall.ENOSPC
 	case "failing":
 		return syscall.EIO
 	case "slow":
-		if d, err := time.ParseDuration(rest); err == nil {
-			time.Sleep(d)
+		if delay, err := time.ParseDuration(argument); err == nil {
+			time.Sleep(delay)
 		}
 	}
 	return nil
 }
 
-func withFileFaults(f File, err error) (File, error) {
+// withFileFaults wraps a file that was just opened, and passes on an error of the opening.
+func withFileFaults(file File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
-	return faultyFile{f}, nil
+	return faultyFile{file}, nil
 }
 
 // Create implements FS.
@@ -79,9 +81,10 @@
 	return d.Dir.SyncDir()
 }
 
+// faultyFile injects faults into the modifying calls of a file.
 type faultyFile struct{ File }
 
-// WriteAt implements File. On a full disk it goes on, into space that was reserved.
+// WriteAt implements File. It succeeds on a full disk, because files are written only in space that was allocated.
 func (f faultyFile) WriteAt(b []byte, offset int64) (int, error) {
 	if err := injectFault(); errors.Is(err, syscall.EIO) {
 		return 0, err
--- a/internal/vfs/memory.go
+++ b/internal/vfs/memory.go
@@ -9,68 +9,70 @@
 	"sync"
 )
 
-// Op is a call on a MemoryFS that changes something.
+// Op describes a modifying call on a MemoryFS.
 type Op struct {
-	Number int // counted from 1
-	Call   string
-	Name   string
+	Number int    // counted from 1
+	Call   string // "create", "remove", "rename", "syncdir", "write", "allocate" or "sync"
+	Name   string // of the file; empty for "syncdir"
 }
 
-// ErrCrashed is what every call returns after the crash.
-var ErrCrashed = errors.New("the machine is down")
+// ErrCrashed is returned by calls on a MemoryFS after its simulated crash.
+var ErrCrashed = errors.New("the simulated machine has crashed")
 
-// MemoryFS is a folder in memory. Readers see at once what was written, but it is durable only once it was synced; Crash shows what
-// became of the rest. A failed Sync is that of real systems: what it should have written counts as clean from then on, and no later
-// Sync writes it.
+// MemoryFS is an FS in memory. Readers see written data at once, but only synced data is durable; Crash returns the
+// directory without the changes that a crash loses. A failed Sync behaves like that of real systems, which drop the
+// unwritten data: no later Sync makes it durable.
 type MemoryFS struct {
-	// Fail is asked before each call that changes something. An error fails the call and nothing changes. It may be nil.
+	// Fail, if not nil, is called before each modifying call. If it returns an error, the call fails and changes
+	// nothing.
 	Fail func(Op) error
-	// CrashAt is the number of the call at which the machine crashes, 0: never. That call may or may not take effect.
+	// CrashAt is the number of the modifying call at which the machine crashes, 0 for never. That call may take effect
+	// or not.
 	CrashAt int
 
 	mu           sync.Mutex
-	calls        int
+	calls        int // modifying calls so far
 	crashed      bool
 	names        map[string]*memoryFile
 	durableNames map[string]*memoryFile // as of the last SyncDir
-	nameChanges  []nameChange           // since then, in order
-	locked       map[string]bool
+	nameChanges  []nameChange           // since the last SyncDir, in order
+	locked       map[string]bool        // by the name given to Lock
 }
 
-// memoryFile is the content of a file as readers see it, as it is durable, and the writes between.
+// memoryFile is a file of a MemoryFS.
 type memoryFile struct {
-	content  []byte
-	durable  []byte
-	unsynced []pendingWrite
+	content  []byte         // as readers see it
+	durable  []byte         // as of the last Sync
+	unsynced []pendingWrite // since the last Sync, in order
 }
 
-// pendingWrite is a write, or an extension where data is nil.
+// pendingWrite is an unsynced write, or an extension of the file if data is nil.
 type pendingWrite struct {
 	offset int64
 	data   []byte
-	size   int64 // to which the file is extended
+	size   int64 // length to which an extension extends the file
 }
 
-// nameChange gives a name to a file, or removes it where the file is nil.
+// nameChange gives a name to a file, or removes the name if file is nil.
 type nameChange struct {
 	name string
 	file *memoryFile
 }
 
-// NewMemory returns an empty folder.
+// NewMemory returns an empty directory.
 func NewMemory() *MemoryFS {
 	return &MemoryFS{names: map[string]*memoryFile{}, durableNames: map[string]*memoryFile{}, locked: map[string]bool{}}
 }
 
-// Ops returns how many calls changed something so far.
+// Ops returns the number of modifying calls so far.
 func (m *MemoryFS) Ops() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// countCall counts a call and tells whether it takes effect; called with mu held.
-func (m *MemoryFS) countCall(call, name string) (effect bool, err error) {
+// countCall counts a modifying call and reports whether it takes effect and what it returns. The caller holds mu.
+func (m *MemoryFS) countCall(call, name string) (takesEffect bool, err error) {
 	if m.crashed {
 		return false, ErrCrashed
 	}
@@ -87,12 +89,13 @@
 	return true, nil
 }
 
-// change makes a call that changes something. Where the machine crashes at it, it may still have taken effect.
-func (m *MemoryFS) change(call, name string, apply func()) error {
+// modify performs a modifying call, unless it is to fail. A call during which the machine crashes may still take
+// effect.
+func (m *MemoryFS) modify(call, name string, apply func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	effect, err := m.countCall(call, name)
-	if effect {
+	takesEffect, err := m.countCall(call, name)
+	if takesEffect {
 		apply()
 	}
 	return err
@@ -101,25 +104,26 @@
 // Create implements FS.
 func (m *MemoryFS) Create(name string) (File, error) {
 	m.mu.Lock()
-	_, there := m.names[name]
+	_, exists := m.names[name]
 	m.mu.Unlock()
-	if there {
+	if exists {
 		return nil, &fs.PathError{Op: "create", Path: name, Err: fs.ErrExist}
 	}
-	f := &memoryFile{}
-	if err := m.change("create", name, func() { m.changeName(name, f) }); err != nil {
+	file := &memoryFile{}
+	if err := m.modify("create", name, func() { m.changeName(name, file) }); err != nil {
 		return nil, err
 	}
-	return &memoryHandle{m, name, f}, nil
+	return &memoryHandle{m, name, file}, nil
 }
 
-// changeName changes a name; called with mu held.
-func (m *MemoryFS) changeName(name string, f *memoryFile) {
-	c := nameChange{name, f}
-	m.nameChanges = append(m.nameChanges, c)
-	c.apply(m.names)
+// changeName gives a name to a file, or removes the name if file is nil. The caller holds mu.
+func (m *MemoryFS) changeName(name string, file *memoryFile) {
+	change := nameChange{name, file}
+	m.nameChanges = append(m.nameChanges, change)
+	change.apply(m.names)
 }
 
+// apply applies the change to a map of files by name.
 func (c nameChange) apply(names map[string]*memoryFile) {
 	if c.file == nil {
 		delete(names, c.name)
@@ -135,29 +139,29 @@
 	if m.crashed {
 		return nil, ErrCrashed
 	}
-	f := m.names[name]
-	if f == nil {
+	file := m.names[name]
+	if file == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &memoryHandle{m, name, f}, nil
+	return &memoryHandle{m, name, file}, nil
 }
 
 // Remove implements FS.
 func (m *MemoryFS) Remove(name string) error {
-	return m.change("remove", name, func() { m.changeName(name, nil) })
+	return m.modify("remove", name, func() { m.changeName(name, nil) })
 }
 
 // Rename implements FS.
 func (m *MemoryFS) Rename(from, to string) error {
 	m.mu.Lock()
-	f := m.names[from]
+	file := m.names[from]
 	m.mu.Unlock()
-	if f == nil {
+	if file == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	// A rename is durable whole or not at all: Crash never separates the two changes.
-	return m.change("rename", to, func() {
-		m.changeName(to, f)
+	// A rename is atomic: Crash never separates the two changes.
+	return m.modify("rename", to, func() {
+		m.changeName(to, file)
 		m.changeName(from, nil)
 	})
 }
@@ -183,9 +187,9 @@
 
 // SyncDir implements FS.
 func (m *MemoryFS) SyncDir() error {
-	return m.change("syncdir", "", func() {
-		for _, c := range m.nameChanges {
-			c.apply(m.durableNames)
+	return m.modify("syncdir", "", func() {
+		for _, change := range m.nameChanges {
+			change.apply(m.durableNames)
 		}
 		m.nameChanges = nil
 	})
@@ -207,37 +211,38 @@
 	}), nil
 }
 
+// closeFunc is an io.Closer that calls a function.
 type closeFunc func() error
 
 // Close implements io.Closer.
 func (c closeFunc) Close() error { return c() }
 
-// Bytes returns the content of a file as readers see it.
+// Bytes returns the content of a file as readers see it, or nil if there is no such file.
 func (m *MemoryFS) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f := m.names[name]; f != nil {
-		return slices.Clone(f.content)
+	if file := m.names[name]; file != nil {
+		return slices.Clone(file.content)
 	}
 	return nil
 }
 
-// Set makes or replaces a file, durable at once.
+// Set creates or replaces a file whose name and content are durable at once.
 func (m *MemoryFS) Set(name string, bytes []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := &memoryFile{content: slices.Clone(bytes), durable: slices.Clone(bytes)}
-	m.names[name], m.durableNames[name] = f, f
+	file := &memoryFile{content: slices.Clone(bytes), durable: slices.Clone(bytes)}
+	m.names[name], m.durableNames[name] = file, file
 }
 
-// Clone returns a second folder with the same files, all durable.
+// Clone returns a copy of the directory in which all names and contents are durable.
 func (m *MemoryFS) Clone() *MemoryFS {
 	names, _ := m.List()
-	other := NewMemory()
+	clone := NewMemory()
 	for _, name := range names {
-		other.Set(name, m.Bytes(name))
+		clone.Set(name, m.Bytes(name))
 	}
-	return other
+	return clone
 }
 
 // memoryHandle is an open file of a MemoryFS.
@@ -266,13 +271,14 @@
 
 // WriteAt implements File.
 func (h *memoryHandle) WriteAt(b []byte, offset int64) (int, error) {
-	w := pendingWrite{offset: offset, data: slices.Clone(b)}
-	if err := h.fs.change("write", h.name, func() { h.file.write(w) }); err != nil {
+	write := pendingWrite{offset: offset, data: slices.Clone(b)}
+	if err := h.fs.modify("write", h.name, func() { h.file.write(write) }); err != nil {
 		return 0, fmt.Errorf("write %s: %w", h.name, err)
 	}
 	return len(b), nil
 }
 
+// write applies a write to the content and keeps it for the next Sync.
 func (f *memoryFile) write(w pendingWrite) {
 	f.content = w.apply(f.content)
 	f.unsynced = append(f.unsynced, w)
@@ -280,14 +286,14 @@
 
 // Allocate implements File.
 func (h *memoryHandle) Allocate(size int64) error {
-	return h.fs.change("allocate", h.name, func() { h.file.write(pendingWrite{size: size}) })
+	return h.fs.modify("allocate", h.name, func() { h.file.write(pendingWrite{size: size}) })
 }
 
-// Sync implements File. Where it fails, what it should have written is lost for good.
+// Sync implements File. If it fails, the data that it should have made durable never becomes durable.
 func (h *memoryHandle) Sync() error {
-	err := h.fs.change("sync", h.name, func() {
-		for _, w := range h.file.unsynced {
-			h.file.durable = w.apply(h.file.durable)
+	err := h.fs.modify("sync", h.name, func() {
+		for _, write := range h.file.unsynced {
+			h.file.durable = write.apply(h.file.durable)
 		}
 		h.file.unsynced = nil
 	})
@@ -309,5 +315,5 @@
 	return int64(len(h.file.content)), nil
 }
 
-// Close implements File.
+// Close implements File. It does nothing, because a handle holds no resources.
 func (h *memoryHandle) Close() error { return nil }
--- a/internal/vfs/memory_test.go
+++ b/internal/vfs/memory_test.go
@@ -9,24 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeFile makes a file with a text; the caller syncs.
-func writeFile(t *testing.T, folder FS, name, text string) File {
+// writeFile creates a file with a text and does not sync it.
+func writeFile(t *testing.T, dir FS, name, text string) File {
 	t.Helper()
-	f, err := folder.Create(name)
+	file, err := dir.Create(name)
 	require.NoError(t, err)
-	_, err = f.WriteAt([]byte(text), 0)
+	_, err = file.WriteAt([]byte(text), 0)
 	require.NoError(t, err)
-	return f
+	return file
 }
 
-func TestMemoryFS_CrashForgetsWhatWasNotSynced(t *testing.T) {
+// TestMemoryFS_CrashLosesUnsyncedChanges checks that a file survives with its content only if both the content and the
+// name were synced.
+func TestMemoryFS_CrashLosesUnsyncedChanges(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		sync      bool
 		syncNames bool
 		loss      CrashLoss
 		want      string
-		there     bool
+		exists    bool
 	}{
 		{"nothing synced", false, false, LoseAll, "", false},
 		{"only the content synced", true, false, LoseAll, "", false},
@@ -36,9 +38,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := NewMemory()
-			f := writeFile(t, m, "a", "text")
+			file := writeFile(t, m, "a", "text")
 			if c.sync {
-				require.NoError(t, f.Sync())
+				require.NoError(t, file.Sync())
 			}
 			if c.syncNames {
 				require.NoError(t, m.SyncDir())
@@ -46,7 +48,7 @@
 			after := m.Crash(c.loss, 1)
 			names, err := after.List()
 			require.NoError(t, err)
-			assert.Equal(t, c.there, len(names) == 1)
+			assert.Equal(t, c.exists, len(names) == 1)
 			assert.Equal(t, c.want, string(after.Bytes("a")))
 			_, err = m.List()
 			assert.ErrorIs(t, err, ErrCrashed)
@@ -54,23 +56,26 @@
 	}
 }
 
-func TestMemoryFS_FailedSyncIsNeverMadeUpFor(t *testing.T) {
-	m, broken := NewMemory(), errors.New("broken")
-	f := writeFile(t, m, "a", "text")
+// TestMemoryFS_FailedSyncLosesItsData checks that data of a failed Sync stays lost after a later Sync that
+// succeeds.
+func TestMemoryFS_FailedSyncLosesItsData(t *testing.T) {
+	m, errSync := NewMemory(), errors.New("sync failed")
+	file := writeFile(t, m, "a", "text")
 	require.NoError(t, m.SyncDir())
 	m.Fail = func(op Op) error {
 		if op.Call == "sync" {
-			return broken
+			return errSync
 		}
 		return nil
 	}
-	assert.ErrorIs(t, f.Sync(), broken)
+	assert.ErrorIs(t, file.Sync(), errSync)
 	m.Fail = nil
-	require.NoError(t, f.Sync())
+	require.NoError(t, file.Sync())
 	assert.Empty(t, m.Crash(LoseAll, 1).Bytes("a"))
 }
 
-func TestMemoryFS_RenameIsDurableWholeOrNotAtAll(t *testing.T) {
+// TestMemoryFS_RenameIsAtomic checks that a crash leaves a renamed file under exactly one of its names.
+func TestMemoryFS_RenameIsAtomic(t *testing.T) {
 	for seed := range uint64(50) {
 		m := NewMemory()
 		require.NoError(t, writeFile(t, m, "old", "text").Sync())
@@ -82,16 +87,17 @@
 	}
 }
 
-func TestDir_BehavesAsAFolder(t *testing.T) {
+// TestDir_ImplementsFS runs the calls of FS on a directory of the operating system.
+func TestDir_ImplementsFS(t *testing.T) {
 	dir, err := OpenDir(t.TempDir(), true)
 	require.NoError(t, err)
-	f := writeFile(t, dir, "a", "text")
-	require.NoError(t, f.Allocate(4096))
-	require.NoError(t, f.Sync())
-	size, err := f.Size()
+	file := writeFile(t, dir, "a", "text")
+	require.NoError(t, file.Allocate(4096))
+	require.NoError(t, file.Sync())
+	size, err := file.Size()
 	require.NoError(t, err)
 	assert.EqualValues(t, 4096, size)
-	require.NoError(t, f.Close())
+	require.NoError(t, file.Close())
 	_, err = dir.Create("a")
 	assert.ErrorIs(t, err, fs.ErrExist)
 	require.NoError(t, dir.Rename("a", "b"))
--- a/internal/vfs/reserve_linux.go
+++ b/internal/vfs/reserve_linux.go
@@ -5,5 +5,5 @@
 	"syscall"
 )
 
-// reserve reserves the space of a file, so that a full disk shows before anything is written to it.
+// reserve allocates disk space for a file, so that a full disk is detected before anything is written to the file.
 func reserve(f *os.File, size int64) error { return syscall.Fallocate(int(f.Fd()), 0, 0, size) }
