--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -7,17 +7,17 @@
 	"liftshift/internal/vfs"
 )
 
-// segment is the log file that is written to.
+// segment is the log file that records are appended to.
 type segment struct {
 	id      uint64
 	file    vfs.File
-	end     int64 // where the next record goes
-	durable int64 // all before it is synced
-	failed  bool  // a write or a sync failed: nothing more is written to it, and what is behind durable is not valid
+	end     int64 // offset of the next record
+	durable int64 // everything before this offset is synced
+	failed  bool  // a write or sync failed: nothing more is written to the file, and bytes from durable on are not valid
 }
 
-// commitLoop writes the queue until the store is closed. All batches that were queued during one commit go out with the next, with one
-// write and one sync.
+// commitLoop commits the queue until the store is closed. It is a group commit: all batches that are queued during one
+// commit are written by the next one, usually with a single write and a single sync.
 func (s *Store) commitLoop() {
 	defer close(s.done)
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -41,7 +41,7 @@
 	}
 }
 
-// flushPeriodically lets the batches without a notifier be written within the flush delay.
+// flushPeriodically wakes the commit loop within the flush delay, so that batches without a notifier are written too.
 func (s *Store) flushPeriodically(stop <-chan struct{}) {
 	ticker := time.NewTicker(s.options.FlushDelay)
 	defer ticker.Stop()
@@ -49,8 +49,8 @@
 		select {
 		case <-ticker.C:
 			s.mu.Lock()
-			if len(s.queued.batches) > 0 && !s.flush {
-				s.flush = true
+			if len(s.queued.batches) > 0 && !s.flushWanted {
+				s.flushWanted = true
 				s.wake.Signal()
 			}
 			s.mu.Unlock()
@@ -60,12 +60,12 @@
 	}
 }
 
-// takeQueue waits for something to do and moves the queue to s.writing. It returns false when the store is closed and all is
-// written.
+// takeQueue waits until there is work and swaps the queue into s.writing. It returns ok = false once the store is
+// closed and every queued batch was written.
 func (s *Store) takeQueue() (now int64, snapshotWanted, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for !s.flush && !s.snapshotWanted && !s.closed {
+	for !s.flushWanted && !s.snapshotWanted && !s.closed {
 		s.wake.Wait()
 	}
 	if s.closed && len(s.queued.batches) == 0 {
@@ -73,38 +73,38 @@
 	}
 	s.queued, s.writing = s.writing, s.queued
 	s.queued.reset()
-	s.flush = false
+	s.flushWanted = false
 	return s.now, s.snapshotWanted && !s.snapshotRunning, true
 }
 
-// commit writes the batches taken from the queue, in as many groups as segments need.
+// commit writes the batches in s.writing, one group for each segment that they need, and reports each outcome.
 func (s *Store) commit(now int64) {
-	q := &s.writing
-	first, record, start := 0, 0, 0 // of the batches, records and bytes not yet written
-	for first < len(q.batches) {
+	writing := &s.writing
+	firstBatch, firstRecord, firstByte := 0, 0, 0 // the first of each that is not yet written
+	for firstBatch < len(writing.batches) {
 		space := s.options.SegmentBytes - s.active.end
-		last := first
-		for last < len(q.batches) && int64(q.batches[last].bytes-start) <= space {
-			last++
+		endBatch := firstBatch
+		for endBatch < len(writing.batches) && int64(writing.batches[endBatch].endByte-firstByte) <= space {
+			endBatch++
 		}
 		var err error
-		if last == first || s.active.failed {
+		if endBatch == firstBatch || s.active.failed {
 			if err = s.rotate(); err == nil {
 				continue
 			}
-			last = len(q.batches) // no file to write to: all that waits fails
+			endBatch = len(writing.batches) // there is no file to write to, so all remaining batches fail
 		}
-		end := q.batches[last-1]
+		last := writing.batches[endBatch-1]
 		if err == nil {
-			err = s.writeGroup(q.bytes[start:end.bytes], q.ends[record:end.records], start)
+			err = s.writeGroup(writing.bytes[firstByte:last.endByte], writing.ends[firstRecord:last.endRecord], firstByte)
 		}
-		s.countBatches(last-first, end.records-record, err)
-		for _, b := range q.batches[first:last] {
-			if b.notifier != nil {
-				b.notifier.Stored(b.token, err)
+		s.countBatches(endBatch-firstBatch, last.endRecord-firstRecord, err)
+		for _, batch := range writing.batches[firstBatch:endBatch] {
+			if batch.notifier != nil {
+				batch.notifier.Stored(batch.token, err)
 			}
 		}
-		first, record, start = last, end.records, end.bytes
+		firstBatch, firstRecord, firstByte = endBatch, last.endRecord, last.endByte
 	}
 	s.stateMu.Lock()
 	s.expire(now)
@@ -123,70 +123,76 @@
 	s.stats.Records += uint64(records)
 }
 
-// writeGroup writes records, syncs them, and only then adds them to the index. The ends count from base. A file whose write or sync
-// failed is never written or trusted further, because no later sync needs to write what a failed one left unwritten.
-func (s *Store) writeGroup(bytes []byte, ends []int, base int) error {
-	a := &s.active
-	offset := a.end
-	from := 0
+// writeGroup writes and syncs records, and only then adds them to the index. The ends of the records are offsets in the
+// queue, where data begins at base. After a failed write or sync the file is not used again: the operating system may
+// have dropped the unwritten pages, so that a later sync succeeds without writing them.
+func (s *Store) writeGroup(data []byte, ends []int, base int) error {
+	active := &s.active
+	offset := active.end
+	start := 0
 	for _, end := range ends {
-		sealRecord(bytes[from:end-base], a.id, offset+int64(from))
-		from = end - base
+		writeChecksum(data[start:end-base], active.id, offset+int64(start))
+		start = end - base
 	}
-	_, err := a.file.WriteAt(bytes, offset)
+	_, err := active.file.WriteAt(data, offset)
 	if err == nil {
-		err = a.file.Sync()
+		err = active.file.Sync()
 	}
 	if err != nil {
-		a.failed = true
-		return fmt.Errorf("store: file %x: %w", a.id, err)
+		active.failed = true
+		return fmt.Errorf("store: file %x: %w", active.id, err)
 	}
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
 	s.stats.Syncs++
-	from = 0
+	start = 0
 	for _, end := range ends {
-		b := bytes[from : end-base]
-		s.apply(parseRecord(b), location{uint32(a.id), uint32(offset + int64(from)), uint32(len(b))})
-		from = end - base
+		encoded := data[start : end-base]
+		s.apply(parseRecord(encoded), location{uint32(active.id), uint32(offset + int64(start)), uint32(len(encoded))})
+		start = end - base
 	}
-	a.end += int64(len(bytes))
-	a.durable = a.end
-	s.fileBytes[uint32(a.id)] = a.end
+	active.end += int64(len(data))
+	active.durable = active.end
+	s.fileBytes[uint32(active.id)] = active.end
 	return nil
 }
 
-// apply lets a record take effect in the index.
-func (s *Store) apply(r record, at location) {
+// apply updates the index and the live bytes by a record at a location.
+func (s *Store) apply(r record, loc location) {
 	if old := s.index.Get(r.key); old != nil {
 		s.liveBytes -= int64(old.size)
 	}
-	if r.deletes() {
+	if r.isDeletion() {
 		s.index.Delete(r.key)
 		return
 	}
-	v, _ := s.index.Put(r.key, r.expires)
-	*v = at
-	s.liveBytes += int64(at.size)
+	entry, _ := s.index.Put(r.key, r.expires)
+	*entry = loc
+	s.liveBytes += int64(loc.size)
 }
 
+// expire removes the records from the index whose time is over. The caller holds stateMu.
 func (s *Store) expire(now int64) {
-	s.index.Expire(now, func(_ Key, at *location) {
-		s.liveBytes -= int64(at.size)
+	s.index.Expire(now, func(_ Key, loc *location) {
+		s.liveBytes -= int64(loc.size)
 		s.stats.Expired++
 	})
 }
 
-// rotate begins a new log file. It becomes the active segment once it has its name, and it gets that only after it is durable.
+// rotate creates a log file and makes it the active segment. Its header names the previous log file and the valid
+// length of that file.
 func (s *Store) rotate() error {
 	s.stateMu.Lock()
-	s.lastFile++
-	id, previous := s.lastFile, s.active
+	s.lastFileID++
+	id, previous := s.lastFileID, s.active
 	s.stateMu.Unlock()
-	h := fileHeader{kind: kindLog, inDoubt: s.tailInDoubt, id: id, previous: previous.id, previousEnd: previous.durable, length: s.options.SegmentBytes}
-	file, err := createLog(s.fs, h)
+	header := fileHeader{
+		kind: kindLog, inDoubt: s.tailInDoubt, id: id, previous: previous.id, previousEnd: previous.durable,
+		length: s.options.SegmentBytes,
+	}
+	file, err := createLog(s.fs, header)
 	if err != nil {
-		return fmt.Errorf("store: new file %x: %w", id, err)
+		return fmt.Errorf("store: creating log file %x: %w", id, err)
 	}
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
@@ -197,16 +203,17 @@
 	return nil
 }
 
-// createLog makes a log file under its name, durable with its header and its full length.
-func createLog(fs vfs.FS, h fileHeader) (vfs.File, error) {
-	name := fileName(h.id, logSuffix)
+// createLog creates a log file with its header and its full length. The file gets its final name only after its content
+// is durable, and the name is durable too when createLog returns.
+func createLog(fs vfs.FS, header fileHeader) (vfs.File, error) {
+	name := fileName(header.id, logSuffix)
 	_ = fs.Remove(name + temporarySuffix)
 	file, err := fs.Create(name + temporarySuffix)
 	if err != nil {
 		return nil, err
 	}
-	if err = file.Allocate(h.length); err == nil {
-		_, err = file.WriteAt(h.encode(), 0)
+	if err = file.Allocate(header.length); err == nil {
+		_, err = file.WriteAt(header.encode(), 0)
 	}
 	if err == nil {
 		err = publish(fs, file, name)
@@ -214,13 +221,13 @@
 	if err != nil {
 		_ = file.Close()
 		_ = fs.Remove(name + temporarySuffix)
-		_ = fs.Remove(name) // where it has its name already; where that fails, no file follows it
+		_ = fs.Remove(name) // in case it was renamed already; if this fails, no later file names it as its previous one
 		return nil, err
 	}
 	return file, nil
 }
 
-// publish makes a temporary file durable, and then its final name.
+// publish syncs a temporary file, renames it to its final name, and makes the name durable.
 func publish(fs vfs.FS, file vfs.File, name string) error {
 	if err := file.Sync(); err != nil {
 		return err
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -12,18 +12,36 @@
 	"liftshift/internal/vfs"
 )
 
-// The format. A file is a header and records behind it. A log file has its full length from the start, filled with zeros: so an end
-// that was cut off shows, and a sync has no length to write. All numbers are little-endian.
+// The file format. A file is a header followed by records. A log file has its full length from the start, filled with
+// zeros, so that a truncated file is detected and a sync has no file length to write. All numbers are little-endian.
 //
-// header: 8 bytes "liftstor", 4 format version, 1 kind, 1 flags, 2 zero, 8 number of the file, 8 number of the previous log file,
-// 8 valid bytes of that one, 8 length of the file, 8 records (snapshots), 4 zero, 4 CRC-32C of all this
+// Header, 64 bytes:
 //
-// record: 4 CRC-32C over file number, offset and what follows; 4 length of the value, 1 kind, 16 key, 8 time at which it expires
-// in ms (0: never), the value
+//	8 magic "liftstor"
+//	4 format version
+//	1 kind of the file
+//	1 flags
+//	2 zero
+//	8 number of the file
+//	8 number of the previous log file
+//	8 valid bytes of the previous log file
+//	8 length of the file
+//	8 number of records (snapshots only)
+//	4 zero
+//	4 CRC-32C of the bytes before
+//
+// Record:
+//
+//	4 CRC-32C of the file number, the offset and the bytes that follow
+//	4 length of the value
+//	1 kind of the record
+//	16 key
+//	8 expiry time in ms, 0 for never
+//	the value
 const (
 	// Version is the version of the format that this program writes, and the newest that it reads.
 	Version = 1
-	// MaxValue is the length in bytes of the longest value.
+	// MaxValue is the maximum length of a value in bytes.
 	MaxValue = 64 << 10
 
 	headerSize       = 64
@@ -34,35 +52,36 @@
 	kindSnapshot = 2
 )
 
-// The kinds of records. A record that more of its batch follow has the bit moreFollows: a batch is valid whole or not at all.
+// The kinds of records. The bit moreFollows is set on every record of a batch but the last: recovery applies a batch
+// only if all of its records are valid.
 const (
 	putRecord    = 1
 	deleteRecord = 2
 	moreFollows  = 0x80
 )
 
-// flagInDoubt is the flag of a log file before which something may have been lost.
+// flagInDoubt marks a log file that was created after a tail in doubt: records before it may be missing.
 const flagInDoubt = 1
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// The errors that users of a store tell apart.
+// Errors that callers compare with errors.Is.
 var (
 	ErrDamaged = errors.New("damaged")
 	ErrNewer   = errors.New("written by a newer version")
 	ErrInUse   = vfs.ErrInUse
 	ErrClosed  = errors.New("the store is closed")
-	ErrFull    = errors.New("too much waits to be written")
-	ErrTooLong = errors.New("too long for the store")
+	ErrFull    = errors.New("the store's write queue is full")
+	ErrTooLong = errors.New("batch or value too long for the store")
 )
 
-// fileHeader is the header of a file.
+// fileHeader is the decoded header of a log file or a snapshot.
 type fileHeader struct {
 	kind        byte
 	inDoubt     bool
 	id          uint64
-	previous    uint64 // the previous log file, 0: none
-	previousEnd int64  // its valid bytes
+	previous    uint64 // number of the previous log file, 0 if there is none
+	previousEnd int64  // valid bytes of the previous log file
 	length      int64  // of this file
 	records     uint64 // in a snapshot
 }
@@ -83,7 +102,7 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader reads a header and checks it against the kind and number that the name of the file gives.
+// decodeHeader decodes a header and checks it against the kind and number in the name of its file.
 func decodeHeader(b []byte, kind byte, id uint64) (h fileHeader, err error) {
 	if len(b) < headerSize {
 		return h, fmt.Errorf("%w: a file of %d bytes has no header", ErrDamaged, len(b))
@@ -114,7 +133,7 @@
 	return h, nil
 }
 
-// appendRecord appends a record without its checksum, which sealRecord adds when the record's offset is known.
+// appendRecord appends a record with a zero checksum. writeChecksum fills it in once the offset of the record is known.
 func appendRecord(b []byte, kind byte, key index.Key, expires int64, value []byte) []byte {
 	b = append(b, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(value)))
@@ -124,43 +143,45 @@
 	return append(b, value...)
 }
 
-// sealRecord writes the checksum of a record for its file and offset, so that one which was moved, or left from before, is not valid.
-func sealRecord(b []byte, file uint64, offset int64) {
+// writeChecksum stores the checksum of an encoded record. It covers the file number and the offset, so that a record at
+// another position, or one left over from an earlier file, is not valid.
+func writeChecksum(b []byte, file uint64, offset int64) {
 	binary.LittleEndian.PutUint32(b, recordChecksum(b, file, offset))
 }
 
 func recordChecksum(b []byte, file uint64, offset int64) uint32 {
-	var where [16]byte
-	binary.LittleEndian.PutUint64(where[:], file)
-	binary.LittleEndian.PutUint64(where[8:], uint64(offset))
-	return crc32.Update(crc32.Checksum(where[:], castagnoli), castagnoli, b[4:])
+	var position [16]byte
+	binary.LittleEndian.PutUint64(position[:], file)
+	binary.LittleEndian.PutUint64(position[8:], uint64(offset))
+	return crc32.Update(crc32.Checksum(position[:], castagnoli), castagnoli, b[4:])
 }
 
-// record is one record as read. Its value points into the bytes that it was read from.
+// record is a decoded record. Its value aliases the buffer that it was decoded from.
 type record struct {
 	kind    byte
 	key     index.Key
 	expires int64
 	value   []byte
-	size    int
+	size    int // encoded length, with the header
 }
 
-// deletes tells whether the record ends the one before it under its key.
-func (r record) deletes() bool { return r.kind&^moreFollows == deleteRecord }
+// isDeletion reports whether the record deletes its key.
+func (r record) isDeletion() bool { return r.kind&^moreFollows == deleteRecord }
 
-// endsBatch tells whether the record is the last of its batch.
+// endsBatch reports whether the record is the last of its batch.
 func (r record) endsBatch() bool { return r.kind&moreFollows == 0 }
 
-// decodeRecord reads the record at an offset of a file, from the bytes that begin there; false if there is no valid one.
+// decodeRecord decodes and verifies the record at the start of b, which was read at an offset of a file. It returns
+// false if there is no valid record.
 func decodeRecord(b []byte, file uint64, offset int64) (r record, ok bool) {
 	if len(b) < recordHeaderSize {
 		return r, false
 	}
-	n := binary.LittleEndian.Uint32(b[4:])
-	if n > MaxValue || int(n) > len(b)-recordHeaderSize {
+	valueSize := binary.LittleEndian.Uint32(b[4:])
+	if valueSize > MaxValue || int(valueSize) > len(b)-recordHeaderSize {
 		return r, false
 	}
-	b = b[:recordHeaderSize+int(n)]
+	b = b[:recordHeaderSize+int(valueSize)]
 	if binary.LittleEndian.Uint32(b) != recordChecksum(b, file, offset) {
 		return r, false
 	}
@@ -169,9 +190,11 @@
 	return r, kind == putRecord || kind == deleteRecord
 }
 
-// parseRecord takes a whole, valid record apart.
+// parseRecord decodes the fields of a complete record without verifying its checksum.
 func parseRecord(b []byte) record {
-	r := record{kind: b[8], expires: int64(binary.LittleEndian.Uint64(b[25:])), value: b[recordHeaderSize:], size: len(b)}
+	r := record{
+		kind: b[8], expires: int64(binary.LittleEndian.Uint64(b[25:])), value: b[recordHeaderSize:], size: len(b),
+	}
 	copy(r.key[:], b[9:25])
 	return r
 }
@@ -179,14 +202,14 @@
 const (
 	logSuffix        = ".log"
 	snapshotSuffix   = ".snap"
-	temporarySuffix  = ".new"   // being written; not yet part of the store
-	quarantineSuffix = ".aside" // taken out of the store by a repair
+	temporarySuffix  = ".new"   // a file that is being written and not yet part of the store
+	quarantineSuffix = ".aside" // a file that a repair took out of the store
 	lockName         = "lock"
 )
 
 func fileName(id uint64, suffix string) string { return fmt.Sprintf("%016x%s", id, suffix) }
 
-// parseFileName returns the number in the name of a file.
+// parseFileName returns the file number in a name with the given suffix.
 func parseFileName(name, suffix string) (uint64, bool) {
 	text, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(text) != 16 {
@@ -196,22 +219,23 @@
 	return id, err == nil
 }
 
-// location is where a record stands.
+// location is the position of a record on disk.
 type location struct {
-	file   uint32 // number of the file; snapshotBit is set for a snapshot
+	file   uint32 // number of the log file, or snapshotID of the snapshot
 	offset uint32
 	size   uint32
 }
 
+// snapshotBit distinguishes a snapshot from the log file with the same number in location.file.
 const snapshotBit = 1 << 31
 
-// snapshotID returns the number under which the records of a snapshot are sealed and found.
+// snapshotID returns the file number that locations and record checksums use for a snapshot.
 func snapshotID(id uint64) uint32 { return uint32(id) | snapshotBit }
 
-// isLogFrom tells whether a file is the log file of a number, or a later one.
+// isLogFrom reports whether a file, as in location.file, is the log file with number id or a later one.
 func isLogFrom(file uint32, id uint64) bool { return file&snapshotBit == 0 && uint64(file) >= id }
 
-// fileNameOf returns the name of the file in a location.
+// fileNameOf returns the name of a file, as in location.file.
 func fileNameOf(file uint32) string {
 	if file&snapshotBit != 0 {
 		return fileName(uint64(file&^snapshotBit), snapshotSuffix)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -1,11 +1,11 @@
 package store
 
-// recover reads the store into the index and opens its files. It changes nothing but that it removes what is left over.
-func (s *Store) recover(keep func(Key, int64, []byte)) (Recovery, error) {
+// recover reads the store into the index, opens its files and removes leftover ones. It changes nothing else on disk.
+func (s *Store) recover(visit func(Key, int64, []byte)) (Recovery, error) {
 	survey := &surveyor{fs: s.fs}
-	err := survey.read(func(r record, at location) {
-		s.apply(r, at)
-		r.handTo(keep)
+	err := survey.read(func(r record, loc location) {
+		s.apply(r, loc)
+		r.deliverTo(visit)
 	})
 	report := &survey.report
 	recovery := Recovery{Records: s.index.Len(), Files: len(report.Files), InDoubt: report.InDoubt, Reason: report.Reason,
@@ -16,11 +16,11 @@
 	if err != nil {
 		return recovery, err
 	}
-	for _, p := range report.Files {
-		if err := s.openRecovered(p); err != nil {
+	for _, fileReport := range report.Files {
+		if err := s.openRecovered(fileReport); err != nil {
 			return recovery, err
 		}
-		recovery.Bytes += p.CountedBytes
+		recovery.Bytes += fileReport.CountedBytes
 	}
 	for _, name := range report.Leftover {
 		if err := s.fs.Remove(name); err != nil {
@@ -28,20 +28,20 @@
 		}
 		recovery.Removed = append(recovery.Removed, name)
 	}
-	s.lastFile, s.active = survey.maxID, survey.last
+	s.lastFileID, s.active = survey.maxID, survey.last
 	return recovery, nil
 }
 
-// openRecovered opens a file that holds records of the store.
-func (s *Store) openRecovered(p FileReport) error {
-	file, err := s.fs.Open(p.Name)
+// openRecovered opens a file whose records are in the index.
+func (s *Store) openRecovered(fileReport FileReport) error {
+	file, err := s.fs.Open(fileReport.Name)
 	if err != nil {
 		return err
 	}
-	id := uint32(p.ID)
-	if p.Snapshot {
-		id = snapshotID(p.ID)
+	id := uint32(fileReport.ID)
+	if fileReport.Snapshot {
+		id = snapshotID(fileReport.ID)
 	}
-	s.files[id], s.fileBytes[id] = file, p.CountedBytes
+	s.files[id], s.fileBytes[id] = file, fileReport.CountedBytes
 	return nil
 }
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -12,16 +12,17 @@
 	"liftshift/internal/vfs"
 )
 
-// RepairResult is what a repair did.
+// RepairResult describes what Repair did.
 type RepairResult struct {
 	Needed       bool     `json:"Needed"`
-	Records      int      `json:"Records"` // live ones that were saved
-	SkippedBytes int64    `json:"Skipped"` // bytes that could not be read
-	Quarantined  []string `json:"Aside"`   // files taken out of the store, under their new names
+	Records      int      `json:"Records"` // live records that were saved
+	SkippedBytes int64    `json:"Skipped"` // non-zero bytes that belong to no valid record
+	Quarantined  []string `json:"Aside"`   // new names of the files that were taken out of the store
 }
 
-// Repair makes a store that is damaged open again: whatever can be read in any file goes into a snapshot, the old files are taken
-// out of the store, and the new log says that something may be lost. A store that opens is left as it is.
+// Repair makes a damaged store usable again. It writes every record that can be read into a new snapshot, takes the old
+// files out of the store by renaming them, and marks the new log as in doubt. A store that is not damaged is left
+// unchanged.
 func Repair(fs vfs.FS, options Options) (result RepairResult, err error) {
 	lock, err := fs.Lock(lockName)
 	if err != nil {
@@ -41,14 +42,14 @@
 	result.Needed = true
 	files := survey.filesInOrder()
 	var table index.Table[[]byte]
-	for _, p := range files {
-		skipped, err := survey.salvage(p, func(r record) {
-			if r.deletes() {
+	for _, fileReport := range files {
+		skipped, err := survey.salvage(fileReport, func(r record) {
+			if r.isDeletion() {
 				table.Delete(r.key)
 				return
 			}
-			v, _ := table.Put(r.key, r.expires)
-			*v = bytes.Clone(r.value)
+			value, _ := table.Put(r.key, r.expires)
+			*value = bytes.Clone(r.value)
 		})
 		if err != nil {
 			return result, err
@@ -59,19 +60,19 @@
 	if err := writeRepaired(fs, options.withDefaults(), survey.maxID+1, &table); err != nil {
 		return result, err
 	}
-	for _, p := range files {
-		if err := fs.Rename(p.Name, p.Name+quarantineSuffix); err != nil {
+	for _, fileReport := range files {
+		if err := fs.Rename(fileReport.Name, fileReport.Name+quarantineSuffix); err != nil {
 			return result, err
 		}
-		result.Quarantined = append(result.Quarantined, p.Name+quarantineSuffix)
+		result.Quarantined = append(result.Quarantined, fileReport.Name+quarantineSuffix)
 	}
 	return result, fs.SyncDir()
 }
 
-// filesInOrder returns the files that are not empty in the order of their records: a snapshot stands before the log file of its
-// number.
+// filesInOrder returns the files that are not empty, in the order in which their records take effect. A snapshot
+// precedes the log file with the same number.
 func (s *surveyor) filesInOrder() []FileReport {
-	files := slices.DeleteFunc(slices.Clone(s.report.Files), func(p FileReport) bool { return p.Length <= 0 })
+	files := slices.DeleteFunc(slices.Clone(s.report.Files), func(file FileReport) bool { return file.Length <= 0 })
 	slices.SortStableFunc(files, func(a, b FileReport) int {
 		switch {
 		case a.ID != b.ID:
@@ -87,34 +88,35 @@
 	return files
 }
 
-// salvage hands on every valid record of a file, wherever it stands, and returns how many bytes are not of one. Bytes behind those
-// that the next file says are valid were reported as failed and are left out.
-func (s *surveyor) salvage(p FileReport, each func(record)) (skipped int64, err error) {
-	f, err := s.fs.Open(p.Name)
+// salvage passes every valid record of a file to visit, at whatever offset it is, and returns the number of non-zero
+// bytes that belong to none. It ignores bytes beyond the valid length that the next log file states, because their
+// batches were reported as failed.
+func (s *surveyor) salvage(fileReport FileReport, visit func(record)) (skipped int64, err error) {
+	file, err := s.fs.Open(fileReport.Name)
 	if err != nil {
 		return 0, err
 	}
-	defer f.Close()
-	all := make([]byte, p.Length)
-	if _, err := f.ReadAt(all, 0); err != nil && !errors.Is(err, io.EOF) {
+	defer file.Close()
+	content := make([]byte, fileReport.Length)
+	if _, err := file.ReadAt(content, 0); err != nil && !errors.Is(err, io.EOF) {
 		return 0, err
 	}
-	file, end := p.ID, p.Length
-	if p.Snapshot {
-		file = uint64(snapshotID(p.ID))
+	id, end := fileReport.ID, fileReport.Length
+	if fileReport.Snapshot {
+		id = uint64(snapshotID(fileReport.ID))
 	}
-	for _, h := range s.chain {
-		if !p.Snapshot && h.previous == p.ID {
-			end = min(end, h.previousEnd)
+	for _, header := range s.chain {
+		if !fileReport.Snapshot && header.previous == fileReport.ID {
+			end = min(end, header.previousEnd)
 		}
 	}
 	for offset := int64(headerSize); offset < end; {
-		if r, ok := decodeRecord(all[offset:end], file, offset); ok {
-			each(r)
+		if r, ok := decodeRecord(content[offset:end], id, offset); ok {
+			visit(r)
 			offset += int64(r.size)
 			continue
 		}
-		if all[offset] != 0 {
+		if content[offset] != 0 {
 			skipped++
 		}
 		offset++
@@ -122,7 +124,7 @@
 	return skipped, nil
 }
 
-// writeRepaired writes a store of a snapshot and an empty log file.
+// writeRepaired writes a store that consists of a snapshot with the records of a table and an empty log file.
 func writeRepaired(fs vfs.FS, options Options, id uint64, table *index.Table[[]byte]) error {
 	file, err := createLog(fs, fileHeader{kind: kindLog, inDoubt: true, id: id, length: options.SegmentBytes})
 	if err != nil {
@@ -135,22 +137,22 @@
 		return err
 	}
 	defer file.Close()
-	h := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
-	var out []byte
+	header := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
+	var encoded []byte
 	for place := range table.Places() {
 		key, expires, value := table.Next(place)
 		if value == nil {
 			continue
 		}
-		out = appendRecord(out[:0], putRecord, key, expires, *value)
-		sealRecord(out, uint64(snapshotID(id)), h.length)
-		if _, err := file.WriteAt(out, h.length); err != nil {
+		encoded = appendRecord(encoded[:0], putRecord, key, expires, *value)
+		writeChecksum(encoded, uint64(snapshotID(id)), header.length)
+		if _, err := file.WriteAt(encoded, header.length); err != nil {
 			return err
 		}
-		h.length += int64(len(out))
-		h.records++
+		header.length += int64(len(encoded))
+		header.records++
 	}
-	if _, err := file.WriteAt(h.encode(), 0); err != nil {
+	if _, err := file.WriteAt(header.encode(), 0); err != nil {
 		return err
 	}
 	if err := errors.Join(file.Sync(), fs.Rename(name+temporarySuffix, name)); err != nil {
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -6,31 +6,34 @@
 )
 
 const (
-	scanBytes    = 256 << 10      // read at once
-	maxScanBytes = 64 * scanBytes // past which no batch is looked for
+	scanBytes    = 256 << 10      // initial size of the read buffer
+	maxScanBytes = 64 * scanBytes // the buffer does not grow further to find the end of a batch
 )
 
-// extent is where a record stands in a buffer.
+// extent is the position of a record in a buffer.
 type extent struct{ offset, size int64 }
 
-// scanRecords hands on the valid records of a file up to an offset, batch by batch, and returns where the last whole batch ends.
-func scanRecords(f io.ReaderAt, file uint64, end int64, each func(record, location)) (valid int64, records int, err error) {
-	buf := make([]byte, min(scanBytes, max(0, end-headerSize)))
+// scanRecords passes the valid records of a file up to an offset to visit, batch by batch. It returns the offset at
+// which the last complete batch ends and the number of records before it.
+func scanRecords(
+	file io.ReaderAt, id uint64, end int64, visit func(record, location),
+) (valid int64, records int, err error) {
+	buffer := make([]byte, min(scanBytes, max(0, end-headerSize)))
 	valid = headerSize
-	for from := int64(headerSize); from < end; {
-		b := buf[:min(int64(len(buf)), end-from)]
-		if err := readFull(f, b, from); err != nil {
+	for start := int64(headerSize); start < end; {
+		data := buffer[:min(int64(len(buffer)), end-start)]
+		if err := readFull(file, data, start); err != nil {
 			return valid, records, err
 		}
-		whole, n := scanBuffer(b, file, from, each)
-		records += n
-		valid = from + whole
-		more := from+int64(len(b)) < end
+		complete, count := scanBuffer(data, id, start, visit)
+		records += count
+		valid = start + complete
+		more := start+int64(len(data)) < end
 		switch {
-		case whole > 0 && more:
-			from += whole
-		case whole == 0 && more && !allZero(b) && len(buf) < maxScanBytes:
-			buf = make([]byte, 4*len(buf)) // a batch longer than what was read, or the end
+		case complete > 0 && more:
+			start += complete
+		case complete == 0 && more && !allZero(data) && len(buffer) < maxScanBytes:
+			buffer = make([]byte, 4*len(buffer)) // the batch may be longer than the buffer
 		default:
 			return valid, records, nil
 		}
@@ -38,14 +41,14 @@
 	return valid, records, nil
 }
 
-// scanBuffer hands on the records of the whole batches in a buffer, read at an offset of a file. It returns the bytes and the number
-// of those records.
-func scanBuffer(b []byte, file uint64, from int64, each func(record, location)) (whole int64, records int) {
+// scanBuffer passes the records of the complete batches in data, which begins at an offset of a file, to visit. It
+// returns the length of these batches and the number of their records.
+func scanBuffer(data []byte, id uint64, start int64, visit func(record, location)) (complete int64, records int) {
 	var batch []extent
 	for used := int64(0); ; {
-		r, ok := decodeRecord(b[used:], file, from+used)
+		r, ok := decodeRecord(data[used:], id, start+used)
 		if !ok {
-			return whole, records
+			return complete, records
 		}
 		batch = append(batch, extent{used, int64(r.size)})
 		used += int64(r.size)
@@ -53,17 +56,17 @@
 			continue
 		}
 		for _, e := range batch {
-			each(parseRecord(b[e.offset:e.offset+e.size]), location{uint32(file), uint32(from + e.offset), uint32(e.size)})
+			visit(parseRecord(data[e.offset:e.offset+e.size]), location{uint32(id), uint32(start + e.offset), uint32(e.size)})
 		}
 		records += len(batch)
 		batch = batch[:0]
-		whole = used
+		complete = used
 	}
 }
 
-// readFull fills b from an offset of a file. A file that ends with b is no error.
-func readFull(f io.ReaderAt, b []byte, offset int64) error {
-	n, err := f.ReadAt(b, offset)
+// readFull fills b from an offset of a file. It is not an error if the file ends exactly where b does.
+func readFull(file io.ReaderAt, b []byte, offset int64) error {
+	n, err := file.ReadAt(b, offset)
 	if errors.Is(err, io.EOF) && n == len(b) {
 		return nil
 	}
@@ -79,18 +82,18 @@
 	return true
 }
 
-// onlyZeros tells whether a file has nothing but zeros between two offsets.
-func onlyZeros(f io.ReaderAt, from, to int64) (bool, error) {
-	buf := make([]byte, scanBytes)
-	for from < to {
-		b := buf[:min(int64(len(buf)), to-from)]
-		if err := readFull(f, b, from); err != nil {
+// onlyZeros reports whether all bytes of a file in [start, end) are zero.
+func onlyZeros(file io.ReaderAt, start, end int64) (bool, error) {
+	buffer := make([]byte, scanBytes)
+	for start < end {
+		data := buffer[:min(int64(len(buffer)), end-start)]
+		if err := readFull(file, data, start); err != nil {
 			return false, err
 		}
-		if !allZero(b) {
+		if !allZero(data) {
 			return false, nil
 		}
-		from += int64(len(b))
+		start += int64(len(data))
 	}
 	return true, nil
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -7,7 +7,7 @@
 	"liftshift/internal/vfs"
 )
 
-// Snapshot asks for a snapshot and waits until it is made, or could not be.
+// Snapshot requests a snapshot and waits until it is complete or has failed.
 func (s *Store) Snapshot() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -17,13 +17,13 @@
 	for s.snapshotRunning && !s.closed {
 		s.snapshotChanged.Wait()
 	}
-	before := s.snapshotsFailed()
+	failedBefore := s.snapshotsFailed()
 	s.snapshotWanted = true
 	s.wake.Signal()
 	for (s.snapshotWanted || s.snapshotRunning) && !s.closed {
 		s.snapshotChanged.Wait()
 	}
-	if s.snapshotsFailed() > before {
+	if s.snapshotsFailed() > failedBefore {
 		return errors.New("store: the snapshot could not be made")
 	}
 	return nil
@@ -35,7 +35,8 @@
 	return s.stats.SnapshotsFailed
 }
 
-// snapshotDue tells whether the files have outgrown the live records.
+// snapshotDue reports whether the files are so much larger than the live records that a snapshot pays off, and none is
+// running.
 func (s *Store) snapshotDue() bool {
 	s.mu.Lock()
 	blocked := s.snapshotRunning || s.closed
@@ -45,8 +46,9 @@
 	return !blocked && float64(s.diskBytes()) > s.options.SnapshotRatio*float64(s.liveBytes)+snapshotSlackBytes
 }
 
-// startSnapshot begins a new log file and copies, in a goroutine, all live records of the files before it to a snapshot, which then
-// replaces those files. Whatever fails, they stay, and the next commit that finds a snapshot due tries again.
+// startSnapshot creates a new log file and starts a goroutine that copies all live records of the older files to a
+// snapshot, which then replaces these files. If any step fails, the older files stay, and a later commit retries when a
+// snapshot is due.
 func (s *Store) startSnapshot() {
 	err := s.rotate()
 	s.mu.Lock()
@@ -78,7 +80,7 @@
 	}
 }
 
-// writeSnapshot makes the snapshot of all records before a log file, and lets it replace their files.
+// writeSnapshot writes a snapshot of all records in files older than log file id, and replaces these files by it.
 func (s *Store) writeSnapshot(id uint64) error {
 	name := fileName(id, snapshotSuffix)
 	_ = s.fs.Remove(name + temporarySuffix)
@@ -86,9 +88,9 @@
 	if err != nil {
 		return err
 	}
-	h, err := s.copyLive(file, id)
+	header, err := s.copyLive(file, id)
 	if err == nil {
-		_, err = file.WriteAt(h.encode(), 0)
+		_, err = file.WriteAt(header.encode(), 0)
 	}
 	if err == nil {
 		err = publish(s.fs, file, name)
@@ -98,108 +100,110 @@
 		_ = s.fs.Remove(name + temporarySuffix)
 		return err
 	}
-	return s.adoptSnapshot(file, h)
+	return s.installSnapshot(file, header)
 }
 
-// copyLive writes the live records to a snapshot, a few at a time, and returns its header.
+// copyLive writes the live records to a snapshot and returns its header. It copies a limited number of entries at a
+// time, so that commits get the lock in between.
 func (s *Store) copyLive(file vfs.File, id uint64) (fileHeader, error) {
-	h := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
-	var out []byte
+	header := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
+	var encoded []byte
 	for place := uint32(0); ; place += entriesPerCopy {
 		var err error
-		if out, err = s.copyEntries(out[:0], &h, place); err != nil {
-			return h, err
+		if encoded, err = s.copyEntries(encoded[:0], &header, place); err != nil {
+			return header, err
 		}
-		if len(out) > 0 {
-			if h.length+int64(len(out)) > 1<<32-1 {
-				return h, errors.New("a snapshot of over 4 GiB")
+		if len(encoded) > 0 {
+			if header.length+int64(len(encoded)) > 1<<32-1 { // offsets in a location have 32 bits
+				return header, errors.New("the snapshot exceeds 4 GiB")
 			}
-			if _, err := file.WriteAt(out, h.length); err != nil {
-				return h, err
+			if _, err := file.WriteAt(encoded, header.length); err != nil {
+				return header, err
 			}
-			h.length += int64(len(out))
+			header.length += int64(len(encoded))
 		}
 		s.stateMu.RLock()
 		done := place+entriesPerCopy >= s.index.Places()
 		s.stateMu.RUnlock()
 		if done {
-			return h, nil
+			return header, nil
 		}
 	}
 }
 
-// copyEntries appends the records of some places of the index, sealed for the end of the snapshot, and counts them in its header.
-func (s *Store) copyEntries(out []byte, h *fileHeader, first uint32) ([]byte, error) {
-	id := snapshotID(h.id)
+// copyEntries appends the encoded records of entriesPerCopy places of the index, beginning with first, to out. The
+// checksums are those for appending out to the snapshot. The header counts the records.
+func (s *Store) copyEntries(out []byte, header *fileHeader, first uint32) ([]byte, error) {
+	id := snapshotID(header.id)
 	s.stateMu.RLock()
 	defer s.stateMu.RUnlock()
 	for place := first; place < min(first+entriesPerCopy, s.index.Places()); place++ {
-		key, expires, at := s.index.Next(place)
-		if at == nil || isLogFrom(at.file, h.id) {
+		key, expires, loc := s.index.Next(place)
+		if loc == nil || isLogFrom(loc.file, header.id) {
 			continue
 		}
-		r, err := s.read(*at)
+		r, err := s.read(*loc)
 		if err != nil {
-			return out, err // the only copy may be the unreadable one, so nothing is replaced by this snapshot
+			return out, err // a snapshot without this record must not replace the file that may have its only copy
 		}
 		start := len(out)
 		out = appendRecord(out, putRecord, key, expires, r.value)
-		sealRecord(out[start:], uint64(id), h.length+int64(start))
-		h.records++
+		writeChecksum(out[start:], uint64(id), header.length+int64(start))
+		header.records++
 	}
 	return out, nil
 }
 
-// adoptSnapshot lets records be found in the snapshot, then removes the files that it replaces.
-func (s *Store) adoptSnapshot(file vfs.File, h fileHeader) error {
-	id := snapshotID(h.id)
+// installSnapshot points the index to the records in the snapshot and removes the files that the snapshot replaces.
+func (s *Store) installSnapshot(file vfs.File, header fileHeader) error {
+	id := snapshotID(header.id)
 	s.stateMu.Lock()
-	s.files[id], s.fileBytes[id] = file, h.length
+	s.files[id], s.fileBytes[id] = file, header.length
 	s.stateMu.Unlock()
-	buf := make([]byte, 0, 64<<10)
-	for offset := int64(headerSize); offset < h.length; {
-		n := min(int64(cap(buf)), h.length-offset)
-		buf = buf[:n]
-		if _, err := file.ReadAt(buf, offset); err != nil {
+	buffer := make([]byte, 0, 64<<10)
+	for offset := int64(headerSize); offset < header.length; {
+		size := min(int64(cap(buffer)), header.length-offset)
+		buffer = buffer[:size]
+		if _, err := file.ReadAt(buffer, offset); err != nil {
 			return err
 		}
-		used := s.relocate(buf, h.id, offset)
+		used := s.relocate(buffer, header.id, offset)
 		offset += used
 		switch {
 		case used > 0:
-		case n < h.length-offset: // a record longer than what was read
-			buf = make([]byte, 0, 4*cap(buf))
+		case size < header.length-offset: // the record may be longer than the buffer
+			buffer = make([]byte, 0, 4*cap(buffer))
 		default:
-			return fmt.Errorf("%w: snapshot %x at %d", ErrDamaged, h.id, offset)
+			return fmt.Errorf("%w: no valid record at offset %d of snapshot %x", ErrDamaged, offset, header.id)
 		}
 	}
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
-	for other, f := range s.files {
-		if other != id && !isLogFrom(other, h.id) {
-			_ = f.Close()
+	for other, otherFile := range s.files {
+		if other != id && !isLogFrom(other, header.id) {
+			_ = otherFile.Close()
 			delete(s.files, other)
 			delete(s.fileBytes, other)
-			_ = s.fs.Remove(fileNameOf(other)) // what stays is removed at the next opening
+			_ = s.fs.Remove(fileNameOf(other)) // if this fails, the next Open removes the file
 		}
 	}
 	return s.fs.SyncDir()
 }
 
-// relocate points the index to the records of a snapshot, from bytes that begin at an offset, and returns how many bytes they
-// have. Records that were written again since are left alone.
-func (s *Store) relocate(b []byte, snapshot uint64, offset int64) (used int64) {
+// relocate points the index to the records in data, which begins at an offset of a snapshot, and returns the total
+// length of the complete records. It skips keys that have a newer record in the log or were deleted since.
+func (s *Store) relocate(data []byte, snapshot uint64, offset int64) (used int64) {
 	id := snapshotID(snapshot)
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
 	for {
-		r, ok := decodeRecord(b[used:], uint64(id), offset+used)
+		r, ok := decodeRecord(data[used:], uint64(id), offset+used)
 		if !ok {
 			return used
 		}
-		if at := s.index.Get(r.key); at != nil && !isLogFrom(at.file, snapshot) {
-			s.liveBytes += int64(r.size) - int64(at.size)
-			*at = location{id, uint32(offset + used), uint32(r.size)}
+		if loc := s.index.Get(r.key); loc != nil && !isLogFrom(loc.file, snapshot) {
+			s.liveBytes += int64(r.size) - int64(loc.size)
+			*loc = location{id, uint32(offset + used), uint32(r.size)}
 		}
 		used += int64(r.size)
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,77 +22,79 @@
 
 var smallOptions = Options{SegmentBytes: 700, FlushDelay: time.Hour}
 
-// TestStore_DurableBatchesSurviveACrashAtAnyCall crashes the machine at every call in turn, where what was not synced is lost wholly, in part,
-// or not at all, and then again at every call of the recovery. What was reported as durable is there, and nothing that never was.
+// TestStore_DurableBatchesSurviveACrashAtAnyCall crashes the machine at every file system call, with all, part or none
+// of the unsynced data lost, and again at every call of the recovery. No durable batch may be lost and no batch may
+// appear in part.
 func TestStore_DurableBatchesSurviveACrashAtAnyCall(t *testing.T) {
 	const steps = 30
-	whole := vfs.NewMemory()
-	s, _, _ := requireOpen(t, whole, smallOptions)
-	workload(s, steps)
+	uncrashed := vfs.NewMemory()
+	s, _, _ := requireOpen(t, uncrashed, smallOptions)
+	runWorkload(s, steps)
 	require.NoError(t, s.Close())
-	calls := whole.Ops()
+	calls := uncrashed.Ops()
 	require.Greater(t, calls, 100)
-	for at := 1; at <= calls; at++ {
+	for crashCall := 1; crashCall <= calls; crashCall++ {
 		for _, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LosePart, vfs.LoseNothing} {
-			what := fmt.Sprintf("crash at call %d, loss %d", at, loss)
+			description := fmt.Sprintf("crash at call %d, loss %d", crashCall, loss)
 			disk := vfs.NewMemory()
-			disk.CrashAt = at
-			reported, tried := map[Key]string{}, map[Key]string{}
+			disk.CrashAt = crashCall
+			durable, attempted := map[Key]string{}, map[Key]string{}
 			if s, _, _, err := openContents(disk, smallOptions); err == nil {
-				reported, tried = workload(s, steps)
+				durable, attempted = runWorkload(s, steps)
 				_ = s.Close()
 			}
-			after := disk.Crash(loss, uint64(at))
-			again := after.Clone()
-			s, _, contents := requireOpen(t, after, smallOptions)
-			require.True(t, maps.Equal(contents, reported) || maps.Equal(contents, tried), what)
-			recovery := after.Ops()
+			crashed := disk.Crash(loss, uint64(crashCall))
+			crashedCopy := crashed.Clone()
+			s, _, contents := requireOpen(t, crashed, smallOptions)
+			require.True(t, maps.Equal(contents, durable) || maps.Equal(contents, attempted), description)
+			recoveryCalls := crashed.Ops()
 			require.NoError(t, s.Close())
-			for second := 1; second <= recovery; second++ {
-				disk := again.Clone()
-				disk.CrashAt = second
+			for secondCall := 1; secondCall <= recoveryCalls; secondCall++ {
+				disk := crashedCopy.Clone()
+				disk.CrashAt = secondCall
 				if s, _, _, err := openContents(disk, smallOptions); err == nil {
 					_ = s.Close()
 				}
-				s, _, twice := requireOpen(t, disk.Crash(loss, uint64(second)), smallOptions)
-				require.True(t, maps.Equal(contents, twice), "%s, and again at call %d", what, second)
+				s, _, recoveredTwice := requireOpen(t, disk.Crash(loss, uint64(secondCall)), smallOptions)
+				require.True(t, maps.Equal(contents, recoveredTwice), "%s, then crash of the recovery at call %d",
+					description, secondCall)
 				require.NoError(t, s.Close())
 			}
 		}
 	}
 }
 
-// storedWorkload returns the files of a store after a workload, with what was reported as durable.
+// storedWorkload returns the files of a closed store after a workload, and its contents.
 func storedWorkload(t *testing.T) (*vfs.MemoryFS, map[Key]string) {
 	disk := vfs.NewMemory()
 	s, _, _ := requireOpen(t, disk, smallOptions)
-	reported, _ := workload(s, 30)
+	durable, _ := runWorkload(s, 30)
 	require.NoError(t, s.Close())
-	return disk, reported
+	return disk, durable
 }
 
-// TestStore_DetectsEveryCutAndFlippedByte cuts every file at every byte, and flips each byte in turn. The store opens whole, or says that its
-// tail is in doubt, or refuses until it was repaired, and then opens in doubt. It never loses anything in silence.
+// TestStore_DetectsEveryCutAndFlippedByte truncates every file at every byte and flips every byte. The store must open
+// with all records, open in doubt, or refuse to open until Repair was called and then open in doubt.
 func TestStore_DetectsEveryCutAndFlippedByte(t *testing.T) {
-	disk, reported := storedWorkload(t)
+	disk, durable := storedWorkload(t)
 	names, _ := disk.List()
-	try := func(name string, bytes []byte, what string) {
+	requireDetected := func(name string, bytes []byte, description string) {
 		damaged := disk.Clone()
 		damaged.Set(name, bytes)
 		s, recovery, contents, err := openContents(damaged, smallOptions)
 		if err != nil {
-			require.ErrorIs(t, err, ErrDamaged, what)
-			done, err := Repair(damaged, smallOptions)
-			require.NoError(t, err, what)
-			require.True(t, done.Needed, what)
+			require.ErrorIs(t, err, ErrDamaged, description)
+			result, err := Repair(damaged, smallOptions)
+			require.NoError(t, err, description)
+			require.True(t, result.Needed, description)
 			s, recovery, contents = requireOpen(t, damaged, smallOptions)
-			require.True(t, recovery.InDoubt, what)
+			require.True(t, recovery.InDoubt, description)
 		}
 		require.NoError(t, s.Close())
-		require.True(t, recovery.InDoubt || maps.Equal(contents, reported), what)
-		if recovery.InDoubt { // and nothing is there that never was
+		require.True(t, recovery.InDoubt || maps.Equal(contents, durable), description)
+		if recovery.InDoubt { // each record has its last value or an earlier one, or was deleted later
 			for k, v := range contents {
-				require.True(t, reported[k] == v || strings.HasPrefix(v, "again") || reported[k] == "", what)
+				require.True(t, durable[k] == v || strings.HasPrefix(v, "again") || durable[k] == "", description)
 			}
 		}
 	}
@@ -103,18 +105,18 @@
 			continue
 		}
 		files++
-		for at := range bytes {
-			try(name, bytes[:at], fmt.Sprintf("%s cut at %d", name, at))
+		for offset := range bytes {
+			requireDetected(name, bytes[:offset], fmt.Sprintf("%s truncated at %d", name, offset))
 			flipped := slices.Clone(bytes)
-			flipped[at] ^= 0x41
-			try(name, flipped, fmt.Sprintf("%s flipped at %d", name, at))
+			flipped[offset] ^= 0x41
+			requireDetected(name, flipped, fmt.Sprintf("%s with byte %d flipped", name, offset))
 		}
 	}
-	assert.GreaterOrEqual(t, files, 2, "a snapshot and a log file")
+	assert.GreaterOrEqual(t, files, 2, "the workload must leave a snapshot and a log file")
 }
 
-// TestStore_FailedWritesNeverBecomeDurable: a failed sync, a full disk or a short write fails the batch, which no later sync makes durable, and
-// the next batch goes to a new file.
+// TestStore_FailedWritesNeverBecomeDurable guards against batches that were reported as failed and are durable after
+// all, and against a store that does not recover once the disk does.
 func TestStore_FailedWritesNeverBecomeDurable(t *testing.T) {
 	for _, call := range []string{"sync", "write", "allocate", "create", "rename", "syncdir"} {
 		t.Run(call, func(t *testing.T) {
@@ -129,7 +131,7 @@
 				return nil
 			}
 			var failed []int
-			for n := 2; n < 40; n++ { // enough to fill a file, so that a new one is needed
+			for n := 2; n < 40; n++ { // enough to fill a log file, so that a new one is created
 				if err := writeOne(s, n, fmt.Sprint(n)); err != nil {
 					assert.ErrorIs(t, err, syscall.ENOSPC, call)
 					failed = append(failed, n)
@@ -150,16 +152,16 @@
 	}
 }
 
-// TestStore_SnapshotFailsOnAnUnreadableRecord: a record that can't be read any more stops the snapshot. The old files stay, and nothing else
-// suffers.
+// TestStore_SnapshotFailsOnAnUnreadableRecord guards against a snapshot that drops a damaged record and then removes
+// the old files. The other records stay usable.
 func TestStore_SnapshotFailsOnAnUnreadableRecord(t *testing.T) {
 	disk := vfs.NewMemory()
 	s, _, _ := requireOpen(t, disk, Options{SegmentBytes: 4096})
 	require.NoError(t, writeOne(s, 1, "one"))
 	require.NoError(t, writeOne(s, 2, "two"))
-	f, err := disk.Open(fileName(1, logSuffix))
+	file, err := disk.Open(fileName(1, logSuffix))
 	require.NoError(t, err)
-	_, err = f.WriteAt([]byte{0xff}, headerSize+recordHeaderSize) // the first byte of "one"
+	_, err = file.WriteAt([]byte{0xff}, headerSize+recordHeaderSize) // the first byte of "one"
 	require.NoError(t, err)
 	_, err = s.Get(testKey(1))
 	assert.ErrorIs(t, err, ErrDamaged)
@@ -172,10 +174,11 @@
 	assert.NotNil(t, disk.Bytes(fileName(1, logSuffix)))
 	require.NoError(t, s.Close())
 	_, _, _, err = openContents(disk, smallOptions)
-	assert.ErrorIs(t, err, ErrDamaged, "what counts can't be read: not opened in silence")
+	assert.ErrorIs(t, err, ErrDamaged, "a store with a damaged record must not open")
 }
 
-// TestStore_RefusesFoldersInUseOrOfANewerVersion: a folder has one owner, and neither Open nor Repair touches a newer format.
+// TestStore_RefusesFoldersInUseOrOfANewerVersion checks that a directory has one owner, that Survey works beside it,
+// and that neither Open nor Repair accepts a newer format.
 func TestStore_RefusesFoldersInUseOrOfANewerVersion(t *testing.T) {
 	path := t.TempDir()
 	dir, err := vfs.OpenDir(filepath.Join(path, "new"), true)
@@ -187,7 +190,7 @@
 	_, err = Repair(dir, smallOptions)
 	assert.ErrorIs(t, err, ErrInUse)
 	report, err := Survey(dir, nil)
-	assert.NoError(t, err, "looking is allowed")
+	assert.NoError(t, err, "Survey needs no lock")
 	assert.Empty(t, report.Damage)
 	require.NoError(t, writeOne(s, 1, "one"))
 	require.NoError(t, s.Close())
@@ -195,67 +198,70 @@
 	name := filepath.Join(path, "new", fileName(1, logSuffix))
 	bytes, err := os.ReadFile(name)
 	require.NoError(t, err)
-	h := fileHeader{kind: kindLog, id: 1, length: smallOptions.SegmentBytes}.encode()
-	h[8] = Version + 1
-	copy(bytes, withChecksum(h))
+	header := fileHeader{kind: kindLog, id: 1, length: smallOptions.SegmentBytes}.encode()
+	header[8] = Version + 1
+	copy(bytes, withChecksum(header))
 	require.NoError(t, os.WriteFile(name, bytes, 0o600))
 	_, _, err = Open(dir, smallOptions, nil)
 	assert.ErrorIs(t, err, ErrNewer)
 	_, err = Repair(dir, smallOptions)
-	assert.ErrorIs(t, err, ErrNewer, "repair does not throw away what it can't read")
+	assert.ErrorIs(t, err, ErrNewer, "Repair must not discard a format that it does not know")
 }
 
-// TestStore_CommitsInGroupsWhileSnapshotsRun: writers by the dozen share syncs, snapshots run beside them, and a key has its last value.
+// TestStore_CommitsInGroupsWhileSnapshotsRun checks that concurrent writers share syncs and that snapshots beside them
+// lose no write.
 func TestStore_CommitsInGroupsWhileSnapshotsRun(t *testing.T) {
 	dir, err := vfs.OpenDir(t.TempDir(), true)
 	require.NoError(t, err)
 	s, _, _ := requireOpen(t, dir, Options{SegmentBytes: 16 << 10})
-	var all sync.WaitGroup
-	for w := range 32 {
-		all.Add(1)
+	var writers sync.WaitGroup
+	for writer := range 32 {
+		writers.Add(1)
 		go func() {
-			defer all.Done()
+			defer writers.Done()
 			for n := range 60 {
-				assert.NoError(t, writeOne(s, w, fmt.Sprintf("%d of %d", n, w)))
+				assert.NoError(t, writeOne(s, writer, fmt.Sprintf("%d of %d", n, writer)))
 			}
 		}()
 	}
 	for range 5 {
 		assert.NoError(t, s.Snapshot())
 	}
-	all.Wait()
-	f := s.Stats()
-	assert.Equal(t, 32, f.Live)
-	assert.Less(t, f.Syncs, f.Batches)
-	assert.GreaterOrEqual(t, f.Snapshots, uint64(5))
+	writers.Wait()
+	stats := s.Stats()
+	assert.Equal(t, 32, stats.Live)
+	assert.Less(t, stats.Syncs, stats.Batches)
+	assert.GreaterOrEqual(t, stats.Snapshots, uint64(5))
 	require.NoError(t, s.Close())
 	s, recovery, contents := requireOpen(t, dir, Options{})
 	assert.False(t, recovery.InDoubt, recovery.Reason)
-	for w := range 32 {
-		assert.Equal(t, fmt.Sprintf("59 of %d", w), contents[testKey(w)])
+	for writer := range 32 {
+		assert.Equal(t, fmt.Sprintf("59 of %d", writer), contents[testKey(writer)])
 	}
 	require.NoError(t, s.Close())
 }
 
-// TestStore_BoundsItsQueueAndFlushesInTime: the queue takes no more than MaxWaiting, and a batch without a notifier is written within FlushDelay.
+// TestStore_BoundsItsQueueAndFlushesInTime checks that the queue takes no more than MaxQueuedBytes, that a batch
+// without a notifier is written without further calls, and that a value over MaxValue is refused.
 func TestStore_BoundsItsQueueAndFlushesInTime(t *testing.T) {
 	disk := vfs.NewMemory()
-	s, _, _ := requireOpen(t, disk, Options{MaxWaiting: 300, FlushDelay: 20 * time.Millisecond})
+	s, _, _ := requireOpen(t, disk, Options{MaxQueuedBytes: 300, FlushDelay: 20 * time.Millisecond})
 	b := &Batch{}
 	b.Put(testKey(1), 0, []byte("x"))
-	n := 0
-	for ; s.Append(0, b, nil, 0) == nil; n++ {
-		require.Less(t, n, 20)
+	queued := 0
+	for ; s.Append(0, b, nil, 0) == nil; queued++ {
+		require.Less(t, queued, 20)
 	}
 	assert.ErrorIs(t, s.Append(0, b, nil, 0), ErrFull)
-	assert.Eventually(t, func() bool { return s.Stats().Batches == uint64(n) }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return s.Stats().Batches == uint64(queued) }, 5*time.Second, time.Millisecond)
 	b.Reset()
 	b.Put(testKey(1), 0, make([]byte, MaxValue+1))
 	assert.ErrorIs(t, s.Append(0, b, nil, 0), ErrTooLong)
 	require.NoError(t, s.Close())
 }
 
-// TestStore_ExpiredRecordsLeaveTheDisk: churn of records that expire leaves no more on disk than the bound says.
+// TestStore_ExpiredRecordsLeaveTheDisk checks that snapshots keep the files near the size of the live records while all
+// records expire after a while.
 func TestStore_ExpiredRecordsLeaveTheDisk(t *testing.T) {
 	disk := vfs.NewMemory()
 	s, _, _ := requireOpen(t, disk, Options{SegmentBytes: 64 << 10, SnapshotRatio: 1.5})
@@ -268,19 +274,20 @@
 		require.NoError(t, s.Write(now, b))
 	}
 	require.NoError(t, s.Snapshot())
-	f := s.Stats()
-	assert.InDelta(t, 2000, f.Live, 30)
-	assert.Greater(t, f.Snapshots, uint64(3))
-	assert.Less(t, float64(f.DiskBytes), 1.1*float64(f.LiveBytes))
+	stats := s.Stats()
+	assert.InDelta(t, 2000, stats.Live, 30)
+	assert.Greater(t, stats.Snapshots, uint64(3))
+	assert.Less(t, float64(stats.DiskBytes), 1.1*float64(stats.LiveBytes))
 	require.NoError(t, s.Close())
 }
 
-// TestStore_MatchesAMap: any sequence of writes, deletions, snapshots, reopenings and crashes leaves what a plain map holds.
+// TestStore_MatchesAMap compares the store with a map under random writes, deletions, snapshots, reopenings and
+// crashes.
 func TestStore_MatchesAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := vfs.NewMemory()
 		s, _, _ := requireOpen(t, disk, smallOptions)
-		plain := map[Key]string{}
+		model := map[Key]string{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
@@ -291,46 +298,47 @@
 				} else {
 					require.NoError(t, s.Close())
 				}
-				old := s
+				previous := s
 				var contents map[Key]string
 				s, _, contents = requireOpen(t, disk, smallOptions)
-				require.Equal(t, plain, contents)
-				_ = old.Close()
+				require.Equal(t, model, contents)
+				_ = previous.Close()
 			case 3:
 				k := testKey(rapid.IntRange(0, 9).Draw(t, "key"))
 				b := &Batch{}
 				b.Delete(k)
 				require.NoError(t, s.Write(0, b))
-				delete(plain, k)
+				delete(model, k)
 			default:
 				b := &Batch{}
 				for range rapid.IntRange(1, 4).Draw(t, "batch") {
 					k := rapid.IntRange(0, 9).Draw(t, "key")
 					text := rapid.StringN(0, 40, 80).Draw(t, "value")
 					b.Put(testKey(k), 0, []byte(text))
-					plain[testKey(k)] = text
+					model[testKey(k)] = text
 				}
 				require.NoError(t, s.Write(0, b))
 			}
 			k := testKey(rapid.IntRange(0, 9).Draw(t, "ask"))
 			v, err := s.Get(k)
 			require.NoError(t, err)
-			require.Equal(t, plain[k], string(v))
+			require.Equal(t, model[k], string(v))
 		}
 		require.NoError(t, s.Close())
 	})
 }
 
-// TestRepair_LeavesASoundStoreAlone: a store that opens is not changed, and another error is no damage.
-func TestRepair_LeavesASoundStoreAlone(t *testing.T) {
-	disk, reported := storedWorkload(t)
-	done, err := Repair(disk, smallOptions)
+// TestRepair_LeavesAnUndamagedStoreUnchanged also checks that Open returns an error of the file system that is not
+// transient.
+func TestRepair_LeavesAnUndamagedStoreUnchanged(t *testing.T) {
+	disk, durable := storedWorkload(t)
+	result, err := Repair(disk, smallOptions)
 	assert.NoError(t, err)
-	assert.False(t, done.Needed)
+	assert.False(t, result.Needed)
 	_, _, contents := requireOpen(t, disk, smallOptions)
-	assert.Equal(t, reported, contents)
-	other := vfs.NewMemory()
-	other.Fail = func(op vfs.Op) error { return errors.New("no") }
-	_, _, _, err = openContents(other, smallOptions)
+	assert.Equal(t, durable, contents)
+	failing := vfs.NewMemory()
+	failing.Fail = func(op vfs.Op) error { return errors.New("no") }
+	_, _, _, err = openContents(failing, smallOptions)
 	assert.ErrorContains(t, err, "no")
 }
--- a/internal/store/survey.go
+++ b/internal/store/survey.go
@@ -9,61 +9,64 @@
 	"liftshift/internal/vfs"
 )
 
-// FileReport is one file of a store, as read.
+// FileReport describes the state of one file of a store.
 type FileReport struct {
-	Name         string `json:"Name"`
-	Snapshot     bool   `json:"Snapshot"`
-	ID           uint64 `json:"ID"`
-	Length       int64  `json:"Length"`     // of the file
-	ValidBytes   int64  `json:"ValidBytes"` // bytes that can be read
-	CountedBytes int64  `json:"Counts"`     // bytes that count: the file after it says so, or all that are valid in the last
+	Name       string `json:"Name"`
+	Snapshot   bool   `json:"Snapshot"`
+	ID         uint64 `json:"ID"`
+	Length     int64  `json:"Length"`     // of the file
+	ValidBytes int64  `json:"ValidBytes"` // length of the header and the complete, valid batches after it
+	// CountedBytes is the valid length that the header of a snapshot or the next log file states. For the last log file it
+	// equals ValidBytes.
+	CountedBytes int64  `json:"Counts"`
 	Records      int    `json:"Records"`
-	InDoubt      bool   `json:"InDoubt"` // begun after a tail that was not as it was left
-	Problem      string `json:"Problem"` // empty: none
+	InDoubt      bool   `json:"InDoubt"` // the file was created after a tail in doubt
+	Problem      string `json:"Problem"` // empty if there is none
 }
 
-// Report is what a survey of a folder found.
+// Report describes the state of a store on disk.
 type Report struct {
 	Files    []FileReport `json:"Files"`
-	Leftover []string     `json:"Leftover"` // names that are no part of the store: of an earlier state, or half made
-	Snapshot uint64       `json:"Snapshot"`
-	InDoubt  bool         `json:"InDoubt"`
-	Reason   string       `json:"Reason"`
-	Damage   string       `json:"Damage"` // why it does not open; empty: it does
+	Leftover []string     `json:"Leftover"` // files outside the store: replaced by a snapshot, or not finished
+	Snapshot uint64       `json:"Snapshot"` // number of the snapshot, 0 if there is none
+	InDoubt  bool         `json:"InDoubt"`  // the last batches may be missing
+	Reason   string       `json:"Reason"`   // why InDoubt is set
+	Damage   string       `json:"Damage"`   // why the store does not open; empty if it does
 }
 
-// surveyor reads a folder and changes nothing.
+// surveyor reads the files of a store and changes nothing.
 type surveyor struct {
 	fs     vfs.FS
 	report Report
-	chain  []fileHeader // of the log files, oldest first
-	last   segment
-	maxID  uint64 // highest number of any file
-	damage error  // why the store does not open
+	chain  []fileHeader // of the log files in use, oldest first
+	last   segment      // the newest log file
+	maxID  uint64       // highest number of any file
+	damage error        // why the store does not open
 }
 
-// Survey reads the store in a folder, also while another process uses it, and hands each record to keep in the order of writing,
-// with a nil value where one was deleted. An error means that the folder could not be read at all.
-func Survey(fs vfs.FS, keep func(key Key, expires int64, value []byte)) (Report, error) {
+// Survey reads the store in a directory, also while another process uses it. It passes each record to visit (expires in
+// ms) in the order of writing, with a nil value for a deletion; visit may be nil. An error means that the directory
+// could not be read; damage to the store is part of the report.
+func Survey(fs vfs.FS, visit func(key Key, expires int64, value []byte)) (Report, error) {
 	s := &surveyor{fs: fs}
-	err := s.read(func(r record, _ location) { r.handTo(keep) })
+	err := s.read(func(r record, _ location) { r.deliverTo(visit) })
 	return s.report, err
 }
 
-// handTo hands a record to a function that may be nil.
-func (r record) handTo(keep func(key Key, expires int64, value []byte)) {
+// deliverTo passes the record to visit, which may be nil. The value is nil for a deletion.
+func (r record) deliverTo(visit func(key Key, expires int64, value []byte)) {
 	switch {
-	case keep == nil:
-	case r.deletes():
-		keep(r.key, 0, nil)
+	case visit == nil:
+	case r.isDeletion():
+		visit(r.key, 0, nil)
 	default:
-		keep(r.key, r.expires, r.value)
+		visit(r.key, r.expires, r.value)
 	}
 }
 
-// read goes through the folder: the newest snapshot, then the log files from it on, each as far as the next one says that it is
-// valid, the last as far as its records are.
-func (s *surveyor) read(each func(record, location)) error {
+// read reads the newest snapshot and the log files from its number on. Each log file is read up to the valid length
+// that the next one states, and the last one up to the end of its valid batches.
+func (s *surveyor) read(visit func(record, location)) error {
 	logs, snapshots, err := s.list()
 	if err != nil {
 		return err
@@ -71,7 +74,7 @@
 	s.maxID = max(lastID(logs), lastID(snapshots))
 	if len(snapshots) > 0 {
 		logs = s.dropReplaced(logs, snapshots)
-		if err := s.readSnapshot(s.report.Snapshot, each); err != nil {
+		if err := s.readSnapshot(s.report.Snapshot, visit); err != nil {
 			return err
 		}
 	}
@@ -82,15 +85,16 @@
 	if err := s.followChain(logs, headers); err != nil {
 		return err
 	}
-	for i, h := range s.chain {
-		if err := s.readLog(h, i, each); err != nil {
+	for i, header := range s.chain {
+		if err := s.readLog(header, i, visit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// list returns the numbers of the log files and of the snapshots, in order.
+// list returns the numbers of the log files and of the snapshots in ascending order, and reports all other files as
+// leftover.
 func (s *surveyor) list() (logs, snapshots []uint64, err error) {
 	names, err := s.fs.List()
 	if err != nil {
@@ -110,7 +114,8 @@
 	return logs, snapshots, nil
 }
 
-// dropReplaced leaves out the snapshots before the last one and the log files that it replaces, and returns the other log files.
+// dropReplaced reports the snapshots before the last one and the log files that it replaces as leftover. It returns the
+// other log files.
 func (s *surveyor) dropReplaced(logs, snapshots []uint64) []uint64 {
 	older := snapshots[:len(snapshots)-1]
 	s.report.Snapshot = lastID(snapshots)
@@ -125,6 +130,7 @@
 	})
 }
 
+// lastID returns the highest of the sorted numbers, or 0 if there is none.
 func lastID(ids []uint64) uint64 {
 	if len(ids) == 0 {
 		return 0
@@ -132,88 +138,90 @@
 	return ids[len(ids)-1]
 }
 
-// setDamage notes what is wrong with a file so that the store does not open.
-func (s *surveyor) setDamage(p *FileReport, err error) {
-	p.Problem = err.Error()
+// setDamage records a problem with a file that keeps the store from opening.
+func (s *surveyor) setDamage(fileReport *FileReport, err error) {
+	fileReport.Problem = err.Error()
 	if s.report.Damage == "" {
-		s.report.Damage = p.Name + ": " + err.Error()
-		s.damage = fmt.Errorf("%s: %w", p.Name, err)
+		s.report.Damage = fileReport.Name + ": " + err.Error()
+		s.damage = fmt.Errorf("%s: %w", fileReport.Name, err)
 	}
 }
 
-// setInDoubt notes why the tail of the log is not as it was left.
-func (s *surveyor) setInDoubt(p *FileReport, reason string) {
-	s.report.InDoubt, s.report.Reason = true, p.Name+": "+reason
-	p.Problem = reason
+// setInDoubt records why the last batches of the log may be missing.
+func (s *surveyor) setInDoubt(fileReport *FileReport, reason string) {
+	s.report.InDoubt, s.report.Reason = true, fileReport.Name+": "+reason
+	fileReport.Problem = reason
 }
 
-// openFile opens a file and reads its header. The file is nil where the header is not valid.
-func (s *surveyor) openFile(p *FileReport, kind byte) (vfs.File, fileHeader, error) {
-	f, err := s.fs.Open(p.Name)
+// openFile opens a file and reads its header. If the header is not valid, it records the damage and returns a nil file.
+func (s *surveyor) openFile(fileReport *FileReport, kind byte) (vfs.File, fileHeader, error) {
+	file, err := s.fs.Open(fileReport.Name)
 	if err != nil {
 		return nil, fileHeader{}, err
 	}
-	if p.Length, err = f.Size(); err != nil {
-		return nil, fileHeader{}, errors.Join(err, f.Close())
+	if fileReport.Length, err = file.Size(); err != nil {
+		return nil, fileHeader{}, errors.Join(err, file.Close())
 	}
-	b := make([]byte, min(headerSize, p.Length))
-	if _, err = f.ReadAt(b, 0); err != nil && !errors.Is(err, io.EOF) {
-		return nil, fileHeader{}, errors.Join(err, f.Close())
+	encoded := make([]byte, min(headerSize, fileReport.Length))
+	if _, err = file.ReadAt(encoded, 0); err != nil && !errors.Is(err, io.EOF) {
+		return nil, fileHeader{}, errors.Join(err, file.Close())
 	}
-	h, err := decodeHeader(b, kind, p.ID)
+	header, err := decodeHeader(encoded, kind, fileReport.ID)
 	if err != nil {
-		s.setDamage(p, err)
-		return nil, h, f.Close()
+		s.setDamage(fileReport, err)
+		return nil, header, file.Close()
 	}
-	p.ValidBytes, p.CountedBytes = headerSize, headerSize
-	p.InDoubt = h.inDoubt
-	return f, h, nil
+	fileReport.ValidBytes, fileReport.CountedBytes = headerSize, headerSize
+	fileReport.InDoubt = header.inDoubt
+	return file, header, nil
 }
 
-func (s *surveyor) readSnapshot(id uint64, each func(record, location)) error {
-	p := FileReport{Name: fileName(id, snapshotSuffix), Snapshot: true, ID: id}
-	f, h, err := s.openFile(&p, kindSnapshot)
-	if f != nil {
-		p.ValidBytes, p.Records, err = scanRecords(f, uint64(snapshotID(id)), min(h.length, p.Length), each)
-		p.CountedBytes = h.length
-		if err == nil && (p.ValidBytes != h.length || uint64(p.Records) != h.records) {
-			s.setDamage(&p, fmt.Errorf("%w: %d bytes and %d records are valid of %d and %d", ErrDamaged, p.ValidBytes, p.Records,
-				h.length, h.records))
+// readSnapshot reads a snapshot, which must hold exactly the bytes and records that its header states.
+func (s *surveyor) readSnapshot(id uint64, visit func(record, location)) error {
+	fileReport := FileReport{Name: fileName(id, snapshotSuffix), Snapshot: true, ID: id}
+	file, header, err := s.openFile(&fileReport, kindSnapshot)
+	if file != nil {
+		fileReport.ValidBytes, fileReport.Records, err = scanRecords(
+			file, uint64(snapshotID(id)), min(header.length, fileReport.Length), visit)
+		fileReport.CountedBytes = header.length
+		if err == nil && (fileReport.ValidBytes != header.length || uint64(fileReport.Records) != header.records) {
+			s.setDamage(&fileReport, fmt.Errorf("%w: %d bytes and %d records are valid of %d and %d", ErrDamaged,
+				fileReport.ValidBytes, fileReport.Records, header.length, header.records))
 		}
-		err = errors.Join(err, f.Close())
+		err = errors.Join(err, file.Close())
 	}
-	s.report.Files = append(s.report.Files, p)
+	s.report.Files = append(s.report.Files, fileReport)
 	return err
 }
 
-// readHeaders reads the headers of the log files; one that is not valid is left out.
+// readHeaders returns the headers of the log files by number, without those that are not valid.
 func (s *surveyor) readHeaders(logs []uint64) (map[uint64]fileHeader, error) {
 	headers := map[uint64]fileHeader{}
 	for _, id := range logs {
-		p := FileReport{Name: fileName(id, logSuffix), ID: id}
-		f, h, err := s.openFile(&p, kindLog)
+		fileReport := FileReport{Name: fileName(id, logSuffix), ID: id}
+		file, header, err := s.openFile(&fileReport, kindLog)
 		if err != nil {
 			return nil, err
 		}
-		if f != nil {
-			headers[id] = h
-			if err := f.Close(); err != nil {
+		if file != nil {
+			headers[id] = header
+			if err := file.Close(); err != nil {
 				return nil, err
 			}
 		}
-		s.report.Files = append(s.report.Files, p)
+		s.report.Files = append(s.report.Files, fileReport)
 	}
 	return headers, nil
 }
 
-// followChain follows the log files back from the newest, each to the one that it names. A file that none names was given up while
-// it was begun and never written to.
+// followChain builds the chain of log files, from the newest back through the previous file that each header names. A
+// log file outside the chain was abandoned because a step of its creation failed, so it must hold no records.
 func (s *surveyor) followChain(logs []uint64, headers map[uint64]fileHeader) error {
 	first := s.report.Snapshot
 	followed := map[uint64]bool{}
 	var next *FileReport
 	for id := lastID(logs); id != 0; {
-		h, ok := headers[id]
+		header, ok := headers[id]
 		if !ok {
 			if next != nil && next.Problem == "" {
 				s.setDamage(next, fmt.Errorf("%w: it follows file %x, which is missing", ErrDamaged, id))
@@ -221,12 +229,12 @@
 			break
 		}
 		followed[id] = true
-		s.chain = append(s.chain, h)
+		s.chain = append(s.chain, header)
 		if id == first {
 			break
 		}
 		next = s.logReport(id)
-		id = h.previous
+		id = header.previous
 	}
 	slices.Reverse(s.chain)
 	if first != 0 && !followed[first] && s.report.Damage == "" {
@@ -242,72 +250,80 @@
 	return nil
 }
 
-// logReport returns the report of the log file of a number.
+// logReport returns the report of the log file with number id, which must have one.
 func (s *surveyor) logReport(id uint64) *FileReport {
-	return &s.report.Files[slices.IndexFunc(s.report.Files, func(p FileReport) bool { return !p.Snapshot && p.ID == id })]
+	return &s.report.Files[slices.IndexFunc(s.report.Files, func(file FileReport) bool {
+		return !file.Snapshot && file.ID == id
+	})]
 }
 
-// dropUnused checks that a log file which none follows holds nothing, and leaves it out.
-func (s *surveyor) dropUnused(p *FileReport) error {
-	f, err := s.fs.Open(p.Name)
+// dropUnused reports a log file outside the chain as leftover if it holds no data, and as damage if it does.
+func (s *surveyor) dropUnused(fileReport *FileReport) error {
+	file, err := s.fs.Open(fileReport.Name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	unused, err := onlyZeros(f, headerSize, p.Length)
+	defer file.Close()
+	unused, err := onlyZeros(file, headerSize, fileReport.Length)
 	if err == nil && !unused {
-		s.setDamage(p, fmt.Errorf("%w: it holds records, and no file follows it", ErrDamaged))
+		s.setDamage(fileReport, fmt.Errorf("%w: it holds records, and no file follows it", ErrDamaged))
 	} else if s.report.Damage == "" {
-		name := p.Name
+		name := fileReport.Name
 		s.report.Leftover = append(s.report.Leftover, name)
-		s.report.Files = slices.DeleteFunc(s.report.Files, func(p FileReport) bool { return p.Name == name })
+		s.report.Files = slices.DeleteFunc(s.report.Files, func(file FileReport) bool { return file.Name == name })
 	}
 	return err
 }
 
-// readLog reads the log file at an index of the chain.
-func (s *surveyor) readLog(h fileHeader, index int, each func(record, location)) error {
-	p := s.logReport(h.id)
-	f, err := s.fs.Open(p.Name)
+// readLog reads the log file with the given header and index in the chain.
+func (s *surveyor) readLog(header fileHeader, index int, visit func(record, location)) error {
+	fileReport := s.logReport(header.id)
+	file, err := s.fs.Open(fileReport.Name)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer file.Close()
 	if index < len(s.chain)-1 {
-		return s.readFollowedLog(f, p, s.chain[index+1].previousEnd, each)
+		return s.readFollowedLog(file, fileReport, s.chain[index+1].previousEnd, visit)
 	}
-	if p.ValidBytes, p.Records, err = scanRecords(f, h.id, p.Length, each); err != nil {
+	if fileReport.ValidBytes, fileReport.Records, err = scanRecords(
+		file, header.id, fileReport.Length, visit); err != nil {
 		return err
 	}
-	p.CountedBytes = p.ValidBytes
-	s.last = segment{id: h.id, end: p.ValidBytes, durable: p.ValidBytes}
-	return s.checkTail(f, p, h)
+	fileReport.CountedBytes = fileReport.ValidBytes
+	s.last = segment{id: header.id, end: fileReport.ValidBytes, durable: fileReport.ValidBytes}
+	return s.checkTail(file, fileReport, header)
 }
 
-// readFollowedLog reads a log file of which the next one tells how many bytes are valid.
-func (s *surveyor) readFollowedLog(f vfs.File, p *FileReport, end int64, each func(record, location)) (err error) {
-	if p.ValidBytes, p.Records, err = scanRecords(f, p.ID, min(p.Length, end), each); err != nil {
+// readFollowedLog reads a log file whose valid length is stated by the next one.
+func (s *surveyor) readFollowedLog(
+	file vfs.File, fileReport *FileReport, end int64, visit func(record, location),
+) (err error) {
+	if fileReport.ValidBytes, fileReport.Records, err = scanRecords(
+		file, fileReport.ID, min(fileReport.Length, end), visit); err != nil {
 		return err
 	}
-	p.CountedBytes = end
-	if p.ValidBytes < end {
-		s.setDamage(p, fmt.Errorf("%w: %d bytes are valid of the %d that count", ErrDamaged, p.ValidBytes, end))
+	fileReport.CountedBytes = end
+	if fileReport.ValidBytes < end {
+		s.setDamage(fileReport, fmt.Errorf("%w: %d bytes are valid of the %d that count",
+			ErrDamaged, fileReport.ValidBytes, end))
 	}
 	return nil
 }
 
-// checkTail tells whether the last log file ends as it was left: with zeros, at its full length, or in use.
-func (s *surveyor) checkTail(f vfs.File, p *FileReport, h fileHeader) error {
-	clean, err := onlyZeros(f, p.ValidBytes, p.Length)
+// checkTail sets InDoubt unless the last log file has its full length and only zeros after its valid batches. A file
+// that was created after a tail in doubt stays in doubt while it has no records.
+func (s *surveyor) checkTail(file vfs.File, fileReport *FileReport, header fileHeader) error {
+	clean, err := onlyZeros(file, fileReport.ValidBytes, fileReport.Length)
 	switch {
 	case err != nil:
 		return err
-	case p.Length != h.length:
-		s.setInDoubt(p, fmt.Sprintf("the file has %d bytes of %d", p.Length, h.length))
+	case fileReport.Length != header.length:
+		s.setInDoubt(fileReport, fmt.Sprintf("the file has %d bytes of %d", fileReport.Length, header.length))
 	case !clean:
-		s.setInDoubt(p, fmt.Sprintf("what stands behind byte %d can't be read", p.ValidBytes))
-	case h.inDoubt && p.Records == 0:
-		s.setInDoubt(p, "the tail of the file before was not as it was left")
+		s.setInDoubt(fileReport, fmt.Sprintf("what stands behind byte %d can't be read", fileReport.ValidBytes))
+	case header.inDoubt && fileReport.Records == 0:
+		s.setInDoubt(fileReport, "the tail of the file before was not as it was left")
 	}
 	return nil
 }
