--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -170,9 +170,9 @@
 		return err
 	}
 	if asJSON {
-		return printJSON(out, map[string]any{"before_bytes": before.DiskBytes, "after_bytes": after.DiskBytes, "records": after.Live})
+		return printJSON(out, map[string]any{"before_bytes": before.DiskBytes, "after_bytes": after.DiskBytes, "records": after.LiveRecords})
 	}
-	fmt.Fprintf(out, "%d records; %d bytes before, %d after\n", after.Live, before.DiskBytes, after.DiskBytes)
+	fmt.Fprintf(out, "%d records; %d bytes before, %d after\n", after.LiveRecords, before.DiskBytes, after.DiskBytes)
 	return nil
 }
 
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -130,7 +130,7 @@
 		Classes:        platform.Scheduler.Classes,
 		RetryBudget:    platform.Scheduler.RetryBudget,
 		RetryAfterMS:   platform.Scheduler.LongestRetryAfterMS(),
-		RememberMS:     block.RememberMS,
+		RetentionMS:    block.RememberMS,
 		MaxAnswerBytes: block.MaxAnswerBytes,
 		MaxRecords:     block.MaxRecords,
 	}
--- a/internal/dispatch/ledger_extension.go
+++ b/internal/dispatch/ledger_extension.go
@@ -134,7 +134,7 @@
 			Kind:         AnswerFromRecord,
 			Outcome:      effect.Outcome,
 			Body:         effect.Body,
-			RetryAfterMS: effect.AfterMS,
+			RetryAfterMS: effect.RetryAfterMS,
 		})
 	case ledger.RestoreState:
 		return append(out, Command{Kind: RestoreState, Event: effect.SchedulerEvent})
--- a/internal/ledger/clocks.go
+++ b/internal/ledger/clocks.go
@@ -8,9 +8,9 @@
 
 // Clocks is a reading of the machine's clocks.
 type Clocks struct {
-	WallMS float64 // Unix time
-	UpMS   float64 // time since the machine was booted; 0: unknown
-	Boot   string  // identifies the boot since which the uptime counts
+	WallMS   float64 // Unix time
+	UptimeMS float64 // time since the machine was booted; 0: unknown
+	BootID   string  // identifies the boot since which the uptime counts
 }
 
 // interval is a duration of which only bounds are known.
@@ -28,10 +28,10 @@
 // the machine's uptime, and only within one boot: the wall clock may have been set forward or back, so it can neither
 // shorten a deduplication window nor prove that one is still open.
 func (i *incarnation) elapsedSince(last float64, now Clocks) interval {
-	if now.UpMS <= 0 || i.clocks.UpMS <= 0 || now.Boot == "" || now.Boot != i.clocks.Boot {
+	if now.UptimeMS <= 0 || i.clocks.UptimeMS <= 0 || now.BootID == "" || now.BootID != i.clocks.BootID {
 		return interval{0, math.Inf(1)}
 	}
-	elapsed := (now.UpMS - i.clocks.UpMS) - (last - i.startedAt)
+	elapsed := (now.UptimeMS - i.clocks.UptimeMS) - (last - i.startedAt)
 	if elapsed < 0 {
 		return interval{} // the uptime clock has a coarser resolution than log time
 	}
@@ -45,8 +45,8 @@
 	w := l.newRecord(kindIncarnation)
 	w.number(fieldIncarnationStartedAt, l.incarnation.startedAt)
 	w.number(fieldWallClock, l.incarnation.clocks.WallMS)
-	w.number(fieldUptime, l.incarnation.clocks.UpMS)
-	w.text(fieldBoot, l.incarnation.clocks.Boot)
+	w.number(fieldUptime, l.incarnation.clocks.UptimeMS)
+	w.text(fieldBoot, l.incarnation.clocks.BootID)
 	w.flag(fieldClean, l.incarnation.clean)
 	w.number(fieldInDoubtUntil, l.inDoubtUntil)
 	w.persist(incarnationKey, 0)
@@ -56,9 +56,9 @@
 	*i = incarnation{
 		startedAt: record.number(fieldIncarnationStartedAt),
 		clocks: Clocks{
-			WallMS: record.number(fieldWallClock),
-			UpMS:   record.number(fieldUptime),
-			Boot:   record.text(fieldBoot),
+			WallMS:   record.number(fieldWallClock),
+			UptimeMS: record.number(fieldUptime),
+			BootID:   record.text(fieldBoot),
 		},
 		persistedAt: record.number(fieldAt),
 		clean:       record.number(fieldClean) != 0,
--- a/internal/ledger/event.go
+++ b/internal/ledger/event.go
@@ -98,7 +98,7 @@
 	Prior          scheduler.PriorAttempt
 	Outcome        Outcome
 	Body           []byte  // the recorded answer; nil: it was not kept
-	AfterMS        float64 // AnswerFromRecord of a rejected request: when the client may retry; 0: unspecified
+	RetryAfterMS   float64 // AnswerFromRecord of a rejected request: when the client may retry; 0: unspecified
 	AgeMS          float64 // time since the outcome was recorded, or since the note was set
 	SchedulerEvent scheduler.Event
 	Text           string
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -80,7 +80,7 @@
 		startedAt: 1000.5, persistedAt: goldenNow,
 	}
 	current := incarnation{
-		startedAt: 100.5, clocks: Clocks{WallMS: 1e12 + 0.5, UpMS: 5000.25, Boot: "boot-1"},
+		startedAt: 100.5, clocks: Clocks{WallMS: 1e12 + 0.5, UptimeMS: 5000.25, BootID: "boot-1"},
 		persistedAt: goldenNow, clean: true,
 	}
 	estimates := []scheduler.Estimate{
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -9,7 +9,7 @@
 // testSettings has one class of each scheduler.Idempotency, with a deduplication window of 20 s within the zone.
 func testSettings() Settings {
 	s := DefaultSettings()
-	s.RememberMS, s.MaxAnswerBytes = 60000, 8
+	s.RetentionMS, s.MaxAnswerBytes = 60000, 8
 	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
 	for _, class := range []scheduler.RequestClass{
 		{Name: "look", Idempotency: scheduler.Idempotent},
@@ -52,7 +52,7 @@
 }
 
 // clocksAt returns the clocks of a machine that was booted at time 0.
-func clocksAt(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UpMS: ms + 1, Boot: "b"} }
+func clocksAt(ms float64) Clocks { return Clocks{WallMS: ms + 1e12, UptimeMS: ms + 1, BootID: "b"} }
 
 // step takes one step, applies its records to the store, and returns the effects that neither the store nor the
 // scheduler nor the log gets.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -133,7 +133,7 @@
 		{"5 s later, caller's clock an hour behind", clocksAt(6000), -3594000, true},
 		{"30 s later", clocksAt(31000), 31000, false},
 		{"30 s later, caller's clock set back", clocksAt(31000), 500, false},
-		{"machine rebooted, duration unknown", Clocks{WallMS: 1e12 + 2000, UpMS: 50, Boot: "c"}, 2000, false},
+		{"machine rebooted, duration unknown", Clocks{WallMS: 1e12 + 2000, UptimeMS: 50, BootID: "c"}, 2000, false},
 		{"uptime unknown", Clocks{WallMS: 1e12 + 2000}, 2000, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/ledger/request.go
+++ b/internal/ledger/request.go
@@ -188,7 +188,7 @@
 			answer.Body = key.answer
 		}
 	case Rejected:
-		answer.AfterMS = l.settings.RetryAfterMS
+		answer.RetryAfterMS = l.settings.RetryAfterMS
 	}
 }
 
--- a/internal/ledger/settings.go
+++ b/internal/ledger/settings.go
@@ -11,7 +11,7 @@
 
 	// RetentionMS is how long an idempotency key is kept past its deduplication window, and a request past its
 	// deadline.
-	RememberMS       float64
+	RetentionMS      float64
 	MaxAnswerBytes   int  // longer answers are not stored
 	MaxRecords       int  // limit for idempotency keys and for requests, each
 	SuccessorsResume bool // other controllers take over the requests that are open at a crash
@@ -27,12 +27,12 @@
 
 // DefaultSettings returns the defaults of the settings that operators may leave out.
 func DefaultSettings() Settings {
-	return Settings{RememberMS: defaultRetentionMS, MaxAnswerBytes: defaultMaxAnswerBytes, MaxRecords: defaultMaxRecords}
+	return Settings{RetentionMS: defaultRetentionMS, MaxAnswerBytes: defaultMaxAnswerBytes, MaxRecords: defaultMaxRecords}
 }
 
 // applySettings applies the settings that may change while the ledger runs. Existing records keep their expiry.
 func (l *Ledger) applySettings(s *Settings) {
-	l.retentionMS = s.RememberMS
+	l.retentionMS = s.RetentionMS
 	l.maxAnswerBytes = s.MaxAnswerBytes
 	l.maxRecords = s.MaxRecords
 	l.successorsResume, l.skipDiskWait = s.SuccessorsResume, s.SkipDiskWait
--- a/internal/ledgerstore/clocks.go
+++ b/internal/ledgerstore/clocks.go
@@ -23,7 +23,7 @@
 	}
 	seconds, _, _ := strings.Cut(string(uptime), " ")
 	if s, err := strconv.ParseFloat(seconds, 64); err == nil {
-		clocks.UpMS, clocks.Boot = s*1000, strings.TrimSpace(string(boot))
+		clocks.UptimeMS, clocks.BootID = s*1000, strings.TrimSpace(string(boot))
 	}
 	return clocks
 }
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -83,7 +83,7 @@
 		if strings.HasSuffix(names[i], ".log") {
 			b := disk.Bytes(names[i])
 			clear(b[len(strings.TrimRight(string(b), "\x00"))-10:])
-			disk.Set(names[i], b)
+			disk.SetFile(names[i], b)
 			break
 		}
 	}
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -32,7 +32,7 @@
 
 func ledgerSettings() ledger.Settings {
 	s := ledger.DefaultSettings()
-	s.Classes, s.RememberMS = testSettings().Classes, 60000
+	s.Classes, s.RetentionMS = testSettings().Classes, 60000
 	return s
 }
 
@@ -72,7 +72,7 @@
 	engines *testEngines
 }
 
-func clocksAt(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
+func clocksAt(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UptimeMS: ms, BootID: "b"} }
 
 // startController opens a Store. A damaged one is repaired first, as an operator would.
 func startController(disk *vfs.MemoryFS, now float64, e *testEngines) (*testController, error) {
--- a/internal/ledgerstore/ledgerstore.go
+++ b/internal/ledgerstore/ledgerstore.go
@@ -142,10 +142,10 @@
 		meanHeldMS = counts.AttemptsHeldMS / float64(counts.AttemptsHeld)
 	}
 	return logrus.Fields{
-		"records": stats.Records, "commits": stats.Commits, "syncs": stats.Syncs, "batches_failed": stats.Failed,
+		"records": stats.Records, "commits": stats.Commits, "syncs": stats.Syncs, "batches_failed": stats.BatchesFailed,
 		"records_unwritten": s.unwritten.Load(), "rotations": stats.Rotations, "snapshots": stats.Snapshots,
-		"snapshots_failed": stats.SnapshotsFailed, "live": stats.Live, "live_bytes": stats.LiveBytes, "disk_bytes": stats.DiskBytes,
-		"waiting_bytes": stats.Waiting, "attempts_held": counts.AttemptsHeld, "attempts_held_ms": meanHeldMS,
+		"snapshots_failed": stats.SnapshotsFailed, "live": stats.LiveRecords, "live_bytes": stats.LiveBytes, "disk_bytes": stats.DiskBytes,
+		"waiting_bytes": stats.QueuedBytes, "attempts_held": counts.AttemptsHeld, "attempts_held_ms": meanHeldMS,
 		"attempts_held_now": counts.AttemptsHeldNow, "attempts_failed": counts.AttemptsFailed, "requests_blocked": counts.RequestsBlocked,
 		"answered_from_record": counts.AnsweredFromRecord, "keys_retried": counts.KeysRetried, "closed_at_start": counts.ClosedAtStart,
 		"requests": counts.Requests, "idempotency_keys": counts.Keys, "disk_failing": counts.DiskFailing, "tail_in_doubt": counts.TailInDoubt,
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -53,7 +53,7 @@
 		damage := func(b []byte, what string, at int) {
 			tried++
 			d := disk.Clone()
-			d.Set(name, b)
+			d.SetFile(name, b)
 			requireRecovers(t, d, 3000, e.copy(), open, fmt.Sprint(name, what, at))
 		}
 		for at := 0; at < len(bytes); at++ {
@@ -242,7 +242,7 @@
 func TestReadClocks_ReadsTheMachinesClocks(t *testing.T) {
 	m := ReadClocks()
 	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
-	assert.Equal(t, m.UpMS > 0, m.Boot != "")
+	assert.Equal(t, m.UptimeMS > 0, m.BootID != "")
 	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
 	assert.NoError(t, err)
 }
--- a/internal/raftnode/golden_test.go
+++ b/internal/raftnode/golden_test.go
@@ -114,7 +114,7 @@
 	for _, file := range files {
 		content := fs.Bytes(file)
 		data := compareGolden(t, filepath.Join(name, file), []byte(strings.TrimRight(string(content), "\x00")))
-		copied.Set(file, append(data, make([]byte, len(content)-len(data))...))
+		copied.SetFile(file, append(data, make([]byte, len(content)-len(data))...))
 	}
 	return copied
 }
@@ -151,7 +151,7 @@
 	lastLog := slices.Max(slices.DeleteFunc(files, func(name string) bool { return !strings.HasSuffix(name, ".log") }))
 	content := whole.Bytes(lastLog)
 	end := len(strings.TrimRight(string(content), "\x00"))
-	whole.Set(lastLog, append(content[:end-5], make([]byte, 64)...))
+	whole.SetFile(lastLog, append(content[:end-5], make([]byte, 64)...))
 	torn, err := openStorage(compareGoldenFolder(t, "folder-torn", whole), &Node{}, discardLog())
 	require.NoError(t, err)
 	defer torn.close()
--- a/internal/raftnode/raftnode_test.go
+++ b/internal/raftnode/raftnode_test.go
@@ -63,7 +63,7 @@
 	for _, name := range names {
 		if content := fs.Bytes(name); strings.HasSuffix(name, ".log") && len(content) > 64 {
 			end := len(strings.TrimRight(string(content), "\x00"))
-			fs.Set(name, append(content[:end-5], make([]byte, 64)...))
+			fs.SetFile(name, append(content[:end-5], make([]byte, 64)...))
 		}
 	}
 	reopened, err := openStorage(fs, &Node{}, discardLog())
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -116,7 +116,7 @@
 	defer s.stateMu.Unlock()
 	s.stats.Commits++
 	if err != nil {
-		s.stats.Failed += uint64(batches)
+		s.stats.BatchesFailed += uint64(batches)
 		return
 	}
 	s.stats.Batches += uint64(batches)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -69,13 +69,13 @@
 // Stats holds the counters and sizes of a store.
 type Stats struct {
 	Records, Batches, Commits, Syncs uint64
-	Failed                           uint64 // batches reported as failed
+	BatchesFailed                    uint64 // batches reported as failed
 	Rotations, Snapshots             uint64
 	SnapshotsFailed                  uint64
 	Expired                          uint64 // records removed because their time was over
-	Live                             int    // records in the index
+	LiveRecords                      int    // records in the index
 	LiveBytes, DiskBytes             int64  // valid bytes, without the zeros allocated ahead
-	Waiting                          int    // bytes queued but not yet taken for a commit
+	QueuedBytes                      int    // bytes queued but not yet taken for a commit
 }
 
 // Store is an open store. A goroutine commits the queue to the log until Close is called.
@@ -205,9 +205,9 @@
 	s.stateMu.RLock()
 	defer s.stateMu.RUnlock()
 	stats := s.stats
-	stats.Live = s.index.Len()
+	stats.LiveRecords = s.index.Len()
 	stats.LiveBytes, stats.DiskBytes = s.liveBytes, s.diskBytes()
-	stats.Waiting = queuedBytes
+	stats.QueuedBytes = queuedBytes
 	return stats
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -80,7 +80,7 @@
 	names, _ := disk.List()
 	requireDetected := func(name string, bytes []byte, description string) {
 		damaged := disk.Clone()
-		damaged.Set(name, bytes)
+		damaged.SetFile(name, bytes)
 		s, recovery, contents, err := openContents(damaged, smallOptions)
 		if err != nil {
 			require.ErrorIs(t, err, ErrDamaged, description)
@@ -229,7 +229,7 @@
 	}
 	writers.Wait()
 	stats := s.Stats()
-	assert.Equal(t, 32, stats.Live)
+	assert.Equal(t, 32, stats.LiveRecords)
 	assert.Less(t, stats.Syncs, stats.Batches)
 	assert.GreaterOrEqual(t, stats.Snapshots, uint64(5))
 	require.NoError(t, s.Close())
@@ -275,7 +275,7 @@
 	}
 	require.NoError(t, s.Snapshot())
 	stats := s.Stats()
-	assert.InDelta(t, 2000, stats.Live, 30)
+	assert.InDelta(t, 2000, stats.LiveRecords, 30)
 	assert.Greater(t, stats.Snapshots, uint64(3))
 	assert.Less(t, float64(stats.DiskBytes), 1.1*float64(stats.LiveBytes))
 	require.NoError(t, s.Close())
--- a/internal/vfs/memory.go
+++ b/internal/vfs/memory.go
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// Set creates or replaces a file whose name and content are durable at once.
-func (m *MemoryFS) Set(name string, bytes []byte) {
+// SetFile creates or replaces a file whose name and content are durable at once.
+func (m *MemoryFS) SetFile(name string, bytes []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	file := &memoryFile{content: slices.Clone(bytes), durable: slices.Clone(bytes)}
@@ -240,7 +240,7 @@
 	names, _ := m.List()
 	clone := NewMemory()
 	for _, name := range names {
-		clone.Set(name, m.Bytes(name))
+		clone.SetFile(name, m.Bytes(name))
 	}
 	return clone
 }
