--- a/internal/index/wheel.go
+++ b/internal/index/wheel.go
@@ -3,31 +3,34 @@
 import "math/bits"
 
 const (
-	wheelBits         = 6 // slots of a wheel: 64
-	wheelLevels       = 5 // wheels: 64^5 ticks are 4 years
-	tickMS            = 128
-	maxTicksPerExpire = 1 << (2 * wheelBits) // 9 minutes; past it all entries are looked at instead of all ticks
+	wheelBits         = 6                    // log2 of the slots per wheel
+	wheelLevels       = 5                    // number of wheels; they span 64^5 ticks, about 4 years
+	tickMS            = 128                  // length of a tick in ms
+	maxTicksPerExpire = 1 << (2 * wheelBits) // after a longer pause Expire checks each entry instead of each tick
 )
 
-// wheelSlotAt returns the slot of a wheel at a tick, counted through all wheels.
+// wheelSlotAt returns the slot of a tick on the wheel of a level, as an index into Table.wheels.
 func wheelSlotAt(level int, tick int64) uint16 {
 	return uint16(level<<wheelBits | int(tick>>(wheelBits*level))&(1<<wheelBits-1))
 }
 
-// link puts an entry on the wheel that turns as far as its time.
+// link adds an entry to the timing wheel. Its level is that of the highest digit, in base 64, in which the tick of its
+// expiry differs from the current tick. An entry that never expires is on no wheel.
 func (t *Table[V]) link(place uint32) {
 	e := t.entry(place)
 	if e.expires == 0 {
 		e.wheelSlot = slotNone
 		return
 	}
-	due := max(e.expires/tickMS+1, t.tick+1) // the first tick at which it has surely expired
+	due := max(e.expires/tickMS+1, t.currentTick+1) // the first tick at which the entry has certainly expired
 	level := 0
-	if diff := uint64(due ^ t.tick); diff != 0 {
+	if diff := uint64(due ^ t.currentTick); diff != 0 {
 		level = min(wheelLevels-1, (bits.Len64(diff)-1)/wheelBits)
 	}
-	if level == wheelLevels-1 { // past the last wheel it waits in its last slot and is looked at again there
-		due = min(due, t.tick+1<<(wheelBits*wheelLevels)-1<<(wheelBits*(wheelLevels-1)))
+	if level == wheelLevels-1 {
+		// An entry beyond the range of the wheels goes to the last slot of the outermost wheel and is linked again
+		// when that slot comes due.
+		due = min(due, t.currentTick+1<<(wheelBits*wheelLevels)-1<<(wheelBits*(wheelLevels-1)))
 	}
 	slot := wheelSlotAt(level, due)
 	e.wheelSlot = slot
@@ -38,6 +41,7 @@
 	t.wheels[slot] = place + 1
 }
 
+// unlink removes an entry from the list of its wheel slot.
 func (t *Table[V]) unlink(place uint32) {
 	e := t.entry(place)
 	if e.wheelSlot == slotNone {
@@ -54,31 +58,32 @@
 	e.next, e.prev = 0, 0
 }
 
-// Expire removes the entries whose time has come. Each is handed to drop before, which may be nil and must not touch the table.
-func (t *Table[V]) Expire(now int64, drop func(Key, *V)) {
-	to := now / tickMS
+// Expire removes the entries that have expired by now, in ms. An entry may stay up to two ticks beyond its time. Each
+// is passed to onExpire before it is removed; onExpire may be nil and must not access the table.
+func (t *Table[V]) Expire(now int64, onExpire func(Key, *V)) {
+	target := now / tickMS
 	if t.count == 0 {
-		t.tick = max(t.tick, to)
+		t.currentTick = max(t.currentTick, target)
 		return
 	}
-	if to-t.tick > maxTicksPerExpire {
-		t.expireFar(to, now, drop)
+	if target-t.currentTick > maxTicksPerExpire {
+		t.skipTo(target, now, onExpire)
 	}
-	for t.tick < to {
-		t.tick++
+	for t.currentTick < target {
+		t.currentTick++
 		level := 0
-		for level < wheelLevels-1 && t.tick&(1<<(wheelBits*(level+1))-1) == 0 {
+		for level < wheelLevels-1 && t.currentTick&(1<<(wheelBits*(level+1))-1) == 0 {
 			level++
 		}
-		for ; level >= 0; level-- { // what comes due on an outer wheel goes to an inner one, or expires
-			t.expireSlot(wheelSlotAt(level, t.tick), now, drop)
+		for ; level >= 0; level-- { // entries of an outer wheel move to an inner wheel or expire
+			t.expireSlot(wheelSlotAt(level, t.currentTick), now, onExpire)
 		}
 	}
 }
 
-// expireFar turns the wheels to a far tick at once.
-func (t *Table[V]) expireFar(to, now int64, drop func(Key, *V)) {
-	t.tick = to
+// skipTo advances the wheels to the target tick in one step and links or expires every entry anew.
+func (t *Table[V]) skipTo(target, now int64, onExpire func(Key, *V)) {
+	t.currentTick = target
 	clear(t.wheels[:])
 	for place := range t.placesUsed {
 		e := t.entry(place)
@@ -86,32 +91,33 @@
 			continue
 		}
 		e.next, e.prev = 0, 0
-		t.expireOrLink(place, now, drop)
+		t.expireOrLink(place, now, onExpire)
 	}
 }
 
-func (t *Table[V]) expireSlot(slot uint16, now int64, drop func(Key, *V)) {
-	p := t.wheels[slot]
+// expireSlot empties a wheel slot: each of its entries expires or moves to another slot.
+func (t *Table[V]) expireSlot(slot uint16, now int64, onExpire func(Key, *V)) {
+	next := t.wheels[slot]
 	t.wheels[slot] = 0
-	for p != 0 {
-		place := p - 1
+	for next != 0 {
+		place := next - 1
 		e := t.entry(place)
-		p = e.next
+		next = e.next
 		e.next, e.prev = 0, 0
-		t.expireOrLink(place, now, drop)
+		t.expireOrLink(place, now, onExpire)
 	}
 }
 
-// expireOrLink removes an entry that was taken off its wheel, or puts it on another one where its time has not come.
-func (t *Table[V]) expireOrLink(place uint32, now int64, drop func(Key, *V)) {
+// expireOrLink removes an entry that is on no wheel if it has expired, and links it to a wheel otherwise.
+func (t *Table[V]) expireOrLink(place uint32, now int64, onExpire func(Key, *V)) {
 	e := t.entry(place)
 	e.wheelSlot = slotNone
-	if e.expires > now || e.expires/tickMS+1 > t.tick {
+	if e.expires > now || e.expires/tickMS+1 > t.currentTick {
 		t.link(place)
 		return
 	}
-	if drop != nil {
-		drop(e.key, &e.value)
+	if onExpire != nil {
+		onExpire(e.key, &e.value)
 	}
 	slot, _ := t.find(&e.key)
 	t.remove(slot)
