--- a/internal/waitestimate/correction.go
+++ b/internal/waitestimate/correction.go
@@ -1,24 +1,24 @@
 package waitestimate
 
 const (
-	judgedSamples = 25    // estimates made under one correction, after which it is judged
-	lowCoverage   = 0.92  // share of them within the estimate below which it lengthens
-	highCoverage  = 0.97  // and past which it shortens
-	lengthenBy    = 1.12  // a factor
-	shortenBy     = 0.985 // far less, as an estimate that is too long does less harm
-	maxCorrection = 8
-	minCorrection = 0.5
+	samplesPerAdjustment = 25    // waits after which the factor is adjusted
+	minCoverage          = 0.92  // share of waits within their estimate below which the factor grows
+	maxCoverage          = 0.97  // share above which the factor shrinks
+	lengthenFactor       = 1.12  // the factor grows by this
+	shortenFactor        = 0.985 // the factor shrinks by this, slowly because a long estimate does less harm
+	maxCorrection        = 8     // bounds of the factor
+	minCorrection        = 0.5
 )
 
-// correction is a factor on estimates, and how those that were made under it held.
+// correction is a factor on estimates that is adjusted by the share of waits that stayed within them.
 type correction struct {
 	factor          float64
-	epoch           uint32 // changes with the factor
-	samples, within int
+	epoch           uint32 // incremented when the factor is adjusted
+	samples, within int    // waits in this epoch, and those within their estimate
 }
 
-// observe takes in whether a wait was longer than the estimate made in an epoch. Estimates of earlier epochs tell nothing of the
-// factor.
+// observe records whether a wait exceeded its estimate, which was made in the given epoch. It ignores estimates of
+// earlier epochs, as they were made with another factor.
 func (c *correction) observe(epoch uint32, exceeded bool) {
 	if epoch != c.epoch {
 		return
@@ -27,14 +27,14 @@
 	if !exceeded {
 		c.within++
 	}
-	if c.samples < judgedSamples {
+	if c.samples < samplesPerAdjustment {
 		return
 	}
 	switch share := float64(c.within) / float64(c.samples); {
-	case share < lowCoverage:
-		c.factor = min(maxCorrection, c.factor*lengthenBy)
-	case share > highCoverage:
-		c.factor = max(minCorrection, c.factor*shortenBy)
+	case share < minCoverage:
+		c.factor = min(maxCorrection, c.factor*lengthenFactor)
+	case share > maxCoverage:
+		c.factor = max(minCorrection, c.factor*shortenFactor)
 	}
 	c.epoch++
 	c.samples, c.within = 0, 0
--- a/internal/waitestimate/waitestimate.go
+++ b/internal/waitestimate/waitestimate.go
@@ -1,73 +1,77 @@
-// Package waitestimate estimates how long a request will wait: until its first attempt, and until its end. It has no I/O, clock or
-// goroutine. An estimate is a quantile of what was seen lately, relative to the work that was ahead, and is corrected as it is found
-// to be wrong, so that nine in ten waits stay within it. Where too little was seen, there is none.
+// Package waitestimate estimates how long a request will wait until its first attempt starts and until it ends. An
+// estimate is the wait expected from the work queued ahead of the request, multiplied by a quantile of the ratios
+// between recent waits and their expected waits, and by a correction. The correction is adjusted so that nine in ten
+// waits stay within their estimates. There is no estimate until enough waits have been observed. The package does no
+// I/O and has no clock and no goroutine.
 package waitestimate
 
 import "math"
 
 const (
-	coverage        = 0.93 // of the waits are to stay within their estimate: a little more than nine in ten
-	sketchMargin    = 1.05 // for the accuracy of a sketch, twice, and its binning
-	minWaitMS       = 5    // what a message takes
-	quantileReadMS  = 250  // between readings of the quantiles, which move slowly and are costly to read
-	changeShare     = 0.3  // by which an estimate must have changed to be sent again
-	minChangeBaseMS = 100  // of which that share is taken at least
+	targetCoverage    = 0.93 // share of waits that should stay within their estimates
+	sketchMargin      = 1.05 // factor that covers the error of the sketches
+	minWaitMS         = 5    // lower bound of a wait: the time that a message takes
+	quantileRefreshMS = 250  // how long computed quantiles are used; computing them is costly
+	minChangeShare    = 0.3  // share by which an estimate must differ to be sent again
+	minChangeBaseMS   = 100  // lower bound of the time of which that share is taken
 )
 
-// history is what was seen of the waits of one team and request class.
+// history holds the recent waits of one team and request class. Waits are stored as ratios to their expected waits.
 type history struct {
-	starts, ends                   window // waits over their base
+	starts, ends                   window // waits until the first attempt, and until the end
 	startCorrection, endCorrection correction
-	startsEstimated, startsWithin  uint64
+	startsEstimated, startsWithin  uint64 // waits that had an estimate, and those that stayed within it
 	endsEstimated, endsWithin      uint64
-	startQuantile, endQuantile     float64 // as last read
-	readAt                         float64
-	known                          bool
+	startQuantile, endQuantile     float64
+	quantilesReadAt                float64
+	quantilesKnown                 bool // enough waits were observed for both quantiles
 }
 
-// readQuantiles reads the quantiles anew where it is time for that.
-func (h *history) readQuantiles(now float64) {
-	if now-h.readAt <= quantileReadMS && h.known {
+// refreshQuantiles recomputes the quantiles if they are unknown or out of date.
+func (h *history) refreshQuantiles(now float64) {
+	if now-h.quantilesReadAt <= quantileRefreshMS && h.quantilesKnown {
 		return
 	}
 	var startKnown, endKnown bool
-	h.startQuantile, startKnown = h.starts.quantile(coverage)
-	h.endQuantile, endKnown = h.ends.quantile(coverage)
-	h.known = startKnown && endKnown
-	h.readAt = now
+	h.startQuantile, startKnown = h.starts.quantile(targetCoverage)
+	h.endQuantile, endKnown = h.ends.quantile(targetCoverage)
+	h.quantilesKnown = startKnown && endKnown
+	h.quantilesReadAt = now
 }
 
-// Backlog is what is ahead of a request when it arrives.
+// Backlog describes the work queued ahead of a request, and the request itself.
 type Backlog struct {
-	AheadMS float64 // work ahead of it, ms of one thread
-	Threads float64 // that do it for its team
-	RunMS   float64 // that it will run itself
+	AheadMS float64 // work queued ahead of the request, in ms of one thread
+	Threads float64 // number of threads that work for the team of the request
+	RunMS   float64 // time that the request itself is expected to run
 }
 
-// waitMS is the plain wait: the work ahead over the threads that do it.
-func (b Backlog) waitMS() float64 { return b.AheadMS/max(0.1, b.Threads) + minWaitMS }
+// expectedWaitMS returns the time that the threads take for the work ahead.
+func (b Backlog) expectedWaitMS() float64 { return b.AheadMS/max(0.1, b.Threads) + minWaitMS }
 
-// Estimate is an estimate that was made. The zero value is that there is none.
+// Estimate is an estimate of the waits of one request. The zero value is an unknown estimate.
 type Estimate struct {
 	Known                bool
-	At                   float64
-	StartMS, EndMS       float64 // from At on
-	baseMS               float64 // the plain wait
+	MadeAt               float64
+	StartMS, EndMS       float64 // time from MadeAt until the first attempt starts, and until the request ends
+	expectedWaitMS       float64 // expected from the backlog alone
 	runMS                float64
-	startEpoch, endEpoch uint32 // of the corrections
+	startEpoch, endEpoch uint32 // epochs of the corrections that were applied
 }
 
-// historyKey names a history.
+// historyKey identifies a history.
 type historyKey struct{ team, class string }
 
-// Estimator keeps what was seen, by team and request class. Teams are bounded by who configures them.
+// Estimator estimates waits from the recent waits of the same team and request class. It keeps a history for each
+// team and class that it was called with and drops none; the number of teams is bounded by the configuration.
 type Estimator struct {
 	histories map[historyKey]*history
 }
 
-// New returns an estimator that has seen nothing.
+// New returns an estimator without any observed waits.
 func New() *Estimator { return &Estimator{histories: map[historyKey]*history{}} }
 
+// history returns the history of a team and request class, creating it if necessary.
 func (e *Estimator) history(team, class string) *history {
 	h := e.histories[historyKey{team, class}]
 	if h == nil {
@@ -77,30 +81,37 @@
 	return h
 }
 
-// Estimate returns the estimate for a request that arrives, or that still waits.
+// Estimate returns an estimate for a request that is queued behind a backlog. It is unknown until enough waits of the
+// team and class were observed.
 func (e *Estimator) Estimate(now float64, team, class string, backlog Backlog) Estimate {
 	h := e.history(team, class)
-	estimate := Estimate{At: now, baseMS: backlog.waitMS(), runMS: max(1, backlog.RunMS), startEpoch: h.startCorrection.epoch,
-		endEpoch: h.endCorrection.epoch}
-	h.readQuantiles(now)
-	if !h.known {
+	estimate := Estimate{
+		MadeAt:         now,
+		expectedWaitMS: backlog.expectedWaitMS(),
+		runMS:          max(1, backlog.RunMS),
+		startEpoch:     h.startCorrection.epoch,
+		endEpoch:       h.endCorrection.epoch,
+	}
+	h.refreshQuantiles(now)
+	if !h.quantilesKnown {
 		return estimate
 	}
 	estimate.Known = true
-	estimate.StartMS = estimate.baseMS * h.startQuantile * sketchMargin * h.startCorrection.factor
-	estimate.EndMS = max(estimate.StartMS, (estimate.baseMS+estimate.runMS)*h.endQuantile*sketchMargin*h.endCorrection.factor)
+	estimate.StartMS = estimate.expectedWaitMS * h.startQuantile * sketchMargin * h.startCorrection.factor
+	endMS := (estimate.expectedWaitMS + estimate.runMS) * h.endQuantile * sketchMargin * h.endCorrection.factor
+	estimate.EndMS = max(estimate.StartMS, endMS)
 	return estimate
 }
 
-// Started takes in that the first attempt of a request was sent, which got an estimate on its arrival.
+// Started records that the first attempt of a request started. The estimate is the one made when the request arrived.
 func (e *Estimator) Started(now float64, team, class string, estimate Estimate) {
 	h := e.history(team, class)
-	took := max(minWaitMS, now-estimate.At)
-	h.starts.add(now, took/estimate.baseMS)
+	waitedMS := max(minWaitMS, now-estimate.MadeAt)
+	h.starts.add(now, waitedMS/estimate.expectedWaitMS)
 	if !estimate.Known {
 		return
 	}
-	exceeded := took > max(estimate.StartMS, minWaitMS)
+	exceeded := waitedMS > max(estimate.StartMS, minWaitMS)
 	h.startsEstimated++
 	if !exceeded {
 		h.startsWithin++
@@ -108,15 +119,15 @@
 	h.startCorrection.observe(estimate.startEpoch, exceeded)
 }
 
-// Ended takes in that a request succeeded.
+// Ended records that a request succeeded. The estimate is the one made when the request arrived.
 func (e *Estimator) Ended(now float64, team, class string, estimate Estimate) {
 	h := e.history(team, class)
-	took := max(minWaitMS, now-estimate.At)
-	h.ends.add(now, took/(estimate.baseMS+estimate.runMS))
+	waitedMS := max(minWaitMS, now-estimate.MadeAt)
+	h.ends.add(now, waitedMS/(estimate.expectedWaitMS+estimate.runMS))
 	if !estimate.Known {
 		return
 	}
-	exceeded := took > estimate.EndMS
+	exceeded := waitedMS > estimate.EndMS
 	h.endsEstimated++
 	if !exceeded {
 		h.endsWithin++
@@ -124,26 +135,35 @@
 	h.endCorrection.observe(estimate.endEpoch, exceeded)
 }
 
-// Changed tells whether an estimate is worth sending again: it differs much from what the client now believes.
-func Changed(before, now Estimate) bool {
-	if before.Known != now.Known {
+// Changed returns whether the current estimate differs so much from the one sent before, less the time since then, that
+// the client should be told.
+func Changed(sent, current Estimate) bool {
+	if sent.Known != current.Known {
 		return true
 	}
-	left := before.StartMS - (now.At - before.At)
-	return now.Known && math.Abs(now.StartMS-left) > changeShare*max(left, now.StartMS, minChangeBaseMS)
+	remainingMS := sent.StartMS - (current.MadeAt - sent.MadeAt)
+	minChangeMS := minChangeShare * max(remainingMS, current.StartMS, minChangeBaseMS)
+	return current.Known && math.Abs(current.StartMS-remainingMS) > minChangeMS
 }
 
-// Accuracy is how many waits stayed within their estimates, for a team and request class.
+// Accuracy counts the waits of a team and request class that had an estimate, and those that stayed within it.
 type Accuracy struct {
-	Team, Class                            string
-	Starts, StartsWithin, Ends, EndsWithin uint64
+	Team, Class          string
+	Starts, StartsWithin uint64 // waits until the first attempt
+	Ends, EndsWithin     uint64 // waits until the end
 }
 
-// Accuracy returns these for all that were seen, in no order.
+// Accuracy returns the accuracy for each team and request class, in no particular order.
 func (e *Estimator) Accuracy() (list []Accuracy) {
 	for key, h := range e.histories {
-		list = append(list, Accuracy{Team: key.team, Class: key.class, Starts: h.startsEstimated, StartsWithin: h.startsWithin, Ends: h.endsEstimated,
-			EndsWithin: h.endsWithin})
+		list = append(list, Accuracy{
+			Team:         key.team,
+			Class:        key.class,
+			Starts:       h.startsEstimated,
+			StartsWithin: h.startsWithin,
+			Ends:         h.endsEstimated,
+			EndsWithin:   h.endsWithin,
+		})
 	}
 	return list
 }
--- a/internal/waitestimate/waitestimate_test.go
+++ b/internal/waitestimate/waitestimate_test.go
@@ -9,74 +9,97 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// simulateServer plays one server that does work in turn; waits are estimated on arrival and observed as they end.
-func simulateServer(e *Estimator, random *rand.Rand, from, to, load float64, pace func(now float64) float64) (within, estimated int, ratios []float64) {
-	free := from
-	for now := from; now < to; {
-		now += random.ExpFloat64() * 100 / load
-		work := random.ExpFloat64() * 100
-		ahead := max(0, free-now)
-		estimate := e.Estimate(now, "t", "look", Backlog{AheadMS: ahead, Threads: 1, RunMS: 100})
-		begins := max(now, free) + ahead*(pace(now)-1)
-		free = max(now, free) + work*pace(now)
-		e.Started(begins, "t", "look", estimate)
-		e.Ended(begins+work, "t", "look", estimate)
-		if estimate.Known {
-			estimated++
-			took := begins - now
-			if took <= max(minWaitMS, estimate.StartMS) {
-				within++
-			}
-			if took > 50 {
-				ratios = append(ratios, estimate.StartMS/took)
-			}
+const (
+	meanWorkMS       = 100 // mean work of a simulated request
+	minComparedMS    = 50  // shorter waits are left out of the ratios between estimate and wait
+	simulationFromMS = 1000
+	simulationToMS   = 600_000
+)
+
+// simulation is the result of simulateServer.
+type simulation struct {
+	estimated int       // waits that had an estimate
+	within    int       // those that stayed within it
+	ratios    []float64 // estimates relative to the waits
+}
+
+// simulateServer simulates a server that handles one request at a time. Its waits are estimated when a request arrives.
+// The slowdown is the factor by which the server takes longer than the estimator expects.
+func simulateServer(
+	estimator *Estimator, random *rand.Rand, load float64, slowdown func(now float64) float64,
+) simulation {
+	var result simulation
+	freeAt := float64(simulationFromMS)
+	for now := float64(simulationFromMS); now < simulationToMS; {
+		now += random.ExpFloat64() * meanWorkMS / load
+		work := random.ExpFloat64() * meanWorkMS
+		ahead := max(0, freeAt-now)
+		estimate := estimator.Estimate(now, "t", "look", Backlog{AheadMS: ahead, Threads: 1, RunMS: meanWorkMS})
+		startsAt := max(now, freeAt) + ahead*(slowdown(now)-1)
+		freeAt = max(now, freeAt) + work*slowdown(now)
+		estimator.Started(startsAt, "t", "look", estimate)
+		estimator.Ended(startsAt+work, "t", "look", estimate)
+		if !estimate.Known {
+			continue
+		}
+		result.estimated++
+		waited := startsAt - now
+		if waited <= max(minWaitMS, estimate.StartMS) {
+			result.within++
+		}
+		if waited > minComparedMS {
+			result.ratios = append(result.ratios, estimate.StartMS/waited)
 		}
 	}
-	return within, estimated, ratios
+	return result
 }
 
-// TestEstimator_NineInTenWaitsAreWithinTheEstimate: at a steady load, nearly full, and with executors slower than expected; and in the median the
-// estimate is no more than twice the wait.
+// TestEstimator_NineInTenWaitsAreWithinTheEstimate checks that more than nine in ten waits stay within their
+// estimates, also under high load and if executors are slower than expected, and that the median estimate is at most
+// twice the wait.
 func TestEstimator_NineInTenWaitsAreWithinTheEstimate(t *testing.T) {
 	for _, c := range []struct {
-		what string
-		load float64
-		pace func(float64) float64
+		name     string
+		load     float64
+		slowdown func(now float64) float64
 	}{
-		{"steady", 0.8, func(float64) float64 { return 1 }},
-		{"nearly full", 0.95, func(float64) float64 { return 1 }},
-		{"slower from some time on", 0.5, func(now float64) float64 { return 1 + 0.6*float64(int(now/100_000)%2) }},
-		{"always half again as slow as expected", 0.6, func(float64) float64 { return 1.5 }},
+		{"moderate load", 0.8, func(float64) float64 { return 1 }},
+		{"high load", 0.95, func(float64) float64 { return 1 }},
+		{"slower at times", 0.5, func(now float64) float64 { return 1 + 0.6*float64(int(now/100_000)%2) }},
+		{"always slower than expected", 0.6, func(float64) float64 { return 1.5 }},
 	} {
-		t.Run(c.what, func(t *testing.T) {
-			e, random := New(), rand.New(rand.NewPCG(7, 1))
-			within, estimated, ratios := simulateServer(e, random, 1000, 600_000, c.load, c.pace)
-			assert.Greater(t, float64(within)/float64(estimated), 0.9, c.what)
-			slices.Sort(ratios)
-			assert.LessOrEqual(t, ratios[len(ratios)/2], 2.0, c.what)
-			accuracy := e.Accuracy()
+		t.Run(c.name, func(t *testing.T) {
+			estimator, random := New(), rand.New(rand.NewPCG(7, 1))
+			result := simulateServer(estimator, random, c.load, c.slowdown)
+			assert.Greater(t, float64(result.within)/float64(result.estimated), 0.9, "share of starts within their estimate")
+			slices.Sort(result.ratios)
+			assert.LessOrEqual(t, result.ratios[len(result.ratios)/2], 2.0, "median ratio of estimate and wait")
+			accuracy := estimator.Accuracy()
 			assert.Len(t, accuracy, 1)
-			assert.Greater(t, float64(accuracy[0].EndsWithin)/float64(accuracy[0].Ends), 0.9, c.what)
+			endsWithin := float64(accuracy[0].EndsWithin) / float64(accuracy[0].Ends)
+			assert.Greater(t, endsWithin, 0.9, "share of ends within their estimate")
 		})
 	}
 }
 
-// TestEstimator_UnknownUntilEnoughWasSeen: each team and class needs waits of its own; Changed follows the time that passed.
+// TestEstimator_UnknownUntilEnoughWasSeen checks that each class needs minSamples waits of its own before it has an
+// estimate, and that Changed allows for the time that has passed since the earlier estimate.
 func TestEstimator_UnknownUntilEnoughWasSeen(t *testing.T) {
-	e := New()
-	for n := range minSamples {
-		estimate := e.Estimate(1000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
-		assert.False(t, estimate.Known, n)
-		e.Started(1100, "t", "look", estimate)
-		e.Ended(1200, "t", "look", estimate)
+	estimator := New()
+	for samples := range minSamples {
+		estimate := estimator.Estimate(1000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
+		assert.False(t, estimate.Known, "estimate after %d samples", samples)
+		estimator.Started(1100, "t", "look", estimate)
+		estimator.Ended(1200, "t", "look", estimate)
 	}
-	estimate := e.Estimate(2000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
-	assert.True(t, estimate.Known)
-	assert.False(t, e.Estimate(2000, "t", "report", Backlog{}).Known, "of this class nothing was seen")
+	estimate := estimator.Estimate(2000, "t", "look", Backlog{AheadMS: 100, Threads: 1})
+	assert.True(t, estimate.Known, "estimate after %d samples", minSamples)
+	assert.False(t, estimator.Estimate(2000, "t", "report", Backlog{}).Known, "estimate of a class without samples")
 	assert.False(t, math.IsNaN(estimate.StartMS))
 	assert.GreaterOrEqual(t, estimate.EndMS, estimate.StartMS)
-	later := e.Estimate(2050, "t", "look", Backlog{AheadMS: 50, Threads: 1})
-	assert.False(t, Changed(estimate, later), "half of it has gone by")
-	assert.True(t, Changed(estimate, e.Estimate(2050, "t", "look", Backlog{AheadMS: 1000, Threads: 1})))
-	assert.True(t, Changed(Estimate{}, estimate))
+	halfway := estimator.Estimate(2050, "t", "look", Backlog{AheadMS: 50, Threads: 1})
+	assert.False(t, Changed(estimate, halfway), "half of the wait and half of the backlog are over")
+	longer := estimator.Estimate(2050, "t", "look", Backlog{AheadMS: 1000, Threads: 1})
+	assert.True(t, Changed(estimate, longer), "the backlog has grown")
+	assert.True(t, Changed(Estimate{}, estimate), "the estimate has become known")
 }
--- a/internal/waitestimate/window.go
+++ b/internal/waitestimate/window.go
@@ -1,28 +1,33 @@
 package waitestimate
 
-import "github.com/DataDog/sketches-go/ddsketch"
+import (
+	"fmt"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+)
 
 const (
-	sketchAccuracy = 0.02  // of a quantile
-	sketchBins     = 256   // at that accuracy they reach over a factor of 150
-	windowMS       = 15000 // of a sketch; the running one and the one before are read
-	minSamples     = 12
+	sketchAccuracy = 0.02  // relative accuracy of a quantile
+	sketchBins     = 256   // maximum number of bins; beyond it the lowest bins are merged
+	windowMS       = 15000 // time that one sketch covers
+	minSamples     = 12    // values needed for a quantile
 )
 
-// window holds the values seen lately: a sketch that is being filled, and the one before it.
+// window holds recent values in two sketches: one that is being filled, and one of the time before it.
 type window struct {
 	current, previous *ddsketch.DDSketch
-	startedAt         float64
+	startedAt         float64 // time of the first value in the current sketch
 }
 
 func newSketch() *ddsketch.DDSketch {
-	s, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchBins)
+	sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchBins)
 	if err != nil {
-		panic(err) // it depends on constants alone
+		panic(fmt.Errorf("waitestimate: invalid sketch parameters: %w", err)) // the parameters are constants
 	}
-	return s
+	return sketch
 }
 
+// add adds a value. It first rotates or resets the sketches if the current one covers its time already.
 func (w *window) add(now, value float64) {
 	switch {
 	case w.current == nil || now-w.startedAt > 2*windowMS:
@@ -36,18 +41,19 @@
 	_ = w.current.Add(value)
 }
 
-// quantile returns a quantile of the values; false where too few were seen.
-func (w *window) quantile(q float64) (float64, bool) {
+// quantile returns the quantile at a fraction between 0 and 1. It returns false if there are fewer than minSamples
+// values.
+func (w *window) quantile(fraction float64) (float64, bool) {
 	if w.current == nil || w.current.GetCount()+w.previous.GetCount() < minSamples {
 		return 0, false
 	}
-	all := w.current
+	merged := w.current
 	if w.previous.GetCount() > 0 {
-		all = w.current.Copy()
-		if all.MergeWith(w.previous) != nil {
+		merged = w.current.Copy()
+		if merged.MergeWith(w.previous) != nil {
 			return 0, false
 		}
 	}
-	v, err := all.GetValueAtQuantile(q)
-	return v, err == nil
+	value, err := merged.GetValueAtQuantile(fraction)
+	return value, err == nil
 }
