--- a/internal/attribution/attribution.go
+++ b/internal/attribution/attribution.go
@@ -1,5 +1,5 @@
-// Package attribution tells which team a request belongs to: by what the client says, by the client's address, by request class or by
-// schema, in the order that the operators give. It has no I/O, and keeps nothing of names that nobody configured.
+// Package attribution determines which team a request belongs to: by the team that the client names, the client's
+// address, the request class or the schema, in a configured order. It does no I/O and keeps no state per request.
 package attribution
 
 import (
@@ -10,44 +10,44 @@
 	"liftshift/internal/ipprefix"
 )
 
-// Source is what a team is told by. Its values are those of the operators' file.
+// Source is a property of a request by which it can be attributed to a team. The values are names in the operator file.
 type Source string
 
 // The sources.
 const (
-	Field   Source = "field"
-	Address Source = "address"
-	Class   Source = "offering"
-	Schema  Source = "schema"
+	Field   Source = "field"    // the team that the client names in the request
+	Address Source = "address"  // the IP address of the client
+	Class   Source = "offering" // the request class
+	Schema  Source = "schema"   // the schema that the request is for
 )
 
-// Rules tell which team a request belongs to. The zero value knows none.
+// Rules attribute requests to teams. The zero value attributes no request.
 type Rules struct {
-	Order     []Source
-	Teams     map[string]bool // those that a client may name
-	Addresses ipprefix.Table[string]
-	Classes   map[string]string
-	Schemas   map[string]string
+	Order     []Source               // the sources, in the order in which they are tried
+	Teams     map[string]bool        // the teams that a client may name
+	Addresses ipprefix.Table[string] // team by address prefix
+	Classes   map[string]string      // team by request class
+	Schemas   map[string]string      // team by schema
 }
 
-// ParseOrder returns the sources of an order, or what is wrong with it.
+// ParseOrder converts the names of sources. It returns an error for an unknown name and for one that is listed twice.
 func ParseOrder(order []string) ([]Source, error) {
 	var list []Source
 	for _, name := range order {
 		switch source := Source(name); source {
 		case Field, Address, Class, Schema:
 			if slices.Contains(list, source) {
-				return nil, fmt.Errorf("%q stands there twice", name)
+				return nil, fmt.Errorf("source %q is listed twice", name)
 			}
 			list = append(list, source)
 		default:
-			return nil, fmt.Errorf("%q is none of field, address, offering, schema", name)
+			return nil, fmt.Errorf("unknown source %q, expected field, address, offering or schema", name)
 		}
 	}
 	return list, nil
 }
 
-// TeamOf returns the team of a request, by the first source that knows one; empty where none does.
+// TeamOf returns the team of a request according to the first source that has one, or "" if none has.
 func (r *Rules) TeamOf(field string, from netip.Addr, class, schema string) string {
 	for _, source := range r.Order {
 		if team := r.teamBy(source, field, from, class, schema); team != "" {
@@ -57,6 +57,7 @@
 	return ""
 }
 
+// teamBy returns the team of a request according to one source, or "".
 func (r *Rules) teamBy(source Source, field string, from netip.Addr, class, schema string) string {
 	switch source {
 	case Field:
--- a/internal/attribution/attribution_test.go
+++ b/internal/attribution/attribution_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRules_TeamOf: the first source of the order that knows a team decides.
+// TestRules_TeamOf checks that the first source in the order that has a team for the request decides.
 func TestRules_TeamOf(t *testing.T) {
-	r := Rules{Teams: map[string]bool{"model": true, "render": true}, Classes: map[string]string{"report": "render"},
+	rules := Rules{Teams: map[string]bool{"model": true, "render": true}, Classes: map[string]string{"report": "render"},
 		Schemas: map[string]string{"jobs": "jobs-team"}}
-	r.Addresses.Put(netip.MustParsePrefix("10.0.0.0/8"), "model")
-	here, away := netip.MustParseAddr("10.1.1.1"), netip.MustParseAddr("192.0.2.1")
+	rules.Addresses.Put(netip.MustParsePrefix("10.0.0.0/8"), "model")
+	listed, unlisted := netip.MustParseAddr("10.1.1.1"), netip.MustParseAddr("192.0.2.1")
 	for _, c := range []struct {
 		order         []Source
 		field         string
@@ -20,20 +20,24 @@
 		class, schema string
 		want          string
 	}{
-		{[]Source{Field, Address, Class, Schema}, "render", here, "look", "", "render"},
-		{[]Source{Field, Address, Class, Schema}, "nobody", here, "report", "", "model"},
-		{[]Source{Class, Address}, "model", here, "report", "", "render"},
-		{[]Source{Field, Address, Class, Schema}, "", away, "look", "jobs", "jobs-team"},
-		{[]Source{Field, Address, Class, Schema}, "", away, "look", "other", ""},
-		{nil, "model", here, "report", "jobs", ""},
+		{[]Source{Field, Address, Class, Schema}, "render", listed, "look", "", "render"},
+		{[]Source{Field, Address, Class, Schema}, "unknown", listed, "report", "", "model"},
+		{[]Source{Class, Address}, "model", listed, "report", "", "render"},
+		{[]Source{Field, Address, Class, Schema}, "", unlisted, "look", "jobs", "jobs-team"},
+		{[]Source{Field, Address, Class, Schema}, "", unlisted, "look", "other", ""},
+		{nil, "model", listed, "report", "jobs", ""},
 	} {
-		r.Order = c.order
-		assert.Equal(t, c.want, r.TeamOf(c.field, c.from, c.class, c.schema))
+		rules.Order = c.order
+		assert.Equal(t, c.want, rules.TeamOf(c.field, c.from, c.class, c.schema), "%+v", c)
 	}
+}
+
+// TestParseOrder_RejectsUnknownAndRepeatedSources checks the errors of ParseOrder, and a valid order.
+func TestParseOrder_RejectsUnknownAndRepeatedSources(t *testing.T) {
 	_, err := ParseOrder([]string{"field", "field"})
-	assert.Error(t, err)
-	_, err = ParseOrder([]string{"moon"})
-	assert.ErrorContains(t, err, "moon")
+	assert.ErrorContains(t, err, `source "field" is listed twice`)
+	_, err = ParseOrder([]string{"color"})
+	assert.ErrorContains(t, err, `unknown source "color"`)
 	order, err := ParseOrder([]string{"schema", "field"})
 	assert.NoError(t, err)
 	assert.Equal(t, []Source{Schema, Field}, order)
