--- a/internal/ledgerstore/clocks.go
+++ b/internal/ledgerstore/clocks.go
@@ -9,21 +9,21 @@
 	"liftshift/internal/ledger"
 )
 
-// ReadClocks reads the clocks of the machine. Where its uptime or its boot can't be read, both are left out, and the ledger takes windows
-// for as short as they can be.
+// ReadClocks reads the clocks of the machine. If the uptime or the boot ID cannot be read, both stay unset: the ledger
+// then cannot tell exactly how long the controller was down.
 func ReadClocks() ledger.Clocks {
 	clocks := ledger.Clocks{WallMS: float64(time.Now().UnixMicro()) / 1000}
 	uptime, err := os.ReadFile("/proc/uptime")
 	if err != nil {
 		return clocks
 	}
-	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	bootID, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return clocks
 	}
-	seconds, _, _ := strings.Cut(string(uptime), " ")
-	if s, err := strconv.ParseFloat(seconds, 64); err == nil {
-		clocks.UpMS, clocks.Boot = s*1000, strings.TrimSpace(string(boot))
+	firstField, _, _ := strings.Cut(string(uptime), " ")
+	if seconds, err := strconv.ParseFloat(firstField, 64); err == nil {
+		clocks.UpMS, clocks.Boot = seconds*1000, strings.TrimSpace(string(bootID))
 	}
 	return clocks
 }
--- a/internal/ledgerstore/golden_test.go
+++ b/internal/ledgerstore/golden_test.go
@@ -17,10 +17,10 @@
 	"liftshift/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareGolden compares data with a golden file. With -update it writes the file first.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -29,69 +29,102 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
-	return want
+	assert.Equal(t, string(want), string(got), "%s differs from the golden file", name)
 }
 
-// goldenSettings has a retry budget, too, so that there is a record of one.
+// goldenSettings returns ledgerSettings with a retry budget, so that the ledger writes a record of it.
 func goldenSettings() ledger.Settings {
 	s := ledgerSettings()
 	s.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
 	return s
 }
 
-// goldenFolder writes a store that has records of every kind, in a snapshot and behind it, at fixed times.
-func goldenFolder(t *testing.T, stop bool) *vfs.MemoryFS {
+// goldenEndpoints returns the endpoint list that is known at the start.
+func goldenEndpoints() ledger.Event {
+	return ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{
+		{Executor: 1, Zone: dedupZone}, {Executor: 2, Zone: otherZone},
+	}}
+}
+
+// goldenRequests are the requests of each round in a golden folder. Their IDs are part of the golden files.
+var goldenRequests = []struct {
+	id, class, key string
+	end            requestEnd
+}{
+	{"handled", "mark", "m0", requestSucceeds},
+	{"out", "mark", "m1", attemptStaysOpen},
+	{"denied", "mark", "m2", attemptNeverRuns},
+	{"left", "mark", "m3", attemptNeverSent},
+	{"writtenoff", "once", "", attemptStaysOpen},
+	{"look", "look", "", requestSucceeds},
+	{"waiting", "mark", "m4", attemptNeverSent},
+}
+
+// writeGoldenFolder writes a store with records of every kind, in a snapshot and in the log after it, at fixed times.
+// The controller either shuts down cleanly or leaves a torn tail.
+func writeGoldenFolder(t *testing.T, cleanShutdown bool) *vfs.MemoryFS {
 	disk := vfs.NewMemory()
-	c := &testController{now: 10000, reports: make(chan ledger.Event, 1000), engines: &testEngines{ran: map[string][]string{}}}
+	c := &testController{now: 10000, stored: make(chan ledger.Event, 1000), runs: newRunRecorder()}
 	var err error
-	c.Store, _, err = OpenAt(disk, testOptions, goldenSettings(), func() float64 { return c.now }, clocksAt(c.now), func(ev ledger.Event) { c.reports <- ev }, quietLogger())
+	c.Store, _, err = OpenAt(disk, testOptions, goldenSettings(), func() float64 { return c.now }, clocksAt(c.now),
+		func(event ledger.Event) { c.stored <- event }, quietLogger())
 	require.NoError(t, err)
-	step := func(ev ledger.Event) { c.Step(c.now, &ev) }
-	requests := []struct{ id, class, key, ending string }{{"handled", "mark", "m0", "handled"}, {"out", "mark", "m1", ""}, {"denied", "mark", "m2", "unrun"},
-		{"left", "mark", "m3", "before"}, {"writtenoff", "once", "", ""}, {"look", "look", "", "handled"}, {"waiting", "mark", "m4", "before"}}
-	step(ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"}, {Executor: 2, Zone: "there"}}})
-	run := func(round string, ms float64) {
-		for _, r := range requests {
+	step := func(event ledger.Event) { c.Step(c.now, &event) }
+	step(goldenEndpoints())
+	runRound := func(round string, elapsedMS float64) {
+		for _, r := range goldenRequests {
 			key := r.key
 			if key != "" {
 				key += round
 			}
-			c.request(r.id+round, r.class, key, r.ending, 1)
+			c.request(r.id+round, r.class, key, r.end, 1)
 		}
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "denied" + round, Outcome: ledger.Rejected})
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "left" + round, Outcome: ledger.Abandoned})
 		step(ledger.Event{Kind: ledger.RequestClosed, ID: "writtenoff" + round, Outcome: ledger.Failed})
 		step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit " + round, IdempotencyKey: "ann", Body: []byte("{}")})
-		c.now += ms
-		step(ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: 7, Endpoints: []scheduler.Endpoint{{Executor: 2, Zone: "there", Cell: -3, Availability: scheduler.Draining, StartedAt: 5}}})
-		step(ledger.Event{Kind: ledger.Ticked, ExecutorViews: []scheduler.ExecutorView{{Executor: 1, Ejected: true, Ejections: 3, WarmingUp: true, WarmupUntil: c.now + 2000}},
-			Estimates: []scheduler.Estimate{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}}})
+		c.now += elapsedMS
+		step(ledger.Event{Kind: ledger.EndpointsUpdated, ListVersion: 7, Endpoints: []scheduler.Endpoint{
+			{Executor: 2, Zone: otherZone, Cell: -3, Availability: scheduler.Draining, StartedAt: 5},
+		}})
+		step(ledger.Event{
+			Kind: ledger.Ticked,
+			ExecutorViews: []scheduler.ExecutorView{
+				{Executor: 1, Ejected: true, Ejections: 3, WarmingUp: true, WarmupUntil: c.now + 2000},
+			},
+			Estimates: []scheduler.Estimate{{Name: "ran", Value: 2}, {Name: "look", Value: 0.5}},
+		})
 	}
-	run("-1", 2500) // nothing expires before the snapshot, whose order would depend on when that is seen
+	// No record expires before the snapshot: the order of the records in it would depend on when the store notices that.
+	runRound("-1", 2500)
 	require.NoError(t, c.store.Snapshot())
-	run("-2", 6000)
-	step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit -1", IdempotencyKey: "ann"}) // ends it
-	if stop {
+	runRound("-2", 6000)
+	step(ledger.Event{Kind: ledger.OperatorNoteSet, ID: "limit -1", IdempotencyKey: "ann"}) // no body: deletes the note
+	if cleanShutdown {
 		require.NoError(t, c.Close())
 		return disk
 	}
 	require.NoError(t, c.store.Close())
+	tearLogTail(t, disk)
+	return disk
+}
+
+// tearLogTail overwrites the last bytes of the newest log file with zeros, as if its last batch was partly written.
+func tearLogTail(t *testing.T, disk *vfs.MemoryFS) {
 	names, err := disk.List()
 	require.NoError(t, err)
-	for i := len(names) - 1; i >= 0; i-- { // the last batch was half written
+	for i := len(names) - 1; i >= 0; i-- {
 		if strings.HasSuffix(names[i], ".log") {
-			b := disk.Bytes(names[i])
-			clear(b[len(strings.TrimRight(string(b), "\x00"))-10:])
-			disk.Set(names[i], b)
+			data := disk.Bytes(names[i])
+			clear(data[len(strings.TrimRight(string(data), "\x00"))-10:])
+			disk.Set(names[i], data)
 			break
 		}
 	}
-	return disk
 }
 
-// goldenCopy copies a golden folder to a new one.
-func goldenCopy(t *testing.T, folder string) vfs.Dir {
+// copyGoldenFolder copies a golden folder to a temporary one.
+func copyGoldenFolder(t *testing.T, folder string) vfs.Dir {
 	t.Helper()
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "golden", folder))))
@@ -100,76 +133,105 @@
 	return fs
 }
 
-// TestGolden_StoreFolders checks that a folder is written as it always was, after a planned shutdown and with a torn tail, and that the same is
-// found in it: each record in its order, what is said of the tail, and what a controller makes of it.
+// TestGolden_StoreFolders guards the format of the store on disk, after a clean shutdown and with a torn tail. Golden
+// files hold the files of the store, the records and the recovery report that are read from them, the state that a
+// controller restores, and the log that it begins.
 func TestGolden_StoreFolders(t *testing.T) {
 	for _, folder := range []string{"clean", "torn"} {
 		t.Run(folder, func(t *testing.T) {
-			disk := goldenFolder(t, folder == "clean")
-			if *update {
-				require.NoError(t, os.RemoveAll(filepath.Join("testdata", "golden", folder)))
-			}
-			names, err := disk.List()
-			require.NoError(t, err)
-			var written []string
-			for _, name := range names {
-				if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
-					written = append(written, name)
-					golden(t, filepath.Join(folder, name), disk.Bytes(name))
-				}
-			}
-			there, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
-			require.NoError(t, err)
-			assert.Len(t, there, len(written), folder)
-
-			var text strings.Builder
-			kinds := map[string]bool{}
-			s, found, err := store.Open(goldenCopy(t, folder), testOptions, func(k store.Key, expires int64, value []byte) {
-				fmt.Fprintf(&text, "%x %d %x\n", k[:], expires, value)
-				kind, _, _ := ledger.DescribeRecord(value)
-				kinds[kind] = true
-			})
-			require.NoError(t, err, folder)
-			require.NoError(t, s.Close())
-			fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n", found.Records, found.Files, found.Bytes, found.InDoubt,
-				found.Reason, found.Removed, found.Created, found.Snapshot)
-			golden(t, folder+".txt", []byte(text.String()))
-			assert.Equal(t, folder == "torn", found.InDoubt)
-			for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
-				assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
-			}
+			compareStoreFiles(t, folder)
+			compareRecords(t, folder)
 
 			const now = 30000
-			again := goldenCopy(t, folder)
-			k, _, err := OpenAt(again, testOptions, goldenSettings(), func() float64 { return now }, clocksAt(now), func(ledger.Event) {}, quietLogger())
+			disk := copyGoldenFolder(t, folder)
+			s, _, err := OpenAt(disk, testOptions, goldenSettings(), func() float64 { return now }, clocksAt(now),
+				func(ledger.Event) {}, quietLogger())
 			require.NoError(t, err, folder)
-			var answers strings.Builder
-			for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
-				for _, round := range []string{"-1", "-2"} {
-					e := k.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
-					fmt.Fprintf(&answers, "%s %s %q %g\n", id+round, e.Outcome, e.Body, e.AgeMS)
-				}
-			}
-			for _, n := range k.OperatorNotes() {
-				fmt.Fprintf(&answers, "note %q by %q: %q %g\n", n.ID, n.Text, n.Body, n.AgeMS)
-			}
-			restored := k.RestoredEvents()
-			for _, e := range k.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here"},
-				{Executor: 2, Zone: "there"}}}) {
-				restored = append(restored, e.SchedulerEvent)
-			}
-			for _, ev := range restored {
-				fmt.Fprintf(&answers, "figures %v trusts %v\n", ev.Estimates, ev.RestoredExecutors)
-			}
-			golden(t, folder+"-told.txt", []byte(answers.String()))
-			require.NoError(t, k.store.Close())
-			next, err := again.Open("0000000000000003.log") // what this incarnation wrote; its header tells of the doubt
-			require.NoError(t, err)
-			data := make([]byte, testOptions.SegmentBytes)
-			_, err = next.ReadAt(data, 0)
-			require.NoError(t, err)
-			require.NoError(t, next.Close())
-			golden(t, folder+"-next.log", data)
+			compareRestoredState(t, folder, s, now)
+			require.NoError(t, s.store.Close())
+			compareNextLog(t, folder, disk)
 		})
 	}
 }
+
+// compareStoreFiles writes a store and compares its files with those of a golden folder.
+func compareStoreFiles(t *testing.T, folder string) {
+	t.Helper()
+	disk := writeGoldenFolder(t, folder == "clean")
+	if *update {
+		require.NoError(t, os.RemoveAll(filepath.Join("testdata", "golden", folder)))
+	}
+	names, err := disk.List()
+	require.NoError(t, err)
+	var written []string
+	for _, name := range names {
+		if strings.HasSuffix(name, ".log") || strings.HasSuffix(name, ".snap") {
+			written = append(written, name)
+			compareGolden(t, filepath.Join(folder, name), disk.Bytes(name))
+		}
+	}
+	files, err := os.ReadDir(filepath.Join("testdata", "golden", folder))
+	require.NoError(t, err)
+	assert.Len(t, files, len(written), "files in folder %s", folder)
+}
+
+// compareRecords compares the records in a golden folder, and the report of their recovery, with a golden file.
+func compareRecords(t *testing.T, folder string) {
+	t.Helper()
+	var text strings.Builder
+	kinds := map[string]bool{}
+	readRecord := func(key store.Key, expires int64, value []byte) {
+		fmt.Fprintf(&text, "%x %d %x\n", key[:], expires, value)
+		kind, _, _ := ledger.DescribeRecord(value)
+		kinds[kind] = true
+	}
+	s, recovery, err := store.Open(copyGoldenFolder(t, folder), testOptions, readRecord)
+	require.NoError(t, err, folder)
+	require.NoError(t, s.Close())
+	fmt.Fprintf(&text, "records %d files %d bytes %d doubt %v why %q removed %q began %v snapshot %d\n",
+		recovery.Records, recovery.Files, recovery.Bytes, recovery.InDoubt, recovery.Reason, recovery.Removed,
+		recovery.Created, recovery.Snapshot)
+	compareGolden(t, folder+".txt", []byte(text.String()))
+	assert.Equal(t, folder == "torn", recovery.InDoubt, "%s: the tail of the log is in doubt", folder)
+	for _, kind := range []string{"search", "mark", "ration", "executor", "life", "learnt", "note"} {
+		assert.True(t, kinds[kind], "%s: no record of kind %s", folder, kind)
+	}
+}
+
+// compareRestoredState compares the outcomes, the operator notes and the scheduler state that a Store restored with a
+// golden file.
+func compareRestoredState(t *testing.T, folder string, s *Store, now float64) {
+	t.Helper()
+	var text strings.Builder
+	for _, id := range []string{"handled", "out", "denied", "left", "writtenoff", "look", "waiting"} {
+		for _, round := range []string{"-1", "-2"} {
+			answer := s.Step(now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id + round})[0]
+			fmt.Fprintf(&text, "%s %s %q %g\n", id+round, answer.Outcome, answer.Body, answer.AgeMS)
+		}
+	}
+	for _, note := range s.OperatorNotes() {
+		fmt.Fprintf(&text, "note %q by %q: %q %g\n", note.ID, note.Text, note.Body, note.AgeMS)
+	}
+	restored := s.RestoredEvents()
+	endpoints := goldenEndpoints()
+	for _, effect := range s.Step(now, &endpoints) {
+		restored = append(restored, effect.SchedulerEvent)
+	}
+	for _, event := range restored {
+		fmt.Fprintf(&text, "figures %v trusts %v\n", event.Estimates, event.RestoredExecutors)
+	}
+	compareGolden(t, folder+"-told.txt", []byte(text.String()))
+}
+
+// compareNextLog compares the log file that a restarted controller has begun with a golden file. Its header says
+// whether the tail of the log before was in doubt.
+func compareNextLog(t *testing.T, folder string, disk vfs.Dir) {
+	t.Helper()
+	file, err := disk.Open("0000000000000003.log")
+	require.NoError(t, err)
+	data := make([]byte, testOptions.SegmentBytes)
+	_, err = file.ReadAt(data, 0)
+	require.NoError(t, err)
+	require.NoError(t, file.Close())
+	compareGolden(t, folder+"-next.log", data)
+}
--- a/internal/ledgerstore/helpers_test.go
+++ b/internal/ledgerstore/helpers_test.go
@@ -15,17 +15,33 @@
 	"liftshift/scheduler"
 )
 
-// testSettings has a class of each effect; executors of a zone drop repeats of a key for 20 s, those of others do not.
+// The zones and the deduplication window of the test executors.
+const (
+	dedupZone     = "here"  // zone of executor 1
+	otherZone     = "there" // zone of executor 2
+	dedupWindowMS = 20000   // time for which a zone drops repeats of an idempotency key
+)
+
+// The answers that answerRecorder records.
+const (
+	answerSucceeded = "succeeded"
+	answerRejected  = "rejected"
+	answerFailed    = "failed"
+)
+
+// testSettings returns settings with one request class of each idempotency: "look", "mark" and "once".
 func testSettings() scheduler.Settings {
 	s := scheduler.DefaultSettings()
 	s.MaxAttempts, s.MayCancel = 4, true
 	s.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: 8, MemoryMB: 16000}}
-	for _, c := range []scheduler.RequestClass{
-		{Name: "look", Idempotency: scheduler.Idempotent}, {Name: "mark", Idempotency: scheduler.Keyed}, {Name: "once", Idempotency: scheduler.NonIdempotent},
+	for _, class := range []scheduler.RequestClass{
+		{Name: "look", Idempotency: scheduler.Idempotent},
+		{Name: "mark", Idempotency: scheduler.Keyed},
+		{Name: "once", Idempotency: scheduler.NonIdempotent},
 	} {
-		c.DedupScope, c.DedupWindowMS, c.DeadlineMS = scheduler.DedupZone, 20000, 5000
-		c.SoftDeadlineMS, c.Value, c.LateValueShare, c.Threads = 1000, 1, 0.5, 1
-		s.Classes = append(s.Classes, c)
+		class.DedupScope, class.DedupWindowMS, class.DeadlineMS = scheduler.DedupZone, dedupWindowMS, 5000
+		class.SoftDeadlineMS, class.Value, class.LateValueShare, class.Threads = 1000, 1, 0.5, 1
+		s.Classes = append(s.Classes, class)
 	}
 	return s
 }
@@ -44,19 +60,22 @@
 
 var testOptions = store.Options{SegmentBytes: 4096, FlushDelay: time.Millisecond}
 
-// testEngines count the runs of idempotency keys. A zone drops repeats of its own, the others do not know of them.
-type testEngines struct{ ran map[string][]string }
+// runRecorder records in which zones each idempotency key ran. A zone runs a key once and drops repeats of it; it does
+// not know which keys ran in the other zone.
+type runRecorder struct{ zonesByKey map[string][]string }
 
-// run is a key that reaches an engine of a zone.
-func (e *testEngines) run(key, zone string) {
-	if !slices.Contains(e.ran[key], zone) {
-		e.ran[key] = append(e.ran[key], zone)
+func newRunRecorder() *runRecorder { return &runRecorder{zonesByKey: map[string][]string{}} }
+
+// run records that an attempt with a key ran in a zone.
+func (r *runRecorder) run(key, zone string) {
+	if !slices.Contains(r.zonesByKey[key], zone) {
+		r.zonesByKey[key] = append(r.zonesByKey[key], zone)
 	}
 }
 
-// ranTwice returns the keys that ran more than once.
-func (e *testEngines) ranTwice() (keys []string) {
-	for key, zones := range e.ran {
+// repeatedKeys returns the keys that ran more than once.
+func (r *runRecorder) repeatedKeys() (keys []string) {
+	for key, zones := range r.zonesByKey {
 		if len(zones) > 1 {
 			keys = append(keys, key)
 		}
@@ -64,130 +83,160 @@
 	return keys
 }
 
-// testController does what the event loop does with a Store, one request after the other.
+// clone returns an independent copy.
+func (r *runRecorder) clone() *runRecorder {
+	copied := newRunRecorder()
+	for key, zones := range r.zonesByKey {
+		copied.zonesByKey[key] = slices.Clone(zones)
+	}
+	return copied
+}
+
+// testController drives a Store as the event loop does, one request at a time.
 type testController struct {
 	*Store
-	now     float64
-	reports chan ledger.Event
-	engines *testEngines
+	now    float64
+	stored chan ledger.Event // the events that the Store passes to onStored
+	runs   *runRecorder
 }
 
 func clocksAt(ms float64) ledger.Clocks { return ledger.Clocks{WallMS: ms, UpMS: ms, Boot: "b"} }
 
-// startController opens a Store. A damaged one is repaired first, as an operator would.
-func startController(disk *vfs.MemoryFS, now float64, e *testEngines) (*testController, error) {
-	c := &testController{now: now, reports: make(chan ledger.Event, 1000), engines: e}
+// startController opens a Store and repairs it first if it is damaged, as an operator would.
+func startController(disk *vfs.MemoryFS, now float64, runs *runRecorder) (*testController, error) {
+	c := &testController{now: now, stored: make(chan ledger.Event, 1000), runs: runs}
 	open := func() (err error) {
 		c.Store, _, err = OpenAt(disk, testOptions, ledgerSettings(), func() float64 { return now }, clocksAt(now),
-			func(ev ledger.Event) { c.reports <- ev }, quietLogger())
+			func(event ledger.Event) { c.stored <- event }, quietLogger())
 		return err
 	}
 	err := open()
 	if err != nil {
-		if _, rerr := store.Repair(disk, testOptions); rerr != nil {
-			return nil, rerr
+		if _, repairErr := store.Repair(disk, testOptions); repairErr != nil {
+			return nil, repairErr
 		}
 		err = open()
 	}
 	if err != nil {
 		return nil, err
 	}
-	var list []scheduler.Endpoint
-	for id, zone := range []string{"here", "there"} {
-		list = append(list, scheduler.Endpoint{Executor: uint32(id + 1), Zone: zone})
+	var endpoints []scheduler.Endpoint
+	for i, zone := range []string{dedupZone, otherZone} {
+		endpoints = append(endpoints, scheduler.Endpoint{Executor: uint32(i + 1), Zone: zone})
 	}
-	c.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: list})
+	c.Step(now, &ledger.Event{Kind: ledger.EndpointsUpdated, Restored: true, Complete: true, Endpoints: endpoints})
 	return c, nil
 }
 
-// request receives a request, sends its attempt once that is on record, and ends it as given; it returns what became of it.
-// Endings: "" leaves it open; "unrun": the attempt never ran; "handled"; "before": nothing is sent.
-func (c *testController) request(id, class, key, ending string, executor uint32) ledger.EffectKind {
+// requestEnd tells how far a test request gets.
+type requestEnd uint8
+
+const (
+	requestSucceeds requestEnd = iota
+	attemptStaysOpen
+	attemptNeverRuns
+	attemptNeverSent
+)
+
+var allRequestEnds = []requestEnd{requestSucceeds, attemptStaysOpen, attemptNeverRuns, attemptNeverSent}
+
+// request receives a request, sends an attempt once its record is durable, and ends it as given. It returns the effect
+// that decided on the request.
+func (c *testController) request(id, class, key string, end requestEnd, executor uint32) ledger.EffectKind {
 	c.now++
-	effects := c.Step(c.now, &ledger.Event{Kind: ledger.RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: c.now + 5000})
+	effects := c.Step(c.now, &ledger.Event{
+		Kind: ledger.RequestReceived, ID: id, IdempotencyKey: key, Class: class, Deadline: c.now + 5000,
+	})
 	first := effects[0]
-	if first.Kind != ledger.Admit || ending == "before" {
+	if first.Kind != ledger.Admit || end == attemptNeverSent {
 		return first.Kind
 	}
-	zone := []string{"here", "there"}[executor-1]
+	zone := []string{dedupZone, otherZone}[executor-1]
 	if first.Prior.At != 0 {
-		if c.now > first.Prior.At+20000 {
-			return first.Kind // the scheduler never sends it
+		if c.now > first.Prior.At+dedupWindowMS {
+			return first.Kind // the scheduler would never send an attempt
 		}
 		zone = first.Prior.Zone
-		executor = map[string]uint32{"here": 1, "there": 2}[zone]
-	}
-	effects = slices.Clone(c.Step(c.now, &ledger.Event{Kind: ledger.AttemptStarting, ID: id, Executor: executor}))
-	for len(effects) == 1 && effects[0].Kind == ledger.HoldAttempt {
-		ev := <-c.reports
-		effects = slices.Clone(c.Step(c.now, &ev))
-		if len(effects) == 0 {
-			effects = []ledger.Effect{{Kind: ledger.HoldAttempt}}
-		}
+		executor = map[string]uint32{dedupZone: 1, otherZone: 2}[zone]
 	}
+	effects = c.startAttempt(id, executor)
 	if len(effects) > 0 && effects[len(effects)-1].Kind == ledger.FailAttempt {
 		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: true})
 		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Rejected})
 		return ledger.FailAttempt
 	}
-	if ending != "unrun" && key != "" {
-		c.engines.run(key, zone)
+	if end != attemptNeverRuns && key != "" {
+		c.runs.run(key, zone)
 	}
-	if ending != "" {
-		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: ending == "unrun"})
+	if end != attemptStaysOpen {
+		c.Step(c.now, &ledger.Event{Kind: ledger.AttemptEnded, ID: id, NeverRan: end == attemptNeverRuns})
 	}
-	if ending == "handled" {
-		c.Step(c.now, &ledger.Event{Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Succeeded, Body: []byte("rows")})
+	if end == requestSucceeds {
+		c.Step(c.now, &ledger.Event{
+			Kind: ledger.RequestClosed, ID: id, Outcome: ledger.Succeeded, Body: []byte("rows"),
+		})
 	}
 	return ledger.ReleaseAttempt
 }
 
-var endings = []string{"handled", "", "unrun", "before"}
+// startAttempt starts an attempt and returns its effects. If the attempt is held, it returns those that end the hold.
+func (c *testController) startAttempt(id string, executor uint32) []ledger.Effect {
+	effects := slices.Clone(c.Step(c.now, &ledger.Event{Kind: ledger.AttemptStarting, ID: id, Executor: executor}))
+	for len(effects) == 1 && effects[0].Kind == ledger.HoldAttempt {
+		event := <-c.stored
+		effects = slices.Clone(c.Step(c.now, &event))
+		if len(effects) == 0 {
+			effects = []ledger.Effect{{Kind: ledger.HoldAttempt}}
+		}
+	}
+	return effects
+}
 
-// workload goes through every ending a few times and returns the ids that were open when it ended.
+// workload runs requests that end in each way in turn, and returns the IDs of those whose attempts stay open.
 func (c *testController) workload(rounds int) (open []string) {
-	for n := range rounds {
-		id, key, ending := fmt.Sprint("a", n), fmt.Sprint("m", n), endings[n%len(endings)]
-		if c.request(id, "mark", key, ending, 1) == ledger.ReleaseAttempt && ending == "" {
+	for round := range rounds {
+		id, key, end := fmt.Sprint("a", round), fmt.Sprint("m", round), allRequestEnds[round%len(allRequestEnds)]
+		if c.request(id, "mark", key, end, 1) == ledger.ReleaseAttempt && end == attemptStaysOpen {
 			open = append(open, id)
 		}
-		c.request(fmt.Sprint("l", n), "look", "", "handled", 1)
+		c.request(fmt.Sprint("l", round), "look", "", requestSucceeds, 1)
 	}
 	return open
 }
 
-// retries is what clients do after a crash: each key comes again, under a new id, and would go to the other zone.
-func (c *testController) retries(rounds int) {
-	for n := range rounds {
-		c.request(fmt.Sprint("b", n), "mark", fmt.Sprint("m", n), "handled", 2)
+// retryKeys sends each key of a workload again, as clients do after a crash: under a new request ID and to the executor
+// of the other zone.
+func (c *testController) retryKeys(rounds int) {
+	for round := range rounds {
+		c.request(fmt.Sprint("b", round), "mark", fmt.Sprint("m", round), requestSucceeds, 2)
 	}
 }
 
-// copy returns engines that go on from here by themselves.
-func (e *testEngines) copy() *testEngines {
-	o := &testEngines{ran: map[string][]string{}}
-	for key, zones := range e.ran {
-		o.ran[key] = slices.Clone(zones)
-	}
-	return o
-}
-
-// answerRecorder is a client that records its answers.
+// answerRecorder is a client that records the answers to its requests by their tags.
 type answerRecorder struct {
 	mu      sync.Mutex
 	answers map[uint64]string
 }
 
-func (b *answerRecorder) add(tag uint64, what string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.answers[tag] += what
+// record appends an answer, so that a second answer to the same request shows.
+func (r *answerRecorder) record(tag uint64, answer string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.answers[tag] += answer
 }
-func (b *answerRecorder) Succeeded(tag uint64, _ []byte) { b.add(tag, "handled") }
-func (b *answerRecorder) Rejected(tag uint64, _ float64) { b.add(tag, "denied") }
-func (b *answerRecorder) Failed(tag uint64)              { b.add(tag, "written off") }
-func (b *answerRecorder) get(tag uint64) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.answers[tag]
+
+// Succeeded implements dispatch.Client.
+func (r *answerRecorder) Succeeded(tag uint64, _ []byte) { r.record(tag, answerSucceeded) }
+
+// Rejected implements dispatch.Client.
+func (r *answerRecorder) Rejected(tag uint64, _ float64) { r.record(tag, answerRejected) }
+
+// Failed implements dispatch.Client.
+func (r *answerRecorder) Failed(tag uint64) { r.record(tag, answerFailed) }
+
+// answer returns the recorded answer to a request, or "".
+func (r *answerRecorder) answer(tag uint64) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.answers[tag]
 }
--- a/internal/ledgerstore/ledgerstore_test.go
+++ b/internal/ledgerstore/ledgerstore_test.go
@@ -18,150 +18,167 @@
 	"liftshift/scheduler"
 )
 
-const rounds = 12
+const (
+	workloadRounds = 12
+	answerTimeout  = 5 * time.Second
+)
 
-// requireRecovers checks what must hold after any damage: no key runs a second time, and what was open has a final outcome.
-func requireRecovers(t *testing.T, disk *vfs.MemoryFS, now float64, e *testEngines, open []string, what string) {
-	c, err := startController(disk, now, e)
-	require.NoError(t, err, what)
+// requireRecovers starts a controller on a damaged disk and retries every key. It requires that the requests that were
+// open have a final outcome and that no key runs a second time.
+func requireRecovers(t *testing.T, disk *vfs.MemoryFS, now float64, runs *runRecorder, open []string, damage string) {
+	c, err := startController(disk, now, runs)
+	require.NoError(t, err, damage)
 	for _, id := range open {
-		got := c.Step(c.now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id})[0].Outcome
-		require.NotContains(t, []ledger.Outcome{ledger.Unknown, ledger.Open, ledger.Rejected}, got, what)
+		outcome := c.Step(c.now, &ledger.Event{Kind: ledger.OutcomeQueried, ID: id})[0].Outcome
+		require.NotContains(t, []ledger.Outcome{ledger.Unknown, ledger.Open, ledger.Rejected}, outcome,
+			"%s: outcome of request %s", damage, id)
 	}
-	c.retries(rounds)
-	require.Empty(t, e.ranTwice(), what)
-	require.NoError(t, c.store.Close(), what)
+	c.retryKeys(workloadRounds)
+	require.Empty(t, runs.repeatedKeys(), "%s: keys that ran more than once", damage)
+	require.NoError(t, c.store.Close(), damage)
 }
 
-// TestStore_RunsNoKeyTwiceWhateverIsDamaged cuts the files of a workload at every byte and flips each byte of the last records, of the headers
-// and of the snapshot; then every client retries. Engines count runs and do not all drop repeats.
+// TestStore_RunsNoKeyTwiceWhateverIsDamaged damages the files of a store, lets every client retry, and checks that no
+// idempotency key runs in two zones. It truncates each file at each byte and flips a bit in each byte of the headers,
+// the last records and the snapshot.
 func TestStore_RunsNoKeyTwiceWhateverIsDamaged(t *testing.T) {
-	disk, e := vfs.NewMemory(), &testEngines{ran: map[string][]string{}}
-	c, err := startController(disk, 1000, e)
+	disk, runs := vfs.NewMemory(), newRunRecorder()
+	c, err := startController(disk, 1000, runs)
 	require.NoError(t, err)
-	c.workload(rounds / 2)
+	c.workload(workloadRounds / 2)
 	require.NoError(t, c.store.Snapshot())
-	open := c.workload(rounds)
-	require.Len(t, open, 1, "the first half is on record")
+	open := c.workload(workloadRounds)
+	require.Len(t, open, 1, "the keys of the first half of the rounds are on record already")
 	open = []string{"a1", "a5", "a9"}
 	require.NoError(t, c.store.Close())
 	names, _ := disk.List()
-	tried := 0
+	damagedDisks := 0
 	for _, name := range names {
-		bytes := disk.Bytes(name)
-		end := len(strings.TrimRight(string(bytes), "\x00"))
-		damage := func(b []byte, what string, at int) {
-			tried++
-			d := disk.Clone()
-			d.Set(name, b)
-			requireRecovers(t, d, 3000, e.copy(), open, fmt.Sprint(name, what, at))
+		content := disk.Bytes(name)
+		end := len(strings.TrimRight(string(content), "\x00"))
+		requireRecoversWith := func(damaged []byte, damage string, offset int) {
+			damagedDisks++
+			damagedDisk := disk.Clone()
+			damagedDisk.Set(name, damaged)
+			requireRecovers(t, damagedDisk, 3000, runs.clone(), open, fmt.Sprint(name, damage, offset))
 		}
-		for at := 0; at < len(bytes); at++ {
-			if at > end+64 && at%509 != 0 {
-				continue // zeros, all alike
+		for offset := 0; offset < len(content); offset++ {
+			if offset > end+64 && offset%509 != 0 {
+				continue // a sample of the offsets is enough in the zeros reserved at the end
 			}
-			damage(bytes[:at], " cut at ", at)
+			requireRecoversWith(content[:offset], " truncated at ", offset)
 		}
-		for at := 0; at < end; at++ {
-			if at > 200 && at < end-600 && strings.HasSuffix(name, ".log") {
+		for offset := 0; offset < end; offset++ {
+			if offset > 200 && offset < end-600 && strings.HasSuffix(name, ".log") {
 				continue
 			}
-			b := append([]byte(nil), bytes...)
-			b[at] ^= 1 << (at % 8)
-			damage(b, " flipped at ", at)
+			flipped := append([]byte(nil), content...)
+			flipped[offset] ^= 1 << (offset % 8)
+			requireRecoversWith(flipped, " bit flipped at ", offset)
 		}
 	}
-	assert.Greater(t, tried, 4000)
+	assert.Greater(t, damagedDisks, 4000, "number of damaged disks tried")
 }
 
-// TestStore_RunsNoKeyTwiceThroughACrashAtAnyCall crashes the machine at each call on the file system in turn: between record and send, send and
-// report, answer and record.
+// TestStore_RunsNoKeyTwiceThroughACrashAtAnyCall crashes the machine at each file system call of a workload in turn.
+// The crashes hit between record and send, between send and outcome, and between answer and record.
 func TestStore_RunsNoKeyTwiceThroughACrashAtAnyCall(t *testing.T) {
-	run := func(disk *vfs.MemoryFS) (*testEngines, []string) {
-		e := &testEngines{ran: map[string][]string{}}
-		c, err := startController(disk, 1000, e)
+	runWorkload := func(disk *vfs.MemoryFS) (*runRecorder, []string) {
+		runs := newRunRecorder()
+		c, err := startController(disk, 1000, runs)
 		if err != nil {
-			return e, nil
+			return runs, nil
 		}
-		open := c.workload(rounds)
+		open := c.workload(workloadRounds)
 		_ = c.store.Close()
-		return e, open
+		return runs, open
 	}
-	whole := vfs.NewMemory()
-	_, open := run(whole)
+	intactDisk := vfs.NewMemory()
+	_, open := runWorkload(intactDisk)
 	require.Len(t, open, 3)
-	for at := 1; at <= whole.Ops(); at++ {
+	for call := 1; call <= intactDisk.Ops(); call++ {
 		for _, loss := range []vfs.CrashLoss{vfs.LoseAll, vfs.LosePart, vfs.LoseNothing} {
 			disk := vfs.NewMemory()
-			disk.CrashAt = at
-			e, open := run(disk)
-			requireRecovers(t, disk.Crash(loss, uint64(at)), 3000, e, open, fmt.Sprintf("crash at call %d, loss %d", at, loss))
+			disk.CrashAt = call
+			runs, open := runWorkload(disk)
+			requireRecovers(t, disk.Crash(loss, uint64(call)), 3000, runs, open,
+				fmt.Sprintf("crash at call %d, loss %d", call, loss))
 		}
 	}
 }
 
-// testExecutors answer at once, and count.
+// testExecutors answer each attempt at once and count the attempts that were sent.
 type testExecutors struct {
 	loop *dispatch.Loop
 	sent atomic.Int64
 }
 
+// testAttempt is an attempt at testExecutors. If it is held, it is sent on Release.
 type testAttempt struct {
 	executors *testExecutors
 	attempt   dispatch.Attempt
 	done      atomic.Bool
 }
 
-func (f *testExecutors) Send(s dispatch.Attempt) (dispatch.RunningAttempt, float64) {
-	r := &testAttempt{executors: f, attempt: s}
-	if !s.Held {
-		r.Release()
+func (e *testExecutors) Send(attempt dispatch.Attempt) (dispatch.RunningAttempt, float64) {
+	a := &testAttempt{executors: e, attempt: attempt}
+	if !attempt.Held {
+		a.Release()
 	}
-	return r, 0
+	return a, 0
 }
 
-func (r *testAttempt) Release() {
-	if r.done.CompareAndSwap(false, true) {
-		r.executors.sent.Add(1)
-		go r.executors.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.AttemptEnded, Request: r.attempt.Request.ID, Attempt: r.attempt.Number}, Body: []byte("rows")})
+func (a *testAttempt) Release() {
+	if a.done.CompareAndSwap(false, true) {
+		a.executors.sent.Add(1)
+		ended := scheduler.Event{
+			Kind: scheduler.AttemptEnded, Request: a.attempt.Request.ID, Attempt: a.attempt.Number,
+		}
+		go a.executors.loop.Put(dispatch.QueueItem{Event: ended, Body: []byte("rows")})
 	}
 }
 
-func (r *testAttempt) Cancel() dispatch.CancelResult {
-	if r.done.CompareAndSwap(false, true) {
+func (a *testAttempt) Cancel() dispatch.CancelResult {
+	if a.done.CompareAndSwap(false, true) {
 		return dispatch.CancelledUnsent
 	}
 	return dispatch.AlreadyEnded
 }
-func (r *testAttempt) SetLevel(int)                       { _ = r }
-func (f *testExecutors) HealthCheck(uint32, uint64) bool  { return false }
-func (f *testExecutors) ForgetHealthCheck(uint32, uint64) {}
-func (f *testExecutors) ConnectionState(uint32) dispatch.ConnectionState {
+
+func (a *testAttempt) SetLevel(int)                       { _ = a }
+func (e *testExecutors) HealthCheck(uint32, uint64) bool  { return false }
+func (e *testExecutors) ForgetHealthCheck(uint32, uint64) {}
+func (e *testExecutors) ConnectionState(uint32) dispatch.ConnectionState {
 	return dispatch.ConnectionState{}
 }
-func (f *testExecutors) SendPeer(peer int, data []byte) {}
-func (f *testExecutors) Refresh()                       {}
+func (e *testExecutors) SendPeer(peer int, data []byte) {}
+func (e *testExecutors) Refresh()                       {}
 
-// startLoop runs an event loop with a scheduler, a Store on a disk, and executors that answer.
+// startLoop starts an event loop with a scheduler, a Store on a disk, and test executors.
 func startLoop(t *testing.T, disk *vfs.MemoryFS) (*dispatch.Loop, *testExecutors, *Store) {
 	clock := dispatch.NewClock()
-	d := dispatch.New(clock, scheduler.New(7, testSettings()), quietLogger())
-	k, _, err := Open(disk, testOptions, ledgerSettings(), clock.Now, func(ev ledger.Event) { d.Put(dispatch.QueueItem{Message: &ev}) }, quietLogger())
+	loop := dispatch.New(clock, scheduler.New(7, testSettings()), quietLogger())
+	s, _, err := Open(disk, testOptions, ledgerSettings(), clock.Now,
+		func(event ledger.Event) { loop.Put(dispatch.QueueItem{Message: &event}) }, quietLogger())
 	require.NoError(t, err)
-	f := &testExecutors{loop: d}
-	d.Executors, d.Peers, d.EndpointList, d.HealthCheckTimeoutMS = f, f, f, 250
-	d.Register(dispatch.LedgerExtension(k))
-	go d.Run()
-	for _, ev := range k.RestoredEvents() {
-		d.Put(dispatch.QueueItem{Event: ev})
+	executors := &testExecutors{loop: loop}
+	loop.Executors, loop.Peers, loop.EndpointList, loop.HealthCheckTimeoutMS = executors, executors, executors, 250
+	loop.Register(dispatch.LedgerExtension(s))
+	go loop.Run()
+	for _, event := range s.RestoredEvents() {
+		loop.Put(dispatch.QueueItem{Event: event})
 	}
-	d.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListRestored,
-		Endpoints: []scheduler.Endpoint{{Executor: 1, Zone: "here", Kind: "big"}, {Executor: 2, Zone: "here", Kind: "big"}}}})
-	return d, f, k
+	loop.Put(dispatch.QueueItem{Event: scheduler.Event{
+		Kind: scheduler.EndpointsUpdated, List: scheduler.ListRestored,
+		Endpoints: []scheduler.Endpoint{
+			{Executor: 1, Zone: dedupZone, Kind: "big"}, {Executor: 2, Zone: dedupZone, Kind: "big"},
+		},
+	}})
+	return loop, executors, s
 }
 
-// TestStore_ShedsDurableWorkWhileTheDiskFails has a full disk, or one whose syncs fail, under load: keyed and non-idempotent requests are rejected
-// and none of them has run; idempotent ones go on; all is as before once the disk is well.
+// TestStore_ShedsDurableWorkWhileTheDiskFails checks that keyed and non-idempotent requests are rejected unsent while
+// the disk is full or its syncs fail, that idempotent ones succeed, and that all succeed once the disk works again.
 func TestStore_ShedsDurableWorkWhileTheDiskFails(t *testing.T) {
 	for _, call := range []string{"write", "sync", "rename"} {
 		t.Run(call, func(t *testing.T) {
@@ -173,76 +190,94 @@
 				}
 				return nil
 			}
-			d, f, k := startLoop(t, disk)
-			b, tag := &answerRecorder{answers: map[uint64]string{}}, uint64(0)
+			loop, executors, s := startLoop(t, disk)
+			client, lastTag := &answerRecorder{answers: map[uint64]string{}}, uint64(0)
 			submit := func(class string) string {
-				tag++
-				at := tag
-				s := &dispatch.Request{ID: fmt.Sprint("s", at), Class: class, WorkMS: 1, MemoryMB: 1, Deadline: float64(time.Now().UnixMilli()) + 5000,
-					Client: b, Tag: at}
+				lastTag++
+				tag := lastTag
+				request := &dispatch.Request{
+					ID: fmt.Sprint("s", tag), Class: class, WorkMS: 1, MemoryMB: 1,
+					Deadline: float64(time.Now().UnixMilli()) + 5000, Client: client, Tag: tag,
+				}
 				if class == "mark" {
-					s.IdempotencyKey = fmt.Sprint("m", at)
+					request.IdempotencyKey = fmt.Sprint("m", tag)
 				}
-				d.Submit(s)
-				require.Eventually(t, func() bool { return b.get(at) != "" }, 5*time.Second, 200*time.Microsecond, call)
-				return b.get(at)
+				loop.Submit(request)
+				require.Eventually(t, func() bool { return client.answer(tag) != "" }, answerTimeout, 200*time.Microsecond,
+					"%s: no answer to request %s", call, request.ID)
+				return client.answer(tag)
 			}
 			for _, class := range []string{"mark", "once", "look"} {
-				require.Equal(t, "handled", submit(class), call)
+				require.Equal(t, answerSucceeded, submit(class), "class %s before %s fails", class, call)
 			}
 			failing.Store(true)
-			ran := f.sent.Load()
+			sent := executors.sent.Load()
 			for range 10 {
-				require.Equal(t, "denied", submit("mark"), call)
-				require.Equal(t, "denied", submit("once"), call)
+				require.Equal(t, answerRejected, submit("mark"), "keyed request while %s fails", call)
+				require.Equal(t, answerRejected, submit("once"), "non-idempotent request while %s fails", call)
 			}
-			require.Equal(t, ran, f.sent.Load(), "none of them was sent")
-			require.Equal(t, "handled", submit("look"), call)
+			require.Equal(t, sent, executors.sent.Load(), "no rejected request was sent")
+			require.Equal(t, answerSucceeded, submit("look"), "idempotent request while %s fails", call)
 			failing.Store(false)
-			require.Eventually(t, func() bool { return submit("mark") == "handled" }, 5*time.Second, 50*time.Millisecond, call)
-			require.Equal(t, "handled", submit("once"), call)
-			d.Stop()
-			require.NoError(t, k.Close())
-			again, _, err := Open(disk, testOptions, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
+			require.Eventually(t, func() bool { return submit("mark") == answerSucceeded }, answerTimeout, 50*time.Millisecond,
+				"keyed request after %s works again", call)
+			require.Equal(t, answerSucceeded, submit("once"), "non-idempotent request after %s works again", call)
+			loop.Stop()
+			require.NoError(t, s.Close())
+			reopened, _, err := Open(disk, testOptions, ledgerSettings(), func() float64 { return 0 },
+				func(ledger.Event) {}, quietLogger())
 			require.NoError(t, err)
-			assert.Equal(t, ledger.Succeeded, again.Step(1, &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"})[0].Outcome)
-			require.NoError(t, again.store.Close())
+			query := &ledger.Event{Kind: ledger.OutcomeQueried, IdempotencyKey: "m1"}
+			assert.Equal(t, ledger.Succeeded, reopened.Step(1, query)[0].Outcome, "outcome of key m1 after a restart")
+			require.NoError(t, reopened.store.Close())
 		})
 	}
 }
 
-// TestStore_SendsAnAttemptOnlyOnceItsRecordIsDurable: a keyed attempt waits for its record; an idempotent one does not wait for the disk.
+// TestStore_SendsAnAttemptOnlyOnceItsRecordIsDurable checks that a keyed attempt waits until its record is synced, and
+// that an idempotent one does not wait for the disk.
 func TestStore_SendsAnAttemptOnlyOnceItsRecordIsDurable(t *testing.T) {
-	disk, gate := vfs.NewMemory(), make(chan struct{})
-	var closed atomic.Bool
+	disk, syncsMayFinish := vfs.NewMemory(), make(chan struct{})
+	var blockSyncs atomic.Bool
 	disk.Fail = func(op vfs.Op) error {
-		if op.Call == "sync" && closed.Load() {
-			<-gate
+		if op.Call == "sync" && blockSyncs.Load() {
+			<-syncsMayFinish
 		}
 		return nil
 	}
-	d, f, k := startLoop(t, disk)
-	b := &answerRecorder{answers: map[uint64]string{}}
-	until := float64(time.Now().UnixMilli()) + 5000
-	d.Submit(&dispatch.Request{ID: "w", Class: "look", WorkMS: 1, Deadline: until, Client: b, Tag: 1})
-	require.Eventually(t, func() bool { return b.get(1) == "handled" }, 5*time.Second, time.Millisecond)
-	closed.Store(true)
-	d.Submit(&dispatch.Request{ID: "a", Class: "mark", IdempotencyKey: "m", WorkMS: 1, Deadline: until, Client: b, Tag: 2})
-	d.Submit(&dispatch.Request{ID: "b", Class: "look", WorkMS: 1, Deadline: until, Client: b, Tag: 3})
-	require.Eventually(t, func() bool { return b.get(3) == "handled" }, 5*time.Second, time.Millisecond)
-	assert.NotEqual(t, "handled", b.get(2))
-	assert.EqualValues(t, 2, f.sent.Load())
-	closed.Store(false)
-	close(gate)
-	require.Eventually(t, func() bool { return b.get(2) != "" }, 5*time.Second, time.Millisecond)
-	d.Stop()
-	require.NoError(t, k.Close())
+	loop, executors, s := startLoop(t, disk)
+	client := &answerRecorder{answers: map[uint64]string{}}
+	deadline := float64(time.Now().UnixMilli()) + 5000
+	requireSucceeds := func(tag uint64) {
+		t.Helper()
+		require.Eventually(t, func() bool { return client.answer(tag) == answerSucceeded }, answerTimeout, time.Millisecond,
+			"request with tag %d has not succeeded", tag)
+	}
+	loop.Submit(&dispatch.Request{ID: "w", Class: "look", WorkMS: 1, Deadline: deadline, Client: client, Tag: 1})
+	requireSucceeds(1)
+	blockSyncs.Store(true)
+	loop.Submit(&dispatch.Request{
+		ID: "a", Class: "mark", IdempotencyKey: "m", WorkMS: 1, Deadline: deadline, Client: client, Tag: 2,
+	})
+	loop.Submit(&dispatch.Request{ID: "b", Class: "look", WorkMS: 1, Deadline: deadline, Client: client, Tag: 3})
+	requireSucceeds(3)
+	assert.NotEqual(t, answerSucceeded, client.answer(2), "the keyed request succeeded before its record was synced")
+	assert.EqualValues(t, 2, executors.sent.Load(), "attempts sent while syncs are blocked")
+	blockSyncs.Store(false)
+	close(syncsMayFinish)
+	require.Eventually(t, func() bool { return client.answer(2) != "" }, answerTimeout, time.Millisecond,
+		"no answer to the keyed request after its record was synced")
+	loop.Stop()
+	require.NoError(t, s.Close())
 }
 
+// TestReadClocks_ReadsTheMachinesClocks checks that the wall clock is current, that uptime and boot ID are read both or
+// not at all, and that a Store opens with these clocks.
 func TestReadClocks_ReadsTheMachinesClocks(t *testing.T) {
-	m := ReadClocks()
-	assert.InDelta(t, float64(time.Now().UnixMilli()), m.WallMS, 5000)
-	assert.Equal(t, m.UpMS > 0, m.Boot != "")
-	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 }, func(ledger.Event) {}, quietLogger())
+	clocks := ReadClocks()
+	assert.InDelta(t, float64(time.Now().UnixMilli()), clocks.WallMS, 5000)
+	assert.Equal(t, clocks.UpMS > 0, clocks.Boot != "", "uptime %g ms, boot ID %q", clocks.UpMS, clocks.Boot)
+	_, _, err := Open(vfs.NewMemory(), store.Options{}, ledgerSettings(), func() float64 { return 0 },
+		func(ledger.Event) {}, quietLogger())
 	assert.NoError(t, err)
 }
