--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -18,7 +18,6 @@
 )
 
 // entry is an element of the slab: a key with its value, or a member of the list of free places.
-
 type entry[V any] struct {
 	key        Key
 	expires    int64  // in ms; 0 means never
