--- a/internal/locality/events.go
+++ b/internal/locality/events.go
@@ -5,25 +5,37 @@
 // EventKind is the kind of an Event.
 type EventKind uint8
 
-// Events.
+// Kinds of events.
 const (
-	Observed       EventKind = iota // Executors, DemandThreads and WithoutList are this controller's observation
-	MembersChanged                  // Members is the membership view; Leader leads the consensus group, Leads reports whether this member does
-	ReportReceived                  // Data, a report, arrived from the member From
-	PlanAgreed                      // Plan and Orders have been agreed on
-	PlanConfirmed                   // the plan with PlanNumber was in force after the time At, when that was requested
-	PlanAnnounced                   // the member From announces the plan with PlanNumber
-	LoanRequested                   // the member From requests a loan for Zone; PlanNumber identifies the request
-	LoanGranted                     // the member From lends Threads for the request PlanNumber
-	Ticked                          // to be given about every 50 ms
+	// Observed carries this controller's observation in Executors, DemandThreads, WithoutList and Applied.
+	Observed EventKind = iota
+	// MembersChanged carries the membership view in Members, the leader of the consensus group in Leader, and in Leads
+	// whether this controller is the leader.
+	MembersChanged
+	// ReportReceived carries an encoded report of the member From in Data.
+	ReportReceived
+	// PlanAgreed carries the agreed Plan and Orders. A nil Plan leaves the plan unchanged.
+	PlanAgreed
+	// PlanConfirmed states that the plan PlanNumber was in force at some time after At, when its confirmation was
+	// requested.
+	PlanConfirmed
+	// PlanAnnounced states that the member From knows the plan PlanNumber.
+	PlanAnnounced
+	// LoanRequested is a request of the member From for a loan of its share of Zone. PlanNumber is the ID of the
+	// request.
+	LoanRequested
+	// LoanGranted is a loan of Threads in Zone by the member From. PlanNumber is the ID of the request.
+	LoanGranted
+	// Ticked lets the monitor do what is due. It is expected about every 50 ms.
+	Ticked
 )
 
 // Event is an input of a Monitor. Only the fields of its kind are set.
 type Event struct {
 	Kind          EventKind
 	Executors     []Executor
-	DemandThreads float64
-	WithoutList   bool
+	DemandThreads float64 // threads that this controller's running and waiting requests need
+	WithoutList   bool    // the endpoint list is unavailable
 	Members       []Member
 	Leader        string
 	Leads         bool
@@ -33,28 +45,36 @@
 	Orders        []Order
 	PlanNumber    uint64
 	At            float64
-	Applied       uint64 // Observed: the Number of the latest SetReach effect that the scheduler had applied by then
+	Applied       uint64 // Number of the latest SetReach effect that the scheduler had applied at the observation
 	Zone          string
 	Threads       float64
-	UnixMS        int64 // Ticked: the wall clock in ms, by which orders without a span end
+	UnixMS        int64 // Ticked: the wall clock, by which orders without a SpanMS end
 }
 
 // EffectKind is the kind of an Effect.
 type EffectKind uint8
 
-// Effects.
+// Kinds of effects.
 const (
-	SendReport   EffectKind = iota // send the report Data to the member To
-	AnnouncePlan                   // announce the plan with Number to the member To
-	FetchPlan                      // fetch the plan with Number, which is not known here
-	ProposePlan                    // propose Plan to the consensus group
-	SetReach                       // pass Reaches to the scheduler; Number comes back as Applied
-	LogWarning                     // log Text
-	RequestLoan                    // send a loan request with Zone and Number to the member To
-	GrantLoan                      // send a loan with Zone, Number and Threads to the member To
+	// SendReport sends the encoded report Data to the member To.
+	SendReport EffectKind = iota
+	// AnnouncePlan tells the member To that the plan Number exists.
+	AnnouncePlan
+	// FetchPlan fetches the plan Number, which this controller does not have.
+	FetchPlan
+	// ProposePlan proposes Plan to the consensus group.
+	ProposePlan
+	// SetReach passes Reaches to the scheduler. Number comes back in Event.Applied.
+	SetReach
+	// LogWarning logs Text.
+	LogWarning
+	// RequestLoan asks the member To for a loan in Zone. Number is the ID of the request.
+	RequestLoan
+	// GrantLoan lends Threads in Zone to the member To. Number is the ID of the request.
+	GrantLoan
 )
 
-// Effect is an output of a Monitor.
+// Effect is an output of a Monitor, to be carried out by the caller. Only the fields of its kind are set.
 type Effect struct {
 	Kind    EffectKind
 	To      string
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -11,42 +11,43 @@
 	"liftshift/scheduler"
 )
 
-// testZone is a zone of a world: the true state of its executors, and its controllers' demand.
+// testZone is a simulated zone: the true state of its executors, and the demand of its controllers.
 type testZone struct {
-	cores   float64
-	up      float64 // share of them that is reachable
-	listed  float64 // share of them in the endpoint list
-	wants   float64 // threads of each controller
-	region  string
-	kinds   []string
-	hidden  map[int]bool // controllers of its own that can't reach them
-	foreign bool         // other zones' controllers can't reach them
+	cores            float64
+	reachable        float64 // fraction of the executors that are reachable
+	listed           float64 // fraction of the executors in the endpoint list
+	demandThreads    float64 // of each controller
+	region           string
+	kinds            []string
+	hiddenFrom       map[int]bool // controllers of the zone that can't reach its executors
+	hiddenFromOthers bool         // no controller of another zone can reach the executors
 }
 
-// world is a simulated fleet: monitors, a consensus group with the first three controllers as voters, and a network.
-type world struct {
+// simulatedFleet is a set of monitors with a network and a consensus group. The first three controllers are its voters.
+type simulatedFleet struct {
 	t               *testing.T
 	now             float64
-	unix            int64
-	sites           []*testZone
+	unixMS          int64
+	zones           []*testZone
 	monitors        []*Monitor
-	zoneOf          []int
+	zoneOf          []int // zone by controller
 	down            map[int]bool
-	partitioned     map[int]bool // partitioned from all others
-	listUnavailable bool         // the endpoint list is unavailable
+	partitioned     map[int]bool // controllers that are partitioned from all others
+	listUnavailable bool
 	leader          int
 	plan            Plan
 	orders          []Order
 	random          *rand.Rand
-	deliveries      []func()
+	deliveries      []func() // messages in flight
 	deliveryAt      []float64
-	loss            float64
+	loss            float64 // probability that a message is lost
 	reaches         []map[string]scheduler.ZoneReach
 	applied         map[int]uint64
 	inFlight        map[int]map[string]float64 // threads in flight by controller and zone, where a test sets them
-	plans           []agreedPlan               // that were agreed
+	demandThreads   map[int]float64            // by controller, where a test sets it
+	plans           []agreedPlan               // all plans that the group agreed on
 	violations      []string
-	bytes           int
+	reportBytes     int
 }
 
 type agreedPlan struct {
@@ -54,223 +55,263 @@
 	plan Plan
 }
 
-func newWorld(t *testing.T, zones, each int, b Settings) *world {
-	w := &world{t: t, now: 1000, unix: 1, applied: map[int]uint64{}, inFlight: map[int]map[string]float64{}, down: map[int]bool{}, partitioned: map[int]bool{}, random: rand.New(rand.NewPCG(uint64(zones), uint64(each)))}
+// newSimulatedFleet returns a fleet with the given number of zones and of controllers in each zone.
+func newSimulatedFleet(t *testing.T, zones, controllersPerZone int, settings Settings) *simulatedFleet {
+	fleet := &simulatedFleet{
+		t:             t,
+		now:           1000,
+		unixMS:        1,
+		applied:       map[int]uint64{},
+		inFlight:      map[int]map[string]float64{},
+		demandThreads: map[int]float64{},
+		down:          map[int]bool{},
+		partitioned:   map[int]bool{},
+		random:        rand.New(rand.NewPCG(uint64(zones), uint64(controllersPerZone))),
+	}
 	for range zones {
-		w.sites = append(w.sites, &testZone{cores: 100, up: 1, listed: 1, region: "r", kinds: []string{"big"}, hidden: map[int]bool{}})
+		fleet.zones = append(fleet.zones, &testZone{cores: 100, reachable: 1, listed: 1, region: "r", kinds: []string{"big"},
+			hiddenFrom: map[int]bool{}})
 	}
-	for k := range zones * each {
-		z := k % zones
-		w.zoneOf = append(w.zoneOf, z)
-		w.monitors = append(w.monitors, New(w.name(k), fmt.Sprint("z", z), w.sites[z].region, b))
-		w.reaches = append(w.reaches, nil)
+	for k := range zones * controllersPerZone {
+		zone := k % zones
+		fleet.zoneOf = append(fleet.zoneOf, zone)
+		monitor := New(fleet.name(k), zoneName(zone), fleet.zones[zone].region, settings)
+		fleet.monitors = append(fleet.monitors, monitor)
+		fleet.reaches = append(fleet.reaches, nil)
 	}
-	return w
+	return fleet
 }
 
-func (w *world) name(k int) string { return fmt.Sprintf("c%03d", k) }
+// name returns the name of a controller.
+func (f *simulatedFleet) name(k int) string { return fmt.Sprintf("c%03d", k) }
+
+func zoneName(zone int) string { return fmt.Sprint("z", zone) }
 
+// testSettings returns the default settings with shorter times.
 func testSettings() Settings {
-	b := DefaultSettings()
-	b.LeaseMS, b.StageMS, b.RecoveryWaitMS = 3000, 1000, 1000
-	return b
+	settings := DefaultSettings()
+	settings.LeaseMS, settings.StageMS, settings.RecoveryWaitMS = 3000, 1000, 1000
+	return settings
 }
 
-func (w *world) send(from, to int, do func()) {
-	if w.down[to] || w.down[from] || w.partitioned[from] != w.partitioned[to] || w.partitioned[from] && from != to || w.random.Float64() < w.loss {
+// send delivers a message after 1 to 21 ms, unless it is lost or one of the controllers is down or partitioned.
+func (f *simulatedFleet) send(from, to int, deliver func()) {
+	if f.down[to] || f.down[from] || f.partitioned[from] != f.partitioned[to] || f.partitioned[from] && from != to ||
+		f.random.Float64() < f.loss {
 		return
 	}
-	w.deliveries, w.deliveryAt = append(w.deliveries, do), append(w.deliveryAt, w.now+1+20*w.random.Float64())
+	f.deliveries = append(f.deliveries, deliver)
+	f.deliveryAt = append(f.deliveryAt, f.now+1+20*f.random.Float64())
+}
+
+// sendEvent sends an event to the named controller, if there is one.
+func (f *simulatedFleet) sendEvent(from int, name string, ev *Event) {
+	if to := f.index(name); to >= 0 {
+		f.send(from, to, func() { f.step(to, ev) })
+	}
 }
 
-func (w *world) index(name string) int {
-	return slices.IndexFunc(w.monitors, func(x *Monitor) bool { return x.name == name })
+func (f *simulatedFleet) index(name string) int {
+	return slices.IndexFunc(f.monitors, func(monitor *Monitor) bool { return monitor.name == name })
 }
 
-func (w *world) step(k int, ev *Event) {
-	if w.down[k] {
+// step passes an event to a controller's monitor and carries out the effects.
+func (f *simulatedFleet) step(k int, ev *Event) {
+	if f.down[k] {
 		return
 	}
-	for _, e := range slices.Clone(w.monitors[k].Step(w.now, ev)) {
-		switch e.Kind {
-		case SendReport:
-			w.bytes += len(e.Data)
-			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: ReportReceived, From: w.name(k), Data: e.Data}) })
-			}
-		case AnnouncePlan:
-			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: PlanAnnounced, From: w.name(k), PlanNumber: e.Number}) })
-			}
-		case FetchPlan:
-			w.send(k, w.leader, func() { w.send(w.leader, k, func() { w.deliverPlan(k) }) })
-		case ProposePlan:
-			plan := *e.Plan
-			w.send(k, w.leader, func() {
-				if w.hasMajority() && plan.Number == w.plan.Number+1 {
-					w.plan = plan
-					w.plans = append(w.plans, agreedPlan{w.now, plan})
-					w.deliverPlan(w.leader)
-				}
-			})
-		case RequestLoan:
-			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() { w.step(to, &Event{Kind: LoanRequested, From: w.name(k), Zone: e.Zone, PlanNumber: e.Number}) })
-			}
-		case GrantLoan:
-			if to := w.index(e.To); to >= 0 {
-				w.send(k, to, func() {
-					w.step(to, &Event{Kind: LoanGranted, From: w.name(k), Zone: e.Zone, PlanNumber: e.Number, Threads: e.Threads})
-				})
-			}
-		case SetReach:
-			w.applied[k] = e.Number
-			w.reaches[k] = map[string]scheduler.ZoneReach{}
-			for _, r := range e.Reaches {
-				w.reaches[k][r.Zone] = r
+	for _, effect := range slices.Clone(f.monitors[k].Step(f.now, ev)) {
+		f.execute(k, &effect)
+	}
+}
+
+func (f *simulatedFleet) execute(k int, effect *Effect) {
+	from, to := f.name(k), effect.To
+	switch effect.Kind {
+	case SendReport:
+		f.reportBytes += len(effect.Data)
+		f.sendEvent(k, to, &Event{Kind: ReportReceived, From: from, Data: effect.Data})
+	case AnnouncePlan:
+		f.sendEvent(k, to, &Event{Kind: PlanAnnounced, From: from, PlanNumber: effect.Number})
+	case FetchPlan:
+		f.send(k, f.leader, func() { f.send(f.leader, k, func() { f.deliverPlan(k) }) })
+	case ProposePlan:
+		plan := *effect.Plan
+		f.send(k, f.leader, func() {
+			if f.hasMajority() && plan.Number == f.plan.Number+1 {
+				f.plan = plan
+				f.plans = append(f.plans, agreedPlan{f.now, plan})
+				f.deliverPlan(f.leader)
 			}
+		})
+	case RequestLoan:
+		f.sendEvent(k, to, &Event{Kind: LoanRequested, From: from, Zone: effect.Zone, PlanNumber: effect.Number})
+	case GrantLoan:
+		f.sendEvent(k, to, &Event{Kind: LoanGranted, From: from, Zone: effect.Zone, PlanNumber: effect.Number,
+			Threads: effect.Threads})
+	case SetReach:
+		f.applied[k] = effect.Number
+		f.reaches[k] = map[string]scheduler.ZoneReach{}
+		for _, reach := range effect.Reaches {
+			f.reaches[k][reach.Zone] = reach
 		}
 	}
 }
 
-func (w *world) deliverPlan(k int) {
-	plan := w.plan
-	w.step(k, &Event{Kind: PlanAgreed, Plan: &plan, Orders: w.orders})
+// deliverPlan passes the agreed plan and orders to a controller.
+func (f *simulatedFleet) deliverPlan(k int) {
+	plan := f.plan
+	f.step(k, &Event{Kind: PlanAgreed, Plan: &plan, Orders: f.orders})
 }
 
 // hasMajority reports whether a majority of the voters is up and connected.
-func (w *world) hasMajority() bool {
-	n := 0
+func (f *simulatedFleet) hasMajority() bool {
+	connected := 0
 	for k := range 3 {
-		if !w.down[k] && !w.partitioned[k] {
-			n++
+		if !f.down[k] && !f.partitioned[k] {
+			connected++
 		}
 	}
-	return n >= 2
+	return connected >= 2
 }
 
-// run simulates some time.
-func (w *world) run(ms float64) {
-	for until := w.now + ms; w.now < until; {
-		w.now += 10
-		w.unix += 10
-		for n := 0; n < len(w.deliveries); n++ {
-			if w.deliveryAt[n] <= w.now {
-				do := w.deliveries[n]
-				w.deliveries, w.deliveryAt = slices.Delete(w.deliveries, n, n+1), slices.Delete(w.deliveryAt, n, n+1)
+// run advances the simulation by a duration in steps of 10 ms.
+func (f *simulatedFleet) run(ms float64) {
+	for until := f.now + ms; f.now < until; {
+		f.now += 10
+		f.unixMS += 10
+		for n := 0; n < len(f.deliveries); n++ {
+			if f.deliveryAt[n] <= f.now {
+				deliver := f.deliveries[n]
+				f.deliveries = slices.Delete(f.deliveries, n, n+1)
+				f.deliveryAt = slices.Delete(f.deliveryAt, n, n+1)
 				n--
-				do()
+				deliver()
 			}
 		}
-		if int(w.now)%50 == 0 {
-			w.tick()
-			w.check()
+		if int(f.now)%50 == 0 {
+			f.tick()
+			f.checkCaps()
 		}
 	}
 }
 
-func (w *world) tick() {
-	if w.down[w.leader] || w.partitioned[w.leader] {
+// tick elects a leader if need be, and passes each live monitor its observations, lease confirmations and tick.
+func (f *simulatedFleet) tick() {
+	if f.down[f.leader] || f.partitioned[f.leader] {
 		for k := range 3 {
-			if !w.down[k] && !w.partitioned[k] && w.hasMajority() {
-				w.leader = k
+			if !f.down[k] && !f.partitioned[k] && f.hasMajority() {
+				f.leader = k
 			}
 		}
 	}
-	for k, x := range w.monitors {
-		if w.down[k] {
+	for k := range f.monitors {
+		if f.down[k] {
 			continue
 		}
-		if int(w.now)%250 == 0 {
-			var list []Member
-			for o := range w.monitors {
-				list = append(list, Member{Name: w.name(o), Zone: fmt.Sprint("z", w.zoneOf[o]), Region: w.sites[w.zoneOf[o]].region,
-					Live: !w.down[o] && (w.partitioned[o] == w.partitioned[k] && !w.partitioned[k] || o == k)})
-			}
-			w.step(k, &Event{Kind: MembersChanged, Members: list, Leader: w.name(w.leader), Leads: k == w.leader && w.hasMajority()})
-			w.step(k, &Event{Kind: Observed, Executors: w.executorsSeenBy(k), DemandThreads: w.demandOf(k), WithoutList: w.listUnavailable, Applied: w.applied[k]})
+		if int(f.now)%250 == 0 {
+			f.step(k, &Event{Kind: MembersChanged, Members: f.membersSeenBy(k), Leader: f.name(f.leader),
+				Leads: k == f.leader && f.hasMajority()})
+			f.step(k, &Event{Kind: Observed, Executors: f.executorsSeenBy(k), DemandThreads: f.demandOf(k),
+				WithoutList: f.listUnavailable, Applied: f.applied[k]})
 		}
-		if int(w.now)%1000 == k%20*50 && w.hasMajority() { // a lease is requested, and granted by the leader
-			asked, number := w.now, w.plan.Number
-			w.send(k, w.leader, func() {
-				w.send(w.leader, k, func() { w.step(k, &Event{Kind: PlanConfirmed, PlanNumber: number, At: asked}) })
-			})
+		if int(f.now)%1000 == k%20*50 && f.hasMajority() {
+			f.confirmPlan(k)
 		}
-		w.step(k, &Event{Kind: Ticked, UnixMS: w.unix})
-		_ = x
+		f.step(k, &Event{Kind: Ticked, UnixMS: f.unixMS})
 	}
 }
 
-// executorsSeenBy returns the executors as a controller sees them: it uses those of its own zone, and has evidence of others only where
-// it sends requests there.
-func (w *world) executorsSeenBy(k int) (list []Executor) {
-	for z, s := range w.sites {
+// confirmPlan sends a controller's request for a lease to the leader, and the leader's confirmation back.
+func (f *simulatedFleet) confirmPlan(k int) {
+	requestedAt, number := f.now, f.plan.Number
+	f.send(k, f.leader, func() {
+		f.send(f.leader, k, func() { f.step(k, &Event{Kind: PlanConfirmed, PlanNumber: number, At: requestedAt}) })
+	})
+}
+
+// membersSeenBy returns the membership view of a controller.
+func (f *simulatedFleet) membersSeenBy(k int) (members []Member) {
+	for other := range f.monitors {
+		isConnected := f.partitioned[other] == f.partitioned[k] && !f.partitioned[k] || other == k
+		members = append(members, Member{Name: f.name(other), Zone: zoneName(f.zoneOf[other]),
+			Region: f.zones[f.zoneOf[other]].region, Live: !f.down[other] && isConnected})
+	}
+	return members
+}
+
+// executorsSeenBy returns the executors as a controller observes them. A controller uses the executors of its own zone,
+// and has evidence of others only while it may send requests to them.
+func (f *simulatedFleet) executorsSeenBy(k int) (executors []Executor) {
+	for zone, z := range f.zones {
 		for n := range 10 {
-			x := Executor{Zone: fmt.Sprint("z", z), Kind: s.kinds[n%len(s.kinds)], Cores: s.cores / 10, Listed: float64(n) < 10*s.listed}
-			reach := float64(n) < 10*s.up && !(z == w.zoneOf[k] && s.hidden[k]) && !(z != w.zoneOf[k] && s.foreign)
-			if z == w.zoneOf[k] || w.state(w.zoneOf[k]) != Healthy && w.reaches[k] != nil && w.reaches[k][x.Zone].Capacity > 0 {
-				x.Known, x.Ejected = true, !reach
+			executor := Executor{Zone: zoneName(zone), Kind: z.kinds[n%len(z.kinds)], Cores: z.cores / 10,
+				Listed: float64(n) < 10*z.listed}
+			isOwn := zone == f.zoneOf[k]
+			isReachable := float64(n) < 10*z.reachable && !(isOwn && z.hiddenFrom[k]) && !(!isOwn && z.hiddenFromOthers)
+			if isOwn || f.state(f.zoneOf[k]) != Healthy && f.reaches[k] != nil && f.reaches[k][executor.Zone].Capacity > 0 {
+				executor.Known, executor.Ejected = true, !isReachable
 			}
 			if n == 0 {
-				x.InFlight = w.inFlight[k][x.Zone]
+				executor.InFlight = f.inFlight[k][executor.Zone]
 			}
-			list = append(list, x)
+			executors = append(executors, executor)
 		}
 	}
-	return list
+	return executors
 }
 
 // demandOf returns a controller's demand: that of its zone, unless a test sets another.
-func (w *world) demandOf(k int) float64 {
-	if out := w.inFlight[k]; out != nil {
-		return out["wants"]
+func (f *simulatedFleet) demandOf(k int) float64 {
+	if threads, isSet := f.demandThreads[k]; isSet {
+		return threads
 	}
-	return w.sites[w.zoneOf[k]].wants
+	return f.zones[f.zoneOf[k]].demandThreads
 }
 
-// check compares what all controllers together may send to each zone with the caps that may be in force: those of the agreed plan, and of
-// earlier ones as long as their shares are valid.
-func (w *world) check() {
-	for z := range w.sites {
-		to := fmt.Sprint("z", z)
-		for from := range w.sites {
-			if from == z {
+// checkCaps records a violation if the controllers of a zone together may send more to another zone than the largest
+// cap that may be in force: that of the agreed plan, or of an earlier plan whose shares may still be valid.
+func (f *simulatedFleet) checkCaps() {
+	for target := range f.zones {
+		to := zoneName(target)
+		for from := range f.zones {
+			if from == target {
 				continue
 			}
-			sum, most := 0.0, 0.0
-			for k := range w.monitors {
-				if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
-					sum += w.reaches[k][to].Capacity
-				}
-			}
-			for n, g := range w.plans {
-				if n == len(w.plans)-1 || w.plans[n+1].at+3000 >= w.now {
-					if p := g.plan.Pair(fmt.Sprint("z", from), to); p != nil {
-						most = max(most, p.Cap)
+			sum, most := f.reachableThreads(from, target), 0.0
+			for n, agreed := range f.plans {
+				if n == len(f.plans)-1 || f.plans[n+1].at+3000 >= f.now {
+					if pair := agreed.plan.Pair(zoneName(from), to); pair != nil {
+						most = max(most, pair.Cap)
 					}
 				}
 			}
 			if sum > most {
-				w.violations = append(w.violations, fmt.Sprintf("at %.0f z%d may send %.0f threads to %s, the cap is %.0f", w.now, from, sum, to, most))
+				f.violations = append(f.violations, fmt.Sprintf(
+					"at %.0f ms the controllers of z%d may use %.0f threads in %s, the cap is %.0f", f.now, from, sum, to, most))
 			}
 		}
 	}
 }
 
-func (w *world) state(z int) State {
-	if x := w.plan.findZone(fmt.Sprint("z", z)); x != nil {
-		return x.State
+// state returns a zone's state in the agreed plan, or stateCount if the plan does not have the zone.
+func (f *simulatedFleet) state(zone int) State {
+	if z := f.plan.findZone(zoneName(zone)); z != nil {
+		return z.State
 	}
 	return stateCount
 }
 
-func (w *world) assertNoViolations() { assert.Empty(w.t, w.violations) }
+// assertNoViolations fails the test if a cap was exceeded at any time so far.
+func (f *simulatedFleet) assertNoViolations() {
+	assert.Empty(f.t, f.violations, "caps were exceeded")
+}
 
-// reachableThreads returns what all controllers of a zone together may use in another.
-func (w *world) reachableThreads(from, to int) (sum float64) {
-	for k := range w.monitors {
-		if w.zoneOf[k] == from && !w.down[k] && w.reaches[k] != nil {
-			sum += w.reaches[k][fmt.Sprint("z", to)].Capacity
+// reachableThreads returns the threads that the live controllers of a zone together may use in another zone.
+func (f *simulatedFleet) reachableThreads(from, to int) (sum float64) {
+	for k := range f.monitors {
+		if f.zoneOf[k] == from && !f.down[k] && f.reaches[k] != nil {
+			sum += f.reaches[k][zoneName(to)].Capacity
 		}
 	}
 	return sum
--- a/internal/locality/leader.go
+++ b/internal/locality/leader.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// planMS is the time between two reviews of the plan.
-const planMS = 250
+// planIntervalMS is the interval at which the leader reviews the plan.
+const planIntervalMS = 250
 
-// lead makes the next plan if this controller leads.
-func (m *Monitor) lead() {
+// proposePlan computes the next plan and proposes it to the consensus group if this controller leads and a plan is due.
+func (m *Monitor) proposePlan() {
 	if !m.leads {
 		m.wasLeading = false
 		clear(m.zoneReports)
@@ -14,45 +14,53 @@
 	}
 	if !m.wasLeading {
 		m.wasLeading = true
-		m.planAt = m.now + 2*reportMS // until reports have arrived
+		m.nextPlanAt = m.now + 2*reportIntervalMS // reports arrive first
 		m.planner.start(m.now, &m.plan, &m.settings)
 	}
-	isPending := m.proposed > m.plan.Number && m.now < m.proposedAt+reportTimeoutMS
-	if m.now < m.planAt || isPending {
+	isPending := m.proposedNumber > m.plan.Number && m.now < m.proposedAt+reportTimeoutMS
+	if m.now < m.nextPlanAt || isPending {
 		return
 	}
-	m.planAt = m.now + planMS
+	m.nextPlanAt = m.now + planIntervalMS
 	in := m.planInput()
 	if !m.listUnavailable {
 		in.addExecutors(m.executors)
 	}
-	plan, changed := m.planner.next(&m.plan, in)
+	plan, changed := m.planner.nextPlan(&m.plan, in)
 	if !changed {
 		return
 	}
-	m.proposed = plan.Number
+	m.proposedNumber = plan.Number
 	m.proposedAt = m.now
 	m.Counts.Proposed++
 	m.emit(Effect{Kind: ProposePlan, Plan: &plan})
 }
 
+// planInput returns the input of a plan without the endpoint list.
 func (m *Monitor) planInput() *planInput {
-	return &planInput{now: m.now, reports: m.Reports(), members: m.members, orders: m.ordersInForce(), settings: &m.settings}
+	return &planInput{
+		now:      m.now,
+		reports:  m.Reports(),
+		members:  m.members,
+		orders:   m.ordersInForce(),
+		settings: &m.settings,
+	}
 }
 
-// addExecutors sums up the cores and kinds of the endpoint list.
+// addExecutors adds the cores and kinds of the listed executors by zone.
 func (in *planInput) addExecutors(executors []Executor) {
 	in.cores = map[string]float64{}
 	in.kinds = map[string][]string{}
 	for k := range executors {
-		x := &executors[k]
-		if !x.Listed {
+		executor := &executors[k]
+		if !executor.Listed {
 			continue
 		}
-		in.cores[x.Zone] += x.Cores
-		if !slices.Contains(in.kinds[x.Zone], x.Kind) {
-			in.kinds[x.Zone] = append(in.kinds[x.Zone], x.Kind)
-			slices.Sort(in.kinds[x.Zone])
+		zone := executor.Zone
+		in.cores[zone] += executor.Cores
+		if !slices.Contains(in.kinds[zone], executor.Kind) {
+			in.kinds[zone] = append(in.kinds[zone], executor.Kind)
+			slices.Sort(in.kinds[zone])
 		}
 	}
 }
--- a/internal/locality/monitor.go
+++ b/internal/locality/monitor.go
@@ -8,10 +8,12 @@
 	"liftshift/scheduler"
 )
 
-// orderGraceMS is the time from the start within which an order that is learned of may be an old one.
-const orderGraceMS = 2000
+// staleOrderWindowMS is the time after the start during which orders that arrive may have been in force for long
+// already.
+const staleOrderWindowMS = 2000
 
-// Monitor is one controller's part in planning. It is not safe for concurrent use.
+// Monitor is one controller's locality state machine. It reports observations, computes plans while this controller
+// leads the consensus group, and limits the scheduler to this controller's shares. It is not safe for concurrent use.
 type Monitor struct {
 	name, zone, region string
 	settings           Settings
@@ -26,66 +28,87 @@
 	executors       []Executor
 	listUnavailable bool
 	members         []Member
-	zoneMembers     []string // live members of this controller's zone, sorted
-	childReports    map[string]*receivedReport
+	zoneMembers     []string                   // live members of this controller's zone, sorted
+	childReports    map[string]*receivedReport // by member whose reports this controller aggregates
 	zoneReports     map[string]*receivedReport // on the leader, by zone
 	reportSequence  uint64
 	reportSentAt    float64
 
 	// Leadership.
-	leader     string
-	leads      bool
-	wasLeading bool // at the last tick
-	planner    planner
-	planAt     float64
-	proposed   uint64 // number of the last plan that was proposed
-	proposedAt float64
-
-	// The agreed plan.
-	plan            Plan
-	orders          []Order
-	orderUntil      map[Order]float64 // of orders with a span
-	confirmedAt     float64           // when the plan's shares were last confirmed
-	confirmedNumber uint64            // of a later plan than is known here
-	confirmedPlanAt float64           // when that one was confirmed
-	announcedAt     float64
-	fetchedAt       float64
-	latestNumber    uint64 // of all plans that were announced
-
-	// What the scheduler may use.
-	reaches      []scheduler.ZoneReach
-	reachVersion uint64
-	zoneUnknown  bool // no executor is in this controller's zone
-	loans        loanBook
-
-	// Counts are the counters since the start.
+	leader         string
+	leads          bool
+	wasLeading     bool // at the previous tick
+	planner        planner
+	nextPlanAt     float64
+	proposedNumber uint64 // of the plan that was proposed last
+	proposedAt     float64
+
+	// The latest agreed plan that this controller knows.
+	plan                Plan
+	orders              []Order
+	orderUntil          map[Order]float64 // end of each order with a SpanMS, in the time of Step
+	sharesConfirmedAt   float64           // latest time at which a confirmation of the shares was requested
+	confirmedPlanNumber uint64            // of the plan that was confirmed last, which may be later than plan
+	confirmedPlanAt     float64           // when its confirmation was requested
+	announcedAt         float64
+	fetchedAt           float64
+	latestPlanNumber    uint64 // highest number of a plan that was announced or confirmed
+
+	// The limits that the scheduler has.
+	reaches        []scheduler.ZoneReach
+	reachVersion   uint64
+	ownZoneUnknown bool // no executor was ever listed in this controller's zone
+	loans          loanState
+
+	// Counts holds the counters since the start.
 	Counts Counts
 }
 
-// Counts are the counters of a Monitor.
-type Counts struct{ Lent, Borrowed, ReportsSent, ReportsReceived, Stale, Malformed, Proposed, Plans, Bytes uint64 }
+// Counts holds the counters of a Monitor.
+type Counts struct {
+	Lent            uint64 // loans to other controllers
+	Borrowed        uint64 // loans from other controllers
+	ReportsSent     uint64
+	ReportsReceived uint64 // well-formed ones
+	Stale           uint64 // reports that were ignored as duplicate, out of date or not for this controller
+	Malformed       uint64 // reports that could not be decoded or were implausible
+	Proposed        uint64 // plans that this controller proposed
+	Plans           uint64 // agreed plans that this controller received
+	Bytes           uint64 // size of the reports sent
+}
 
-// New returns the monitor of a controller.
+// New returns the monitor of the controller with the given name, zone and region.
 func New(name, zone, region string, settings Settings) *Monitor {
-	return &Monitor{name: name, zone: zone, region: region, settings: settings, childReports: map[string]*receivedReport{},
-		zoneReports: map[string]*receivedReport{}, loans: newLoanBook(), orderUntil: map[Order]float64{}, confirmedAt: math.Inf(-1)}
+	return &Monitor{
+		name:              name,
+		zone:              zone,
+		region:            region,
+		settings:          settings,
+		childReports:      map[string]*receivedReport{},
+		zoneReports:       map[string]*receivedReport{},
+		loans:             newLoanState(),
+		orderUntil:        map[Order]float64{},
+		sharesConfirmedAt: math.Inf(-1),
+	}
 }
 
 func (m *Monitor) emit(e Effect) { m.effects = append(m.effects, e) }
 
-// Plan returns the agreed plan as far as it is known here.
+// Plan returns the latest agreed plan that this controller knows.
 func (m *Monitor) Plan() *Plan { return &m.plan }
 
-// Explanations returns the reasons for the latest plan if this controller leads.
+// Explanations returns the reasons for the plan that this controller computed last, a line each. They are for
+// operators.
 func (m *Monitor) Explanations() []string { return m.planner.explanations }
 
-// Orders returns the agreed orders.
+// Orders returns the agreed orders, including those that have ended.
 func (m *Monitor) Orders() []Order { return m.orders }
 
-// Reaches returns what was passed to the scheduler last.
+// Reaches returns the limits that were passed to the scheduler last.
 func (m *Monitor) Reaches() []scheduler.ZoneReach { return m.reaches }
 
-// Step handles an event at the caller's time in milliseconds and returns the effects. The slice is valid until the next call.
+// Step handles an event and returns its effects. The time now is in milliseconds and must be from a monotonic clock.
+// The slice is valid until the next call.
 func (m *Monitor) Step(now float64, ev *Event) []Effect {
 	m.effects = m.effects[:0]
 	m.now = max(m.now, now)
@@ -117,9 +140,9 @@
 		m.unixMS = ev.UnixMS
 		m.expireLoans()
 		m.sendReport()
-		m.lead()
+		m.proposePlan()
 		m.announcePlan(false)
-		m.fetchPlan(m.latestNumber)
+		m.fetchPlan(m.latestPlanNumber)
 		m.updateReach()
 	}
 	m.Counts.Lent = m.loans.lentCount
@@ -127,7 +150,7 @@
 	return m.effects
 }
 
-// handlePlan takes what the group has agreed on.
+// handlePlan adopts the agreed plan, unless it is older than the known one, and the agreed orders.
 func (m *Monitor) handlePlan(ev *Event) {
 	if ev.Plan != nil && ev.Plan.Number >= m.plan.Number {
 		if ev.Plan.Number > m.plan.Number {
@@ -136,27 +159,29 @@
 		m.plan = *ev.Plan
 	}
 	m.orders = ev.Orders
-	m.timeOrders(ev.Orders)
-	if m.plan.Number >= m.confirmedNumber {
-		m.confirmedAt = max(m.confirmedAt, m.confirmedPlanAt)
+	m.setOrderExpiry(ev.Orders)
+	if m.plan.Number >= m.confirmedPlanNumber {
+		m.sharesConfirmedAt = max(m.sharesConfirmedAt, m.confirmedPlanAt)
 	}
 	m.announcePlan(true)
 	m.updateReach()
 }
 
-// handleConfirmation takes that a plan was in force at a time. A share is granted to another controller only so long after a later plan is
-// in force, and that one is later than what was in force here.
+// handleConfirmation renews the lease of this controller's shares if this controller knows the confirmed plan, and
+// fetches that plan otherwise. A share that a later plan revokes is granted to another controller only a lease duration
+// after that plan, and the confirmation was requested before that plan. So the lease counts from the request.
 func (m *Monitor) handleConfirmation(ev *Event) {
-	m.confirmedNumber = ev.PlanNumber
+	m.confirmedPlanNumber = ev.PlanNumber
 	m.confirmedPlanAt = ev.At
 	if ev.PlanNumber <= m.plan.Number {
-		m.confirmedAt = max(m.confirmedAt, ev.At)
+		m.sharesConfirmedAt = max(m.sharesConfirmedAt, ev.At)
 	} else {
 		m.fetchPlan(ev.PlanNumber)
 	}
 }
 
-// handleAnnouncement takes that a plan exists, from the member that aggregates this one's reports or from the leader.
+// handleAnnouncement fetches an announced plan. Announcements count only from the member that aggregates the reports of
+// this controller, or from the leader if there is no such member.
 func (m *Monitor) handleAnnouncement(ev *Event) {
 	parent := m.parentOf(m.name)
 	if ev.From == parent || parent == "" && ev.From == m.leader {
@@ -164,16 +189,16 @@
 	}
 }
 
-// timeOrders notes until when orders with a span are in force: for their span from when they are learned of. Soon after the start they may
-// be old, and the wall clock is the only evidence; it may shorten them and never extends them.
-func (m *Monitor) timeOrders(orders []Order) {
+// setOrderExpiry sets when orders with a SpanMS end: that long after they become known to this controller. Orders that
+// become known soon after the start may be older, so their end by the wall clock applies if it is earlier.
+func (m *Monitor) setOrderExpiry(orders []Order) {
 	maps.DeleteFunc(m.orderUntil, func(o Order, _ float64) bool { return !slices.Contains(orders, o) })
 	for _, o := range orders {
 		if _, known := m.orderUntil[o]; known || o.SpanMS <= 0 {
 			continue
 		}
 		left := o.SpanMS
-		if m.now < m.startedAt+orderGraceMS {
+		if m.now < m.startedAt+staleOrderWindowMS {
 			left = min(left, max(0, float64(o.Until-m.unixMS)))
 		}
 		m.orderUntil[o] = m.now + left
@@ -195,7 +220,7 @@
 	return list
 }
 
-// handleMembers takes the membership view.
+// handleMembers adopts the membership view and the leader, and drops the reports of members that now report to others.
 func (m *Monitor) handleMembers(ev *Event) {
 	m.members = ev.Members
 	m.leader = ev.Leader
@@ -214,9 +239,10 @@
 	}
 }
 
-// announcePlan announces the plan to the members whose reports this one aggregates and, on the leader, to the first member of each zone.
-func (m *Monitor) announcePlan(atOnce bool) {
-	if m.plan.Number == 0 || !atOnce && m.now < m.announcedAt+2*reportMS {
+// announcePlan announces the plan to the members whose reports this controller aggregates and, on the leader, to the
+// first member of each zone. Unless immediately is set, it does so at intervals.
+func (m *Monitor) announcePlan(immediately bool) {
+	if m.plan.Number == 0 || !immediately && m.now < m.announcedAt+2*reportIntervalMS {
 		return
 	}
 	m.announcedAt = m.now
@@ -235,18 +261,18 @@
 			firstOfZone[member.Zone] = member.Name
 		}
 	}
-	for _, name := range slices.Sorted(maps.Values(firstOfZone)) { // effects do not depend on the order of a map
+	for _, name := range slices.Sorted(maps.Values(firstOfZone)) { // sorted, so that the order of effects is deterministic
 		if name != m.name {
 			m.emit(Effect{Kind: AnnouncePlan, To: name, Number: m.plan.Number})
 		}
 	}
 }
 
-// fetchPlan fetches a plan that is not known here; again after a while if it does not arrive.
+// fetchPlan fetches the latest plan if this controller does not know it, and retries at intervals until it arrives.
 func (m *Monitor) fetchPlan(number uint64) {
-	m.latestNumber = max(m.latestNumber, number)
-	if m.latestNumber > m.plan.Number && m.now >= m.fetchedAt+reportMS {
+	m.latestPlanNumber = max(m.latestPlanNumber, number)
+	if m.latestPlanNumber > m.plan.Number && m.now >= m.fetchedAt+reportIntervalMS {
 		m.fetchedAt = m.now
-		m.emit(Effect{Kind: FetchPlan, Number: m.latestNumber})
+		m.emit(Effect{Kind: FetchPlan, Number: m.latestPlanNumber})
 	}
 }
--- a/internal/locality/planner.go
+++ b/internal/locality/planner.go
@@ -9,76 +9,79 @@
 )
 
 const (
-	maxZones           = 32
-	maxExplanations    = 4 * maxZones
-	inputConfirmations = 2     // reviews in a row with the same input before a zone's state changes
-	forgetLostMS       = 180e3 // after which a lost zone without executors and controllers is forgotten
-	unreachableShare   = 0.2   // a zone with a smaller share of its cores is unreachable
-	degradedShare      = 0.8   // a zone with a smaller share of its cores is degraded
+	maxZones            = 32 // in a plan or a report
+	maxExplanations     = 4 * maxZones
+	inputConfirmations  = 2     // consecutive reviews with the same input before a zone's state changes
+	forgetLostMS        = 180e3 // after which a lost zone without executors and controllers is removed from the plan
+	unreachableFraction = 0.2   // a zone counts as unreachable below this fraction of its cores
+	degradedFraction    = 0.8   // a zone counts as degraded below this fraction of its cores
 )
 
-// planInput is what a plan is made of.
+// planInput is the data from which a plan is computed.
 type planInput struct {
 	now      float64
-	reports  map[string]Report  // by the observers' zone
-	cores    map[string]float64 // by zone, in this member's endpoint list; nil: the list is unavailable
-	kinds    map[string][]string
+	reports  map[string]Report   // by the zone of the observers
+	cores    map[string]float64  // by zone, in this controller's endpoint list; nil: the list is unavailable
+	kinds    map[string][]string // kinds of executors by zone, in the same list; sorted
 	members  []Member
 	orders   []Order // in force
 	settings *Settings
 }
 
-// planner makes plans on the leader.
+// planner computes plans on the leader.
 type planner struct {
-	memories     map[string]*zoneMemory
+	histories    map[string]*zoneHistory // by zone
 	revoked      []timedRevocation
 	explanations []string // of the latest plan
 
-	skipRevocation bool // for tests alone: a share that is revoked is granted to another controller at once
+	skipRevocationWait bool // for tests only: grant revoked shares to other controllers immediately
 }
 
-// timedRevocation is a revoked share with the time until which it may still be used.
+// timedRevocation is a revoked share with the time until which it may still be in use.
 type timedRevocation struct {
 	RevokedShare
 	until float64
 }
 
-// start takes over a plan of another leader. All shares that it has revoked may be in use for as long as a share is valid.
+// start prepares for planning from the plan of another leader. The shares that the plan lists as revoked may be in use
+// for a whole lease duration, because it is unknown how long they have been revoked.
 func (p *planner) start(now float64, plan *Plan, settings *Settings) {
-	p.memories = map[string]*zoneMemory{}
+	p.histories = map[string]*zoneHistory{}
 	p.revoked = nil
 	for _, r := range plan.Revoked {
 		p.revoked = append(p.revoked, timedRevocation{r, now + settings.LeaseMS})
 	}
 	for k := range plan.Zones {
-		p.memory(plan.Zones[k].Name, now)
+		p.historyOf(plan.Zones[k].Name, now)
 	}
 }
 
-// memory returns the memory of a zone and creates it if need be.
-func (p *planner) memory(zone string, now float64) *zoneMemory {
-	m := p.memories[zone]
-	if m == nil {
-		m = &zoneMemory{since: now, lastInput: inputHealthy}
-		p.memories[zone] = m
+// historyOf returns the history of a zone, which it creates if there is none.
+func (p *planner) historyOf(zone string, now float64) *zoneHistory {
+	history := p.histories[zone]
+	if history == nil {
+		history = &zoneHistory{since: now, lastInput: inputHealthy}
+		p.histories[zone] = history
 	}
-	return m
+	return history
 }
 
-// next makes the plan that follows another, and reports whether it differs.
-func (p *planner) next(previous *Plan, in *planInput) (plan Plan, changed bool) {
+// nextPlan computes the plan that follows the previous one, and reports whether they differ.
+func (p *planner) nextPlan(previous *Plan, in *planInput) (plan Plan, changed bool) {
 	plan = Plan{Number: previous.Number + 1}
 	p.explanations = p.explanations[:0]
-	p.revoked = slices.DeleteFunc(p.revoked, func(r timedRevocation) bool { return in.now >= r.until || p.skipRevocation })
+	p.revoked = slices.DeleteFunc(p.revoked, func(r timedRevocation) bool {
+		return in.now >= r.until || p.skipRevocationWait
+	})
 	for _, name := range zoneNames(previous, in) {
-		z := Zone{Name: name}
+		zone := Zone{Name: name}
 		if old := previous.findZone(name); old != nil {
-			z = *old
+			zone = *old
 		}
-		zoneChanged, forgotten := p.reviewZone(&z, in)
+		zoneChanged, abandoned := p.reviewZone(&zone, in)
 		changed = changed || zoneChanged
-		if !forgotten {
-			plan.Zones = append(plan.Zones, z)
+		if !abandoned {
+			plan.Zones = append(plan.Zones, zone)
 		}
 	}
 	changed = changed || len(plan.Zones) != len(previous.Zones)
@@ -94,11 +97,14 @@
 	return plan, true
 }
 
+// equalShares reports whether two plans have the same pairs with the same shares. Caps may differ.
 func equalShares(a, b []Pair) bool {
-	return slices.EqualFunc(a, b, func(x, y Pair) bool { return x.From == y.From && x.To == y.To && slices.Equal(x.Shares, y.Shares) })
+	return slices.EqualFunc(a, b, func(x, y Pair) bool {
+		return x.From == y.From && x.To == y.To && slices.Equal(x.Shares, y.Shares)
+	})
 }
 
-// zoneNames returns the zones of a plan and of the endpoint list, sorted.
+// zoneNames returns the sorted names of the zones in a plan or in the endpoint list, at most maxZones.
 func zoneNames(plan *Plan, in *planInput) []string {
 	set := map[string]bool{}
 	for k := range plan.Zones {
@@ -113,54 +119,56 @@
 	return names[:min(len(names), maxZones)]
 }
 
-// reviewZone brings a zone's state up to date and reports whether the zone changed, or is to be forgotten.
-func (p *planner) reviewZone(z *Zone, in *planInput) (changed, forgotten bool) {
-	m := p.memory(z.Name, in.now)
-	before := *z
-	z.countMembers(in.members)
-	sign, reason := classify(z, in)
-	if sign == m.lastInput {
-		m.repeats++
+// reviewZone updates a zone's state. It reports whether the zone changed, and whether it is abandoned and must be
+// removed from the plan.
+func (p *planner) reviewZone(zone *Zone, in *planInput) (changed, abandoned bool) {
+	history := p.historyOf(zone.Name, in.now)
+	before := *zone
+	zone.countMembers(in.members)
+	stateInput, reason := classify(zone, in)
+	if stateInput == history.lastInput {
+		history.repeats++
 	} else {
-		m.lastInput = sign
-		m.repeats = 1
+		history.lastInput = stateInput
+		history.repeats = 1
 	}
-	r := &zoneReview{zone: z, memory: m, now: in.now}
-	order := orderFor(in.orders, z.Name)
+	review := &zoneReview{zone: zone, history: history, now: in.now}
+	order := orderFor(in.orders, zone.Name)
 	switch {
 	case order == Evacuate:
-		sign = inputEvacuate
-		reason = "an operator wants it empty"
-		r.apply(sign)
-	case z.State == Evacuated:
-		sign = inputEvacuationOver
-		reason = "the order to empty it is over"
-		r.apply(sign)
-	case m.repeats >= inputConfirmations:
-		r.apply(sign)
-	}
-	if sign == inputHealthy || sign == inputDegraded && z.State == Lost {
-		m.goodSince = cmp.Or(m.goodSince, in.now)
+		stateInput = inputEvacuate
+		reason = "an operator's order evacuates it"
+		review.apply(stateInput)
+	case zone.State == Evacuated:
+		stateInput = inputEvacuationOver
+		reason = "the evacuation order has ended"
+		review.apply(stateInput)
+	case history.repeats >= inputConfirmations:
+		review.apply(stateInput)
+	}
+	if stateInput == inputHealthy || stateInput == inputDegraded && zone.State == Lost {
+		history.stableSince = cmp.Or(history.stableSince, in.now)
 	} else {
-		m.goodSince = 0
+		history.stableSince = 0
 	}
-	r.advanceRecovery(in, order)
-	if z.State == Healthy && sign == inputHealthy && in.cores[z.Name] > 0 {
-		z.Cores = in.cores[z.Name]
-		z.Kinds = in.kinds[z.Name]
+	review.advanceRecovery(in, order)
+	if zone.State == Healthy && stateInput == inputHealthy && in.cores[zone.Name] > 0 {
+		zone.Cores = in.cores[zone.Name]
+		zone.Kinds = in.kinds[zone.Name]
 	}
-	if z.State != before.State || z.Stage != before.Stage {
-		z.Reason = reason
-		p.explain("zone %s: %s, stage %d (was %s, stage %d): %s", z.Name, z.State, z.Stage, before.State, before.Stage, reason)
+	if zone.State != before.State || zone.Stage != before.Stage {
+		zone.Reason = reason
+		p.explain("zone %s: %s, stage %d (was %s, stage %d): %s", zone.Name, zone.State, zone.Stage, before.State,
+			before.Stage, reason)
 	}
-	if z.isAbandoned(in, m) {
-		delete(p.memories, z.Name)
+	if zone.isAbandoned(in, history) {
+		delete(p.histories, zone.Name)
 		return true, true
 	}
-	return z.differs(&before), false
+	return zone.differs(&before), false
 }
 
-// countMembers counts a zone's live controllers and takes its region from them.
+// countMembers sets the number of a zone's live controllers, and its region to theirs.
 func (z *Zone) countMembers(members []Member) {
 	z.Members = 0
 	for _, m := range members {
@@ -171,35 +179,36 @@
 	}
 }
 
-// isAbandoned reports whether a zone has neither executors nor controllers and was never used, or has been lost for long: it was renamed
-// or given up.
-func (z *Zone) isAbandoned(in *planInput, m *zoneMemory) bool {
+// isAbandoned reports whether a zone has neither executors nor controllers, and was never used or has been lost for
+// forgetLostMS. It was probably renamed or removed by operators.
+func (z *Zone) isAbandoned(in *planInput, history *zoneHistory) bool {
 	if in.cores == nil || in.cores[z.Name] != 0 || z.Members != 0 {
 		return false
 	}
-	return z.State == Healthy && z.Cores == 0 || z.State == Lost && in.now > m.since+forgetLostMS
+	return z.State == Healthy && z.Cores == 0 || z.State == Lost && in.now > history.since+forgetLostMS
 }
 
-// differs reports whether a plan with one zone differs from a plan with the other.
+// differs reports whether the zone differs from another one such that a new plan is needed.
 func (z *Zone) differs(other *Zone) bool {
 	return z.State != other.State || z.Stage != other.Stage || z.Cores != other.Cores || z.Members != other.Members ||
 		z.Region != other.Region || !slices.Equal(z.Kinds, other.Kinds)
 }
 
-// advanceRecovery has a lost zone start to recover, or a recovering one gain a stage, once there have been no bad signs for long enough.
+// advanceRecovery lets a lost zone start to recover, and a recovering one reach its next stage or the end of its
+// recovery, once the zone has been stable for long enough.
 func (r *zoneReview) advanceRecovery(in *planInput, order OrderKind) {
-	z := r.zone
-	m := r.memory
-	if order == Hold || m.goodSince == 0 {
+	zone := r.zone
+	history := r.history
+	if order == Hold || history.stableSince == 0 {
 		return
 	}
-	goodMS := in.now - max(m.goodSince, m.since)
+	stableMS := in.now - max(history.stableSince, history.since)
 	switch {
-	case z.State == Lost && (goodMS >= z.recoveryWaitMS(in.settings) || order == Return):
+	case zone.State == Lost && (stableMS >= zone.recoveryWaitMS(in.settings) || order == Return):
 		r.apply(inputStageDue)
-	case z.State == Recovering && goodMS >= in.settings.StageMS:
-		m.goodSince = in.now
-		if z.Stage+1 >= len(recoveryStages) {
+	case zone.State == Recovering && stableMS >= in.settings.StageMS:
+		history.stableSince = in.now
+		if zone.Stage+1 >= len(recoveryStages) {
 			r.apply(inputRecovered)
 		} else {
 			r.apply(inputStageDue)
@@ -207,7 +216,7 @@
 	}
 }
 
-// orderFor returns the latest of the orders for a zone, or "".
+// orderFor returns the kind of the last order for a zone, or "" if there is none.
 func orderFor(orders []Order, zone string) (kind OrderKind) {
 	for _, o := range orders {
 		if o.Zone == zone {
@@ -217,7 +226,7 @@
 	return kind
 }
 
-// explain adds a line about why the plan is as it is. The control socket prints the lines.
+// explain adds a line to the reasons for the plan, for operators.
 func (p *planner) explain(format string, args ...any) {
 	if len(p.explanations) < maxExplanations {
 		p.explanations = append(p.explanations, fmt.Sprintf(format, args...))
--- a/internal/locality/reach.go
+++ b/internal/locality/reach.go
@@ -6,26 +6,26 @@
 	"liftshift/scheduler"
 )
 
-// validity returns the share of this controller's shares that may still be used: all of them while their confirmation is fresh, then less
-// and less, and none once the lease that confirmed them is over. It never grows by itself.
-func (m *Monitor) validity() float64 {
-	left := m.settings.LeaseMS - (m.now - m.confirmedAt)
+// validFraction returns the fraction of this controller's shares that it may still use: 1 in the first half of the
+// lease that confirmed them, then falling to 0 at the end of the lease.
+func (m *Monitor) validFraction() float64 {
+	left := m.settings.LeaseMS - (m.now - m.sharesConfirmedAt)
 	return max(0, min(1, 2*left/m.settings.LeaseMS))
 }
 
-// updateReach tells the scheduler how far requests may go, if that has changed.
+// updateReach passes the limits for zones to the scheduler if they have changed.
 func (m *Monitor) updateReach() {
-	validity := m.validity()
+	validFraction := m.validFraction()
 	zones := m.knownZones()
 	m.checkOwnZone(zones)
-	if m.zoneUnknown {
-		zones = nil // a misspelled zone must not make all executors unreachable
+	if m.ownZoneUnknown {
+		zones = nil // a misspelled zone name must not close all zones to this controller
 	}
 	var reaches []scheduler.ZoneReach
 	for _, zone := range zones {
 		if zone != m.zone {
-			reaches = append(reaches, m.reachOf(zone, validity))
-		} else if reach, limited := m.reachOfOwnZone(validity); limited {
+			reaches = append(reaches, m.reachOf(zone, validFraction))
+		} else if reach, limited := m.reachOfOwnZone(validFraction); limited {
 			reaches = append(reaches, reach)
 		}
 	}
@@ -37,56 +37,60 @@
 	m.emit(Effect{Kind: SetReach, Reaches: reaches, Number: m.reachVersion})
 }
 
-// checkOwnZone notes whether this controller's zone is one that has executors.
+// checkOwnZone updates ownZoneUnknown, and logs a warning when this controller's zone turns out to be unknown. A zone
+// is known if it is among the given ones.
 func (m *Monitor) checkOwnZone(zones []string) {
 	unknown := len(m.executors) > 0 && !slices.Contains(zones, m.zone)
-	if unknown == m.zoneUnknown {
+	if unknown == m.ownZoneUnknown {
 		return
 	}
-	m.zoneUnknown = unknown
+	m.ownZoneUnknown = unknown
 	if unknown {
-		m.emit(Effect{Kind: LogWarning, Text: "no executor was ever listed in this controller's zone " + m.zone + ", all zones are treated as local"})
+		m.emit(Effect{Kind: LogWarning, Text: "no executor was ever listed in this controller's zone " + m.zone +
+			", all zones are treated as local"})
 	}
 }
 
-// reachOfOwnZone returns the limit for this controller's own zone, if there is one.
-func (m *Monitor) reachOfOwnZone(validity float64) (reach scheduler.ZoneReach, limited bool) {
-	z := m.plan.findZone(m.zone)
-	if m.plan.Pair(m.zone, m.zone) == nil || z == nil {
+// reachOfOwnZone returns the limit for this controller's own zone, and whether the zone is limited at all.
+func (m *Monitor) reachOfOwnZone(validFraction float64) (reach scheduler.ZoneReach, limited bool) {
+	own := m.plan.findZone(m.zone)
+	if m.plan.Pair(m.zone, m.zone) == nil || own == nil {
 		return reach, false
 	}
-	reach = scheduler.ZoneReach{Zone: m.zone, Capacity: m.capacityOf(m.zone, validity)}
-	if z.State == Evacuated && orderFor(m.ordersInForce(), m.zone) != Evacuate && validity == 0 {
-		reach.Capacity = m.settings.MinShare // the order has ended and nobody can agree on what follows: one request at a time
+	reach = scheduler.ZoneReach{Zone: m.zone, Capacity: m.capacityOf(m.zone, validFraction)}
+	if own.State == Evacuated && orderFor(m.ordersInForce(), m.zone) != Evacuate && validFraction == 0 {
+		// The evacuation has ended, but this controller can't get a later plan. It sends one request at a time.
+		reach.Capacity = m.settings.MinShare
 	}
 	return reach, true
 }
 
-// reachOf returns how far another zone is. A zone that is in no plan yet is closed, except for kinds that this zone does not have.
-func (m *Monitor) reachOf(zone string, validity float64) scheduler.ZoneReach {
+// reachOf returns the limit for another zone. A zone that is not in the plan is closed, except to requests that need a
+// kind of executor that this controller's zone does not have.
+func (m *Monitor) reachOf(zone string, validFraction float64) scheduler.ZoneReach {
 	own := m.plan.findZone(m.zone)
-	z := m.plan.findZone(zone)
+	other := m.plan.findZone(zone)
 	reach := scheduler.ZoneReach{Zone: zone, Tier: tierOtherRegion}
-	if z == nil || z.State <= Suspected {
+	if other == nil || other.State <= Suspected {
 		ownKinds := m.kindsIn(m.zone, own)
-		for _, kind := range m.kindsIn(zone, z) {
+		for _, kind := range m.kindsIn(zone, other) {
 			if !slices.Contains(ownKinds, kind) {
 				reach.ExclusiveKinds = append(reach.ExclusiveKinds, kind)
 			}
 		}
 	}
-	if z == nil || own == nil {
+	if other == nil || own == nil {
 		return reach
 	}
-	regions := [2]string{own.Region, z.Region}
-	reach.Tier = tierBetween(own, z)
-	reach.Capacity = m.capacityOf(zone, validity)
+	regions := [2]string{own.Region, other.Region}
+	reach.Tier = tierBetween(own, other)
+	reach.Capacity = m.capacityOf(zone, validFraction)
 	reach.LatencyMS = m.settings.LatencyMS[regions]
 	reach.MinDensity = m.settings.MinDensity[regions]
 	return reach
 }
 
-// knownZones returns the zones of the plan and of the executors, sorted.
+// knownZones returns the sorted names of the zones in the plan and of the executors.
 func (m *Monitor) knownZones() (zones []string) {
 	for k := range m.plan.Zones {
 		zones = append(zones, m.plan.Zones[k].Name)
@@ -100,20 +104,22 @@
 	return zones
 }
 
-// kindsIn returns the kinds of a zone's executors: those of the plan, or else those that are listed.
-func (m *Monitor) kindsIn(zone string, z *Zone) (kinds []string) {
-	if z != nil && len(z.Kinds) > 0 {
-		return z.Kinds
+// kindsIn returns the sorted kinds of a zone's executors: those in the plan if it has any, otherwise those of the
+// executors that this controller observes. The zone is not in the plan if planned is nil.
+func (m *Monitor) kindsIn(zone string, planned *Zone) (kinds []string) {
+	if planned != nil && len(planned.Kinds) > 0 {
+		return planned.Kinds
 	}
 	for k := range m.executors {
-		if x := &m.executors[k]; x.Zone == zone && !slices.Contains(kinds, x.Kind) {
-			kinds = append(kinds, x.Kind)
+		if executor := &m.executors[k]; executor.Zone == zone && !slices.Contains(kinds, executor.Kind) {
+			kinds = append(kinds, executor.Kind)
 		}
 	}
 	slices.Sort(kinds)
 	return kinds
 }
 
+// equalReach reports whether two limits are the same.
 func equalReach(a, b scheduler.ZoneReach) bool {
 	return a.Zone == b.Zone && a.Tier == b.Tier && a.Capacity == b.Capacity && a.LatencyMS == b.LatencyMS &&
 		a.MinDensity == b.MinDensity && slices.Equal(a.ExclusiveKinds, b.ExclusiveKinds)
--- a/internal/locality/reports.go
+++ b/internal/locality/reports.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	reportMS        = 250  // between two reports
-	reportTimeoutMS = 1200 // after which a report does not count any more
-	reportFanIn     = 8    // members whose reports one member aggregates, at most
-	maxNameBytes    = 64
+	reportIntervalMS = 250  // interval at which a controller sends reports
+	reportTimeoutMS  = 1200 // age after which a report is ignored
+	reportFanIn      = 8    // maximum number of members whose reports one member aggregates
+	maxNameBytes     = 64
 )
 
-// reportMessage is a report on the wire.
+// reportMessage is the wire format of a report.
 type reportMessage struct {
 	Sequence uint64 `json:"N"`
 	Report   Report `json:"Report"`
 }
 
-// receivedReport is the latest report of a member or zone.
+// receivedReport is the latest report of a member or of a zone.
 type receivedReport struct {
 	receivedAt float64
 	sequence   uint64
@@ -29,38 +29,40 @@
 	from       string
 }
 
+// isFresh reports whether the report has not timed out.
 func (r *receivedReport) isFresh(now float64) bool { return now <= r.receivedAt+reportTimeoutMS }
 
-// coresSeen sums the cores of a zone's executors.
-type coresSeen struct{ known, reachable float64 }
+// observedCores sums the cores of a zone's executors of which there is evidence.
+type observedCores struct{ known, reachable float64 }
 
-// observe makes this controller's own report.
+// observe updates this controller's own report.
 func (m *Monitor) observe(ev *Event) {
 	m.executors = ev.Executors
 	m.listUnavailable = ev.WithoutList
 	m.ownReportAt = m.now
 	m.ownReport = Report{Zone: m.zone, Observers: 1, DemandThreads: ev.DemandThreads}
 	if ev.WithoutList {
-		m.ownReport.WithoutList = 1
+		m.ownReport.ObserversWithoutList = 1
 	}
-	cores := map[string]*coresSeen{}
+	cores := map[string]*observedCores{}
 	inFlight := map[string]float64{}
 	var zones []string
 	for k := range ev.Executors {
-		x := &ev.Executors[k]
-		c := cores[x.Zone]
-		if c == nil {
-			c = &coresSeen{}
-			cores[x.Zone] = c
-			zones = append(zones, x.Zone)
+		executor := &ev.Executors[k]
+		zone := executor.Zone
+		zoneCores := cores[zone]
+		if zoneCores == nil {
+			zoneCores = &observedCores{}
+			cores[zone] = zoneCores
+			zones = append(zones, zone)
 		}
-		inFlight[x.Zone] += x.InFlight
-		if !x.Known || !x.Listed { // one that is draining is no evidence
+		inFlight[zone] += executor.InFlight
+		if !executor.Known || !executor.Listed { // a draining executor says nothing about its zone
 			continue
 		}
-		c.known += x.Cores
-		if !x.Ejected {
-			c.reachable += x.Cores
+		zoneCores.known += executor.Cores
+		if !executor.Ejected {
+			zoneCores.reachable += executor.Cores
 		}
 	}
 	slices.Sort(zones)
@@ -69,14 +71,14 @@
 	}
 }
 
-// observation returns the verdict on a zone; without evidence there is none.
-func (c *coresSeen) observation(zone string, inFlight float64) Observation {
+// observation returns an observation with one verdict, or with none if there is no evidence of any executor.
+func (c *observedCores) observation(zone string, inFlight float64) Observation {
 	o := Observation{Zone: zone, InFlight: inFlight}
 	switch {
-	case c.known == 0:
-	case c.reachable < unreachableShare*c.known:
+	case c.known == 0: // no verdict
+	case c.reachable < unreachableFraction*c.known:
 		o.Unreachable = 1
-	case c.reachable < degradedShare*c.known:
+	case c.reachable < degradedFraction*c.known:
 		o.Degraded = 1
 	default:
 		o.Healthy = 1
@@ -84,7 +86,9 @@
 	return o
 }
 
-// parentOf returns the member that aggregates another's reports, in a tree of the members of the zone sorted by name; "" for the first.
+// parentOf returns the member that aggregates the reports of the named member. It returns "" for the first member of
+// this controller's zone and for members that are not live in this zone. The members of a zone, sorted by name, form a
+// tree with reportFanIn children for each member.
 func (m *Monitor) parentOf(name string) string {
 	k, found := slices.BinarySearch(m.zoneMembers, name)
 	if !found || k == 0 {
@@ -93,12 +97,13 @@
 	return m.zoneMembers[parentIndex(k)]
 }
 
+// parentIndex returns the index of a member's parent among the sorted members of the zone.
 func parentIndex(k int) int { return (k - 1) / reportFanIn }
 
-// sendReport aggregates the reports that are known here and sends the sum: to this member's parent, or from the first member of the zone
-// to the leader.
+// sendReport sends the sum of this controller's own report and of the reports that it aggregates to its parent. The
+// first member of a zone sends the sum to the leader.
 func (m *Monitor) sendReport() {
-	if m.now < m.reportSentAt+reportMS || m.ownReportAt == 0 {
+	if m.now < m.reportSentAt+reportIntervalMS || m.ownReportAt == 0 {
 		return
 	}
 	m.reportSentAt = m.now
@@ -106,7 +111,7 @@
 	if m.now < m.ownReportAt+reportTimeoutMS {
 		sum.add(&m.ownReport)
 	}
-	for _, name := range slices.Sorted(maps.Keys(m.childReports)) { // sums of floats do not depend on the order of a map
+	for _, name := range slices.Sorted(maps.Keys(m.childReports)) { // sorted, so that float sums are deterministic
 		r := m.childReports[name]
 		if !r.isFresh(m.now) {
 			delete(m.childReports, name)
@@ -132,10 +137,10 @@
 	m.emit(Effect{Kind: SendReport, To: to, Data: data})
 }
 
-// add adds another report to this one.
+// add adds the observations and the demand of another report to this one.
 func (r *Report) add(other *Report) {
 	r.Observers += other.Observers
-	r.WithoutList += other.WithoutList
+	r.ObserversWithoutList += other.ObserversWithoutList
 	r.DemandThreads += other.DemandThreads
 	for _, o := range other.Observations {
 		k := slices.IndexFunc(r.Observations, func(known Observation) bool { return known.Zone == o.Zone })
@@ -149,9 +154,12 @@
 	slices.SortFunc(r.Observations, func(a, b Observation) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// isPlausible reports whether a report can be used: it has no more observers than there are members, and no impossible figures.
+// isPlausible reports whether a report has no more observers than there are members, and no impossible values.
 func (m *Monitor) isPlausible(r *Report) bool {
-	if r.Observers < 0 || r.Observers > len(m.members) || r.WithoutList < 0 || r.WithoutList > r.Observers {
+	if r.Observers < 0 || r.Observers > len(m.members) {
+		return false
+	}
+	if r.ObserversWithoutList < 0 || r.ObserversWithoutList > r.Observers {
 		return false
 	}
 	if !(r.DemandThreads >= 0) || math.IsInf(r.DemandThreads, 0) {
@@ -163,6 +171,7 @@
 	return !slices.ContainsFunc(r.Observations, func(o Observation) bool { return !o.isPlausible(r.Observers) })
 }
 
+// isPlausible reports whether an observation has no more verdicts than observers, and no impossible values.
 func (o *Observation) isPlausible(observers int) bool {
 	if o.Healthy < 0 || o.Degraded < 0 || o.Unreachable < 0 || o.verdicts() > observers {
 		return false
@@ -170,7 +179,7 @@
 	return o.InFlight >= 0 && len(o.Zone) <= maxNameBytes
 }
 
-// handleReport keeps a report: of a member whose reports this one aggregates or, on the leader, of a zone.
+// handleReport stores a report of a member whose reports this controller aggregates or, on the leader, of a zone.
 func (m *Monitor) handleReport(ev *Event) {
 	var msg reportMessage
 	if json.Unmarshal(ev.Data, &msg) != nil || !m.isPlausible(&msg.Report) {
@@ -188,25 +197,27 @@
 			return
 		}
 	}
-	if old := reports[key]; old != nil && old.supersedes(ev.From, msg.Sequence, m.now) {
+	if latest := reports[key]; latest != nil && latest.supersedes(ev.From, msg.Sequence, m.now) {
 		m.Counts.Stale++
 		return
 	}
 	reports[key] = &receivedReport{m.now, msg.Sequence, msg.Report, ev.From}
 }
 
-// supersedes reports whether a further report is a duplicate or older. A sender that was silent for long may have restarted.
+// supersedes reports whether another report, with the given sender and sequence number, is a duplicate of this report
+// or older. Once this report has timed out, its sender may have restarted and begun a new sequence.
 func (r *receivedReport) supersedes(from string, sequence uint64, now float64) bool {
 	return r.from == from && sequence <= r.sequence && now < r.receivedAt+reportTimeoutMS
 }
 
-// Reports returns the zones' reports that count now if this controller leads.
+// Reports returns the reports that have not timed out by zone of the observers. It is empty unless this controller
+// leads.
 func (m *Monitor) Reports() map[string]Report {
-	list := map[string]Report{}
+	reports := map[string]Report{}
 	for zone, r := range m.zoneReports {
 		if r.isFresh(m.now) {
-			list[zone] = r.report
+			reports[zone] = r.report
 		}
 	}
-	return list
+	return reports
 }
--- a/internal/locality/shares.go
+++ b/internal/locality/shares.go
@@ -7,21 +7,23 @@
 	"slices"
 )
 
-// maxShareMembers is the number of controllers of a zone that may have shares of a cap.
+// maxShareMembers limits the number of controllers of a zone that get shares of a cap.
 const maxShareMembers = 1024
 
-// route is from the controllers of one zone to the executors of another.
+// route is the direction of requests from the controllers of one zone to the executors of another, or of the same one.
 type route struct{ from, to string }
 
-// usage is what controllers may be using by now, in threads.
+// usage is the number of threads that controllers may be using already when a plan is computed.
 type usage struct {
-	byMember map[route]map[string]float64
+	byMember map[route]map[string]float64 // by name of the controller
 	byRoute  map[route]float64
-	byTarget map[string]float64
+	byTarget map[string]float64 // by zone of the executors
 }
 
-// assignShares divides caps into shares. A controller keeps its share as far as it is due; what is revoked is granted to another one only
-// once it can't be in use any more. So what may be in use of a cap stays within it, or within the one before as long as that may be in use.
+// assignShares divides caps into shares. A controller keeps its share up to the size that it should have now. Threads
+// that are revoked from a controller are granted to another one only after the lease of the first has ended. So the
+// threads in use stay within a cap, or within the previous cap as long as shares of that may be in use. The map
+// available has the threads that all pairs to a zone may have together.
 func (p *planner) assignShares(previous, plan *Plan, available map[string]float64, in *planInput) {
 	unit := max(1, in.settings.MinShare)
 	members := membersByZone(in.members)
@@ -30,9 +32,9 @@
 		pair := &plan.Pairs[k]
 		names := members[pair.From]
 		slices.SortFunc(names, func(a, b string) int {
-			return cmp.Or(cmp.Compare(rank(a, pair.To), rank(b, pair.To)), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(memberHash(a, pair.To), memberHash(b, pair.To)), cmp.Compare(a, b))
 		})
-		desired[k] = divide(names, previous.Pair(pair.From, pair.To), math.Floor(pair.Cap/unit), unit)
+		desired[k] = divideUnits(names, previous.Pair(pair.From, pair.To), math.Floor(pair.Cap/unit), unit)
 	}
 	p.revokeShares(previous, plan, desired, in)
 	used := p.currentUsage(previous, plan, desired)
@@ -48,6 +50,7 @@
 	}
 }
 
+// membersByZone returns the names of the live members of each zone, at most maxShareMembers.
 func membersByZone(list []Member) map[string][]string {
 	names := map[string][]string{}
 	for _, m := range list {
@@ -58,7 +61,7 @@
 	return names
 }
 
-// revokeShares notes the shares of the previous plan that are larger than what is desired now.
+// revokeShares records the shares of the previous plan that are larger than the desired ones as revoked.
 func (p *planner) revokeShares(previous, plan *Plan, desired []map[string]float64, in *planInput) {
 	for _, old := range previous.Pairs {
 		k := slices.IndexFunc(plan.Pairs, func(pair Pair) bool { return pair.From == old.From && pair.To == old.To })
@@ -72,7 +75,8 @@
 	}
 }
 
-// currentUsage returns what may be in use by now: revoked shares, and the parts of desired shares that the previous plan had granted.
+// currentUsage returns the threads that may be in use already: revoked shares, and desired shares as far as the
+// previous plan granted them.
 func (p *planner) currentUsage(previous, plan *Plan, desired []map[string]float64) usage {
 	u := usage{byMember: map[route]map[string]float64{}, byRoute: map[route]float64{}, byTarget: map[string]float64{}}
 	add := func(r route, name string, threads float64) {
@@ -91,8 +95,8 @@
 			add(route{pair.From, pair.To}, name, min(threads, old.threadsOf(name)))
 		}
 	}
-	for r, members := range u.byMember {
-		for _, threads := range members {
+	for r, threadsByMember := range u.byMember {
+		for _, threads := range threadsByMember {
 			u.byRoute[r] += threads
 			u.byTarget[r.to] += threads
 		}
@@ -100,12 +104,13 @@
 	return u
 }
 
-// grant returns a member's share: what it may be using already, and more as far as the cap and the target's capacity allow.
+// grant returns a controller's share of a pair: the threads that it may be using already, and more up to the desired
+// ones as far as the cap of the pair and the capacity available in the target zone allow.
 func (u *usage) grant(pair *Pair, name string, desired, available, unit float64) float64 {
 	r := route{pair.From, pair.To}
 	inUse := u.byMember[r][name]
-	room := math.Floor(min(pair.Cap-u.byRoute[r], available-u.byTarget[r.to])/unit) * unit
-	if extra := min(desired-inUse, room); extra > 0 {
+	free := math.Floor(min(pair.Cap-u.byRoute[r], available-u.byTarget[r.to])/unit) * unit
+	if extra := min(desired-inUse, free); extra > 0 {
 		u.byRoute[r] += extra
 		u.byTarget[r.to] += extra
 		inUse += extra
@@ -113,25 +118,26 @@
 	return math.Floor(min(desired, inUse)/unit) * unit
 }
 
-// rank orders members for a zone: differently for each zone, and equally on each controller.
-func rank(name, zone string) uint32 { return crc32.ChecksumIEEE([]byte(zone + "\x00" + name)) }
+// memberHash returns the hash by which the controllers are sorted for a zone. The order is the same on each controller
+// and differs between zones, so that the remainders of all caps do not go to the same controllers.
+func memberHash(name, zone string) uint32 { return crc32.ChecksumIEEE([]byte(zone + "\x00" + name)) }
 
-// divide gives each member the same number of units. Those that are left over go to the members that had most before, then by the order
-// of the names.
-func divide(names []string, old *Pair, units, unit float64) map[string]float64 {
+// divideUnits divides units of a cap evenly among controllers and returns their threads by name. The remainder goes to
+// the controllers with the largest previous shares, and among equal ones to the first in names.
+func divideUnits(names []string, old *Pair, units, unit float64) map[string]float64 {
 	shares := map[string]float64{}
 	if len(names) == 0 || units < 1 {
 		return shares
 	}
 	each := math.Floor(units / float64(len(names)))
-	rest := int(units) - int(each)*len(names)
+	remainder := int(units) - int(each)*len(names)
 	ordered := slices.Clone(names)
 	slices.SortStableFunc(ordered, func(a, b string) int {
 		return -cmp.Compare(min(old.threadsOf(a), (each+1)*unit), min(old.threadsOf(b), (each+1)*unit))
 	})
 	for k, name := range ordered {
 		shares[name] = each * unit
-		if k < rest {
+		if k < remainder {
 			shares[name] += unit
 		}
 	}
--- a/internal/locality/transitions.go
+++ b/internal/locality/transitions.go
@@ -4,28 +4,30 @@
 
 const (
 	maxRecoveryWaitMS = 60e3
-	flapMS            = 60e3 // within which, after the longest wait, a further loss counts as a flap
+	flapWindowMS      = 60e3 // plus maxRecoveryWaitMS: a loss that soon after the previous one counts as a flap
 	maxFlapDoublings  = 16
 )
 
-// recoveryStages are the shares of a zone's capacity that are open while it recovers. All of it follows the last one.
+// recoveryStages are the fractions of a zone's capacity that are open in the stages of its recovery. After the last
+// stage the zone is healthy and all of its capacity is open.
 var recoveryStages = []float64{0.05, 0.15, 0.4, 0.7}
 
-// input is what moves a zone from one state to another.
+// input is an input of the state machine of a zone.
 type input uint8
 
 const (
-	inputHealthy        input = iota // its users reach it
-	inputDegraded                    // they reach a part of it
-	inputDisputed                    // they disagree
-	inputUnreachable                 // they, and others, the endpoint list or the membership view have it as unreachable
+	inputHealthy        input = iota // the zone's controllers reach it
+	inputDegraded                    // a large part of it is missing, according to its controllers or the endpoint list
+	inputDisputed                    // the observers disagree, or no second source confirms that it is unreachable
+	inputUnreachable                 // its executors can't be reached, according to all available sources
 	inputEvacuate                    // an operator's order is in force
-	inputEvacuationOver              // that order has ended
-	inputStageDue                    // a stage, or the wait for recovery, is over without bad signs
-	inputRecovered                   // the last stage is over
+	inputEvacuationOver              // no such order is in force any more
+	inputStageDue                    // the zone has been stable for a whole stage, or for the wait before recovery
+	inputRecovered                   // the zone has been stable for the last stage
 )
 
-// transitions gives for a state and an input the next state and an action. Inputs without a row change nothing.
+// transitions is the transition table of a zone's state machine. An input without a row for the zone's state is
+// ignored.
 var transitions = []struct {
 	state  State
 	input  input
@@ -55,47 +57,49 @@
 	{Recovering, inputEvacuate, Evacuated, (*zoneReview).startEvacuation},
 }
 
-// zoneReview is a zone that is being reviewed, with the leader's memory of it.
+// zoneReview is the review of a zone for the next plan.
 type zoneReview struct {
-	zone   *Zone
-	memory *zoneMemory
-	now    float64
+	zone    *Zone
+	history *zoneHistory
+	now     float64
 }
 
-// zoneMemory is what the leader remembers of a zone besides the plan. A new leader starts without it, which makes times longer.
-type zoneMemory struct {
-	since         float64     // of the state or the stage
-	goodSince     float64     // since when there have been no bad signs; 0: there are some
-	lostAt        float64     // of the last loss
-	lastInput     input       // of the last reviews
-	repeats       int         // reviews in a row with that input
-	demand        float64     // threads that its controllers need, smoothed
-	peaks         [60]float64 // the highest demand in each of the last 60 minutes
-	minute        int
-	demandIsGiven bool // the demand is an assumption, not observed
+// zoneHistory is the state of a zone that the leader keeps besides the plan. A new leader starts without it, which may
+// delay changes of a zone's state.
+type zoneHistory struct {
+	since           float64     // when the zone entered its state or stage
+	stableSince     float64     // since when every review found the zone reachable; 0: the last one did not
+	lostAt          float64     // when the zone was last lost; 0: never
+	lastInput       input       // of the last review
+	repeats         int         // consecutive reviews with lastInput, including the last one
+	demand          float64     // moving average of the threads that the zone's controllers need
+	demandPeaks     [60]float64 // highest demand in each of the last 60 minutes, a ring indexed by minute
+	minute          int         // of the latest entry in demandPeaks
+	demandIsAssumed bool        // demand is given for a simulation, and reports do not change it
 }
 
-// recordPeak keeps the highest demand of each minute.
-func (m *zoneMemory) recordPeak(now float64) {
-	for minute := int(now / 60e3); m.minute < minute; {
-		m.minute = max(m.minute+1, minute-len(m.peaks)+1)
-		m.peaks[m.minute%len(m.peaks)] = 0
+// recordPeak records the current demand if it is the highest in the current minute, and clears the minutes that have
+// passed since the last call.
+func (h *zoneHistory) recordPeak(now float64) {
+	for minute := int(now / 60e3); h.minute < minute; {
+		h.minute = max(h.minute+1, minute-len(h.demandPeaks)+1)
+		h.demandPeaks[h.minute%len(h.demandPeaks)] = 0
 	}
-	k := m.minute % len(m.peaks)
-	m.peaks[k] = max(m.peaks[k], m.demand)
+	k := h.minute % len(h.demandPeaks)
+	h.demandPeaks[k] = max(h.demandPeaks[k], h.demand)
 }
 
-// peak returns the highest demand in the last hour, as far as this leader has led.
-func (m *zoneMemory) peak() float64 { return slices.Max(m.peaks[:]) }
+// peakDemand returns the highest demand in the last hour, or since this controller became the leader if that is later.
+func (h *zoneHistory) peakDemand() float64 { return slices.Max(h.demandPeaks[:]) }
 
-// apply moves the zone by the transition table.
-func (r *zoneReview) apply(in input) {
+// apply moves the zone to its next state by the transition table.
+func (r *zoneReview) apply(current input) {
 	for _, t := range transitions {
-		if t.state != r.zone.State || t.input != in {
+		if t.state != r.zone.State || t.input != current {
 			continue
 		}
 		if r.zone.State != t.next || t.action != nil {
-			r.memory.since = r.now
+			r.history.since = r.now
 		}
 		r.zone.State = t.next
 		if t.action != nil {
@@ -105,15 +109,16 @@
 	}
 }
 
-// recordLoss counts a loss soon after the one before as a flap.
+// recordLoss is the action of a transition to Lost. It counts the loss as a flap if it follows soon after the previous
+// one.
 func (r *zoneReview) recordLoss() {
-	if r.memory.lostAt > 0 && r.now < r.memory.lostAt+flapMS+maxRecoveryWaitMS {
+	if r.history.lostAt > 0 && r.now < r.history.lostAt+flapWindowMS+maxRecoveryWaitMS {
 		r.zone.Flaps++
 	} else {
 		r.zone.Flaps = 0
 	}
-	r.memory.lostAt = r.now
-	r.memory.goodSince = 0
+	r.history.lostAt = r.now
+	r.history.stableSince = 0
 	r.zone.Stage = 0
 }
 
@@ -121,18 +126,18 @@
 
 func (r *zoneReview) raiseStage() { r.zone.Stage++ }
 
-// lowerStage goes back a stage at each bad review: faster than stages are gained.
+// lowerStage goes back one stage. It applies at each review with such an input, so stages are lost faster than gained.
 func (r *zoneReview) lowerStage() {
 	r.zone.Stage = max(0, r.zone.Stage-1)
-	r.memory.goodSince = 0
+	r.history.stableSince = 0
 }
 
 func (r *zoneReview) startEvacuation() {
 	r.zone.Stage = 0
-	r.memory.goodSince = 0
+	r.history.stableSince = 0
 }
 
-// recoveryWaitMS returns how long a lost zone must be reachable before it recovers. It doubles with each flap.
+// recoveryWaitMS returns how long a lost zone must be reachable before it recovers. The time doubles with each flap.
 func (z *Zone) recoveryWaitMS(settings *Settings) float64 {
 	wait := settings.RecoveryWaitMS
 	for range min(z.Flaps, maxFlapDoublings) {
@@ -141,8 +146,9 @@
 	return wait
 }
 
-// openShare returns the share of a zone's capacity that is open to its own requests, and whether other zones' may go there, too.
-func (z *Zone) openShare() (share float64, openToOthers bool) {
+// openFraction returns the fraction of a zone's capacity that is open to its own controllers, and whether the zone is
+// open to controllers of other zones as well.
+func (z *Zone) openFraction() (fraction float64, openToOthers bool) {
 	switch z.State {
 	case Lost, Evacuated:
 		return 0, false
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -1,143 +1,148 @@
-// Package locality decides, for a fleet in several zones, how far requests may go from where they came in: which controllers may use
-// which zone's executors, and for how many threads, while a zone is degraded, lost, evacuated or recovering.
+// Package locality plans cross-zone traffic for a fleet in several zones: which controllers may send requests to which
+// zone's executors, and for how many threads, while a zone is degraded, lost, evacuated or recovering.
 //
-// Controllers' observations are aggregated on their way to the leader of the consensus group. The leader makes a plan, a function of the
-// observations and of the operators' orders; the group agrees on the plan, and each controller passes its share of it to the scheduler.
-// A Monitor is a state machine: events and a time go in, effects come out. The package owns no socket, disk, clock or goroutine, and
-// chooses no executor.
+// The observations of the controllers are aggregated on their way to the leader of the consensus group. The leader
+// computes a plan from the observations and the operators' orders, the group agrees on the plan, and each controller
+// passes its share of the plan to its scheduler. A Monitor is a state machine: it takes events with a time and returns
+// effects. The package uses no socket, disk, clock or goroutine, and it chooses no executor for a request.
 //
-// Observations may be wrong, late, duplicated or forged: they only lead to plans. What is agreed is the plan: a share may be used only as
-// long as a lease that was requested after the plan confirms it, and a share that is revoked is granted to another controller only after
-// that time. So all shares of a zone's cap together never exceed it, whoever is partitioned.
+// Observations may be wrong, late, duplicated or forged. Safety does not depend on them, only on the agreed plan: a
+// controller may use a share only until the lease ends that confirmed the share, and a revoked share is granted to
+// another controller only after the lease duration. So the shares that are in use never exceed the cap of their zone,
+// whichever controllers are partitioned.
 package locality
 
 import "slices"
 
-// State is the agreed state of a zone.
+// State is the state of a zone in the agreed plan.
 type State uint8
 
 // States. The numbers are part of the plan's format.
 const (
 	Healthy    State = 0
-	Degraded   State = 1 // a large part of it is unreachable
-	Suspected  State = 2 // observers disagree on whether it is reachable
+	Degraded   State = 1 // a large part of its executors is unreachable
+	Suspected  State = 2 // the observers disagree on whether its executors are reachable
 	Lost       State = 3 // its executors are unreachable
-	Evacuated  State = 4 // by an operator's order, no new requests go there
-	Recovering State = 5 // it takes requests again, stage by stage
+	Evacuated  State = 4 // it gets no new requests, by an operator's order
+	Recovering State = 5 // it gets requests again, in stages of growing capacity
 	stateCount State = 6
 )
 
-// stateNames are printed by the control socket.
+// stateNames are the names of the states in replies of the administrative socket and in log lines.
 var stateNames = [stateCount]string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"}
 
-// String returns the name of the state.
+// String returns the name that operators see.
 func (s State) String() string { return stateNames[s] }
 
-// Observation is what one controller observes of a zone's executors, or the sum of several.
+// Observation counts the verdicts of one or more observers on the executors of a zone. An observer is a controller; one
+// without evidence of the executors gives no verdict.
 type Observation struct {
 	Zone        string  `json:"Zone"`
-	Healthy     int     `json:"Fine"` // observers by their verdict; one without evidence has none
-	Degraded    int     `json:"Thin"`
-	Unreachable int     `json:"Gone"`
-	InFlight    float64 `json:"Out"` // threads of their attempts there
+	Healthy     int     `json:"Fine"` // observers that reach nearly all executors
+	Degraded    int     `json:"Thin"` // observers that reach a part of the executors
+	Unreachable int     `json:"Gone"` // observers that reach almost no executor
+	InFlight    float64 `json:"Out"`  // threads of the observers' attempts in the zone
 }
 
-// verdicts returns the number of observers with a verdict.
+// verdicts returns the number of observers that gave a verdict.
 func (o *Observation) verdicts() int { return o.Healthy + o.Degraded + o.Unreachable }
 
-// Report is the sum of what the controllers of one zone observe.
+// Report is the sum of the observations of controllers of one zone.
 type Report struct {
-	Zone          string        `json:"Zone"` // of the controllers
-	Observers     int           `json:"Voices"`
-	WithoutList   int           `json:"Deaf"`  // observers without access to the endpoint list
-	DemandThreads float64       `json:"Wants"` // threads that their requests need, running or waiting
-	Observations  []Observation `json:"Sights"`
+	Zone                 string        `json:"Zone"`   // zone of the observers
+	Observers            int           `json:"Voices"` // number of controllers in the sum
+	ObserversWithoutList int           `json:"Deaf"`   // observers whose endpoint list is unavailable
+	DemandThreads        float64       `json:"Wants"`  // threads that the observers' running and waiting requests need
+	Observations         []Observation `json:"Sights"`
 }
 
-// Share is how many threads of one controller may be in flight.
+// Share is the part of a cap that one controller may use.
 type Share struct {
-	Name    string  `json:"Name"`
-	Threads float64 `json:"Threads"`
+	Name    string  `json:"Name"`    // of the controller
+	Threads float64 `json:"Threads"` // that the controller may have in flight
 }
 
-// Pair is the cap for what the controllers of one zone may send to the executors of another, or to those of their own zone while that is
-// not fully open.
+// Pair caps the threads that the controllers of one zone may have in flight on the executors of another zone. The two
+// zones are the same while a zone is not fully open to its own controllers.
 type Pair struct {
-	From   string  `json:"From"`
-	To     string  `json:"To"`
-	Cap    float64 `json:"Cap"`
+	From   string  `json:"From"` // zone of the controllers
+	To     string  `json:"To"`   // zone of the executors
+	Cap    float64 `json:"Cap"`  // threads, of all controllers together
 	Shares []Share `json:"Parts,omitempty"`
 }
 
-// RevokedShare is a share that was taken from a controller, which may still use it until it learns of that.
+// RevokedShare is a share that was taken from a controller, which may still use the share until its lease ends.
 type RevokedShare struct {
 	From    string  `json:"From"`
 	To      string  `json:"To"`
-	Name    string  `json:"Name"`
+	Name    string  `json:"Name"` // of the controller
 	Threads float64 `json:"Threads"`
-	LeftMS  float64 `json:"LeftMS"`
+	LeftMS  float64 `json:"LeftMS"` // for which the share may still be in use, as of the plan
 }
 
-// Zone is a zone in a plan.
+// Zone is the state of a zone in a plan.
 type Zone struct {
 	Name      string   `json:"Name"`
 	Region    string   `json:"Region,omitempty"`
 	State     State    `json:"State"`
-	Stage     int      `json:"Stage,omitempty"` // while it is Recovering
-	Flaps     int      `json:"Flaps,omitempty"` // losses in quick succession
-	Cores     float64  `json:"Cores"`           // when it was Healthy
-	Kinds     []string `json:"Kinds,omitempty"` // of its executors, when it was Healthy
-	Reason    string   `json:"Why,omitempty"`
-	InStateMS float64  `json:"ForMS,omitempty"` // since it entered the state, as of the plan
-	Members   int      `json:"Members,omitempty"`
+	Stage     int      `json:"Stage,omitempty"`   // index in recoveryStages while the state is Recovering
+	Flaps     int      `json:"Flaps,omitempty"`   // losses that followed soon after an earlier one
+	Cores     float64  `json:"Cores"`             // of its listed executors when the zone was last Healthy
+	Kinds     []string `json:"Kinds,omitempty"`   // of its listed executors when the zone was last Healthy
+	Reason    string   `json:"Why,omitempty"`     // for the last change of its state or stage, for operators
+	InStateMS float64  `json:"ForMS,omitempty"`   // since the zone entered its state; not set by the planner
+	Members   int      `json:"Members,omitempty"` // live controllers
 }
 
-// Plan is what the group agrees on.
+// Plan is the value on which the consensus group agrees.
 type Plan struct {
 	Number  uint64         `json:"Number"`
 	Zones   []Zone         `json:"Zones"`
 	Pairs   []Pair         `json:"Pairs,omitempty"`
-	Revoked []RevokedShare `json:"Held,omitempty"`
+	Revoked []RevokedShare `json:"Held,omitempty"` // shares that may still be in use
 }
 
-// OrderKind is the kind of an operator's order.
+// OrderKind is the command of an operator's order. Its values are stored and sent.
 type OrderKind string
 
-// Orders.
+// Kinds of orders.
 const (
-	Evacuate OrderKind = "evacuate" // no new requests to the zone
-	Hold     OrderKind = "hold"     // its stage does not rise
-	Return   OrderKind = "return"   // an evacuation or a hold ends, and a lost zone that is reachable starts to recover
+	// Evacuate stops new requests to a zone.
+	Evacuate OrderKind = "evacuate"
+	// Hold keeps a recovering zone from reaching its next stage, and a lost one from starting to recover.
+	Hold OrderKind = "hold"
+	// Return ends an evacuation or a hold, and lets a lost zone that is reachable recover without the usual wait.
+	Return OrderKind = "return"
 )
 
-// Order is an operator's order.
+// Order is an operator's order for a zone.
 type Order struct {
 	Kind   OrderKind `json:"Kind"`
 	Zone   string    `json:"Zone"`
 	Author string    `json:"Author"`
 	Reason string    `json:"Why,omitempty"`
-	Until  int64     `json:"Until"`            // Unix time in ms; 0: until it is revoked
-	SpanMS float64   `json:"SpanMS,omitempty"` // its duration from when it was agreed; 0: Until counts
+	Until  int64     `json:"Until"`            // Unix time in ms at which the order ends; 0: when it is revoked
+	SpanMS float64   `json:"SpanMS,omitempty"` // duration from when the group agreed on the order; 0: Until applies
 }
 
-// Member is a controller in the membership view.
+// Member is a controller in the membership view of the cluster.
 type Member struct {
 	Name, Zone, Region string
 	Live               bool
 }
 
-// Executor is an executor as this controller's endpoint list and scheduler have it.
+// Executor is the state of an executor according to this controller's endpoint list and scheduler.
 type Executor struct {
 	Zone, Kind string
 	Cores      float64
-	Listed     bool // the list has it as active
-	Known      bool // there is recent evidence of it, or it is ejected
-	Ejected    bool
+	Listed     bool // active in the endpoint list
+	Known      bool // there is recent evidence of whether it is reachable
+	Ejected    bool // the scheduler sends it no requests, because attempts failed
 	WarmingUp  bool
-	InFlight   float64
+	InFlight   float64 // threads of this controller's attempts
 }
 
-// findZone returns a zone of the plan, or nil.
+// findZone returns the zone with the given name, or nil.
 func (p *Plan) findZone(name string) *Zone {
 	for k := range p.Zones {
 		if p.Zones[k].Name == name {
@@ -147,7 +152,7 @@
 	return nil
 }
 
-// Pair returns the cap from one zone to another, or nil.
+// Pair returns the pair for the controllers of one zone and the executors of another, or nil if the plan has none.
 func (p *Plan) Pair(from, to string) *Pair {
 	for k := range p.Pairs {
 		if p.Pairs[k].From == from && p.Pairs[k].To == to {
@@ -157,7 +162,7 @@
 	return nil
 }
 
-// threadsOf returns a member's share. The pair may be nil.
+// threadsOf returns the threads of a controller's share, 0 if the controller has no share. The pair may be nil.
 func (p *Pair) threadsOf(name string) float64 {
 	if p == nil {
 		return 0
