--- a/internal/locality/monitor.go
+++ b/internal/locality/monitor.go
@@ -69,11 +69,11 @@
 	Lent            uint64 // loans to other controllers
 	Borrowed        uint64 // loans from other controllers
 	ReportsSent     uint64
-	ReportsReceived uint64 // well-formed ones
-	Stale           uint64 // reports that were ignored as duplicate, out of date or not for this controller
+	ReportsReceived uint64 // without malformed ones, with stale ones
+	Stale           uint64 // reports that were duplicate, out of date or not for this controller
 	Malformed       uint64 // reports that could not be decoded or were implausible
 	Proposed        uint64 // plans that this controller proposed
-	Plans           uint64 // agreed plans that this controller received
+	Plans           uint64 // agreed plans that this controller adopted
 	Bytes           uint64 // size of the reports sent
 }
 
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -121,7 +121,7 @@
 	Zone   string    `json:"Zone"`
 	Author string    `json:"Author"`
 	Reason string    `json:"Why,omitempty"`
-	Until  int64     `json:"Until"`            // Unix time in ms at which the order ends; 0: when it is revoked
+	Until  int64     `json:"Until"`            // Unix time in ms at which the order ends; 0: it lasts until revoked
 	SpanMS float64   `json:"SpanMS,omitempty"` // duration from when the group agreed on the order; 0: Until applies
 }
 
