--- a/internal/locality/loans.go
+++ b/internal/locality/loans.go
@@ -13,7 +13,7 @@
 
 const (
 	maxLoanDurationMS     = 1500 // for which a borrower may use a loan
-	loanLeaseDivisor      = 3    // a loan lasts no longer than this fraction of the lease
+	loanLeaseDivisor      = 3    // a loan lasts no longer than the lease divided by this
 	loanGraceMS           = 300  // for which a lender still counts an expired loan as in use
 	loanRequestIntervalMS = 150  // between the loan requests of a controller
 	peersPerLoanRequest   = 2    // members that are asked at a time, in rotation
