--- a/internal/assembly/admin.go
+++ b/internal/assembly/admin.go
@@ -8,10 +8,12 @@
 	"liftshift/internal/retry"
 )
 
-// errStopping is returned to a question that meets the end of the controller.
+// errStopping is the answer to an administrative request that arrives while the controller shuts down. Its text is sent
+// to clients.
 var errStopping = errors.New("this controller stops")
 
-// openAdmin opens the administrative socket, where the file names one.
+// openAdmin opens the administrative socket if the operators' file names one. It retries while the previous process
+// still serves that socket.
 func (x *Extensions) openAdmin() error {
 	if x.file.Control == "" {
 		return nil
@@ -27,7 +29,7 @@
 	}, adminapi.ErrInUse)
 }
 
-// onLoop makes a call on the event loop's goroutine and returns what it returns.
+// onLoop runs call on the event loop's goroutine and returns its result, or errStopping once the loop has ended.
 func onLoop[Reply any](x *Extensions, call func(now float64) (Reply, error)) (reply Reply, err error) {
 	if done := x.loop.Call(func(now float64) { reply, err = call(now) }); !done {
 		return reply, errStopping
@@ -35,23 +37,29 @@
 	return reply, err
 }
 
-// routeQuotas serves the questions about quotas and waits.
-func (x *Extensions) routeQuotas(r *adminapi.Router) {
-	adminapi.Handle(r, adminapi.QuestionQuotas, func(context.Context, adminapi.Empty) (adminapi.QuotasReply, error) {
-		return onQuotas(x, func(float64) (adminapi.QuotasReply, error) { return x.quotas.reply(), nil })
-	})
-	adminapi.Handle(r, adminapi.QuestionWaits, func(context.Context, adminapi.Empty) (adminapi.WaitsReply, error) {
-		return onQuotas(x, func(float64) (adminapi.WaitsReply, error) { return x.quotas.waitsReply(), nil })
-	})
-	adminapi.Handle(r, adminapi.QuestionQueueExplain, func(_ context.Context, q adminapi.QueueExplainRequest) (adminapi.QueueExplainReply, error) {
-		return onQuotas(x, func(float64) (adminapi.QueueExplainReply, error) { return x.quotas.explain(q.ID) })
-	})
-	adminapi.Handle(r, adminapi.QuestionSetQuota, func(_ context.Context, q adminapi.SetQuotaRequest) (adminapi.SetQuotaReply, error) {
-		return onQuotas(x, func(now float64) (adminapi.SetQuotaReply, error) { return x.setQuota(now, q) })
-	})
+// routeQuotas registers the handlers for quotas and wait estimates.
+func (x *Extensions) routeQuotas(router *adminapi.Router) {
+	adminapi.Handle(router, adminapi.QuestionQuotas,
+		func(context.Context, adminapi.Empty) (adminapi.QuotasReply, error) {
+			return onQuotas(x, func(float64) (adminapi.QuotasReply, error) { return x.quotas.reply(), nil })
+		})
+	adminapi.Handle(router, adminapi.QuestionWaits,
+		func(context.Context, adminapi.Empty) (adminapi.WaitsReply, error) {
+			return onQuotas(x, func(float64) (adminapi.WaitsReply, error) { return x.quotas.waitsReply(), nil })
+		})
+	adminapi.Handle(router, adminapi.QuestionQueueExplain,
+		func(_ context.Context, request adminapi.QueueExplainRequest) (adminapi.QueueExplainReply, error) {
+			return onQuotas(x, func(float64) (adminapi.QueueExplainReply, error) {
+				return x.quotas.explain(request.ID)
+			})
+		})
+	adminapi.Handle(router, adminapi.QuestionSetQuota,
+		func(_ context.Context, request adminapi.SetQuotaRequest) (adminapi.SetQuotaReply, error) {
+			return onQuotas(x, func(now float64) (adminapi.SetQuotaReply, error) { return x.setQuota(now, request) })
+		})
 }
 
-// onQuotas makes a call on the event loop's goroutine where there are quotas.
+// onQuotas is onLoop for requests about quotas. It fails if the operators' file configures no quotas.
 func onQuotas[Reply any](x *Extensions, call func(now float64) (Reply, error)) (Reply, error) {
 	if x.quotas == nil {
 		var none Reply
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,6 +1,8 @@
-// Package assembly joins what the operators' own file asks for to a controller: the store beneath its ledger, the quotas of its teams,
-// the cluster with its consensus group, the handoff of open requests, the locality of zones and the administrative socket. It owns
-// which of them there are, starts and stops them in order, logs what they report and answers questions about them. It decides nothing.
+// Package assembly builds the optional subsystems that the operators' file configures and connects them to a
+// controller: the ledger's store, the quotas of the teams, the cluster with its consensus group, the handoff of open
+// requests, the locality decisions between zones, and the administrative socket. It starts and stops them in order,
+// logs what they report and answers administrative requests about them. The decisions themselves are made by the
+// subsystems.
 package assembly
 
 import (
@@ -21,24 +23,25 @@
 	"liftshift/internal/vfs"
 )
 
-// storeSyncThreads is how many threads a sync of the disk may block: a thread in a sync keeps its slot of the Go scheduler until that
-// notices, and what is ready to run would wait for the disk meanwhile. A sync takes no processor time.
+// storeSyncThreads is the number of threads that the store may block in fsync. A blocked thread keeps its Go scheduler
+// slot (GOMAXPROCS) for a while, so openStore adds this many slots to let other goroutines run meanwhile. Waiting in
+// fsync uses no processor time.
 const storeSyncThreads = 2
 
-// Extensions are what an operators' file adds to a controller.
+// Extensions implements service.Extensions for a controller with an operators' file.
 type Extensions struct {
 	file     *operatorconfig.File
 	loop     *dispatch.Loop
-	store    *ledgerstore.Store // nil: no store
-	quotas   *quotaManager      // nil: no quotas
-	cluster  *cluster           // nil: no cluster
-	handoff  *handoffExtension  // nil: nobody keeps copies
-	locality *localityExtension // nil: nothing is decided between zones
-	admin    *adminapi.Server
+	store    *ledgerstore.Store // nil without block store
+	quotas   *quotaManager      // nil without block quotas
+	cluster  *clusterExtension  // nil without block cluster
+	handoff  *handoffExtension  // nil without block handoff
+	locality *localityExtension // nil without block zones
+	admin    *adminapi.Server   // nil without block control
 	log      logrus.FieldLogger
 }
 
-// New reads the operators' file at a path; without one there is nothing besides the platform's side.
+// New reads the operators' file at path. If path is empty, it returns service.NoExtensions.
 func New(path string) (service.Extensions, error) {
 	if path == "" {
 		return service.NoExtensions{}, nil
@@ -50,12 +53,14 @@
 	return &Extensions{file: file}, nil
 }
 
-// Open opens what the file asks for and registers it with the event loop: first the handoff, which asks other controllers, then the
-// quotas, the locality and the ledger.
-func (x *Extensions) Open(name string, loop *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger) error {
+// Open opens the subsystems that the file configures and registers them with the event loop.
+func (x *Extensions) Open(
+	name string, loop *dispatch.Loop, platform *settings.Settings, clock dispatch.Clock, log logrus.FieldLogger,
+) error {
 	x.loop, x.log = loop, log
 	if len(x.file.Deprecated) > 0 {
-		log.WithField("names", x.file.Deprecated).Warn("operator file: deprecated names; the page of the block has the new ones")
+		log.WithField("names", x.file.Deprecated).
+			Warn("operator file: deprecated names; the page of the block has the new ones")
 	}
 	if x.file.Quotas != nil {
 		quotas, err := newQuotaManager(clock.Now(), x.file.Quotas, &platform.Scheduler)
@@ -74,7 +79,8 @@
 	return x.openAdmin()
 }
 
-// register gives the event loop its extensions, in the order in which they hear of events.
+// register adds the extensions to the event loop, in the order in which they handle events. The handoff is first, since
+// it may suspend an arriving request until other controllers have replied.
 func (x *Extensions) register() {
 	if x.handoff != nil {
 		x.loop.Register(x.handoff.agent)
@@ -92,7 +98,7 @@
 	}
 }
 
-// openStore opens the store, where the file has a block store.
+// openStore opens the store if the file has a block store.
 func (x *Extensions) openStore(platform *settings.Settings, clock dispatch.Clock) error {
 	block := x.file.Store
 	if block == nil {
@@ -105,27 +111,34 @@
 	options := store.Options{SegmentBytes: block.SegmentBytes, FlushDelay: block.FlushDelay}
 	post := func(event ledger.Event) { x.loop.Put(dispatch.QueueItem{Message: &event}) }
 	var opened *ledgerstore.Store
-	var found store.Recovery
-	err = retry.Do(retry.StartTimeout, func() error { // the process before this one may still be ending
-		opened, found, err = ledgerstore.Open(vfs.WithFaults(dir), options, *ledgerSettings(platform, block, x.file.Handoff), clock.Now, post, x.log)
+	var recovery store.Recovery
+	// The previous process may still be shutting down.
+	err = retry.Do(retry.StartTimeout, func() error {
+		opened, recovery, err = ledgerstore.Open(
+			vfs.WithFaults(dir), options, *ledgerSettings(platform, block, x.file.Handoff), clock.Now, post, x.log,
+		)
 		return err
 	}, vfs.ErrInUse)
 	if err != nil {
 		return fmt.Errorf("%w (folder %s; see: liftshift store verify %s)", err, block.Directory, block.Directory)
 	}
-	if found.InDoubt {
-		x.log.WithField("reason", found.Reason).Warn("store: the last records may be missing")
+	if recovery.InDoubt {
+		x.log.WithField("reason", recovery.Reason).Warn("store: the last records may be missing")
 	}
-	if found.DiskError != nil {
-		x.log.WithField("reason", found.DiskError).Error("store: the disk takes no writes; what needs a record is rejected until it does")
+	if recovery.DiskError != nil {
+		x.log.WithField("reason", recovery.DiskError).
+			Error("store: the disk takes no writes; what needs a record is rejected until it does")
 	}
 	x.store = opened
 	runtime.GOMAXPROCS(runtime.GOMAXPROCS(0) + storeSyncThreads)
 	return nil
 }
 
-// ledgerSettings returns what the ledger goes by: the platform's settings, and the operators' own.
-func ledgerSettings(platform *settings.Settings, block *operatorconfig.Store, handoff *operatorconfig.Handoff) *ledger.Settings {
+// ledgerSettings combines the platform's settings with the blocks store and handoff. The parameter handoff is nil
+// without block handoff.
+func ledgerSettings(
+	platform *settings.Settings, block *operatorconfig.Store, handoff *operatorconfig.Handoff,
+) *ledger.Settings {
 	s := &ledger.Settings{
 		Classes:        platform.Scheduler.Classes,
 		RetryBudget:    platform.Scheduler.RetryBudget,
@@ -134,13 +147,14 @@
 		MaxAnswerBytes: block.MaxAnswerBytes,
 		MaxRecords:     block.MaxRecords,
 	}
-	if handoff != nil { // what was open at a crash is for the successors to end
+	if handoff != nil { // requests that were open at a crash are completed by the successors
 		s.SuccessorsResume, s.SkipDiskWait = true, !handoff.WaitForOwnDisk
 	}
 	return s
 }
 
-// Start tells the scheduler what was restored, ahead of all else, and the cluster that this controller serves.
+// Start queues the restored state for the scheduler, before any other event, and announces to the cluster that this
+// controller is ready.
 func (x *Extensions) Start() {
 	if x.store != nil {
 		for _, event := range x.store.RestoredEvents() {
@@ -150,7 +164,8 @@
 	x.cluster.start()
 }
 
-// Reload reads the file again. What it returns puts it in force and names what needs a restart.
+// Reload reads the file again without changing anything. The function that it returns puts the new values into force
+// and returns the names of the changed settings that take effect only after a restart.
 func (x *Extensions) Reload(platform *settings.Settings) (func() []string, error) {
 	next, err := operatorconfig.Read(x.file.Path)
 	if err != nil {
@@ -158,7 +173,10 @@
 	}
 	return func() []string {
 		if x.store != nil && next.Store != nil {
-			changed := &ledger.Event{Kind: ledger.SettingsChanged, Settings: ledgerSettings(platform, next.Store, x.file.Handoff)}
+			changed := &ledger.Event{
+				Kind:     ledger.SettingsChanged,
+				Settings: ledgerSettings(platform, next.Store, x.file.Handoff),
+			}
 			x.loop.Put(dispatch.QueueItem{Message: changed})
 		}
 		if x.quotas != nil && next.Quotas != nil && x.file.Quotas.SameTree(next.Quotas) {
@@ -168,7 +186,7 @@
 	}, nil
 }
 
-// LogCounters logs the counters of all that there is.
+// LogCounters logs the counters of the subsystems that are configured.
 func (x *Extensions) LogCounters() {
 	if x.store != nil {
 		x.log.WithFields(x.store.Fields()).Info("store")
@@ -178,10 +196,11 @@
 	x.locality.logCounters()
 }
 
-// ShutdownStarted tells the cluster that this controller is draining.
+// ShutdownStarted announces to the cluster that this controller is draining.
 func (x *Extensions) ShutdownStarted() { x.cluster.shutdownStarted() }
 
-// Close ends the store and closes the administrative socket. The event loop has ended.
+// Close closes the administrative socket, then the cluster, the handoff, the locality and the store. The event loop
+// must have ended.
 func (x *Extensions) Close() {
 	if x.admin != nil {
 		x.admin.Close()
--- a/internal/assembly/cluster.go
+++ b/internal/assembly/cluster.go
@@ -23,31 +23,36 @@
 )
 
 const (
-	incarnationNote  = "fleet life" // the operator note that keeps the incarnation; its name is stored
-	consensusFolder  = "council"    // beneath the folder of the store; its name is on disk
-	protocolVersion  = 1            // of what this program can say to other controllers
-	countChangesRoom = 64           // changes of the number of controllers that wait for the event loop
+	// incarnationNoteID is the id of the operator note that holds the last incarnation. It is part of the stored
+	// format.
+	incarnationNoteID = "fleet life"
+	// consensusFolder is the folder of the consensus group's log inside the store's folder, as it is on disk.
+	consensusFolder = "council"
+	// protocolVersion is the version of the protocol between controllers that this program implements.
+	protocolVersion = 1
+	// controllerCountBuffer is the number of changes of the controller count that may wait for the event loop.
+	controllerCountBuffer = 64
 )
 
-// cluster joins the membership view and the consensus group to a controller.
-type cluster struct {
-	x         *Extensions
-	file      *operatorconfig.Cluster
-	transport *clusternet.Transport
-	view      *membership.View // the transport's goroutine owns it
-	node      *raftnode.Node   // nil: no consensus group
-	clock     dispatch.Clock
-	log       eventLog
-	present   chan float64 // changes of how many controllers share the executors
-	stopped   chan struct{}
+// clusterExtension connects the membership view and the consensus group to a controller.
+type clusterExtension struct {
+	extensions       *Extensions
+	file             *operatorconfig.Cluster
+	transport        *clusternet.Transport
+	view             *membership.View // owned by the transport's goroutine
+	node             *raftnode.Node   // nil without a consensus group
+	clock            dispatch.Clock
+	log              eventLog     // used by the transport's goroutine only
+	controllerCounts chan float64 // new numbers of controllers that share the executors, for the event loop
+	stopped          chan struct{}
 
-	lastPresent  float64
-	counts       atomic.Pointer[membership.Counts]
-	declaredLost atomic.Uint64
-	diskFailing  atomic.Bool // the disk of this voter takes no writes
+	lastControllerCount float64 // sent to controllerCounts last; used by the transport's goroutine only
+	counts              atomic.Pointer[membership.Counts]
+	declaredLost        atomic.Uint64 // incarnations that the consensus group declared lost
+	diskFailing         atomic.Bool   // the disk of this voter has failed
 }
 
-// openCluster makes the membership view and begins to listen, where the file has a block cluster.
+// openCluster creates the membership view and starts the transport if the file has a block cluster.
 func (x *Extensions) openCluster(name string, platform *settings.Settings, clock dispatch.Clock) error {
 	file := x.file.Cluster
 	if file == nil {
@@ -57,108 +62,130 @@
 		name = file.Member
 	}
 	if name == "" {
-		return errors.New("cluster: this controller has no name: give member, or a name in the platform's configuration")
-	}
-	c := &cluster{
-		x:         x,
-		file:      file,
-		transport: clusternet.New(file.Listen, x.log),
-		clock:     clock,
-		log:       eventLog{log: x.log},
-		present:   make(chan float64, countChangesRoom),
-		stopped:   make(chan struct{}),
-	}
-	c.transport.OnEffect = c.membershipEffect
-	self := membership.Member{Name: name, Incarnation: c.nextIncarnation(), Address: file.Address, Zone: file.Zone,
-		Region: file.Region, Version: protocolVersion}
+		return errors.New(
+			"cluster: this controller has no name: set member in block cluster or name in the platform's configuration",
+		)
+	}
+	c := &clusterExtension{
+		extensions:       x,
+		file:             file,
+		transport:        clusternet.New(file.Listen, x.log),
+		clock:            clock,
+		log:              eventLog{log: x.log},
+		controllerCounts: make(chan float64, controllerCountBuffer),
+		stopped:          make(chan struct{}),
+	}
+	c.transport.OnEffect = c.handleMembershipEffect
+	self := membership.Member{
+		Name:        name,
+		Incarnation: c.nextIncarnation(),
+		Address:     file.Address,
+		Zone:        file.Zone,
+		Region:      file.Region,
+		Version:     protocolVersion,
+	}
 	seed := crc32.ChecksumIEEE([]byte(name + strconv.FormatUint(self.Incarnation, 10)))
 	c.view = membership.New(c.transport.Now(), file.Name, self, file.Seeds, file.Membership, seed)
 	if err := c.openNode(seed, platform); err != nil {
 		return err
 	}
 	x.cluster = c
-	x.log.WithFields(logrus.Fields{"cluster": file.Name, "member": name, "incarnation": self.Incarnation, "address": file.Address}).
-		Info("cluster: joining")
+	x.log.WithFields(logrus.Fields{
+		"cluster":     file.Name,
+		"member":      name,
+		"incarnation": self.Incarnation,
+		"address":     file.Address,
+	}).Info("cluster: joining")
 	return nil
 }
 
-// openNode begins to listen, with a node of the consensus group where the file names its founders.
-func (c *cluster) openNode(seed uint32, platform *settings.Settings) error {
+// openNode starts the transport. If the file names founders, it first creates the node of the consensus group, and the
+// handoff and the locality, which need that node.
+func (c *clusterExtension) openNode(seed uint32, platform *settings.Settings) error {
 	if len(c.file.Founders) == 0 {
 		return c.transport.Start(c.view, nil)
 	}
-	folder, err := vfs.OpenDir(filepath.Join(c.x.file.Store.Directory, consensusFolder), true)
+	folder, err := vfs.OpenDir(filepath.Join(c.extensions.file.Store.Directory, consensusFolder), true)
 	if err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
-	c.node, err = raftnode.New(c.transport, c.view, vfs.WithFaults(folder), c.file.Founders, c.file.Consensus, seed, c.x.log)
+	c.node, err = raftnode.New(
+		c.transport, c.view, vfs.WithFaults(folder), c.file.Founders, c.file.Consensus, seed, c.extensions.log,
+	)
 	if err != nil {
 		return err
 	}
-	c.node.OnEffect = c.consensusEffect
-	if c.x.file.Handoff != nil {
-		if err := c.x.openHandoff(c, seed, platform); err != nil {
+	c.node.OnEffect = c.handleConsensusEffect
+	if c.extensions.file.Handoff != nil {
+		if err := c.extensions.openHandoff(c, seed, platform); err != nil {
 			return err
 		}
 	}
-	if c.x.file.Locality != nil {
-		c.x.openLocality(c, &platform.Scheduler)
+	if c.extensions.file.Locality != nil {
+		c.extensions.openLocality(c, &platform.Scheduler)
 	}
 	return c.transport.Start(c.view, c.node)
 }
 
-// flags are what this controller tells of itself, besides others.
-func (c *cluster) flags(others membership.Flags) membership.Flags {
+// withVoterFlags adds to flags whether this controller can vote in the consensus group or its disk has failed.
+func (c *clusterExtension) withVoterFlags(flags membership.Flags) membership.Flags {
 	if c.diskFailing.Load() {
-		return others&^membership.CanVote | membership.DiskFailing
+		return flags&^membership.CanVote | membership.DiskFailing
 	}
 	if c.node != nil {
-		return others | membership.CanVote
+		return flags | membership.CanVote
 	}
-	return others
+	return flags
 }
 
-// nextIncarnation returns the incarnation of this start: later than any on record here, and than any start before by the machine's
-// clock.
-func (c *cluster) nextIncarnation() uint64 {
+// nextIncarnation returns the incarnation for this start of the controller: the wall clock in ms, or one more than the
+// stored incarnation if that is not smaller. The result is stored if the controller has a store.
+func (c *clusterExtension) nextIncarnation() uint64 {
 	next := uint64(max(1, time.Now().UnixMilli()))
-	if c.x.store == nil {
+	if c.extensions.store == nil {
 		return next
 	}
-	for _, note := range c.x.store.OperatorNotes() {
-		if note.ID != incarnationNote {
+	for _, note := range c.extensions.store.OperatorNotes() {
+		if note.ID != incarnationNoteID {
 			continue
 		}
-		if before, err := strconv.ParseUint(string(note.Body), 10, 64); err == nil && before >= next {
-			next = before + 1
+		if stored, err := strconv.ParseUint(string(note.Body), 10, 64); err == nil && stored >= next {
+			next = stored + 1
 		}
 	}
 	c.storeIncarnation(next)
 	return next
 }
 
-func (c *cluster) storeIncarnation(incarnation uint64) {
+func (c *clusterExtension) storeIncarnation(incarnation uint64) {
 	text := strconv.FormatUint(incarnation, 10)
-	c.x.store.Step(c.clock.Now(), &ledger.Event{Kind: ledger.OperatorNoteSet, ID: incarnationNote, Body: []byte(text)})
+	c.extensions.store.Step(
+		c.clock.Now(), &ledger.Event{Kind: ledger.OperatorNoteSet, ID: incarnationNoteID, Body: []byte(text)},
+	)
 }
 
-// start tells the others that this controller serves, and has the scheduler hear how many there are whenever that changes.
-func (c *cluster) start() {
+// start announces to the other members that this controller is ready, and begins to pass changes of the number of
+// controllers to the event loop.
+func (c *clusterExtension) start() {
 	if c == nil {
 		return
 	}
-	c.transport.SetFlags(c.flags(membership.Ready))
-	go c.forwardPresent()
+	c.transport.SetFlags(c.withVoterFlags(membership.Ready))
+	go c.forwardControllerCounts()
 }
 
-// forwardPresent tells the event loop how many controllers there are, until close.
-func (c *cluster) forwardPresent() {
+// forwardControllerCounts passes changes of the number of controllers to the scheduler and the quotas, until close.
+func (c *clusterExtension) forwardControllerCounts() {
 	for {
 		select {
-		case n := <-c.present:
-			c.x.loop.Put(dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ControllersCounted, Value: n}})
-			if q := c.x.quotas; q != nil {
-				c.x.loop.Put(dispatch.QueueItem{Call: func(float64) { q.shares.SetControllers(int(n)) }})
+		case count := <-c.controllerCounts:
+			c.extensions.loop.Put(
+				dispatch.QueueItem{Event: scheduler.Event{Kind: scheduler.ControllersCounted, Value: count}},
+			)
+			if quotas := c.extensions.quotas; quotas != nil {
+				c.extensions.loop.Put(
+					dispatch.QueueItem{Call: func(float64) { quotas.shares.SetControllers(int(count)) }},
+				)
 			}
 		case <-c.stopped:
 			return
@@ -166,15 +193,17 @@
 	}
 }
 
-func (c *cluster) shutdownStarted() {
+// shutdownStarted announces to the other members that this controller is draining and will leave.
+func (c *clusterExtension) shutdownStarted() {
 	if c == nil {
 		return
 	}
-	c.transport.SetFlags(c.flags(membership.Draining))
+	c.transport.SetFlags(c.withVoterFlags(membership.Draining))
 	c.transport.Leave()
 }
 
-func (c *cluster) close() {
+// close returns the lease, announces that this controller has left and stops the transport.
+func (c *clusterExtension) close() {
 	if c == nil {
 		return
 	}
--- a/internal/assembly/cluster_events.go
+++ b/internal/assembly/cluster_events.go
@@ -10,78 +10,89 @@
 	"liftshift/internal/membership"
 )
 
-// membershipEffect logs what the membership view reports, and does what follows; the transport's goroutine calls it.
-func (c *cluster) membershipEffect(now float64, e membership.Effect) {
-	m := &e.Member
-	switch e.Kind {
+// handleMembershipEffect logs an effect of the membership view, acts on it and publishes the view's counters. It runs
+// on the transport's goroutine.
+func (c *clusterExtension) handleMembershipEffect(now float64, effect membership.Effect) {
+	member := &effect.Member
+	switch effect.Kind {
 	case membership.MemberChanged:
-		c.logMember(now, &e)
+		c.logMemberChange(now, &effect)
 	case membership.SelfIncarnationRaised:
-		c.log.always().WithField("incarnation", m.Incarnation).
+		c.log.unlimited().WithField("incarnation", member.Incarnation).
 			Warn("cluster: the others knew a later incarnation of this name; this one goes on under a later still")
-		if c.x.store != nil {
-			incarnation := m.Incarnation
-			go c.x.loop.Put(dispatch.QueueItem{Call: func(float64) { c.storeIncarnation(incarnation) }})
+		if c.extensions.store != nil {
+			incarnation := member.Incarnation
+			go c.extensions.loop.Put(dispatch.QueueItem{Call: func(float64) { c.storeIncarnation(incarnation) }})
 		}
 	case membership.DuplicateName:
-		c.log.always().WithFields(logrus.Fields{"name": m.Name, "address": m.Address, "incarnation": m.Incarnation, "reason": e.Reason}).
-			Error("cluster: duplicate member name")
+		c.log.unlimited().WithFields(logrus.Fields{
+			"name":        member.Name,
+			"address":     member.Address,
+			"incarnation": member.Incarnation,
+			"reason":      effect.Reason,
+		}).Error("cluster: duplicate member name")
 	case membership.SelfStalled:
-		c.log.bounded(now).WithField("ms", math.Round(e.MS)).Warn("cluster: this controller stalled, and judges nobody by it")
+		c.log.rateLimited(now).WithField("ms", math.Round(effect.MS)).
+			Warn("cluster: this controller stalled, and judges nobody by it")
 	case membership.PartitionSuspected:
-		c.log.always().Warn("cluster: many members went at once; it may be this controller that is partitioned")
+		c.log.unlimited().Warn("cluster: many members went at once; it may be this controller that is partitioned")
 	}
-	c.publishPresent()
+	c.publishControllerCount()
 	counts := c.view.Counts()
 	c.counts.Store(&counts)
 }
 
-// logMember logs the change of another member's state.
-func (c *cluster) logMember(now float64, e *membership.Effect) {
-	m := &e.Member
-	if m.Name == c.view.Self().Name {
+// logMemberChange logs a change of another member's state.
+func (c *clusterExtension) logMemberChange(now float64, effect *membership.Effect) {
+	member := &effect.Member
+	if member.Name == c.view.Self().Name {
 		return
 	}
-	line := c.log.bounded(now).WithFields(logrus.Fields{"member": m.Name, "incarnation": m.Incarnation, "was": e.From.String(),
-		"zone": m.Zone, "reason": e.Reason})
+	line := c.log.rateLimited(now).WithFields(logrus.Fields{
+		"member":      member.Name,
+		"incarnation": member.Incarnation,
+		"was":         effect.From.String(),
+		"zone":        member.Zone,
+		"reason":      effect.Reason,
+	})
 	switch {
-	case m.State == membership.Dead || m.State == membership.Suspect:
-		line.Warn("cluster: " + m.State.String())
-	case e.From != m.State:
-		line.Info("cluster: " + m.State.String())
+	case member.State == membership.Dead || member.State == membership.Suspect:
+		line.Warn("cluster: " + member.State.String())
+	case effect.From != member.State:
+		line.Info("cluster: " + member.State.String())
 	}
 }
 
-// publishPresent hands on how many controllers share the executors, where that has changed. What finds no room goes with the next
-// change.
-func (c *cluster) publishPresent() {
-	n := c.view.Present()
-	if n == c.lastPresent {
+// publishControllerCount sends the number of controllers that share the executors to controllerCounts if it has
+// changed. If the channel is full, the next effect of the membership view tries again.
+func (c *clusterExtension) publishControllerCount() {
+	count := c.view.Present()
+	if count == c.lastControllerCount {
 		return
 	}
 	select {
-	case c.present <- n:
-		c.lastPresent = n
+	case c.controllerCounts <- count:
+		c.lastControllerCount = count
 	default:
 	}
 }
 
-// consensusEffect logs what the consensus group reports, and does what follows; the transport's goroutine calls it.
-func (c *cluster) consensusEffect(now float64, e consensus.Effect) {
-	member := logrus.Fields{"member": e.Name, "incarnation": e.Incarnation, "term": e.Term}
-	log := c.log.always()
-	switch e.Kind {
+// handleConsensusEffect logs an effect of the consensus group and acts on it. It runs on the transport's goroutine.
+func (c *clusterExtension) handleConsensusEffect(now float64, effect consensus.Effect) {
+	member := logrus.Fields{"member": effect.Name, "incarnation": effect.Incarnation, "term": effect.Term}
+	log := c.log.unlimited()
+	switch effect.Kind {
 	case consensus.MemberLost:
 		c.declaredLost.Add(1)
-		log.WithFields(member).WithField("reason", e.Reason).Warn("consensus: an incarnation is declared lost")
+		log.WithFields(member).WithField("reason", effect.Reason).Warn("consensus: an incarnation is declared lost")
 	case consensus.MemberAdmitted:
-		c.log.bounded(now).WithFields(member).Info("consensus: an incarnation is admitted")
+		c.log.rateLimited(now).WithFields(member).Info("consensus: an incarnation is admitted")
 	case consensus.LeaderChanged:
-		log.WithField("leader", e.Name).Info("consensus: leader changed")
+		log.WithField("leader", effect.Name).Info("consensus: leader changed")
 	case consensus.GroupFormed:
 		log.Info("consensus: group formed")
 	case consensus.LeaseChanged:
-		if e.Held {
+		if effect.Held {
 			log.Info("consensus: this controller holds its lease")
 		} else {
 			log.Warn("consensus: this controller's lease is over")
@@ -90,23 +101,39 @@
 		log.Warn("consensus: this incarnation has been declared lost; going on as another")
 		c.transport.RaiseIncarnation(now)
 	case consensus.VoterFailed:
-		log.WithField("reason", e.Reason).Error("consensus: this voter has failed; the others go on")
+		log.WithField("reason", effect.Reason).Error("consensus: this voter has failed; the others go on")
 		c.diskFailing.Store(true)
-		go c.transport.SetFlags(c.flags(membership.Ready))
+		go c.transport.SetFlags(c.withVoterFlags(membership.Ready))
 	}
 }
 
-// logCounters logs the counters of the membership view.
-func (c *cluster) logCounters() {
+// logCounters logs the counters of the membership view and the transport.
+func (c *clusterExtension) logCounters() {
 	if c == nil {
 		return
 	}
-	n := c.counts.Load()
-	if n == nil {
+	counts := c.counts.Load()
+	if counts == nil {
 		return
 	}
-	c.x.log.WithFields(logrus.Fields{"probes": n.Probes, "unanswered": n.Unanswered, "indirect": n.Indirect, "refuted": n.Refuted,
-		"condemned": n.ReportedDead, "stalls": n.Stalls, "sent": n.Sent, "sent_bytes": n.SentBytes, "received": n.Received, "foreign": n.Foreign,
-		"newer": n.Newer, "malformed": n.Malformed, "exchanges": n.Exchanges, "merged": n.Merged, "crowded": n.RejectedForSpace,
-		"dropped": c.transport.Dropped.Load(), "calls_lost": c.transport.CallsLost.Load(), "declared_lost": c.declaredLost.Load()}).Info("cluster")
+	c.extensions.log.WithFields(logrus.Fields{
+		"probes":        counts.Probes,
+		"unanswered":    counts.Unanswered,
+		"indirect":      counts.Indirect,
+		"refuted":       counts.Refuted,
+		"condemned":     counts.ReportedDead,
+		"stalls":        counts.Stalls,
+		"sent":          counts.Sent,
+		"sent_bytes":    counts.SentBytes,
+		"received":      counts.Received,
+		"foreign":       counts.Foreign,
+		"newer":         counts.Newer,
+		"malformed":     counts.Malformed,
+		"exchanges":     counts.Exchanges,
+		"merged":        counts.Merged,
+		"crowded":       counts.RejectedForSpace,
+		"dropped":       c.transport.Dropped.Load(),
+		"calls_lost":    c.transport.CallsLost.Load(),
+		"declared_lost": c.declaredLost.Load(),
+	}).Info("cluster")
 }
--- a/internal/assembly/eventlog.go
+++ b/internal/assembly/eventlog.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	maxEventLines    = 40 // lines for events of members, in each span
-	eventLinesSpan   = 10 * time.Second
-	eventLinesSpanMS = float64(eventLinesSpan / time.Millisecond)
+	maxEventLines      = 40 // lines about cluster events in each interval
+	eventLogInterval   = 10 * time.Second
+	eventLogIntervalMS = float64(eventLogInterval / time.Millisecond)
 )
 
-// eventLog bounds the lines that a cluster in trouble costs. One goroutine uses it.
+// eventLog limits the rate of log lines about cluster events, such as state changes of many members at once. It is not
+// safe for concurrent use.
 type eventLog struct {
-	log     logrus.FieldLogger
-	lines   int
-	since   float64 // when the span began
-	skipped uint64
+	log           logrus.FieldLogger
+	lines         int     // lines requested in the current interval
+	intervalStart float64 // in ms of the transport's clock
+	suppressed    uint64  // lines discarded in the current interval
 }
 
-// always returns the log for a line that is not bounded.
-func (l *eventLog) always() logrus.FieldLogger { return l.log }
+// unlimited returns the log for a line that is always written.
+func (l *eventLog) unlimited() logrus.FieldLogger { return l.log }
 
-// bounded returns the log for one more line, or one that discards it.
-func (l *eventLog) bounded(now float64) logrus.FieldLogger {
-	if now > l.since+eventLinesSpanMS {
-		if l.skipped > 0 {
-			l.log.WithField("lines", l.skipped).Warn("cluster: further changes were not logged one by one")
+// rateLimited returns the log for one more line, or discardLog if the interval's limit is reached.
+func (l *eventLog) rateLimited(now float64) logrus.FieldLogger {
+	if now > l.intervalStart+eventLogIntervalMS {
+		if l.suppressed > 0 {
+			l.log.WithField("lines", l.suppressed).Warn("cluster: further changes were not logged one by one")
 		}
-		l.lines, l.since, l.skipped = 0, now, 0
+		l.lines, l.intervalStart, l.suppressed = 0, now, 0
 	}
 	l.lines++
 	if l.lines > maxEventLines {
-		l.skipped++
-		return discarded
+		l.suppressed++
+		return discardLog
 	}
 	return l.log
 }
 
-// discarded is a log that discards its lines.
-var discarded = newDiscarded()
+// discardLog is a log that discards its lines.
+var discardLog = newDiscardLog()
 
-func newDiscarded() logrus.FieldLogger {
+func newDiscardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	l.SetLevel(logrus.PanicLevel)
--- a/internal/assembly/golden_test.go
+++ b/internal/assembly/golden_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares what was written with a golden file and gives that; with -update it writes the file first.
+// golden compares got with a golden file and returns the content of the file. With -update it writes the file first.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -24,19 +24,29 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "%s is written otherwise", name)
+	assert.Equal(t, string(want), string(got), "encoding differs from the golden file %s", name)
 	return want
 }
 
-// A team's limits are kept as they always were, and read from that again. Their time is fixed here: it is the clock's else.
-func TestGolden_InstallationLimits(t *testing.T) {
-	assert.Equal(t, "limit ", limitNote)
-	for name, value := range map[string]limits{"limit": {Weight: 2.5, Ceiling: 0.75, Threads: 16.5, MemoryMB: 4000.25, Requests: 12, Queue: 500,
-		At: time.Date(2026, 3, 4, 5, 6, 7, 890123000, time.UTC)}, "limit-empty": {}} {
+// The stored format of a team's limits must not change, since a controller reads the notes of earlier versions.
+func TestStoredLimits_KeepTheirFormat(t *testing.T) {
+	assert.Equal(t, "limit ", limitsNotePrefix)
+	for name, value := range map[string]storedLimits{
+		"limit": {
+			Weight:   2.5,
+			Ceiling:  0.75,
+			Threads:  16.5,
+			MemoryMB: 4000.25,
+			Requests: 12,
+			Queue:    500,
+			At:       time.Date(2026, 3, 4, 5, 6, 7, 890123000, time.UTC),
+		},
+		"limit-empty": {},
+	} {
 		data, err := json.Marshal(value)
 		require.NoError(t, err)
-		var got limits
+		var got storedLimits
 		require.NoError(t, json.Unmarshal(golden(t, name+".json", data), &got))
-		assert.Equal(t, value, got, name)
+		assert.Equal(t, value, got, "limits decoded from the golden file %s.json", name)
 	}
 }
--- a/internal/assembly/handoff.go
+++ b/internal/assembly/handoff.go
@@ -12,24 +12,25 @@
 	"liftshift/internal/vfs"
 )
 
-// copiesFolder is beneath the folder of the store; its name is on disk.
+// copiesFolder is the folder of the stored copies inside the store's folder, as it is on disk.
 const copiesFolder = "estate"
 
-// handoffExtension joins the handoff of open requests to a controller.
+// handoffExtension connects the handoff of open requests to a controller.
 type handoffExtension struct {
-	x     *Extensions
-	agent *handoffnet.Agent
+	extensions *Extensions
+	agent      *handoffnet.Agent
 }
 
-// openHandoff makes the agent, where the file has a block handoff; the transport does not listen yet.
-func (x *Extensions) openHandoff(c *cluster, seed uint32, platform *settings.Settings) error {
+// openHandoff creates and starts the agent for the block handoff, which the file must have. It must be called before
+// the transport starts.
+func (x *Extensions) openHandoff(cluster *clusterExtension, seed uint32, platform *settings.Settings) error {
 	file := x.file.Handoff
 	for _, name := range file.AdoptClasses {
 		if platform.Scheduler.Class(name) == nil {
-			return fmt.Errorf("handoff: adopt names %q, which is no request class", name)
+			return fmt.Errorf("handoff: adopt lists %q, which is not a request class of the platform", name)
 		}
 	}
-	s := handoff.Settings{
+	handoffSettings := handoff.Settings{
 		Classes:              platform.Scheduler.Classes,
 		RetryBudget:          platform.AdoptionBudget,
 		RetryAfterMS:         platform.Scheduler.LongestRetryAfterMS(),
@@ -42,8 +43,11 @@
 		QuorumLossMS:         file.DoubtMS,
 		SendWithoutReplicas:  file.SendWithoutReplicas,
 	}
-	self := c.view.Self()
-	agent := handoffnet.New(handoff.Member{Name: self.Name, Incarnation: self.Incarnation}, s, seed, x.loop, c.clock, c.transport, x.log)
+	self := cluster.view.Self()
+	agent := handoffnet.New(
+		handoff.Member{Name: self.Name, Incarnation: self.Incarnation},
+		handoffSettings, seed, x.loop, cluster.clock, cluster.transport, x.log,
+	)
 	if file.CopiesOnDisk {
 		dir, err := vfs.OpenDir(filepath.Join(x.file.Store.Directory, copiesFolder), true)
 		if err != nil {
@@ -54,14 +58,14 @@
 			return err
 		}
 	}
-	agent.Start(c.node)
-	x.handoff = &handoffExtension{x: x, agent: agent}
+	agent.Start(cluster.node)
+	x.handoff = &handoffExtension{extensions: x, agent: agent}
 	return nil
 }
 
 func (h *handoffExtension) logCounters() {
 	if h != nil {
-		h.x.log.WithFields(adminapi.Describe(h.counts())).Info("handoff")
+		h.extensions.log.WithFields(adminapi.Describe(h.counts())).Info("handoff")
 	}
 }
 
--- a/internal/assembly/locality.go
+++ b/internal/assembly/locality.go
@@ -6,36 +6,39 @@
 	"liftshift/scheduler"
 )
 
-// localityExtension joins the decisions between zones to a controller.
+// localityExtension connects the decisions about traffic between zones to a controller.
 type localityExtension struct {
-	x       *Extensions
-	cluster *cluster
-	agent   *localityagent.Agent
+	extensions *Extensions
+	cluster    *clusterExtension
+	agent      *localityagent.Agent
 }
 
-// openLocality makes the agent, where the file has a block zones; the transport does not listen yet.
-func (x *Extensions) openLocality(c *cluster, platform *scheduler.Settings) {
-	file, self := x.file.Locality, c.view.Self()
-	s := locality.DefaultSettings()
-	s.ThreadsPerCore, s.SpillShare = file.ThreadsPerCore, file.SpillShare
-	s.StageMS, s.RecoveryWaitMS = file.StageMS, file.RecoveryWaitMS
-	s.LeaseMS = c.file.Consensus.LeaseMS
+// openLocality creates and starts the agent for the block zones, which the file must have. It must be called before the
+// transport starts.
+func (x *Extensions) openLocality(cluster *clusterExtension, platform *scheduler.Settings) {
+	file, self := x.file.Locality, cluster.view.Self()
+	localitySettings := locality.DefaultSettings()
+	localitySettings.ThreadsPerCore, localitySettings.SpillShare = file.ThreadsPerCore, file.SpillShare
+	localitySettings.StageMS, localitySettings.RecoveryWaitMS = file.StageMS, file.RecoveryWaitMS
+	localitySettings.LeaseMS = cluster.file.Consensus.LeaseMS
 	for _, class := range platform.Classes {
-		s.MinShare = max(s.MinShare, float64(class.Threads))
+		localitySettings.MinShare = max(localitySettings.MinShare, float64(class.Threads))
 	}
 	for name, region := range file.Regions {
 		path := [2]string{self.Region, name}
-		s.LatencyMS[path], s.MinDensity[path] = region.LatencyMS, region.MinDensity
+		localitySettings.LatencyMS[path], localitySettings.MinDensity[path] = region.LatencyMS, region.MinDensity
 	}
-	monitor := locality.New(self.Name, self.Zone, self.Region, s)
-	agent := localityagent.New(monitor, self.Name, platform, x.loop, c.transport, c.view, c.node, x.log)
+	monitor := locality.New(self.Name, self.Zone, self.Region, localitySettings)
+	agent := localityagent.New(
+		monitor, self.Name, platform, x.loop, cluster.transport, cluster.view, cluster.node, x.log,
+	)
 	agent.Start()
-	x.locality = &localityExtension{x: x, cluster: c, agent: agent}
+	x.locality = &localityExtension{extensions: x, cluster: cluster, agent: agent}
 }
 
 func (l *localityExtension) logCounters() {
 	if l != nil {
-		l.x.log.WithFields(l.agent.Counters()).Info("locality")
+		l.extensions.log.WithFields(l.agent.Counters()).Info("locality")
 	}
 }
 
--- a/internal/assembly/quota_admin.go
+++ b/internal/assembly/quota_admin.go
@@ -14,11 +14,12 @@
 	"liftshift/internal/waitestimate"
 )
 
-// limitNote stands before the name of a team in the operator note that keeps its limits.
-const limitNote = "limit "
+// limitsNotePrefix, followed by a team's name, is the id of the operator note that holds the team's limits. It is part
+// of the stored format.
+const limitsNotePrefix = "limit "
 
-// limits are those of a team as they are stored.
-type limits struct {
+// storedLimits holds the limits of a team that an operator set at run time, as stored in an operator note.
+type storedLimits struct {
 	Weight   float64   `json:"Weight"`
 	Ceiling  float64   `json:"Ceiling"`
 	Threads  float64   `json:"Threads"`
@@ -28,35 +29,66 @@
 	At       time.Time `json:"At"`
 }
 
-// reply returns how all teams stand.
+// reply describes the counters of the quotas and the state of all teams.
 func (m *quotaManager) reply() adminapi.QuotasReply {
-	c := m.tree.Counts()
-	reply := adminapi.QuotasReply{Share: m.share, Offered: c.Offered, Aged: c.Aged, Capped: c.Capped, Uncapped: c.Uncapped,
-		Overdue: c.Overdue, Overflow: c.Overflow, Unknown: c.Unknown, Queued: c.Queued, LongestMS: c.LongestMS}
-	for _, s := range m.tree.Statuses() {
-		reply.Teams = append(reply.Teams, adminapi.Team{Name: s.Team.Name, Parent: s.Team.Parent, Weight: s.Team.Weight,
-			Queued: s.Queued, InFlight: s.InFlight, Threads: s.Threads, FairShare: s.FairShare, MemoryMB: s.MemoryMB,
-			WorkMS: math.Round(s.WorkMS), Blocked: s.Blocked, OldestMS: s.OldestMS, BoundMS: s.BoundMS, Borrows: s.Borrows,
-			Lends: s.Lends, Capped: s.Capped, Ceiling: s.Team.Ceiling, MaxInFlight: s.Team.MaxInFlight})
+	counts := m.tree.Counts()
+	reply := adminapi.QuotasReply{
+		Share:     m.ceilingShare,
+		Offered:   counts.Offered,
+		Aged:      counts.Aged,
+		Capped:    counts.Capped,
+		Uncapped:  counts.Uncapped,
+		Overdue:   counts.Overdue,
+		Overflow:  counts.Overflow,
+		Unknown:   counts.Unknown,
+		Queued:    counts.Queued,
+		LongestMS: counts.LongestMS,
+	}
+	for _, status := range m.tree.Statuses() {
+		reply.Teams = append(reply.Teams, adminapi.Team{
+			Name:        status.Team.Name,
+			Parent:      status.Team.Parent,
+			Weight:      status.Team.Weight,
+			Queued:      status.Queued,
+			InFlight:    status.InFlight,
+			Threads:     status.Threads,
+			FairShare:   status.FairShare,
+			MemoryMB:    status.MemoryMB,
+			WorkMS:      math.Round(status.WorkMS),
+			Blocked:     status.Blocked,
+			OldestMS:    status.OldestMS,
+			BoundMS:     status.BoundMS,
+			Borrows:     status.Borrows,
+			Lends:       status.Lends,
+			Capped:      status.Capped,
+			Ceiling:     status.Team.Ceiling,
+			MaxInFlight: status.Team.MaxInFlight,
+		})
 	}
 	return reply
 }
 
-// waitsReply returns how well the estimates told to clients held.
+// waitsReply describes how accurate the wait estimates were, sorted by team and request class.
 func (m *quotaManager) waitsReply() adminapi.WaitsReply {
 	list := m.estimator.Accuracy()
 	slices.SortFunc(list, func(a, b waitestimate.Accuracy) int {
 		return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Class, b.Class))
 	})
 	var reply adminapi.WaitsReply
-	for _, a := range list {
-		reply.Waits = append(reply.Waits, adminapi.WaitAccuracy{Team: a.Team, Class: a.Class, Starts: a.Starts,
-			StartsWithin: a.StartsWithin, Ends: a.Ends, EndsWithin: a.EndsWithin})
+	for _, accuracy := range list {
+		reply.Waits = append(reply.Waits, adminapi.WaitAccuracy{
+			Team:         accuracy.Team,
+			Class:        accuracy.Class,
+			Starts:       accuracy.Starts,
+			StartsWithin: accuracy.StartsWithin,
+			Ends:         accuracy.Ends,
+			EndsWithin:   accuracy.EndsWithin,
+		})
 	}
 	return reply
 }
 
-// explain says why a request waits.
+// explain returns the reason why a request is queued. It fails if no request with that id is.
 func (m *quotaManager) explain(id string) (adminapi.QueueExplainReply, error) {
 	reason := m.tree.Explain(id)
 	if reason == "" {
@@ -65,19 +97,19 @@
 	return adminapi.QueueExplainReply{Reason: reason}, nil
 }
 
-// team returns a copy of the team of a name.
-func (m *quotaManager) team(name string) (quota.Team, bool) {
+// findTeam returns a copy of the team with a name.
+func (m *quotaManager) findTeam(name string) (team quota.Team, known bool) {
 	teams := m.tree.Teams()
-	k := slices.IndexFunc(teams, func(t quota.Team) bool { return t.Name == name })
-	if k < 0 {
+	i := slices.IndexFunc(teams, func(t quota.Team) bool { return t.Name == name })
+	if i < 0 {
 		return quota.Team{}, false
 	}
-	return teams[k], true
+	return teams[i], true
 }
 
-// setQuota changes limits of a team, and has that last where there is a store.
+// setQuota changes limits of a team. If there is a store, the limits are stored and apply after a restart, too.
 func (x *Extensions) setQuota(now float64, request adminapi.SetQuotaRequest) (adminapi.SetQuotaReply, error) {
-	team, known := x.quotas.team(request.Team)
+	team, known := x.quotas.findTeam(request.Team)
 	if !known {
 		return adminapi.SetQuotaReply{}, adminapi.RequestErrorf("there is no team %q", request.Team)
 	}
@@ -85,21 +117,35 @@
 		return adminapi.SetQuotaReply{}, err
 	}
 	x.quotas.setLimits(x.loop, now, team)
-	x.log.WithField("team", team.Name).WithField("author", request.Author).Warn("quotas: a team's limits were changed")
+	x.log.WithField("team", team.Name).WithField("author", request.Author).
+		Warn("quotas: a team's limits were changed")
 	if x.store == nil {
 		return adminapi.SetQuotaReply{}, nil
 	}
-	text, err := json.Marshal(limits{team.Weight, team.Ceiling, team.Threads, team.MemoryMB, team.MaxInFlight, team.MaxQueued, time.Now().UTC()})
+	text, err := json.Marshal(storedLimits{
+		Weight:   team.Weight,
+		Ceiling:  team.Ceiling,
+		Threads:  team.Threads,
+		MemoryMB: team.MemoryMB,
+		Requests: team.MaxInFlight,
+		Queue:    team.MaxQueued,
+		At:       time.Now().UTC(),
+	})
 	if err != nil {
 		return adminapi.SetQuotaReply{}, err
 	}
-	x.store.Step(now, &ledger.Event{Kind: ledger.OperatorNoteSet, ID: limitNote + team.Name, IdempotencyKey: request.Author, Body: text})
+	x.store.Step(now, &ledger.Event{
+		Kind:           ledger.OperatorNoteSet,
+		ID:             limitsNotePrefix + team.Name,
+		IdempotencyKey: request.Author,
+		Body:           text,
+	})
 	return adminapi.SetQuotaReply{Lasts: true}, nil
 }
 
-// applyLimits sets those limits of a team that a request names.
+// applyLimits sets in team the limits that the request contains, up to the first one that is out of range.
 func applyLimits(team *quota.Team, request *adminapi.SetQuotaRequest) error {
-	for _, f := range []struct {
+	for _, limit := range []struct {
 		name     string
 		value    *float64
 		min, max float64
@@ -112,37 +158,39 @@
 		{"searches", request.Requests, 0, 1e6, func(v float64) { team.MaxInFlight = int(v) }},
 		{"queue", request.Queue, 0, 1e7, func(v float64) { team.MaxQueued = int(v) }},
 	} {
-		if f.value == nil {
+		if limit.value == nil {
 			continue
 		}
-		if inRange := *f.value >= f.min && *f.value <= f.max; !inRange { // NaN is in no range
-			return adminapi.RequestErrorf("%s must be from %g to %g", f.name, f.min, f.max)
+		if inRange := *limit.value >= limit.min && *limit.value <= limit.max; !inRange { // NaN is never in range
+			return adminapi.RequestErrorf("%s must be from %g to %g", limit.name, limit.min, limit.max)
 		}
-		f.set(*f.value)
+		limit.set(*limit.value)
 	}
 	return nil
 }
 
-// restoreLimits takes over limits that were set before the start. A team that is no more is left out, and logged.
+// restoreLimits applies the limits that operators set before the start. Limits of a team that the file no longer has
+// are skipped and logged.
 func (x *Extensions) restoreLimits() {
 	if x.quotas == nil {
 		return
 	}
 	for _, note := range x.store.OperatorNotes() {
-		name, ok := strings.CutPrefix(note.ID, limitNote)
-		var l limits
-		if !ok || json.Unmarshal(note.Body, &l) != nil {
+		name, ok := strings.CutPrefix(note.ID, limitsNotePrefix)
+		var stored storedLimits
+		if !ok || json.Unmarshal(note.Body, &stored) != nil {
 			continue
 		}
-		log := x.log.WithField("team", name).WithField("author", note.Text).WithField("at", l.At.Format(time.RFC3339))
-		team, known := x.quotas.team(name)
+		log := x.log.WithField("team", name).WithField("author", note.Text).
+			WithField("at", stored.At.Format(time.RFC3339))
+		team, known := x.quotas.findTeam(name)
 		if !known {
 			log.Warn("quotas: limits were set for a team that is no more")
 			continue
 		}
-		team.Weight, team.Ceiling = l.Weight, l.Ceiling
-		team.Threads, team.MemoryMB = l.Threads, l.MemoryMB
-		team.MaxInFlight, team.MaxQueued = l.Requests, l.Queue
+		team.Weight, team.Ceiling = stored.Weight, stored.Ceiling
+		team.Threads, team.MemoryMB = stored.Threads, stored.MemoryMB
+		team.MaxInFlight, team.MaxQueued = stored.Requests, stored.Queue
 		x.quotas.setLimits(x.loop, 0, team)
 		log.Info("quotas: limits set at run time hold")
 	}
