--- a/internal/assembly/store_test.go
+++ b/internal/assembly/store_test.go
@@ -19,77 +19,89 @@
 	"liftshift/internal/testservers"
 )
 
-// programs builds the programs as an operator would and gives the path of the plain one.
-func programs(t *testing.T) string {
+// buildPrograms builds liftshift and liftshift-full into one folder and returns the path of liftshift.
+func buildPrograms(t *testing.T) string {
 	dir := t.TempDir()
-	out, err := exec.Command("go", "build", "-o", dir+"/", "liftshift/cmd/liftshift", "liftshift/cmd/liftshift-full").CombinedOutput()
+	build := exec.Command("go", "build", "-o", dir+"/", "liftshift/cmd/liftshift", "liftshift/cmd/liftshift-full")
+	out, err := build.CombinedOutput()
 	require.NoError(t, err, string(out))
 	return filepath.Join(dir, "liftshift")
 }
 
-func freePort(t *testing.T) string {
-	at, err := testservers.FreeAddress()
+func freeAddress(t *testing.T) string {
+	address, err := testservers.FreeAddress()
 	require.NoError(t, err)
-	return at
+	return address
 }
 
-// setup writes the files of a controller before some engines, with a store, and gives what starts it.
-func setup(t *testing.T, program string, engines ...*testservers.Executor) (listen, folder string, start func(*bytes.Buffer) *exec.Cmd) {
+// configureController writes the files of a controller that has a store and the given executors. It returns the listen
+// address, the folder of the store and a function that starts the controller.
+func configureController(
+	t *testing.T, program string, executors ...*testservers.Executor,
+) (listen, folder string, start func(log *bytes.Buffer) *exec.Cmd) {
 	dir := t.TempDir()
-	list, stop, err := testservers.StartEmptyDiscovery()
+	discovery, stop, err := testservers.StartEmptyDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(stop)
-	listen, folder = freePort(t), filepath.Join(dir, "store")
-	node, file := filepath.Join(dir, "node.json"), filepath.Join(dir, "office.hcl")
-	require.NoError(t, os.WriteFile(node, testservers.NodeConfig(listen, list, 20*time.Second, engines...), 0o600))
-	require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "store {\n  directory = %q\n  segment = \"64KiB\"\n}\n", folder), 0o600))
+	listen, folder = freeAddress(t), filepath.Join(dir, "store")
+	nodeFile, operatorFile := filepath.Join(dir, "node.json"), filepath.Join(dir, "office.hcl")
+	nodeConfig := testservers.NodeConfig(listen, discovery, 20*time.Second, executors...)
+	require.NoError(t, os.WriteFile(nodeFile, nodeConfig, 0o600))
+	storeBlock := fmt.Appendf(nil, "store {\n  directory = %q\n  segment = \"64KiB\"\n}\n", folder)
+	require.NoError(t, os.WriteFile(operatorFile, storeBlock, 0o600))
 	return listen, folder, func(log *bytes.Buffer) *exec.Cmd {
 		cmd := exec.Command(program)
-		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+node, "LIFTSHIFT_FILE="+file)
+		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+nodeFile, "LIFTSHIFT_FILE="+operatorFile)
 		cmd.Stderr = log
 		require.NoError(t, cmd.Start())
 		return cmd
 	}
 }
 
-// The real program is killed outright twenty times under load, and started again. Clients come again with their marks. No
-// mark runs twice, no search gets two answers, and what ran is never told as denied or unknown.
+// A controller that is killed twenty times under load must not run an idempotency key twice when clients retry it. The
+// outcome of a request that ran must not be "denied", and "unknown" only if the request is idempotent.
 func TestStore_RunsKeysOnceThroughKills(t *testing.T) {
-	memory := &testservers.RunLog{}
-	var engines []*testservers.Executor
-	for k, place := range []string{"here", "here", "there"} {
-		e := &testservers.Executor{Name: fmt.Sprint("s-", k), Zone: place, DedupWindow: 20 * time.Second, Work: 3 * time.Millisecond, RunLog: memory}
+	runLog := &testservers.RunLog{}
+	var executors []*testservers.Executor
+	for i, zone := range []string{"here", "here", "there"} {
+		e := &testservers.Executor{
+			Name:        fmt.Sprint("s-", i),
+			Zone:        zone,
+			DedupWindow: 20 * time.Second,
+			Work:        3 * time.Millisecond,
+			RunLog:      runLog,
+		}
 		require.NoError(t, e.Start())
 		t.Cleanup(e.Stop)
-		engines = append(engines, e)
+		executors = append(executors, e)
 	}
-	listen, folder, start := setup(t, programs(t), engines...)
+	listen, folder, start := configureController(t, buildPrograms(t), executors...)
 	var stop atomic.Bool
 	var answered, handled atomic.Int64
 	var mu sync.Mutex
-	var broken []string
+	var unanswered []string // ids of the requests whose connection was lost; guarded by mu
 	var clients sync.WaitGroup
-	for w := range 6 {
+	for client := range 6 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			var c *testservers.Client
 			for n := 0; !stop.Load(); n++ {
-				offering, mark := []string{"mark", "mark", "look", "once"}[n%4], ""
-				if offering == "mark" {
-					mark = fmt.Sprintf("m%d-%d", w, n)
+				class, key := []string{"mark", "mark", "look", "once"}[n%4], ""
+				if class == "mark" {
+					key = fmt.Sprintf("m%d-%d", client, n)
 				}
 				for try := 0; try < 3; try++ {
-					req := fmt.Sprintf("r%d-%d-%d", w, n, try)
+					id := fmt.Sprintf("r%d-%d-%d", client, n, try)
 					var err error
 					if c == nil {
 						if c, err = testservers.Dial(listen, 10*time.Second); err != nil {
 							return
 						}
 					}
-					a, err := c.Submit(offering, req, mark, 4*time.Second)
+					reply, err := c.Submit(class, id, key, 4*time.Second)
 					if err == nil {
-						if answered.Add(1); a.Code == 0 {
+						if answered.Add(1); reply.Code == 0 {
 							handled.Add(1)
 						}
 						break
@@ -97,10 +109,10 @@
 					c.Close()
 					c = nil
 					mu.Lock()
-					broken = append(broken, req)
+					unanswered = append(unanswered, id)
 					mu.Unlock()
-					if offering == "once" {
-						break // nobody sends an irreversible one again without knowing
+					if class == "once" {
+						break // a client does not retry a non-idempotent request whose outcome is unknown
 					}
 				}
 			}
@@ -121,66 +133,69 @@
 	clients.Wait()
 	c, err := testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
-	ran, marks := map[string]bool{}, map[string]int{}
-	for _, r := range memory.Runs() {
-		ran[r.ID] = true
-		if r.IdempotencyKey != "" {
-			marks[r.IdempotencyKey]++
+	ran, runsByKey := map[string]bool{}, map[string]int{}
+	for _, run := range runLog.Runs() {
+		ran[run.ID] = true
+		if run.IdempotencyKey != "" {
+			runsByKey[run.IdempotencyKey]++
 		}
 	}
-	for m, n := range marks {
-		assert.Equal(t, 1, n, "mark %s", m)
+	for key, runs := range runsByKey {
+		assert.Equal(t, 1, runs, "runs of idempotency key %s", key)
 	}
 	unknown := 0
-	for _, req := range broken {
-		a, err := c.Call("outcome", map[string]any{"req": req}, 2*time.Second)
+	for _, id := range unanswered {
+		reply, err := c.Call("outcome", map[string]any{"req": id}, 2*time.Second)
 		require.NoError(t, err)
-		assert.NotEqual(t, "open", a.Outcome, req)
-		if ran[req] {
-			if a.Outcome == "unknown" {
-				unknown++ // only a redoable one: those do not wait for the disk
-				var w, n, try int
-				_, err := fmt.Sscanf(req, "r%d-%d-%d", &w, &n, &try)
+		assert.NotEqual(t, "open", reply.Outcome, "request %s is still open", id)
+		if ran[id] {
+			if reply.Outcome == "unknown" {
+				// Allowed for class look only: idempotent requests are sent without waiting for a record on disk.
+				unknown++
+				var client, n, try int
+				_, err := fmt.Sscanf(id, "r%d-%d-%d", &client, &n, &try)
 				require.NoError(t, err)
-				assert.Equal(t, 2, n%4, "%s ran and is not known", req)
+				assert.Equal(t, 2, n%4, "request %s ran, is not idempotent and its outcome is unknown", id)
 			}
-			assert.NotEqual(t, "denied", a.Outcome, "%s ran", req)
+			assert.NotEqual(t, "denied", reply.Outcome, "request %s ran", id)
 		}
 	}
 	c.Close()
 	require.NoError(t, last.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, last.Wait(), logs.String())
-	assert.Greater(t, handled.Load(), int64(50))
-	assert.NotEmpty(t, broken, "some were open at a kill")
+	assert.Greater(t, handled.Load(), int64(50), "requests handled")
+	assert.NotEmpty(t, unanswered, "no request was open at a kill")
 	assert.NotContains(t, logs.String(), "does not hold")
-	t.Logf("%d answered, %d handled, %d cut off (%d redoable ones not known), %d runs", answered.Load(), handled.Load(), len(broken),
-		unknown, len(memory.Runs()))
-	out, err := exec.Command(filepath.Join(filepath.Dir(last.Path), "liftshift"), "store", "verify", folder).CombinedOutput()
+	t.Logf("%d answered, %d handled, %d unanswered (%d idempotent ones with unknown outcome), %d runs",
+		answered.Load(), handled.Load(), len(unanswered), unknown, len(runLog.Runs()))
+	verify := exec.Command(filepath.Join(filepath.Dir(last.Path), "liftshift"), "store", "verify", folder)
+	out, err := verify.CombinedOutput()
 	assert.NoError(t, err, string(out))
 }
 
-// The tools and the operators' file, as an operator uses them.
-func TestCommands_OnAStore(t *testing.T) {
-	program := programs(t)
+// The store commands must refuse a store that is in use, detect a damaged one and repair it. A controller with a
+// repaired store must reject unknown idempotency keys, since requests with them may have run.
+func TestStoreCommands_DetectAndRepairDamage(t *testing.T) {
+	program := buildPrograms(t)
 	e := &testservers.Executor{Name: "s-0", Zone: "here", DedupWindow: 20 * time.Second}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
-	listen, folder, start := setup(t, program, e)
+	listen, folder, start := configureController(t, program, e)
 	var log bytes.Buffer
 	cmd := start(&log)
 	c, err := testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
-	a, err := c.Submit("mark", "r1", "m1", 4*time.Second)
+	reply, err := c.Submit("mark", "r1", "m1", 4*time.Second)
 	require.NoError(t, err)
-	assert.Zero(t, a.Code)
-	run := func(code int, args ...string) string {
+	assert.Zero(t, reply.Code)
+	run := func(exitCode int, args ...string) string {
 		cmd := exec.Command(program, args...)
 		out, _ := cmd.CombinedOutput()
-		assert.Equal(t, code, cmd.ProcessState.ExitCode(), "%v", args)
+		assert.Equal(t, exitCode, cmd.ProcessState.ExitCode(), "exit code of liftshift %v: %s", args, out)
 		return string(out)
 	}
 	run(0, "store", "verify", folder)
-	run(1, "store", "compact", folder) // the controller has it
+	run(1, "store", "compact", folder) // the running controller has locked the store
 	assert.Contains(t, run(1, "store", "repair", folder), "in use by another process")
 	require.NoError(t, cmd.Process.Kill())
 	_ = cmd.Wait()
@@ -189,31 +204,31 @@
 	assert.Contains(t, run(0, "store", "export", folder), `"mark":"m1"`)
 	assert.Contains(t, run(0, "store", "repair", folder), "not needed")
 	run(0, "store", "compact", folder)
-	names, err := filepath.Glob(filepath.Join(folder, "*.snap"))
+	snapshots, err := filepath.Glob(filepath.Join(folder, "*.snap"))
 	require.NoError(t, err)
-	require.Len(t, names, 1)
-	text, err := os.ReadFile(names[0])
+	require.Len(t, snapshots, 1)
+	content, err := os.ReadFile(snapshots[0])
 	require.NoError(t, err)
-	text[len(text)-3] ^= 1
-	require.NoError(t, os.WriteFile(names[0], text, 0o600))
+	content[len(content)-3] ^= 1
+	require.NoError(t, os.WriteFile(snapshots[0], content, 0o600))
 	assert.Contains(t, run(1, "store", "verify", folder), "damaged")
-	refused := start(&log)
-	assert.Error(t, refused.Wait())
+	damaged := start(&log)
+	assert.Error(t, damaged.Wait(), "the controller started with a damaged store")
 	assert.Contains(t, log.String(), "liftshift store verify")
 	assert.Contains(t, run(0, "store", "repair", folder), "saved")
 	assert.Contains(t, run(0, "store", "verify", folder), "in doubt")
-	again := start(&log)
+	restarted := start(&log)
 	c, err = testservers.Dial(listen, 10*time.Second)
 	require.NoError(t, err)
-	a, err = c.Submit("mark", "r2", "m2", 4*time.Second)
+	reply, err = c.Submit("mark", "r2", "m2", 4*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, testservers.CodeRejected, a.Code, "what is not known may have run")
-	assert.Positive(t, a.RetryAfterMS)
-	a, err = c.Submit("look", "r3", "", 4*time.Second)
+	assert.Equal(t, testservers.CodeRejected, reply.Code, "a request with an unknown idempotency key may have run")
+	assert.Positive(t, reply.RetryAfterMS)
+	reply, err = c.Submit("look", "r3", "", 4*time.Second)
 	require.NoError(t, err)
-	assert.Zero(t, a.Code)
-	require.NoError(t, again.Process.Kill())
-	_ = again.Wait()
+	assert.Zero(t, reply.Code)
+	require.NoError(t, restarted.Process.Kill())
+	_ = restarted.Wait()
 	run(2, "store")
 	run(2, "store", "inspect")
 	run(2, "nonsense")
@@ -224,38 +239,40 @@
 	run(0, "version")
 }
 
-// Whoever reads the log may go: the program goes on. A write to a pipe that nobody reads would end it by a signal.
+// A controller must go on when the reader of its log ends. By default, a write to standard error without a reader ends
+// a Go program by SIGPIPE.
 func TestServe_SurvivesALogWithoutReader(t *testing.T) {
-	program := programs(t)
+	program := buildPrograms(t)
 	e := &testservers.Executor{Name: "s-0", Zone: "here"}
 	require.NoError(t, e.Start())
 	t.Cleanup(e.Stop)
-	list, stop, err := testservers.StartEmptyDiscovery()
+	discovery, stop, err := testservers.StartEmptyDiscovery()
 	require.NoError(t, err)
 	t.Cleanup(stop)
-	for _, file := range []string{"", "control { socket = \"" + filepath.Join(t.TempDir(), "sock") + "\" }\n"} {
+	withSocket := "control { socket = \"" + filepath.Join(t.TempDir(), "sock") + "\" }\n"
+	for _, operatorConfig := range []string{"", withSocket} {
 		dir := t.TempDir()
-		listen, node, office := freePort(t), filepath.Join(dir, "node.json"), ""
-		require.NoError(t, os.WriteFile(node, testservers.NodeConfig(listen, list, time.Second, e), 0o600))
-		if file != "" {
-			office = filepath.Join(dir, "office.hcl")
-			require.NoError(t, os.WriteFile(office, []byte(file), 0o600))
+		listen, nodeFile, operatorFile := freeAddress(t), filepath.Join(dir, "node.json"), ""
+		require.NoError(t, os.WriteFile(nodeFile, testservers.NodeConfig(listen, discovery, time.Second, e), 0o600))
+		if operatorConfig != "" {
+			operatorFile = filepath.Join(dir, "office.hcl")
+			require.NoError(t, os.WriteFile(operatorFile, []byte(operatorConfig), 0o600))
 		}
-		r, w, err := os.Pipe()
+		logReader, logWriter, err := os.Pipe()
 		require.NoError(t, err)
 		cmd := exec.Command(program)
-		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+node, "LIFTSHIFT_FILE="+office)
-		cmd.Stderr = w
+		cmd.Env = append(os.Environ(), "RELAY_CONFIG="+nodeFile, "LIFTSHIFT_FILE="+operatorFile)
+		cmd.Stderr = logWriter
 		require.NoError(t, cmd.Start())
 		c, err := testservers.Dial(listen, 5*time.Second)
 		require.NoError(t, err)
-		require.NoError(t, errors.Join(r.Close(), w.Close()))
-		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP)) // which is logged
+		require.NoError(t, errors.Join(logReader.Close(), logWriter.Close()))
+		require.NoError(t, cmd.Process.Signal(syscall.SIGHUP)) // the controller logs the reload
 		time.Sleep(300 * time.Millisecond)
-		a, err := c.Submit("look", "0000000000000001", "", 2*time.Second)
+		reply, err := c.Submit("look", "0000000000000001", "", 2*time.Second)
 		assert.NoError(t, err)
-		assert.Zero(t, a.Code)
+		assert.Zero(t, reply.Code)
 		require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-		assert.NoError(t, cmd.Wait(), "a planned stop")
+		assert.NoError(t, cmd.Wait(), "graceful shutdown failed")
 	}
 }
