--- a/internal/localityagent/collector.go
+++ b/internal/localityagent/collector.go
@@ -7,23 +7,27 @@
 )
 
 const (
-	observeMS  = 90    // between two observations: with each tick of the dispatch loop
-	evidenceMS = 10000 // for which an attempt's progress or a load report is evidence of an executor
+	observationIntervalMS = 90    // least time between two observations; below the interval of the loop's ticks
+	evidenceMaxAgeMS      = 10000 // how long an attempt's progress or a load report is evidence of an executor
 )
 
 // collector keeps what the dispatch loop knows of executors and requests. It belongs to that loop's goroutine.
 type collector struct {
-	endpoints       map[uint32]scheduler.Endpoint
-	coresByKind     map[string]float64 // of an executor
-	threadsByClass  map[string]float64 // of a request
-	demandThreads   float64            // of all requests in hand
+	endpoints       map[uint32]scheduler.Endpoint // by executor
+	coresByKind     map[string]float64            // cores of an executor of the kind
+	threadsByClass  map[string]float64            // threads of a request of the class
+	demandThreads   float64                       // threads of all open requests
 	listUnavailable bool
-	observedAt      float64
-	appliedVersion  uint64 // of the limits that the scheduler has
+	observedAt      float64 // time of the last observation
+	appliedVersion  uint64  // version of the limits that the scheduler has applied
 }
 
 func newCollector(settings *scheduler.Settings) collector {
-	c := collector{endpoints: map[uint32]scheduler.Endpoint{}, coresByKind: map[string]float64{}, threadsByClass: map[string]float64{}}
+	c := collector{
+		endpoints:      map[uint32]scheduler.Endpoint{},
+		coresByKind:    map[string]float64{},
+		threadsByClass: map[string]float64{},
+	}
 	for _, kind := range settings.Kinds {
 		c.coresByKind[kind.Name] = kind.Cores
 	}
@@ -33,7 +37,8 @@
 	return c
 }
 
-// Handle implements dispatch.Extension: it keeps track of requests and endpoints, and passes an observation to the monitor with each tick.
+// Handle implements dispatch.Extension. It keeps track of the open requests and the endpoints and, on ticks, passes an
+// observation to the monitor.
 func (a *Agent) Handle(now float64, ev *dispatch.Event, out []dispatch.Command) []dispatch.Command {
 	c := &a.collector
 	switch ev.Kind {
@@ -47,48 +52,50 @@
 	case dispatch.ListUnavailable:
 		c.listUnavailable = true
 	case dispatch.Ticked:
-		if now < c.observedAt+observeMS {
+		if now < c.observedAt+observationIntervalMS {
 			break
 		}
 		c.observedAt = now
 		executors, _ := ev.SchedulerState()
-		observed := &locality.Event{Kind: locality.Observed, DemandThreads: c.demandThreads, WithoutList: c.listUnavailable,
-			Applied: c.appliedVersion, Executors: c.executors(executors)}
-		go a.transport.Post(func(now float64) { a.step(now, observed) }) // the dispatch loop must not wait
+		observed := &locality.Event{Kind: locality.Observed, DemandThreads: c.demandThreads,
+			WithoutList: c.listUnavailable, Applied: c.appliedVersion, Executors: c.executors(executors)}
+		// Post blocks while the transport's queue is full, and the dispatch loop must not block.
+		go a.transport.Post(func(now float64) { a.step(now, observed) })
 	}
 	return out
 }
 
-// executors returns the executors whose endpoint is known.
-func (c *collector) executors(views []scheduler.ExecutorView) (list []locality.Executor) {
+// executors translates the scheduler's views of the executors whose endpoint is known.
+func (c *collector) executors(views []scheduler.ExecutorView) (executors []locality.Executor) {
 	for k := range views {
-		v := &views[k]
-		endpoint, known := c.endpoints[v.Executor]
+		view := &views[k]
+		endpoint, known := c.endpoints[view.Executor]
 		if !known {
 			continue
 		}
-		list = append(list, locality.Executor{Zone: endpoint.Zone, Kind: endpoint.Kind, Cores: max(1, c.coresByKind[endpoint.Kind]),
-			Listed: v.Availability == scheduler.Active, Known: hasEvidence(v), Ejected: v.Ejected, WarmingUp: v.WarmingUp,
-			InFlight: float64(v.Threads)})
+		executors = append(executors, locality.Executor{Zone: endpoint.Zone, Kind: endpoint.Kind,
+			Cores: max(1, c.coresByKind[endpoint.Kind]), Listed: view.Availability == scheduler.Active,
+			Known: hasEvidence(view), Ejected: view.Ejected, WarmingUp: view.WarmingUp,
+			InFlight: float64(view.Threads)})
 	}
-	return list
+	return executors
 }
 
-// hasEvidence reports whether the scheduler knows anything recent of an executor.
-func hasEvidence(v *scheduler.ExecutorView) bool {
-	isInUse := v.Ejected || v.ConsecutiveFailures > 0 || v.InFlight > 0
-	return isInUse || isRecent(v.SinceActivityMS) || isRecent(v.SinceReportMS)
+// hasEvidence reports whether the scheduler has recent evidence of an executor's health, good or bad.
+func hasEvidence(view *scheduler.ExecutorView) bool {
+	isInUse := view.Ejected || view.ConsecutiveFailures > 0 || view.InFlight > 0
+	return isInUse || isRecent(view.SinceActivityMS) || isRecent(view.SinceReportMS)
 }
 
-// isRecent reports whether something happened within evidenceMS. Below 0, it never did.
-func isRecent(sinceMS float64) bool { return sinceMS >= 0 && sinceMS < evidenceMS }
+// isRecent reports whether an event happened within evidenceMaxAgeMS. A negative time means that it never happened.
+func isRecent(sinceMS float64) bool { return sinceMS >= 0 && sinceMS < evidenceMaxAgeMS }
 
-// updateEndpoints takes a complete endpoint list, or changes to it.
-func (c *collector) updateEndpoints(list *scheduler.Event) {
-	if list.List != scheduler.ListDelta {
+// updateEndpoints applies a complete endpoint list, or changes to the current one.
+func (c *collector) updateEndpoints(update *scheduler.Event) {
+	if update.List != scheduler.ListDelta {
 		clear(c.endpoints)
 	}
-	for _, endpoint := range list.Endpoints {
+	for _, endpoint := range update.Endpoints {
 		delete(c.endpoints, endpoint.Executor)
 		if endpoint.Availability != scheduler.Removed {
 			c.endpoints[endpoint.Executor] = endpoint
--- a/internal/localityagent/datagram.go
+++ b/internal/localityagent/datagram.go
@@ -10,22 +10,24 @@
 	"liftshift/internal/locality"
 )
 
-// Kinds of datagrams. A datagram is its kind, the sender's name with its length in one byte ahead, and a content. The values are part of
-// the wire format.
+// Kinds of datagrams, which are part of the wire format. A datagram consists of its kind in one byte, the length of
+// the sender's name in one byte, the name, and the content that is given here for each kind.
 const (
-	datagramReport       = 'r' // a report
-	datagramAnnouncement = 'n' // the number of a plan, a uvarint
+	datagramReport       = 'r' // an encoded report
+	datagramAnnouncement = 'n' // the number of a plan as a uvarint
 	datagramLoanRequest  = 'q' // the request's ID in 8 bytes, the zone
 	datagramLoan         = 'l' // the request's ID in 8 bytes, the threads in 2 bytes, the zone
 )
 
 const (
-	maxNameBytes   = 64
+	headerBytes    = 2  // the kind and the length of the sender's name
+	maxNameBytes   = 64 // of a member or a zone
 	loanIDBytes    = 8
 	loanThreadsEnd = loanIDBytes + 2
 )
 
-// step passes an event to the monitor and carries out the effects.
+// step passes an event to the monitor and executes the effects. They are copied, because the monitor reuses its slice
+// in the next step.
 func (a *Agent) step(now float64, ev *locality.Event) {
 	for _, e := range slices.Clone(a.Monitor.Step(now, ev)) {
 		a.execute(now, &e)
@@ -54,18 +56,18 @@
 	case locality.LogWarning:
 		a.log.Warn("locality: " + e.Text)
 	case locality.SetReach:
-		a.reach.Store(&reachUpdate{e.Reaches, e.Number})
+		a.latestReach.Store(&reachUpdate{e.Reaches, e.Number})
 		select {
 		case a.reachChanged <- struct{}{}:
-		default: // an update is pending already and will take this one
+		default: // a notification is pending, and its receiver will load this update
 		}
 	}
 }
 
-// send sends a datagram to a member.
+// send sends a datagram to a member. It does nothing if the membership view has no valid address of that member.
 func (a *Agent) send(to string, kind byte, content []byte) {
-	m, known := a.view.Find(to)
-	address, err := netip.ParseAddrPort(m.Address)
+	member, known := a.view.Find(to)
+	address, err := netip.ParseAddrPort(member.Address)
 	if !known || err != nil {
 		return
 	}
@@ -73,7 +75,8 @@
 	a.transport.SendLocality(address, append(datagram, content...))
 }
 
-// receiveDatagram takes a datagram, on the transport's receiving goroutine. Malformed ones are ignored.
+// receiveDatagram queues a received datagram for the monitor. It runs on the transport's receiving goroutine. Malformed
+// datagrams are ignored.
 func (a *Agent) receiveDatagram(_ netip.AddrPort, data []byte) {
 	ev, ok := decodeDatagram(data)
 	if !ok {
@@ -82,16 +85,17 @@
 	a.transport.TryPost(func(now float64) { a.step(now, &ev) })
 }
 
+// decodeDatagram decodes a datagram into an event for the monitor. It returns false if the datagram is malformed.
 func decodeDatagram(data []byte) (ev locality.Event, ok bool) {
-	if len(data) < 2 {
+	if len(data) < headerBytes {
 		return ev, false
 	}
 	nameBytes := int(data[1])
-	if nameBytes > maxNameBytes || len(data) < 2+nameBytes {
+	if nameBytes > maxNameBytes || len(data) < headerBytes+nameBytes {
 		return ev, false
 	}
-	ev.From = string(data[2 : 2+nameBytes])
-	content := data[2+nameBytes:]
+	ev.From = string(data[headerBytes : headerBytes+nameBytes])
+	content := data[headerBytes+nameBytes:]
 	switch data[0] {
 	case datagramReport:
 		ev.Kind = locality.ReportReceived
@@ -113,13 +117,14 @@
 	return ev, false
 }
 
-// decodeLoan decodes the ID and the zone of a loan or of the request for one.
-func decodeLoan(ev locality.Event, kind locality.EventKind, content []byte, headerBytes int) (locality.Event, bool) {
-	if len(content) <= headerBytes || len(content) > headerBytes+maxNameBytes {
+// decodeLoan decodes the ID and the zone of a loan or of the request for one. The zone starts at zoneOffset and takes
+// the rest of the content.
+func decodeLoan(ev locality.Event, kind locality.EventKind, content []byte, zoneOffset int) (locality.Event, bool) {
+	if len(content) <= zoneOffset || len(content) > zoneOffset+maxNameBytes {
 		return ev, false
 	}
 	ev.Kind = kind
 	ev.PlanNumber = binary.BigEndian.Uint64(content)
-	ev.Zone = string(content[headerBytes:])
+	ev.Zone = string(content[zoneOffset:])
 	return ev, true
 }
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -2,14 +2,12 @@
 
 import (
 	"flag"
-	"io"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
@@ -20,10 +18,11 @@
 	"liftshift/scheduler"
 )
 
-var update = flag.Bool("update", false, "write the golden files")
+var update = flag.Bool("update", false, "write the golden files before they are compared")
 
-// golden compares bytes with a file of testdata/golden and returns the content of the file.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareGolden compares bytes with a file of testdata/golden and returns the content of the file. With the flag
+// -update, it writes the file first.
+func compareGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -36,39 +35,50 @@
 	return want
 }
 
-// startTransport starts a member's transport.
-func startTransport(t *testing.T, name string, receive func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	at, err := testservers.FreeAddress()
+// startTransport starts a member's transport and returns it with the member.
+func startTransport(t *testing.T, name string,
+	receive func(netip.AddrPort, []byte)) (*clusternet.Transport, membership.Member) {
+	t.Helper()
+	address, err := testservers.FreeAddress()
 	require.NoError(t, err)
-	c, self := clusternet.New(at, log), membership.Member{Name: name, Incarnation: 1, Address: at}
-	c.LocalityDatagram = receive
+	transport := clusternet.New(address, discardLog())
+	self := membership.Member{Name: name, Incarnation: 1, Address: address}
+	transport.LocalityDatagram = receive
 	settings := membership.DefaultSettings()
-	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 60e3, 30e3, 120e3
-	view := membership.New(c.Now(), "test", self, []string{at}, settings, 1)
-	require.NoError(t, c.Start(view, nil))
-	t.Cleanup(c.Stop)
-	return c, self
+	settings.ProbeMS, settings.AnswerMS, settings.SuspectMS = 60e3, 30e3, 120e3 // longer than the test
+	view := membership.New(transport.Now(), "test", self, []string{address}, settings, 1)
+	require.NoError(t, transport.Start(view, nil))
+	t.Cleanup(transport.Stop)
+	return transport, self
 }
 
-var goldenPlan = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80, Shares: []locality.Share{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
+// newTestAgent returns an agent in zone z0 without a node and a dispatch loop.
+func newTestAgent(name string, transport *clusternet.Transport, view *membership.View) *Agent {
+	monitor := locality.New(name, "z0", "r", locality.DefaultSettings())
+	return New(monitor, name, &scheduler.Settings{}, nil, transport, view, nil, discardLog())
+}
 
-func goldenExecutors(out float64) []locality.Executor {
-	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: out}}
+var (
+	goldenMembers = []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}
+	goldenPlan    = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80,
+		Shares: []locality.Share{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
+)
+
+// goldenExecutors returns an executor in zone z1 with the given threads in flight.
+func goldenExecutors(inFlight float64) []locality.Executor {
+	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: inFlight}}
 }
 
-// The datagrams between agents keep their bytes.
+// Guards the bytes of the datagrams between agents, which are a wire format.
 func TestGolden_LocalityAgentDatagrams(t *testing.T) {
 	received := make(chan []byte, 64)
-	_, b := startTransport(t, "b", func(_ netip.AddrPort, data []byte) { received <- append([]byte(nil), data...) })
+	_, recipient := startTransport(t, "b", func(_ netip.AddrPort, data []byte) { received <- append([]byte(nil), data...) })
 	transport, _ := startTransport(t, "a", nil)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	view := membership.New(0, "test", b, nil, membership.DefaultSettings(), 1) // its only member is the recipient
-	s := New(locality.New("a", "z0", "r", locality.DefaultSettings()), "a", &scheduler.Settings{}, nil, transport, view, nil, log)
+	// The recipient is the only member of the view, so that every datagram is sent to it.
+	view := membership.New(0, "test", recipient, nil, membership.DefaultSettings(), 1)
+	agent := newTestAgent("a", transport, view)
 	for _, ev := range []locality.Event{
-		{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}},
+		{Kind: locality.MembersChanged, Leader: "b", Members: goldenMembers},
 		{Kind: locality.PlanAgreed, Plan: goldenPlan},
 		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
 		{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50}, // leads to a loan request
@@ -78,69 +88,74 @@
 		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // leads to a loan
 		{Kind: locality.Ticked, UnixMS: 1},                                                    // leads to a report
 	} {
-		s.step(1000, &ev)
+		agent.step(1000, &ev)
 	}
 	files := map[byte]string{'r': "report", 'n': "announce", 'q': "ask-loan", 'l': "give-loan"}
 	got := map[byte][]byte{}
-	for late := time.After(5 * time.Second); len(got) < len(files); {
+	for timeout := time.After(5 * time.Second); len(got) < len(files); {
 		select {
 		case data := <-received:
 			got[data[0]] = data
-		case <-late:
-			require.Len(t, got, len(files), "%q", got)
+		case <-timeout:
+			require.Len(t, got, len(files), "kinds of datagrams that arrived in time: %q", got)
 		}
 	}
 	for kind, name := range files {
-		got[kind] = golden(t, name+".bin", got[kind])
+		got[kind] = compareGolden(t, name+".bin", got[kind])
 	}
 	assert.Len(t, got, len(files))
 }
 
-// A report, a loan request and a loan are decoded. The loan is given the ID of the request here.
+// Guards the decoding of the golden datagrams: a report, a loan request and a loan must take effect. Agent b gets the
+// report and the request. Agent a makes a loan request of its own; the loan is given the ID of that request here.
 func TestGolden_LocalityAgentDatagramsDecoded(t *testing.T) {
 	transport, self := startTransport(t, "b", nil)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	view := membership.New(0, "test", self, nil, membership.DefaultSettings(), 1)
-	newAgent := func(name string) *Agent {
-		return New(locality.New(name, "z0", "r", locality.DefaultSettings()), name, &scheduler.Settings{}, nil, transport, view, nil, log)
+	step := func(agent *Agent, ev locality.Event) {
+		transport.Post(func(float64) { agent.step(1000, &ev) })
 	}
-	step := func(s *Agent, ev locality.Event) { transport.Post(func(float64) { s.step(1000, &ev) }) }
 	read := func(name string) []byte {
 		data, err := os.ReadFile(filepath.Join("testdata", "golden", name+".bin"))
 		require.NoError(t, err)
 		return data
 	}
-	counts := func(s *Agent) locality.Counts {
+	counts := func(agent *Agent) locality.Counts {
 		got := make(chan locality.Counts, 1)
 		transport.Post(func(float64) {
-			s.step(1000, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
-			got <- s.Monitor.Counts
+			agent.step(1000, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
+			got <- agent.Monitor.Counts
 		})
 		return <-got
 	}
-	prepare := func(s *Agent) {
-		step(s, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}})
-		step(s, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
-		step(s, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
+	prepare := func(agent *Agent) {
+		step(agent, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: goldenMembers})
+		step(agent, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
+		step(agent, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
+	}
+	observe := func(agent *Agent, inFlight, demand float64, applied uint64) {
+		step(agent, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(inFlight), DemandThreads: demand,
+			Applied: applied})
 	}
-	b := newAgent("b")
+	b := newTestAgent("b", transport, view)
 	prepare(b)
-	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}})
+	step(b, locality.Event{Kind: locality.MembersChanged, Leader: "b", Leads: true, Members: goldenMembers})
 	b.receiveDatagram(netip.AddrPort{}, read("report"))
-	step(b, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5})
+	observe(b, 2.5, 2.5, 0)
 	b.receiveDatagram(netip.AddrPort{}, read("ask-loan"))
-	step(b, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, Applied: 100})
+	observe(b, 2.5, 2.5, 100)
 	b.receiveDatagram(netip.AddrPort{}, read("ask-loan"))
 	got := counts(b)
-	assert.Equal(t, []uint64{1, 0, 1}, []uint64{got.ReportsReceived, got.Malformed, got.Lent})
+	assert.Equal(t, uint64(1), got.ReportsReceived, "reports that b received")
+	assert.Equal(t, uint64(0), got.Malformed, "malformed reports that b received")
+	assert.Equal(t, uint64(1), got.Lent, "loans that b granted")
 
-	a := newAgent("a")
+	a := newTestAgent("a", transport, view)
 	prepare(a)
-	step(a, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50})
+	observe(a, 40, 50, 0)
 	loan := read("give-loan")
-	copy(loan[3:11], read("ask-loan")[3:11])
-	loan[2] = 'b'
+	const nameOffset, idOffset = headerBytes, headerBytes + 1 // the names have one byte
+	copy(loan[idOffset:idOffset+loanIDBytes], read("ask-loan")[idOffset:])
+	loan[nameOffset] = 'b'
 	a.receiveDatagram(netip.AddrPort{}, loan)
-	assert.Equal(t, uint64(1), counts(a).Borrowed)
+	assert.Equal(t, uint64(1), counts(a).Borrowed, "loans that a received")
 }
