--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -72,17 +72,19 @@
 // Guards the bytes of the datagrams between agents, which are a wire format.
 func TestGolden_LocalityAgentDatagrams(t *testing.T) {
 	received := make(chan []byte, 64)
-	_, recipient := startTransport(t, "b", func(_ netip.AddrPort, data []byte) { received <- append([]byte(nil), data...) })
+	receive := func(_ netip.AddrPort, data []byte) { received <- append([]byte(nil), data...) }
+	_, recipient := startTransport(t, "b", receive)
 	transport, _ := startTransport(t, "a", nil)
-	// The recipient is the only member of the view, so that every datagram is sent to it.
+	// The recipient is the only member of the view: datagrams to other members are not sent.
 	view := membership.New(0, "test", recipient, nil, membership.DefaultSettings(), 1)
 	agent := newTestAgent("a", transport, view)
 	for _, ev := range []locality.Event{
 		{Kind: locality.MembersChanged, Leader: "b", Members: goldenMembers},
-		{Kind: locality.PlanAgreed, Plan: goldenPlan},
+		{Kind: locality.PlanAgreed, Plan: goldenPlan}, // leads to an announcement
 		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
 		{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50}, // leads to a loan request
 		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5},
+		// Reserves threads, which may be lent once the scheduler has applied the lower limit.
 		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 7},
 		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, Applied: 100},
 		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // leads to a loan
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -7,51 +7,52 @@
 
 // States.
 const (
-	Initialize State = iota
-	Backup
-	Active
+	Initialize State = iota // not started, or stopped
+	Backup                  // waits for the active router to fail or to resign
+	Active                  // holds the addresses and sends advertisements
 )
 
 // String returns the name of the state.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
-// input is what moves a Machine from one state to another.
+// input is an event to which a Machine reacts by the transition table.
 type input uint8
 
 const (
-	inputStartOwner       input = iota // it starts and owns the addresses
-	inputStart                         // it starts
-	inputStop                          // it stops as planned
-	inputActiveTimeout                 // the active router was silent for too long
-	inputAdvertisementDue              // an advertisement is due
-	inputActiveStopping                // the active router resigns
+	inputStartOwner       input = iota // this router starts and owns the addresses
+	inputStart                         // this router starts and does not own the addresses
+	inputStop                          // this router is stopped as planned
+	inputActiveTimeout                 // the active router has not advertised in time
+	inputAdvertisementDue              // the next advertisement of this router is due
+	inputActiveResigned                // an advertisement of an active router that stops
 	inputHigherPriority                // an advertisement of a router that takes precedence
-	inputLowerPriority                 // an advertisement of a router that does not
+	inputLowerPriority                 // an advertisement of a router that does not take precedence
 )
 
-// Effect is an action for the caller.
+// Effect is an action that the caller is to execute.
 type Effect uint8
 
 // Effects.
 const (
-	SendAdvertisement Effect = iota // send Advertisement(false)
-	SendResignation                 // send Advertisement(true)
-	AcquireAddresses                // the addresses belong to this host from now on
-	ReleaseAddresses                // they do not any more
+	SendAdvertisement Effect = iota // send the packet that Advertisement(false) returns
+	SendResignation                 // send the packet that Advertisement(true) returns
+	AcquireAddresses                // add the addresses of the virtual router to this host
+	ReleaseAddresses                // remove the addresses of the virtual router from this host
 )
 
-// timerKind is how a transition sets the one timer.
+// timerKind tells how a transition sets the only timer of a Machine.
 type timerKind uint8
 
 const (
 	timerUnchanged     timerKind = iota
-	timerNone                    // stop it
-	timerAdvertisement           // this router's interval
-	timerActiveDown              // three intervals of the active router, and the skew
-	timerSkew                    // the skew alone
+	timerNone                    // the timer is stopped
+	timerAdvertisement           // this router's advertisement interval
+	timerActiveDown              // activeDownIntervals intervals of the active router, and the skew time
+	timerSkew                    // the skew time alone
 )
 
-// transitions gives for a state and an input the next state, the effects and the timer. Inputs without a row change nothing.
+// transitions lists the next state, the effects and the timer for a state and an input. An input without a row for the
+// current state changes nothing.
 var transitions = []struct {
 	state   State
 	input   input
@@ -63,99 +64,116 @@
 	{Initialize, inputStart, Backup, nil, timerActiveDown},
 	{Backup, inputStop, Initialize, nil, timerNone},
 	{Backup, inputActiveTimeout, Active, []Effect{SendAdvertisement, AcquireAddresses}, timerAdvertisement},
-	{Backup, inputActiveStopping, Backup, nil, timerSkew},
+	{Backup, inputActiveResigned, Backup, nil, timerSkew},
 	{Backup, inputHigherPriority, Backup, nil, timerActiveDown},
-	{Backup, inputLowerPriority, Backup, nil, timerUnchanged}, // it takes over once the timer ends
+	// The timer runs on, so that this router takes over when it expires.
+	{Backup, inputLowerPriority, Backup, nil, timerUnchanged},
 	{Active, inputStop, Initialize, []Effect{SendResignation, ReleaseAddresses}, timerNone},
 	{Active, inputAdvertisementDue, Active, []Effect{SendAdvertisement}, timerAdvertisement},
-	{Active, inputActiveStopping, Active, []Effect{SendAdvertisement}, timerAdvertisement},
+	{Active, inputActiveResigned, Active, []Effect{SendAdvertisement}, timerAdvertisement},
 	{Active, inputHigherPriority, Backup, []Effect{ReleaseAddresses}, timerActiveDown},
-	{Active, inputLowerPriority, Active, []Effect{SendAdvertisement}, timerAdvertisement}, // the other one learns at once who is active
+	// The advertisement tells the other router at once that this one is active.
+	{Active, inputLowerPriority, Active, []Effect{SendAdvertisement}, timerAdvertisement},
 }
 
 const (
-	activeDownIntervals = 3
-	priorityLevels      = 256 // in the skew, by which a higher priority waits less
+	activeDownIntervals = 3   // intervals without an advertisement after which the active router counts as failed
+	priorityLevels      = 256 // the skew time is (priorityLevels - priority) / priorityLevels intervals
 )
 
-// Router configures a virtual router on this host. Times are milliseconds.
-type Router struct {
-	ID             uint8
+// Config configures a virtual router on this host.
+type Config struct {
+	RouterID       uint8 // of the virtual router, from 1 to 255
 	Priority       uint8 // 1 to 254, or PriorityOwner
 	Addresses      []netip.Addr
-	IntervalMS     float64 // between advertisements
-	Preempt        bool    // it takes over from an active router of lower priority
-	PreemptDelayMS float64 // from its start until it may do so
+	IntervalMS     float64 // time between advertisements
+	Preempt        bool    // whether this router takes over from an active router of lower priority
+	PreemptDelayMS float64 // time from the start during which this router does not preempt
 }
 
-// Machine is the state machine of a virtual router. It is not safe for concurrent use.
+// Machine is the state machine of a virtual router. The effects that a method returns are valid until the next call. A
+// Machine is not safe for concurrent use.
 type Machine struct {
-	router     Router
-	localAddr  netip.Addr // the source of advertisements; decides between equal priorities
+	config     Config
+	localAddr  netip.Addr // source address of advertisements; decides between equal priorities
 	state      State
 	priority   uint8
-	intervalMS float64 // of the active router, as its advertisements tell
-	dueAt      float64 // of the timer; 0: it is stopped
+	intervalMS float64 // advertisement interval of the active router, which may be this one
+	timerAt    float64 // when the timer expires; 0 if it is stopped
 	timer      timerKind
 	startedAt  float64
-	since      float64 // when the state began
-	peer       netip.Addr
-	effects    []Effect
+	stateSince float64    // when the current state was entered
+	lastSender netip.Addr // source of the last advertisement
+	effects    []Effect   // reused by each input
 	counts     Counts
 }
 
-// Counts are the counters of a Machine since its start.
-type Counts struct{ Sent, Received, Foreign, BecameActive, BecameBackup, Stopped uint64 }
+// Counts are the counters of a Machine since its creation.
+type Counts struct {
+	Sent         uint64 // advertisements to be sent, resignations included
+	Received     uint64 // advertisements that were handled
+	Ignored      uint64 // advertisements for another virtual router, of this router itself, or received while stopped
+	BecameActive uint64 // transitions to Active
+	BecameBackup uint64 // transitions to Backup
+	Stops        uint64 // calls of Stop
+}
 
-// New returns a machine in state Initialize.
-func New(router Router, localAddr netip.Addr) (*Machine, error) {
-	p := Packet{RouterID: router.ID, Priority: router.Priority, IntervalMS: router.IntervalMS, Addresses: router.Addresses}
+// New returns a machine in state Initialize. Its errors wrap ErrInvalidPacket, because the configuration is checked by
+// encoding an advertisement.
+func New(config Config, localAddr netip.Addr) (*Machine, error) {
+	p := Packet{RouterID: config.RouterID, Priority: config.Priority, IntervalMS: config.IntervalMS,
+		Addresses: config.Addresses}
 	if _, err := p.Append(nil, localAddr, localAddr); err != nil {
 		return nil, err
 	}
-	if router.Priority == PriorityStop {
-		return nil, packetError("priority 0 is reserved for a router that stops")
+	if config.Priority == PriorityResign {
+		return nil, packetError("priority %d is reserved for a router that stops, expected 1 to %d",
+			PriorityResign, PriorityOwner)
 	}
-	return &Machine{router: router, localAddr: localAddr, priority: router.Priority, intervalMS: router.IntervalMS}, nil
+	return &Machine{config: config, localAddr: localAddr, priority: config.Priority, intervalMS: config.IntervalMS}, nil
 }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Since returns the time at which the present state began.
-func (m *Machine) Since() float64 { return m.since }
+// StateSince returns the time at which the current state was entered.
+func (m *Machine) StateSince() float64 { return m.stateSince }
 
-// Peer returns the address of the router whose advertisement was received last.
-func (m *Machine) Peer() netip.Addr { return m.peer }
+// LastSender returns the address of the router that sent the last advertisement that was handled.
+func (m *Machine) LastSender() netip.Addr { return m.lastSender }
 
-// Priority returns the priority that this router sends.
+// Priority returns the priority that this router advertises.
 func (m *Machine) Priority() uint8 { return m.priority }
 
 // Counts returns the counters.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// Interval returns the interval between advertisements that is in force, in milliseconds.
-func (m *Machine) Interval() float64 { return m.intervalMS }
+// IntervalMS returns the advertisement interval that is in force, which is that of the active router, in milliseconds.
+func (m *Machine) IntervalMS() float64 { return m.intervalMS }
 
-// Next returns when Tick is to be called; 0: not at all.
-func (m *Machine) Next() float64 { return m.dueAt }
+// Deadline returns the time at which Tick is to be called next, or 0 if no call is needed.
+func (m *Machine) Deadline() float64 { return m.timerAt }
 
-// Advertisement returns the packet for SendAdvertisement, or that for SendResignation.
+// Advertisement returns the packet for the effect SendAdvertisement or, if resign is set, for SendResignation.
 func (m *Machine) Advertisement(resign bool) Packet {
-	p := Packet{RouterID: m.router.ID, Priority: m.priority, IntervalMS: m.router.IntervalMS, Addresses: m.router.Addresses}
+	p := Packet{RouterID: m.config.RouterID, Priority: m.priority, IntervalMS: m.config.IntervalMS,
+		Addresses: m.config.Addresses}
 	if resign {
-		p.Priority = PriorityStop
+		p.Priority = PriorityResign
 	}
 	return p
 }
 
+// skewMS returns the skew time, by which a backup router of higher priority takes over earlier than one of lower
+// priority.
 func (m *Machine) skewMS() float64 {
 	return float64(priorityLevels-int(m.priority)) * m.intervalMS / priorityLevels
 }
 
+// activeDownMS returns the time without an advertisement after which a backup router takes over.
 func (m *Machine) activeDownMS() float64 { return activeDownIntervals*m.intervalMS + m.skewMS() }
 
-// handleInput moves the machine by the transition table. The effects are valid until the next call.
+// handleInput applies the transition for the current state and an input and returns its effects.
 func (m *Machine) handleInput(now float64, in input) []Effect {
 	m.effects = m.effects[:0]
 	for k := range transitions {
@@ -163,7 +181,7 @@
 		if t.state != m.state || t.input != in {
 			continue
 		}
-		m.enter(now, t.next)
+		m.enterState(now, t.next)
 		m.setTimer(now, t.timer)
 		m.effects = append(m.effects, t.effects...)
 		for _, e := range t.effects {
@@ -176,16 +194,16 @@
 	return m.effects
 }
 
-func (m *Machine) enter(now float64, next State) {
+func (m *Machine) enterState(now float64, next State) {
 	if next == m.state {
 		return
 	}
 	m.state = next
-	m.since = now
+	m.stateSince = now
 	switch next {
 	case Active:
 		m.counts.BecameActive++
-		m.intervalMS = m.router.IntervalMS
+		m.intervalMS = m.config.IntervalMS
 	case Backup:
 		m.counts.BecameBackup++
 	}
@@ -198,17 +216,17 @@
 	m.timer = kind
 	switch kind {
 	case timerNone:
-		m.dueAt = 0
+		m.timerAt = 0
 	case timerAdvertisement:
-		m.dueAt = now + m.router.IntervalMS
+		m.timerAt = now + m.config.IntervalMS
 	case timerActiveDown:
-		m.dueAt = now + m.activeDownMS()
+		m.timerAt = now + m.activeDownMS()
 	case timerSkew:
-		m.dueAt = now + m.skewMS()
+		m.timerAt = now + m.skewMS()
 	}
 }
 
-// Start starts the virtual router.
+// Start starts the virtual router: as active if this router owns the addresses, as backup otherwise.
 func (m *Machine) Start(now float64) []Effect {
 	m.startedAt = now
 	if m.priority == PriorityOwner {
@@ -219,13 +237,13 @@
 
 // Stop stops the virtual router as planned. An active one resigns, so that another takes over at once.
 func (m *Machine) Stop(now float64) []Effect {
-	m.counts.Stopped++
+	m.counts.Stops++
 	return m.handleInput(now, inputStop)
 }
 
-// Tick is to be called when the time that Next returned has come.
+// Tick handles the expiry of the timer. It is to be called at the time that Deadline returns and does nothing before.
 func (m *Machine) Tick(now float64) []Effect {
-	if m.dueAt == 0 || now < m.dueAt {
+	if m.timerAt == 0 || now < m.timerAt {
 		return nil
 	}
 	if m.state == Active {
@@ -234,46 +252,47 @@
 	return m.handleInput(now, inputActiveTimeout)
 }
 
-// SetPriority changes the priority, as this host's health changes. An owner's priority does not change, and the reserved priorities are
-// ignored.
+// SetPriority changes the priority, for instance with this host's health. The priority of an owner does not change, and
+// the reserved priorities are ignored. On a backup router, the timer follows the new skew time.
 func (m *Machine) SetPriority(now float64, priority uint8) {
-	if m.router.Priority == PriorityOwner || priority == PriorityStop || priority == PriorityOwner {
+	if m.config.Priority == PriorityOwner || priority == PriorityResign || priority == PriorityOwner {
 		return
 	}
 	skewBefore := m.skewMS()
 	m.priority = priority
-	if m.state == Backup && m.dueAt > 0 && m.timer != timerUnchanged { // the skew is a part of the timer
-		m.dueAt = max(now, m.dueAt+m.skewMS()-skewBefore)
+	if m.state == Backup && m.timerAt > 0 && m.timer != timerUnchanged {
+		m.timerAt = max(now, m.timerAt+m.skewMS()-skewBefore)
 	}
 }
 
-// HandlePacket takes an advertisement.
-func (m *Machine) HandlePacket(now float64, from netip.Addr, p Packet) []Effect {
-	if p.RouterID != m.router.ID || from == m.localAddr || m.state == Initialize {
-		m.counts.Foreign++
+// HandlePacket handles an advertisement that was received from source.
+func (m *Machine) HandlePacket(now float64, source netip.Addr, p Packet) []Effect {
+	if p.RouterID != m.config.RouterID || source == m.localAddr || m.state == Initialize {
+		m.counts.Ignored++
 		return nil
 	}
 	m.counts.Received++
-	m.peer = from
-	if p.Priority == PriorityStop {
-		return m.handleInput(now, inputActiveStopping)
+	m.lastSender = source
+	if p.Priority == PriorityResign {
+		return m.handleInput(now, inputActiveResigned)
 	}
-	if !m.takesPrecedence(now, from, p.Priority) {
+	if !m.takesPrecedence(now, source, p.Priority) {
 		return m.handleInput(now, inputLowerPriority)
 	}
 	m.intervalMS = p.IntervalMS
 	return m.handleInput(now, inputHigherPriority)
 }
 
-// takesPrecedence reports whether this router is to be, or to stay, backup to the sender of an advertisement.
-func (m *Machine) takesPrecedence(now float64, from netip.Addr, priority uint8) bool {
+// takesPrecedence reports whether the sender of an advertisement takes precedence, so that this router is to become or
+// to stay its backup.
+func (m *Machine) takesPrecedence(now float64, source netip.Addr, priority uint8) bool {
 	if m.state == Active {
-		return priority > m.priority || priority == m.priority && m.localAddr.Less(from)
+		return priority > m.priority || priority == m.priority && m.localAddr.Less(source)
 	}
 	return priority >= m.priority || !m.mayPreempt(now)
 }
 
-// mayPreempt reports whether this router may take over from an active one of lower priority.
+// mayPreempt reports whether this router may take over from an active router of lower priority.
 func (m *Machine) mayPreempt(now float64) bool {
-	return m.router.Preempt && now >= m.startedAt+m.router.PreemptDelayMS
+	return m.config.Preempt && now >= m.startedAt+m.config.PreemptDelayMS
 }
--- a/internal/vrrp/packet.go
+++ b/internal/vrrp/packet.go
@@ -1,8 +1,9 @@
-// Package vrrp implements the Virtual Router Redundancy Protocol, version 3 (RFC 9568; RFC 5798 where that has more): the encoding of its
-// advertisements, and the state machine of one virtual router.
+// Package vrrp implements the Virtual Router Redundancy Protocol, version 3 (RFC 9568, and RFC 5798 where that says
+// more): the encoding of advertisements and the state machine of one virtual router.
 //
-// It owns no socket, clock or goroutine: packets, timers and times in milliseconds go in, effects come out. What it means to acquire or
-// release an address is up to the caller.
+// The package opens no sockets, reads no clock and starts no goroutines. The caller passes packets and times in
+// milliseconds to a Machine and executes the effects that it returns. How an address is acquired or released is up to
+// the caller.
 package vrrp
 
 import (
@@ -12,112 +13,122 @@
 	"net/netip"
 )
 
-// The wire format.
+// The wire format: a header of headerBytes, and the addresses.
 const (
 	version           = 3
 	typeAdvertisement = 1
 	headerBytes       = 8
+	intervalOffset    = 4
 	checksumOffset    = 6
-	protocolNumber    = 112 // in the pseudo-header
+	ipv4Bytes         = 4
+	ipv6Bytes         = 16
+	protocolNumber    = 112 // in the pseudo-header that the checksum covers
 	maxAddresses      = 255
-	maxIntervalUnits  = 1<<12 - 1
-	intervalUnitMS    = 10
+	intervalUnitMS    = 10        // the interval is sent in centiseconds
+	maxIntervalUnits  = 1<<12 - 1 // the interval has 12 bits
 )
 
 // Reserved priorities.
 const (
-	PriorityOwner = 255 // of the router that owns the addresses
-	PriorityStop  = 0   // of an active router that stops
+	PriorityOwner  = 255 // of the router that owns the addresses
+	PriorityResign = 0   // of an active router that stops
 )
 
 // MaxPacketBytes is the size of the longest advertisement.
-const MaxPacketBytes = headerBytes + 16*maxAddresses
+const MaxPacketBytes = headerBytes + ipv6Bytes*maxAddresses
 
 // Packet is an advertisement.
 type Packet struct {
-	RouterID   uint8 // of the virtual router, from 1
+	RouterID   uint8 // of the virtual router, from 1 to 255
 	Priority   uint8
-	IntervalMS float64 // between the active router's advertisements
+	IntervalMS float64 // time between the active router's advertisements
 	Addresses  []netip.Addr
 }
 
-// ErrInvalidPacket is wrapped by the errors about an invalid advertisement.
+// ErrInvalidPacket is wrapped by all errors about an invalid advertisement.
 var ErrInvalidPacket = errors.New("invalid VRRP advertisement")
 
 func packetError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrInvalidPacket, fmt.Sprintf(format, args...))
 }
 
-// Append encodes an advertisement. The addresses of its source and destination are part of the checksum.
-func (p *Packet) Append(b []byte, from, to netip.Addr) ([]byte, error) {
+// Append appends the encoded advertisement to buffer. The checksum covers the addresses of the source and the
+// destination.
+func (p *Packet) Append(buffer []byte, source, destination netip.Addr) ([]byte, error) {
 	units := int(p.IntervalMS / intervalUnitMS)
-	if p.RouterID == 0 || len(p.Addresses) == 0 || len(p.Addresses) > maxAddresses || units < 1 || units > maxIntervalUnits {
-		return b, packetError("router %d, %d addresses, interval %g ms", p.RouterID, len(p.Addresses), p.IntervalMS)
+	if p.RouterID == 0 || len(p.Addresses) == 0 || len(p.Addresses) > maxAddresses ||
+		units < 1 || units > maxIntervalUnits {
+		return buffer, packetError("router ID %d, %d addresses, interval %g ms; "+
+			"expected a router ID from 1, 1 to %d addresses and an interval from %d to %d ms",
+			p.RouterID, len(p.Addresses), p.IntervalMS, maxAddresses, intervalUnitMS, maxIntervalUnits*intervalUnitMS)
 	}
-	start := len(b)
-	b = append(b, version<<4|typeAdvertisement, p.RouterID, p.Priority, byte(len(p.Addresses)))
-	b = binary.BigEndian.AppendUint16(b, uint16(units))
-	b = append(b, 0, 0) // the checksum
-	for _, a := range p.Addresses {
-		if a.Is4() != from.Is4() {
-			return b[:start], packetError("%s is of another family than %s", a, from)
+	start := len(buffer)
+	buffer = append(buffer, version<<4|typeAdvertisement, p.RouterID, p.Priority, byte(len(p.Addresses)))
+	buffer = binary.BigEndian.AppendUint16(buffer, uint16(units))
+	buffer = append(buffer, 0, 0) // the checksum, which is computed over zeros in its place
+	for _, address := range p.Addresses {
+		if address.Is4() != source.Is4() {
+			return buffer[:start], packetError("address %s and source %s are of different families", address, source)
 		}
-		b = append(b, a.AsSlice()...)
+		buffer = append(buffer, address.AsSlice()...)
 	}
-	binary.BigEndian.PutUint16(b[start+checksumOffset:], checksum(b[start:], from, to))
-	return b, nil
+	sum := checksum(buffer[start:], source, destination)
+	binary.BigEndian.PutUint16(buffer[start+checksumOffset:], sum)
+	return buffer, nil
 }
 
-// Parse decodes an advertisement with the addresses of its source and destination. It checks every field.
-func Parse(b []byte, from, to netip.Addr) (p Packet, err error) {
-	from = from.Unmap()
-	to = to.Unmap()
-	addressBytes := 16
-	if from.Is4() {
-		addressBytes = 4
+// Parse decodes an advertisement that was sent from source to destination. It checks every field.
+func Parse(data []byte, source, destination netip.Addr) (p Packet, err error) {
+	source = source.Unmap()
+	destination = destination.Unmap()
+	addressBytes := ipv6Bytes
+	if source.Is4() {
+		addressBytes = ipv4Bytes
 	}
 	switch {
-	case !from.IsValid() || !to.IsValid() || from.Is4() != to.Is4():
-		return p, packetError("from %s to %s", from, to)
-	case len(b) < headerBytes:
-		return p, packetError("%d bytes", len(b))
-	case b[0]>>4 != version:
-		return p, packetError("version %d", b[0]>>4)
-	case b[0]&15 != typeAdvertisement:
-		return p, packetError("type %d", b[0]&15)
-	case b[1] == 0:
-		return p, packetError("router 0")
-	case b[3] == 0 || len(b) != headerBytes+addressBytes*int(b[3]):
-		return p, packetError("%d addresses in %d bytes", b[3], len(b))
-	case checksum(b, from, to) != 0:
-		return p, packetError("checksum")
+	case !source.IsValid() || !destination.IsValid() || source.Is4() != destination.Is4():
+		return p, packetError("source %s and destination %s, expected two addresses of one family", source, destination)
+	case len(data) < headerBytes:
+		return p, packetError("%d bytes, expected at least %d", len(data), headerBytes)
+	case data[0]>>4 != version:
+		return p, packetError("version %d, expected %d", data[0]>>4, version)
+	case data[0]&15 != typeAdvertisement:
+		return p, packetError("type %d, expected %d", data[0]&15, typeAdvertisement)
+	case data[1] == 0:
+		return p, packetError("router ID 0, expected 1 to 255")
+	case data[3] == 0 || len(data) != headerBytes+addressBytes*int(data[3]):
+		return p, packetError("address count %d in %d bytes, expected a count from 1 and %d bytes for each address",
+			data[3], len(data), addressBytes)
+	case checksum(data, source, destination) != 0:
+		return p, packetError("wrong checksum")
 	}
-	units := binary.BigEndian.Uint16(b[4:]) & maxIntervalUnits
+	units := binary.BigEndian.Uint16(data[intervalOffset:]) & maxIntervalUnits
 	if units == 0 {
-		return p, packetError("interval 0")
+		return p, packetError("interval 0, expected 1 to %d centiseconds", maxIntervalUnits)
 	}
-	p = Packet{RouterID: b[1], Priority: b[2], IntervalMS: float64(units) * intervalUnitMS}
-	for at := headerBytes; at < len(b); at += addressBytes {
-		a, _ := netip.AddrFromSlice(b[at : at+addressBytes])
-		p.Addresses = append(p.Addresses, a)
+	p = Packet{RouterID: data[1], Priority: data[2], IntervalMS: float64(units) * intervalUnitMS}
+	for offset := headerBytes; offset < len(data); offset += addressBytes {
+		address, _ := netip.AddrFromSlice(data[offset : offset+addressBytes])
+		p.Addresses = append(p.Addresses, address)
 	}
 	return p, nil
 }
 
-// checksum returns the Internet checksum over the pseudo-header and an advertisement; 0 if the checksum in it is right.
-func checksum(b []byte, from, to netip.Addr) uint16 {
-	sum := uint32(protocolNumber) + uint32(len(b))
-	add := func(b []byte) {
-		for ; len(b) > 1; b = b[2:] {
-			sum += uint32(b[0])<<8 | uint32(b[1])
+// checksum returns the Internet checksum over the pseudo-header and an advertisement. It is 0 for an advertisement that
+// contains its right checksum.
+func checksum(packet []byte, source, destination netip.Addr) uint16 {
+	sum := uint32(protocolNumber) + uint32(len(packet))
+	add := func(data []byte) {
+		for ; len(data) > 1; data = data[2:] {
+			sum += uint32(data[0])<<8 | uint32(data[1])
 		}
-		if len(b) > 0 {
-			sum += uint32(b[0]) << 8
+		if len(data) > 0 {
+			sum += uint32(data[0]) << 8
 		}
 	}
-	add(from.AsSlice())
-	add(to.AsSlice())
-	add(b)
+	add(source.AsSlice())
+	add(destination.AsSlice())
+	add(packet)
 	for sum>>16 != 0 {
 		sum = sum&0xffff + sum>>16
 	}
