--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,6 +1,6 @@
-// Package operatorconfig reads the operators' own file: what this installation wants beyond the platform's configuration. The file is
-// taken whole or not at all; each complaint names file, line and column. The package holds values and decides nothing. Names of before
-// go on working; File.Deprecated lists those that a file uses.
+// Package operatorconfig reads the operators' file, which holds the settings of an installation beyond the platform's
+// configuration. A file with an error is rejected as a whole; each error names file, line and column. The package only
+// holds the values. Former names of blocks, fields and values still work; File.Deprecated lists those that a file uses.
 package operatorconfig
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// PathVariable is the environment variable that names the file where no flag does.
+// PathVariable is the environment variable with the path of the operators' file; the flag --file overrides it.
 const PathVariable = "LIFTSHIFT_FILE"
 
-// File is what the operators' file says. Without one, all is off.
+// File holds the settings of the operators' file. A block that the file lacks is nil, and its feature is off.
 type File struct {
 	Path       string
 	Store      *Store
@@ -24,25 +24,25 @@
 	Handoff    *Handoff
 	Locality   *Locality
 	Control    string   // path of the control socket; empty: none
-	Deprecated []string // names of before that the file uses, each with its new name
+	Deprecated []string // former names that the file uses, each with its current name
 }
 
-// controlBlock is what may stand in the block control.
-var controlBlock = &block{fields: []field{
-	{name: "socket", kind: text, required: true, help: "path of a Unix socket, for its owner alone"},
+// controlSchema describes the block control.
+var controlSchema = &blockSchema{fields: []fieldSchema{
+	{name: "socket", kind: stringKind, required: true, help: "path of a Unix socket that only its owner may open"},
 }}
 
-// fileBlock is what may stand in the file.
-var fileBlock = &block{blocks: map[string]*block{
-	"store":   storeBlock,
-	"quotas":  quotasBlock,
-	"cluster": clusterBlock,
-	"handoff": handoffBlock,
-	"zones":   zonesBlock,
-	"control": controlBlock,
+// fileSchema describes the top level of the file.
+var fileSchema = &blockSchema{blocks: map[string]*blockSchema{
+	"store":   storeSchema,
+	"quotas":  quotasSchema,
+	"cluster": clusterSchema,
+	"handoff": handoffSchema,
+	"zones":   zonesSchema,
+	"control": controlSchema,
 }}
 
-// Read reads the file at a path. The error has a line for each complaint.
+// Read reads the file at a path. Its error has one line for each problem found.
 func Read(path string) (*File, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -51,45 +51,45 @@
 	return Parse(src, path)
 }
 
-// Parse reads a file's text.
+// Parse parses the text of a file. The path only serves for error messages and File.Path.
 func Parse(src []byte, path string) (*File, error) {
 	parsed, diags := hclsyntax.ParseConfig(src, path, hcl.InitialPos)
 	if diags.HasErrors() {
-		return nil, errorOf(diags)
+		return nil, joinDiagnostics(diags)
 	}
-	body, diags := read(parsed.Body, fileBlock)
+	body, diags := parseBody(parsed.Body, fileSchema)
 	if diags.HasErrors() {
-		return nil, errorOf(diags)
+		return nil, joinDiagnostics(diags)
 	}
 	f := &File{Path: path, Deprecated: body.allDeprecated()}
 	if diags = f.fill(body); diags.HasErrors() {
-		return nil, errorOf(diags)
+		return nil, joinDiagnostics(diags)
 	}
 	slices.Sort(f.Deprecated)
 	f.Deprecated = slices.Compact(f.Deprecated)
 	return f, nil
 }
 
-// fill takes over the blocks of a file, up to the first that does not fit.
-func (f *File) fill(body values) (diags hcl.Diagnostics) {
-	if b, ok := body.only("store"); ok {
+// fill sets the blocks of f from a parsed file. It stops at the first block with an error.
+func (f *File) fill(body blockValues) (diags hcl.Diagnostics) {
+	if b, ok := body.single("store"); ok {
 		f.Store = newStore(b)
 	}
-	if b, ok := body.only("control"); ok {
-		f.Control = b.texts["socket"]
+	if b, ok := body.single("control"); ok {
+		f.Control = b.strings["socket"]
 	}
-	if b, ok := body.only("quotas"); ok {
+	if b, ok := body.single("quotas"); ok {
 		if f.Quotas, diags = newQuotas(b); diags.HasErrors() {
 			return diags
 		}
 		f.Deprecated = append(f.Deprecated, f.Quotas.deprecated...)
 	}
-	if b, ok := body.only("cluster"); ok {
+	if b, ok := body.single("cluster"); ok {
 		if f.Cluster, diags = newCluster(b, f.Store != nil); diags.HasErrors() {
 			return diags
 		}
 	}
-	if b, ok := body.only("handoff"); ok {
+	if b, ok := body.single("handoff"); ok {
 		hasConsensus := f.Cluster != nil && len(f.Cluster.Founders) > 0
 		if f.Handoff, diags = newHandoff(b, hasConsensus, f.Store != nil); diags.HasErrors() {
 			return diags
@@ -97,13 +97,13 @@
 		f.Cluster.Consensus.Copies = f.Handoff.Copies
 		f.Deprecated = append(f.Deprecated, f.Handoff.deprecated...)
 	}
-	if b, ok := body.only("zones"); ok {
+	if b, ok := body.single("zones"); ok {
 		f.Locality, diags = newLocality(b, f.Cluster)
 	}
 	return diags
 }
 
-// Differs names what another file has otherwise and only a restart heeds.
+// Differs returns the names of those settings that differ in next and only take effect at a restart.
 func (f *File) Differs(next *File) (names []string) {
 	add := func(name string, differs bool) {
 		if differs {
@@ -116,17 +116,17 @@
 		add("store.directory, segment or lag", f.Store != nil && !f.Store.sameFiles(next.Store))
 	}
 	add("control.socket", f.Control != next.Control)
-	add("quotas: which teams there are, or the attribution", differ(f.Quotas, next.Quotas, (*Quotas).SameTree))
-	add("cluster", differ(f.Cluster, next.Cluster, (*Cluster).Same))
-	add("handoff", differ(f.Handoff, next.Handoff, (*Handoff).Same))
-	add("zones", differ(f.Locality, next.Locality, (*Locality).Same))
+	add("quotas: which teams there are, or the attribution", blockDiffers(f.Quotas, next.Quotas, (*Quotas).SameTree))
+	add("cluster", blockDiffers(f.Cluster, next.Cluster, (*Cluster).Equal))
+	add("handoff", blockDiffers(f.Handoff, next.Handoff, (*Handoff).Equal))
+	add("zones", blockDiffers(f.Locality, next.Locality, (*Locality).Equal))
 	return names
 }
 
-// differ tells whether one of two blocks is missing, or both are there and are not the same.
-func differ[Block any](a, b *Block, same func(a, b *Block) bool) bool {
+// blockDiffers reports whether exactly one of two blocks is missing, or both are present and equal reports false.
+func blockDiffers[Block any](a, b *Block, equal func(a, b *Block) bool) bool {
 	if a == nil || b == nil {
 		return (a == nil) != (b == nil)
 	}
-	return !same(a, b)
+	return !equal(a, b)
 }
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -11,45 +11,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRead_TakesUnits(t *testing.T) {
+func TestRead_ParsesUnits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.hcl")
-	require.NoError(t, os.WriteFile(path, []byte("store {\n directory = \"/d\"\n segment = \"64KiB\"\n lag = \"20ms\"\n remember = \"1h\"\n}\n"), 0o600))
+	const src = "store {\n directory = \"/d\"\n segment = \"64KiB\"\n lag = \"20ms\"\n remember = \"1h\"\n}\n"
+	require.NoError(t, os.WriteFile(path, []byte(src), 0o600))
 	f, err := Read(path)
 	require.NoError(t, err)
-	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond}, []any{f.Store.Directory, f.Store.SegmentBytes, f.Store.FlushDelay})
+	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond},
+		[]any{f.Store.Directory, f.Store.SegmentBytes, f.Store.FlushDelay})
 	assert.Equal(t, []any{3600e3, 4096, 200000},
 		[]any{f.Store.RememberMS, f.Store.MaxAnswerBytes, f.Store.MaxRecords})
-	none, err := Parse(nil, "x")
+	empty, err := Parse(nil, "x")
 	assert.NoError(t, err)
-	assert.Nil(t, none.Store)
-	assert.Equal(t, []string{"store"}, f.Differs(none))
-	other := *f.Store
-	other.FlushDelay = 1
-	assert.Len(t, f.Differs(&File{Store: &other}), 1)
+	assert.Nil(t, empty.Store)
+	assert.Equal(t, []string{"store"}, f.Differs(empty))
+	otherStore := *f.Store
+	otherStore.FlushDelay = 1
+	assert.Len(t, f.Differs(&File{Store: &otherStore}), 1)
 	assert.Empty(t, f.Differs(f))
 	_, err = Read(path + "-not")
 	assert.ErrorContains(t, err, "operators' file")
 }
 
-// Every complaint names file, line and column; all of them are told at once.
-func TestParse_NamesThePlaceOfAComplaint(t *testing.T) {
+// Each error names file, line and column; the errors of a whole file are reported at once.
+func TestParse_ReportsThePositionOfEachError(t *testing.T) {
 	for text, want := range map[string]string{
-		"store {\n":                                                        "f:1:7: Unclosed configuration block",
-		"stor {}":                                                          `f:1:1: Unsupported block type`,
-		"store {}":                                                         "directory",
-		"store {\n directory = \"rel\"\n}":                                 `f:2:14: directory must be an absolute path, not "rel"`,
-		"store {\n directory = \"\"\n}":                                    "f:2:14: directory is empty",
-		"store {\n directory = null\n}":                                    "f:2:14: directory has no value",
-		"store {\n directory = 3\n}":                                       "f:2:14: directory must be a text",
-		"store {\n directory = \"/d\"\n lag = 5\n}":                        `f:3:8: lag must be a time such as "50ms" or "10m"`,
-		"store {\n directory = \"/d\"\n lag = \"2s\"\n}":                   "f:3:8: lag must be from 1ms to 1s",
-		"store {\n directory = \"/d\"\n segment = \"1 XB\"\n}":             "f:3:12: segment must be a size",
-		"store {\n directory = \"/d\"\n segment = \"1KiB\"\n}":             "f:3:12: segment must be from 64KiB to 256MiB",
-		"store {\n directory = \"/d\"\n most_kept = 1000.5\n}":             "f:3:14: most_kept must be a whole number",
-		"store {\n directory = \"/d\"\n most_kept = 1\n}":                  "f:3:14: most_kept must be from 1000 to 10000000",
-		"store {\n directory = \"/d\"\n nonsense = 1\n}":                   "f:3:2: Unsupported argument",
-		"store {\n directory = \"/d\"\n}\nstore {\n directory = \"/d\"\n}": "f:4:1: block store stands here a second time",
-		"store {\n directory = foo\n}":                                     "f:2:14",
+		"store {\n":                                            "f:1:7: Unclosed configuration block",
+		"stor {}":                                              `f:1:1: Unsupported block type`,
+		"store {}":                                             "directory",
+		"store {\n directory = \"rel\"\n}":                     `f:2:14: directory must be an absolute path, not "rel"`,
+		"store {\n directory = \"\"\n}":                        "f:2:14: directory is empty",
+		"store {\n directory = null\n}":                        "f:2:14: directory has no value",
+		"store {\n directory = 3\n}":                           "f:2:14: directory must be a string",
+		"store {\n directory = \"/d\"\n lag = 5\n}":            `f:3:8: lag must be a time such as "50ms" or "10m"`,
+		"store {\n directory = \"/d\"\n lag = \"2s\"\n}":       "f:3:8: lag must be from 1ms to 1s",
+		"store {\n directory = \"/d\"\n segment = \"1 XB\"\n}": "f:3:12: segment must be a size",
+		"store {\n directory = \"/d\"\n segment = \"1KiB\"\n}": "f:3:12: segment must be from 64KiB to 256MiB",
+		"store {\n directory = \"/d\"\n most_kept = 1000.5\n}": "f:3:14: most_kept must be a whole number",
+		"store {\n directory = \"/d\"\n most_kept = 1\n}":      "f:3:14: most_kept must be from 1000 to 10000000",
+		"store {\n directory = \"/d\"\n nonsense = 1\n}":       "f:3:2: Unsupported argument",
+		"store {\n directory = foo\n}":                         "f:2:14",
+
+		"store {\n directory = \"/d\"\n}\nstore {\n directory = \"/d\"\n}": "f:4:1: duplicate block store",
 	} {
 		_, err := Parse([]byte(text), "f")
 		assert.ErrorContains(t, err, want, text)
@@ -59,9 +62,9 @@
 	assert.ErrorContains(t, err, "f:3:8")
 }
 
-// What the names of before say is what today's say; each of them is told.
-func TestParse_TakesDeprecatedNames(t *testing.T) {
-	today := `store {
+// A file with former names means the same as one with the current names, and File.Deprecated lists each former name.
+func TestParse_AcceptsDeprecatedNames(t *testing.T) {
+	current := `store {
   directory = "/d"
 }
 quotas {
@@ -88,13 +91,14 @@
   }
 }
 `
-	before := strings.NewReplacer("quotas {", "budgets {", "attribution =", "whose =", `["class"`, `["offering"`, "requests =", "searches =",
-		`class "look"`, `offering "look"`, "cluster {", "fleet {", "handoff {", "estate {", "disk and replicas", "disk and holders",
-		`"reject"`, `"deny"`, "latency ", "way ", "min_density", "price").Replace(today)
-	a, err := Parse([]byte(today), "f")
+	former := strings.NewReplacer("quotas {", "budgets {", "attribution =", "whose =", `["class"`, `["offering"`,
+		"requests =", "searches =", `class "look"`, `offering "look"`, "cluster {", "fleet {", "handoff {", "estate {",
+		"disk and replicas", "disk and holders", `"reject"`, `"deny"`, "latency ", "way ", "min_density", "price").
+		Replace(current)
+	a, err := Parse([]byte(current), "f")
 	require.NoError(t, err)
 	assert.Empty(t, a.Deprecated)
-	b, err := Parse([]byte(before), "f")
+	b, err := Parse([]byte(former), "f")
 	require.NoError(t, err)
 	assert.Empty(t, a.Differs(b))
 	assert.Equal(t, a.Quotas.Teams, b.Quotas.Teams)
@@ -104,13 +108,13 @@
 		"searches (now requests)", "fleet (now cluster)", "estate (now handoff)", "disk and holders (now disk and replicas)",
 		"deny (now reject)", "way (now latency)", "price (now min_density)"}, b.Deprecated)
 	_, err = Parse([]byte("quotas {\n default = \"a\"\n whose = []\n attribution = []\n team \"a\" {}\n}"), "f")
-	assert.ErrorContains(t, err, "f:3:2: whose is the former name of attribution, which stands here, too")
+	assert.ErrorContains(t, err, "f:3:2: whose is the former name of attribution, which is also set")
 	_, err = Parse([]byte("store {\n directory = \"/d\"\n}\nfleet {}\ncluster {}"), "f")
-	assert.Error(t, err, "a block may not stand there under both names")
+	assert.Error(t, err, "the block cluster appears under both names")
 }
 
-// The examples that operators begin with are files of today.
-func TestRead_TakesTheExamples(t *testing.T) {
+// The example files in deploy are valid and use no deprecated names.
+func TestRead_AcceptsTheExamples(t *testing.T) {
 	for _, name := range []string{"cluster", "handoff", "office", "quotas", "zones"} {
 		f, err := Read(filepath.Join("..", "..", "deploy", name+".hcl"))
 		if assert.NoError(t, err, name) {
--- a/internal/operatorconfig/parse.go
+++ b/internal/operatorconfig/parse.go
@@ -11,26 +11,26 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// kind tells how a value is written.
-type kind int
+// valueKind is the syntax of a field's value.
+type valueKind int
 
-// The kinds.
 const (
-	text     kind = iota // "..."
-	size                 // "4MiB", "64KiB", "100B", or bytes as a number
-	duration             // "50ms", "10m"; held in ms
-	whole                // a whole number
-	number               // any number
-	names                // a list of texts
+	stringKind     valueKind = iota
+	sizeKind                 // "4MiB", "64KiB", "100B", or a number of bytes
+	durationKind             // "50ms", "10m"; held in milliseconds
+	integerKind              // a whole number
+	numberKind               // any number
+	stringListKind           // a list of strings
 )
 
-var kindHelp = [...]string{
-	text:     "a text",
-	size:     `a size such as "4MiB"`,
-	duration: `a time such as "50ms" or "10m"`,
-	whole:    "a whole number",
-	number:   "a number",
-	names:    "a list of texts",
+// kindNames are the kinds in error messages.
+var kindNames = [...]string{
+	stringKind:     "a string",
+	sizeKind:       `a size such as "4MiB"`,
+	durationKind:   `a time such as "50ms" or "10m"`,
+	integerKind:    "a whole number",
+	numberKind:     "a number",
+	stringListKind: "a list of strings",
 }
 
 const (
@@ -39,105 +39,107 @@
 	dayMS = 24 * 3600e3
 )
 
-// units are those of a size; the longer ones come first, as all end in B.
-var units = []struct {
-	name  string
-	bytes float64
+// sizeUnits are the suffixes of a size. B comes last, as it is a suffix of all others.
+var sizeUnits = []struct {
+	suffix string
+	bytes  float64
 }{{"KiB", kiB}, {"MiB", miB}, {"kB", 1e3}, {"MB", 1e6}, {"B", 1}}
 
-// take reads one value.
-func (f *field) take(v *values, x cty.Value, at hcl.Range) *hcl.Diagnostic {
-	if x.IsNull() || !x.IsKnown() {
-		return complaint(at, "%s has no value", f.name)
+// parseValue stores a field's value in v, or returns what is wrong with it.
+func (f *fieldSchema) parseValue(v *blockValues, value cty.Value, subject hcl.Range) *hcl.Diagnostic {
+	if value.IsNull() || !value.IsKnown() {
+		return diagnosticf(subject, "%s has no value", f.name)
 	}
 	switch f.kind {
-	case text:
-		return f.takeText(v, x, at)
-	case names:
-		return f.takeNames(v, x, at)
+	case stringKind:
+		return f.parseString(v, value, subject)
+	case stringListKind:
+		return f.parseStringList(v, value, subject)
 	}
-	n, ok := f.parseNumber(x)
+	n, ok := f.parseNumber(value)
 	if !ok {
-		return f.expected(at)
+		return f.wrongKind(subject)
 	}
 	if n < f.min || n > f.max {
-		return complaint(at, "%s must be from %s to %s", f.name, f.show(f.min), f.show(f.max))
+		return diagnosticf(subject, "%s must be from %s to %s", f.name, f.formatBound(f.min), f.formatBound(f.max))
 	}
-	v.nums[f.name] = n
+	v.numbers[f.name] = n
 	return nil
 }
 
-func (f *field) expected(at hcl.Range) *hcl.Diagnostic {
-	return complaint(at, "%s must be %s", f.name, kindHelp[f.kind])
+func (f *fieldSchema) wrongKind(subject hcl.Range) *hcl.Diagnostic {
+	return diagnosticf(subject, "%s must be %s", f.name, kindNames[f.kind])
 }
 
-func (f *field) takeText(v *values, x cty.Value, at hcl.Range) *hcl.Diagnostic {
-	if x.Type() != cty.String {
-		return f.expected(at)
+func (f *fieldSchema) parseString(v *blockValues, value cty.Value, subject hcl.Range) *hcl.Diagnostic {
+	if value.Type() != cty.String {
+		return f.wrongKind(subject)
 	}
-	value := x.AsString()
-	v.texts[f.name] = value
-	if value == "" {
-		return complaint(at, "%s is empty", f.name)
+	s := value.AsString()
+	v.strings[f.name] = s
+	if s == "" {
+		return diagnosticf(subject, "%s is empty", f.name)
 	}
 	isPath := f.name == "directory" || f.name == "socket"
-	if isPath && !filepath.IsAbs(value) {
-		return complaint(at, "%s must be an absolute path, not %q", f.name, value)
+	if isPath && !filepath.IsAbs(s) {
+		return diagnosticf(subject, "%s must be an absolute path, not %q", f.name, s)
 	}
 	return nil
 }
 
-func (f *field) takeNames(v *values, x cty.Value, at hcl.Range) *hcl.Diagnostic {
-	if !x.Type().IsTupleType() && !x.Type().IsListType() {
-		return f.expected(at)
+func (f *fieldSchema) parseStringList(v *blockValues, value cty.Value, subject hcl.Range) *hcl.Diagnostic {
+	if !value.Type().IsTupleType() && !value.Type().IsListType() {
+		return f.wrongKind(subject)
 	}
 	v.lists[f.name] = []string{}
-	for it := x.ElementIterator(); it.Next(); {
-		_, e := it.Element()
-		if e.Type() != cty.String || e.IsNull() || !e.IsKnown() {
-			return f.expected(at)
+	for it := value.ElementIterator(); it.Next(); {
+		_, element := it.Element()
+		if element.Type() != cty.String || element.IsNull() || !element.IsKnown() {
+			return f.wrongKind(subject)
 		}
-		v.lists[f.name] = append(v.lists[f.name], e.AsString())
+		v.lists[f.name] = append(v.lists[f.name], element.AsString())
 	}
 	return nil
 }
 
-// parseNumber reads a size, a duration or a number.
-func (f *field) parseNumber(x cty.Value) (float64, bool) {
+// parseNumber returns a size in bytes, a duration in milliseconds, or a number, and whether the value is of the field's
+// kind.
+func (f *fieldSchema) parseNumber(value cty.Value) (float64, bool) {
 	switch {
-	case f.kind == duration && x.Type() == cty.String:
-		d, err := time.ParseDuration(x.AsString())
+	case f.kind == durationKind && value.Type() == cty.String:
+		d, err := time.ParseDuration(value.AsString())
 		return float64(d) / float64(time.Millisecond), err == nil
-	case f.kind == size && x.Type() == cty.String:
-		return parseSize(x.AsString())
-	case f.kind != duration && x.Type() == cty.Number:
-		n, _ := x.AsBigFloat().Float64()
-		return n, f.kind == number || n == math.Trunc(n)
+	case f.kind == sizeKind && value.Type() == cty.String:
+		return parseSize(value.AsString())
+	case f.kind != durationKind && value.Type() == cty.Number:
+		n, _ := value.AsBigFloat().Float64()
+		return n, f.kind == numberKind || n == math.Trunc(n)
 	}
 	return 0, false
 }
 
-// show writes a bound as the file would.
-func (f *field) show(n float64) string {
+// formatBound formats a limit of the field in the syntax of the file.
+func (f *fieldSchema) formatBound(n float64) string {
 	switch {
-	case f.kind == duration:
+	case f.kind == durationKind:
 		return (time.Duration(n) * time.Millisecond).String()
-	case f.kind == size && n >= miB:
+	case f.kind == sizeKind && n >= miB:
 		return strconv.FormatFloat(n/miB, 'g', -1, 64) + "MiB"
-	case f.kind == size && n >= kiB:
+	case f.kind == sizeKind && n >= kiB:
 		return strconv.FormatFloat(n/kiB, 'g', -1, 64) + "KiB"
 	}
 	return strconv.FormatFloat(n, 'f', -1, 64)
 }
 
+// parseSize returns the number of bytes that a size such as "4MiB" means, and whether it is a whole number.
 func parseSize(s string) (float64, bool) {
-	for _, u := range units {
-		digits, ok := strings.CutSuffix(s, u.name)
+	for _, unit := range sizeUnits {
+		digits, ok := strings.CutSuffix(s, unit.suffix)
 		if !ok {
 			continue
 		}
 		n, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
-		bytes := n * u.bytes
+		bytes := n * unit.bytes
 		return bytes, err == nil && bytes == math.Trunc(bytes)
 	}
 	return 0, false
--- a/internal/operatorconfig/quotas.go
+++ b/internal/operatorconfig/quotas.go
@@ -11,68 +11,89 @@
 	"liftshift/internal/quota"
 )
 
-// Quotas is the block quotas.
+// Quotas holds the settings of the block quotas.
 type Quotas struct {
 	Teams       []quota.Team
-	Default     string
+	Default     string // team of the requests that no rule attributes
 	Attribution attribution.Rules
-	AgeMS       float64 // of waiting, past which the oldest requests get a share of their own
+	AgeMS       float64 // wait after which the oldest requests get a share of their own
 
-	rules      map[string]map[string]string // team by kind of rule and name, as written
+	rules      map[string]map[string]string // team by kind of rule and label, as in the file
 	deprecated []string
 }
 
-// classSource is how the file names the attribution by request class.
+// classSource is the file's name of the attribution by request class; attribution.Class is its former one.
 const classSource = "class"
 
-var teamOnly = []field{{name: "team", kind: text, required: true, help: "whose it is"}}
+// ruleFields are the fields of the blocks address, class and schema.
+var ruleFields = []fieldSchema{{name: "team", kind: stringKind, required: true, help: "team of the matching requests"}}
 
-// quotasBlock is what may stand in the block quotas.
-var quotasBlock = &block{
-	was: "budgets",
-	fields: []field{
-		{name: "default", kind: text, required: true, help: "the team of what is nobody's"},
-		{name: "age", kind: duration, min: 100, max: 600e3, usual: 3000, help: "wait past which the oldest get a part of all work"},
-		{name: "attribution", was: "whose", kind: names, help: "the order in which rules are looked at: field, address, class, schema"},
+// quotasSchema describes the block quotas.
+var quotasSchema = &blockSchema{
+	formerName: "budgets",
+	fields: []fieldSchema{
+		{name: "default", kind: stringKind, required: true, help: "team of the requests that no rule attributes"},
+		{name: "age", kind: durationKind, min: 100, max: 600e3, defaultValue: 3000,
+			help: "wait after which the oldest requests get a share of their own"},
+		{name: "attribution", formerName: "whose", kind: stringListKind,
+			help: "order in which the rules are tried: field, address, class, schema"},
 	},
-	blocks: map[string]*block{
-		"team": {label: "name", fields: []field{
-			{name: "parent", kind: text, help: "the team that it stands under"},
-			{name: "weight", kind: number, min: 1e-3, max: 1e6, usual: 1, help: "against its siblings"},
-			{name: "guaranteed", kind: number, min: 0, max: 1, help: "share of its parent's, whatever the weights"},
-			{name: "ceiling", kind: number, min: 0.001, max: 1, usual: 1, help: "share of the installation that it never passes for long"},
-			{name: "burst", kind: duration, min: 10, max: 60e3, usual: 1000, help: "of its ceiling, at once after a pause"},
-			{name: "requests", was: "searches", kind: whole, min: 1, max: 1e6, help: "in flight past the queue"},
-			{name: "threads", kind: number, min: 1, max: 1e6, help: "on executors"},
-			{name: "memory", kind: size, min: miB, max: 1 << 50, help: "granted there"},
-			{name: "queue", kind: whole, min: 1, max: 10e6, help: "that may wait"},
+	blocks: map[string]*blockSchema{
+		"team": {label: "name", fields: []fieldSchema{
+			{name: "parent", kind: stringKind, help: "parent team; default: none, the team is at the top level"},
+			{name: "weight", kind: numberKind, min: 1e-3, max: 1e6, defaultValue: 1,
+				help: "weight among the teams with the same parent"},
+			{name: "guaranteed", kind: numberKind, min: 0, max: 1,
+				help: "guaranteed share of its parent's share, regardless of weights"},
+			{name: "ceiling", kind: numberKind, min: 0.001, max: 1, defaultValue: 1,
+				help: "share of the installation that the team does not exceed in the long run"},
+			{name: "burst", kind: durationKind, min: 10, max: 60e3, defaultValue: 1000,
+				help: "time's worth of its ceiling that the team may use at once after a pause"},
+			{name: "requests", formerName: "searches", kind: integerKind, min: 1, max: 1e6,
+				help: "limit of requests in flight past the queue"},
+			{name: "threads", kind: numberKind, min: 1, max: 1e6, help: "limit of threads on executors"},
+			{name: "memory", kind: sizeKind, min: miB, max: 1 << 50, help: "limit of memory granted on executors"},
+			{name: "queue", kind: integerKind, min: 1, max: 10e6, help: "limit of queued requests"},
 		}},
-		"address":   {label: "prefix", fields: teamOnly},
-		classSource: {was: "offering", label: "name", fields: teamOnly},
-		"schema":    {label: "name", fields: teamOnly},
+		"address":   {label: "prefix", fields: ruleFields},
+		classSource: {formerName: "offering", label: "name", fields: ruleFields},
+		"schema":    {label: "name", fields: ruleFields},
 	},
 }
 
-// newQuotas reads the block quotas and checks that its parts fit together.
-func newQuotas(v values) (*Quotas, hcl.Diagnostics) {
-	q := &Quotas{Default: v.texts["default"], AgeMS: v.nums["age"], rules: map[string]map[string]string{}}
-	q.Attribution = attribution.Rules{Teams: map[string]bool{}, Classes: map[string]string{}, Schemas: map[string]string{}}
+// newQuotas returns the settings of the block quotas after checking its teams and rules.
+func newQuotas(v blockValues) (*Quotas, hcl.Diagnostics) {
+	q := &Quotas{Default: v.strings["default"], AgeMS: v.numbers["age"], rules: map[string]map[string]string{}}
+	q.Attribution = attribution.Rules{
+		Teams:   map[string]bool{},
+		Classes: map[string]string{},
+		Schemas: map[string]string{},
+	}
 	diags := q.readOrder(v)
-	for _, t := range v.blocks["team"] {
-		q.Teams = append(q.Teams, quota.Team{Name: t.label, Parent: t.texts["parent"], Weight: t.nums["weight"],
-			GuaranteedShare: t.nums["guaranteed"], Ceiling: t.nums["ceiling"], BurstMS: t.nums["burst"], MaxInFlight: int(t.nums["requests"]),
-			Threads: t.nums["threads"], MemoryMB: t.nums["memory"] / miB, MaxQueued: int(t.nums["queue"])})
-		q.Attribution.Teams[t.label] = true
+	for _, team := range v.blocks["team"] {
+		q.Teams = append(q.Teams, quota.Team{
+			Name:            team.label,
+			Parent:          team.strings["parent"],
+			Weight:          team.numbers["weight"],
+			GuaranteedShare: team.numbers["guaranteed"],
+			Ceiling:         team.numbers["ceiling"],
+			BurstMS:         team.numbers["burst"],
+			MaxInFlight:     int(team.numbers["requests"]),
+			Threads:         team.numbers["threads"],
+			MemoryMB:        team.numbers["memory"] / miB,
+			MaxQueued:       int(team.numbers["queue"]),
+		})
+		q.Attribution.Teams[team.label] = true
 	}
 	diags = append(diags, q.readRules(v)...)
 	if _, err := quota.New(q.Teams, q.Default, quota.DefaultSettings()); err != nil {
-		diags = append(diags, complaint(v.at, "quotas: %v", err))
+		diags = append(diags, diagnosticf(v.header, "quotas: %v", err))
 	}
 	return q, diags
 }
 
-// readOrder reads the order in which the rules of attribution are looked at.
-func (q *Quotas) readOrder(v values) (diags hcl.Diagnostics) {
+// readOrder sets the order in which the attribution rules are tried.
+func (q *Quotas) readOrder(v blockValues) (diags hcl.Diagnostics) {
 	order, given := v.lists["attribution"]
 	if !given {
 		order = []string{"field", "address", classSource, "schema"}
@@ -88,33 +109,33 @@
 	}
 	var err error
 	if q.Attribution.Order, err = attribution.ParseOrder(order); err != nil {
-		diags = append(diags, complaint(v.set["attribution"], "attribution: %v", err))
+		diags = append(diags, diagnosticf(v.ranges["attribution"], "attribution: %v", err))
 	}
 	return diags
 }
 
-// readRules reads the rules that give a team what comes from an address, of a class or for a schema.
-func (q *Quotas) readRules(v values) (diags hcl.Diagnostics) {
-	put := map[string]func(name, team string) error{
-		"address": func(name, team string) error {
-			p, err := netip.ParsePrefix(name)
+// readRules sets the rules that attribute requests to teams by client address, request class or schema.
+func (q *Quotas) readRules(v blockValues) (diags hcl.Diagnostics) {
+	addRule := map[string]func(label, team string) error{
+		"address": func(label, team string) error {
+			prefix, err := netip.ParsePrefix(label)
 			if err == nil {
-				q.Attribution.Addresses.Put(p, team)
+				q.Attribution.Addresses.Put(prefix, team)
 			}
 			return err
 		},
-		classSource: func(name, team string) error { q.Attribution.Classes[name] = team; return nil },
-		"schema":    func(name, team string) error { q.Attribution.Schemas[name] = team; return nil },
+		classSource: func(label, team string) error { q.Attribution.Classes[label] = team; return nil },
+		"schema":    func(label, team string) error { q.Attribution.Schemas[label] = team; return nil },
 	}
-	for _, kind := range []string{"address", classSource, "schema"} { // in an order, so that complaints have one
+	for _, kind := range []string{"address", classSource, "schema"} { // a fixed order, for the order of errors
 		q.rules[kind] = map[string]string{}
 		for _, rule := range v.blocks[kind] {
-			team := rule.texts["team"]
+			team := rule.strings["team"]
 			if !q.Attribution.Teams[team] {
-				diags = append(diags, complaint(rule.set["team"], "there is no team %q", team))
+				diags = append(diags, diagnosticf(rule.ranges["team"], "there is no team %q", team))
 			}
-			if err := put[kind](rule.label, team); err != nil {
-				diags = append(diags, complaint(rule.at, "%s %q: %v", kind, rule.label, err))
+			if err := addRule[kind](rule.label, team); err != nil {
+				diags = append(diags, diagnosticf(rule.header, "%s %q: %v", kind, rule.label, err))
 			}
 			q.rules[kind][rule.label] = team
 		}
@@ -122,16 +143,18 @@
 	return diags
 }
 
-// SameTree tells whether two have the same teams in the same places, and attribute requests in the same way.
-func (q *Quotas) SameTree(o *Quotas) bool {
-	return reflect.DeepEqual(q.parents(), o.parents()) && q.Default == o.Default && reflect.DeepEqual(q.rules, o.rules) &&
-		reflect.DeepEqual(q.Attribution.Order, o.Attribution.Order) && q.AgeMS == o.AgeMS
+// SameTree reports whether both blocks have the same teams with the same parents, the same attribution and the same
+// AgeMS. If so, they differ only in the limits and weights of teams, which can change without a restart.
+func (q *Quotas) SameTree(other *Quotas) bool {
+	return reflect.DeepEqual(q.parents(), other.parents()) && q.Default == other.Default &&
+		reflect.DeepEqual(q.rules, other.rules) && reflect.DeepEqual(q.Attribution.Order, other.Attribution.Order) &&
+		q.AgeMS == other.AgeMS
 }
 
-// parents lists each team with the one that it stands under.
-func (q *Quotas) parents() (list [][2]string) {
-	for _, t := range q.Teams {
-		list = append(list, [2]string{t.Name, t.Parent})
+// parents returns pairs of a team's name and its parent's name, in the order of the file.
+func (q *Quotas) parents() (pairs [][2]string) {
+	for _, team := range q.Teams {
+		pairs = append(pairs, [2]string{team.Name, team.Parent})
 	}
-	return list
+	return pairs
 }
--- a/internal/operatorconfig/schema.go
+++ b/internal/operatorconfig/schema.go
@@ -10,56 +10,63 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// field is one attribute that a block may have.
-type field struct {
-	name            string
-	was             string // its name of before, which goes on working; empty: none
-	kind            kind
-	min, max, usual float64
-	required        bool
-	help            string
+// fieldSchema describes one attribute of a block.
+type fieldSchema struct {
+	name       string
+	formerName string // still accepted; empty: none
+	kind       valueKind
+	// min and max limit a number; defaultValue is the number of a field that is not set.
+	min, max, defaultValue float64
+	required               bool
+	help                   string
 }
 
-// block is what may stand in a block.
-type block struct {
-	was    string // its name of before, which goes on working; empty: none
-	label  string // what its label is; empty: it has none, and stands once
-	fields []field
-	blocks map[string]*block
+// blockSchema describes a block.
+type blockSchema struct {
+	formerName string // still accepted; empty: none
+	label      string // meaning of the block's label; empty: the block has no label and occurs at most once
+	fields     []fieldSchema
+	blocks     map[string]*blockSchema
 }
 
-// values are what a block says, the usual ones filled in.
-type values struct {
+// blockValues holds the values of one block by their current names. Numbers that the file does not set have their
+// default value; other fields that are not set are missing.
+type blockValues struct {
 	label      string
-	at         hcl.Range
-	nums       map[string]float64
-	texts      map[string]string
+	header     hcl.Range
+	numbers    map[string]float64
+	strings    map[string]string
 	lists      map[string][]string
-	blocks     map[string][]values
-	set        map[string]hcl.Range // where a value stands
-	deprecated []string             // names of before that stand in the block itself
+	blocks     map[string][]blockValues
+	ranges     map[string]hcl.Range // position of each value that is set
+	deprecated []string             // former names used in the block itself
 }
 
-func newValues(b *block) values {
-	v := values{nums: map[string]float64{}, texts: map[string]string{}, lists: map[string][]string{}, blocks: map[string][]values{},
-		set: map[string]hcl.Range{}}
-	for _, f := range b.fields {
-		v.nums[f.name] = f.usual
+func newBlockValues(schema *blockSchema) blockValues {
+	v := blockValues{
+		numbers: map[string]float64{},
+		strings: map[string]string{},
+		lists:   map[string][]string{},
+		blocks:  map[string][]blockValues{},
+		ranges:  map[string]hcl.Range{},
+	}
+	for _, f := range schema.fields {
+		v.numbers[f.name] = f.defaultValue
 	}
 	return v
 }
 
-// only returns the block of a name that stands once, if it is there.
-func (v *values) only(name string) (values, bool) {
+// single returns the inner block of a name that occurs at most once, and whether it is there.
+func (v *blockValues) single(name string) (blockValues, bool) {
 	list := v.blocks[name]
 	if len(list) == 0 {
-		return values{}, false
+		return blockValues{}, false
 	}
 	return list[0], true
 }
 
-// allDeprecated returns the names of before in a block and in all within it, each once.
-func (v *values) allDeprecated() []string {
+// allDeprecated returns the former names used in a block and its inner blocks, sorted and without duplicates.
+func (v *blockValues) allDeprecated() []string {
 	list := slices.Clone(v.deprecated)
 	for _, name := range slices.Sorted(maps.Keys(v.blocks)) {
 		for k := range v.blocks[name] {
@@ -70,18 +77,18 @@
 	return slices.Compact(list)
 }
 
-// deprecation is how a name of before is told.
-func deprecation(was, now string) string { return fmt.Sprintf("%s (now %s)", was, now) }
+// deprecation formats an entry of File.Deprecated.
+func deprecation(former, current string) string { return fmt.Sprintf("%s (now %s)", former, current) }
 
-// errorOf turns diagnostics into an error of one line each.
-func errorOf(diags hcl.Diagnostics) error {
+// joinDiagnostics returns an error with one line for each diagnostic.
+func joinDiagnostics(diags hcl.Diagnostics) error {
 	var lines []error
 	for _, d := range diags {
-		at := ""
+		position := ""
 		if d.Subject != nil {
-			at = fmt.Sprintf("%s:%d:%d: ", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
+			position = fmt.Sprintf("%s:%d:%d: ", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
 		}
-		line := at + d.Summary
+		line := position + d.Summary
 		if d.Detail != "" {
 			line += ": " + d.Detail
 		}
@@ -90,26 +97,27 @@
 	return errors.Join(lines...)
 }
 
-func complaint(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
-	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at}
+// diagnosticf returns an error diagnostic about a range of the file.
+func diagnosticf(subject hcl.Range, format string, args ...any) *hcl.Diagnostic {
+	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &subject}
 }
 
-// schema is what the HCL library is to accept in a block.
-func (b *block) schema() *hcl.BodySchema {
+// bodySchema returns the HCL library's schema of a block, with current and former names.
+func (b *blockSchema) bodySchema() *hcl.BodySchema {
 	schema := &hcl.BodySchema{}
 	for _, f := range b.fields {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: f.name, Required: f.required})
-		if f.was != "" {
-			schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: f.was})
+		if f.formerName != "" {
+			schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: f.formerName})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.blocks)) {
 		inner := b.blocks[name]
-		for _, kind := range []string{name, inner.was} {
-			if kind == "" {
+		for _, blockType := range []string{name, inner.formerName} {
+			if blockType == "" {
 				continue
 			}
-			header := hcl.BlockHeaderSchema{Type: kind}
+			header := hcl.BlockHeaderSchema{Type: blockType}
 			if inner.label != "" {
 				header.LabelNames = []string{inner.label}
 			}
@@ -119,71 +127,72 @@
 	return schema
 }
 
-// today returns the name and the form of an inner block that may stand there under its name of before.
-func (b *block) today(kind string) (string, *block) {
-	if inner := b.blocks[kind]; inner != nil {
-		return kind, inner
+// innerBlock returns the current name and the schema of an inner block, given its current or former name.
+func (b *blockSchema) innerBlock(blockType string) (string, *blockSchema) {
+	if inner := b.blocks[blockType]; inner != nil {
+		return blockType, inner
 	}
 	for name, inner := range b.blocks {
-		if inner.was == kind {
+		if inner.formerName == blockType {
 			return name, inner
 		}
 	}
-	return kind, nil // the schema lets none of these through
+	return blockType, nil // unreachable: bodySchema admits no other name
 }
 
-// read reads a body against what may stand in it.
-func read(body hcl.Body, b *block) (values, hcl.Diagnostics) {
-	v := newValues(b)
-	content, diags := body.Content(b.schema())
-	for k := range b.fields {
-		diags = append(diags, v.readField(&b.fields[k], content.Attributes)...)
+// parseBody reads the fields and inner blocks of a body.
+func parseBody(body hcl.Body, schema *blockSchema) (blockValues, hcl.Diagnostics) {
+	v := newBlockValues(schema)
+	content, diags := body.Content(schema.bodySchema())
+	for k := range schema.fields {
+		diags = append(diags, v.readField(&schema.fields[k], content.Attributes)...)
 	}
 	for _, inner := range content.Blocks {
-		diags = append(diags, v.readBlock(b, inner)...)
+		diags = append(diags, v.readBlock(schema, inner)...)
 	}
 	return v, diags
 }
 
-// readField reads a field, under its name of today or of before.
-func (v *values) readField(f *field, attributes hcl.Attributes) hcl.Diagnostics {
-	a, old := attributes[f.name], attributes[f.was]
-	if a != nil && old != nil {
-		return hcl.Diagnostics{complaint(old.Range, "%s is the former name of %s, which stands here, too", f.was, f.name)}
+// readField reads a field under its current or former name, if it is set.
+func (v *blockValues) readField(f *fieldSchema, attributes hcl.Attributes) hcl.Diagnostics {
+	attribute, former := attributes[f.name], attributes[f.formerName]
+	if attribute != nil && former != nil {
+		return hcl.Diagnostics{diagnosticf(former.Range, "%s is the former name of %s, which is also set",
+			f.formerName, f.name)}
 	}
-	if old != nil {
-		v.deprecated = append(v.deprecated, deprecation(f.was, f.name))
-		a = old
+	if former != nil {
+		v.deprecated = append(v.deprecated, deprecation(f.formerName, f.name))
+		attribute = former
 	}
-	if a == nil {
+	if attribute == nil {
 		return nil
 	}
-	v.set[f.name] = a.Expr.Range()
-	x, diags := a.Expr.Value(nil)
+	v.ranges[f.name] = attribute.Expr.Range()
+	value, diags := attribute.Expr.Value(nil)
 	if diags.HasErrors() {
 		return diags
 	}
-	if d := f.take(v, x, a.Expr.Range()); d != nil {
+	if d := f.parseValue(v, value, attribute.Expr.Range()); d != nil {
 		diags = append(diags, d)
 	}
 	return diags
 }
 
-// readBlock reads an inner block, under its name of today or of before.
-func (v *values) readBlock(b *block, in *hcl.Block) hcl.Diagnostics {
-	name, form := b.today(in.Type)
-	if name != in.Type {
-		v.deprecated = append(v.deprecated, deprecation(in.Type, name))
+// readBlock reads an inner block under its current or former name.
+func (v *blockValues) readBlock(outer *blockSchema, block *hcl.Block) hcl.Diagnostics {
+	name, schema := outer.innerBlock(block.Type)
+	if name != block.Type {
+		v.deprecated = append(v.deprecated, deprecation(block.Type, name))
 	}
-	inner, diags := read(in.Body, form)
-	inner.at = in.DefRange
-	if len(in.Labels) > 0 {
-		inner.label = in.Labels[0]
+	inner, diags := parseBody(block.Body, schema)
+	inner.header = block.DefRange
+	if len(block.Labels) > 0 {
+		inner.label = block.Labels[0]
 	}
-	twice := slices.ContainsFunc(v.blocks[name], func(o values) bool { return o.label == inner.label })
-	if twice {
+	duplicate := slices.ContainsFunc(v.blocks[name], func(other blockValues) bool { return other.label == inner.label })
+	if duplicate {
 		title := strings.TrimSpace(name + " " + inner.label)
-		return append(diags, complaint(in.DefRange, "block %s stands here a second time", title))
+		return append(diags, diagnosticf(block.DefRange, "duplicate block %s", title))
 	}
 	v.blocks[name] = append(v.blocks[name], inner)
 	return diags
