--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,6 +1,9 @@
-// Package adminapi is the operators' administrative interface to a running controller: gRPC with protobuf messages over a Unix socket
-// that only its owner may open. It owns the socket and the form of questions and replies; it decides nothing and reads no state of the
-// controller.
+// Package adminapi is the operators' administrative interface to a running controller: gRPC with protobuf messages over
+// a Unix socket that only its owner may open. It has the server and the client of this control socket, the messages and
+// their encoding. A controller provides the handlers.
+//
+// All operations use one gRPC method, whose request and reply are a protobuf Struct. The request names the operation in
+// its field "question".
 package adminapi
 
 import (
@@ -19,96 +22,113 @@
 )
 
 const (
-	service            = "liftshift.Control"
-	method             = "Ask"
+	serviceName        = "liftshift.Control"
+	methodName         = "Ask"
+	operationField     = "question"
 	maxMessageBytes    = 4 << 20
 	callTimeout        = 5 * time.Second
 	maxConcurrentCalls = 16
 )
 
-// Handler answers one question, given by its name, with its fields. An error of the caller is a RequestError.
-type Handler func(ctx context.Context, question string, fields map[string]any) (map[string]any, error)
+// Handler carries out an operation and returns the fields of the reply. It returns a RequestError if the request is
+// invalid; any other error means that the controller cannot serve it now.
+type Handler func(ctx context.Context, operation string, fields map[string]any) (map[string]any, error)
 
-// RequestError is an error in a request: the caller can correct it.
+// RequestError is an error in a request, which the caller can correct. It keeps its type across the socket.
 type RequestError struct{ error }
 
-// RequestErrorf makes one.
+// RequestErrorf returns a RequestError with a formatted message.
 func RequestErrorf(format string, args ...any) error {
 	return RequestError{fmt.Errorf(format, args...)}
 }
 
-// Server is a control socket that is open.
+// Server serves a control socket.
 type Server struct {
 	grpc *grpc.Server
 	path string
 }
 
-type asker interface {
+// controlServer is the server interface of the gRPC service.
+type controlServer interface {
 	ask(ctx context.Context, in *structpb.Struct) (*structpb.Struct, error)
 }
 
-type handling struct{ handle Handler }
+// handlerServer implements controlServer by a Handler.
+type handlerServer struct{ handle Handler }
 
-func (h handling) ask(ctx context.Context, in *structpb.Struct) (*structpb.Struct, error) {
+func (s handlerServer) ask(ctx context.Context, in *structpb.Struct) (*structpb.Struct, error) {
 	fields := in.AsMap()
-	question, _ := fields["question"].(string)
-	delete(fields, "question")
-	answer, err := h.handle(ctx, question, fields)
-	var wrong RequestError
+	operation, _ := fields[operationField].(string)
+	delete(fields, operationField)
+	reply, err := s.handle(ctx, operation, fields)
+	var requestError RequestError
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &requestError):
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	case err != nil:
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return structpb.NewStruct(answer)
+	return structpb.NewStruct(reply)
 }
 
-var desc = grpc.ServiceDesc{ServiceName: service, HandlerType: (*asker)(nil), Metadata: "liftshift/control", Methods: []grpc.MethodDesc{
-	{MethodName: method, Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-		in := &structpb.Struct{}
-		if err := decode(in); err != nil {
-			return nil, err
-		}
-		return srv.(asker).ask(ctx, in)
-	}}}}
+var serviceDesc = grpc.ServiceDesc{
+	ServiceName: serviceName,
+	HandlerType: (*controlServer)(nil),
+	Metadata:    "liftshift/control",
+	Methods:     []grpc.MethodDesc{{MethodName: methodName, Handler: handleAsk}},
+}
+
+func handleAsk(
+	server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor,
+) (any, error) {
+	in := &structpb.Struct{}
+	if err := decode(in); err != nil {
+		return nil, err
+	}
+	return server.(controlServer).ask(ctx, in)
+}
 
-// ErrInUse is returned where another process serves the socket.
+// ErrInUse is returned by Serve if another process serves the socket.
 var ErrInUse = errors.New("in use by another process")
 
-// Serve opens a control socket at a path. A socket that a dead controller left there is removed; one that answers is not.
+// Serve opens a control socket at a path. It replaces a socket that nobody listens on, and returns ErrInUse for one
+// that accepts connections.
 func Serve(path string, handle Handler) (*Server, error) {
-	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		_ = c.Close()
+	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
+		_ = conn.Close()
 		return nil, fmt.Errorf("control: %s: %w", path, ErrInUse)
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("control: %s is there and no socket", path)
+			return nil, fmt.Errorf("control: %s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("control: %w", err)
 		}
 	}
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		return nil, errors.Join(fmt.Errorf("control: %w", err), l.Close())
+		return nil, errors.Join(fmt.Errorf("control: %w", err), listener.Close())
 	}
-	s := &Server{path: path, grpc: grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxConcurrentCalls),
-		grpc.ConnectionTimeout(callTimeout))}
-	s.grpc.RegisterService(&desc, handling{handle})
-	go func() { _ = s.grpc.Serve(l) }()
+	s := &Server{path: path, grpc: grpc.NewServer(
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.MaxConcurrentStreams(maxConcurrentCalls),
+		grpc.ConnectionTimeout(callTimeout),
+	)}
+	s.grpc.RegisterService(&serviceDesc, handlerServer{handle})
+	go func() { _ = s.grpc.Serve(listener) }()
 	return s, nil
 }
 
-// Close ends all calls and closes the socket.
+// Close cancels all calls and closes the socket.
 func (s *Server) Close() { s.grpc.Stop() }
 
-// Call asks the controller behind a path a question in its wire form; Ask is the typed one.
-func Call(ctx context.Context, path, question string, fields map[string]any) (map[string]any, error) {
+// Call calls an operation of the controller whose control socket is at a path, with the fields of the wire. Ask does
+// the same with typed messages.
+func Call(ctx context.Context, path, operation string, fields map[string]any) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := grpc.NewClient("unix:"+path, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -117,16 +137,16 @@
 		return nil, err
 	}
 	defer conn.Close()
-	all := map[string]any{"question": question}
-	for k, v := range fields {
-		all[k] = v
+	request := map[string]any{operationField: operation}
+	for name, value := range fields {
+		request[name] = value
 	}
-	in, err := structpb.NewStruct(all)
+	in, err := structpb.NewStruct(request)
 	if err != nil {
 		return nil, err
 	}
 	out := &structpb.Struct{}
-	if err := conn.Invoke(ctx, "/"+service+"/"+method, in, out); err != nil {
+	if err := conn.Invoke(ctx, "/"+serviceName+"/"+methodName, in, out); err != nil {
 		if s, ok := status.FromError(err); ok && s.Code() == codes.InvalidArgument {
 			return nil, RequestError{errors.New(s.Message())}
 		}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestServer_AnswersItsOwner(t *testing.T) {
+func TestServer_ServesCallsUntilClosed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	handle := func(_ context.Context, question string, fields map[string]any) (map[string]any, error) {
-		switch question {
+	handle := func(_ context.Context, operation string, fields map[string]any) (map[string]any, error) {
+		switch operation {
 		case "say":
 			return map[string]any{"said": fields["what"]}, nil
 		case "fail":
 			return nil, errors.New("not now")
 		}
-		return nil, RequestErrorf("no question %q", question)
+		return nil, RequestErrorf("no question %q", operation)
 	}
 	s, err := Serve(path, handle)
 	require.NoError(t, err)
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
-	a, err := Call(t.Context(), path, "say", map[string]any{"what": []any{"x", 1.5}})
+	reply, err := Call(t.Context(), path, "say", map[string]any{"what": []any{"x", 1.5}})
 	require.NoError(t, err)
-	assert.Equal(t, map[string]any{"said": []any{"x", 1.5}}, a)
+	assert.Equal(t, map[string]any{"said": []any{"x", 1.5}}, reply)
 	_, err = Call(t.Context(), path, "odd", nil)
 	assert.ErrorAs(t, err, &RequestError{})
 	_, err = Call(t.Context(), path, "fail", nil)
@@ -41,6 +41,6 @@
 	assert.Error(t, err)
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Serve(path, handle)
-	assert.ErrorContains(t, err, "no socket")
-	assert.FileExists(t, path, "what is not ours stays")
+	assert.ErrorContains(t, err, "not a socket")
+	assert.FileExists(t, path, "a file that is not a socket must not be removed")
 }
--- a/internal/adminapi/encoding.go
+++ b/internal/adminapi/encoding.go
@@ -8,18 +8,19 @@
 	"unicode"
 )
 
-// encoding writes messages as maps.
+// encoding converts messages to maps.
 type encoding struct {
-	name   func(reflect.StructField) (name string, omitEmpty bool)
-	number func(float64) any
+	fieldName func(reflect.StructField) (name string, omitEmpty bool)
+	number    func(float64) any
 }
 
-// wireEncoding has the names of the json tags, and numbers as structpb takes them.
-var wireEncoding = encoding{name: wireName, number: func(n float64) any { return n }}
+// wireEncoding uses the names of the json tags. It leaves infinities and NaN to structpb, which can encode them.
+var wireEncoding = encoding{fieldName: wireName, number: func(n float64) any { return n }}
 
-// descriptiveEncoding has the names of the Go fields, as commands print them, and a text for a number that JSON does not have.
+// descriptiveEncoding uses the names of the Go fields in snake case, as commands print them, and strings for numbers
+// that JSON lacks.
 var descriptiveEncoding = encoding{
-	name: func(f reflect.StructField) (string, bool) { return snakeCase(f.Name), false },
+	fieldName: func(f reflect.StructField) (string, bool) { return snakeCase(f.Name), false },
 	number: func(n float64) any {
 		if math.IsInf(n, 0) || math.IsNaN(n) {
 			return fmt.Sprint(n)
@@ -28,10 +29,11 @@
 	},
 }
 
-// Describe returns the fields of a message for people and scripts: under the names of the Go fields in snake case.
+// Describe returns the fields of a message as commands print them: under the names of the Go fields in snake case.
 func Describe(message any) map[string]any { return descriptiveEncoding.message(message) }
 
-// encode returns the fields of a message for the wire. A list that is nil is an empty one; a pointer that is nil is left out.
+// encode returns the fields of a message for the wire. A nil slice is encoded as an empty list; a nil pointer is left
+// out.
 func encode(message any) map[string]any { return wireEncoding.message(message) }
 
 func (e encoding) message(message any) map[string]any {
@@ -42,18 +44,18 @@
 
 func (e encoding) structFields(v reflect.Value, fields map[string]any) {
 	for k := range v.NumField() {
-		f, value := v.Type().Field(k), v.Field(k)
+		field, value := v.Type().Field(k), v.Field(k)
 		if value.Kind() == reflect.Pointer {
 			if value.IsNil() {
 				continue
 			}
 			value = value.Elem()
 		}
-		if f.Anonymous {
+		if field.Anonymous {
 			e.structFields(value, fields)
 			continue
 		}
-		name, omitEmpty := e.name(f)
+		name, omitEmpty := e.fieldName(field)
 		if omitEmpty && v.Field(k).IsZero() {
 			continue
 		}
@@ -84,10 +86,11 @@
 	case reflect.Float64:
 		return e.number(v.Float())
 	}
-	panic(fmt.Sprintf("adminapi: a message has a field of type %v", v.Type())) // of this package's types alone
+	// Messages are types of this package, so this is a programming error.
+	panic(fmt.Sprintf("adminapi: cannot encode a message field of type %v", v.Type()))
 }
 
-// snakeCase returns a Go name in snake case; a run of capitals is one word, as in WorkMS.
+// snakeCase converts a Go name to snake case. A run of capitals is one word: WorkMS becomes work_ms.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for k, c := range name {
@@ -99,34 +102,35 @@
 	return b.String()
 }
 
-// decode sets the fields of a message that are there. A field that is missing or null keeps its zero value, as tools and controllers of
-// two versions may meet; one of another type is an error that names it.
+// decode sets the fields of a message. A field that is missing or null keeps its zero value, and unknown ones are
+// ignored, so that tools and controllers of different versions work together. A value of the wrong type is an error
+// that names the field.
 func decode(fields map[string]any, message any) error {
 	return decodeStruct(fields, reflect.ValueOf(message).Elem())
 }
 
 func decodeStruct(fields map[string]any, v reflect.Value) error {
 	for k := range v.NumField() {
-		f, value := v.Type().Field(k), v.Field(k)
-		if f.Anonymous {
+		field, value := v.Type().Field(k), v.Field(k)
+		if field.Anonymous {
 			if err := decodeStruct(fields, target(value)); err != nil {
 				return err
 			}
 			continue
 		}
-		name, _ := wireName(f)
-		x := fields[name]
-		if x == nil {
+		name, _ := wireName(field)
+		encoded := fields[name]
+		if encoded == nil {
 			continue
 		}
-		if err := decodeValue(x, target(value)); err != nil {
+		if err := decodeValue(encoded, target(value)); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// target returns what a field holds, allocated if it is behind a pointer.
+// target returns the value to decode into: the field itself, or a new value that the pointer in the field points to.
 func target(v reflect.Value) reflect.Value {
 	if v.Kind() != reflect.Pointer {
 		return v
@@ -135,8 +139,9 @@
 	return v.Elem()
 }
 
-func decodeValue(x any, v reflect.Value) error {
-	switch x := x.(type) {
+// decodeValue sets v to a value of the wire.
+func decodeValue(encoded any, v reflect.Value) error {
+	switch x := encoded.(type) {
 	case bool:
 		if v.Kind() == reflect.Bool {
 			v.SetBool(x)
@@ -147,7 +152,7 @@
 			v.SetString(x)
 			return nil
 		}
-		if n, ok := notFinite[x]; ok && v.Kind() == reflect.Float64 {
+		if n, ok := nonFinite[x]; ok && v.Kind() == reflect.Float64 {
 			v.SetFloat(n)
 			return nil
 		}
@@ -162,11 +167,11 @@
 			return decodeStruct(x, v)
 		}
 	}
-	return fmt.Errorf("%v is no %v", x, v.Type())
+	return fmt.Errorf("%v is no %v", encoded, v.Type())
 }
 
-// notFinite has the texts that structpb gives for numbers which JSON does not have.
-var notFinite = map[string]float64{"Infinity": math.Inf(1), "-Infinity": math.Inf(-1), "NaN": math.NaN()}
+// nonFinite maps structpb's strings for the numbers that JSON lacks.
+var nonFinite = map[string]float64{"Infinity": math.Inf(1), "-Infinity": math.Inf(-1), "NaN": math.NaN()}
 
 func decodeNumber(x float64, v reflect.Value) error {
 	switch v.Kind() {
@@ -182,10 +187,10 @@
 	return nil
 }
 
-func decodeList(x []any, v reflect.Value) error {
-	list := reflect.MakeSlice(v.Type(), len(x), len(x))
-	for k := range x {
-		if err := decodeValue(x[k], list.Index(k)); err != nil {
+func decodeList(elements []any, v reflect.Value) error {
+	list := reflect.MakeSlice(v.Type(), len(elements), len(elements))
+	for k := range elements {
+		if err := decodeValue(elements[k], list.Index(k)); err != nil {
 			return err
 		}
 	}
@@ -193,7 +198,7 @@
 	return nil
 }
 
-// wireName returns the name of a field on the wire.
+// wireName returns the name of a field on the wire and whether its zero value is left out, by the json tag.
 func wireName(f reflect.StructField) (name string, omitEmpty bool) {
 	name, options, _ := strings.Cut(f.Tag.Get("json"), ",")
 	return name, options == "omitempty"
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden holds bytes against a file of testdata/golden, and gives what the file has.
-func golden(t *testing.T, name string, got []byte) []byte {
+// assertGolden compares bytes with a file of testdata/golden and returns the content of the file.
+func assertGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -31,51 +31,57 @@
 	return want
 }
 
-func bytesOf(t *testing.T, m proto.Message) []byte {
+func marshal(t *testing.T, m proto.Message) []byte {
 	t.Helper()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	require.NoError(t, err)
 	return data
 }
 
-// A server that knows the service by its names alone gets a question with the bytes that it had, and the client reads the answer that
-// was; this package's server reads that question, and answers with the same bytes.
+// The client sends the recorded request bytes to a server built from the service's names alone, and reads its reply.
+// This package's server reads the recorded request and replies with the recorded bytes.
 func TestGolden_ControlAsk(t *testing.T) {
-	given := map[string]any{"what": []any{"x", 1.5, true, nil}, "inner": map[string]any{"k": "v"}}
-	said := map[string]any{"said": "yes", "number": 2.0, "list": []any{"y"}}
-	question, answer := &structpb.Struct{}, &structpb.Struct{}
+	requestFields := map[string]any{"what": []any{"x", 1.5, true, nil}, "inner": map[string]any{"k": "v"}}
+	replyFields := map[string]any{"said": "yes", "number": 2.0, "list": []any{"y"}}
+	request, reply := &structpb.Struct{}, &structpb.Struct{}
 	path := filepath.Join(t.TempDir(), "s")
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	require.NoError(t, err)
+	recordRequest := func(
+		_ any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor,
+	) (any, error) {
+		if err := decode(request); err != nil {
+			return nil, err
+		}
+		return structpb.NewStruct(replyFields)
+	}
 	server := grpc.NewServer()
-	server.RegisterService(&grpc.ServiceDesc{ServiceName: "liftshift.Control", HandlerType: (*any)(nil), Methods: []grpc.MethodDesc{
-		{MethodName: "Ask", Handler: func(_ any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
-			if err := decode(question); err != nil {
-				return nil, err
-			}
-			return structpb.NewStruct(said)
-		}}}}, struct{}{})
-	go func() { _ = server.Serve(l) }()
+	server.RegisterService(&grpc.ServiceDesc{
+		ServiceName: "liftshift.Control",
+		HandlerType: (*any)(nil),
+		Methods:     []grpc.MethodDesc{{MethodName: "Ask", Handler: recordRequest}},
+	}, struct{}{})
+	go func() { _ = server.Serve(listener) }()
 	defer server.Stop()
-	got, err := Call(t.Context(), path, "say", given)
+	got, err := Call(t.Context(), path, "say", requestFields)
 	require.NoError(t, err)
-	assert.Equal(t, said, got)
+	assert.Equal(t, replyFields, got)
 
-	require.NoError(t, proto.Unmarshal(golden(t, "question.pb", bytesOf(t, question)), question))
-	out, err := handling{func(_ context.Context, name string, fields map[string]any) (map[string]any, error) {
-		assert.Equal(t, "say", name)
-		assert.Equal(t, given, fields)
-		return said, nil
-	}}.ask(t.Context(), question)
+	require.NoError(t, proto.Unmarshal(assertGolden(t, "question.pb", marshal(t, request)), request))
+	out, err := handlerServer{func(_ context.Context, operation string, fields map[string]any) (map[string]any, error) {
+		assert.Equal(t, "say", operation)
+		assert.Equal(t, requestFields, fields)
+		return replyFields, nil
+	}}.ask(t.Context(), request)
 	require.NoError(t, err)
-	require.NoError(t, proto.Unmarshal(golden(t, "answer.pb", bytesOf(t, out)), answer))
-	assert.Equal(t, said, answer.AsMap())
+	require.NoError(t, proto.Unmarshal(assertGolden(t, "answer.pb", marshal(t, out)), reply))
+	assert.Equal(t, replyFields, reply.AsMap())
 }
 
-// The service and its method are called as they were.
+// The names of the service and its method are part of the protocol.
 func TestGolden_ControlNames(t *testing.T) {
-	assert.Equal(t, "liftshift.Control", desc.ServiceName)
-	require.Len(t, desc.Methods, 1)
-	assert.Equal(t, "Ask", desc.Methods[0].MethodName)
-	assert.Empty(t, desc.Streams)
+	assert.Equal(t, "liftshift.Control", serviceDesc.ServiceName)
+	require.Len(t, serviceDesc.Methods, 1)
+	assert.Equal(t, "Ask", serviceDesc.Methods[0].MethodName)
+	assert.Empty(t, serviceDesc.Streams)
 }
--- a/internal/adminapi/messages.go
+++ b/internal/adminapi/messages.go
@@ -1,7 +1,7 @@
 package adminapi
 
-// The questions that a controller answers. Their names and the names of all fields below are the wire of the control socket: tools of
-// other versions read them.
+// The operations of the control socket. Their names and the JSON names of the fields below are part of its protocol,
+// which controllers and tools of other versions use, too. Commands also print the Go names of the fields; see Describe.
 const (
 	QuestionMembers       = "members"
 	QuestionMemberExplain = "members explain"
@@ -20,24 +20,25 @@
 	QuestionSetQuota      = "set"
 )
 
-// NameRequest names what a question is about: a member, a request or an idempotency key.
+// NameRequest names the subject of an operation: a member, a request or an idempotency key. Author is the operator's
+// user name where the operation is an order.
 type NameRequest struct {
 	Name   string `json:"name"`
 	Author string `json:"who,omitempty"`
 }
 
-// Accepted is the reply to what was taken on and shows later.
+// Accepted is the reply to an order that is carried out after the reply.
 type Accepted struct {
 	Accepted bool `json:"asked"`
 }
 
-// MembersReply is the membership view of one controller.
+// MembersReply holds the membership view of one controller and the counters of its gossip.
 type MembersReply struct {
 	Cluster    string   `json:"fleet"`
 	Self       string   `json:"self"`
 	Members    []Member `json:"members"`
 	Present    float64  `json:"present"` // controllers that share the executors
-	Slowness   int      `json:"slow"`
+	Slowness   int      `json:"slow"`    // this controller's own health score; 0: healthy
 	Probes     uint64   `json:"probes"`
 	Unanswered uint64   `json:"unanswered"`
 	Sent       uint64   `json:"sent"`
@@ -49,8 +50,8 @@
 // Member is one member of the membership view.
 type Member struct {
 	Name        string   `json:"name"`
-	Incarnation string   `json:"life"` // a text, as JSON numbers hold no 64 bits
-	Refutation  uint64   `json:"incarnation"`
+	Incarnation string   `json:"life"`        // decimal; a JSON number would lose digits of 64 bits
+	Refutation  uint64   `json:"incarnation"` // number of the member's latest refutation of a suspicion
 	State       string   `json:"phase"`
 	Flags       []string `json:"marks"`
 	Address     string   `json:"address"`
@@ -60,7 +61,7 @@
 	InStateMS   float64  `json:"for_ms"`
 }
 
-// MemberExplanation is what was observed of a member.
+// MemberExplanation holds the state of a member and the observations behind it.
 type MemberExplanation struct {
 	Name        string     `json:"name"`
 	State       string     `json:"phase"`
@@ -79,11 +80,11 @@
 	Reporter    string  `json:"who"`
 }
 
-// ConsensusReply is how a member stands to the consensus group, and the record that is agreed.
+// ConsensusReply holds a member's state in the consensus group and the group's agreed record.
 type ConsensusReply struct {
 	Formed       bool           `json:"founded"`
 	Voter        bool           `json:"voter"`
-	Failed       bool           `json:"broken"`
+	Failed       bool           `json:"broken"` // this voter cannot go on
 	Leader       string         `json:"leader"`
 	Term         uint64         `json:"term"`
 	Commit       uint64         `json:"commit"`
@@ -103,7 +104,7 @@
 	ID    string `json:"id"`
 }
 
-// AgreedMember is one member in the record that is agreed.
+// AgreedMember is one member in the agreed record.
 type AgreedMember struct {
 	Name           string `json:"name"`
 	Incarnation    string `json:"life"`
@@ -112,13 +113,13 @@
 	LeftGracefully bool   `json:"left"`
 }
 
-// ReplaceVoterRequest has one voter replaced by another member.
+// ReplaceVoterRequest orders that the voter From is replaced by the member To.
 type ReplaceVoterRequest struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// HandoffReply is what a controller keeps for others, and what is agreed on replicas and adoption claims.
+// HandoffReply holds what a controller stores for others, and the agreed replicas and adoption claims.
 type HandoffReply struct {
 	HandoffCounts
 	*PlacementSummary                    // nil: nothing is agreed yet
@@ -128,7 +129,7 @@
 	Orphaned          []OrphanedCopies   `json:"orphans"`
 }
 
-// PlacementSummary sums up the agreed placement of replicas.
+// PlacementSummary summarizes the agreed placement of replicas.
 type PlacementSummary struct {
 	CopiesWanted      int    `json:"copies_wanted"`
 	Version           uint64 `json:"version"`
@@ -137,7 +138,8 @@
 	PartitionsSettled int    `json:"parts_settled"`
 }
 
-// HandoffCounts count what a controller did as owner, replica and successor. CopiesReceived = Settled + Adopted + Failed + Dropped + Open.
+// HandoffCounts counts what a controller did as owner, replica and successor.
+// CopiesReceived = Settled + Adopted + Failed + Dropped + Open.
 type HandoffCounts struct {
 	CopiesStored         int    `json:"copies"`
 	Open                 uint64 `json:"open"`
@@ -149,11 +151,11 @@
 	OwnedRequests        int    `json:"mine"`
 	SuspendedRequests    int    `json:"waiting"`
 	Registered           uint64 `json:"registered"`
-	Waited               uint64 `json:"waited"`
+	Waited               uint64 `json:"waited"` // requests that waited for another with the same idempotency key
 	AnsweredFromCopy     uint64 `json:"told"`
-	Refused              uint64 `json:"refused"`
-	Withheld             uint64 `json:"withheld"`
-	AttemptsUnreplicated uint64 `json:"alone"`
+	Refused              uint64 `json:"refused"`  // requests rejected as too few replicas could be reached
+	Withheld             uint64 `json:"withheld"` // attempts that were not sent
+	AttemptsUnreplicated uint64 `json:"alone"`    // attempts sent without any replica
 	AdoptionClaims       uint64 `json:"claims"`
 	AdoptionsStarted     uint64 `json:"taken"`
 	AdoptionsDone        uint64 `json:"taken_done"`
@@ -168,13 +170,13 @@
 	DatagramsUnanswered  uint64 `json:"datagrams_unanswered"`
 }
 
-// MemberPartitions is in how many partitions a member is a replica.
+// MemberPartitions holds the number of partitions of which a member is a replica.
 type MemberPartitions struct {
 	Member     string `json:"member"`
 	Partitions int    `json:"parts"`
 }
 
-// AdoptionClaim is who takes over how many partitions of a lost member's requests.
+// AdoptionClaim holds the successor that adopts a lost member's requests, and in how many partitions.
 type AdoptionClaim struct {
 	Member      string `json:"member"`
 	Incarnation string `json:"life"`
@@ -182,18 +184,18 @@
 	Partitions  int    `json:"parts"`
 }
 
-// OrphanedCopies is how many open requests of a lost member are kept here.
+// OrphanedCopies holds the number of open requests of a lost member that this controller has copies of.
 type OrphanedCopies struct {
 	Member string `json:"member"`
 	Copies int    `json:"copies"`
 }
 
-// CopiesReply is what a controller knows of one request.
+// CopiesReply holds the copies that a controller has of one request.
 type CopiesReply struct {
 	Copies []Copy `json:"copies"`
 }
 
-// Copy is a copy of a request.
+// Copy describes a copy of a request.
 type Copy struct {
 	ID             string  `json:"id"`
 	IdempotencyKey string  `json:"mark"`
@@ -203,14 +205,14 @@
 	Incarnation    string  `json:"life"`
 	Sequence       uint64  `json:"number"`
 	Outcome        string  `json:"outcome"`
-	RunState       string  `json:"ran"`
+	RunState       string  `json:"ran"` // whether an attempt ran or may have run, as a sentence
 	Zone           string  `json:"place"`
-	LeftMS         float64 `json:"left_ms"`
+	LeftMS         float64 `json:"left_ms"` // until the request's deadline
 	AnswerKept     bool    `json:"answer"`
 	InFlightHere   bool    `json:"in_hand_here"`
 }
 
-// LocalityReply is the agreed plan between zones and this controller's part in it.
+// LocalityReply holds the agreed plan between zones and this controller's part in it.
 type LocalityReply struct {
 	Plan         uint64       `json:"plan"`
 	Leader       string       `json:"leader"`
@@ -220,27 +222,27 @@
 	Orders       []ZoneOrder  `json:"orders"`
 	Reaches      []ZoneReach  `json:"reaches"`
 	Reports      []ZoneReport `json:"reports"`
-	Explanations []string     `json:"lines"`
+	Explanations []string     `json:"lines"` // of the latest plan; empty except at the leader
 }
 
-// Zone is how a zone stands.
+// Zone is the state of a zone.
 type Zone struct {
 	Name        string  `json:"zone"`
 	Region      string  `json:"region"`
 	State       string  `json:"state"`
 	Stage       int     `json:"stage"`
-	Flaps       int     `json:"flaps"`
+	Flaps       int     `json:"flaps"` // consecutive losses, each soon after the one before
 	Cores       float64 `json:"cores"`
 	Controllers int     `json:"controllers"`
 	Reason      string  `json:"why"`
 }
 
-// ZonePair is what may go from one zone to another.
+// ZonePair limits the threads that requests of one zone may use in another.
 type ZonePair struct {
 	From   string  `json:"from"`
 	To     string  `json:"to"`
 	Cap    float64 `json:"cap"`
-	Shares int     `json:"parts"`
+	Shares int     `json:"parts"` // controllers among which the cap is divided
 }
 
 // ZoneOrder is an operator's order in force.
@@ -252,23 +254,23 @@
 	Until  string `json:"until"`
 }
 
-// ZoneReach is how far this controller's requests may go.
+// ZoneReach limits what this controller may send to a zone.
 type ZoneReach struct {
 	Zone       string  `json:"zone"`
-	Tier       int     `json:"tier"`
+	Tier       int     `json:"tier"` // order of preference
 	Threads    float64 `json:"threads"`
 	LatencyMS  float64 `json:"way_ms"`
 	MinDensity float64 `json:"least"`
 }
 
-// ZoneReport sums up what a zone's controllers report.
+// ZoneReport summarizes what a zone's controllers report.
 type ZoneReport struct {
 	Zone          string  `json:"zone"`
-	Observers     int     `json:"voices"`
+	Observers     int     `json:"voices"` // controllers that report
 	DemandThreads float64 `json:"wants"`
 }
 
-// ZoneOrderRequest gives an order about a zone.
+// ZoneOrderRequest gives an operator's order about a zone. For is a Go duration; some orders need none.
 type ZoneOrderRequest struct {
 	Kind   string `json:"kind"`
 	Zone   string `json:"zone"`
@@ -277,7 +279,7 @@
 	Author string `json:"who"`
 }
 
-// ZoneOrderReply says until when an order holds.
+// ZoneOrderReply holds the time until which an order is in force.
 type ZoneOrderReply struct {
 	Accepted bool   `json:"asked"`
 	Until    string `json:"until"`
@@ -288,27 +290,27 @@
 	Zone string `json:"zone"`
 }
 
-// LinesReply is a text, line by line.
+// LinesReply holds the lines of a text.
 type LinesReply struct {
 	Lines []string `json:"lines"`
 }
 
-// QuotasReply is how all teams stand.
+// QuotasReply holds the state of all teams and the counters of the team queues.
 type QuotasReply struct {
 	Teams     []Team  `json:"teams"`
-	Share     float64 `json:"part"` // of every ceiling, this controller's
-	Offered   uint64  `json:"offered"`
-	Aged      uint64  `json:"aged"`
-	Capped    uint64  `json:"pressed"`
-	Uncapped  uint64  `json:"eased"`
-	Overdue   uint64  `json:"overdue"`
-	Overflow  uint64  `json:"overflow"`
-	Unknown   uint64  `json:"unknown"`
-	Queued    int     `json:"queued"`
-	LongestMS float64 `json:"longest_ms"`
-}
-
-// Team is how one team stands.
+	Share     float64 `json:"part"`       // this controller's share of each ceiling
+	Offered   uint64  `json:"offered"`    // requests passed from a team queue to the scheduler
+	Aged      uint64  `json:"aged"`       // requests taken out of turn because of their wait
+	Capped    uint64  `json:"pressed"`    // times that a request's priority was capped
+	Uncapped  uint64  `json:"eased"`      // times that such a cap was lifted
+	Overdue   uint64  `json:"overdue"`    // requests passed on despite a limit, as they could wait no longer
+	Overflow  uint64  `json:"overflow"`   // requests that found their team's queue full
+	Unknown   uint64  `json:"unknown"`    // requests that named a team that does not exist
+	Queued    int     `json:"queued"`     // requests in the team queues
+	LongestMS float64 `json:"longest_ms"` // longest wait so far
+}
+
+// Team is the state and limits of one team.
 type Team struct {
 	Name        string  `json:"team"`
 	Parent      string  `json:"parent"`
@@ -318,23 +320,24 @@
 	Threads     float64 `json:"threads"`
 	FairShare   float64 `json:"due"`
 	MemoryMB    float64 `json:"memory_mb"`
-	WorkMS      float64 `json:"work_ms"`
-	Blocked     string  `json:"blocked"`
-	OldestMS    float64 `json:"oldest_ms"`
-	BoundMS     float64 `json:"bound_ms"`
-	Borrows     float64 `json:"borrows"`
-	Lends       float64 `json:"lends"`
-	Capped      int     `json:"pressed"`
+	WorkMS      float64 `json:"work_ms"`   // work done, in milliseconds of one thread
+	Blocked     string  `json:"blocked"`   // limit that the team has reached; empty: none
+	OldestMS    float64 `json:"oldest_ms"` // wait of its oldest queued request
+	BoundMS     float64 `json:"bound_ms"`  // longest wait expected for a request that arrives now
+	Borrows     float64 `json:"borrows"`   // threads above its fair share
+	Lends       float64 `json:"lends"`     // threads of its fair share that others use
+	Capped      int     `json:"pressed"`   // requests with a capped priority
 	Ceiling     float64 `json:"ceiling"`
 	MaxInFlight int     `json:"searches"`
 }
 
-// WaitsReply is how well the waits told to clients held.
+// WaitsReply holds the accuracy of the wait estimates given to clients.
 type WaitsReply struct {
 	Waits []WaitAccuracy `json:"waits"`
 }
 
-// WaitAccuracy is that of one team and request class.
+// WaitAccuracy holds how many estimates of the start and of the end of requests were given for one team and request
+// class, and how many of these requests started and ended within the estimate.
 type WaitAccuracy struct {
 	Team         string `json:"team"`
 	Class        string `json:"offering"`
@@ -344,17 +347,17 @@
 	EndsWithin   uint64 `json:"ends_kept"`
 }
 
-// QueueExplainRequest names a request that waits.
+// QueueExplainRequest names a queued request.
 type QueueExplainRequest struct {
 	ID string `json:"id"`
 }
 
-// QueueExplainReply says why it waits.
+// QueueExplainReply holds the reason why a request is still queued.
 type QueueExplainReply struct {
 	Reason string `json:"why"`
 }
 
-// SetQuotaRequest changes limits of a team; those that are nil stay.
+// SetQuotaRequest changes limits of a team. A nil limit is left unchanged.
 type SetQuotaRequest struct {
 	Team     string   `json:"team"`
 	Author   string   `json:"who"`
@@ -366,7 +369,7 @@
 	Queue    *float64 `json:"queue,omitempty"`
 }
 
-// SetQuotaReply says whether the change lasts through a restart.
+// SetQuotaReply reports whether the change survives a restart.
 type SetQuotaReply struct {
 	Lasts bool `json:"lasts"`
 }
--- a/internal/adminapi/router.go
+++ b/internal/adminapi/router.go
@@ -5,17 +5,19 @@
 	"fmt"
 )
 
-// Router serves each question by a function of its own.
+// Router dispatches each operation to its own function.
 type Router struct {
 	routes map[string]Handler
 }
 
-// Handle has a question served by a function with typed requests and replies. It is called before Serve.
-func Handle[Request, Reply any](r *Router, question string, serve func(ctx context.Context, request Request) (Reply, error)) {
+// Handle registers a function with a typed request and reply for an operation. It must be called before Serve.
+func Handle[Request, Reply any](
+	r *Router, operation string, serve func(ctx context.Context, request Request) (Reply, error),
+) {
 	if r.routes == nil {
 		r.routes = map[string]Handler{}
 	}
-	r.routes[question] = func(ctx context.Context, _ string, fields map[string]any) (map[string]any, error) {
+	r.routes[operation] = func(ctx context.Context, _ string, fields map[string]any) (map[string]any, error) {
 		var request Request
 		if err := decode(fields, &request); err != nil {
 			return nil, RequestErrorf("%w", err)
@@ -28,27 +30,27 @@
 	}
 }
 
-// Answer is the Handler of a router.
-func (r *Router) Answer(ctx context.Context, question string, fields map[string]any) (map[string]any, error) {
-	route, known := r.routes[question]
+// Answer is the Handler that calls the function registered for an operation.
+func (r *Router) Answer(ctx context.Context, operation string, fields map[string]any) (map[string]any, error) {
+	route, known := r.routes[operation]
 	if !known {
-		return nil, RequestErrorf("no question %q", question)
+		return nil, RequestErrorf("no question %q", operation)
 	}
-	return route(ctx, question, fields)
+	return route(ctx, operation, fields)
 }
 
 // Empty is a request without fields.
 type Empty struct{}
 
-// Ask asks the controller behind a path a question with a typed request and reply.
-func Ask[Reply any](ctx context.Context, path, question string, request any) (Reply, error) {
+// Ask calls an operation of the controller whose control socket is at a path, with a typed request and reply.
+func Ask[Reply any](ctx context.Context, path, operation string, request any) (Reply, error) {
 	var reply Reply
-	fields, err := Call(ctx, path, question, encode(request))
+	fields, err := Call(ctx, path, operation, encode(request))
 	if err != nil {
 		return reply, err
 	}
 	if err := decode(fields, &reply); err != nil {
-		return reply, fmt.Errorf("reply to %q: %w", question, err)
+		return reply, fmt.Errorf("reply to %q: %w", operation, err)
 	}
 	return reply, nil
 }
--- a/internal/adminapi/router_test.go
+++ b/internal/adminapi/router_test.go
@@ -11,33 +11,33 @@
 )
 
 func TestRouter_CarriesTypedMessages(t *testing.T) {
-	var r Router
+	var router Router
 	weight := 2.5
-	want := SetQuotaRequest{Team: "render", Author: "kim", Weight: &weight}
-	Handle(&r, QuestionSetQuota, func(_ context.Context, q SetQuotaRequest) (SetQuotaReply, error) {
-		assert.Equal(t, want, q)
+	setRequest := SetQuotaRequest{Team: "render", Author: "kim", Weight: &weight}
+	Handle(&router, QuestionSetQuota, func(_ context.Context, request SetQuotaRequest) (SetQuotaReply, error) {
+		assert.Equal(t, setRequest, request)
 		return SetQuotaReply{Lasts: true}, nil
 	})
 	handoff := HandoffReply{HandoffCounts: HandoffCounts{Open: 3, CopiesStored: 4}, LeaseHeld: true,
 		PlacementSummary: &PlacementSummary{CopiesWanted: 2, Partitions: 32}, Replicas: []MemberPartitions{{"a", 7}},
 		Claims: []AdoptionClaim{}, Orphaned: []OrphanedCopies{}}
-	Handle(&r, QuestionHandoff, func(context.Context, Empty) (HandoffReply, error) { return handoff, nil })
-	Handle(&r, QuestionLocality, func(context.Context, Empty) (LocalityReply, error) {
+	Handle(&router, QuestionHandoff, func(context.Context, Empty) (HandoffReply, error) { return handoff, nil })
+	Handle(&router, QuestionLocality, func(context.Context, Empty) (LocalityReply, error) {
 		return LocalityReply{Reaches: []ZoneReach{{Zone: "z", Threads: math.Inf(1)}}}, nil
 	})
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Serve(path, r.Answer)
+	s, err := Serve(path, router.Answer)
 	require.NoError(t, err)
 	defer s.Close()
-	set, err := Ask[SetQuotaReply](t.Context(), path, QuestionSetQuota, want)
+	setReply, err := Ask[SetQuotaReply](t.Context(), path, QuestionSetQuota, setRequest)
 	require.NoError(t, err)
-	assert.True(t, set.Lasts)
+	assert.True(t, setReply.Lasts)
 	got, err := Ask[HandoffReply](t.Context(), path, QuestionHandoff, Empty{})
 	require.NoError(t, err)
 	assert.Equal(t, handoff, got)
-	far, err := Ask[LocalityReply](t.Context(), path, QuestionLocality, Empty{})
+	locality, err := Ask[LocalityReply](t.Context(), path, QuestionLocality, Empty{})
 	require.NoError(t, err)
-	assert.Equal(t, math.Inf(1), far.Reaches[0].Threads)
+	assert.Equal(t, math.Inf(1), locality.Reaches[0].Threads)
 	_, err = Call(t.Context(), path, QuestionSetQuota, map[string]any{"weight": "much"})
 	assert.ErrorContains(t, err, "weight: much is no float64")
 	assert.ErrorAs(t, err, &RequestError{})
@@ -45,17 +45,19 @@
 	assert.ErrorContains(t, err, `no question "nonsense"`)
 }
 
-func TestEncode_KeepsTheNamesOfTheWire(t *testing.T) {
-	assert.Equal(t, map[string]any{"team": "t", "who": "", "queue": 0.0}, encode(SetQuotaRequest{Team: "t", Queue: new(float64)}))
-	assert.Equal(t, map[string]any{"name": "a", "zone": "", "phase": "here", "id": "1f"}, encode(Voter{Name: "a", State: "here", ID: "1f"}))
+func TestEncode_UsesTheWireNames(t *testing.T) {
+	assert.Equal(t, map[string]any{"team": "t", "who": "", "queue": 0.0},
+		encode(SetQuotaRequest{Team: "t", Queue: new(float64)}))
+	assert.Equal(t, map[string]any{"name": "a", "zone": "", "phase": "here", "id": "1f"},
+		encode(Voter{Name: "a", State: "here", ID: "1f"}))
 	assert.Equal(t, map[string]any{"lines": []any{}}, encode(LinesReply{}))
 	fields := encode(HandoffReply{})
-	assert.NotContains(t, fields, "parts", "there is no table yet")
+	assert.NotContains(t, fields, "parts", "no placement is agreed yet")
 	assert.Equal(t, 0.0, fields["held_copies"])
 	assert.Equal(t, []any{}, fields["chairs"])
 }
 
-func TestDescribe_UsesTheFieldsTerms(t *testing.T) {
+func TestDescribe_UsesTheGoFieldNames(t *testing.T) {
 	fields := Describe(HandoffReply{HandoffCounts: HandoffCounts{AdoptionsDone: 2}, LeaseHeld: true})
 	assert.Equal(t, 2.0, fields["adoptions_done"])
 	assert.Equal(t, true, fields["lease_held"])
