--- a/cmd/liftshift-full/admin.go
+++ b/cmd/liftshift-full/admin.go
@@ -13,40 +13,47 @@
 	"liftshift/internal/operatorconfig"
 )
 
-// withSocket gives a command the flags of those that ask a running controller.
-func withSocket(cmd *cobra.Command) *cobra.Command {
+// withControlFlags adds the flags of commands that talk to a running controller.
+func withControlFlags(cmd *cobra.Command) *cobra.Command {
 	cmd.PersistentFlags().String("socket", "", "the controller's control socket")
 	cmd.PersistentFlags().Bool("json", false, "print JSON")
 	return cmd
 }
 
-// group makes a command that only holds others.
-func group(use, short string) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: args(1, 0), RunE: func(*cobra.Command, []string) error { return nil }}
+// groupCommand returns a command that only has subcommands. Without one it is a usage error, as it takes at least one
+// and at most no operand.
+func groupCommand(use, short string) *cobra.Command {
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  operandCount(1, 0),
+		RunE:  func(*cobra.Command, []string) error { return nil },
+	}
 }
 
-// ask asks the controller whose socket --socket or the operators' file names.
-func ask[Reply any](cmd *cobra.Command, question string, request any) (Reply, error) {
+// call calls an operation of the controller whose control socket --socket or the operators' file names.
+func call[Reply any](cmd *cobra.Command, operation string, request any) (Reply, error) {
 	var none Reply
 	path, err := socketPath(cmd)
 	if err != nil {
 		return none, err
 	}
-	reply, err := adminapi.Ask[Reply](cmd.Context(), path, question, request)
-	var wrong adminapi.RequestError
-	if errors.As(err, &wrong) {
+	reply, err := adminapi.Ask[Reply](cmd.Context(), path, operation, request)
+	var requestError adminapi.RequestError
+	if errors.As(err, &requestError) {
 		return none, usageError{err}
 	}
 	return reply, err
 }
 
+// socketPath returns the path of the control socket, from --socket or else from the operators' file.
 func socketPath(cmd *cobra.Command) (string, error) {
 	if path, _ := cmd.Flags().GetString("socket"); path != "" {
 		return path, nil
 	}
 	name, _ := cmd.Flags().GetString("file")
 	if name == "" {
-		return "", usageError{errors.New("which controller? give --socket, or --file with a block control")}
+		return "", usageError{errors.New("no controller given: use --socket, or --file with a block control")}
 	}
 	file, err := operatorconfig.Read(name)
 	if err != nil {
@@ -58,41 +65,46 @@
 	return file.Control, nil
 }
 
-// showReply makes the run function of a command that asks a question without fields and prints the reply.
-func showReply[Reply any](question string, table func(io.Writer, Reply)) func(*cobra.Command, []string) error {
-	return func(cmd *cobra.Command, _ []string) error { return askAndShow(cmd, question, adminapi.Empty{}, table) }
+// runAndPrint returns the run function of a command that calls an operation without arguments and prints the reply.
+func runAndPrint[Reply any](operation string, printText func(io.Writer, Reply)) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, _ []string) error {
+		return callAndPrint(cmd, operation, adminapi.Empty{}, printText)
+	}
 }
 
-// askAndShow asks a question and prints the reply, as JSON or by a table.
-func askAndShow[Reply any](cmd *cobra.Command, question string, request any, table func(io.Writer, Reply)) error {
-	reply, err := ask[Reply](cmd, question, request)
+// callAndPrint calls an operation and prints the reply.
+func callAndPrint[Reply any](
+	cmd *cobra.Command, operation string, request any, printText func(io.Writer, Reply),
+) error {
+	reply, err := call[Reply](cmd, operation, request)
 	if err != nil {
 		return err
 	}
-	return show(cmd, reply, table)
+	return printReply(cmd, reply, printText)
 }
 
-func show[Reply any](cmd *cobra.Command, reply Reply, table func(io.Writer, Reply)) error {
+// printReply prints a reply as JSON with --json, and by printText without.
+func printReply[Reply any](cmd *cobra.Command, reply Reply, printText func(io.Writer, Reply)) error {
 	if asJSON, _ := cmd.Flags().GetBool("json"); asJSON {
 		return printJSON(cmd.OutOrStdout(), adminapi.Describe(reply))
 	}
-	table(cmd.OutOrStdout(), reply)
+	printText(cmd.OutOrStdout(), reply)
 	return nil
 }
 
-// author is who gives an order.
-func author() string {
+// currentUser returns the name of the user who runs the command, which controllers record as the author of orders.
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
 	return "unknown"
 }
 
-// isTerminal tells whether standard output is one.
+// isTerminal reports whether standard output is a terminal.
 func isTerminal() bool {
 	info, err := os.Stdout.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// clearTerminal has the next view drawn anew.
+// clearTerminal clears the screen and moves the cursor to its top left corner.
 func clearTerminal(out io.Writer) { fmt.Fprint(out, "\x1b[H\x1b[2J") }
--- a/cmd/liftshift-full/chaos.go
+++ b/cmd/liftshift-full/chaos.go
@@ -13,10 +13,13 @@
 
 func chaosCommand() *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "chaos FILE", Short: "Play a drill with several real controllers on this machine", Args: args(1, 1),
-		Long: "Play a drill: several real controllers with test servers for executors, discovery and clients, on loopback, with the failures that\n" +
-			"FILE (HCL) lists. What clients and executors saw is checked; a failed drill prints its seed and exits with 1.",
+		Use:   "chaos FILE",
+		Short: "Run a fault drill with several controllers on this machine",
+		Long: "Run a fault drill: several controllers with test servers for executors, discovery and clients, on\n" +
+			"loopback, with the faults that FILE (HCL) lists. What clients and executors saw is checked; a failed drill\n" +
+			"prints its seed and exits with 1.",
 		Example: "  liftshift chaos deploy/drill.hcl --report drill.html",
+		Args:    operandCount(1, 1),
 		RunE: func(cmd *cobra.Command, operands []string) error {
 			script, err := chaostest.ReadScript(operands[0])
 			if err != nil {
@@ -25,16 +28,17 @@
 			if seed, _ := cmd.Flags().GetInt("seed"); seed != 0 {
 				script.Seed = seed
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			folder, err := os.MkdirTemp("", "chaos-")
+			directory, err := os.MkdirTemp("", "chaos-")
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(folder)
-			o, err := chaostest.Play(script, filepath.Join(filepath.Dir(self), "liftshift"), folder, cmd.OutOrStdout())
+			defer os.RemoveAll(directory)
+			program := filepath.Join(filepath.Dir(executable), "liftshift")
+			result, err := chaostest.Play(script, program, directory, cmd.OutOrStdout())
 			if err != nil {
 				return err
 			}
@@ -43,18 +47,18 @@
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(chaostest.Report(file, o), file.Close()); err != nil {
+				if err := errors.Join(chaostest.Report(file, result), file.Close()); err != nil {
 					return err
 				}
 			}
-			if len(o.Violations) > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), "again: liftshift chaos %s --seed %d\n", operands[0], o.Seed)
-				return errFaulty
+			if len(result.Violations) > 0 {
+				fmt.Fprintf(cmd.OutOrStdout(), "again: liftshift chaos %s --seed %d\n", operands[0], result.Seed)
+				return errReported
 			}
 			return nil
 		},
 	}
-	cmd.Flags().Int("seed", 0, "play it with this seed")
-	cmd.Flags().String("report", "", "write a report with plots (HTML)")
+	cmd.Flags().Int("seed", 0, "random seed; 0: the seed of FILE, or else a new one")
+	cmd.Flags().String("report", "", "write an HTML report with plots to this file")
 	return cmd
 }
--- a/cmd/liftshift-full/deprecated.go
+++ b/cmd/liftshift-full/deprecated.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// deprecatedCommands are names of commands of before, which go on working, with today's.
+// deprecatedCommands maps the former names of commands, which still work, to the current ones.
 var deprecatedCommands = map[string]string{
 	"budgets":  "quotas",
 	"council":  "consensus",
@@ -15,27 +15,28 @@
 	"rehearse": "chaos",
 }
 
-// flagsWithValue are the flags that may stand before the command and take their value from the next argument.
+// flagsWithValue are the flags that may precede the command and take their value from the next argument.
 var flagsWithValue = []string{"--file", "--socket"}
 
-// renameDeprecated returns the arguments with today's name of the command, and warns once where one of before was given.
+// renameDeprecated returns the arguments with the current name of the command. It writes a warning if the command was
+// given by its former name.
 func renameDeprecated(arguments []string, warnings io.Writer) []string {
 	for k := 0; k < len(arguments); k++ {
 		argument := arguments[k]
 		if slices.Contains(flagsWithValue, argument) {
-			k++ // its value
+			k++ // skip the value of the flag
 			continue
 		}
 		if strings.HasPrefix(argument, "-") {
 			continue
 		}
-		now, deprecated := deprecatedCommands[argument]
+		current, deprecated := deprecatedCommands[argument]
 		if !deprecated {
 			return arguments
 		}
-		fmt.Fprintf(warnings, "liftshift: the command %s is deprecated, use %s\n", argument, now)
+		fmt.Fprintf(warnings, "liftshift: the command %s is deprecated, use %s\n", argument, current)
 		renamed := slices.Clone(arguments)
-		renamed[k] = now
+		renamed[k] = current
 		return renamed
 	}
 	return arguments
--- a/cmd/liftshift-full/deprecated_test.go
+++ b/cmd/liftshift-full/deprecated_test.go
@@ -12,12 +12,29 @@
 		name, warning   string
 		arguments, want []string
 	}{
-		{"today's name", "", []string{"quotas", "show"}, []string{"quotas", "show"}},
-		{"name of before", "liftshift: the command budgets is deprecated, use quotas\n", []string{"budgets", "show"}, []string{"quotas", "show"}},
-		{"behind flags", "liftshift: the command estate is deprecated, use handoff\n", []string{"--file", "budgets", "--json", "estate", "explain", "council"},
-			[]string{"--file", "budgets", "--json", "handoff", "explain", "council"}},
-		{"as an operand", "", []string{"quotas", "explain", "council"}, []string{"quotas", "explain", "council"}},
-		{"none", "", nil, nil},
+		{
+			name:      "current name",
+			arguments: []string{"quotas", "show"},
+			want:      []string{"quotas", "show"},
+		},
+		{
+			name:      "former name",
+			warning:   "liftshift: the command budgets is deprecated, use quotas\n",
+			arguments: []string{"budgets", "show"},
+			want:      []string{"quotas", "show"},
+		},
+		{
+			name:      "after flags",
+			warning:   "liftshift: the command estate is deprecated, use handoff\n",
+			arguments: []string{"--file", "budgets", "--json", "estate", "explain", "council"},
+			want:      []string{"--file", "budgets", "--json", "handoff", "explain", "council"},
+		},
+		{
+			name:      "as an operand",
+			arguments: []string{"quotas", "explain", "council"},
+			want:      []string{"quotas", "explain", "council"},
+		},
+		{name: "no arguments"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var warnings bytes.Buffer
@@ -27,12 +44,12 @@
 	}
 }
 
-// Each command that a name of before stands for is there.
+// Each former name of a command maps to a command that exists.
 func TestDeprecatedCommands_LeadToCommands(t *testing.T) {
-	cmd := root(nil)
-	for was, now := range deprecatedCommands {
-		found, _, err := cmd.Find([]string{now})
-		assert.NoError(t, err, was)
-		assert.Equal(t, now, found.Name(), was)
+	cmd := rootCommand(nil)
+	for former, current := range deprecatedCommands {
+		found, _, err := cmd.Find([]string{current})
+		assert.NoError(t, err, former)
+		assert.Equal(t, current, found.Name(), former)
 	}
 }
--- a/cmd/liftshift-full/serve.go
+++ b/cmd/liftshift-full/serve.go
@@ -14,15 +14,17 @@
 
 func serveCommand(reload <-chan os.Signal) *cobra.Command {
 	return &cobra.Command{
-		Use:     "serve",
-		Short:   "Run one controller",
-		Long:    "Run one controller until SIGTERM or Ctrl-C, then stop as planned. SIGHUP makes it read its configuration again.",
-		Example: "  RELAY_CONFIG=/run/balancer/config.json liftshift serve\n  RELAY_CONFIG=config.json liftshift serve --file office.hcl",
-		Args:    args(0, 0),
-		RunE:    func(cmd *cobra.Command, _ []string) error { return serve(cmd, reload) },
+		Use:   "serve",
+		Short: "Run a controller",
+		Long:  "Run a controller until SIGTERM or Ctrl-C, then shut it down gracefully. SIGHUP reloads its configuration.",
+		Example: "  RELAY_CONFIG=/run/balancer/config.json liftshift serve\n" +
+			"  RELAY_CONFIG=config.json liftshift serve --file office.hcl",
+		Args: operandCount(0, 0),
+		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd, reload) },
 	}
 }
 
+// serve runs a controller until SIGTERM or SIGINT.
 func serve(cmd *cobra.Command, reload <-chan os.Signal) error {
 	config, err := service.ReadConfig()
 	if err != nil {
--- a/cmd/liftshift-full/store.go
+++ b/cmd/liftshift-full/store.go
@@ -16,9 +16,9 @@
 	"liftshift/internal/vfs"
 )
 
-// row is a live record, for people.
-type row struct {
-	Key     string         `json:"key"`
+// liveRecord describes a live record of a store, as export prints it.
+type liveRecord struct {
+	Key     string         `json:"key"` // hexadecimal
 	Kind    string         `json:"kind"`
 	Expires int64          `json:"expires_ms"`
 	Bytes   int            `json:"bytes"`
@@ -26,24 +26,35 @@
 }
 
 func storeCommand() *cobra.Command {
-	cmd := group("store", "Work on the folder of a store")
-	cmd.Long = "Work on the folder of a store. inspect and verify only read, also while a controller uses it; the others need it for\n" +
-		"themselves. Exit codes: 0 all is well, 1 something is faulty, 2 wrong usage."
+	cmd := groupCommand("store", "Inspect, check and repair the directory of a store")
+	cmd.Long = "Inspect, check and repair the directory of a store. inspect, verify and export only read, also while a\n" +
+		"controller uses the store; compact and repair need it for themselves. Exit codes: 0 no problem, 1 failure or a\n" +
+		"damaged store, 2 wrong usage."
 	cmd.PersistentFlags().Bool("json", false, "print JSON")
 	cmd.AddCommand(
-		onFolder("inspect", "Show what a store holds, by kind", "  liftshift store inspect /var/lib/liftshift --json", inspect),
-		onFolder("verify", "Read every byte and say whether it is as it was written", "  liftshift store verify /var/lib/liftshift", verify),
-		onFolder("compact", "Make a snapshot and remove what it stands for", "  liftshift store compact /var/lib/liftshift", compact),
-		onFolder("repair", "Make a damaged store open again, with all that can be read",
+		directoryCommand("inspect", "Show the number and size of the records, by kind",
+			"  liftshift store inspect /var/lib/liftshift --json", inspect),
+		directoryCommand("verify", "Check all files for damage",
+			"  liftshift store verify /var/lib/liftshift", verify),
+		directoryCommand("compact", "Write a snapshot and remove the files that it replaces",
+			"  liftshift store compact /var/lib/liftshift", compact),
+		directoryCommand("repair", "Rebuild a damaged store from all records that can be read",
 			"  liftshift store verify /var/lib/liftshift || liftshift store repair /var/lib/liftshift", repair),
-		onFolder("export", "Print every live record, a JSON object a line", "  liftshift store export /var/lib/liftshift > records.jsonl", export),
+		directoryCommand("export", "Print each live record as a line of JSON",
+			"  liftshift store export /var/lib/liftshift > records.jsonl", export),
 	)
 	return cmd
 }
 
-func onFolder(name, short, example string, run func(dir vfs.Dir, out io.Writer, asJSON bool) error) *cobra.Command {
+// directoryCommand returns a command whose operand is the directory of a store.
+func directoryCommand(
+	name, short, example string, run func(dir vfs.Dir, out io.Writer, asJSON bool) error,
+) *cobra.Command {
 	return &cobra.Command{
-		Use: name + " FOLDER", Short: short, Example: example, Args: args(1, 1),
+		Use:     name + " FOLDER",
+		Short:   short,
+		Example: example,
+		Args:    operandCount(1, 1),
 		RunE: func(cmd *cobra.Command, operands []string) error {
 			dir, err := vfs.OpenDir(operands[0], false)
 			if err != nil {
@@ -55,85 +66,87 @@
 	}
 }
 
-// records gives the live records in the order of their keys.
-func records(dir vfs.Dir) ([]row, store.Report, error) {
-	live := map[store.Key]row{}
-	report, err := store.Survey(dir, func(k store.Key, expires int64, value []byte) {
+// readLiveRecords returns the live records of a store, sorted by key.
+func readLiveRecords(dir vfs.Dir) ([]liveRecord, store.Report, error) {
+	byKey := map[store.Key]liveRecord{}
+	report, err := store.Survey(dir, func(key store.Key, expires int64, value []byte) {
 		if value == nil {
-			delete(live, k)
+			delete(byKey, key)
 			return
 		}
-		r := row{Key: fmt.Sprintf("%x", k[:]), Kind: "?", Expires: expires, Bytes: len(value)}
+		record := liveRecord{Key: fmt.Sprintf("%x", key[:]), Kind: "?", Expires: expires, Bytes: len(value)}
 		if kind, fields, ok := ledger.DescribeRecord(value); ok {
-			r.Kind, r.Fields = kind, fields
+			record.Kind, record.Fields = kind, fields
 		}
-		live[k] = r
+		byKey[key] = record
 	})
-	rows := make([]row, 0, len(live))
-	for _, r := range live {
-		rows = append(rows, r)
+	records := make([]liveRecord, 0, len(byKey))
+	for _, record := range byKey {
+		records = append(records, record)
 	}
-	slices.SortFunc(rows, func(a, b row) int { return strings.Compare(a.Key, b.Key) })
-	return rows, report, err
+	slices.SortFunc(records, func(a, b liveRecord) int { return strings.Compare(a.Key, b.Key) })
+	return records, report, err
 }
 
 func printJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
-// faulty ends a command by what a look at the store found.
-func faulty(r store.Report) error {
-	if r.Damage != "" {
-		return errFaulty
+// damageError returns errReported if a report, which the caller prints, says that the store is damaged.
+func damageError(report store.Report) error {
+	if report.Damage != "" {
+		return errReported
 	}
 	return nil
 }
 
 func inspect(dir vfs.Dir, out io.Writer, asJSON bool) error {
-	rows, report, err := records(dir)
+	records, report, err := readLiveRecords(dir)
 	if err != nil {
 		return err
 	}
-	type sum struct {
+	type total struct {
 		Records int `json:"records"`
 		Bytes   int `json:"bytes"`
 	}
-	kinds := map[string]sum{}
-	for _, r := range rows {
-		s := kinds[r.Kind]
-		kinds[r.Kind] = sum{s.Records + 1, s.Bytes + r.Bytes}
+	kinds := map[string]total{}
+	for _, record := range records {
+		sum := kinds[record.Kind]
+		kinds[record.Kind] = total{sum.Records + 1, sum.Bytes + record.Bytes}
 	}
 	if asJSON {
-		return errors.Join(printJSON(out, map[string]any{"kinds": kinds, "report": report}), faulty(report))
+		return errors.Join(printJSON(out, map[string]any{"kinds": kinds, "report": report}), damageError(report))
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "kind\trecords\tbytes")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "kind\trecords\tbytes")
 	names := make([]string, 0, len(kinds))
 	for name := range kinds {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", name, kinds[name].Records, kinds[name].Bytes)
+		fmt.Fprintf(table, "%s\t%d\t%d\n", name, kinds[name].Records, kinds[name].Bytes)
 	}
-	for _, r := range rows {
-		if r.Kind == "life" || r.Kind == "executor" {
-			fmt.Fprintf(w, "%s\t%v\n", r.Kind, r.Fields)
+	for _, record := range records {
+		if record.Kind == "life" || record.Kind == "executor" {
+			fmt.Fprintf(table, "%s\t%v\n", record.Kind, record.Fields)
 		}
 	}
-	parts(w, report)
-	return errors.Join(w.Flush(), faulty(report))
+	printFiles(table, report)
+	return errors.Join(table.Flush(), damageError(report))
 }
 
-func parts(w io.Writer, report store.Report) {
-	fmt.Fprintln(w, "file\trecords\tbytes\tcount\tproblem")
-	for _, p := range report.Files {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%s\n", p.Name, p.Records, p.ValidBytes, p.CountedBytes, p.Problem)
+// printFiles prints the rows about the files of a store.
+func printFiles(table io.Writer, report store.Report) {
+	fmt.Fprintln(table, "file\trecords\tbytes\tcount\tproblem")
+	for _, file := range report.Files {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%s\n",
+			file.Name, file.Records, file.ValidBytes, file.CountedBytes, file.Problem)
 	}
 	for _, name := range report.Leftover {
-		fmt.Fprintf(w, "%s\t\t\t\tleft over; removed at the next start\n", name)
+		fmt.Fprintf(table, "%s\t\t\t\tleft over; removed at the next start\n", name)
 	}
 }
 
@@ -143,19 +156,21 @@
 		return err
 	}
 	if asJSON {
-		return errors.Join(printJSON(out, report), faulty(report))
+		return errors.Join(printJSON(out, report), damageError(report))
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	parts(w, report)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	printFiles(table, report)
 	switch {
 	case report.Damage != "":
-		fmt.Fprintln(w, "damaged: "+report.Damage+"; a controller does not start on it; see: liftshift store repair")
+		fmt.Fprintln(table, "damaged: "+report.Damage+
+			"; a controller does not start on it; see: liftshift store repair")
 	case report.InDoubt:
-		fmt.Fprintln(w, "in doubt: "+report.Reason+"; a controller starts, and rejects idempotency keys that it does not know for a window")
+		fmt.Fprintln(table, "in doubt: "+report.Reason+
+			"; a controller starts, and rejects idempotency keys that it does not know for a window")
 	default:
-		fmt.Fprintln(w, "good")
+		fmt.Fprintln(table, "good")
 	}
-	return errors.Join(w.Flush(), faulty(report))
+	return errors.Join(table.Flush(), damageError(report))
 }
 
 func compact(dir vfs.Dir, out io.Writer, asJSON bool) error {
@@ -170,39 +185,43 @@
 		return err
 	}
 	if asJSON {
-		return printJSON(out, map[string]any{"before_bytes": before.DiskBytes, "after_bytes": after.DiskBytes, "records": after.Live})
+		return printJSON(out, map[string]any{
+			"before_bytes": before.DiskBytes,
+			"after_bytes":  after.DiskBytes,
+			"records":      after.Live,
+		})
 	}
 	fmt.Fprintf(out, "%d records; %d bytes before, %d after\n", after.Live, before.DiskBytes, after.DiskBytes)
 	return nil
 }
 
 func repair(dir vfs.Dir, out io.Writer, asJSON bool) error {
-	done, err := store.Repair(dir, store.Options{})
+	result, err := store.Repair(dir, store.Options{})
 	if err != nil {
 		return err
 	}
 	switch {
 	case asJSON:
-		return printJSON(out, done)
-	case !done.Needed:
+		return printJSON(out, result)
+	case !result.Needed:
 		fmt.Fprintln(out, "not needed: the store opens")
 	default:
-		fmt.Fprintf(out, "%d records saved, %d bytes could not be read; the old files are kept as %s\n", done.Records, done.SkippedBytes,
-			strings.Join(done.Quarantined, ", "))
+		fmt.Fprintf(out, "%d records saved, %d bytes could not be read; the old files are kept as %s\n",
+			result.Records, result.SkippedBytes, strings.Join(result.Quarantined, ", "))
 	}
 	return nil
 }
 
 func export(dir vfs.Dir, out io.Writer, _ bool) error {
-	rows, report, err := records(dir)
+	records, report, err := readLiveRecords(dir)
 	if err != nil {
 		return err
 	}
-	e := json.NewEncoder(out)
-	for _, r := range rows {
-		if err := e.Encode(r); err != nil {
+	encoder := json.NewEncoder(out)
+	for _, record := range records {
+		if err := encoder.Encode(record); err != nil {
 			return err
 		}
 	}
-	return faulty(report)
+	return damageError(report)
 }
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -33,7 +33,7 @@
 	assert.ErrorContains(t, err, "operators' file")
 }
 
-// Each error names file, line and column; the errors of a whole file are reported at once.
+// Each error names file, line and column; the errors in all fields of a file are reported together.
 func TestParse_ReportsThePositionOfEachError(t *testing.T) {
 	for text, want := range map[string]string{
 		"store {\n":                                            "f:1:7: Unclosed configuration block",
