--- a/cmd/liftshift-full/admin.go
+++ b/cmd/liftshift-full/admin.go
@@ -59,10 +59,10 @@
 	if err != nil {
 		return "", err
 	}
-	if file.Control == "" {
+	if file.ControlSocket == "" {
 		return "", usageError{fmt.Errorf("%s has no block control", name)}
 	}
-	return file.Control, nil
+	return file.ControlSocket, nil
 }
 
 // runAndPrint returns the run function of a command that calls an operation without arguments and prints the reply.
--- a/cmd/liftshift-full/consensus.go
+++ b/cmd/liftshift-full/consensus.go
@@ -18,14 +18,14 @@
 			Short:   "Show the leader, the admitted and lost incarnations, and this controller's lease",
 			Example: "  liftshift consensus show --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionConsensus, printConsensus),
+			RunE:    runAndPrint(adminapi.OperationConsensus, printConsensus),
 		},
 		&cobra.Command{
 			Use:     "voters",
 			Short:   "Show the voters",
 			Example: "  liftshift consensus voters --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionConsensus, printVoters),
+			RunE:    runAndPrint(adminapi.OperationConsensus, printVoters),
 		},
 		&cobra.Command{
 			Use:     "move FROM TO",
@@ -34,7 +34,7 @@
 			Args:    operandCount(2, 2),
 			RunE: func(cmd *cobra.Command, operands []string) error {
 				request := adminapi.ReplaceVoterRequest{From: operands[0], To: operands[1]}
-				if _, err := call[adminapi.Accepted](cmd, adminapi.QuestionReplaceVoter, request); err != nil {
+				if _, err := call[adminapi.Accepted](cmd, adminapi.OperationReplaceVoter, request); err != nil {
 					return err
 				}
 				fmt.Fprintln(cmd.OutOrStdout(), "asked for; see: liftshift consensus voters")
--- a/cmd/liftshift-full/handoff.go
+++ b/cmd/liftshift-full/handoff.go
@@ -18,7 +18,7 @@
 			Short:   "Show the copies that this controller keeps for others, the replicas and the adoption claims",
 			Example: "  liftshift handoff show --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionHandoff, printHandoff),
+			RunE:    runAndPrint(adminapi.OperationHandoff, printHandoff),
 		},
 		&cobra.Command{
 			Use:     "explain REQ",
@@ -27,15 +27,15 @@
 			Args:    operandCount(1, 1),
 			RunE: func(cmd *cobra.Command, operands []string) error {
 				request := adminapi.NameRequest{Name: operands[0]}
-				return callAndPrint(cmd, adminapi.QuestionCopyExplain, request, printCopies)
+				return callAndPrint(cmd, adminapi.OperationCopyExplain, request, printCopies)
 			},
 		},
 		orderCommand("adopt NAME", "Make this controller adopt the unclaimed requests of a lost controller",
 			"  liftshift handoff adopt n3 --file office.hcl",
-			adminapi.QuestionAdopt, "asked for; see: liftshift handoff show"),
+			adminapi.OperationAdopt, "asked for; see: liftshift handoff show"),
 		orderCommand("release REQ", "Give up a request of a lost controller: it counts as failed",
 			"  liftshift handoff release 51b2e4 --file office.hcl",
-			adminapi.QuestionRelease,
+			adminapi.OperationRelease,
 			"given up, where it was kept here and its owner is lost; see: liftshift handoff explain"),
 	)
 	return cmd
--- a/cmd/liftshift-full/members.go
+++ b/cmd/liftshift-full/members.go
@@ -30,7 +30,7 @@
 		Args:    operandCount(1, 1),
 		RunE: func(cmd *cobra.Command, operands []string) error {
 			request := adminapi.NameRequest{Name: operands[0]}
-			return callAndPrint(cmd, adminapi.QuestionMemberExplain, request, printEvidence)
+			return callAndPrint(cmd, adminapi.OperationMemberExplain, request, printEvidence)
 		},
 	})
 	return cmd
@@ -42,7 +42,7 @@
 		if n > 0 {
 			time.Sleep(max(interval, minRefreshInterval))
 		}
-		reply, err := call[adminapi.MembersReply](cmd, adminapi.QuestionMembers, adminapi.Empty{})
+		reply, err := call[adminapi.MembersReply](cmd, adminapi.OperationMembers, adminapi.Empty{})
 		if err != nil {
 			return err
 		}
--- a/cmd/liftshift-full/quotas.go
+++ b/cmd/liftshift-full/quotas.go
@@ -23,7 +23,7 @@
 			Short:   "Show what each team uses, borrows and lends",
 			Example: "  liftshift quotas show --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionQuotas, printTeams),
+			RunE:    runAndPrint(adminapi.OperationQuotas, printTeams),
 		},
 		&cobra.Command{
 			Use:     "explain REQ",
@@ -32,7 +32,7 @@
 			Args:    operandCount(1, 1),
 			RunE: func(cmd *cobra.Command, operands []string) error {
 				request := adminapi.QueueExplainRequest{ID: operands[0]}
-				return callAndPrint(cmd, adminapi.QuestionQueueExplain, request, printQueueReason)
+				return callAndPrint(cmd, adminapi.OperationQueueExplain, request, printQueueReason)
 			},
 		},
 		setQuotaCommand(),
@@ -80,7 +80,7 @@
 			return usageError{errors.New("nothing to set: give at least one limit, such as --weight")}
 		}
 		request.Team, request.Author = operands[0], currentUser()
-		reply, err := call[adminapi.SetQuotaReply](cmd, adminapi.QuestionSetQuota, request)
+		reply, err := call[adminapi.SetQuotaReply](cmd, adminapi.OperationSetQuota, request)
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 		Short:   "Show the accuracy of the wait estimates given to clients",
 		Example: "  liftshift waits --file office.hcl",
 		Args:    operandCount(0, 0),
-		RunE:    runAndPrint(adminapi.QuestionWaits, printWaits),
+		RunE:    runAndPrint(adminapi.OperationWaits, printWaits),
 	})
 }
 
@@ -155,7 +155,7 @@
 		if n > 0 {
 			time.Sleep(interval)
 		}
-		reply, err := call[adminapi.QuotasReply](cmd, adminapi.QuestionQuotas, adminapi.Empty{})
+		reply, err := call[adminapi.QuotasReply](cmd, adminapi.OperationQuotas, adminapi.Empty{})
 		if err != nil {
 			return err
 		}
--- a/cmd/liftshift-full/zones.go
+++ b/cmd/liftshift-full/zones.go
@@ -18,14 +18,14 @@
 			Short:   "Show the state of the zones, the plan between them and this controller's part in it",
 			Example: "  liftshift zones show --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionLocality, printZones),
+			RunE:    runAndPrint(adminapi.OperationLocality, printZones),
 		},
 		&cobra.Command{
 			Use:     "explain",
 			Short:   "Show the reasons for the latest plan; only the leader of the consensus group has them",
 			Example: "  liftshift zones explain --file office.hcl",
 			Args:    operandCount(0, 0),
-			RunE:    runAndPrint(adminapi.QuestionLocality, printPlanExplanation),
+			RunE:    runAndPrint(adminapi.OperationLocality, printPlanExplanation),
 		},
 		&cobra.Command{
 			Use:     "plan ZONE",
@@ -34,7 +34,7 @@
 			Args:    operandCount(1, 1),
 			RunE: func(cmd *cobra.Command, operands []string) error {
 				request := adminapi.ZoneRequest{Zone: operands[0]}
-				return callAndPrint(cmd, adminapi.QuestionZoneWhatIf, request, printWhatIf)
+				return callAndPrint(cmd, adminapi.OperationZoneWhatIf, request, printWhatIf)
 			},
 		},
 		zoneOrderCommand("evacuate", "30m", "Send no new requests to a zone for a time",
@@ -58,7 +58,7 @@
 			request := adminapi.ZoneOrderRequest{Kind: kind, Zone: operands[0], Author: currentUser()}
 			request.For, _ = cmd.Flags().GetString("for")
 			request.Reason, _ = cmd.Flags().GetString("why")
-			reply, err := call[adminapi.ZoneOrderReply](cmd, adminapi.QuestionZoneOrder, request)
+			reply, err := call[adminapi.ZoneOrderReply](cmd, adminapi.OperationZoneOrder, request)
 			if err != nil {
 				return err
 			}
--- a/internal/adminapi/messages.go
+++ b/internal/adminapi/messages.go
@@ -3,21 +3,21 @@
 // The operations of the control socket. Their names and the JSON names of the fields below are part of its protocol,
 // which controllers and tools of other versions use, too. Commands also print the Go names of the fields; see Describe.
 const (
-	QuestionMembers       = "members"
-	QuestionMemberExplain = "members explain"
-	QuestionConsensus     = "council"
-	QuestionReplaceVoter  = "council move"
-	QuestionHandoff       = "estate"
-	QuestionCopyExplain   = "estate explain"
-	QuestionRelease       = "estate release"
-	QuestionAdopt         = "estate adopt"
-	QuestionLocality      = "zones"
-	QuestionZoneOrder     = "zones order"
-	QuestionZoneWhatIf    = "zones plan"
-	QuestionQuotas        = "budgets"
-	QuestionWaits         = "waits"
-	QuestionQueueExplain  = "explain"
-	QuestionSetQuota      = "set"
+	OperationMembers       = "members"
+	OperationMemberExplain = "members explain"
+	OperationConsensus     = "council"
+	OperationReplaceVoter  = "council move"
+	OperationHandoff       = "estate"
+	OperationCopyExplain   = "estate explain"
+	OperationRelease       = "estate release"
+	OperationAdopt         = "estate adopt"
+	OperationLocality      = "zones"
+	OperationZoneOrder     = "zones order"
+	OperationZoneWhatIf    = "zones plan"
+	OperationQuotas        = "budgets"
+	OperationWaits         = "waits"
+	OperationQueueExplain  = "explain"
+	OperationSetQuota      = "set"
 )
 
 // NameRequest names the subject of an operation: a member, a request or an idempotency key. Author is the operator's
--- a/internal/adminapi/router.go
+++ b/internal/adminapi/router.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Answer is the Handler that calls the function registered for an operation.
-func (r *Router) Answer(ctx context.Context, operation string, fields map[string]any) (map[string]any, error) {
+// Dispatch is the Handler that calls the function registered for an operation.
+func (r *Router) Dispatch(ctx context.Context, operation string, fields map[string]any) (map[string]any, error) {
 	route, known := r.routes[operation]
 	if !known {
 		return nil, RequestErrorf("no question %q", operation)
--- a/internal/adminapi/router_test.go
+++ b/internal/adminapi/router_test.go
@@ -14,31 +14,31 @@
 	var router Router
 	weight := 2.5
 	setRequest := SetQuotaRequest{Team: "render", Author: "kim", Weight: &weight}
-	Handle(&router, QuestionSetQuota, func(_ context.Context, request SetQuotaRequest) (SetQuotaReply, error) {
+	Handle(&router, OperationSetQuota, func(_ context.Context, request SetQuotaRequest) (SetQuotaReply, error) {
 		assert.Equal(t, setRequest, request)
 		return SetQuotaReply{Lasts: true}, nil
 	})
 	handoff := HandoffReply{HandoffCounts: HandoffCounts{Open: 3, CopiesStored: 4}, LeaseHeld: true,
 		PlacementSummary: &PlacementSummary{CopiesWanted: 2, Partitions: 32}, Replicas: []MemberPartitions{{"a", 7}},
 		Claims: []AdoptionClaim{}, Orphaned: []OrphanedCopies{}}
-	Handle(&router, QuestionHandoff, func(context.Context, Empty) (HandoffReply, error) { return handoff, nil })
-	Handle(&router, QuestionLocality, func(context.Context, Empty) (LocalityReply, error) {
+	Handle(&router, OperationHandoff, func(context.Context, Empty) (HandoffReply, error) { return handoff, nil })
+	Handle(&router, OperationLocality, func(context.Context, Empty) (LocalityReply, error) {
 		return LocalityReply{Reaches: []ZoneReach{{Zone: "z", Threads: math.Inf(1)}}}, nil
 	})
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Serve(path, router.Answer)
+	s, err := Serve(path, router.Dispatch)
 	require.NoError(t, err)
 	defer s.Close()
-	setReply, err := Ask[SetQuotaReply](t.Context(), path, QuestionSetQuota, setRequest)
+	setReply, err := Ask[SetQuotaReply](t.Context(), path, OperationSetQuota, setRequest)
 	require.NoError(t, err)
 	assert.True(t, setReply.Lasts)
-	got, err := Ask[HandoffReply](t.Context(), path, QuestionHandoff, Empty{})
+	got, err := Ask[HandoffReply](t.Context(), path, OperationHandoff, Empty{})
 	require.NoError(t, err)
 	assert.Equal(t, handoff, got)
-	locality, err := Ask[LocalityReply](t.Context(), path, QuestionLocality, Empty{})
+	locality, err := Ask[LocalityReply](t.Context(), path, OperationLocality, Empty{})
 	require.NoError(t, err)
 	assert.Equal(t, math.Inf(1), locality.Reaches[0].Threads)
-	_, err = Call(t.Context(), path, QuestionSetQuota, map[string]any{"weight": "much"})
+	_, err = Call(t.Context(), path, OperationSetQuota, map[string]any{"weight": "much"})
 	assert.ErrorContains(t, err, "weight: much is no float64")
 	assert.ErrorAs(t, err, &RequestError{})
 	_, err = Call(t.Context(), path, "nonsense", nil)
--- a/internal/assembly/admin.go
+++ b/internal/assembly/admin.go
@@ -15,7 +15,7 @@
 // openAdmin opens the administrative socket if the operators' file names one. It retries while the previous process
 // still serves that socket.
 func (x *Extensions) openAdmin() error {
-	if x.file.Control == "" {
+	if x.file.ControlSocket == "" {
 		return nil
 	}
 	var router adminapi.Router
@@ -24,7 +24,7 @@
 	x.routeLocality(&router)
 	x.routeQuotas(&router)
 	return retry.Do(retry.StartTimeout, func() (err error) {
-		x.admin, err = adminapi.Serve(x.file.Control, router.Answer)
+		x.admin, err = adminapi.Serve(x.file.ControlSocket, router.Dispatch)
 		return err
 	}, adminapi.ErrInUse)
 }
@@ -39,21 +39,21 @@
 
 // routeQuotas registers the handlers for quotas and wait estimates.
 func (x *Extensions) routeQuotas(router *adminapi.Router) {
-	adminapi.Handle(router, adminapi.QuestionQuotas,
+	adminapi.Handle(router, adminapi.OperationQuotas,
 		func(context.Context, adminapi.Empty) (adminapi.QuotasReply, error) {
 			return onQuotas(x, func(float64) (adminapi.QuotasReply, error) { return x.quotas.reply(), nil })
 		})
-	adminapi.Handle(router, adminapi.QuestionWaits,
+	adminapi.Handle(router, adminapi.OperationWaits,
 		func(context.Context, adminapi.Empty) (adminapi.WaitsReply, error) {
 			return onQuotas(x, func(float64) (adminapi.WaitsReply, error) { return x.quotas.waitsReply(), nil })
 		})
-	adminapi.Handle(router, adminapi.QuestionQueueExplain,
+	adminapi.Handle(router, adminapi.OperationQueueExplain,
 		func(_ context.Context, request adminapi.QueueExplainRequest) (adminapi.QueueExplainReply, error) {
 			return onQuotas(x, func(float64) (adminapi.QueueExplainReply, error) {
 				return x.quotas.explain(request.ID)
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionSetQuota,
+	adminapi.Handle(router, adminapi.OperationSetQuota,
 		func(_ context.Context, request adminapi.SetQuotaRequest) (adminapi.SetQuotaReply, error) {
 			return onQuotas(x, func(now float64) (adminapi.SetQuotaReply, error) { return x.setQuota(now, request) })
 		})
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -143,7 +143,7 @@
 		Classes:        platform.Scheduler.Classes,
 		RetryBudget:    platform.Scheduler.RetryBudget,
 		RetryAfterMS:   platform.Scheduler.LongestRetryAfterMS(),
-		RetentionMS:    block.RememberMS,
+		RetentionMS:    block.RetentionMS,
 		MaxAnswerBytes: block.MaxAnswerBytes,
 		MaxRecords:     block.MaxRecords,
 	}
@@ -182,7 +182,7 @@
 		if x.quotas != nil && next.Quotas != nil && x.file.Quotas.SameTree(next.Quotas) {
 			x.loop.Put(dispatch.QueueItem{Call: func(now float64) { x.quotas.reload(x.loop, now, next.Quotas) }})
 		}
-		return x.file.Differs(next)
+		return x.file.ChangesNeedingRestart(next)
 	}, nil
 }
 
--- a/internal/assembly/cluster_admin.go
+++ b/internal/assembly/cluster_admin.go
@@ -15,23 +15,23 @@
 
 // routeCluster registers the handlers for the members and the consensus group.
 func (x *Extensions) routeCluster(router *adminapi.Router) {
-	adminapi.Handle(router, adminapi.QuestionMembers,
+	adminapi.Handle(router, adminapi.OperationMembers,
 		func(context.Context, adminapi.Empty) (adminapi.MembersReply, error) {
 			return onTransport(x.cluster, func(now float64, view *membership.View) (adminapi.MembersReply, error) {
 				return x.cluster.membersReply(now, view), nil
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionMemberExplain,
+	adminapi.Handle(router, adminapi.OperationMemberExplain,
 		func(_ context.Context, request adminapi.NameRequest) (adminapi.MemberExplanation, error) {
 			return onTransport(x.cluster, func(now float64, view *membership.View) (adminapi.MemberExplanation, error) {
 				return explainMember(now, view, request.Name)
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionConsensus,
+	adminapi.Handle(router, adminapi.OperationConsensus,
 		func(context.Context, adminapi.Empty) (adminapi.ConsensusReply, error) {
 			return x.cluster.consensusReply()
 		})
-	adminapi.Handle(router, adminapi.QuestionReplaceVoter,
+	adminapi.Handle(router, adminapi.OperationReplaceVoter,
 		func(_ context.Context, request adminapi.ReplaceVoterRequest) (adminapi.Accepted, error) {
 			return onTransport(x.cluster, func(now float64, _ *membership.View) (adminapi.Accepted, error) {
 				return x.cluster.replaceVoter(now, request)
--- a/internal/assembly/handoff.go
+++ b/internal/assembly/handoff.go
@@ -35,12 +35,12 @@
 		RetryBudget:          platform.AdoptionBudget,
 		RetryAfterMS:         platform.Scheduler.LongestRetryAfterMS(),
 		AdoptClasses:         file.AdoptClasses,
-		MaxAdoptionsInFlight: file.AdoptAtOnce,
+		MaxAdoptionsInFlight: file.MaxAdoptionsInFlight,
 		CopyAfterMS:          file.CopyAfterMS,
 		MaxCopies:            file.MaxCopies,
 		MaxAnswerBytes:       file.MaxAnswerBytes,
-		KeyRetentionMS:       x.file.Store.RememberMS,
-		QuorumLossMS:         file.DoubtMS,
+		KeyRetentionMS:       x.file.Store.RetentionMS,
+		QuorumLossMS:         file.QuorumLossMS,
 		SendWithoutReplicas:  file.SendWithoutReplicas,
 	}
 	self := cluster.view.Self()
--- a/internal/assembly/handoff_admin.go
+++ b/internal/assembly/handoff_admin.go
@@ -15,17 +15,17 @@
 
 // routeHandoff registers the handlers for the handoff and the copies of open requests.
 func (x *Extensions) routeHandoff(router *adminapi.Router) {
-	adminapi.Handle(router, adminapi.QuestionHandoff,
+	adminapi.Handle(router, adminapi.OperationHandoff,
 		func(context.Context, adminapi.Empty) (adminapi.HandoffReply, error) {
 			return onHandoff(x, func(float64) (adminapi.HandoffReply, error) { return x.handoff.reply(), nil })
 		})
-	adminapi.Handle(router, adminapi.QuestionCopyExplain,
+	adminapi.Handle(router, adminapi.OperationCopyExplain,
 		func(_ context.Context, request adminapi.NameRequest) (adminapi.CopiesReply, error) {
 			return onHandoff(x, func(now float64) (adminapi.CopiesReply, error) {
 				return explainCopies(now, x.handoff.agent.Manager(), request.Name)
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionRelease,
+	adminapi.Handle(router, adminapi.OperationRelease,
 		func(_ context.Context, request adminapi.NameRequest) (adminapi.Accepted, error) {
 			return onHandoff(x, func(now float64) (adminapi.Accepted, error) {
 				x.log.WithField("request", request.Name).WithField("author", request.Author).
@@ -34,7 +34,7 @@
 				return adminapi.Accepted{Accepted: true}, nil
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionAdopt,
+	adminapi.Handle(router, adminapi.OperationAdopt,
 		func(_ context.Context, request adminapi.NameRequest) (adminapi.Accepted, error) {
 			return onHandoff(x, func(now float64) (adminapi.Accepted, error) {
 				x.log.WithField("member", request.Name).WithField("author", request.Author).
--- a/internal/assembly/locality_admin.go
+++ b/internal/assembly/locality_admin.go
@@ -26,19 +26,19 @@
 
 // routeLocality registers the handlers for the zones.
 func (x *Extensions) routeLocality(router *adminapi.Router) {
-	adminapi.Handle(router, adminapi.QuestionLocality,
+	adminapi.Handle(router, adminapi.OperationLocality,
 		func(context.Context, adminapi.Empty) (adminapi.LocalityReply, error) {
 			return onLocality(x, func(now float64) (adminapi.LocalityReply, error) {
 				return x.locality.reply(now), nil
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionZoneOrder,
+	adminapi.Handle(router, adminapi.OperationZoneOrder,
 		func(_ context.Context, request adminapi.ZoneOrderRequest) (adminapi.ZoneOrderReply, error) {
 			return onLocality(x, func(now float64) (adminapi.ZoneOrderReply, error) {
 				return x.locality.submitOrder(now, request)
 			})
 		})
-	adminapi.Handle(router, adminapi.QuestionZoneWhatIf,
+	adminapi.Handle(router, adminapi.OperationZoneWhatIf,
 		func(_ context.Context, request adminapi.ZoneRequest) (adminapi.LinesReply, error) {
 			return onLocality(x, func(now float64) (adminapi.LinesReply, error) {
 				return x.locality.whatIf(now, request.Zone)
--- a/internal/chaostest/cluster_test.go
+++ b/internal/chaostest/cluster_test.go
@@ -101,7 +101,7 @@
 	cl := startCluster(t, Config{Controllers: 4, Executors: 1, Store: true, ClusterSettings: quickCluster})
 	waitConverged(t, cl, "all join")
 	explain := func() (adminapi.MemberExplanation, error) {
-		return ask[adminapi.MemberExplanation](cl, 0, adminapi.QuestionMemberExplain, adminapi.NameRequest{Name: "c2"})
+		return ask[adminapi.MemberExplanation](cl, 0, adminapi.OperationMemberExplain, adminapi.NameRequest{Name: "c2"})
 	}
 	incarnation := func() string {
 		reply, err := explain()
--- a/internal/chaostest/control.go
+++ b/internal/chaostest/control.go
@@ -34,15 +34,15 @@
 }
 
 func (cl *Cluster) members(k int) (adminapi.MembersReply, error) {
-	return ask[adminapi.MembersReply](cl, k, adminapi.QuestionMembers, adminapi.Empty{})
+	return ask[adminapi.MembersReply](cl, k, adminapi.OperationMembers, adminapi.Empty{})
 }
 
 func (cl *Cluster) consensus(k int) (adminapi.ConsensusReply, error) {
-	return ask[adminapi.ConsensusReply](cl, k, adminapi.QuestionConsensus, adminapi.Empty{})
+	return ask[adminapi.ConsensusReply](cl, k, adminapi.OperationConsensus, adminapi.Empty{})
 }
 
 func (cl *Cluster) handoff(k int) (adminapi.HandoffReply, error) {
-	return ask[adminapi.HandoffReply](cl, k, adminapi.QuestionHandoff, adminapi.Empty{})
+	return ask[adminapi.HandoffReply](cl, k, adminapi.OperationHandoff, adminapi.Empty{})
 }
 
 // MembershipView returns the state of each member as a controller has it.
--- a/internal/chaostest/locality.go
+++ b/internal/chaostest/locality.go
@@ -113,7 +113,7 @@
 
 // ZoneStates returns the state of each zone as a controller has it; nil if it does not answer.
 func (cl *Cluster) ZoneStates(k int) map[string]string {
-	reply, err := ask[adminapi.LocalityReply](cl, k, adminapi.QuestionLocality, adminapi.Empty{})
+	reply, err := ask[adminapi.LocalityReply](cl, k, adminapi.OperationLocality, adminapi.Empty{})
 	if err != nil {
 		return nil
 	}
--- a/internal/chaostest/locality_test.go
+++ b/internal/chaostest/locality_test.go
@@ -25,7 +25,7 @@
 
 // order gives an order about a zone to a controller.
 func order(cl *Cluster, k int, request adminapi.ZoneOrderRequest) error {
-	_, err := ask[adminapi.ZoneOrderReply](cl, k, adminapi.QuestionZoneOrder, request)
+	_, err := ask[adminapi.ZoneOrderReply](cl, k, adminapi.OperationZoneOrder, request)
 	return err
 }
 
--- a/internal/chaostest/outcomes.go
+++ b/internal/chaostest/outcomes.go
@@ -66,7 +66,7 @@
 // describeCopies returns what each controller has of a request, for a violation.
 func (cl *Cluster) describeCopies(name string) (text string) {
 	for k, c := range cl.Controllers {
-		reply, err := ask[adminapi.CopiesReply](cl, k, adminapi.QuestionCopyExplain, adminapi.NameRequest{Name: name})
+		reply, err := ask[adminapi.CopiesReply](cl, k, adminapi.OperationCopyExplain, adminapi.NameRequest{Name: name})
 		if err != nil || len(reply.Copies) == 0 {
 			text += c.Name + " nothing; "
 			continue
--- a/internal/chaostest/versions_test.go
+++ b/internal/chaostest/versions_test.go
@@ -72,7 +72,7 @@
 // handoffCount returns a count of handoff. The reply is in its wire form, so that a version that does not have the count fails the test.
 func handoffCount(t *testing.T, cl *Cluster, k int, name string) int {
 	t.Helper()
-	reply, err := cl.Call(k, adminapi.QuestionHandoff, nil)
+	reply, err := cl.Call(k, adminapi.OperationHandoff, nil)
 	require.NoError(t, err)
 	require.Contains(t, reply, name)
 	return int(reply[name].(float64))
--- a/internal/clustersim/locality_metrics.go
+++ b/internal/clustersim/locality_metrics.go
@@ -57,7 +57,7 @@
 	r, m := &s.result, &s.metrics
 	r.Requests = s.requestCount
 	for _, c := range s.controllers {
-		r.ReportBytesPerSecond += float64(c.monitor.Counts.Bytes) / float64(len(s.controllers)) / (s.EndMS / 1000)
+		r.ReportBytesPerSecond += float64(c.monitor.Counts.ReportBytesSent) / float64(len(s.controllers)) / (s.EndMS / 1000)
 	}
 	r.ValueShare = m.earned / max(1, m.possible)
 	r.LocalShare = m.localAttempts / max(1, m.attempts)
--- a/internal/clustersim/locality_monitor.go
+++ b/internal/clustersim/locality_monitor.go
@@ -65,7 +65,7 @@
 			if s.Policy == Uncoordinated {
 				number = s.controllers[k].monitor.Plan().Number
 			}
-			s.stepMonitor(k, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: number, At: s.now})
+			s.stepMonitor(k, &locality.Event{Kind: locality.PlanConfirmed, Number: number, RequestedAt: s.now})
 		}
 		s.stepMonitor(k, &locality.Event{Kind: locality.Ticked, UnixMS: int64(s.now)})
 	}
@@ -88,11 +88,11 @@
 // observation is what a controller sees of the executors.
 func (s *localitySim) observation(k int) *locality.Event {
 	own := s.controllers[k]
-	ev := &locality.Event{Kind: locality.Observed, DemandThreads: own.demand, Applied: own.appliedPlan}
+	ev := &locality.Event{Kind: locality.Observed, DemandThreads: own.demand, AppliedReachVersion: own.appliedPlan}
 	for _, view := range own.scheduler.ExecutorViews(s.schedulerTime(), nil) {
 		e := s.executors[view.Executor-1]
 		ev.Executors = append(ev.Executors, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: s.Cores, Listed: view.Availability == scheduler.Active,
-			Ejected: view.Ejected, WarmingUp: view.WarmingUp, InFlight: float64(view.Threads), Known: hasEvidence(&view)})
+			Ejected: view.Ejected, WarmingUp: view.WarmingUp, InFlight: float64(view.Threads), HasEvidence: hasEvidence(&view)})
 	}
 	return ev
 }
@@ -115,11 +115,11 @@
 		case locality.SendReport:
 			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.ReportReceived, Data: e.Data})
 		case locality.AnnouncePlan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.PlanAnnounced, PlanNumber: e.Number})
+			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.PlanAnnounced, Number: e.Number})
 		case locality.RequestLoan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanRequested, Zone: e.Zone, PlanNumber: e.Number})
+			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanRequested, Zone: e.Zone, Number: e.Number})
 		case locality.GrantLoan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanGranted, Zone: e.Zone, PlanNumber: e.Number, Threads: e.Threads})
+			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanGranted, Zone: e.Zone, Number: e.Number, Threads: e.Threads})
 		case locality.FetchPlan:
 			s.carry(k, e.To, func(int) { s.deliverPlan(k, s.currentPlan()) })
 		case locality.ProposePlan:
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -51,7 +51,7 @@
 
 // EntryAt returns the entry at a place. The value is nil if the place is free. An entry keeps its place until it is
 // removed, so the table can be iterated in steps while other entries are added and removed.
-func (t *Table[V]) Next(place uint32) (key Key, expires int64, value *V) {
+func (t *Table[V]) EntryAt(place uint32) (key Key, expires int64, value *V) {
 	if e := t.entry(place); e.wheelSlot != slotFree {
 		return e.key, e.expires, &e.value
 	}
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -71,7 +71,7 @@
 		}
 		found := 0
 		for place := range table.Places() {
-			if key, expires, value := table.Next(place); value != nil {
+			if key, expires, value := table.EntryAt(place); value != nil {
 				found++
 				assert.Equal(t, expected[key], expectedEntry{expires: expires, value: int64(*value)}, "entry at place %d", place)
 			}
--- a/internal/ledger/idempotencykey.go
+++ b/internal/ledger/idempotencykey.go
@@ -245,7 +245,7 @@
 		return
 	}
 	for place := range l.keys.Places() {
-		storeKey, _, key := l.keys.Next(place)
+		storeKey, _, key := l.keys.EntryAt(place)
 		if key != nil && key.state() != keyUnused {
 			key.firstAt -= elapsed.max - elapsed.min
 			l.persistKey(storeKey, key)
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -94,7 +94,7 @@
 func (l *Ledger) closeOpenRequests(tailInDoubt bool) int {
 	closed := 0
 	for place := range l.requests.Places() {
-		storeKey, _, req := l.requests.Next(place)
+		storeKey, _, req := l.requests.EntryAt(place)
 		if req == nil || !req.state.open() {
 			continue
 		}
--- a/internal/locality/capacity.go
+++ b/internal/locality/capacity.go
@@ -51,7 +51,7 @@
 			available[zone.Name] = load.spare
 		} else {
 			available[zone.Name] = own
-			plan.Pairs = append(plan.Pairs, Pair{From: zone.Name, To: zone.Name, Cap: math.Floor(own)})
+			plan.Pairs = append(plan.Pairs, ZonePair{From: zone.Name, To: zone.Name, Cap: math.Floor(own)})
 			p.explain("zone %s to itself: %.0f of %.0f threads, because its state is %s", zone.Name, own, load.capacity,
 				zone.State)
 		}
@@ -65,7 +65,7 @@
 			p.allocateSpare(&loads[k], loads, tier, previous, plan)
 		}
 	}
-	slices.SortFunc(plan.Pairs, func(a, b Pair) int {
+	slices.SortFunc(plan.Pairs, func(a, b ZonePair) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.To, b.To))
 	})
 	p.assignShares(previous, plan, available, in)
@@ -101,7 +101,7 @@
 		if threads < 1 {
 			continue
 		}
-		plan.Pairs = append(plan.Pairs, Pair{From: from.zone.Name, To: to.zone.Name, Cap: threads})
+		plan.Pairs = append(plan.Pairs, ZonePair{From: from.zone.Name, To: to.zone.Name, Cap: threads})
 		from.unmet -= min(from.unmet, threads)
 		to.spare -= threads
 	}
@@ -109,7 +109,7 @@
 
 // keepCapIfSimilar returns the old cap if the new one hardly differs from it and the old one is allowed. Changing a cap
 // may revoke shares, whose threads no other controller gets for a lease duration.
-func keepCapIfSimilar(old *Pair, threads, most float64) float64 {
+func keepCapIfSimilar(old *ZonePair, threads, most float64) float64 {
 	if old == nil || old.Cap > most {
 		return threads
 	}
@@ -148,7 +148,7 @@
 			continue
 		}
 		if pair == nil {
-			plan.Pairs = append(plan.Pairs, Pair{From: from.zone.Name, To: to.zone.Name})
+			plan.Pairs = append(plan.Pairs, ZonePair{From: from.zone.Name, To: to.zone.Name})
 			pair = &plan.Pairs[len(plan.Pairs)-1]
 		}
 		pair.Cap += threads
--- a/internal/locality/events.go
+++ b/internal/locality/events.go
@@ -32,23 +32,23 @@
 
 // Event is an input of a Monitor. Only the fields of its kind are set.
 type Event struct {
-	Kind          EventKind
-	Executors     []Executor
-	DemandThreads float64 // threads that this controller's running and waiting requests need
-	WithoutList   bool    // the endpoint list is unavailable
-	Members       []Member
-	Leader        string
-	Leads         bool
-	From          string
-	Data          []byte
-	Plan          *Plan
-	Orders        []Order
-	PlanNumber    uint64
-	At            float64
-	Applied       uint64 // Number of the latest SetReach effect that the scheduler had applied at the observation
-	Zone          string
-	Threads       float64
-	UnixMS        int64 // Ticked: the wall clock, by which orders without a SpanMS end
+	Kind                EventKind
+	Executors           []Executor
+	DemandThreads       float64 // threads that this controller's running and waiting requests need
+	ListUnavailable     bool    // the endpoint list is unavailable
+	Members             []Member
+	Leader              string
+	Leads               bool
+	From                string
+	Data                []byte
+	Plan                *Plan
+	Orders              []Order
+	Number              uint64
+	RequestedAt         float64
+	AppliedReachVersion uint64 // Number of the latest SetReach effect that the scheduler had applied at the observation
+	Zone                string
+	Threads             float64
+	UnixMS              int64 // Ticked: the wall clock, by which orders without a SpanMS end
 }
 
 // EffectKind is the kind of an Effect.
--- a/internal/locality/golden_test.go
+++ b/internal/locality/golden_test.go
@@ -48,7 +48,7 @@
 	shares := []Share{{Name: "a", Threads: 1.5}, {Name: "b", Threads: 2}}
 	plan := Plan{
 		Number:  9,
-		Pairs:   []Pair{{From: "z0", To: "z1", Cap: 3.5, Shares: shares}, {From: "z1", To: "z0"}},
+		Pairs:   []ZonePair{{From: "z0", To: "z1", Cap: 3.5, Shares: shares}, {From: "z1", To: "z0"}},
 		Revoked: []RevokedShare{{From: "z0", To: "z1", Name: "c", Threads: 2.5, LeftMS: 1500}},
 	}
 	for state, name := range []string{"whole", "thinned", "doubtful", "lost", "evacuated", "returning"} {
@@ -58,7 +58,7 @@
 	assert.Equal(t, []State{0, 1, 2, 3, 4, 5}, []State{Healthy, Degraded, Suspected, Lost, Evacuated, Recovering})
 	goldenJSON(t, "plan", plan)
 	goldenJSON(t, "plan-empty", Plan{})
-	goldenJSON(t, "plan-bare", Plan{Number: 1, Zones: []Zone{{}}, Pairs: []Pair{{}}, Revoked: []RevokedShare{{}}})
+	goldenJSON(t, "plan-bare", Plan{Number: 1, Zones: []Zone{{}}, Pairs: []ZonePair{{}}, Revoked: []RevokedShare{{}}})
 	for _, kind := range []OrderKind{Evacuate, Hold, Return} {
 		goldenJSON(t, "order-"+string(kind), Order{Kind: kind, Zone: "z0", Author: "ann", Reason: "work on the net",
 			Until: 1700000000123, SpanMS: 60000.5})
--- a/internal/locality/helpers_test.go
+++ b/internal/locality/helpers_test.go
@@ -132,7 +132,7 @@
 		f.reportBytes += len(effect.Data)
 		f.sendEvent(k, to, &Event{Kind: ReportReceived, From: from, Data: effect.Data})
 	case AnnouncePlan:
-		f.sendEvent(k, to, &Event{Kind: PlanAnnounced, From: from, PlanNumber: effect.Number})
+		f.sendEvent(k, to, &Event{Kind: PlanAnnounced, From: from, Number: effect.Number})
 	case FetchPlan:
 		f.send(k, f.leader, func() { f.send(f.leader, k, func() { f.deliverPlan(k) }) })
 	case ProposePlan:
@@ -145,9 +145,9 @@
 			}
 		})
 	case RequestLoan:
-		f.sendEvent(k, to, &Event{Kind: LoanRequested, From: from, Zone: effect.Zone, PlanNumber: effect.Number})
+		f.sendEvent(k, to, &Event{Kind: LoanRequested, From: from, Zone: effect.Zone, Number: effect.Number})
 	case GrantLoan:
-		f.sendEvent(k, to, &Event{Kind: LoanGranted, From: from, Zone: effect.Zone, PlanNumber: effect.Number,
+		f.sendEvent(k, to, &Event{Kind: LoanGranted, From: from, Zone: effect.Zone, Number: effect.Number,
 			Threads: effect.Threads})
 	case SetReach:
 		f.applied[k] = effect.Number
@@ -213,7 +213,7 @@
 			f.step(k, &Event{Kind: MembersChanged, Members: f.membersSeenBy(k), Leader: f.name(f.leader),
 				Leads: k == f.leader && f.hasMajority()})
 			f.step(k, &Event{Kind: Observed, Executors: f.executorsSeenBy(k), DemandThreads: f.demandOf(k),
-				WithoutList: f.listUnavailable, Applied: f.applied[k]})
+				ListUnavailable: f.listUnavailable, AppliedReachVersion: f.applied[k]})
 		}
 		if int(f.now)%1000 == k%20*50 && f.hasMajority() {
 			f.confirmPlan(k)
@@ -226,7 +226,7 @@
 func (f *simulatedFleet) confirmPlan(k int) {
 	requestedAt, number := f.now, f.plan.Number
 	f.send(k, f.leader, func() {
-		f.send(f.leader, k, func() { f.step(k, &Event{Kind: PlanConfirmed, PlanNumber: number, At: requestedAt}) })
+		f.send(f.leader, k, func() { f.step(k, &Event{Kind: PlanConfirmed, Number: number, RequestedAt: requestedAt}) })
 	})
 }
 
@@ -250,7 +250,7 @@
 			isOwn := zone == f.zoneOf[k]
 			isReachable := float64(n) < 10*z.reachable && !(isOwn && z.hiddenFrom[k]) && !(!isOwn && z.hiddenFromOthers)
 			if isOwn || f.state(f.zoneOf[k]) != Healthy && f.reaches[k] != nil && f.reaches[k][executor.Zone].Capacity > 0 {
-				executor.Known, executor.Ejected = true, !isReachable
+				executor.HasEvidence, executor.Ejected = true, !isReachable
 			}
 			if n == 0 {
 				executor.InFlight = f.inFlight[k][executor.Zone]
--- a/internal/locality/loans.go
+++ b/internal/locality/loans.go
@@ -124,7 +124,7 @@
 		total += ev.Executors[k].InFlight
 	}
 	loans.waiting = max(0, ev.DemandThreads-total)
-	m.reviewReservations(ev.Applied)
+	m.reviewReservations(ev.AppliedReachVersion)
 	if loans.waiting < m.loanUnit() || m.now < loans.nextRequestAt || len(m.zoneMembers) < 2 {
 		return
 	}
@@ -193,7 +193,7 @@
 	if !isPeer || !m.mayLend() || loans.waiting >= m.loanUnit() || len(loans.lent) >= maxLoans {
 		return
 	}
-	if slices.ContainsFunc(loans.lent, func(l loan) bool { return l.id == ev.PlanNumber }) {
+	if slices.ContainsFunc(loans.lent, func(l loan) bool { return l.id == ev.Number }) {
 		return // duplicate
 	}
 	reserved := loans.reservations[ev.Zone]
@@ -218,9 +218,9 @@
 	threads := unit * math.Ceil(reserved.threads/unit/reservationDivisor)
 	reserved.threads -= threads
 	until := m.now + m.loanDurationMS() + loanGraceMS
-	loans.lent = append(loans.lent, loan{request.Zone, request.PlanNumber, threads, until})
+	loans.lent = append(loans.lent, loan{request.Zone, request.Number, threads, until})
 	loans.lentCount++
-	m.emit(Effect{Kind: GrantLoan, To: request.From, Zone: request.Zone, Number: request.PlanNumber, Threads: threads})
+	m.emit(Effect{Kind: GrantLoan, To: request.From, Zone: request.Zone, Number: request.Number, Threads: threads})
 }
 
 // extendReservation reserves half of the unused capacity in a zone less one unit. A reservation is never larger than
@@ -247,7 +247,7 @@
 // however long the answer took. Several members may answer one request.
 func (m *Monitor) handleLoan(ev *Event) {
 	loans := &m.loans
-	request, known := loans.requests[ev.PlanNumber]
+	request, known := loans.requests[ev.Number]
 	if !known || request.zone != ev.Zone || m.now >= request.at+m.loanDurationMS() {
 		return
 	}
@@ -255,7 +255,7 @@
 	if !isValid || len(loans.borrowed) >= maxLoans {
 		return
 	}
-	id := uint64(memberHash(ev.From, ""))<<32 | ev.PlanNumber&math.MaxUint32
+	id := uint64(memberHash(ev.From, ""))<<32 | ev.Number&math.MaxUint32
 	if slices.ContainsFunc(loans.borrowed, func(l loan) bool { return l.id == id }) {
 		return // duplicate
 	}
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -499,7 +499,7 @@
 	fleet := newSettledFleet(t, 4)
 	monitor := fleet.monitors[3] // of a controller of z0
 	request := func(from string, id uint64) (lent float64) {
-		ev := &Event{Kind: LoanRequested, From: from, Zone: "z1", PlanNumber: id}
+		ev := &Event{Kind: LoanRequested, From: from, Zone: "z1", Number: id}
 		for _, effect := range monitor.Step(fleet.now, ev) {
 			if effect.Kind == GrantLoan {
 				lent += effect.Threads
@@ -511,7 +511,7 @@
 		fleet.inFlight[3] = map[string]float64{"z1": inFlight}
 		fleet.demandThreads[3] = inFlight
 		monitor.Step(fleet.now, &Event{Kind: Observed, Executors: fleet.executorsSeenBy(3), DemandThreads: inFlight,
-			Applied: applied})
+			AppliedReachVersion: applied})
 	}
 	share := monitor.plan.Pair("z0", "z1").threadsOf("c003")
 	require.GreaterOrEqual(t, share, 3.0)
@@ -528,7 +528,7 @@
 	assert.Positive(t, lent, "all conditions are met")
 	assert.Zero(t, request("c000", 5), "the request is a duplicate")
 	assert.LessOrEqual(t, monitor.capacityOf("z1", 1)+lent, share)
-	unrequested := &Event{Kind: LoanGranted, From: "c000", Zone: "z1", PlanNumber: 77, Threads: 5}
+	unrequested := &Event{Kind: LoanGranted, From: "c000", Zone: "z1", Number: 77, Threads: 5}
 	assert.Empty(t, monitor.Step(fleet.now, unrequested), "there was no request for this loan")
 	fleet.now += 10_000
 	observe(0, monitor.reachVersion)
--- a/internal/locality/monitor.go
+++ b/internal/locality/monitor.go
@@ -74,7 +74,7 @@
 	Malformed       uint64 // reports that could not be decoded or were implausible
 	Proposed        uint64 // plans that this controller proposed
 	Plans           uint64 // agreed plans that this controller adopted
-	Bytes           uint64 // size of the reports sent
+	ReportBytesSent uint64 // size of the reports sent
 }
 
 // New returns the monitor of the controller with the given name, zone and region.
@@ -171,12 +171,12 @@
 // fetches that plan otherwise. A share that a later plan revokes is granted to another controller only a lease duration
 // after that plan, and the confirmation was requested before that plan. So the lease counts from the request.
 func (m *Monitor) handleConfirmation(ev *Event) {
-	m.confirmedPlanNumber = ev.PlanNumber
-	m.confirmedPlanAt = ev.At
-	if ev.PlanNumber <= m.plan.Number {
-		m.sharesConfirmedAt = max(m.sharesConfirmedAt, ev.At)
+	m.confirmedPlanNumber = ev.Number
+	m.confirmedPlanAt = ev.RequestedAt
+	if ev.Number <= m.plan.Number {
+		m.sharesConfirmedAt = max(m.sharesConfirmedAt, ev.RequestedAt)
 	} else {
-		m.fetchPlan(ev.PlanNumber)
+		m.fetchPlan(ev.Number)
 	}
 }
 
@@ -185,7 +185,7 @@
 func (m *Monitor) handleAnnouncement(ev *Event) {
 	parent := m.parentOf(m.name)
 	if ev.From == parent || parent == "" && ev.From == m.leader {
-		m.fetchPlan(ev.PlanNumber)
+		m.fetchPlan(ev.Number)
 	}
 }
 
--- a/internal/locality/planner.go
+++ b/internal/locality/planner.go
@@ -98,8 +98,8 @@
 }
 
 // equalShares reports whether two plans have the same pairs with the same shares. Caps may differ.
-func equalShares(a, b []Pair) bool {
-	return slices.EqualFunc(a, b, func(x, y Pair) bool {
+func equalShares(a, b []ZonePair) bool {
+	return slices.EqualFunc(a, b, func(x, y ZonePair) bool {
 		return x.From == y.From && x.To == y.To && slices.Equal(x.Shares, y.Shares)
 	})
 }
--- a/internal/locality/reports.go
+++ b/internal/locality/reports.go
@@ -38,10 +38,10 @@
 // observe updates this controller's own report.
 func (m *Monitor) observe(ev *Event) {
 	m.executors = ev.Executors
-	m.listUnavailable = ev.WithoutList
+	m.listUnavailable = ev.ListUnavailable
 	m.ownReportAt = m.now
 	m.ownReport = Report{Zone: m.zone, Observers: 1, DemandThreads: ev.DemandThreads}
-	if ev.WithoutList {
+	if ev.ListUnavailable {
 		m.ownReport.ObserversWithoutList = 1
 	}
 	cores := map[string]*observedCores{}
@@ -57,7 +57,7 @@
 			zones = append(zones, zone)
 		}
 		inFlight[zone] += executor.InFlight
-		if !executor.Known || !executor.Listed { // a draining executor says nothing about its zone
+		if !executor.HasEvidence || !executor.Listed { // a draining executor says nothing about its zone
 			continue
 		}
 		zoneCores.known += executor.Cores
@@ -133,7 +133,7 @@
 		return
 	}
 	m.Counts.ReportsSent++
-	m.Counts.Bytes += uint64(len(data))
+	m.Counts.ReportBytesSent += uint64(len(data))
 	m.emit(Effect{Kind: SendReport, To: to, Data: data})
 }
 
--- a/internal/locality/shares.go
+++ b/internal/locality/shares.go
@@ -64,7 +64,7 @@
 // revokeShares records the shares of the previous plan that are larger than the desired ones as revoked.
 func (p *planner) revokeShares(previous, plan *Plan, desired []map[string]float64, in *planInput) {
 	for _, old := range previous.Pairs {
-		k := slices.IndexFunc(plan.Pairs, func(pair Pair) bool { return pair.From == old.From && pair.To == old.To })
+		k := slices.IndexFunc(plan.Pairs, func(pair ZonePair) bool { return pair.From == old.From && pair.To == old.To })
 		for _, share := range old.Shares {
 			if k >= 0 && desired[k][share.Name] >= share.Threads {
 				continue
@@ -106,7 +106,7 @@
 
 // grant returns a controller's share of a pair: the threads that it may be using already, and more up to the desired
 // ones as far as the cap of the pair and the capacity available in the target zone allow.
-func (u *usage) grant(pair *Pair, name string, desired, available, unit float64) float64 {
+func (u *usage) grant(pair *ZonePair, name string, desired, available, unit float64) float64 {
 	r := route{pair.From, pair.To}
 	inUse := u.byMember[r][name]
 	free := math.Floor(min(pair.Cap-u.byRoute[r], available-u.byTarget[r.to])/unit) * unit
@@ -124,7 +124,7 @@
 
 // divideUnits divides units of a cap evenly among controllers and returns their threads by name. The remainder goes to
 // the controllers with the largest previous shares, and among equal ones to the first in names.
-func divideUnits(names []string, old *Pair, units, unit float64) map[string]float64 {
+func divideUnits(names []string, old *ZonePair, units, unit float64) map[string]float64 {
 	shares := map[string]float64{}
 	if len(names) == 0 || units < 1 {
 		return shares
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -62,9 +62,9 @@
 	Threads float64 `json:"Threads"` // that the controller may have in flight
 }
 
-// Pair caps the threads that the controllers of one zone may have in flight on the executors of another zone. The two
+// ZonePair caps the threads that the controllers of one zone may have in flight on the executors of another zone. The two
 // zones are the same while a zone is not fully open to its own controllers.
-type Pair struct {
+type ZonePair struct {
 	From   string  `json:"From"` // zone of the controllers
 	To     string  `json:"To"`   // zone of the executors
 	Cap    float64 `json:"Cap"`  // threads, of all controllers together
@@ -98,7 +98,7 @@
 type Plan struct {
 	Number  uint64         `json:"Number"`
 	Zones   []Zone         `json:"Zones"`
-	Pairs   []Pair         `json:"Pairs,omitempty"`
+	Pairs   []ZonePair     `json:"Pairs,omitempty"`
 	Revoked []RevokedShare `json:"Held,omitempty"` // shares that may still be in use
 }
 
@@ -133,13 +133,13 @@
 
 // Executor is the state of an executor according to this controller's endpoint list and scheduler.
 type Executor struct {
-	Zone, Kind string
-	Cores      float64
-	Listed     bool // active in the endpoint list
-	Known      bool // there is recent evidence of whether it is reachable
-	Ejected    bool // the scheduler sends it no requests, because attempts failed
-	WarmingUp  bool
-	InFlight   float64 // threads of this controller's attempts
+	Zone, Kind  string
+	Cores       float64
+	Listed      bool // active in the endpoint list
+	HasEvidence bool // there is recent evidence of whether it is reachable
+	Ejected     bool // the scheduler sends it no requests, because attempts failed
+	WarmingUp   bool
+	InFlight    float64 // threads of this controller's attempts
 }
 
 // findZone returns the zone with the given name, or nil.
@@ -153,7 +153,7 @@
 }
 
 // Pair returns the pair for the controllers of one zone and the executors of another, or nil if the plan has none.
-func (p *Plan) Pair(from, to string) *Pair {
+func (p *Plan) Pair(from, to string) *ZonePair {
 	for k := range p.Pairs {
 		if p.Pairs[k].From == from && p.Pairs[k].To == to {
 			return &p.Pairs[k]
@@ -163,7 +163,7 @@
 }
 
 // threadsOf returns the threads of a controller's share, 0 if the controller has no share. The pair may be nil.
-func (p *Pair) threadsOf(name string) float64 {
+func (p *ZonePair) threadsOf(name string) float64 {
 	if p == nil {
 		return 0
 	}
--- a/internal/localityagent/agent.go
+++ b/internal/localityagent/agent.go
@@ -73,7 +73,7 @@
 func (a *Agent) Start() {
 	a.node.OnPlan = a.handlePlan
 	a.node.OnPlanConfirmed = func(now float64, number uint64, at float64) {
-		a.step(now, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: number, At: at})
+		a.step(now, &locality.Event{Kind: locality.PlanConfirmed, Number: number, RequestedAt: at})
 	}
 	a.transport.LocalityDatagram = a.receiveDatagram
 	go a.runReachUpdates()
@@ -126,7 +126,7 @@
 	}
 	fields := logrus.Fields{"plan": plan.Number, "reports_sent": counts.ReportsSent,
 		"reports_received": counts.ReportsReceived, "stale": counts.Stale, "malformed": counts.Malformed,
-		"proposed": counts.Proposed, "plans": counts.Plans, "bytes": counts.Bytes, "lent": counts.Lent,
+		"proposed": counts.Proposed, "plans": counts.Plans, "bytes": counts.ReportBytesSent, "lent": counts.Lent,
 		"borrowed": counts.Borrowed}
 	for _, zone := range plan.Zones {
 		fields["zone."+zone.Name] = zone.State.String()
--- a/internal/localityagent/collector.go
+++ b/internal/localityagent/collector.go
@@ -58,7 +58,7 @@
 		c.observedAt = now
 		executors, _ := ev.SchedulerState()
 		observed := &locality.Event{Kind: locality.Observed, DemandThreads: c.demandThreads,
-			WithoutList: c.listUnavailable, Applied: c.appliedVersion, Executors: c.executors(executors)}
+			ListUnavailable: c.listUnavailable, AppliedReachVersion: c.appliedVersion, Executors: c.executors(executors)}
 		// Post blocks while the transport's queue is full, and the dispatch loop must not block.
 		go a.transport.Post(func(now float64) { a.step(now, observed) })
 	}
@@ -75,7 +75,7 @@
 		}
 		executors = append(executors, locality.Executor{Zone: endpoint.Zone, Kind: endpoint.Kind,
 			Cores: max(1, c.coresByKind[endpoint.Kind]), Listed: view.Availability == scheduler.Active,
-			Known: hasEvidence(view), Ejected: view.Ejected, WarmingUp: view.WarmingUp,
+			HasEvidence: hasEvidence(view), Ejected: view.Ejected, WarmingUp: view.WarmingUp,
 			InFlight: float64(view.Threads)})
 	}
 	return executors
--- a/internal/localityagent/datagram.go
+++ b/internal/localityagent/datagram.go
@@ -103,7 +103,7 @@
 		return ev, true
 	case datagramAnnouncement:
 		ev.Kind = locality.PlanAnnounced
-		ev.PlanNumber, _ = binary.Uvarint(content)
+		ev.Number, _ = binary.Uvarint(content)
 		return ev, true
 	case datagramLoanRequest:
 		return decodeLoan(ev, locality.LoanRequested, content, loanIDBytes)
@@ -124,7 +124,7 @@
 		return ev, false
 	}
 	ev.Kind = kind
-	ev.PlanNumber = binary.BigEndian.Uint64(content)
+	ev.Number = binary.BigEndian.Uint64(content)
 	ev.Zone = string(content[zoneOffset:])
 	return ev, true
 }
--- a/internal/localityagent/golden_test.go
+++ b/internal/localityagent/golden_test.go
@@ -60,13 +60,13 @@
 
 var (
 	goldenMembers = []locality.Member{{Name: "a", Zone: "z0", Live: true}, {Name: "b", Zone: "z0", Live: true}}
-	goldenPlan    = &locality.Plan{Number: 300, Pairs: []locality.Pair{{From: "z0", To: "z1", Cap: 80,
+	goldenPlan    = &locality.Plan{Number: 300, Pairs: []locality.ZonePair{{From: "z0", To: "z1", Cap: 80,
 		Shares: []locality.Share{{Name: "a", Threads: 40}, {Name: "b", Threads: 40}}}}}
 )
 
 // goldenExecutors returns an executor in zone z1 with the given threads in flight.
 func goldenExecutors(inFlight float64) []locality.Executor {
-	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: inFlight}}
+	return []locality.Executor{{Zone: "z1", Kind: "big", Cores: 8, Listed: true, HasEvidence: true, InFlight: inFlight}}
 }
 
 // Guards the bytes of the datagrams between agents, which are a wire format.
@@ -81,14 +81,14 @@
 	for _, ev := range []locality.Event{
 		{Kind: locality.MembersChanged, Leader: "b", Members: goldenMembers},
 		{Kind: locality.PlanAgreed, Plan: goldenPlan}, // leads to an announcement
-		{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000},
+		{Kind: locality.PlanConfirmed, Number: 300, RequestedAt: 1000},
 		{Kind: locality.Observed, Executors: goldenExecutors(40), DemandThreads: 50}, // leads to a loan request
 		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5},
 		// Reserves threads, which may be lent once the scheduler has applied the lower limit.
-		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 7},
-		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, Applied: 100},
-		{Kind: locality.LoanRequested, From: "b", Zone: "z1", PlanNumber: 0x0123456789abcdef}, // leads to a loan
-		{Kind: locality.Ticked, UnixMS: 1},                                                    // leads to a report
+		{Kind: locality.LoanRequested, From: "b", Zone: "z1", Number: 7},
+		{Kind: locality.Observed, Executors: goldenExecutors(2.5), DemandThreads: 2.5, AppliedReachVersion: 100},
+		{Kind: locality.LoanRequested, From: "b", Zone: "z1", Number: 0x0123456789abcdef}, // leads to a loan
+		{Kind: locality.Ticked, UnixMS: 1},                                                // leads to a report
 	} {
 		agent.step(1000, &ev)
 	}
@@ -124,7 +124,7 @@
 	counts := func(agent *Agent) locality.Counts {
 		got := make(chan locality.Counts, 1)
 		transport.Post(func(float64) {
-			agent.step(1000, &locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
+			agent.step(1000, &locality.Event{Kind: locality.PlanConfirmed, Number: 300, RequestedAt: 1000})
 			got <- agent.Monitor.Counts
 		})
 		return <-got
@@ -132,11 +132,11 @@
 	prepare := func(agent *Agent) {
 		step(agent, locality.Event{Kind: locality.MembersChanged, Leader: "b", Members: goldenMembers})
 		step(agent, locality.Event{Kind: locality.PlanAgreed, Plan: goldenPlan})
-		step(agent, locality.Event{Kind: locality.PlanConfirmed, PlanNumber: 300, At: 1000})
+		step(agent, locality.Event{Kind: locality.PlanConfirmed, Number: 300, RequestedAt: 1000})
 	}
 	observe := func(agent *Agent, inFlight, demand float64, applied uint64) {
 		step(agent, locality.Event{Kind: locality.Observed, Executors: goldenExecutors(inFlight), DemandThreads: demand,
-			Applied: applied})
+			AppliedReachVersion: applied})
 	}
 	b := newTestAgent("b", transport, view)
 	prepare(b)
--- a/internal/localityagent/localityagent_test.go
+++ b/internal/localityagent/localityagent_test.go
@@ -58,8 +58,8 @@
 		{Executor: 9}, // not in the endpoint list
 	})
 	assert.Equal(t, []locality.Executor{
-		{Zone: "z0", Kind: "big", Cores: 8, Listed: true, Known: true, InFlight: 8},
-		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, Known: true, Ejected: true},
+		{Zone: "z0", Kind: "big", Cores: 8, Listed: true, HasEvidence: true, InFlight: 8},
+		{Zone: "z1", Kind: "big", Cores: 8, Listed: true, HasEvidence: true, Ejected: true},
 		{Zone: "z1", Kind: "odd", Cores: 1},
 	}, executors)
 
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -17,14 +17,14 @@
 
 // File holds the settings of the operators' file. A block that the file lacks is nil, and its feature is off.
 type File struct {
-	Path       string
-	Store      *Store
-	Quotas     *Quotas
-	Cluster    *Cluster
-	Handoff    *Handoff
-	Locality   *Locality
-	Control    string   // path of the control socket; empty: none
-	Deprecated []string // former names that the file uses, each with its current name
+	Path          string
+	Store         *Store
+	Quotas        *Quotas
+	Cluster       *Cluster
+	Handoff       *Handoff
+	Locality      *Locality
+	ControlSocket string   // path of the control socket; empty: none
+	Deprecated    []string // former names that the file uses, each with its current name
 }
 
 // controlSchema describes the block control.
@@ -76,7 +76,7 @@
 		f.Store = newStore(b)
 	}
 	if b, ok := body.single("control"); ok {
-		f.Control = b.strings["socket"]
+		f.ControlSocket = b.strings["socket"]
 	}
 	if b, ok := body.single("quotas"); ok {
 		if f.Quotas, diags = newQuotas(b); diags.HasErrors() {
@@ -103,8 +103,8 @@
 	return diags
 }
 
-// Differs returns the names of those settings that differ in next and only take effect at a restart.
-func (f *File) Differs(next *File) (names []string) {
+// ChangesNeedingRestart returns the names of those settings that differ in next and only take effect at a restart.
+func (f *File) ChangesNeedingRestart(next *File) (names []string) {
 	add := func(name string, differs bool) {
 		if differs {
 			names = append(names, name)
@@ -115,7 +115,7 @@
 	} else {
 		add("store.directory, segment or lag", f.Store != nil && !f.Store.sameFiles(next.Store))
 	}
-	add("control.socket", f.Control != next.Control)
+	add("control.socket", f.ControlSocket != next.ControlSocket)
 	add("quotas: which teams there are, or the attribution", blockDiffers(f.Quotas, next.Quotas, (*Quotas).SameTree))
 	add("cluster", blockDiffers(f.Cluster, next.Cluster, (*Cluster).Equal))
 	add("handoff", blockDiffers(f.Handoff, next.Handoff, (*Handoff).Equal))
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -20,15 +20,15 @@
 	assert.Equal(t, []any{"/d", int64(65536), 20 * time.Millisecond},
 		[]any{f.Store.Directory, f.Store.SegmentBytes, f.Store.FlushDelay})
 	assert.Equal(t, []any{3600e3, 4096, 200000},
-		[]any{f.Store.RememberMS, f.Store.MaxAnswerBytes, f.Store.MaxRecords})
+		[]any{f.Store.RetentionMS, f.Store.MaxAnswerBytes, f.Store.MaxRecords})
 	empty, err := Parse(nil, "x")
 	assert.NoError(t, err)
 	assert.Nil(t, empty.Store)
-	assert.Equal(t, []string{"store"}, f.Differs(empty))
+	assert.Equal(t, []string{"store"}, f.ChangesNeedingRestart(empty))
 	otherStore := *f.Store
 	otherStore.FlushDelay = 1
-	assert.Len(t, f.Differs(&File{Store: &otherStore}), 1)
-	assert.Empty(t, f.Differs(f))
+	assert.Len(t, f.ChangesNeedingRestart(&File{Store: &otherStore}), 1)
+	assert.Empty(t, f.ChangesNeedingRestart(f))
 	_, err = Read(path + "-not")
 	assert.ErrorContains(t, err, "operators' file")
 }
@@ -100,7 +100,7 @@
 	assert.Empty(t, a.Deprecated)
 	b, err := Parse([]byte(former), "f")
 	require.NoError(t, err)
-	assert.Empty(t, a.Differs(b))
+	assert.Empty(t, a.ChangesNeedingRestart(b))
 	assert.Equal(t, a.Quotas.Teams, b.Quotas.Teams)
 	assert.Equal(t, a.Quotas.Attribution, b.Quotas.Attribution)
 	assert.Equal(t, a.Locality, b.Locality)
--- a/internal/operatorconfig/handoff.go
+++ b/internal/operatorconfig/handoff.go
@@ -8,16 +8,16 @@
 
 // Handoff holds the settings of the block handoff.
 type Handoff struct {
-	Copies              int      // copies of an open request that other controllers keep
-	WaitForOwnDisk      bool     // an attempt also waits for this controller's own disk
-	CopiesOnDisk        bool     // replicas acknowledge a copy only once it is on their disk
-	AdoptClasses        []string // idempotent request classes that a successor runs again
-	CopyAfterMS         float64  // idempotent requests that take longer are copied; 0: none are
-	AdoptAtOnce         int      // limit of adopted requests in flight
-	MaxAnswerBytes      int      // longer answers are not copied
-	MaxCopies           int      // limit of copies kept for other controllers
-	DoubtMS             float64  // how long keys of a partition that lost its quorum are rejected
-	SendWithoutReplicas bool     // send attempts even where too few replicas can be reached
+	Copies               int      // copies of an open request that other controllers keep
+	WaitForOwnDisk       bool     // an attempt also waits for this controller's own disk
+	CopiesOnDisk         bool     // replicas acknowledge a copy only once it is on their disk
+	AdoptClasses         []string // idempotent request classes that a successor runs again
+	CopyAfterMS          float64  // idempotent requests that take longer are copied; 0: none are
+	MaxAdoptionsInFlight int      // limit of adopted requests in flight
+	MaxAnswerBytes       int      // longer answers are not copied
+	MaxCopies            int      // limit of copies kept for other controllers
+	QuorumLossMS         float64  // how long keys of a partition that lost its quorum are rejected
+	SendWithoutReplicas  bool     // send attempts even where too few replicas can be reached
 
 	deprecated []string
 }
@@ -72,13 +72,13 @@
 func newHandoff(v blockValues, hasConsensus, hasStore bool) (*Handoff, hcl.Diagnostics) {
 	var diags hcl.Diagnostics
 	h := &Handoff{
-		Copies:         int(v.numbers["copies"]),
-		AdoptClasses:   v.lists["adopt"],
-		CopyAfterMS:    v.numbers["lag"],
-		AdoptAtOnce:    int(v.numbers["adopt_at_once"]),
-		MaxAnswerBytes: int(v.numbers["keep_answers"]),
-		MaxCopies:      int(v.numbers["most_kept"]),
-		DoubtMS:        v.numbers["doubt"],
+		Copies:               int(v.numbers["copies"]),
+		AdoptClasses:         v.lists["adopt"],
+		CopyAfterMS:          v.numbers["lag"],
+		MaxAdoptionsInFlight: int(v.numbers["adopt_at_once"]),
+		MaxAnswerBytes:       int(v.numbers["keep_answers"]),
+		MaxCopies:            int(v.numbers["most_kept"]),
+		QuorumLossMS:         v.numbers["doubt"],
 	}
 	c, known := conditions[h.currentWord(v.strings["condition"])]
 	h.WaitForOwnDisk, h.CopiesOnDisk = c.ownDisk, c.replicaDisks
--- a/internal/operatorconfig/handoff_test.go
+++ b/internal/operatorconfig/handoff_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, []any{true, false, 2},
 		[]any{defaults.Handoff.WaitForOwnDisk, defaults.Handoff.CopiesOnDisk, defaults.Handoff.Copies})
-	assert.Contains(t, f.Differs(defaults), "handoff")
+	assert.Contains(t, f.ChangesNeedingRestart(defaults), "handoff")
 	for text, want := range map[string]string{
 		"handoff {}": "needs a consensus group",
 		withConsensus + "handoff {\n condition = \"never\"\n}":     "f:11:14: condition must be",
--- a/internal/operatorconfig/store.go
+++ b/internal/operatorconfig/store.go
@@ -8,7 +8,7 @@
 	SegmentBytes int64         // size of one log file
 	FlushDelay   time.Duration // longest time that a record which no attempt waits for stays unwritten
 
-	RememberMS     float64 // how long an idempotency key is kept past the window of its class
+	RetentionMS    float64 // how long an idempotency key is kept past the window of its class
 	MaxAnswerBytes int     // longer answers are not kept
 	MaxRecords     int     // limit of keys, and of requests
 }
@@ -34,7 +34,7 @@
 		Directory:      v.strings["directory"],
 		SegmentBytes:   int64(v.numbers["segment"]),
 		FlushDelay:     time.Duration(v.numbers["lag"] * float64(time.Millisecond)),
-		RememberMS:     v.numbers["remember"],
+		RetentionMS:    v.numbers["remember"],
 		MaxAnswerBytes: int(v.numbers["keep_answers"]),
 		MaxRecords:     int(v.numbers["most_kept"]),
 	}
--- a/internal/operatorconfig/zones_test.go
+++ b/internal/operatorconfig/zones_test.go
@@ -38,8 +38,8 @@
 	defaults, err := Parse([]byte(withZone+"zones {}"), "f")
 	require.NoError(t, err)
 	assert.Equal(t, 1.2, defaults.Locality.ThreadsPerCore)
-	assert.Contains(t, f.Differs(defaults), "zones")
-	assert.NotContains(t, f.Differs(f), "zones")
+	assert.Contains(t, f.ChangesNeedingRestart(defaults), "zones")
+	assert.NotContains(t, f.ChangesNeedingRestart(f), "zones")
 	for text, want := range map[string]string{
 		withConsensus + "zones {}":                         "block cluster does not set zone",
 		"zones {}":                                         "no block cluster with founders",
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -140,7 +140,7 @@
 	header := fileHeader{kind: kindSnapshot, id: id, length: headerSize}
 	var encoded []byte
 	for place := range table.Places() {
-		key, expires, value := table.Next(place)
+		key, expires, value := table.EntryAt(place)
 		if value == nil {
 			continue
 		}
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -138,7 +138,7 @@
 	s.stateMu.RLock()
 	defer s.stateMu.RUnlock()
 	for place := first; place < min(first+entriesPerCopy, s.index.Places()); place++ {
-		key, expires, loc := s.index.Next(place)
+		key, expires, loc := s.index.EntryAt(place)
 		if loc == nil || isLogFrom(loc.file, header.id) {
 			continue
 		}
