--- a/internal/testservers/client.go
+++ b/internal/testservers/client.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -20,42 +19,42 @@
 
 const (
 	dialInterval     = 2 * time.Millisecond
-	replySlack       = 2 * time.Second // that a client waits past the deadline of its request
+	replySlack       = 2 * time.Second // how long Submit waits for the reply past the deadline of its request
 	maxMessageBytes  = 1 << 20
 	contentLengthKey = "Content-Length:"
 )
 
-// Reply is the reply to a call of a client.
+// Reply is a controller's reply to a call.
 type Reply struct {
-	Code         int // of the error; 0: handled
+	Code         int // error code; 0: the request succeeded
 	Message      string
 	Data         string // base64, of a result
-	Outcome      string // of the method outcome
+	Outcome      string // of the method "outcome"
 	RetryAfterMS int
 	Waits        []WaitEstimate // received before the reply
 }
 
 // WaitEstimate is an estimate of when a queued request starts and ends.
 type WaitEstimate struct {
-	Start, End float64
+	Start, End float64 // milliseconds
 	Unknown    bool
-	At         time.Time
+	At         time.Time // when the client received the estimate
 }
 
 // Client is one connection of a client, for one call at a time.
 type Client struct {
 	conn   net.Conn
-	r      *bufio.Reader
+	reader *bufio.Reader
 	lastID int
 }
 
-// Dial connects a client; it tries again until the timeout.
+// Dial connects a client and retries until the timeout has passed.
 func Dial(address string, timeout time.Duration) (*Client, error) {
 	start := time.Now()
 	for {
 		conn, err := net.DialTimeout("tcp", address, timeout)
 		if err == nil {
-			return &Client{conn: conn, r: bufio.NewReader(conn)}, nil
+			return &Client{conn: conn, reader: bufio.NewReader(conn)}, nil
 		}
 		if time.Since(start) > timeout {
 			return nil, err
@@ -76,7 +75,7 @@
 	return c.Call(class, params, timeout+replySlack)
 }
 
-// Call makes one call and waits for the reply.
+// Call makes one call and waits for the reply. It collects the wait estimates that arrive before the reply.
 func (c *Client) Call(method string, params any, timeout time.Duration) (Reply, error) {
 	c.lastID++
 	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.lastID, "method": method, "params": params})
@@ -89,18 +88,24 @@
 	}
 	var waits []WaitEstimate
 	for {
-		m, err := c.read()
+		msg, err := c.read()
 		switch {
 		case err != nil:
 			return Reply{Waits: waits}, err
-		case m.Method == "wait":
-			m.Params.At = time.Now()
-			waits = append(waits, m.Params.WaitEstimate)
-		case m.ID != c.lastID:
-			return Reply{Waits: waits}, errors.New("an answer to something else")
+		case msg.Method == "wait":
+			msg.Params.At = time.Now()
+			waits = append(waits, msg.Params.WaitEstimate)
+		case msg.ID != c.lastID:
+			return Reply{Waits: waits}, fmt.Errorf("reply with ID %d, expected a reply to call %d", msg.ID, c.lastID)
 		default:
-			return Reply{Code: m.Error.Code, Message: m.Error.Message, Data: m.Result.Data, Outcome: m.Result.Outcome,
-				RetryAfterMS: m.Error.Data.HoldOff, Waits: waits}, nil
+			return Reply{
+				Code:         msg.Error.Code,
+				Message:      msg.Error.Message,
+				Data:         msg.Result.Data,
+				Outcome:      msg.Result.Outcome,
+				RetryAfterMS: msg.Error.Data.HoldOff,
+				Waits:        waits,
+			}, nil
 		}
 	}
 }
@@ -118,19 +123,19 @@
 	}
 }
 
-// read reads one message.
-func (c *Client) read() (m message, err error) {
-	header, err := c.r.ReadString('\n')
+// read reads one message, whose only header is its length.
+func (c *Client) read() (msg message, err error) {
+	header, err := c.reader.ReadString('\n')
 	if err != nil {
-		return m, err
+		return msg, err
 	}
 	length, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(header, contentLengthKey)))
 	if err != nil || length < 0 || length > maxMessageBytes {
-		return m, fmt.Errorf("header %q", header)
+		return msg, fmt.Errorf("message header %q: expected %q and at most %d", header, contentLengthKey, maxMessageBytes)
 	}
 	body := make([]byte, len("\r\n")+length)
-	if _, err := io.ReadFull(c.r, body); err != nil {
-		return m, err
+	if _, err := io.ReadFull(c.reader, body); err != nil {
+		return msg, err
 	}
-	return m, json.Unmarshal(body, &m)
+	return msg, json.Unmarshal(body, &msg)
 }
--- a/internal/testservers/cores.go
+++ b/internal/testservers/cores.go
@@ -4,23 +4,23 @@
 
 // job is a request that runs on an executor with a limited number of cores.
 type job struct {
-	remainingMS float64 // of one core
+	remainingMS float64 // of processor time on one core
 	weight      float64
 	done        func()
 }
 
-// jobTick is how often cores are shared out anew.
+// jobTick is the interval at which jobs advance and the cores are shared anew.
 const jobTick = time.Millisecond
 
-// priorityWeights has the weight of each priority level of the protocol.
+// priorityWeights holds the weight of each priority level of the protocol.
 var priorityWeights = map[string]float64{"0": 1, "1": 4, "2": 8, "3": 16}
 
 func priorityWeight(level string) float64 { return max(1, priorityWeights[level]) }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (e *Executor) startJob(work time.Duration, level string, done func()) *job {
-	j := &job{remainingMS: milliseconds(work), weight: priorityWeight(level), done: done}
+func (e *Executor) startJob(work time.Duration, priority string, done func()) *job {
+	j := &job{remainingMS: milliseconds(work), weight: priorityWeight(priority), done: done}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.jobs[j] = struct{}{}
@@ -33,16 +33,17 @@
 	delete(e.jobs, j)
 }
 
-func (e *Executor) renice(j *job, level string) {
+// setPriority changes the share of a job; a nil job is ignored.
+func (e *Executor) setPriority(j *job, priority string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if j != nil {
-		j.weight = priorityWeight(level)
+		j.weight = priorityWeight(priority)
 	}
 }
 
-// rejectsForSpace reports whether the executor is full, and counts that.
-func (e *Executor) rejectsForSpace() bool {
+// rejectIfFull reports whether the executor has MaxInFlight requests, and counts the rejection.
+func (e *Executor) rejectIfFull() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peakJobs = max(e.peakJobs, len(e.jobs))
@@ -53,7 +54,7 @@
 	return true
 }
 
-// TakePeakInFlight returns how many requests the executor had at a time at most since the last call.
+// TakePeakInFlight returns the largest number of concurrent requests since the previous call.
 func (e *Executor) TakePeakInFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,14 +68,14 @@
 	e.mu.Lock()
 	stopped := e.stopped
 	e.mu.Unlock()
-	tick := time.NewTicker(jobTick)
-	defer tick.Stop()
+	ticker := time.NewTicker(jobTick)
+	defer ticker.Stop()
 	last := time.Now()
 	for {
 		select {
 		case <-stopped:
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			elapsed := now.Sub(last)
 			last = now
 			for _, done := range e.advance(milliseconds(elapsed)) {
@@ -84,33 +85,34 @@
 	}
 }
 
-// advance lets the jobs run for a time and returns the callbacks of those that end.
-func (e *Executor) advance(ms float64) (ended []func()) {
+// advance runs the jobs for some milliseconds and returns the callbacks of those that end.
+// A job gets at most one core; what it cannot use is shared by the other jobs.
+func (e *Executor) advance(elapsedMS float64) (ended []func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	cores, weight := float64(e.Cores), 0.0
+	sharedCores, sharedWeight := float64(e.Cores), 0.0
 	for j := range e.jobs {
-		weight += j.weight
+		sharedWeight += j.weight
 	}
-	fullCore := map[*job]bool{} // jobs whose share is one core; what they leave goes to the others
-	for again := true; again; {
-		again = false
+	fullCore := map[*job]bool{} // jobs that have a core of their own
+	for changed := true; changed; {
+		changed = false
 		for j := range e.jobs {
-			if fullCore[j] || weight <= 0 || cores*j.weight < weight {
+			if fullCore[j] || sharedWeight <= 0 || sharedCores*j.weight < sharedWeight {
 				continue
 			}
 			fullCore[j] = true
-			again = true
-			cores--
-			weight -= j.weight
+			changed = true
+			sharedCores--
+			sharedWeight -= j.weight
 		}
 	}
 	for j := range e.jobs {
 		share := 1.0
 		if !fullCore[j] {
-			share = cores * j.weight / weight
+			share = sharedCores * j.weight / sharedWeight
 		}
-		j.remainingMS -= ms * share
+		j.remainingMS -= elapsedMS * share
 		if j.remainingMS <= 0 {
 			delete(e.jobs, j)
 			ended = append(ended, j.done)
--- a/internal/testservers/discovery.go
+++ b/internal/testservers/discovery.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// maxPoll is the longest that a poll for events waits.
-const maxPoll = 5 * time.Second
+// maxPollWait is the longest that a poll for events waits.
+const maxPollWait = 5 * time.Second
 
 // StartEmptyDiscovery starts a discovery service that never publishes an event.
 func StartEmptyDiscovery() (address string, stop func(), err error) {
@@ -22,14 +22,15 @@
 	return d.Address, d.Stop, nil
 }
 
-// Discovery is a discovery service that publishes watch events. Event 1 is the endpoint list that NodeConfig has.
+// Discovery is a discovery service that publishes watch events. Event 1 is the endpoint list in the configuration that
+// NodeConfig returns.
 type Discovery struct {
 	Address string
 	server  *http.Server
 
 	mu      sync.Mutex
 	events  []json.RawMessage // from event 2 on
-	changed chan struct{}     // closed by the next event
+	changed chan struct{}     // closed when the next event is published
 }
 
 // NewDiscovery starts a discovery service.
@@ -47,17 +48,18 @@
 // Stop ends the service.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
-// Publish publishes the status of an executor: Ready, Terminating or Gone.
+// Publish publishes a status of an executor: Ready, Terminating or Gone.
 func (d *Discovery) Publish(e *Executor, status string) error { return d.PublishSince(e, status, 0) }
 
-// PublishSince publishes the status of an executor that says to have started at a Unix time in ms.
-func (d *Discovery) PublishSince(e *Executor, status string, since int64) error {
+// PublishSince publishes a status of an executor with its start time, a Unix time in milliseconds.
+func (d *Discovery) PublishSince(e *Executor, status string, sinceMS int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sequence := len(d.events) + 2
 	entry := endpoint(e, status)
-	entry["since_ms"] = since
-	text, err := json.Marshal(object{"seq": sequence, "fleet": object{"index": sequence, "snapshot": false, "endpoints": []any{entry}}})
+	entry["since_ms"] = sinceMS
+	update := object{"index": sequence, "snapshot": false, "endpoints": []any{entry}}
+	text, err := json.Marshal(object{"seq": sequence, "fleet": update})
 	if err != nil {
 		return err
 	}
@@ -67,18 +69,18 @@
 	return nil
 }
 
-// serve answers a poll once there are events from since on, or with none at its timeout.
+// serve answers a poll as soon as there are events from its sequence number on, and with no events at its timeout.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
-	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
-	timeout := time.After(min(maxPoll, time.Duration(ms)*time.Millisecond))
+	timeoutMS, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
+	timeout := time.After(min(maxPollWait, time.Duration(timeoutMS)*time.Millisecond))
 	for {
 		d.mu.Lock()
 		changed, last := d.changed, len(d.events)+1
-		later := d.events[min(len(d.events), max(0, since-1)):]
+		newer := d.events[min(len(d.events), max(0, since-1)):]
 		d.mu.Unlock()
-		if len(later) > 0 || since > last {
-			text, _ := json.Marshal(object{"seq": last, "results": later})
+		if len(newer) > 0 || since > last {
+			text, _ := json.Marshal(object{"seq": last, "results": newer})
 			_, _ = w.Write(text)
 			return
 		}
--- a/internal/testservers/executor.go
+++ b/internal/testservers/executor.go
@@ -1,5 +1,6 @@
-// Package testservers plays the surroundings of a controller for tests and measurements, on loopback: executors, the discovery service and
-// a client. It is written from the protocols' pages alone and shares no code with the daemon, which never uses it.
+// Package testservers provides the peers of a controller for tests and measurements, on loopback: executors, the
+// discovery service and clients. It implements the protocols independently and shares no code with the daemon, so that
+// an error in the daemon's codecs is not repeated here. The daemon must not use it.
 package testservers
 
 import (
@@ -12,28 +13,39 @@
 	"time"
 )
 
-// ResultRows is the result of every request at every executor.
+// ResultRows is the result that every executor returns for every request.
 const ResultRows = "a\tb\tc\n"
 
-// writeTimeout is after how long an executor gives up writing to a connection.
+// writeTimeout bounds each write of an executor to a connection.
 const writeTimeout = time.Second
 
-// Executor is a test server that runs requests. It records each run in its Memory. Its exported fields are set before Start.
+// Executor is a test server that simulates running requests and records each run in its RunLog. The exported fields are
+// set before Start, except for RejectedFull and Hangs.
 type Executor struct {
-	Name         string
-	Zone         string
-	DedupWindow  time.Duration // repeats of a key within it are answered and not run; 0: none is dropped
-	Work         time.Duration
-	WorkByClass  map[string]time.Duration // by request class, where it differs from Work
-	Cores        int                      // shared by the requests by their priorities, 1 : 4 : 8 : 16; 0: without limit
-	RunLog       *RunLog                  // the runs of this executor and of those that share it
-	MaxInFlight  int                      // requests at a time, past which it answers that it is full, where it has Cores; 0: without limit
-	RejectedFull atomic.Uint64            // answers that it is full
-	Hangs        atomic.Bool              // it accepts requests and answers nothing but probes
+	Name string
+	Zone string
+	// DedupWindow is how long after a run a repeat of its idempotency key is answered but is not a run; 0: no repeat is
+	// dropped.
+	DedupWindow time.Duration
+	// Work is how long a request runs on a core of its own.
+	Work time.Duration
+	// WorkByClass replaces Work for the requests of some classes.
+	WorkByClass map[string]time.Duration
+	// Cores are shared by the requests according to the weights of their priorities, 1 : 4 : 8 : 16; 0: without limit.
+	Cores int
+	// RunLog may be shared by several executors; Start creates one if it is nil.
+	RunLog *RunLog
+	// MaxInFlight is the number of concurrent requests past which requests are rejected; 0: without limit. It applies
+	// only with Cores.
+	MaxInFlight int
+	// RejectedFull counts the requests that were rejected because of MaxInFlight.
+	RejectedFull atomic.Uint64
+	// Hangs makes the executor accept requests and answer only probes.
+	Hangs atomic.Bool
 
 	stopped        chan struct{}
 	listener       net.Listener
-	secondListener net.Listener // of a second address, which can be made unreachable by itself
+	secondListener net.Listener // can be made unreachable independently of the first
 
 	mu                sync.Mutex
 	jobs              map[*job]struct{}
@@ -43,7 +55,7 @@
 	conns             map[net.Conn]bool // true: accepted at the second address
 }
 
-// Start listens on two loopback addresses.
+// Start listens on two loopback addresses and begins to serve.
 func (e *Executor) Start() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +78,7 @@
 	return nil
 }
 
-// accept accepts connections; those to an address that is unreachable end at once.
+// accept accepts connections and closes those to an unreachable address at once.
 func (e *Executor) accept(listener net.Listener, second bool) {
 	for {
 		conn, err := listener.Accept()
@@ -90,10 +102,10 @@
 // Address returns the address at which the executor listens.
 func (e *Executor) Address() string { return e.listener.Addr().String() }
 
-// SecondAddress returns the second address of the executor.
+// SecondAddress returns the second address at which the executor listens.
 func (e *Executor) SecondAddress() string { return e.secondListener.Addr().String() }
 
-// SetSecondUnreachable makes the executor unreachable at its second address alone, or reachable again.
+// SetSecondUnreachable makes only the second address of the executor unreachable, or reachable again.
 func (e *Executor) SetSecondUnreachable(unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +118,8 @@
 	}
 }
 
-// SetUnreachable makes the executor unreachable, or reachable again: connections end, and new ones end at once. What runs there goes on.
+// SetUnreachable makes the executor unreachable, or reachable again. While it is unreachable, its connections and new
+// ones are closed, and running requests go on.
 func (e *Executor) SetUnreachable(unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,13 +159,14 @@
 	jobs    map[string]*job
 }
 
-// serve answers one connection. A request that is aborted, or whose connection ends, has run all the same.
+// serve answers the messages of one connection. A request that is aborted, or whose connection ends, still counts as a
+// run.
 func (e *Executor) serve(conn net.Conn) {
 	defer conn.Close()
 	c := &executorConn{executor: e, conn: conn, aborted: map[string]bool{}, jobs: map[string]*job{}}
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		words, err := readArray(r)
+		words, err := readArray(reader)
 		if err != nil || len(words) < 2 {
 			return
 		}
@@ -160,7 +174,7 @@
 	}
 }
 
-// handle handles one message: its name, the ID that its answer repeats, and its arguments.
+// handle handles one message, which consists of its name, the ID that its answer repeats, and arguments.
 func (c *executorConn) handle(words []string) {
 	name, id, arguments := words[0], words[1], words[2:]
 	switch name {
@@ -175,9 +189,9 @@
 		if len(arguments) > 0 {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.executor.renice(c.jobs[id], arguments[0])
+			c.executor.setPriority(c.jobs[id], arguments[0])
 		}
-	case "more":
+	case "more": // asks for a page of a result; results are not kept
 		c.write(id, "failed", "-")
 	case "fetch":
 		c.fetch(id, parseFetch(arguments[0]))
@@ -191,7 +205,7 @@
 	_, _ = c.conn.Write(encodeArray(words))
 }
 
-// fetchOptions are the options of a request that an executor looks at.
+// fetchOptions are the options of a request that an executor evaluates.
 type fetchOptions struct {
 	key, class, priority string
 	waitLimit            time.Duration
@@ -216,20 +230,21 @@
 	return options
 }
 
-// fetch runs a request and answers it.
+// fetch runs a request and answers it when its work is done.
 func (c *executorConn) fetch(id string, options fetchOptions) {
 	e := c.executor
-	if e.rejectsForSpace() {
+	if e.rejectIfFull() {
 		c.write(id, "full", "-")
 		return
 	}
-	e.RunLog.record(Run{ID: id, IdempotencyKey: options.key, Executor: e.Name, At: time.Now(), WaitLimit: options.waitLimit}, e.Zone, e.DedupWindow)
+	run := Run{ID: id, IdempotencyKey: options.key, Executor: e.Name, At: time.Now(), WaitLimit: options.waitLimit}
+	e.RunLog.record(run, e.Zone, e.DedupWindow)
 	if e.Hangs.Load() {
 		return
 	}
 	work := e.Work
-	if special := e.WorkByClass[options.class]; special > 0 {
-		work = special
+	if classWork := e.WorkByClass[options.class]; classWork > 0 {
+		work = classWork
 	}
 	done := func() { c.finish(id) }
 	if e.Cores == 0 {
@@ -241,7 +256,7 @@
 	c.jobs[id] = e.startJob(work, options.priority, done)
 }
 
-// finish answers a request that has run, unless it was aborted.
+// finish answers a request whose work is done, unless the request was aborted.
 func (c *executorConn) finish(id string) {
 	c.mu.Lock()
 	aborted := c.aborted[id]
--- a/internal/testservers/runlog.go
+++ b/internal/testservers/runlog.go
@@ -9,7 +9,7 @@
 type Run struct {
 	ID, IdempotencyKey, Executor string
 	At                           time.Time
-	WaitLimit                    time.Duration // the limit that the controller gave for it
+	WaitLimit                    time.Duration // the limit that the controller sent with the request
 }
 
 // RunLog records the runs of all executors that share it and recognizes repeats of an idempotency key.
@@ -22,25 +22,25 @@
 // dedupKey is an idempotency key within the group of executors that drops its repeats.
 type dedupKey struct{ key, group string }
 
-// Runs returns all runs so far.
-func (m *RunLog) Runs() []Run {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return append([]Run(nil), m.runs...)
+// Runs returns a copy of all runs so far.
+func (l *RunLog) Runs() []Run {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Run(nil), l.runs...)
 }
 
-// record adds a run unless it repeats one of its group within the deduplication window.
-func (m *RunLog) record(run Run, group string, window time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.lastRun == nil {
-		m.lastRun = map[dedupKey]time.Time{}
+// record adds a run, unless its key ran in the same group within the deduplication window.
+func (l *RunLog) record(run Run, group string, window time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lastRun == nil {
+		l.lastRun = map[dedupKey]time.Time{}
 	}
 	key := dedupKey{run.IdempotencyKey, group}
-	last, known := m.lastRun[key]
+	last, known := l.lastRun[key]
 	if run.IdempotencyKey != "" && known && window > 0 && run.At.Sub(last) < window {
 		return
 	}
-	m.lastRun[key] = run.At
-	m.runs = append(m.runs, run)
+	l.lastRun[key] = run.At
+	l.runs = append(l.runs, run)
 }
