--- a/internal/benchmark/consensus.go
+++ b/internal/benchmark/consensus.go
@@ -11,83 +11,83 @@
 
 const consensusHistories = 2000
 
-// leaderlessTime returns how long a consensus group is without a leader after that is killed, in milliseconds.
+// leaderlessTime returns the median time that a consensus group has no leader after its leader was killed, in
+// milliseconds.
 func leaderlessTime() float64 {
 	var times []float64
 	for seed := range uint64(20) {
-		c := clustersim.NewConsensusCluster(5, 3, seed)
-		for k := range c.Nodes {
-			c.Start(k)
+		cluster := clustersim.NewConsensusCluster(5, 3, seed)
+		for k := range cluster.Nodes {
+			cluster.Start(k)
 		}
-		c.RunUntil(15_000)
-		killedAt, first := c.Now, c.Leader
-		for k, node := range c.Nodes {
-			if node.Name == first {
-				c.Kill(k)
+		cluster.RunUntil(15_000)
+		killedAt, killedLeader := cluster.Now, cluster.Leader
+		for k, node := range cluster.Nodes {
+			if node.Name == killedLeader {
+				cluster.Kill(k)
 			}
 		}
-		c.RunUntil(c.Now + 20_000)
-		if c.Leader == first {
+		cluster.RunUntil(cluster.Now + 20_000)
+		if cluster.Leader == killedLeader {
 			times = append(times, math.Inf(1))
 		} else {
-			times = append(times, c.LeaderSince-killedAt)
+			times = append(times, cluster.LeaderSince-killedAt)
 		}
 	}
 	return quantile(times, 0.5)
 }
 
-// consensusThroughput returns how many entries a second a group of three voters takes, with simulated disks of up to 5 ms and links of up
-// to 2 ms, and how long the log is at most.
-func consensusThroughput() (rate, logEntries float64) {
-	const names = 4000
-	c := clustersim.NewConsensusCluster(3, 3, 77)
-	for k := range c.Nodes {
-		c.Start(k)
+// consensusThroughput returns how many entries per second a group of three voters commits, with simulated disks of up
+// to 5 ms and links of up to 2 ms, and the largest number of entries in a log.
+func consensusThroughput() (entriesPerSecond, logEntries float64) {
+	const admissions = 4000
+	cluster := clustersim.NewConsensusCluster(3, 3, 77)
+	for k := range cluster.Nodes {
+		cluster.Start(k)
 	}
-	c.RunUntil(10_000)
-	for n := range names {
-		c.Observations = append(c.Observations, consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true})
+	cluster.RunUntil(10_000)
+	for n := range admissions {
+		observation := consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true}
+		cluster.Observations = append(cluster.Observations, observation)
 	}
-	began := c.Now
-	for c.Now < began+120_000 {
-		c.RunUntil(c.Now + 20)
-		least := names
-		for k, node := range c.ConsensusNodes {
-			status := node.Group.Status(c.LocalTime(k))
+	start := cluster.Now
+	for cluster.Now < start+120_000 {
+		cluster.RunUntil(cluster.Now + 20)
+		leastAdmitted := admissions
+		for k, node := range cluster.ConsensusNodes {
+			status := node.Group.Status(cluster.LocalTime(k))
 			logEntries = max(logEntries, float64(status.LogEntries))
-			least = min(least, len(status.Record.Members))
+			leastAdmitted = min(leastAdmitted, len(status.Record.Members))
 		}
-		if least >= names {
-			return names / (c.Now - began) * 1000, logEntries
+		if leastAdmitted >= admissions {
+			return admissions / (cluster.Now - start) * 1000, logEntries
 		}
 	}
 	return 0, logEntries
 }
 
-// Consensus measures the consensus group: histories under faults, the time without a leader, and the throughput.
+// Consensus measures the consensus group: histories with faults, the time without a leader, and the throughput.
 func Consensus(string, string) ([]Figure, error) {
-	var figures []Figure
-	add := func(name string, value float64, unit, op string, want float64) {
-		figures = append(figures, Figure{"fleet." + name, value, unit, op, want})
-	}
+	set := figureSet{prefix: "fleet."}
 	var mu sync.Mutex
-	operations, declared, broken := 0, 0, 0
+	operations, declaredLost, violated := 0, 0, 0
 	parallel(consensusHistories, func(k int) {
 		result := clustersim.RunConsensus(uint64(k), nil)
 		mu.Lock()
 		defer mu.Unlock()
 		operations += result.Operations
-		declared += result.DeclaredLost
+		declaredLost += result.DeclaredLost
 		if len(result.Violations) > 0 {
-			broken++
-			fmt.Println("# broken:", result.Seed, result.Violations)
+			violated++
+			fmt.Println("# violations: consensus history with seed", result.Seed, result.Violations)
 		}
 	})
-	add("council_histories_broken", float64(broken), fmt.Sprintf("of %d, %d claims, %d lives lost", consensusHistories, operations, declared), "==", 0)
+	unit := fmt.Sprintf("of %d, %d claims, %d lives lost", consensusHistories, operations, declaredLost)
+	set.add("council_histories_broken", float64(violated), unit, "==", 0)
 	leaderless := leaderlessTime()
-	rate, logEntries := consensusThroughput()
-	add("council_leaderless_median", leaderless/1000, "s", "<=", 3)
-	add("council_entries_a_second", rate, "/s", ">=", 500)
-	add("council_log_kept", logEntries, "entries", "<=", 1024)
-	return figures, nil
+	entriesPerSecond, logEntries := consensusThroughput()
+	set.add("council_leaderless_median", leaderless/1000, "s", "<=", 3)
+	set.add("council_entries_a_second", entriesPerSecond, "/s", ">=", 500)
+	set.add("council_log_kept", logEntries, "entries", "<=", 1024)
+	return set.figures, nil
 }
--- a/internal/benchmark/handoff_processes.go
+++ b/internal/benchmark/handoff_processes.go
@@ -18,292 +18,389 @@
 
 const (
 	defaultRounds    = 300
-	parallelClusters = 3 // fleets that play rounds side by side
+	parallelClusters = 3 // clusters that play rounds side by side
 	killRounds       = 12
 	killRequests     = 40
 	loadRequests     = 1500
 	loadClients      = 4
+	holdRounds       = 5
+	handoffExecutors = 3
+	handoffFounders  = 3
+	handoffTimeout   = 30 * time.Second
+	roundRequests    = 24
+	countersTimeout  = 12 * time.Second // longer than the interval at which a controller logs its counters
 
-	fastFleet = "probe = \"200ms\"\n answer = \"80ms\"\n suspect = \"800ms\"\n lease = \"2s\"\n declare = \"500ms\"\n"
-	// What is promised with these times: the lease, or else the suspicion, until one may be declared lost; the council's two looks; a
-	// claim; and what an heir waits for until it knows all.
+	fastClusterSettings = "probe = \"200ms\"\n answer = \"80ms\"\n suspect = \"800ms\"\n" +
+		" lease = \"2s\"\n declare = \"500ms\"\n"
+
+	// takeoverBoundMS is the promised bound on the time from a kill to the first attempt of a successor, with
+	// fastClusterSettings. It is the sum of the lease with clock drift, the delay until a member may be declared lost,
+	// two observations of the consensus group, the claim of a partition, and the wait for the copies in that partition.
 	takeoverBoundMS = 2000*1.004 + 500 + 2*200 + 400 + 1000
 )
 
-// countRunsWithoutLeases counts idempotency keys that run twice where leases are ignored.
-func countRunsWithoutLeases(n int) (twice int) {
+// countRunsWithoutLeases counts the idempotency keys that run twice in simulated histories where leases are ignored.
+func countRunsWithoutLeases(histories int) (ranTwice int) {
 	var mu sync.Mutex
-	parallel(n, func(k int) {
-		faults := []clustersim.Fault{{At: 12_000 + 40*float64(k), Kind: clustersim.FaultStall, Node: 4, DurationMS: 24_000}, {At: 14_000, Kind: clustersim.FaultStall, Node: 3, DurationMS: 24_000}}
-		scenario := clustersim.HandoffScenario{Seed: uint64(k), DedupWindowMS: 10_000, Faults: faults, IgnoreLeases: true}
-		for _, v := range clustersim.RunHandoff(scenario).Violations {
-			if v.Kind == clustersim.RanTwice {
+	parallel(histories, func(k int) {
+		faults := []clustersim.Fault{
+			{At: 12_000 + 40*float64(k), Kind: clustersim.FaultStall, Node: 4, DurationMS: 24_000},
+			{At: 14_000, Kind: clustersim.FaultStall, Node: 3, DurationMS: 24_000},
+		}
+		scenario := clustersim.HandoffScenario{
+			Seed:          uint64(k),
+			DedupWindowMS: 10_000,
+			Faults:        faults,
+			IgnoreLeases:  true,
+		}
+		for _, violation := range clustersim.RunHandoff(scenario).Violations {
+			if violation.Kind == clustersim.RanTwice {
 				mu.Lock()
-				twice++
+				ranTwice++
 				mu.Unlock()
 			}
 		}
 	})
-	return twice
+	return ranTwice
 }
 
-func handoffConfig(dir, program, name string, drops time.Duration, seed uint64) chaostest.Config {
-	return chaostest.Config{Program: program, Directory: filepath.Join(dir, name), Controllers: 5, Executors: 3, Founders: 3, Store: true, ClusterSettings: fastFleet,
-		HandoffSettings: "copies = 2", DedupWindow: drops, WorkMS: 10, Seed: seed,
-		WorkByClass: map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond}}
+// handoffConfig returns the configuration of five controllers with handoff. A window below 0 means that the executors
+// drop no repeats.
+func handoffConfig(dir, program, name string, window time.Duration, seed uint64) chaostest.Config {
+	return chaostest.Config{
+		Program:         program,
+		Directory:       filepath.Join(dir, name),
+		Controllers:     5,
+		Executors:       handoffExecutors,
+		Founders:        handoffFounders,
+		Store:           true,
+		ClusterSettings: fastClusterSettings,
+		HandoffSettings: "copies = 2",
+		DedupWindow:     window,
+		WorkMS:          10,
+		Seed:            seed,
+		WorkByClass:     map[string]time.Duration{"mark": 1200 * time.Millisecond, "once": 1200 * time.Millisecond},
+	}
 }
 
-// startCluster starts a fleet and waits until it is ready.
-func startCluster(p chaostest.Config) (*chaostest.Cluster, error) {
-	f, err := chaostest.New(p)
+// startCluster starts a cluster and waits until it is ready.
+func startCluster(config chaostest.Config) (*chaostest.Cluster, error) {
+	cluster, err := chaostest.New(config)
 	if err != nil {
 		return nil, err
 	}
-	if err = f.StartAll(); err == nil {
-		_, err = f.WaitUntilConverged(30 * time.Second)
+	if err = cluster.StartAll(); err == nil {
+		_, err = cluster.WaitUntilConverged(handoffTimeout)
 	}
-	if err == nil && p.HandoffSettings != "" {
-		err = f.WaitUntilHandoffReady(30 * time.Second)
+	if err == nil && config.HandoffSettings != "" {
+		err = cluster.WaitUntilHandoffReady(handoffTimeout)
 	}
 	if err != nil {
-		f.Close()
+		cluster.Close()
 		return nil, err
 	}
-	return f, nil
+	return cluster, nil
 }
 
-// runTakeovers plays rounds of all faults with real processes, and gives them. Disk is how the disks of owners are, in builds with the tag
-// faults; empty: sound.
-func runTakeovers(dir, program string, n int, disk string) (all []chaostest.Round, err error) {
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	for w := range parallelClusters {
-		wait.Add(1)
+// takeoverRun is a number of takeover rounds that several clusters share.
+type takeoverRun struct {
+	dir, program string
+	rounds       int
+	disk         string // state of the disks of the owners; empty: sound
+
+	mu      sync.Mutex
+	results []chaostest.Round
+}
+
+// runTakeovers plays rounds of all faults with controller processes. The state of the owners' disks, if not empty,
+// needs a program with the build tag faults.
+func runTakeovers(dir, program string, rounds int, disk string) (results []chaostest.Round, err error) {
+	run := &takeoverRun{dir: dir, program: program, rounds: rounds, disk: disk}
+	var clusters sync.WaitGroup
+	for k := range parallelClusters {
+		clusters.Add(1)
 		go func() {
-			defer wait.Done()
-			drops := []time.Duration{-1, 20 * time.Second}[w%2]
-			seed := uint64(100 + w)
-			f, wrong := startCluster(handoffConfig(dir, program, fmt.Sprint("rounds", w), drops, seed))
-			for k := 3; f != nil && disk != "" && k < 5 && wrong == nil; k++ {
-				wrong = f.SetDiskState(k, disk)
-			}
-			chance := rand.New(rand.NewPCG(seed, 3))
-			for k := w; k < n && wrong == nil; k += parallelClusters {
-				var r chaostest.Round
-				if r, wrong = f.PlayTakeover(chaostest.TakeoverFaults[k%len(chaostest.TakeoverFaults)], fmt.Sprint("r", k), 24, chance); wrong != nil {
-					break
-				}
-				mu.Lock()
-				all = append(all, r)
-				for _, b := range slices.Concat(r.RanTwice, r.Contradictions, r.WithoutOutcome) {
-					fmt.Printf("# wrong: round %d, %s, drops %v: %s\n", k, r.Fault, drops, b)
-				}
-				mu.Unlock()
-			}
-			if f != nil {
-				f.Close()
-			}
-			if wrong != nil {
-				mu.Lock()
-				err = wrong
-				mu.Unlock()
+			defer clusters.Done()
+			if clusterErr := run.playRounds(k); clusterErr != nil {
+				run.mu.Lock()
+				err = clusterErr
+				run.mu.Unlock()
 			}
 		}()
 	}
-	wait.Wait()
-	return all, err
+	clusters.Wait()
+	return run.results, err
 }
 
-// runKills has controllers killed with labelled searches in hand, whose clients come again elsewhere once. Without an estate: the program
-// before.
-func runKills(dir, program string, with bool) (handled, twice, unsent, sent float64, first []float64, err error) {
-	p := handoffConfig(dir, program, fmt.Sprint("kills", with), 20*time.Second, 41)
-	if !with {
-		p.HandoffSettings, p.DedupWindow = "", 100*time.Millisecond // and engines that soon forget, as before
+// playRounds plays the rounds of one of the parallel clusters.
+func (t *takeoverRun) playRounds(clusterNumber int) error {
+	window := []time.Duration{-1, dedupWindow}[clusterNumber%2]
+	seed := uint64(100 + clusterNumber)
+	name := fmt.Sprint("rounds", clusterNumber)
+	cluster, err := startCluster(handoffConfig(t.dir, t.program, name, window, seed))
+	if err != nil {
+		return err
+	}
+	defer cluster.Close()
+	for k := handoffFounders; t.disk != "" && k < len(cluster.Controllers); k++ {
+		if err := cluster.SetDiskState(k, t.disk); err != nil {
+			return err
+		}
+	}
+	random := rand.New(rand.NewPCG(seed, 3))
+	for k := clusterNumber; k < t.rounds; k += parallelClusters {
+		fault := chaostest.TakeoverFaults[k%len(chaostest.TakeoverFaults)]
+		round, err := cluster.PlayTakeover(fault, fmt.Sprint("r", k), roundRequests, random)
+		if err != nil {
+			return err
+		}
+		t.mu.Lock()
+		t.results = append(t.results, round)
+		for _, violation := range slices.Concat(round.RanTwice, round.Contradictions, round.WithoutOutcome) {
+			fmt.Printf("# violation: takeover round %d, fault %s, deduplication window %v: %s\n",
+				k, round.Fault, window, violation)
+		}
+		t.mu.Unlock()
 	}
-	f, err := startCluster(p)
+	return nil
+}
+
+// killResult holds what was measured of rounds in which a controller was killed.
+type killResult struct {
+	handledShare   float64   // of the requests, handled after one retry by their client
+	ranTwice       float64   // idempotency keys
+	unsent         float64   // requests that had not been sent to an executor at the kill
+	sentLater      float64   // of the unsent requests
+	firstAttemptMS []float64 // by round: from the kill to the first attempt of a successor
+}
+
+// runKills plays rounds in which a controller is killed with keyed requests in flight, whose clients retry once at
+// another controller. Without handoff, it measures the baseline.
+func runKills(dir, program string, withHandoff bool) (result killResult, err error) {
+	config := handoffConfig(dir, program, fmt.Sprint("kills", withHandoff), dedupWindow, 41)
+	if !withHandoff {
+		config.HandoffSettings, config.DedupWindow = "", 100*time.Millisecond // the executors soon forget keys
+	}
+	cluster, err := startCluster(config)
 	if err != nil {
-		return 0, 0, 0, 0, nil, err
+		return killResult{}, err
 	}
-	defer f.Close()
-	asked := 0.0
-	for r := range envNumber("KILL_ROUNDS", killRounds) {
-		b, err := f.PlayKillInFlight(fmt.Sprint("k", r), killRequests)
+	defer cluster.Close()
+	sent, handled := 0.0, 0.0
+	for k := range envNumber("KILL_ROUNDS", killRounds) {
+		round, err := cluster.PlayKillInFlight(fmt.Sprint("k", k), killRequests)
 		if err != nil {
-			return 0, 0, 0, 0, nil, err
+			return killResult{}, err
 		}
-		for _, n := range b.RetriesNotHandled {
-			fmt.Println("# not handled:", n)
+		for _, retry := range round.RetriesNotHandled {
+			fmt.Println("# retry not handled:", retry)
 		}
-		asked, handled, twice = asked+killRequests, handled+float64(b.RetriesHandled), twice+float64(len(b.RanTwice))
-		unsent, sent = unsent+float64(b.UnsentAtFault), sent+float64(b.SentLater)
-		if b.FirstAttempt > 0 {
-			first = append(first, float64(b.FirstAttempt)/float64(time.Millisecond))
+		sent, handled = sent+killRequests, handled+float64(round.RetriesHandled)
+		result.ranTwice += float64(len(round.RanTwice))
+		result.unsent += float64(round.UnsentAtFault)
+		result.sentLater += float64(round.SentLater)
+		if round.FirstAttempt > 0 {
+			firstAttemptMS := float64(round.FirstAttempt) / float64(time.Millisecond)
+			result.firstAttemptMS = append(result.firstAttemptMS, firstAttemptMS)
 		}
 	}
-	return handled / asked, twice, unsent, sent, first, nil
+	result.handledShare = handled / sent
+	return result, nil
+}
+
+// requestCost is the cost of requests at a controller.
+type requestCost struct {
+	cpuMS  float64 // processor time of a request
+	holdMS float64 // mean time that attempts are held, for keyed requests
 }
 
-// runLoad has clients search at a controller one after the other and gives the processor time a search, and how long shots were held.
-func runLoad(f *chaostest.Cluster, offering, tag string) (cpu, holdMS float64, err error) {
-	before := cpuMS(f.PID(0))
-	var all sync.WaitGroup
+// runRequests has clients send requests of a class to the first controller, each client one after the other.
+func runRequests(cluster *chaostest.Cluster, class, tag string) (cost requestCost, err error) {
+	before := cpuMS(cluster.PID(0))
+	var clients sync.WaitGroup
 	var mu sync.Mutex
-	for w := range loadClients {
-		all.Add(1)
+	for clientNumber := range loadClients {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			c, wrong := testservers.Dial(f.Controllers[0].ClientAddress, time.Second)
-			for k := 0; wrong == nil && k < loadRequests/loadClients; k++ {
-				id, mark := fmt.Sprintf("%s-%d-%d", tag, w, k), ""
-				if offering == "mark" {
-					mark = "m" + id
-				}
-				var a testservers.Reply
-				if a, wrong = c.Submit(offering, id, mark, 5*time.Second); wrong == nil && a.Code != 0 {
-					wrong = fmt.Errorf("%s: %d %s", id, a.Code, a.Message)
-				}
-			}
-			if wrong != nil {
+			defer clients.Done()
+			address, clientTag := cluster.Controllers[0].ClientAddress, fmt.Sprintf("%s-%d", tag, clientNumber)
+			if clientErr := runRequestClient(address, class, clientTag); clientErr != nil {
 				mu.Lock()
-				err = wrong
+				err = clientErr
 				mu.Unlock()
 			}
-			if c != nil {
-				c.Close()
-			}
 		}()
 	}
-	all.Wait()
-	cpu = (cpuMS(f.PID(0)) - before) / loadRequests
-	if offering == "mark" {
-		holdMS = lastField(f.Controllers[0], "counters", "hold_ms")
+	clients.Wait()
+	cost.cpuMS = (cpuMS(cluster.PID(0)) - before) / loadRequests
+	if class == "mark" {
+		cost.holdMS = nextLogField(cluster.Controllers[0], "counters", "hold_ms")
 	}
-	return cpu, holdMS, err
+	return cost, err
 }
 
-// lastField waits for the next line of counters and gives one of them.
-func lastField(c *chaostest.Controller, line, field string) float64 {
-	n := strings.Count(c.Log(), "msg="+line+" ")
-	for began := time.Now(); time.Since(began) < 12*time.Second; time.Sleep(100 * time.Millisecond) {
-		if log := c.Log(); strings.Count(log, "msg="+line+" ") > n {
-			at := strings.LastIndex(log, "msg="+line+" ")
-			_, rest, _ := strings.Cut(log[at:], " "+field+"=")
-			rest, _, _ = strings.Cut(rest, " ")
-			v, _ := strconv.ParseFloat(rest, 64)
-			return v
+// runRequestClient sends a client's share of the requests and fails at the first that does not succeed.
+func runRequestClient(address, class, tag string) error {
+	client, err := testservers.Dial(address, time.Second)
+	if err != nil {
+		return err
+	}
+	defer client.Close()
+	for k := range loadRequests / loadClients {
+		id, key := fmt.Sprintf("%s-%d", tag, k), ""
+		if class == "mark" {
+			key = "m" + id
+		}
+		reply, err := client.Submit(class, id, key, 5*time.Second)
+		if err != nil {
+			return fmt.Errorf("request %s: %w", id, err)
+		}
+		if reply.Code != 0 {
+			return fmt.Errorf("request %s: error %d: %s", id, reply.Code, reply.Message)
 		}
 	}
-	return 0
+	return nil
 }
 
-// measureHolds gives how long labelled shots are held, by condition, and the processor time of redoable searches with copies and without.
-func measureHolds(dir, program string) (disk, both, others, plain, copied float64, err error) {
-	var a, b, c, d, e []float64
-	for turn := range envNumber("HOLD_TURNS", 5) {
-		for n, s := range []struct {
-			estate, offering string
-			to               *[]float64
-			cpu              bool
-		}{{"", "mark", &a, false}, {"copies = 2\ncondition = \"disk and holders\"", "mark", &b, false}, {"copies = 2\ncondition = \"holders\"", "mark", &c, false},
-			{"", "look", &d, true}, {"copies = 2", "look", &e, true}} {
-			p := handoffConfig(dir, program, fmt.Sprintf("hold%d-%d", turn, n), 20*time.Second, uint64(60+turn*10+n))
-			p.HandoffSettings, p.WorkMS, p.WorkByClass, p.Direct = s.estate, 1, nil, true
-			f, wrong := startCluster(p)
-			if wrong != nil {
-				return 0, 0, 0, 0, 0, wrong
-			}
-			cpu, held, wrong := runLoad(f, s.offering, fmt.Sprint("h", turn))
-			f.Close()
-			if wrong != nil {
-				return 0, 0, 0, 0, 0, wrong
-			}
-			if s.cpu {
-				held = cpu
-			}
-			*s.to = append(*s.to, held)
+// nextLogField waits for the next log line with a message and returns a numeric field of it; 0 if no such line comes.
+func nextLogField(c *chaostest.Controller, message, field string) float64 {
+	marker := "msg=" + message + " "
+	before := strings.Count(c.Log(), marker)
+	for start := time.Now(); time.Since(start) < countersTimeout; time.Sleep(100 * time.Millisecond) {
+		if log := c.Log(); strings.Count(log, marker) > before {
+			_, rest, _ := strings.Cut(log[strings.LastIndex(log, marker):], " "+field+"=")
+			text, _, _ := strings.Cut(rest, " ")
+			value, _ := strconv.ParseFloat(text, 64)
+			return value
 		}
 	}
-	return median(a), median(b), median(c), median(d), median(e), nil
+	return 0
 }
 
-// takeoverFigures gives figures of taking over, and a way to add one.
-func takeoverFigures() (figures *[]Figure, add func(name string, value float64, unit, op string, want float64)) {
-	figures = &[]Figure{}
-	return figures, func(name string, value float64, unit, op string, want float64) {
-		*figures = append(*figures, Figure{"takeover." + name, value, unit, op, want})
-		fmt.Println("#", (*figures)[len(*figures)-1])
-	}
+// holdVariant is a variant of the handoff settings in which the cost of requests is measured.
+type holdVariant struct {
+	handoffSettings, class string
+	measure                func(requestCost) float64
+	values                 []float64 // by round
+}
+
+// holdResult holds the medians of the hold times of keyed attempts by the condition for sending, and of the processor
+// times of lookups.
+type holdResult struct {
+	diskHoldMS, diskAndHoldersHoldMS, holdersHoldMS float64
+	plainCPUMS, copiedCPUMS                         float64 // without and with copies
 }
 
-// envNumber is one of the environment's, or what is usual.
-func envNumber(name string, usual int) int {
-	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return n
+// measureHolds measures all variants in turn, each round with new clusters.
+func measureHolds(dir, program string) (holdResult, error) {
+	holdMS := func(cost requestCost) float64 { return cost.holdMS }
+	processorMS := func(cost requestCost) float64 { return cost.cpuMS }
+	variants := []*holdVariant{
+		{handoffSettings: "", class: "mark", measure: holdMS},
+		{handoffSettings: "copies = 2\ncondition = \"disk and holders\"", class: "mark", measure: holdMS},
+		{handoffSettings: "copies = 2\ncondition = \"holders\"", class: "mark", measure: holdMS},
+		{handoffSettings: "", class: "look", measure: processorMS},
+		{handoffSettings: "copies = 2", class: "look", measure: processorMS},
+	}
+	for round := range envNumber("HOLD_TURNS", holdRounds) {
+		for k, variant := range variants {
+			name, seed := fmt.Sprintf("hold%d-%d", round, k), uint64(60+round*10+k)
+			config := handoffConfig(dir, program, name, dedupWindow, seed)
+			config.HandoffSettings, config.Direct = variant.handoffSettings, true
+			config.WorkMS, config.WorkByClass = 1, nil
+			cluster, err := startCluster(config)
+			if err != nil {
+				return holdResult{}, err
+			}
+			cost, err := runRequests(cluster, variant.class, fmt.Sprint("h", round))
+			cluster.Close()
+			if err != nil {
+				return holdResult{}, err
+			}
+			variant.values = append(variant.values, variant.measure(cost))
+		}
 	}
-	return usual
+	return holdResult{
+		diskHoldMS:           median(variants[0].values),
+		diskAndHoldersHoldMS: median(variants[1].values),
+		holdersHoldMS:        median(variants[2].values),
+		plainCPUMS:           median(variants[3].values),
+		copiedCPUMS:          median(variants[4].values),
+	}, nil
 }
 
-// Takeovers plays rounds of all faults with real processes. TAKEOVER_ROUNDS sets how many.
+// newHandoffFigures returns an empty set for the figures of handoff with controller processes.
+func newHandoffFigures() *figureSet { return &figureSet{prefix: "takeover.", echo: true} }
+
+// Takeovers plays rounds of all faults with controller processes. The environment variable TAKEOVER_ROUNDS sets the
+// number of rounds, and TAKEOVER_KINDS the faults, separated by commas.
 func Takeovers(dir, programs string) ([]Figure, error) {
-	figures, add := takeoverFigures()
+	set := newHandoffFigures()
 	if kinds := os.Getenv("TAKEOVER_KINDS"); kinds != "" {
 		chaostest.TakeoverFaults = strings.Split(kinds, ",")
 	}
-	all, err := runTakeovers(dir, filepath.Join(programs, "liftshift"), envNumber("TAKEOVER_ROUNDS", defaultRounds), "")
+	rounds := envNumber("TAKEOVER_ROUNDS", defaultRounds)
+	results, err := runTakeovers(dir, filepath.Join(programs, "liftshift"), rounds, "")
 	if err != nil {
 		return nil, err
 	}
-	real, played, settled := map[string]float64{}, map[string]int{}, 0.0
-	for _, r := range all {
-		settled = max(settled, r.OutcomesAgreed.Seconds())
-		played[r.Fault]++
-		real["twice"] += float64(len(r.RanTwice))
-		real["two"] += float64(len(r.Contradictions))
-		real["without"] += float64(len(r.WithoutOutcome))
+	ranTwice, contradictions, withoutOutcome := 0, 0, 0
+	roundsByFault, longestAgreement := map[string]int{}, 0.0
+	for _, result := range results {
+		longestAgreement = max(longestAgreement, result.OutcomesAgreed.Seconds())
+		roundsByFault[result.Fault]++
+		ranTwice += len(result.RanTwice)
+		contradictions += len(result.Contradictions)
+		withoutOutcome += len(result.WithoutOutcome)
 	}
-	fmt.Println("# rounds by fault:", played)
-	unit := fmt.Sprintf("of %d rounds", len(all))
-	add("real_ran_twice", real["twice"], unit, "==", 0)
-	add("real_two_answers", real["two"], unit, "==", 0)
-	add("real_without_outcome", real["without"], unit, "==", 0)
-	add("real_longest_until_told_alike", settled, "s after the fleet is whole", "<=", 5)
-	return *figures, nil
+	fmt.Println("# rounds by fault:", roundsByFault)
+	unit := fmt.Sprintf("of %d rounds", len(results))
+	set.add("real_ran_twice", float64(ranTwice), unit, "==", 0)
+	set.add("real_two_answers", float64(contradictions), unit, "==", 0)
+	set.add("real_without_outcome", float64(withoutOutcome), unit, "==", 0)
+	set.add("real_longest_until_told_alike", longestAgreement, "s after the fleet is whole", "<=", 5)
+	return set.figures, nil
 }
 
-// Holds measures how long labelled shots are held, by what is to stand before they leave, and what copies of redoable searches cost.
-// The controllers reach one another without a relay. HOLD_TURNS sets how often each side is measured.
+// AttemptHolds measures how long keyed attempts are held, by the condition for sending them, and the cost of the copies
+// of lookups. The controllers reach one another without a relay. The environment variable HOLD_TURNS sets how often
+// each variant is measured.
 func AttemptHolds(dir, programs string) ([]Figure, error) {
-	figures, add := takeoverFigures()
-	disk, both, others, plain, copied, err := measureHolds(dir, filepath.Join(programs, "liftshift"))
+	set := newHandoffFigures()
+	result, err := measureHolds(dir, filepath.Join(programs, "liftshift"))
 	if err != nil {
 		return nil, err
 	}
-	add("hold_disk_alone", disk, "ms", ">=", 0)
-	add("hold_disk_and_holders", both/disk, "x disk alone", "<=", 1.3)
-	add("hold_holders_alone", others/disk, "x disk alone", "<=", 1)
-	add("cpu_redoable_with_copies", copied/plain, "x without", "<=", 1.05)
-	return *figures, nil
+	set.add("hold_disk_alone", result.diskHoldMS, "ms", ">=", 0)
+	set.add("hold_disk_and_holders", result.diskAndHoldersHoldMS/result.diskHoldMS, "x disk alone", "<=", 1.3)
+	set.add("hold_holders_alone", result.holdersHoldMS/result.diskHoldMS, "x disk alone", "<=", 1)
+	set.add("cpu_redoable_with_copies", result.copiedCPUMS/result.plainCPUMS, "x without", "<=", 1.05)
+	return set.figures, nil
 }
 
-// ClientRetries measures what clients get whose controller is killed with their labelled searches in hand.
+// ClientRetries measures what becomes of the keyed requests of a killed controller whose clients retry, with handoff
+// and without. The environment variable KILL_ROUNDS sets the number of rounds.
 func ClientRetries(dir, programs string) ([]Figure, error) {
-	figures, add := takeoverFigures()
+	set := newHandoffFigures()
 	program := filepath.Join(programs, "liftshift")
-	handled, again, unsent, sent, first, err := runKills(dir, program, true)
+	withHandoff, err := runKills(dir, program, true)
 	if err != nil {
 		return nil, err
 	}
-	before, wasted, _, _, _, err := runKills(dir, program, false)
+	baseline, err := runKills(dir, program, false)
 	if err != nil {
 		return nil, err
 	}
-	add("never_sent_at_the_kill_handled", 100*sent/max(1, unsent), fmt.Sprintf("%% of %.0f", unsent), ">=", 99)
-	add("first_shot_of_an_heir_median", quantile(first, 0.5)/takeoverBoundMS, "x promised", "<=", 1)
-	add("first_shot_of_an_heir_p99", quantile(first, 0.99)/takeoverBoundMS, "x promised", "<=", 1)
-	add("returned_once_handled", 100*handled, "%", ">=", 100*before)
-	add("returned_once_handled_before", 100*before, "%", ">=", 0)
-	add("runs_wasted", again, "", "==", 0)
-	add("runs_wasted_before", wasted, "", ">=", 0)
-	return *figures, nil
+	sentLaterPercent := 100 * withHandoff.sentLater / max(1, withHandoff.unsent)
+	unsentUnit := fmt.Sprintf("%% of %.0f", withHandoff.unsent)
+	firstMedian := quantile(withHandoff.firstAttemptMS, 0.5) / takeoverBoundMS
+	firstP99 := quantile(withHandoff.firstAttemptMS, 0.99) / takeoverBoundMS
+	set.add("never_sent_at_the_kill_handled", sentLaterPercent, unsentUnit, ">=", 99)
+	set.add("first_shot_of_an_heir_median", firstMedian, "x promised", "<=", 1)
+	set.add("first_shot_of_an_heir_p99", firstP99, "x promised", "<=", 1)
+	set.add("returned_once_handled", 100*withHandoff.handledShare, "%", ">=", 100*baseline.handledShare)
+	set.add("returned_once_handled_before", 100*baseline.handledShare, "%", ">=", 0)
+	set.add("runs_wasted", withHandoff.ranTwice, "", "==", 0)
+	set.add("runs_wasted_before", baseline.ranTwice, "", ">=", 0)
+	return set.figures, nil
 }
--- a/internal/benchmark/index.go
+++ b/internal/benchmark/index.go
@@ -9,7 +9,7 @@
 	"liftshift/internal/index"
 )
 
-// expiry is when a key of a plainIndex expires.
+// expiry is the expiry time of a key in a plainIndex.
 type expiry struct {
 	at  int64
 	key string
@@ -34,15 +34,15 @@
 
 type indexValue struct{ a, b, c uint32 }
 
-// plainIndex is the structure that the index is compared with: a map, and a heap of times.
+// plainIndex is the baseline of the index: a map of values and a heap of expiry times.
 type plainIndex struct {
 	values   map[string]indexValue
 	expiries expiryHeap
 }
 
-func (p *plainIndex) put(k string, v indexValue, at int64) {
-	p.values[k] = v
-	heap.Push(&p.expiries, expiry{at, k})
+func (p *plainIndex) put(key string, value indexValue, expiresAt int64) {
+	p.values[key] = value
+	heap.Push(&p.expiries, expiry{expiresAt, key})
 }
 
 func (p *plainIndex) expire(now int64) {
@@ -51,49 +51,67 @@
 	}
 }
 
-// measureIndex compares the index with a plain map and a heap of times, at a million keys.
+// measureIndex compares the index with a plainIndex, at a million keys.
 func measureIndex(string) ([]Figure, error) {
 	const n = 1_000_000
 	texts := make([]string, n)
 	for k := range texts {
-		texts[k] = fmt.Sprintf("%032x", uint64(k)*0x9E3779B97F4A7C15)
+		texts[k] = fmt.Sprintf("%032x", uint64(k)*keyMultiplier)
 	}
-	fill := func(t *index.Table[indexValue]) {
+	fill := func(table *index.Table[indexValue]) {
 		for k := range n {
-			v, _ := t.Put(keyNumber(uint64(k)), int64(k))
-			*v = indexValue{uint32(k), 0, 0}
+			value, _ := table.Put(numberedKey(uint64(k)), int64(k))
+			*value = indexValue{uint32(k), 0, 0}
 		}
 	}
 	fillPlain := func(p *plainIndex) {
-		for k := range n { // each keeps a text of its own, as a message's would be
+		for k := range n { // each key is a string of its own, as a key that is decoded from a message is
 			p.put(string(append([]byte(nil), texts[k]...)), indexValue{uint32(k), 0, 0}, int64(k))
 		}
 	}
-	ours, kept := heapBytes(func() any { t := &index.Table[indexValue]{}; fill(t); return t })
+	tableBytes, kept := heapBytes(func() any {
+		table := &index.Table[indexValue]{}
+		fill(table)
+		return table
+	})
 	runtime.KeepAlive(kept)
-	plain, kept := heapBytes(func() any { p := &plainIndex{values: map[string]indexValue{}}; fillPlain(p); return p })
+	plainBytes, kept := heapBytes(func() any {
+		plain := &plainIndex{values: map[string]indexValue{}}
+		fillPlain(plain)
+		return plain
+	})
 	runtime.KeepAlive(kept)
 	kept = nil
 	runtime.GC()
-	m := compareMedians(
+	seconds := compareMedians(
 		func() float64 {
-			t := &index.Table[indexValue]{}
-			return elapsedSeconds(func() { fill(t); t.Expire(n+1000, nil) })
+			table := &index.Table[indexValue]{}
+			return elapsedSeconds(func() {
+				fill(table)
+				table.Expire(n+1000, nil)
+			})
 		},
 		func() float64 {
-			p := &plainIndex{values: map[string]indexValue{}}
-			return elapsedSeconds(func() { fillPlain(p); p.expire(n + 1000) })
+			plain := &plainIndex{values: map[string]indexValue{}}
+			return elapsedSeconds(func() {
+				fillPlain(plain)
+				plain.expire(n + 1000)
+			})
 		})
-	t := &index.Table[indexValue]{}
-	fill(t)
+	table := &index.Table[indexValue]{}
+	fill(table)
 	at := int64(n)
-	allocs := testing.AllocsPerRun(1000, func() {
+	allocations := testing.AllocsPerRun(1000, func() {
 		at++
-		t.Put(keyNumber(uint64(at)), at)
-		t.Get(keyNumber(uint64(at - 5)))
-		t.Expire(at-n, nil)
+		table.Put(numberedKey(uint64(at)), at)
+		table.Get(numberedKey(uint64(at - 5)))
+		table.Expire(at-n, nil)
 	})
-	return []Figure{{"index.bytes_a_mark", ours / n, "B", "<=", 100}, {"index.memory_against_map_and_heap", ours / plain, "x", "<=", 1},
-		{"index.ns_a_mark", m[0] / n * 1e9, "ns", "<=", 1000}, {"index.time_against_map_and_heap", m[0] / m[1], "x", "<=", 1},
-		{"index.allocations_a_mark", allocs, "", "==", 0}}, nil
+	return []Figure{
+		{"index.bytes_a_mark", tableBytes / n, "B", "<=", 100},
+		{"index.memory_against_map_and_heap", tableBytes / plainBytes, "x", "<=", 1},
+		{"index.ns_a_mark", seconds[0] / n * 1e9, "ns", "<=", 1000},
+		{"index.time_against_map_and_heap", seconds[0] / seconds[1], "x", "<=", 1},
+		{"index.allocations_a_mark", allocations, "", "==", 0},
+	}, nil
 }
--- a/internal/benchmark/orphans.go
+++ b/internal/benchmark/orphans.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -23,16 +22,20 @@
 
 const (
 	defaultOrphans      = 20_000
-	orphanLimit         = 90 * time.Second // the hard limit of orphans: nothing is lost for want of time
+	orphanDeadline      = 90 * time.Second // hard deadline of orphans; long enough for all to run
 	orphanBatch         = 100
+	orphanKeyPrefix     = "o"
+	adoptionIdleTimeout = 20 * time.Second // without a new run
 	lookupClients       = 10
 	lookupPause         = 5 * time.Millisecond
-	undisturbedTime     = 12 * time.Second
+	undisturbedTime     = 12 * time.Second // lookups before the owner is lost
 	executorCores       = 8
-	executorMaxInFlight = 4 * executorCores // as many as the settings' highest level allows of one thread's work
+	executorMaxInFlight = 4 * executorCores // past which the executors reject requests
+	joinTimeout         = 20 * time.Second
 )
 
-// departingOwner is a member in this program that has searches kept by the others, as a controller does, and is then cut off.
+// departingOwner is a cluster member in this process. It registers requests with the other members, as a controller
+// does, and is then cut off.
 type departingOwner struct {
 	transport     *clusternet.Transport
 	node          *raftnode.Node
@@ -40,235 +43,288 @@
 	configuration atomic.Pointer[raftnode.Configuration]
 }
 
-func joinOwner(f *chaostest.Cluster, k int) (*departingOwner, error) {
+// joinOwner starts a member in place of a controller of a cluster and waits until it has a lease.
+func joinOwner(cluster *chaostest.Cluster, controller int) (*departingOwner, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &departingOwner{self: handoff.Member{Name: fmt.Sprint("c", k), Incarnation: uint64(time.Now().UnixMilli())}}
-	l.transport = clusternet.New(f.Relay.ListenAddress(k), log)
-	seen, agreed := membership.DefaultSettings(), consensus.DefaultSettings()
-	seen.ProbeMS, seen.AnswerMS, seen.SuspectMS = 200, 80, 800
-	agreed.LeaseMS, agreed.DeclareLostMS = 2000, 500
-	view := membership.New(l.transport.Now(), "rehearsal", membership.Member{Name: l.self.Name, Incarnation: l.self.Incarnation, Address: f.Relay.AdvertiseAddress(k), Zone: "z0", Version: 1},
-		[]string{f.Relay.AdvertiseAddress(0), f.Relay.AdvertiseAddress(1)}, seen, 5)
+	owner := &departingOwner{
+		self: handoff.Member{Name: fmt.Sprint("c", controller), Incarnation: uint64(time.Now().UnixMilli())},
+	}
+	owner.transport = clusternet.New(cluster.Relay.ListenAddress(controller), log)
+	// These match fastClusterSettings.
+	membershipSettings, consensusSettings := membership.DefaultSettings(), consensus.DefaultSettings()
+	membershipSettings.ProbeMS, membershipSettings.AnswerMS, membershipSettings.SuspectMS = 200, 80, 800
+	consensusSettings.LeaseMS, consensusSettings.DeclareLostMS = 2000, 500
+	self := membership.Member{
+		Name:        owner.self.Name,
+		Incarnation: owner.self.Incarnation,
+		Address:     cluster.Relay.AdvertiseAddress(controller),
+		Zone:        "z0",
+		Version:     1,
+	}
+	seeds := []string{cluster.Relay.AdvertiseAddress(0), cluster.Relay.AdvertiseAddress(1)}
+	view := membership.New(owner.transport.Now(), "rehearsal", self, seeds, membershipSettings, 5)
+	founders := []string{"c0", "c1", "c2"}
 	var err error
-	if l.node, err = raftnode.New(l.transport, view, nil, []string{"c0", "c1", "c2"}, agreed, 5, log); err != nil {
+	if owner.node, err = raftnode.New(owner.transport, view, nil, founders, consensusSettings, 5, log); err != nil {
 		return nil, err
 	}
-	l.node.OnConfiguration = func(r raftnode.Configuration) { l.configuration.Store(&r) }
-	if err := l.transport.Start(view, l.node); err != nil {
+	owner.node.OnConfiguration = func(c raftnode.Configuration) { owner.configuration.Store(&c) }
+	if err := owner.transport.Start(view, owner.node); err != nil {
 		return nil, err
 	}
-	l.transport.SetFlags(membership.Ready)
-	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		if r := l.configuration.Load(); r != nil && l.node.LeaseHeld() && len(r.Table.Partitions) > 0 {
-			return l, nil
+	owner.transport.SetFlags(membership.Ready)
+	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+		c := owner.configuration.Load()
+		if c != nil && owner.node.LeaseHeld() && len(c.Table.Partitions) > 0 {
+			return owner, nil
 		}
-		if time.Since(began) > 20*time.Second {
-			return nil, fmt.Errorf("%s is not let in", l.self.Name)
+		if time.Since(start) > joinTimeout {
+			return nil, fmt.Errorf("member %s was not admitted within %v", owner.self.Name, joinTimeout)
 		}
 	}
 }
 
-// registerRequests has so many labelled searches kept by all that sit, none of them sent.
-func (l *departingOwner) registerRequests(f *chaostest.Cluster, n int) error {
-	r := l.configuration.Load()
-	var wait sync.WaitGroup
+// registerRequests registers n keyed requests with all other controllers. The owner sends none of them to an executor.
+func (o *departingOwner) registerRequests(cluster *chaostest.Cluster, n int) error {
+	version := o.configuration.Load().Table.Version
+	var replicas sync.WaitGroup
 	var failed atomic.Pointer[error]
-	for to := range len(f.Controllers) - 1 {
-		wait.Add(1)
+	for replica := range len(cluster.Controllers) - 1 {
+		replicas.Add(1)
 		go func() {
-			defer wait.Done()
+			defer replicas.Done()
 			for from := 0; from < n; from += orphanBatch {
-				b := &handoff.Batch{From: l.self, Version: r.Table.Version}
+				batch := &handoff.Batch{From: o.self, Version: version}
 				for k := from; k < min(n, from+orphanBatch); k++ {
-					w := handoff.RequestData{ID: fmt.Sprintf("orphan-%d", k), IdempotencyKey: fmt.Sprintf("o%d", k), Class: "mark", TableGroup: uint64(k % 97), MemoryMB: 1, WorkMS: 5, Body: []byte(`"c2VsZWN0IDE="`)}
-					b.Items = append(b.Items, handoff.Item{Op: handoff.OpRegister, Key: handoff.KeyOf(w.IdempotencyKey, ""), Sequence: 1, From: l.self,
-						Copy: &handoff.Copy{RequestData: w, Owner: l.self, Sequence: 1, Deadline: l.transport.Now() + float64(orphanLimit.Milliseconds()), Complete: true}})
-				}
-				data, err := l.transport.CallSync(f.Relay.AdvertiseAddress(to), clusternet.HandoffMethod, b.Append(nil, l.transport.Now()))
-				var back *handoff.Batch
-				if err == nil {
-					back, err = handoff.ReadBatch(data, 0)
-				}
-				if err == nil && (back.StalePlacement || len(back.Items) != len(b.Items) || back.Items[0].Op != handoff.OpStored) {
-					err = fmt.Errorf("c%d does not keep them: %+v", to, back)
+					batch.Items = append(batch.Items, o.orphanItem(k))
 				}
-				if err != nil {
+				if err := o.sendBatch(cluster, replica, batch); err != nil {
 					failed.Store(&err)
 					return
 				}
 			}
 		}()
 	}
-	wait.Wait()
+	replicas.Wait()
 	if err := failed.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// startLookups has clients look things up at all controllers, and gives a call that ends them and tells how long they took, with when each began.
-func startLookups(f *chaostest.Cluster, controllers int) func() (at []time.Time, ms []float64, failed int) {
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	var at []time.Time
-	var ms []float64
-	failed, stop := 0, make(chan struct{})
-	for w := range lookupClients {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			c, err := testservers.Dial(f.Controllers[w%controllers].ClientAddress, time.Second)
-			for k := 0; err == nil; k++ {
-				select {
-				case <-stop:
-					c.Close()
-					return
-				case <-time.After(lookupPause):
-				}
-				began := time.Now()
-				var a testservers.Reply
-				a, err = c.Submit("look", fmt.Sprintf("own-%d-%d", w, k), "", 5*time.Second)
-				mu.Lock()
-				if at, ms = append(at, began), append(ms, time.Since(began).Seconds()*1000); err != nil || a.Code != 0 {
-					failed++
-				}
-				mu.Unlock()
-			}
-		}()
+// orphanItem returns the item that registers a numbered request.
+func (o *departingOwner) orphanItem(k int) handoff.Item {
+	data := handoff.RequestData{
+		ID:             fmt.Sprintf("orphan-%d", k),
+		IdempotencyKey: fmt.Sprintf(orphanKeyPrefix+"%d", k),
+		Class:          "mark",
+		TableGroup:     uint64(k % 97),
+		MemoryMB:       1,
+		WorkMS:         5,
+		Body:           []byte(`"c2VsZWN0IDE="`),
 	}
-	return func() ([]time.Time, []float64, int) {
-		close(stop)
-		all.Wait()
-		return at, ms, failed
+	orphan := &handoff.Copy{
+		RequestData: data,
+		Owner:       o.self,
+		Sequence:    1,
+		Deadline:    o.transport.Now() + float64(orphanDeadline.Milliseconds()),
+		Complete:    true,
 	}
+	key := handoff.KeyOf(data.IdempotencyKey, "")
+	return handoff.Item{Op: handoff.OpRegister, Key: key, Sequence: 1, From: o.self, Copy: orphan}
 }
 
-// OrphanedRequests measures what thousands of searches of a lost controller do to those of its heirs' own clients, and to the executors. ORPHANS
-// sets how many.
+// sendBatch sends a batch to a replica and checks that the replica stored all its items.
+func (o *departingOwner) sendBatch(cluster *chaostest.Cluster, replica int, batch *handoff.Batch) error {
+	address := cluster.Relay.AdvertiseAddress(replica)
+	data, err := o.transport.CallSync(address, clusternet.HandoffMethod, batch.Append(nil, o.transport.Now()))
+	if err != nil {
+		return err
+	}
+	reply, err := handoff.ReadBatch(data, 0)
+	if err != nil {
+		return err
+	}
+	if reply.StalePlacement || len(reply.Items) != len(batch.Items) || reply.Items[0].Op != handoff.OpStored {
+		return fmt.Errorf("controller c%d did not store %d copies: %+v", replica, len(batch.Items), reply)
+	}
+	return nil
+}
+
+// lookupLoad is a number of clients that send lookups to controllers, and the latencies that they observe.
+type lookupLoad struct {
+	stopped chan struct{}
+	clients sync.WaitGroup
+
+	mu        sync.Mutex
+	startedAt []time.Time // by lookup
+	latencyMS []float64   // by lookup
+	failed    int
+}
+
+// startLookups starts clients, spread over the first controllers of a cluster.
+func startLookups(cluster *chaostest.Cluster, controllers int) *lookupLoad {
+	load := &lookupLoad{stopped: make(chan struct{})}
+	for clientNumber := range lookupClients {
+		load.clients.Add(1)
+		go load.runClient(cluster.Controllers[clientNumber%controllers].ClientAddress, clientNumber)
+	}
+	return load
+}
+
+func (l *lookupLoad) runClient(address string, clientNumber int) {
+	defer l.clients.Done()
+	client, err := testservers.Dial(address, time.Second)
+	for k := 0; err == nil; k++ {
+		select {
+		case <-l.stopped:
+			client.Close()
+			return
+		case <-time.After(lookupPause):
+		}
+		start := time.Now()
+		var reply testservers.Reply
+		reply, err = client.Submit("look", fmt.Sprintf("own-%d-%d", clientNumber, k), "", 5*time.Second)
+		l.mu.Lock()
+		l.startedAt = append(l.startedAt, start)
+		l.latencyMS = append(l.latencyMS, time.Since(start).Seconds()*1000)
+		if err != nil || reply.Code != 0 {
+			l.failed++
+		}
+		l.mu.Unlock()
+	}
+}
+
+// stop ends the clients and waits for them.
+func (l *lookupLoad) stop() {
+	close(l.stopped)
+	l.clients.Wait()
+}
+
+// latencies returns the latencies of the lookups before a controller was lost, and of those during the adoption.
+func (l *lookupLoad) latencies(lostAt time.Time, adoption adoptionResult) (before, during []float64) {
+	for k := range l.startedAt {
+		switch {
+		case l.startedAt[k].Before(lostAt):
+			before = append(before, l.latencyMS[k])
+		case !l.startedAt[k].Before(adoption.first) && l.startedAt[k].Before(adoption.last):
+			during = append(during, l.latencyMS[k])
+		}
+	}
+	return before, during
+}
+
+// OrphanedRequests measures the effect of thousands of adopted requests of a lost controller on the executors and on
+// the lookups of its successors' own clients. The environment variable ORPHANS sets the number of requests.
 func OrphanedRequests(dir, programs string) ([]Figure, error) {
-	figures, add := takeoverFigures()
-	n := envNumber("ORPHANS", defaultOrphans)
-	p := handoffConfig(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
-	p.Controllers, p.WorkByClass, p.Cores, p.MaxInFlight = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}, executorCores, executorMaxInFlight
-	f, err := chaostest.New(p)
+	set := newHandoffFigures()
+	orphans := envNumber("ORPHANS", defaultOrphans)
+	config := handoffConfig(dir, filepath.Join(programs, "liftshift"), "orphans", -1, 71)
+	config.Controllers, config.WorkByClass = 6, map[string]time.Duration{"mark": 10 * time.Millisecond}
+	config.Cores, config.MaxInFlight = executorCores, executorMaxInFlight
+	cluster, err := chaostest.New(config)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	heirs := p.Controllers - 1
-	for k := range heirs {
-		if err := f.Start(k); err != nil {
+	defer cluster.Close()
+	successors := config.Controllers - 1
+	for k := range successors {
+		if err := cluster.Start(k); err != nil {
 			return nil, err
 		}
 	}
-	if err := f.WaitUntilHandoffReady(30 * time.Second); err != nil {
+	if err := cluster.WaitUntilHandoffReady(30 * time.Second); err != nil {
 		return nil, err
 	}
-	said := f.Relay.DatagramBytes.Load() + f.Relay.StreamBytes.Load()
-	if _, _, err := runLoad(f, "mark", "bytes"); err != nil {
+	bytesBefore := cluster.Relay.DatagramBytes.Load() + cluster.Relay.StreamBytes.Load()
+	if _, err := runRequests(cluster, "mark", "bytes"); err != nil {
 		return nil, err
 	}
-	add("bytes_a_labelled_search", float64(f.Relay.DatagramBytes.Load()+f.Relay.StreamBytes.Load()-said)/loadRequests, "B over all ways", ">=", 0)
-	l, err := joinOwner(f, heirs)
+	bytes := float64(cluster.Relay.DatagramBytes.Load() + cluster.Relay.StreamBytes.Load() - bytesBefore)
+	set.add("bytes_a_labelled_search", bytes/loadRequests, "B over all ways", ">=", 0)
+	owner, err := joinOwner(cluster, successors)
 	if err != nil {
 		return nil, err
 	}
-	defer l.transport.Stop()
-	if err := l.registerRequests(f, n); err != nil {
+	defer owner.transport.Stop()
+	if err := owner.registerRequests(cluster, orphans); err != nil {
 		return nil, err
 	}
-	ended := startLookups(f, heirs)
+	measureAdoption(cluster, successors, orphans, set)
+	return set.figures, nil
+}
+
+// measureAdoption cuts off the owner of the orphans and measures how the other controllers run them.
+func measureAdoption(cluster *chaostest.Cluster, owner, orphans int, set *figureSet) {
+	lookups := startLookups(cluster, owner)
 	time.Sleep(undisturbedTime)
-	for _, e := range f.Executors {
+	for _, e := range cluster.Executors {
 		e.TakePeakInFlight()
 		e.RejectedFull.Store(0)
 	}
-	cut := time.Now()
-	f.Relay.SetLinks(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == heirs || b == heirs} })
-	first, last, ran := waitForAdoption(f, n, cut)
-	at, ms, failed := ended()
-	var before, during []float64
-	for k := range at {
-		switch {
-		case at[k].Before(cut):
-			before = append(before, ms[k])
-		case !at[k].Before(first) && at[k].Before(last):
-			during = append(during, ms[k])
-		}
-	}
-	most, full, times := 0, 0, map[string]int{}
-	for _, e := range f.Executors {
-		most, full = max(most, e.TakePeakInFlight()), full+int(e.RejectedFull.Load())
+	lostAt := time.Now()
+	cluster.Relay.SetLinks(func(a, b int) chaostest.Link { return chaostest.Link{Cut: a == owner || b == owner} })
+	adoption := waitForAdoption(cluster, orphans, lostAt)
+	lookups.stop()
+	before, during := lookups.latencies(lostAt, adoption)
+	peakInFlight, rejected := 0, 0
+	for _, e := range cluster.Executors {
+		peakInFlight, rejected = max(peakInFlight, e.TakePeakInFlight()), rejected+int(e.RejectedFull.Load())
 	}
-	for _, r := range f.RunLog.Runs() {
-		if strings.HasPrefix(r.IdempotencyKey, "o") {
-			times[r.IdempotencyKey]++
+	repeated := repeatedOrphanRuns(cluster)
+	fmt.Printf("# own searches: %d before, median %.1f ms, p99 %.1f ms; "+
+		"%d during, median %.1f ms, p99 %.1f ms; %d not handled\n",
+		len(before), quantile(before, 0.5), quantile(before, 0.99),
+		len(during), quantile(during, 0.5), quantile(during, 0.99), lookups.failed)
+	set.add("orphans_run", 100*float64(adoption.ran)/float64(orphans), fmt.Sprintf("%% of %d", orphans), ">=", 99)
+	set.add("orphans_run_twice", float64(repeated), "", "==", 0)
+	set.add("orphans_a_second", float64(adoption.ran)/adoption.last.Sub(adoption.first).Seconds(), "1/s", ">=", 0)
+	set.add("own_late_p99_during", quantile(during, 0.99)/quantile(before, 0.99), "x before", "<=", 1.2)
+	set.add("own_not_handled", float64(lookups.failed), "", "==", 0)
+	peakUnit := fmt.Sprintf("of %d", executorMaxInFlight)
+	set.add("executor_most_at_once", float64(peakInFlight), peakUnit, "<=", executorMaxInFlight)
+	set.add("executor_full_answers", float64(rejected), "", "==", 0)
+}
+
+// repeatedOrphanRuns counts the runs of orphans after the first run of each.
+func repeatedOrphanRuns(cluster *chaostest.Cluster) (repeated int) {
+	runs := map[string]int{}
+	for _, run := range cluster.RunLog.Runs() {
+		if strings.HasPrefix(run.IdempotencyKey, orphanKeyPrefix) {
+			runs[run.IdempotencyKey]++
 		}
 	}
-	twice := 0
-	for _, n := range times {
-		twice += n - 1
+	for _, n := range runs {
+		repeated += n - 1
 	}
-	fmt.Printf("# own searches: %d before, median %.1f ms, p99 %.1f ms; %d during, median %.1f ms, p99 %.1f ms; %d not handled\n", len(before),
-		quantile(before, 0.5), quantile(before, 0.99), len(during), quantile(during, 0.5), quantile(during, 0.99), failed)
-	add("orphans_run", 100*float64(ran)/float64(n), fmt.Sprintf("%% of %d", n), ">=", 99)
-	add("orphans_run_twice", float64(twice), "", "==", 0)
-	add("orphans_a_second", float64(ran)/last.Sub(first).Seconds(), "1/s", ">=", 0)
-	add("own_late_p99_during", quantile(during, 0.99)/quantile(before, 0.99), "x before", "<=", 1.2)
-	add("own_not_handled", float64(failed), "", "==", 0)
-	add("executor_most_at_once", float64(most), fmt.Sprintf("of %d", executorMaxInFlight), "<=", executorMaxInFlight)
-	add("executor_full_answers", float64(full), "", "==", 0)
-	return *figures, nil
+	return repeated
 }
 
-// waitForAdoption waits until all orphans have run, or nothing has for some seconds, and tells when it began and ended.
-func waitForAdoption(f *chaostest.Cluster, n int, cut time.Time) (first, last time.Time, ran int) {
-	for idle := time.Now(); time.Since(cut) < orphanLimit && time.Since(idle) < 20*time.Second && ran < n; time.Sleep(200 * time.Millisecond) {
+// adoptionResult holds the times of the first and the last run of an orphan, and how many orphans ran.
+type adoptionResult struct {
+	first, last time.Time
+	ran         int
+}
+
+// waitForAdoption waits until all orphans have run, or none has for adoptionIdleTimeout.
+func waitForAdoption(cluster *chaostest.Cluster, orphans int, lostAt time.Time) (result adoptionResult) {
+	lastProgress := time.Now()
+	for time.Since(lostAt) < orphanDeadline && time.Since(lastProgress) < adoptionIdleTimeout && result.ran < orphans {
 		seen := map[string]bool{}
-		for _, r := range f.RunLog.Runs() {
-			if !strings.HasPrefix(r.IdempotencyKey, "o") {
+		for _, run := range cluster.RunLog.Runs() {
+			if !strings.HasPrefix(run.IdempotencyKey, orphanKeyPrefix) {
 				continue
 			}
-			if seen[r.IdempotencyKey] = true; first.IsZero() {
-				first = r.At
+			if seen[run.IdempotencyKey] = true; result.first.IsZero() {
+				result.first = run.At
 			}
-			last = r.At
-		}
-		if len(seen) > ran {
-			ran, idle = len(seen), time.Now()
-		}
-	}
-	return first, last, ran
-}
-
-// LeaseControl plays the fault in which a lease counts most, with a program that does not look at its lease, and with one that does: an owner
-// stands still while its shots wait for its own disk, which takes a quarter of a second, and goes on when its heirs have sent them. The
-// first must run marks twice, or the rounds could not see it.
-func LeaseControl(dir, _ string) ([]Figure, error) {
-	figures, add := takeoverFigures()
-	usual := chaostest.TakeoverFaults
-	defer func() { chaostest.TakeoverFaults = usual }()
-	chaostest.TakeoverFaults = []string{"asleep"}
-	n := envNumber("CONTROL_ROUNDS", 12)
-	for _, tags := range []string{"faults lawless", "faults"} {
-		programs := filepath.Join(dir, strings.ReplaceAll(tags, " ", "-"))
-		if out, err := exec.Command("go", "build", "-tags", tags, "-o", programs+"/", "liftshift/cmd/liftshift", "liftshift/cmd/liftshift-full").CombinedOutput(); err != nil {
-			return nil, fmt.Errorf("%w: %s", err, out)
-		}
-		all, err := runTakeovers(programs, filepath.Join(programs, "liftshift"), n, "slow 250ms")
-		if err != nil {
-			return nil, err
-		}
-		twice := 0
-		for _, r := range all {
-			twice += len(r.RanTwice)
+			result.last = run.At
 		}
-		if unit := fmt.Sprintf("of %d rounds", len(all)); tags == "faults" {
-			add("real_ran_twice_asleep_with_a_slow_disk", float64(twice), unit, "==", 0)
-		} else {
-			add("real_ran_twice_without_leases", float64(twice), unit, ">=", 1)
+		if len(seen) > result.ran {
+			result.ran, lastProgress = len(seen), time.Now()
 		}
+		time.Sleep(200 * time.Millisecond)
 	}
-	return *figures, nil
+	return result
 }
--- a/internal/benchmark/quota_queues.go
+++ b/internal/benchmark/quota_queues.go
@@ -12,23 +12,23 @@
 	"liftshift/internal/quota"
 )
 
-// queueItem is a request in a plain structure.
+// queueItem is a request in one of the queues that the quota tree is compared with.
 type queueItem struct {
 	start float64
 	id    int
 }
 
-// sortedQueue is a plain structure: all requests that wait in one slice, in the order of their starts.
+// sortedQueue is a queue of all waiting requests in one slice, sorted by start.
 type sortedQueue struct{ items []queueItem }
 
-func (s *sortedQueue) add(x queueItem) {
-	k := sort.Search(len(s.items), func(k int) bool { return s.items[k].start > x.start })
-	s.items = slices.Insert(s.items, k, x)
+func (q *sortedQueue) add(item queueItem) {
+	place := sort.Search(len(q.items), func(k int) bool { return q.items[k].start > item.start })
+	q.items = slices.Insert(q.items, place, item)
 }
 
-func (s *sortedQueue) removeFirst() { s.items = slices.Delete(s.items, 0, 1) }
+func (q *sortedQueue) removeFirst() { q.items = slices.Delete(q.items, 0, 1) }
 
-// heapQueue is a plain structure: all requests that wait in one heap.
+// heapQueue is a queue of all waiting requests in one heap, ordered by start.
 type heapQueue []queueItem
 
 func (h heapQueue) Len() int { return len(h) }
@@ -49,7 +49,7 @@
 // queueOffer is a request that the tree offers for an attempt.
 type queueOffer struct {
 	id        string
-	immediate bool // as soon as it came: it is returned to wait in the queue
+	immediate bool // offered on arrival, ahead of the queue; the load declines it, so that the request is queued
 }
 
 // queueLoad keeps a number of requests waiting in a quota tree.
@@ -79,10 +79,10 @@
 	return l, nil
 }
 
-func (l *queueLoad) step(ev *quota.Event) {
-	for _, e := range l.tree.Step(l.now, ev) {
-		if e.Kind == quota.Offer || e.Immediate {
-			l.offers = append(l.offers, queueOffer{e.ID, e.Immediate})
+func (l *queueLoad) step(event *quota.Event) {
+	for _, effect := range l.tree.Step(l.now, event) {
+		if effect.Kind == quota.Offer || effect.Immediate {
+			l.offers = append(l.offers, queueOffer{effect.ID, effect.Immediate})
 		}
 	}
 }
@@ -91,11 +91,12 @@
 func (l *queueLoad) submit() {
 	n := l.submitted
 	l.submitted++
-	l.step(&quota.Event{Kind: quota.RequestQueued, ID: l.ids[n%len(l.ids)], Team: l.teams[n*7919%len(l.teams)], Class: "look", WorkMS: 10, Deadline: 1e15})
+	l.step(&quota.Event{Kind: quota.RequestQueued, ID: l.ids[n%len(l.ids)], Team: l.teams[n*7919%len(l.teams)],
+		Class: "look", WorkMS: 10, Deadline: 1e15})
 }
 
-// turnOver adds a request, and has one run and close.
-func (l *queueLoad) turnOver() {
+// replaceOne adds a request, and runs and closes another.
+func (l *queueLoad) replaceOne() {
 	l.now++
 	l.submit()
 	for len(l.offers) > 0 {
@@ -112,7 +113,8 @@
 	}
 }
 
-// measureQueues measures a decision with many requests waiting, against plain structures that order requests alone.
+// measureQueues measures the time per request in a quota tree with many waiting requests, compared with queues that
+// have no quotas.
 func measureQueues(string, string) (figures []Figure, err error) {
 	for _, teams := range []int{10, 10_000} {
 		for _, waiting := range []int{1e3, 1e5, 1e6} {
@@ -137,37 +139,39 @@
 		}
 		return load.tree
 	})
-	const rounds, sliceRounds = 2000, 200 // the slice is slow
+	const rounds, sliceRounds = 2000, 200 // an insertion into the sorted slice takes far longer
 	inSlice, inHeap := &sortedQueue{}, &heapQueue{}
 	random := rand.New(rand.NewPCG(1, 1))
 	for k := range waiting {
 		inSlice.items = append(inSlice.items, queueItem{float64(k), k})
 		heap.Push(inHeap, queueItem{float64(k), k})
 	}
-	anywhere := func() queueItem { return queueItem{random.Float64() * float64(waiting), 0} }
+	randomItem := func() queueItem { return queueItem{random.Float64() * float64(waiting), 0} }
 	ns := compareMedians(
-		func() float64 { return nanoseconds(rounds, load.turnOver) },
+		func() float64 { return nanoseconds(rounds, load.replaceOne) },
 		func() float64 {
 			return nanoseconds(sliceRounds, func() {
-				inSlice.add(anywhere())
+				inSlice.add(randomItem())
 				inSlice.removeFirst()
 			})
 		},
 		func() float64 {
 			return nanoseconds(rounds, func() {
-				heap.Push(inHeap, anywhere())
+				heap.Push(inHeap, randomItem())
 				heap.Pop(inHeap)
 			})
 		})
 	runtime.KeepAlive(kept)
-	at := fmt.Sprintf("%d_teams_%d", teams, waiting)
-	return []Figure{{"budgets.ns_a_search_" + at, ns[0], "ns", "<=", 20_000},
-		{"budgets.ns_against_sorted_slice_" + at, ns[0] / ns[1], "x", ">=", 0},
-		{"budgets.ns_against_heap_" + at, ns[0] / ns[2], "x", ">=", 0},
-		{"budgets.bytes_a_queued_search_" + at, bytes / float64(waiting), "B", "<=", 1000}}, nil
+	suffix := fmt.Sprintf("%d_teams_%d", teams, waiting)
+	return []Figure{
+		{"budgets.ns_a_search_" + suffix, ns[0], "ns", "<=", 20_000},
+		{"budgets.ns_against_sorted_slice_" + suffix, ns[0] / ns[1], "x", ">=", 0},
+		{"budgets.ns_against_heap_" + suffix, ns[0] / ns[2], "x", ">=", 0},
+		{"budgets.bytes_a_queued_search_" + suffix, bytes / float64(waiting), "B", "<=", 1000},
+	}, nil
 }
 
-// nanoseconds returns how long one of n calls takes.
+// nanoseconds returns the mean duration of n calls.
 func nanoseconds(n int, call func()) float64 {
 	return elapsedSeconds(func() {
 		for range n {
--- a/internal/benchmark/quota_simulation.go
+++ b/internal/benchmark/quota_simulation.go
@@ -10,6 +10,23 @@
 	"liftshift/scheduler"
 )
 
+// The simulated executor and its load.
+const (
+	simulatedThreads  = 16
+	threadsPerCore    = 1.2
+	lookupWorkMS      = 50
+	renderWorkMS      = 300
+	queuedRenders     = 200  // requests that the team "render" keeps waiting
+	modelShare        = 0.75 // of the team "model" by its weight
+	reclaimedShare    = 0.9  // of the threads to which the team "model" is entitled
+	simulatedMS       = 60_000
+	simulatedSeconds  = simulatedMS / 1000
+	disciplineTickMS  = 100
+	lookupsFromMS     = 5000
+	maxReclaimMS      = 2000 // target
+	minOtherTeamShare = 0.2  // target
+)
+
 // queuedRequest is a request that waits for a simulated executor.
 type queuedRequest struct {
 	id               string
@@ -17,211 +34,261 @@
 	queuedAt, workMS float64
 }
 
-// discipline orders the requests that wait.
+// discipline orders waiting requests.
 type discipline interface {
-	add(now float64, x queuedRequest)
+	add(now float64, req queuedRequest)
 	next(now float64) (queuedRequest, bool)
-	finish(now float64, x queuedRequest)
+	finish(now float64, req queuedRequest)
 	tick(now float64)
 }
 
-// fifo serves first come, first served.
+// fifo serves requests in the order of their arrival.
 type fifo struct{ queue []queuedRequest }
 
-func (f *fifo) add(_ float64, x queuedRequest) { f.queue = append(f.queue, x) }
+func (f *fifo) add(_ float64, req queuedRequest) { f.queue = append(f.queue, req) }
 
-func (f *fifo) next(float64) (x queuedRequest, ok bool) {
+func (f *fifo) next(float64) (req queuedRequest, ok bool) {
 	if len(f.queue) > 0 {
-		x = f.queue[0]
+		req = f.queue[0]
 		f.queue = f.queue[1:]
-		return x, true
+		return req, true
 	}
-	return x, false
+	return req, false
 }
 
 func (f *fifo) finish(float64, queuedRequest) {}
 
 func (f *fifo) tick(float64) {}
 
-// strictPriority serves one team before all others.
-type strictPriority struct{ first, second fifo }
+// strictPriority serves the requests of the team "model" before all others.
+type strictPriority struct{ model, others fifo }
 
-func (s *strictPriority) add(now float64, x queuedRequest) {
-	if x.team == "model" {
-		s.first.add(now, x)
+func (s *strictPriority) add(now float64, req queuedRequest) {
+	if req.team == "model" {
+		s.model.add(now, req)
 	} else {
-		s.second.add(now, x)
+		s.others.add(now, req)
 	}
 }
 
 func (s *strictPriority) next(now float64) (queuedRequest, bool) {
-	if x, ok := s.first.next(now); ok {
-		return x, true
+	if req, ok := s.model.next(now); ok {
+		return req, true
 	}
-	return s.second.next(now)
+	return s.others.next(now)
 }
 
 func (s *strictPriority) finish(float64, queuedRequest) {}
 
 func (s *strictPriority) tick(float64) {}
 
-// quotaDiscipline serves by the quota tree.
+// quotaDiscipline serves requests in the order of a quota tree.
 type quotaDiscipline struct {
 	tree   *quota.Tree
 	queued map[string]queuedRequest
 	ready  []string
 }
 
-// lookupSettings has one class, of one thread.
+// lookupSettings returns quota settings with one class, whose requests use one thread.
 func lookupSettings(ageMS float64) quota.Settings {
-	s := quota.DefaultSettings()
-	s.Classes, s.AgeMS = []scheduler.RequestClass{scheduler.DefaultClass("look", scheduler.Idempotent)}, ageMS
-	return s
+	settings := quota.DefaultSettings()
+	settings.Classes = []scheduler.RequestClass{scheduler.DefaultClass("look", scheduler.Idempotent)}
+	settings.AgeMS = ageMS
+	return settings
 }
 
-func newQuotaDiscipline(threads float64, age float64) *quotaDiscipline {
-	t, err := quota.New([]quota.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}, "other",
-		lookupSettings(age))
+func newQuotaDiscipline(ageMS float64) *quotaDiscipline {
+	teams := []quota.Team{{Name: "model", Weight: 3}, {Name: "render"}, {Name: "other", Weight: 1e-3}}
+	tree, err := quota.New(teams, "other", lookupSettings(ageMS))
 	if err != nil {
-		return nil // of constants alone
+		return nil // cannot happen: the teams and settings are valid constants
 	}
-	t.Step(0, &quota.Event{Kind: quota.CapacityChanged, Cores: threads / 1.2})
-	return &quotaDiscipline{tree: t, queued: map[string]queuedRequest{}}
+	threads := float64(simulatedThreads)
+	tree.Step(0, &quota.Event{Kind: quota.CapacityChanged, Cores: threads / threadsPerCore})
+	return &quotaDiscipline{tree: tree, queued: map[string]queuedRequest{}}
 }
 
-func (f *quotaDiscipline) step(now float64, ev *quota.Event) {
-	for _, e := range f.tree.Step(now, ev) {
-		if e.Kind != quota.Offer {
+func (d *quotaDiscipline) step(now float64, event *quota.Event) {
+	for _, effect := range d.tree.Step(now, event) {
+		if effect.Kind != quota.Offer {
 			continue
 		}
-		if e.Immediate {
-			f.step(now, &quota.Event{Kind: quota.RequestReturned, ID: e.ID})
+		if effect.Immediate {
+			d.step(now, &quota.Event{Kind: quota.RequestReturned, ID: effect.ID})
 			continue
 		}
-		f.ready = append(f.ready, e.ID)
+		d.ready = append(d.ready, effect.ID)
 	}
 }
 
-func (f *quotaDiscipline) add(now float64, x queuedRequest) {
-	f.queued[x.id] = x
-	f.step(now, &quota.Event{Kind: quota.RequestQueued, ID: x.id, Team: x.team, Class: "look", WorkMS: x.workMS, Deadline: now + 1e7})
+func (d *quotaDiscipline) add(now float64, req queuedRequest) {
+	d.queued[req.id] = req
+	d.step(now, &quota.Event{Kind: quota.RequestQueued, ID: req.id, Team: req.team, Class: "look",
+		WorkMS: req.workMS, Deadline: now + 1e7})
 }
 
-func (f *quotaDiscipline) next(now float64) (x queuedRequest, ok bool) {
-	if len(f.ready) == 0 {
-		return x, false
+func (d *quotaDiscipline) next(now float64) (req queuedRequest, ok bool) {
+	if len(d.ready) == 0 {
+		return req, false
 	}
-	x = f.queued[f.ready[0]]
-	f.ready = f.ready[1:]
-	f.step(now, &quota.Event{Kind: quota.AttemptStarted, ID: x.id})
-	return x, true
+	req = d.queued[d.ready[0]]
+	d.ready = d.ready[1:]
+	d.step(now, &quota.Event{Kind: quota.AttemptStarted, ID: req.id})
+	return req, true
 }
 
-func (f *quotaDiscipline) finish(now float64, x queuedRequest) {
-	delete(f.queued, x.id)
-	f.step(now, &quota.Event{Kind: quota.AttemptEnded, ID: x.id})
-	f.step(now, &quota.Event{Kind: quota.RequestClosed, ID: x.id})
+func (d *quotaDiscipline) finish(now float64, req queuedRequest) {
+	delete(d.queued, req.id)
+	d.step(now, &quota.Event{Kind: quota.AttemptEnded, ID: req.id})
+	d.step(now, &quota.Event{Kind: quota.RequestClosed, ID: req.id})
 }
 
-func (f *quotaDiscipline) tick(now float64) { f.step(now, &quota.Event{Kind: quota.Ticked}) }
+func (d *quotaDiscipline) tick(now float64) { d.step(now, &quota.Event{Kind: quota.Ticked}) }
 
-// runningRequest is a request at an executor.
+// runningRequest is a request that a simulated executor runs.
 type runningRequest struct {
 	queuedRequest
 	endsAt float64
 }
 
-// simulate runs both teams on 16 threads: render keeps 200 requests waiting, model sends them at random from a time on.
-func simulate(d discipline, until, from, load float64, each func(now float64)) (work map[string]float64, waits map[string][]float64, takenBack float64) {
-	random := rand.New(rand.NewPCG(7, 7))
-	work, waits = map[string]float64{}, map[string][]float64{}
-	n, queued, free := 0, map[string]int{}, 16
-	var runs []runningRequest
-	next, since := from, map[string]float64{}
-	for now := 0.0; now < until; now++ {
-		put := func(team string, ms float64) {
-			n++
-			queued[team]++
-			d.add(now, queuedRequest{strconv.Itoa(n), team, now, ms})
-		}
-		for queued["render"] < 200 {
-			put("render", 300)
-		}
-		for ; next <= now; next += random.ExpFloat64() * 50 / (16 * load) {
-			put("model", 50)
-		}
-		for k := 0; k < len(runs); k++ {
-			if runs[k].endsAt <= now {
-				work[runs[k].team] += runs[k].workMS
-				if now >= from && now < from+10_000 {
-					since[runs[k].team] += runs[k].workMS
-				}
-				d.finish(now, runs[k].queuedRequest)
-				runs = slices.Delete(runs, k, k+1)
-				free++
-				k--
-			}
-		}
-		if int(now)%100 == 0 {
+// quotaSimulation runs two teams on one executor: "render" keeps a number of requests waiting, and "model" sends
+// requests at random from a time on.
+type quotaSimulation struct {
+	discipline   discipline
+	lookupsFrom  float64 // when "model" begins to send requests, in milliseconds
+	lookupLoad   float64 // of "model", as a share of the threads
+	random       *rand.Rand
+	lastID       int
+	queued       map[string]int // by team
+	freeThreads  int
+	running      []runningRequest
+	nextLookupAt float64
+
+	workMS      map[string]float64   // work done, by team
+	waitsMS     map[string][]float64 // of the requests that started, by team
+	reclaimedMS float64              // until "model" first had reclaimedShare of its threads; 0: never
+}
+
+// runQuotaSimulation simulates simulatedMS. It calls afterStep, unless it is nil, after each millisecond.
+func runQuotaSimulation(d discipline, lookupsFrom, lookupLoad float64, afterStep func(now float64)) *quotaSimulation {
+	s := &quotaSimulation{
+		discipline:   d,
+		lookupsFrom:  lookupsFrom,
+		lookupLoad:   lookupLoad,
+		random:       rand.New(rand.NewPCG(7, 7)),
+		queued:       map[string]int{},
+		freeThreads:  simulatedThreads,
+		nextLookupAt: lookupsFrom,
+		workMS:       map[string]float64{},
+		waitsMS:      map[string][]float64{},
+	}
+	for now := 0.0; now < simulatedMS; now++ {
+		s.submitRequests(now)
+		s.finishRequests(now)
+		if int(now)%disciplineTickMS == 0 {
 			d.tick(now)
 		}
-		for free > 0 {
-			x, ok := d.next(now)
-			if !ok {
-				break
-			}
-			queued[x.team]--
-			free--
-			waits[x.team] = append(waits[x.team], now-x.queuedAt)
-			runs = append(runs, runningRequest{x, now + x.workMS})
+		s.startRequests(now)
+		s.observeReclaim(now)
+		if afterStep != nil {
+			afterStep(now)
+		}
+	}
+	return s
+}
+
+func (s *quotaSimulation) submit(now float64, team string, workMS float64) {
+	s.lastID++
+	s.queued[team]++
+	s.discipline.add(now, queuedRequest{strconv.Itoa(s.lastID), team, now, workMS})
+}
+
+func (s *quotaSimulation) submitRequests(now float64) {
+	for s.queued["render"] < queuedRenders {
+		s.submit(now, "render", renderWorkMS)
+	}
+	for s.nextLookupAt <= now {
+		s.submit(now, "model", lookupWorkMS)
+		s.nextLookupAt += s.random.ExpFloat64() * lookupWorkMS / (simulatedThreads * s.lookupLoad)
+	}
+}
+
+func (s *quotaSimulation) finishRequests(now float64) {
+	for k := 0; k < len(s.running); k++ {
+		if s.running[k].endsAt <= now {
+			s.workMS[s.running[k].team] += s.running[k].workMS
+			s.discipline.finish(now, s.running[k].queuedRequest)
+			s.running = slices.Delete(s.running, k, k+1)
+			s.freeThreads++
+			k--
 		}
-		if takenBack == 0 && now > from {
-			model := 0
-			for _, r := range runs {
-				if r.team == "model" {
-					model++
-				}
-			}
-			if float64(model) >= 0.9*16*min(load, 0.75) {
-				takenBack = now - from
-			}
+	}
+}
+
+func (s *quotaSimulation) startRequests(now float64) {
+	for s.freeThreads > 0 {
+		req, ok := s.discipline.next(now)
+		if !ok {
+			return
 		}
-		if each != nil {
-			each(now)
+		s.queued[req.team]--
+		s.freeThreads--
+		s.waitsMS[req.team] = append(s.waitsMS[req.team], now-req.queuedAt)
+		s.running = append(s.running, runningRequest{req, now + req.workMS})
+	}
+}
+
+// observeReclaim notes when "model" has most of the threads that its weight entitles it to, or that its load needs.
+func (s *quotaSimulation) observeReclaim(now float64) {
+	if s.reclaimedMS != 0 || now <= s.lookupsFrom {
+		return
+	}
+	threads := 0
+	for _, running := range s.running {
+		if running.team == "model" {
+			threads++
 		}
 	}
-	return work, waits, takenBack
+	if float64(threads) >= reclaimedShare*simulatedThreads*min(s.lookupLoad, modelShare) {
+		s.reclaimedMS = now - s.lookupsFrom
+	}
 }
 
-// measureDisciplines compares quotas with first come, first served, and with strict priority, with simulated executors.
+// measureDisciplines compares quotas with FIFO and with strict priority, with a simulated executor.
 func measureDisciplines(string, string) ([]Figure, error) {
-	var all []Figure
-	p99 := map[string]float64{}
+	set := figureSet{prefix: "budgets."}
+	waitP99 := map[string]float64{}
 	for _, c := range []struct {
 		name string
 		make func() discipline
-	}{{"budgets", func() discipline { return newQuotaDiscipline(16, 3000) }}, {"fifo", func() discipline { return &fifo{} }},
-		{"strict", func() discipline { return &strictPriority{} }}} {
-		_, waits, _ := simulate(c.make(), 60_000, 5000, 0.5, nil)
-		over, _, back := simulate(c.make(), 60_000, 5000, 1.2, nil)
-		// Only quotas have targets: the others are what they are compared with.
-		taken, least := math.Inf(1), 0.0
+	}{
+		{"budgets", func() discipline { return newQuotaDiscipline(3000) }},
+		{"fifo", func() discipline { return &fifo{} }},
+		{"strict", func() discipline { return &strictPriority{} }},
+	} {
+		halfLoad := runQuotaSimulation(c.make(), lookupsFromMS, 0.5, nil)
+		overload := runQuotaSimulation(c.make(), lookupsFromMS, 1.2, nil)
+		// Only quotas have targets; the other disciplines are baselines.
+		maxReclaim, minShare := math.Inf(1), 0.0
 		if c.name == "budgets" {
-			taken, least = 2000, 0.2
+			maxReclaim, minShare = maxReclaimMS, minOtherTeamShare
 		}
-		p99[c.name] = quantile(waits["model"], 0.99)
-		share := over["render"] / (over["render"] + over["model"])
-		all = append(all, Figure{"budgets.simulated_lookup_wait_p99_" + c.name, p99[c.name], "ms", ">=", 0},
-			Figure{"budgets.simulated_share_taken_back_" + c.name, back, "ms", "<=", taken},
-			Figure{"budgets.simulated_share_left_to_the_other_" + c.name, share, "", ">=", least})
+		waitP99[c.name] = quantile(halfLoad.waitsMS["model"], 0.99)
+		share := overload.workMS["render"] / (overload.workMS["render"] + overload.workMS["model"])
+		set.add("simulated_lookup_wait_p99_"+c.name, waitP99[c.name], "ms", ">=", 0)
+		set.add("simulated_share_taken_back_"+c.name, overload.reclaimedMS, "ms", "<=", maxReclaim)
+		set.add("simulated_share_left_to_the_other_"+c.name, share, "", ">=", minShare)
 	}
-	f, worst := newQuotaDiscipline(16, 1000), 0.0
+	quotas, longestWait := newQuotaDiscipline(1000), 0.0
 	var bounds []float64
-	_, waits, _ := simulate(f, 60_000, 0, 1.2, func(float64) { bounds = append(bounds, f.tree.MaxWaitMS()) })
+	overload := runQuotaSimulation(quotas, 0, 1.2, func(float64) { bounds = append(bounds, quotas.tree.MaxWaitMS()) })
 	for _, team := range []string{"model", "render"} {
-		worst = max(worst, quantile(waits[team], 1))
+		longestWait = max(longestWait, quantile(overload.waitsMS[team], 1))
 	}
-	c := f.tree.Counts()
-	return append(all, Figure{"budgets.simulated_lookup_wait_p99_against_strict", p99["budgets"] / p99["strict"], "x", "<=", 1.5}, Figure{"budgets.longest_wait_against_bound", worst / slices.Max(bounds), "x", "<=", 1},
-		Figure{"budgets.pressed_and_eased_a_second", float64(c.Capped+c.Uncapped) / 60, "1/s", "<=", 50}), nil
+	counts := quotas.tree.Counts()
+	capChanges := float64(counts.Capped+counts.Uncapped) / simulatedSeconds
+	set.add("simulated_lookup_wait_p99_against_strict", waitP99["budgets"]/waitP99["strict"], "x", "<=", 1.5)
+	set.add("longest_wait_against_bound", longestWait/slices.Max(bounds), "x", "<=", 1)
+	set.add("pressed_and_eased_a_second", capChanges, "1/s", "<=", 50)
+	return set.figures, nil
 }
