--- a/internal/clustersim/consensus.go
+++ b/internal/clustersim/consensus.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	clockDrift         = 0.001 // largest error of a node's clock
-	observeIntervalMS  = 100.0 // between two looks of a group at the view
-	maxTickIntervalMS  = 200.0
-	minTickIntervalMS  = 1.0
-	unreachableAfterMS = 100.0 // until a call to a node that can't be reached fails
+	maxClockDrift        = 0.001 // largest relative error of a node's clock rate
+	observeIntervalMS    = 100.0 // between two observations of the membership view by a group
+	maxTickIntervalMS    = 200.0
+	minTickIntervalMS    = 1.0
+	unreachableTimeoutMS = 100.0 // after which a call to an unreachable node fails
 )
 
-// ConsensusNode is a node's part of the consensus group, and its disk.
+// ConsensusNode holds a node's consensus group member and the disk that it persists to.
 type ConsensusNode struct {
 	Group *consensus.Group
 	Disk  Disk
 
-	incarnation uint64
-	observedAt  float64
+	incarnation    uint64
+	lastObservedAt float64
 }
 
-// ConsensusCluster is a cluster with a consensus group.
+// ConsensusCluster is a Cluster whose nodes also run a consensus group. It records the lease operations and checks
+// the invariants of leases as the history runs.
 type ConsensusCluster struct {
 	*Cluster
 	ConsensusNodes []*ConsensusNode
@@ -36,27 +37,27 @@
 	Violations     []Violation
 	Leader         string
 	LeaderSince    float64
-	DeclaredLost   int                     // incarnations
-	Observations   []consensus.Observation // what every view has besides: for many names at once
-
-	pending     map[incarnation]Operation // declarations under way
-	lost        map[incarnation]bool      // declared lost
-	directories int
-	lastToken   uint64
-	answers     map[uint64]func(consensus.LeaseReply)
+	DeclaredLost   int                     // number of incarnations that were declared lost
+	Observations   []consensus.Observation // added to the observations of every node, to simulate more members
+
+	pendingDeclarations map[memberIncarnation]Operation // proposed losses that are not committed yet
+	lostIncarnations    map[memberIncarnation]bool
+	directoryCount      int
+	lastToken           uint64
+	leaseReplyHandlers  map[uint64]func(consensus.LeaseReply) // by token
 }
 
-// NewConsensusCluster returns a cluster of n nodes, none of which is started. The first of them are the initial voters.
+// NewConsensusCluster returns a cluster of n nodes whose first nodes are the initial voters. None of them is started.
 func NewConsensusCluster(n, initialVoters int, seed uint64) *ConsensusCluster {
 	c := &ConsensusCluster{
-		Cluster: New(n, seed),
-		pending: map[incarnation]Operation{},
-		lost:    map[incarnation]bool{},
-		answers: map[uint64]func(consensus.LeaseReply){},
+		Cluster:             New(n, seed),
+		pendingDeclarations: map[memberIncarnation]Operation{},
+		lostIncarnations:    map[memberIncarnation]bool{},
+		leaseReplyHandlers:  map[uint64]func(consensus.LeaseReply){},
 	}
 	for k := range n {
 		c.ConsensusNodes = append(c.ConsensusNodes, &ConsensusNode{})
-		c.Nodes[k].Rate = 1 + clockDrift*(2*c.random.Float64()-1)
+		c.Nodes[k].ClockRate = 1 + maxClockDrift*(2*c.random.Float64()-1)
 		if k < initialVoters {
 			c.InitialVoters = append(c.InitialVoters, c.Nodes[k].Name)
 		}
@@ -65,72 +66,76 @@
 	return c
 }
 
-// WipeDisk gives a node an empty disk.
-func (c *ConsensusCluster) WipeDisk(k int) {
-	c.directories++
-	c.ConsensusNodes[k].Disk = Disk{Directory: fmt.Sprint("folder-", c.directories), Entries: map[uint64]*raftpb.Entry{}}
+// WipeDisk replaces a node's disk by an empty one.
+func (c *ConsensusCluster) WipeDisk(nodeIndex int) {
+	c.directoryCount++
+	c.ConsensusNodes[nodeIndex].Disk = Disk{
+		Directory: fmt.Sprint("folder-", c.directoryCount),
+		Entries:   map[uint64]*raftpb.Entry{},
+	}
 }
 
-// Start starts a node with a new incarnation and what is on its disk.
-func (c *ConsensusCluster) Start(k int) {
-	c.Cluster.Start(k)
-	c.Deliver(k, membership.Event{Kind: membership.FlagsChanged, Flags: membership.Ready | membership.CanVote})
-	node, own := c.Nodes[k], c.ConsensusNodes[k]
-	own.incarnation = node.View.Self().Incarnation
-	own.Group = consensus.New(c.LocalTime(k), node.Name, own.incarnation, own.Disk.Directory, c.InitialVoters, own.Disk.load(), c.ConsensusSettings, c.random.Uint32())
-	own.observedAt = -1000 // its first tick observes
-	c.tickConsensus(k, node.run)
+// Start starts a node with a new incarnation and the state on its disk.
+func (c *ConsensusCluster) Start(nodeIndex int) {
+	c.Cluster.Start(nodeIndex)
+	c.Deliver(nodeIndex, membership.Event{Kind: membership.FlagsChanged, Flags: membership.Ready | membership.CanVote})
+	node, consensusNode := c.Nodes[nodeIndex], c.ConsensusNodes[nodeIndex]
+	consensusNode.incarnation = node.View.Self().Incarnation
+	consensusNode.Group = consensus.New(c.LocalTime(nodeIndex), node.Name, consensusNode.incarnation,
+		consensusNode.Disk.Directory, c.InitialVoters, consensusNode.Disk.load(), c.ConsensusSettings, c.random.Uint32())
+	consensusNode.lastObservedAt = -1000 // the first tick observes the view
+	c.tickConsensus(nodeIndex, node.generation)
 }
 
-// tickConsensus gives a group its time, and schedules its next tick.
-func (c *ConsensusCluster) tickConsensus(k, run int) {
-	node, own := c.Nodes[k], c.ConsensusNodes[k]
-	if !node.Up || node.run != run {
+// tickConsensus ticks a node's group, passes changes of the membership view to it, and schedules the next tick.
+func (c *ConsensusCluster) tickConsensus(nodeIndex, generation int) {
+	node, consensusNode := c.Nodes[nodeIndex], c.ConsensusNodes[nodeIndex]
+	if !node.Up || node.generation != generation {
 		return
 	}
 	if c.Now < node.stalledUntil {
-		c.Schedule(node.stalledUntil, func() { c.tickConsensus(k, run) })
+		c.Schedule(node.stalledUntil, func() { c.tickConsensus(nodeIndex, generation) })
 		return
 	}
-	if current := node.View.Self().Incarnation; current != own.incarnation {
-		own.incarnation = current
-		c.stepConsensus(k, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: current})
+	if current := node.View.Self().Incarnation; current != consensusNode.incarnation {
+		consensusNode.incarnation = current
+		c.stepConsensus(nodeIndex, consensus.Event{Kind: consensus.IncarnationChanged, Incarnation: current})
 	}
-	if c.Now >= own.observedAt+observeIntervalMS {
-		own.observedAt = c.Now
-		own.Group.Observe(append(observations(node.View), c.Observations...))
+	if c.Now >= consensusNode.lastObservedAt+observeIntervalMS {
+		consensusNode.lastObservedAt = c.Now
+		consensusNode.Group.Observe(append(observations(node.View), c.Observations...))
 	}
-	c.stepConsensus(k, consensus.Event{Kind: consensus.Ticked})
-	next := max(c.Now+minTickIntervalMS, min(own.Group.Next()/node.Rate, c.Now+maxTickIntervalMS))
-	c.Schedule(next, func() { c.tickConsensus(k, run) })
+	c.stepConsensus(nodeIndex, consensus.Event{Kind: consensus.Ticked})
+	next := max(c.Now+minTickIntervalMS, min(consensusNode.Group.Next()/node.ClockRate, c.Now+maxTickIntervalMS))
+	c.Schedule(next, func() { c.tickConsensus(nodeIndex, generation) })
 }
 
-// observations is a view as the consensus group gets it.
+// observations converts a membership view to the form that consensus groups observe.
 func observations(view *membership.View) (list []consensus.Observation) {
-	for _, m := range view.Members() {
+	for _, member := range view.Members() {
 		list = append(list, consensus.Observation{
-			Name: m.Name, Incarnation: m.Incarnation, Address: m.Address, Zone: m.Zone,
-			Alive: m.State.IsLive(), LeftGracefully: m.State == membership.Left,
-			CanVote: m.Flags&membership.CanVote != 0, Duplicated: m.Flags&membership.Duplicated != 0,
+			Name: member.Name, Incarnation: member.Incarnation, Address: member.Address, Zone: member.Zone,
+			Alive: member.State.IsLive(), LeftGracefully: member.State == membership.Left,
+			CanVote: member.Flags&membership.CanVote != 0, Duplicated: member.Flags&membership.Duplicated != 0,
 		})
 	}
 	return list
 }
 
-// call carries a message to a node and has arrived called there, unless the node is in another run by then. Where it can't arrive, failed
-// is called, if there is one.
-func (c *ConsensusCluster) call(from, to int, arrived, failed func()) {
-	if c.isLost(from, to) {
+// sendCall simulates a call from one node to another. It calls arrived after the network delay if the receiver is
+// still in the same generation, and failed otherwise. failed may be nil.
+func (c *ConsensusCluster) sendCall(from, to int, arrived, failed func()) {
+	if c.dropsMessage(from, to) {
 		if failed != nil {
-			c.Schedule(c.Now+unreachableAfterMS, failed)
+			c.Schedule(c.Now+unreachableTimeoutMS, failed)
 		}
 		return
 	}
-	run := c.Nodes[to].run
+	generation := c.Nodes[to].generation
 	var arrive func()
 	arrive = func() {
 		switch node := c.Nodes[to]; {
-		case !node.Up || node.run != run:
+		case !node.Up || node.generation != generation:
 			if failed != nil {
 				failed()
 			}
@@ -143,8 +148,8 @@
 	c.Schedule(c.Now+c.delay(), arrive)
 }
 
-// isLost reports whether a message does not arrive. A node always reaches itself.
-func (c *ConsensusCluster) isLost(from, to int) bool {
+// dropsMessage reports whether a call between two nodes is lost. A running node always reaches itself.
+func (c *ConsensusCluster) dropsMessage(from, to int) bool {
 	if !c.Nodes[to].Up {
 		return true
 	}
@@ -154,86 +159,90 @@
 	return !c.connected(from, to) || c.random.Float64() < c.Network.Loss
 }
 
-// nodeNamed returns the number of a node, or -1.
-func (c *ConsensusCluster) nodeNamed(name string) int {
+// nodeIndexOf returns the index of the node with a name, or -1 if there is none.
+func (c *ConsensusCluster) nodeIndexOf(name string) int {
 	return slices.IndexFunc(c.Nodes, func(n *Node) bool { return n.Name == name })
 }
 
-// stepConsensus hands an event to a node's group and carries out the effects.
-func (c *ConsensusCluster) stepConsensus(k int, ev consensus.Event) {
-	run := c.Nodes[k].run
-	effects := slices.Clone(c.ConsensusNodes[k].Group.Step(c.LocalTime(k), &ev))
-	for _, e := range effects {
-		c.applyConsensusEffect(k, run, e)
+// stepConsensus passes an event to a node's group and applies the effects.
+func (c *ConsensusCluster) stepConsensus(nodeIndex int, event consensus.Event) {
+	generation := c.Nodes[nodeIndex].generation
+	effects := slices.Clone(c.ConsensusNodes[nodeIndex].Group.Step(c.LocalTime(nodeIndex), &event))
+	for _, effect := range effects {
+		c.applyConsensusEffect(nodeIndex, generation, effect)
 	}
 }
 
-func (c *ConsensusCluster) applyConsensusEffect(k, run int, e consensus.Effect) {
-	node, own := c.Nodes[k], c.ConsensusNodes[k]
-	to := c.nodeNamed(e.To)
-	switch e.Kind {
+// applyConsensusEffect applies an effect of a node's group, and records what it means for the lease operations.
+func (c *ConsensusCluster) applyConsensusEffect(nodeIndex, generation int, effect consensus.Effect) {
+	node, consensusNode := c.Nodes[nodeIndex], c.ConsensusNodes[nodeIndex]
+	to := c.nodeIndexOf(effect.To)
+	switch effect.Kind {
 	case consensus.Persist:
-		c.persist(k, run, e)
+		c.persist(nodeIndex, generation, effect)
 	case consensus.SendMessage:
 		if to >= 0 {
-			c.call(k, to, func() {
-				c.stepConsensus(to, consensus.Event{Kind: consensus.MessageReceived, Name: node.Name, Data: e.Data})
+			c.sendCall(nodeIndex, to, func() {
+				c.stepConsensus(to, consensus.Event{Kind: consensus.MessageReceived, Name: node.Name, Data: effect.Data})
 			}, nil)
 		}
 	case consensus.RequestLease:
-		c.requestLease(k, run, to, e)
+		c.requestLease(nodeIndex, generation, to, effect)
 	case consensus.ReplyLease:
-		if answer := c.answers[e.Token]; answer != nil {
-			delete(c.answers, e.Token)
-			answer(e.Reply)
+		if answer := c.leaseReplyHandlers[effect.Token]; answer != nil {
+			delete(c.leaseReplyHandlers, effect.Token)
+			answer(effect.Reply)
 		}
 	case consensus.RequestHello:
 		if to >= 0 {
-			c.requestHello(k, run, to)
+			c.requestHello(nodeIndex, generation, to)
 		}
 	case consensus.LeaderChanged:
-		if e.Name != "" && e.Name != c.Leader {
-			c.Leader = e.Name
+		if effect.Name != "" && effect.Name != c.Leader {
+			c.Leader = effect.Name
 			c.LeaderSince = c.Now
 		}
 	case consensus.LossProposed:
-		subject := incarnation{e.Name, e.Incarnation}
-		if _, pending := c.pending[subject]; !pending && !c.lost[subject] {
-			c.pending[subject] = Operation{Node: k, Kind: LossDeclared, Member: e.Name, Incarnation: e.Incarnation, CalledAt: c.Now}
+		subject := memberIncarnation{effect.Name, effect.Incarnation}
+		if _, pending := c.pendingDeclarations[subject]; !pending && !c.lostIncarnations[subject] {
+			c.pendingDeclarations[subject] = Operation{Node: nodeIndex, Kind: LossDeclared, Member: effect.Name,
+				Incarnation: effect.Incarnation, CalledAt: c.Now}
 		}
 	case consensus.MemberLost:
-		c.declareLost(incarnation{e.Name, e.Incarnation})
+		c.declareLost(memberIncarnation{effect.Name, effect.Incarnation})
 	case consensus.IncarnationRevoked:
-		c.Deliver(k, membership.Event{Kind: membership.IncarnationRaised})
+		c.Deliver(nodeIndex, membership.Event{Kind: membership.IncarnationRaised})
 	case consensus.VoterFailed:
-		if !own.Disk.Full {
-			c.Violations = append(c.Violations, violation(VoterStopped, "%.0f: voter %s: %s", c.Now, node.Name, e.Reason))
+		if !consensusNode.Disk.Full {
+			c.Violations = append(c.Violations,
+				newViolation(VoterStopped, "at %.0f ms: voter %s failed: %s", c.Now, node.Name, effect.Reason))
 		}
 	}
 }
 
-// deliverConsensus hands an event to one run of a node's group, after a stall if the node stands still.
-func (c *ConsensusCluster) deliverConsensus(k, run int, ev consensus.Event) {
-	node := c.Nodes[k]
-	if !node.Up || node.run != run {
+// deliverConsensus passes an event to one generation of a node's group, after the stall if the node is stalled.
+func (c *ConsensusCluster) deliverConsensus(nodeIndex, generation int, event consensus.Event) {
+	node := c.Nodes[nodeIndex]
+	if !node.Up || node.generation != generation {
 		return
 	}
 	if c.Now >= node.stalledUntil {
-		c.stepConsensus(k, ev)
+		c.stepConsensus(nodeIndex, event)
 		return
 	}
 	c.Schedule(node.stalledUntil, func() {
-		if node.Up && node.run == run {
-			c.stepConsensus(k, ev)
+		if node.Up && node.generation == generation {
+			c.stepConsensus(nodeIndex, event)
 		}
 	})
 }
 
-func (c *ConsensusCluster) requestHello(k, run, to int) {
-	c.call(k, to, func() {
+// requestHello fetches another node's hello and delivers it to a node's group.
+func (c *ConsensusCluster) requestHello(nodeIndex, generation, to int) {
+	c.sendCall(nodeIndex, to, func() {
 		hello := c.ConsensusNodes[to].Group.Hello()
-		c.call(to, k, func() {
-			c.deliverConsensus(k, run, consensus.Event{Kind: consensus.HelloReceived, Hello: hello})
+		c.sendCall(to, nodeIndex, func() {
+			c.deliverConsensus(nodeIndex, generation, consensus.Event{Kind: consensus.HelloReceived, Hello: hello})
 		}, nil)
 	}, nil)
 }
--- a/internal/clustersim/consensus_scenario.go
+++ b/internal/clustersim/consensus_scenario.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// ConsensusResult is what a history of a ConsensusCluster came to.
+// ConsensusResult is the result of one history of a ConsensusCluster.
 type ConsensusResult struct {
 	Seed         uint64
 	Faults       []Fault
 	Violations   []Violation
-	Operations   int
-	DeclaredLost int
+	Operations   int // number of completed lease operations
+	DeclaredLost int // number of incarnations that were declared lost
 }
 
 const (
-	consensusHistoryMS  = 90_000.0
-	convergenceTimeout  = 20_000.0 // of views at the end of a history: suspicions raised just before have to be settled, too
-	convergenceStepMS   = 100.0
-	consensusDuplicates = 0.02 // share of datagrams
+	consensusHistoryMS   = 90_000.0
+	convergenceTimeoutMS = 20_000.0 // at the end of a history; long enough to resolve suspicions raised just before it
+	convergenceStepMS    = 100.0
+	datagramDuplication  = 0.02 // probability that the network duplicates a datagram
 )
 
-// RunConsensus runs one history: a cluster of seven with three initial voters, under the given faults, or under those that the seed draws
-// if they are nil. At its end all is made whole, and the views must converge.
+// RunConsensus runs one history: a cluster of seven nodes with three initial voters under the given faults, or under
+// faults drawn from the seed if they are nil. At the end it heals the network and the disks, and the membership views
+// must converge.
 func RunConsensus(seed uint64, faults []Fault) ConsensusResult {
 	c := NewConsensusCluster(7, 3, seed)
-	c.Network.Duplication = consensusDuplicates
+	c.Network.Duplication = datagramDuplication
 	if faults == nil {
 		faults = c.drawFaults(consensusHistoryMS)
 	}
@@ -41,17 +42,25 @@
 	for _, node := range c.Nodes {
 		c.RunUntil(max(c.Now, node.stalledUntil))
 	}
-	if c.RunUntilConverged(convergenceTimeout, convergenceStepMS) < 0 {
-		c.Violations = append(c.Violations, violation(NotConverged, "the views are not equal %.0f ms after all is whole again", convergenceTimeout))
+	if c.RunUntilConverged(convergenceTimeoutMS, convergenceStepMS) < 0 {
+		c.Violations = append(c.Violations, newViolation(NotConverged,
+			"the membership views have not converged %.0f ms after all faults were healed", convergenceTimeoutMS))
 	}
-	pending := slices.Collect(maps.Values(c.pending))
+	pending := slices.Collect(maps.Values(c.pendingDeclarations))
 	if !Linearizable(c.Operations, pending) {
-		c.Violations = append(c.Violations, violation(NotLinearizable, "the lease operations are not linearizable"))
+		c.Violations = append(c.Violations, newViolation(NotLinearizable, "the lease operations are not linearizable"))
+	}
+	return ConsensusResult{
+		Seed:         seed,
+		Faults:       faults,
+		Violations:   c.Violations,
+		Operations:   len(c.Operations),
+		DeclaredLost: c.DeclaredLost,
 	}
-	return ConsensusResult{Seed: seed, Faults: faults, Violations: c.Violations, Operations: len(c.Operations), DeclaredLost: c.DeclaredLost}
 }
 
-// Shrink returns a history with as few faults as can be that still has violations.
+// Shrink removes faults from a history with violations, one at a time, until no further fault can be removed without
+// losing the violations.
 func Shrink(result ConsensusResult) ConsensusResult {
 	for {
 		smaller, found := shrinkOnce(result)
@@ -62,7 +71,7 @@
 	}
 }
 
-// shrinkOnce leaves out one fault.
+// shrinkOnce looks for a single fault without which the history still has violations.
 func shrinkOnce(result ConsensusResult) (smaller ConsensusResult, found bool) {
 	for k := range result.Faults {
 		smaller = RunConsensus(result.Seed, slices.Delete(slices.Clone(result.Faults), k, k+1))
--- a/internal/clustersim/consensus_test.go
+++ b/internal/clustersim/consensus_test.go
@@ -9,29 +9,30 @@
 
 func TestConsensusCluster_ReplacesLeaderAndDeclaresLost(t *testing.T) {
 	c := startConsensusCluster(t, 7, 3, 1)
-	t.Logf("led by %s since %.0f", c.Leader, c.LeaderSince)
+	t.Logf("leader %s since %.0f ms", c.Leader, c.LeaderSince)
 	c.Kill(5)
 	c.RunUntil(c.Now + 20_000)
-	assert.Equal(t, 1, c.DeclaredLost)
+	assert.Equal(t, 1, c.DeclaredLost, "incarnations declared lost after n5 was killed")
 	first := c.Leader
 	killedAt := c.Now
-	c.Kill(c.nodeNamed(first))
+	c.Kill(c.nodeIndexOf(first))
 	c.RunUntil(c.Now + 5000)
-	assert.NotEqual(t, first, c.Leader)
+	assert.NotEqual(t, first, c.Leader, "the killed leader was not replaced")
 	t.Logf("new leader %s after %.0f ms", c.Leader, c.LeaderSince-killedAt)
 	c.RunUntil(c.Now + 40_000)
-	assert.Equal(t, 2, c.DeclaredLost)
+	assert.Equal(t, 2, c.DeclaredLost, "incarnations declared lost after the leader was killed, too")
 	for k, node := range c.Nodes {
 		if node.Up {
-			s := c.ConsensusNodes[k].Group.Status(c.LocalTime(k))
-			t.Logf("%s voter %v leader %s term %d commit %d lease held %v voters %v", node.Name, s.Voter, s.Leader, s.Term, s.Commit, s.LeaseHeld, s.Record.Voters)
+			status := c.ConsensusNodes[k].Group.Status(c.LocalTime(k))
+			t.Logf("%s voter %v leader %s term %d commit %d lease held %v voters %v", node.Name, status.Voter,
+				status.Leader, status.Term, status.Commit, status.LeaseHeld, status.Record.Voters)
 		}
 	}
 	assert.Empty(t, c.Violations)
 }
 
-// Histories with kills, lost and full disks, stalls of seconds, partitions and loss: no incarnation acts on a lease once it is declared
-// lost, and the lease operations are linearizable.
+// Under kills, wiped and full disks, stalls, partitions and message loss, no incarnation may hold a lease once it is
+// declared lost, and the lease operations must be linearizable.
 func TestRunConsensus_HoldsInvariantsUnderFaults(t *testing.T) {
 	operations, declared := 0, 0
 	for seed := range uint64(25) {
@@ -40,35 +41,44 @@
 		declared += result.DeclaredLost
 		if len(result.Violations) > 0 {
 			small := Shrink(result)
-			require.Empty(t, small.Violations, "seed %d, faults %v", seed, small.Faults)
+			require.Empty(t, small.Violations, "seed %d, shrunk to the faults %v", seed, small.Faults)
 		}
 	}
-	assert.Greater(t, declared, 20)
+	assert.Greater(t, declared, 20, "too few incarnations declared lost to test the invariants")
 	t.Logf("%d operations, %d incarnations declared lost", operations, declared)
 }
 
-func TestChecks_RefuseBrokenHistories(t *testing.T) {
-	good := []Operation{{0, LeaseGranted, "a", 1, 0, 10}, {1, LossDeclared, "a", 1, 5, 20}, {0, LeaseRefused, "a", 1, 21, 22}}
-	assert.True(t, Linearizable(good, nil))
-	assert.False(t, Linearizable(append(good, Operation{0, LeaseGranted, "a", 1, 21, 30}), nil), "granted after it was lost")
-	assert.False(t, Linearizable([]Operation{{0, LeaseRefused, "a", 1, 0, 1}, {1, LossDeclared, "a", 1, 2, 3}}, nil), "refused before")
-	assert.True(t, Linearizable([]Operation{{0, LeaseRefused, "a", 1, 5, 6}}, []Operation{{1, LossDeclared, "a", 1, 2, 0}}))
+// The checks must detect invalid histories; otherwise the tests that rely on them prove nothing.
+func TestChecks_DetectInvalidHistories(t *testing.T) {
+	valid := []Operation{
+		{0, LeaseGranted, "a", 1, 0, 10},
+		{1, LossDeclared, "a", 1, 5, 20},
+		{0, LeaseRefused, "a", 1, 21, 22},
+	}
+	assert.True(t, Linearizable(valid, nil), "valid history")
+	grantedAfterLoss := append(valid, Operation{0, LeaseGranted, "a", 1, 21, 30})
+	assert.False(t, Linearizable(grantedAfterLoss, nil), "lease granted after the loss was declared")
+	refusedBeforeLoss := []Operation{{0, LeaseRefused, "a", 1, 0, 1}, {1, LossDeclared, "a", 1, 2, 3}}
+	assert.False(t, Linearizable(refusedBeforeLoss, nil), "lease refused before the loss was declared")
+	refused, pendingLoss := []Operation{{0, LeaseRefused, "a", 1, 5, 6}}, []Operation{{1, LossDeclared, "a", 1, 2, 0}}
+	assert.True(t, Linearizable(refused, pendingLoss), "lease refused after a pending loss took effect")
 	c := startConsensusCluster(t, 4, 3, 5)
-	c.declareLost(incarnation{"n3", c.ConsensusNodes[3].incarnation})
-	assert.NotEmpty(t, c.Violations, "one that holds its lease is declared lost")
+	c.declareLost(memberIncarnation{"n3", c.ConsensusNodes[3].incarnation})
+	assert.NotEmpty(t, c.Violations, "n3 is declared lost while it holds its lease")
 }
 
-// A voter is lost for good, and another while the first is being replaced; then all that can be is agreed again. A voter whose disk was
-// wiped comes as a newcomer and is no voter by its old number.
+// The group must replace a voter that is lost for good, and another one that is lost during the replacement. A former
+// voter that restarts with a wiped disk must be admitted as a new member, not as the voter that it was.
 func TestConsensusCluster_SurvivesVoterLossDuringReplacement(t *testing.T) {
 	c := startConsensusCluster(t, 9, 5, 21)
 	c.Kill(1)
-	c.RunUntil(c.Now + 16_500) // the newcomer is about to catch up
+	c.RunUntil(c.Now + 16_500) // the replacement is about to catch up
 	c.Kill(2)
 	c.RunUntil(c.Now + 60_000)
 	voters := func() (names []string) {
-		for _, v := range c.ConsensusNodes[c.nodeNamed(c.Leader)].Group.Status(c.Now).Record.Voters {
-			names = append(names, v.Name)
+		leader := c.ConsensusNodes[c.nodeIndexOf(c.Leader)]
+		for _, voter := range leader.Group.Status(c.Now).Record.Voters {
+			names = append(names, voter.Name)
 		}
 		return names
 	}
@@ -78,15 +88,17 @@
 	c.WipeDisk(1)
 	c.Start(1)
 	c.RunUntil(c.Now + 10_000)
-	assert.False(t, c.ConsensusNodes[1].Group.Hello().Voter)
-	assert.True(t, c.ConsensusNodes[1].Group.LeaseHeld(c.LocalTime(1)), "it is let in all the same")
+	assert.False(t, c.ConsensusNodes[1].Group.Hello().Voter, "n1 must not be a voter after its disk was wiped")
+	assert.True(t, c.ConsensusNodes[1].Group.LeaseHeld(c.LocalTime(1)), "n1 must be admitted as a member and get a lease")
 	for k := range c.Nodes {
-		assert.Equal(t, c.Nodes[k].Up, c.ConsensusNodes[k].Group.LeaseHeld(c.LocalTime(k)), "node %d", k)
+		assert.Equal(t, c.Nodes[k].Up, c.ConsensusNodes[k].Group.LeaseHeld(c.LocalTime(k)),
+			"node %d must hold its lease if and only if it is up", k)
 	}
 	assert.Empty(t, c.Violations)
 }
 
-// A node that starts while all its seeds are gone joins by those that found it. Of 2,000 seeds, this one broke it.
+// A node that starts while all seeds are down must join through the members that contact it. With this random seed a
+// join has failed before.
 func TestRunConsensus_JoinsWithoutSeeds(t *testing.T) {
 	assert.Empty(t, RunConsensus(487, nil).Violations)
 }
--- a/internal/clustersim/convergence.go
+++ b/internal/clustersim/convergence.go
@@ -2,7 +2,8 @@
 
 import "liftshift/internal/membership"
 
-// Converged reports whether each running node takes exactly the running ones for alive, and suspects none of them.
+// Converged reports whether the view of each running node has exactly the running nodes as alive, and suspects none
+// of them.
 func (c *Cluster) Converged() bool {
 	running := 0
 	for _, node := range c.Nodes {
@@ -10,7 +11,7 @@
 			running++
 		}
 	}
-	for _, node := range c.Nodes { // the cheap comparison first
+	for _, node := range c.Nodes { // compare the counts first: it is cheaper
 		if node.Up && node.View.LivePeers() != running-1 {
 			return false
 		}
@@ -23,11 +24,11 @@
 	return true
 }
 
-// isAccurate reports whether a view has each node as it is.
+// isAccurate reports whether a view has exactly the running nodes as alive.
 func (c *Cluster) isAccurate(view *membership.View) bool {
 	for _, node := range c.Nodes {
-		m, known := view.Find(node.Name)
-		alive := known && m.State == membership.Alive
+		member, known := view.Find(node.Name)
+		alive := known && member.State == membership.Alive
 		if node.Up != alive {
 			return false
 		}
@@ -35,12 +36,12 @@
 	return true
 }
 
-// RunUntilConverged lets time pass in steps until the views have converged. It returns the time that took in milliseconds, or -1 after
-// the timeout.
-func (c *Cluster) RunUntilConverged(timeout, step float64) float64 {
+// RunUntilConverged advances the simulation in steps until the views have converged. It returns the elapsed time, or
+// -1 if the views have not converged within the timeout. All times are in milliseconds.
+func (c *Cluster) RunUntilConverged(timeoutMS, stepMS float64) float64 {
 	began := c.Now
-	for c.Now < began+timeout {
-		c.RunUntil(c.Now + step)
+	for c.Now < began+timeoutMS {
+		c.RunUntil(c.Now + stepMS)
 		if c.Converged() {
 			return c.Now - began
 		}
--- a/internal/clustersim/eventqueue.go
+++ b/internal/clustersim/eventqueue.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// scheduled is an item of an eventQueue.
+// scheduled is an item of an eventQueue with its time and its position in the scheduling order.
 type scheduled[T any] struct {
 	at       float64
 	sequence uint64
 	item     T
 }
 
-// eventQueue gives items in the order of their times. Items of one time come in the order in which they were scheduled, so that a seed
-// always replays the same history.
+// eventQueue is a priority queue of items by time. Items with the same time are returned in the order in which they
+// were scheduled, so that a seed always replays the same history.
 type eventQueue[T any] struct {
 	items    eventHeap[T]
 	sequence uint64
@@ -21,7 +21,7 @@
 	heap.Push(&q.items, scheduled[T]{at: at, sequence: q.sequence, item: item})
 }
 
-// popDue removes and returns the first item, unless it is due after until.
+// popDue removes and returns the earliest item if it is due at or before the time until.
 func (q *eventQueue[T]) popDue(until float64) (at float64, item T, due bool) {
 	if len(q.items) == 0 || q.items[0].at > until {
 		return 0, item, false
@@ -30,6 +30,7 @@
 	return next.at, next.item, true
 }
 
+// eventHeap implements heap.Interface for eventQueue.
 type eventHeap[T any] []scheduled[T]
 
 func (h eventHeap[T]) Len() int { return len(h) }
--- a/internal/clustersim/faults.go
+++ b/internal/clustersim/faults.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// FaultKind is what is done to a cluster.
+// FaultKind is a kind of fault that a history injects into a cluster.
 type FaultKind int
 
-// The faults.
+// The kinds of faults. FaultStart and FaultHeal end earlier faults.
 const (
-	FaultKill      FaultKind = iota // a node ends without notice
-	FaultStart                      // a node that is down starts
-	FaultWipe                       // a node that is down starts with an empty disk
-	FaultStall                      // a node stands still
-	FaultPartition                  // a third of the nodes is cut off from the others
-	FaultMute                       // nothing that a node sends arrives
-	FaultHeal                       // network and disks are whole again
-	FaultLoss                       // messages are lost
-	FaultDiskFull                   // a node's disk takes no writes
+	FaultKill      FaultKind = iota // stops a node without notice
+	FaultStart                      // starts a stopped node
+	FaultWipe                       // starts a stopped node with an empty disk
+	FaultStall                      // suspends a node
+	FaultPartition                  // partitions a third of the nodes from the others
+	FaultMute                       // drops all messages that a node sends
+	FaultHeal                       // repairs the network and all disks
+	FaultLoss                       // drops a share of all messages
+	FaultDiskFull                   // makes the writes to a node's disk fail
 )
 
 var faultNames = [...]string{"kill", "start", "wipe", "stall", "partition", "mute", "heal", "loss", "disk full"}
@@ -27,33 +27,42 @@
 // String returns the name of the kind.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one thing that is done to a cluster at a time.
+// Fault is a fault that is injected at one point of a history.
 type Fault struct {
-	At         float64
+	At         float64 // in milliseconds
 	Kind       FaultKind
 	Node       int
-	DurationMS float64
+	DurationMS float64 // of a FaultStall; the other kinds ignore it
 }
 
-// String returns the fault on one line: its time, kind, node and duration.
+// String returns the time, kind, node and duration of the fault on one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.0f ms: %s %d %.0f", f.At, f.Kind, f.Node, f.DurationMS)
 }
 
-// drawnFaults are the kinds that histories draw from; those that stand more often are drawn more often.
-var drawnFaults = []FaultKind{FaultKill, FaultKill, FaultStart, FaultStart, FaultStart, FaultWipe, FaultStall, FaultStall, FaultPartition, FaultMute,
-	FaultHeal, FaultHeal, FaultLoss, FaultDiskFull}
+// faultDistribution lists the kinds of faults that histories draw from. A kind that is listed more often is drawn
+// more often.
+var faultDistribution = []FaultKind{
+	FaultKill, FaultKill, FaultStart, FaultStart, FaultStart, FaultWipe, FaultStall, FaultStall, FaultPartition, FaultMute,
+	FaultHeal, FaultHeal, FaultLoss, FaultDiskFull,
+}
 
 const (
-	firstFaultMS = 9000.0 // the cluster has formed by then
-	faultLoss    = 0.2    // share of messages
+	firstFaultMS  = 9000.0 // leaves the cluster time to form
+	faultLossRate = 0.2    // probability that a message is lost during a FaultLoss
 )
 
-// drawFaults draws a history's faults.
+// drawFaults draws the faults of a history that ends at the time until.
 func (c *ConsensusCluster) drawFaults(until float64) (faults []Fault) {
 	for at := firstFaultMS; at < until; at += 300 + 4000*c.random.Float64() {
-		fault := Fault{At: at, Kind: drawnFaults[c.random.IntN(len(drawnFaults))], Node: c.random.IntN(len(c.Nodes)), DurationMS: 200 * math.Exp(5*c.random.Float64())}
-		if fault.Kind == FaultWipe && c.random.IntN(3) > 0 { // a group does not survive the loss of more disks than a minority of its voters
+		fault := Fault{
+			At:         at,
+			Kind:       faultDistribution[c.random.IntN(len(faultDistribution))],
+			Node:       c.random.IntN(len(c.Nodes)),
+			DurationMS: 200 * math.Exp(5*c.random.Float64()),
+		}
+		// Wipes are rare because a group survives only the loss of a minority of its voters' disks.
+		if fault.Kind == FaultWipe && c.random.IntN(3) > 0 {
 			fault.Kind = FaultHeal
 		}
 		faults = append(faults, fault)
@@ -61,7 +70,7 @@
 	return faults
 }
 
-// inject does a fault to the cluster now.
+// inject applies a fault to the cluster now.
 func (c *ConsensusCluster) inject(fault Fault) {
 	switch fault.Kind {
 	case FaultKill:
@@ -71,7 +80,7 @@
 			c.Start(fault.Node)
 		}
 	case FaultWipe:
-		if c.mayWipe(fault.Node) {
+		if c.canWipe(fault.Node) {
 			c.WipeDisk(fault.Node)
 			c.Start(fault.Node)
 		}
@@ -88,7 +97,7 @@
 			node.Disk.Full = false
 		}
 	case FaultLoss:
-		c.Network.Loss = faultLoss
+		c.Network.Loss = faultLossRate
 	case FaultDiskFull:
 		if !slices.ContainsFunc(c.ConsensusNodes, func(n *ConsensusNode) bool { return n.Disk.Full }) {
 			c.ConsensusNodes[fault.Node].Disk.Full = true
@@ -96,13 +105,14 @@
 	}
 }
 
-// mayWipe reports whether a node may lose its disk: at most one voter at a time may have none.
-func (c *ConsensusCluster) mayWipe(k int) bool {
-	if c.Nodes[k].Up || k == 0 {
+// canWipe reports whether a stopped node may lose its disk without making the group unrecoverable: all other initial
+// voters must have state on disk. Node 0 always keeps its disk.
+func (c *ConsensusCluster) canWipe(nodeIndex int) bool {
+	if c.Nodes[nodeIndex].Up || nodeIndex == 0 {
 		return false
 	}
 	for other, node := range c.ConsensusNodes[:len(c.InitialVoters)] {
-		if other != k && node.Disk.Snapshot == nil {
+		if other != nodeIndex && node.Disk.Snapshot == nil {
 			return false
 		}
 	}
--- a/internal/clustersim/handoff.go
+++ b/internal/clustersim/handoff.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	keyedClass         = "mark" // idempotent with an idempotency key
+	keyedClass         = "mark" // idempotent by means of an idempotency key
 	nonIdempotentClass = "once"
 
-	requestDeadlineMS = 5000.0 // from the arrival
-	maxDeadlineMS     = 6000.0 // the longest of the classes' deadlines
-	keyRetentionMS    = 60e3
-	heartbeatMS       = 100.0 // between a node's ticks, and between its looks at the placement
-	giveUpBeforeMS    = 20.0  // a request is answered this long before its deadline
+	requestDeadlineMS     = 5000.0 // counted from the arrival of the request
+	maxDeadlineMS         = 6000.0 // deadline limit of both classes
+	keyRetentionMS        = 60e3
+	handoffTickIntervalMS = 100.0 // between two ticks of a node's handoff manager, each with a placement refresh
+	deadlineMarginMS      = 20.0  // an open request is answered this long before its deadline
 )
 
-// HandoffNode is a node's handoff manager, with a stand-in for its scheduler and connections.
+// HandoffNode holds a node's handoff manager and its open requests. It stands in for the node's scheduler and
+// connections.
 type HandoffNode struct {
 	Manager *handoff.Manager
 
-	incarnation   uint64
-	placementStep uint64
-	open          map[string]*request // by id
-	waiting       map[string]*request // those that the manager has not admitted yet
-	lastToken     uint64
-	replies       map[uint64]func(*handoff.Batch)
+	incarnation        uint64
+	placementStep      uint64
+	open               map[string]*nodeRequest // by request id
+	waiting            map[string]*nodeRequest // requests that the manager has not admitted yet, by request id
+	lastToken          uint64
+	batchReplyHandlers map[uint64]func(*handoff.Batch) // by token
 }
 
-// HandoffCluster is a cluster whose nodes keep copies of their open requests.
+// HandoffCluster is a ConsensusCluster whose nodes replicate copies of their open requests to each other.
 type HandoffCluster struct {
 	*ConsensusCluster
 	HandoffNodes  []*HandoffNode
 	Requests      []*ClientRequest
-	Runs          map[string]int // what had an effect, by idempotency key, or by id where there is none
-	DedupWindowMS float64        // for which executors drop repeats; 0: they drop none
-	IgnoreLeases  bool           // the checks must be able to see what happens without leases
+	Executions    map[string]int // number of executions by idempotency key, or by request id without a key
+	DedupWindowMS float64        // time for which executors drop duplicates of a key; 0 disables deduplication
+	IgnoreLeases  bool           // lets nodes act without a lease, to show that the checks detect it
 
-	lastRun      map[string]float64 // the time of the last run, by the key of Runs
-	requestCount int
-	settings     handoff.Settings
+	lastExecution map[string]float64 // time of the last execution, by the keys of Executions
+	requestCount  int
+	settings      handoff.Settings
 }
 
-// NewHandoffCluster returns a cluster of n nodes with so many copies of each request. None of the nodes is started.
+// NewHandoffCluster returns a cluster of n nodes that keep the given number of copies of each open request. None of
+// the nodes is started.
 func NewHandoffCluster(n, copies int, seed uint64, dedupWindowMS float64) *HandoffCluster {
 	c := &HandoffCluster{
 		ConsensusCluster: NewConsensusCluster(n, 3, seed),
-		Runs:             map[string]int{},
+		Executions:       map[string]int{},
 		DedupWindowMS:    dedupWindowMS,
-		lastRun:          map[string]float64{},
+		lastExecution:    map[string]float64{},
 		settings:         handoff.DefaultSettings(),
 	}
 	c.ConsensusSettings.LeaseMS = 2000
@@ -70,32 +72,34 @@
 }
 
 // Start starts a node with an empty handoff manager.
-func (c *HandoffCluster) Start(k int) {
-	c.ConsensusCluster.Start(k)
-	incarnation := c.ConsensusNodes[k].incarnation
-	c.HandoffNodes[k] = &HandoffNode{
-		Manager:     handoff.New(handoff.Member{Name: c.Nodes[k].Name, Incarnation: incarnation}, c.settings, c.random.Uint32()),
-		incarnation: incarnation,
-		open:        map[string]*request{},
-		waiting:     map[string]*request{},
-		lastToken:   uint64(k) << 32,
-		replies:     map[uint64]func(*handoff.Batch){},
+func (c *HandoffCluster) Start(nodeIndex int) {
+	c.ConsensusCluster.Start(nodeIndex)
+	incarnation := c.ConsensusNodes[nodeIndex].incarnation
+	c.HandoffNodes[nodeIndex] = &HandoffNode{
+		Manager: handoff.New(handoff.Member{Name: c.Nodes[nodeIndex].Name, Incarnation: incarnation}, c.settings,
+			c.random.Uint32()),
+		incarnation:        incarnation,
+		open:               map[string]*nodeRequest{},
+		waiting:            map[string]*nodeRequest{},
+		lastToken:          uint64(nodeIndex) << 32,
+		batchReplyHandlers: map[uint64]func(*handoff.Batch){},
 	}
-	c.heartbeat(k, c.Nodes[k].run)
+	c.tickHandoff(nodeIndex, c.Nodes[nodeIndex].generation)
 }
 
-// Kill ends a node without notice; the clients of its open requests retry elsewhere.
-func (c *HandoffCluster) Kill(k int) {
-	c.ConsensusCluster.Kill(k)
-	for _, r := range c.Requests {
-		if r.Node == k && len(r.Answers) == 0 && !r.Disconnected {
-			r.Disconnected = true
-			c.scheduleRetry(r.operation)
+// Kill stops a node without notice. The clients of its open requests retry at other nodes.
+func (c *HandoffCluster) Kill(nodeIndex int) {
+	c.ConsensusCluster.Kill(nodeIndex)
+	for _, request := range c.Requests {
+		if request.Node == nodeIndex && len(request.Answers) == 0 && !request.Disconnected {
+			request.Disconnected = true
+			c.scheduleRetry(request.operation)
 		}
 	}
 }
 
-// inject does a fault to the cluster now. Lost and full disks are left to the histories of a ConsensusCluster.
+// inject applies a fault to the cluster now. It ignores disk faults, which only the histories of a ConsensusCluster
+// have.
 func (c *HandoffCluster) inject(fault Fault) {
 	switch fault.Kind {
 	case FaultKill:
@@ -112,9 +116,10 @@
 	}
 }
 
-// whenAwake calls a function for the node's current run, after a stall if the node stands still.
-func (c *HandoffCluster) whenAwake(k int, call func()) {
-	node, run := c.Nodes[k], c.Nodes[k].run
+// afterStall calls a function now, or at the end of the stall if the node is stalled. It does not call the function
+// if the node is stopped, or ends its current generation before the end of the stall.
+func (c *HandoffCluster) afterStall(nodeIndex int, call func()) {
+	node, generation := c.Nodes[nodeIndex], c.Nodes[nodeIndex].generation
 	if !node.Up {
 		return
 	}
@@ -123,86 +128,90 @@
 		return
 	}
 	c.Schedule(node.stalledUntil, func() {
-		if node.run == run {
-			c.whenAwake(k, call)
+		if node.generation == generation {
+			c.afterStall(nodeIndex, call)
 		}
 	})
 }
 
-// after calls a function after a delay, for the node's current run.
-func (c *HandoffCluster) after(ms float64, k int, call func()) {
-	run := c.Nodes[k].run
+// after calls a function after a delay, and after a stall if the node is stalled then. It does not call the function
+// if the node ends its current generation before.
+func (c *HandoffCluster) after(ms float64, nodeIndex int, call func()) {
+	generation := c.Nodes[nodeIndex].generation
 	c.Schedule(c.Now+ms, func() {
-		c.whenAwake(k, func() {
-			if c.Nodes[k].run == run {
+		c.afterStall(nodeIndex, func() {
+			if c.Nodes[nodeIndex].generation == generation {
 				call()
 			}
 		})
 	})
 }
 
-func (c *HandoffCluster) leaseHeld(k int) bool {
-	return c.IgnoreLeases || c.ConsensusNodes[k].Group.LeaseHeld(c.LocalTime(k))
+// leaseHeld reports whether a node may act as the owner of its requests.
+func (c *HandoffCluster) leaseHeld(nodeIndex int) bool {
+	return c.IgnoreLeases || c.ConsensusNodes[nodeIndex].Group.LeaseHeld(c.LocalTime(nodeIndex))
 }
 
-// heartbeat gives a node its ticks and the agreed placement, and ends its requests that are due.
-func (c *HandoffCluster) heartbeat(k, run int) {
-	node, own := c.Nodes[k], c.HandoffNodes[k]
-	if !node.Up || node.run != run {
+// tickHandoff ticks a node's handoff manager, refreshes its placement, answers the requests that reach their
+// deadline, and schedules the next tick.
+func (c *HandoffCluster) tickHandoff(nodeIndex, generation int) {
+	node, handoffNode := c.Nodes[nodeIndex], c.HandoffNodes[nodeIndex]
+	if !node.Up || node.generation != generation {
 		return
 	}
 	if c.Now < node.stalledUntil {
-		c.Schedule(node.stalledUntil, func() { c.heartbeat(k, run) })
+		c.Schedule(node.stalledUntil, func() { c.tickHandoff(nodeIndex, generation) })
 		return
 	}
-	if current := c.ConsensusNodes[k].incarnation; current != own.incarnation {
-		own.incarnation = current
-		c.stepHandoff(k, &handoff.Event{Kind: handoff.IncarnationChanged, Incarnation: current})
+	if current := c.ConsensusNodes[nodeIndex].incarnation; current != handoffNode.incarnation {
+		handoffNode.incarnation = current
+		c.stepHandoff(nodeIndex, &handoff.Event{Kind: handoff.IncarnationChanged, Incarnation: current})
 	}
-	c.refreshPlacement(k)
-	c.stepHandoff(k, &handoff.Event{Kind: handoff.Ticked})
-	for _, id := range slices.Sorted(maps.Keys(own.open)) {
-		r := own.open[id]
-		if r == nil || c.LocalTime(k) < r.deadline-giveUpBeforeMS {
+	c.refreshPlacement(nodeIndex)
+	c.stepHandoff(nodeIndex, &handoff.Event{Kind: handoff.Ticked})
+	for _, id := range slices.Sorted(maps.Keys(handoffNode.open)) {
+		request := handoffNode.open[id]
+		if request == nil || c.LocalTime(nodeIndex) < request.deadline-deadlineMarginMS {
 			continue
 		}
 		outcome := handoff.Failed
-		if r.attempts == 0 && !r.mayHaveRun {
+		if request.attempts == 0 && !request.mayHaveRun {
 			outcome = handoff.Rejected
 		}
-		c.finishRequest(k, r, outcome)
+		c.finishRequest(nodeIndex, request, outcome)
 	}
-	c.Schedule(c.Now+heartbeatMS, func() { c.heartbeat(k, run) })
+	c.Schedule(c.Now+handoffTickIntervalMS, func() { c.tickHandoff(nodeIndex, generation) })
 }
 
-// refreshPlacement brings a node the agreed placement: a voter's own, and that of the leader, for the voter may have been replaced without
-// its knowledge.
-func (c *HandoffCluster) refreshPlacement(k int) {
-	group := c.ConsensusNodes[k].Group
-	if group.Status(c.LocalTime(k)).Voter {
+// refreshPlacement updates a node's placement from its own group if it is a voter, and always from the leader as
+// well, since a voter may have been replaced without its knowledge.
+func (c *HandoffCluster) refreshPlacement(nodeIndex int) {
+	group := c.ConsensusNodes[nodeIndex].Group
+	if group.Status(c.LocalTime(nodeIndex)).Voter {
 		members, table := group.Configuration()
-		c.applyPlacement(k, members, table)
+		c.applyPlacement(nodeIndex, members, table)
 	}
 	for to := range c.Nodes {
-		if to == k || !c.isLeader(to) {
+		if to == nodeIndex || !c.isLeader(to) {
 			continue
 		}
-		c.call(k, to, func() {
+		c.sendCall(nodeIndex, to, func() {
 			members, table := c.ConsensusNodes[to].Group.Configuration()
-			c.call(to, k, func() { c.applyPlacement(k, members, table) }, nil)
+			c.sendCall(to, nodeIndex, func() { c.applyPlacement(nodeIndex, members, table) }, nil)
 		}, nil)
 	}
 }
 
-// isLeader reports whether a node takes itself for the leader, also when it is down.
-func (c *HandoffCluster) isLeader(k int) bool {
-	group := c.ConsensusNodes[k].Group
-	return group != nil && group.Status(c.LocalTime(k)).Leader == c.Nodes[k].Name
+// isLeader reports whether a node regards itself as the leader. It can be true of a stopped node, too.
+func (c *HandoffCluster) isLeader(nodeIndex int) bool {
+	group := c.ConsensusNodes[nodeIndex].Group
+	return group != nil && group.Status(c.LocalTime(nodeIndex)).Leader == c.Nodes[nodeIndex].Name
 }
 
-func (c *HandoffCluster) applyPlacement(k int, members []placement.Member, table placement.Table) {
-	if table.Step > c.HandoffNodes[k].placementStep {
-		c.HandoffNodes[k].placementStep = table.Step
-		c.stepHandoff(k, &handoff.Event{Kind: handoff.PlacementChanged, Members: members, Table: &table})
+// applyPlacement passes a placement to a node's handoff manager if it is newer than the manager's current one.
+func (c *HandoffCluster) applyPlacement(nodeIndex int, members []placement.Member, table placement.Table) {
+	if table.Step > c.HandoffNodes[nodeIndex].placementStep {
+		c.HandoffNodes[nodeIndex].placementStep = table.Step
+		c.stepHandoff(nodeIndex, &handoff.Event{Kind: handoff.PlacementChanged, Members: members, Table: &table})
 	}
 }
--- a/internal/clustersim/handoff_client.go
+++ b/internal/clustersim/handoff_client.go
@@ -7,96 +7,106 @@
 )
 
 const (
-	maxClientTries  = 3
-	pickNodeTries   = 20    // of a client that looks for a running node
-	impatientTries  = 2     // further requests of a client that does not wait
-	impatientWithin = 300.0 // ms
+	maxClientTries     = 3     // a client does not retry once it has sent more requests than this
+	maxNodePicks       = 20    // random picks of a client that looks for a running node
+	hedgedRequestCount = 2     // further requests that a hedging client sends without waiting for the first answer
+	maxHedgeDelayMS    = 300.0 // largest delay of a hedged request after the first one
 )
 
-// clientOperation is what a client wants, however often it asks for it.
+// clientOperation is one logical operation of a client, which may need several requests.
 type clientOperation struct {
 	key, class  string
-	tries       int
+	tries       int // number of requests sent
 	firstSentAt float64
 	succeeded   bool
-	impatient   bool
+	hedges      bool // whether the client sends hedged requests
 }
 
-// ClientRequest is one request of a client to one node.
+// ClientRequest is one request that a client has sent to one node.
 type ClientRequest struct {
 	ID, IdempotencyKey, Class string
 	Node                      int
 	SentAt                    float64
 	Answers                   []handoff.Outcome // more than one is a violation
-	Disconnected              bool              // the request did not arrive, or the node ended before it answered
+	Disconnected              bool              // the request did not arrive, or the node stopped before it answered
 
 	operation *clientOperation
 }
 
-// runKey is what the runs of the request are counted by.
-func (r *ClientRequest) runKey() string {
+// executionKey returns the key by which HandoffCluster.Executions counts the executions of the request.
+func (r *ClientRequest) executionKey() string {
 	if r.IdempotencyKey != "" {
 		return r.IdempotencyKey
 	}
 	return r.ID
 }
 
-// scheduleRetry has a client ask again elsewhere, with its idempotency key. A key is known for no longer than the deadline and the window
-// where a partition has lost its replicas beyond a quorum.
-func (c *HandoffCluster) scheduleRetry(o *clientOperation) {
+// scheduleRetry makes a client retry an operation with the same idempotency key at a random node. The client does not
+// retry after the longer of the deadline and the deduplication window, because a partition that has lost a quorum of
+// its replicas remembers a key for no longer than that.
+func (c *HandoffCluster) scheduleRetry(operation *clientOperation) {
 	at := c.Now + 100 + 900*c.random.Float64()
-	keyExpired := at > o.firstSentAt+max(maxDeadlineMS, c.DedupWindowMS)
-	if o.succeeded || o.tries > maxClientTries || o.class != keyedClass || keyExpired {
+	keyExpired := at > operation.firstSentAt+max(maxDeadlineMS, c.DedupWindowMS)
+	if operation.succeeded || operation.tries > maxClientTries || operation.class != keyedClass || keyExpired {
 		return
 	}
-	c.Schedule(at, func() { c.sendToAnyNode(o) })
+	c.Schedule(at, func() { c.sendToAnyNode(operation) })
 }
 
-// sendToAnyNode has a client ask a running node, if it finds one.
-func (c *HandoffCluster) sendToAnyNode(o *clientOperation) {
-	for range pickNodeTries {
+// sendToAnyNode sends a request for an operation to a random running node. It gives up if it picks only stopped
+// nodes.
+func (c *HandoffCluster) sendToAnyNode(operation *clientOperation) {
+	for range maxNodePicks {
 		if k := c.random.IntN(len(c.Nodes)); c.Nodes[k].Up {
-			c.sendRequest(k, o)
+			c.sendRequest(k, operation)
 			return
 		}
 	}
 }
 
-// sendRequest has a client ask a node.
-func (c *HandoffCluster) sendRequest(k int, o *clientOperation) {
+// sendRequest sends a request for an operation to a node. The first request of a hedging client is followed by more.
+func (c *HandoffCluster) sendRequest(nodeIndex int, operation *clientOperation) {
 	c.requestCount++
-	o.tries++
-	if o.tries == 1 {
-		o.firstSentAt = c.Now
+	operation.tries++
+	if operation.tries == 1 {
+		operation.firstSentAt = c.Now
 	}
-	sent := &ClientRequest{ID: fmt.Sprintf("%016x", c.requestCount), IdempotencyKey: o.key, Class: o.class, Node: k, SentAt: c.Now, Disconnected: true, operation: o}
-	c.Requests = append(c.Requests, sent)
-	c.whenAwake(k, func() {
-		sent.Disconnected = false
-		c.receiveRequest(k, sent)
+	clientRequest := &ClientRequest{
+		ID:             fmt.Sprintf("%016x", c.requestCount),
+		IdempotencyKey: operation.key,
+		Class:          operation.class,
+		Node:           nodeIndex,
+		SentAt:         c.Now,
+		Disconnected:   true,
+		operation:      operation,
+	}
+	c.Requests = append(c.Requests, clientRequest)
+	c.afterStall(nodeIndex, func() {
+		clientRequest.Disconnected = false
+		c.receiveRequest(nodeIndex, clientRequest)
 	})
-	if !o.impatient || o.tries > 1 {
+	if !operation.hedges || operation.tries > 1 {
 		return
 	}
-	for range impatientTries {
-		c.Schedule(c.Now+impatientWithin*c.random.Float64(), func() {
-			if !o.succeeded {
-				c.sendToAnyNode(o)
+	for range hedgedRequestCount {
+		c.Schedule(c.Now+maxHedgeDelayMS*c.random.Float64(), func() {
+			if !operation.succeeded {
+				c.sendToAnyNode(operation)
 			}
 		})
 	}
 }
 
-// answerClient gives the client of a request its outcome. An adopted request has none.
-func (c *HandoffCluster) answerClient(r *request, outcome handoff.Outcome) {
-	if r.client == nil {
+// answerClient answers the client of a request with an outcome. Adopted requests have no client.
+func (c *HandoffCluster) answerClient(request *nodeRequest, outcome handoff.Outcome) {
+	if request.client == nil {
 		return
 	}
-	r.client.Answers = append(r.client.Answers, outcome)
+	request.client.Answers = append(request.client.Answers, outcome)
 	switch outcome {
 	case handoff.Succeeded:
-		r.client.operation.succeeded = true
+		request.client.operation.succeeded = true
 	case handoff.Rejected:
-		c.scheduleRetry(r.client.operation)
+		c.scheduleRetry(request.client.operation)
 	}
 }
--- a/internal/clustersim/handoff_request.go
+++ b/internal/clustersim/handoff_request.go
@@ -6,145 +6,162 @@
 	"liftshift/internal/handoff"
 )
 
-// The simulated executors and connections. Times are in milliseconds.
+// Behavior of the simulated executors and connections. Times are in milliseconds.
 const (
-	queueTime         = 20.0  // the longest between the admission and the attempt
-	dialTime          = 250.0 // the longest of an attempt that waits for a new connection: one in dialShare
-	dialShare         = 3
-	minExecutionTime  = 5.0
-	executionSpread   = 300.0 // most executions are short
-	longExecutionTime = 2500.0
-	longShare         = 20 // one execution in so many is long
+	maxQueueMS         = 20.0   // longest time between the admission of a request and its first attempt
+	maxDialMS          = 250.0  // longest time that an attempt waits for a new connection
+	dialOneIn          = 3      // one attempt in this many waits for a new connection
+	minExecutionMS     = 5.0    // shortest execution
+	executionSpreadMS  = 300.0  // spread above minExecutionMS; the distribution favors short executions
+	longExecutionMS    = 2500.0 // duration of a long execution
+	longExecutionOneIn = 20     // one execution in this many is long
 )
 
-// request is one request at a node.
-type request struct {
+// nodeRequest is a request as one node handles it.
+type nodeRequest struct {
 	id, key, class string
 	deadline       float64        // by the node's clock
-	client         *ClientRequest // nil: adopted
-	mayHaveRun     bool           // at a former owner
+	client         *ClientRequest // nil for an adopted request
+	mayHaveRun     bool           // an earlier owner may have executed it
 	attempts       int
-	outstanding    bool // an attempt is under way
-	sent           bool // it may have left the node
+	outstanding    bool // an attempt is in progress
+	sent           bool // the attempt in progress may have left the node
 	finished       bool
 }
 
-// unsentOutcome is the outcome of a request whose attempt must not leave.
-func (r *request) unsentOutcome() handoff.Outcome {
+// unsentOutcome returns the outcome of a request whose current attempt is not sent.
+func (r *nodeRequest) unsentOutcome() handoff.Outcome {
 	if r.mayHaveRun {
 		return handoff.Failed
 	}
 	return handoff.Rejected
 }
 
-// receiveRequest hands a client's request to the node's manager.
-func (c *HandoffCluster) receiveRequest(k int, sent *ClientRequest) {
-	data := handoff.RequestData{ID: sent.ID, IdempotencyKey: sent.IdempotencyKey, Class: sent.Class, Body: []byte("select")}
-	copied := &handoff.Copy{RequestData: data, Deadline: c.LocalTime(k) + requestDeadlineMS}
-	c.HandoffNodes[k].waiting[sent.ID] = &request{id: sent.ID, key: sent.IdempotencyKey, class: sent.Class, deadline: copied.Deadline, client: sent}
-	c.stepHandoff(k, &handoff.Event{Kind: handoff.RequestArriving, ID: sent.ID, Copy: copied})
+// receiveRequest passes a client's request to the node's handoff manager.
+func (c *HandoffCluster) receiveRequest(nodeIndex int, clientRequest *ClientRequest) {
+	data := handoff.RequestData{ID: clientRequest.ID, IdempotencyKey: clientRequest.IdempotencyKey,
+		Class: clientRequest.Class, Body: []byte("select")}
+	copied := &handoff.Copy{RequestData: data, Deadline: c.LocalTime(nodeIndex) + requestDeadlineMS}
+	c.HandoffNodes[nodeIndex].waiting[clientRequest.ID] = &nodeRequest{
+		id:       clientRequest.ID,
+		key:      clientRequest.IdempotencyKey,
+		class:    clientRequest.Class,
+		deadline: copied.Deadline,
+		client:   clientRequest,
+	}
+	c.stepHandoff(nodeIndex, &handoff.Event{Kind: handoff.RequestArriving, ID: clientRequest.ID, Copy: copied})
 }
 
-func (c *HandoffCluster) startWaiting(k int, id string, mayHaveRun bool) {
-	if r := c.HandoffNodes[k].waiting[id]; r != nil {
-		c.startRequest(k, r, mayHaveRun)
+// startWaitingRequest starts a request that was waiting for its admission, if the request is still there.
+func (c *HandoffCluster) startWaitingRequest(nodeIndex int, id string, mayHaveRun bool) {
+	if request := c.HandoffNodes[nodeIndex].waiting[id]; request != nil {
+		c.startRequest(nodeIndex, request, mayHaveRun)
 	}
 }
 
-// startRequest opens a request and has its first attempt start soon. One that may have run and can't be repeated fails.
-func (c *HandoffCluster) startRequest(k int, r *request, mayHaveRun bool) {
-	own := c.HandoffNodes[k]
-	delete(own.waiting, r.id)
-	own.open[r.id] = r
-	r.mayHaveRun = mayHaveRun
-	repeatable := r.class != nonIdempotentClass && c.DedupWindowMS != 0
+// startRequest opens a request and schedules its first attempt. A request that may have been executed already and is
+// not safe to repeat fails at once.
+func (c *HandoffCluster) startRequest(nodeIndex int, request *nodeRequest, mayHaveRun bool) {
+	handoffNode := c.HandoffNodes[nodeIndex]
+	delete(handoffNode.waiting, request.id)
+	handoffNode.open[request.id] = request
+	request.mayHaveRun = mayHaveRun
+	repeatable := request.class != nonIdempotentClass && c.DedupWindowMS != 0
 	if mayHaveRun && !repeatable {
-		c.finishRequest(k, r, handoff.Failed)
+		c.finishRequest(nodeIndex, request, handoff.Failed)
 		return
 	}
-	c.after(queueTime*c.random.Float64(), k, func() {
-		if own.open[r.id] == r && !r.finished {
-			c.startAttempt(k, r)
+	c.after(maxQueueMS*c.random.Float64(), nodeIndex, func() {
+		if handoffNode.open[request.id] == request && !request.finished {
+			c.startAttempt(nodeIndex, request)
 		}
 	})
 }
 
-func (c *HandoffCluster) startAttempt(k int, r *request) {
-	r.outstanding = true
-	r.sent = false
-	r.attempts++
-	switch c.stepHandoff(k, &handoff.Event{Kind: handoff.AttemptStarting, ID: r.id, Attempt: r.attempts - 1, Zone: "z"}) {
+// startAttempt starts the next attempt of a request, unless the handoff manager holds or blocks it.
+func (c *HandoffCluster) startAttempt(nodeIndex int, request *nodeRequest) {
+	request.outstanding = true
+	request.sent = false
+	request.attempts++
+	starting := &handoff.Event{Kind: handoff.AttemptStarting, ID: request.id, Attempt: request.attempts - 1, Zone: "z"}
+	switch c.stepHandoff(nodeIndex, starting) {
 	case handoff.HoldAttempt:
 	case handoff.BlockAttempt:
-		r.outstanding = false
-		r.attempts--
-		c.finishRequest(k, r, r.unsentOutcome())
+		request.outstanding = false
+		request.attempts--
+		c.finishRequest(nodeIndex, request, request.unsentOutcome())
 	default:
-		c.releaseAttempt(k, r)
+		c.releaseAttempt(nodeIndex, request)
 	}
 }
 
-// releaseAttempt sends an attempt; some wait for a new connection.
-func (c *HandoffCluster) releaseAttempt(k int, r *request) {
-	if c.random.IntN(dialShare) > 0 {
-		c.sendAttempt(k, r)
+// releaseAttempt sends an attempt, at once or after a wait for a new connection.
+func (c *HandoffCluster) releaseAttempt(nodeIndex int, request *nodeRequest) {
+	if c.random.IntN(dialOneIn) > 0 {
+		c.sendAttempt(nodeIndex, request)
 		return
 	}
-	c.after(dialTime*c.random.Float64(), k, func() { c.sendAttempt(k, r) })
+	c.after(maxDialMS*c.random.Float64(), nodeIndex, func() { c.sendAttempt(nodeIndex, request) })
 }
 
-// sendAttempt looks at the lease at the last step before anything leaves, and has the attempt run.
-func (c *HandoffCluster) sendAttempt(k int, r *request) {
-	if !r.outstanding || r.sent || r.finished {
+// sendAttempt checks the lease immediately before the attempt leaves the node, and simulates the execution.
+func (c *HandoffCluster) sendAttempt(nodeIndex int, request *nodeRequest) {
+	if !request.outstanding || request.sent || request.finished {
 		return
 	}
-	r.sent = true
-	if !c.leaseHeld(k) {
-		c.endAttempt(k, r, true)
-		c.finishRequest(k, r, r.unsentOutcome())
+	request.sent = true
+	if !c.leaseHeld(nodeIndex) {
+		c.endAttempt(nodeIndex, request, true)
+		c.finishRequest(nodeIndex, request, request.unsentOutcome())
 		return
 	}
-	executionTime := minExecutionTime + executionSpread*math.Pow(c.random.Float64(), 3)
-	if c.random.IntN(longShare) == 0 {
-		executionTime = longExecutionTime
+	executionMS := minExecutionMS + executionSpreadMS*math.Pow(c.random.Float64(), 3)
+	if c.random.IntN(longExecutionOneIn) == 0 {
+		executionMS = longExecutionMS
 	}
-	c.Schedule(c.Now+1+3*c.random.Float64(), func() { c.execute(r) })
-	c.after(5+executionTime, k, func() {
-		if c.HandoffNodes[k].open[r.id] == r && !r.finished {
-			c.endAttempt(k, r, false)
-			c.finishRequest(k, r, handoff.Succeeded)
+	c.Schedule(c.Now+1+3*c.random.Float64(), func() { c.execute(request) })
+	c.after(5+executionMS, nodeIndex, func() {
+		if c.HandoffNodes[nodeIndex].open[request.id] == request && !request.finished {
+			c.endAttempt(nodeIndex, request, false)
+			c.finishRequest(nodeIndex, request, handoff.Succeeded)
 		}
 	})
 }
 
-func (c *HandoffCluster) endAttempt(k int, r *request, neverRan bool) {
-	r.outstanding = false
-	c.stepHandoff(k, &handoff.Event{Kind: handoff.AttemptEnded, ID: r.id, Attempt: r.attempts - 1, NeverRan: neverRan})
+// endAttempt reports the end of a request's current attempt to the handoff manager.
+func (c *HandoffCluster) endAttempt(nodeIndex int, request *nodeRequest, neverRan bool) {
+	request.outstanding = false
+	c.stepHandoff(nodeIndex, &handoff.Event{
+		Kind: handoff.AttemptEnded, ID: request.id, Attempt: request.attempts - 1, NeverRan: neverRan,
+	})
 }
 
-// execute runs a request at an executor, unless that drops it as a repeat.
-func (c *HandoffCluster) execute(r *request) {
-	key := r.key
+// execute counts an execution of a request, unless the executor drops the request as a duplicate.
+func (c *HandoffCluster) execute(request *nodeRequest) {
+	key := request.key
 	if key == "" {
-		key = r.id
+		key = request.id
 	}
-	if at, ran := c.lastRun[key]; ran && c.Now < at+c.DedupWindowMS {
+	if at, ran := c.lastExecution[key]; ran && c.Now < at+c.DedupWindowMS {
 		return
 	}
-	c.lastRun[key] = c.Now
-	c.Runs[key]++
+	c.lastExecution[key] = c.Now
+	c.Executions[key]++
 }
 
-// finishRequest answers a request, or withholds the answer as the manager wants it.
-func (c *HandoffCluster) finishRequest(k int, r *request, outcome handoff.Outcome) {
-	if r.finished {
+// finishRequest ends a request with an outcome. It answers the client unless the handoff manager withholds the
+// answer.
+func (c *HandoffCluster) finishRequest(nodeIndex int, request *nodeRequest, outcome handoff.Outcome) {
+	if request.finished {
 		return
 	}
-	r.finished = true
-	ending := &handoff.Event{Kind: handoff.RequestEnding, ID: r.id, Outcome: outcome, Answer: []byte("rows")}
-	if c.stepHandoff(k, ending) != handoff.WithholdAnswer {
-		delete(c.HandoffNodes[k].open, r.id)
-		c.answerClient(r, outcome)
+	request.finished = true
+	ending := &handoff.Event{Kind: handoff.RequestEnding, ID: request.id, Outcome: outcome, Answer: []byte("rows")}
+	if c.stepHandoff(nodeIndex, ending) != handoff.WithholdAnswer {
+		delete(c.HandoffNodes[nodeIndex].open, request.id)
+		c.answerClient(request, outcome)
 	}
-	c.stepHandoff(k, &handoff.Event{Kind: handoff.RequestClosed, ID: r.id, Outcome: outcome, Answer: []byte("rows")})
+	c.stepHandoff(nodeIndex, &handoff.Event{
+		Kind: handoff.RequestClosed, ID: request.id, Outcome: outcome, Answer: []byte("rows"),
+	})
 }
--- a/internal/clustersim/handoff_scenario.go
+++ b/internal/clustersim/handoff_scenario.go
@@ -9,23 +9,26 @@
 )
 
 const (
-	handoffHistoryMS = 40_000.0
-	firstRequestMS   = 9000.0   // the cluster has formed by then
-	requestSpacingMS = 100.0    // the longest between two requests
-	recoveryMS       = 25_000.0 // at the end: a partition without a quorum begins anew once its keys are past, a window later
-	impatientShare   = 8        // one client in so many
-	unkeyedShare     = 3
+	handoffHistoryMS    = 40_000.0
+	firstRequestMS      = 9000.0 // leaves the cluster time to form
+	maxRequestSpacingMS = 100.0  // longest time between the starts of two clients
+	// recoveryMS is added to the deduplication window at the end of a history. A partition without a quorum restarts from
+	// empty once its keys have expired, which takes a window.
+	recoveryMS         = 25_000.0
+	hedgingClientOneIn = 8 // one client in this many sends hedged requests
+	nonIdempotentOneIn = 3 // one client in this many sends a non-idempotent request
 )
 
-// HandoffScenario is what a history of a HandoffCluster is made of.
+// HandoffScenario describes one history of a HandoffCluster.
 type HandoffScenario struct {
 	Seed          uint64
-	DedupWindowMS float64
-	Faults        []Fault // nil: those that the seed draws
-	IgnoreLeases  bool
+	DedupWindowMS float64 // see HandoffCluster
+	Faults        []Fault // nil: drawn from the seed
+	IgnoreLeases  bool    // see HandoffCluster
 }
 
-// HandoffResult is what a history of a HandoffCluster came to.
+// HandoffResult is the result of one history of a HandoffCluster. Keys counts the executed operations. Adopted and
+// AdoptionClaims are summed over the counters of all nodes. The other numbers count requests.
 type HandoffResult struct {
 	Seed                                    uint64
 	Faults                                  []Fault
@@ -34,21 +37,22 @@
 	Adopted, AdoptionClaims                 int
 }
 
-// RunHandoff runs one history: five nodes that keep two copies, clients that retry elsewhere, and faults. At its end all is made whole.
-func RunHandoff(s HandoffScenario) HandoffResult {
-	c := NewHandoffCluster(5, 2, s.Seed, s.DedupWindowMS)
-	c.IgnoreLeases = s.IgnoreLeases
+// RunHandoff runs one history: five nodes that keep two copies of each open request, clients that retry at other
+// nodes, and faults. At the end it heals the network, starts all stopped nodes and checks the invariants.
+func RunHandoff(scenario HandoffScenario) HandoffResult {
+	c := NewHandoffCluster(5, 2, scenario.Seed, scenario.DedupWindowMS)
+	c.IgnoreLeases = scenario.IgnoreLeases
 	c.Network.Duplication = 0
-	if s.Faults == nil {
-		s.Faults = c.drawFaults(handoffHistoryMS)
+	if scenario.Faults == nil {
+		scenario.Faults = c.drawFaults(handoffHistoryMS)
 	}
 	for k := range c.Nodes {
 		c.Start(k)
 	}
-	for at := firstRequestMS; at < handoffHistoryMS; at += requestSpacingMS * c.random.Float64() {
+	for at := firstRequestMS; at < handoffHistoryMS; at += maxRequestSpacingMS * c.random.Float64() {
 		c.Schedule(at, c.startClient)
 	}
-	for _, fault := range s.Faults {
+	for _, fault := range scenario.Faults {
 		c.RunUntil(fault.At)
 		c.inject(fault)
 	}
@@ -61,28 +65,38 @@
 		}
 	}
 	c.RunUntil(c.Now + recoveryMS + c.DedupWindowMS)
-	return c.check(s)
+	return c.check(scenario)
 }
 
-// startClient has a client come with an operation of its own.
+// startClient starts a client with a new operation.
 func (c *HandoffCluster) startClient() {
-	o := &clientOperation{class: keyedClass, key: fmt.Sprintf("m%d", c.requestCount), impatient: c.random.IntN(impatientShare) == 0}
-	if c.random.IntN(unkeyedShare) == 0 {
-		o = &clientOperation{class: nonIdempotentClass}
+	operation := &clientOperation{
+		class:  keyedClass,
+		key:    fmt.Sprintf("m%d", c.requestCount),
+		hedges: c.random.IntN(hedgingClientOneIn) == 0,
 	}
-	c.sendToAnyNode(o)
+	if c.random.IntN(nonIdempotentOneIn) == 0 {
+		operation = &clientOperation{class: nonIdempotentClass}
+	}
+	c.sendToAnyNode(operation)
 }
 
-// check compares what clients were answered with what ran.
-func (c *HandoffCluster) check(s HandoffScenario) HandoffResult {
-	result := HandoffResult{Seed: s.Seed, Faults: s.Faults, Violations: c.Violations, Keys: len(c.Runs), Requests: len(c.Requests)}
-	for _, key := range slices.Sorted(maps.Keys(c.Runs)) {
-		if c.Runs[key] > 1 {
-			result.add(RanTwice, "%s ran %d times", key, c.Runs[key])
+// check compares the answers that clients got with the executions, and checks the state of all nodes.
+func (c *HandoffCluster) check(scenario HandoffScenario) HandoffResult {
+	result := HandoffResult{
+		Seed:       scenario.Seed,
+		Faults:     scenario.Faults,
+		Violations: c.Violations,
+		Keys:       len(c.Executions),
+		Requests:   len(c.Requests),
+	}
+	for _, key := range slices.Sorted(maps.Keys(c.Executions)) {
+		if c.Executions[key] > 1 {
+			result.addViolation(RanTwice, "key %s was executed %d times", key, c.Executions[key])
 		}
 	}
-	for _, r := range c.Requests {
-		result.checkAnswers(r, c.Runs[r.runKey()])
+	for _, request := range c.Requests {
+		result.checkAnswers(request, c.Executions[request.executionKey()])
 	}
 	for k, node := range c.HandoffNodes {
 		result.checkNode(k, node.Manager)
@@ -90,46 +104,49 @@
 	return result
 }
 
-func (r *HandoffResult) add(kind ViolationKind, format string, args ...any) {
-	r.Violations = append(r.Violations, violation(kind, format, args...))
+// addViolation adds a violation whose detail is formatted as by fmt.Sprintf.
+func (r *HandoffResult) addViolation(kind ViolationKind, format string, args ...any) {
+	r.Violations = append(r.Violations, newViolation(kind, format, args...))
 }
 
-// checkAnswers compares the answers to a request with how often it ran.
-func (r *HandoffResult) checkAnswers(q *ClientRequest, runs int) {
-	if len(q.Answers) == 0 {
-		if q.Disconnected {
+// checkAnswers compares the answers to a request with the number of its executions.
+func (r *HandoffResult) checkAnswers(request *ClientRequest, executions int) {
+	if len(request.Answers) == 0 {
+		if request.Disconnected {
 			r.Disconnected++
 		} else {
-			r.add(WithoutOutcome, "%s (%s at %d since %.0f) has no answer", q.ID, q.Class, q.Node, q.SentAt)
+			r.addViolation(WithoutOutcome, "request %s (class %s, sent to node %d at %.0f ms) has no answer",
+				request.ID, request.Class, request.Node, request.SentAt)
 		}
 		return
 	}
-	if len(q.Answers) > 1 {
-		r.add(ContradictoryAnswers, "%s has two answers: %v", q.ID, q.Answers)
+	if len(request.Answers) > 1 {
+		r.addViolation(ContradictoryAnswers, "request %s has more than one answer: %v", request.ID, request.Answers)
 		return
 	}
-	switch q.Answers[0] {
+	switch request.Answers[0] {
 	case handoff.Succeeded:
 		r.Succeeded++
-		if runs == 0 {
-			r.add(WrongOutcome, "%s succeeded and never ran", q.ID)
+		if executions == 0 {
+			r.addViolation(WrongOutcome, "request %s succeeded but was never executed", request.ID)
 		}
 	case handoff.Rejected:
-		if q.Class == nonIdempotentClass && runs > 0 {
-			r.add(WrongOutcome, "%s is rejected, ran, and may not run again", q.ID)
+		if request.Class == nonIdempotentClass && executions > 0 {
+			r.addViolation(WrongOutcome, "non-idempotent request %s was rejected after it was executed", request.ID)
 		}
 	}
 }
 
-// checkNode looks at a node's counters, and for copies that nobody has adopted.
-func (r *HandoffResult) checkNode(k int, manager *handoff.Manager) {
+// checkNode checks that a node's counters add up and that it has no copies that no node has adopted.
+func (r *HandoffResult) checkNode(nodeIndex int, manager *handoff.Manager) {
 	counts := manager.Counts()
 	r.Adopted += int(counts.AdoptionsStarted)
 	r.AdoptionClaims += int(counts.AdoptionClaims)
 	if counts.CopiesReceived != counts.Settled+counts.Adopted+counts.Failed+counts.Dropped+counts.Open {
-		r.add(InconsistentCounts, "the counts of %d do not add up: %+v", k, counts)
+		r.addViolation(InconsistentCounts, "the handoff counters of node %d do not add up: %+v", nodeIndex, counts)
 	}
-	for name, n := range manager.OrphanedRequests() {
-		r.add(WithoutOutcome, "%d copies of %s are open at %d, and nobody has adopted them", n, name, k)
+	for owner, copies := range manager.OrphanedRequests() {
+		r.addViolation(WithoutOutcome, "node %d holds %d open copies from lost owner %s that no node has adopted",
+			nodeIndex, copies, owner)
 	}
 }
--- a/internal/clustersim/handoff_step.go
+++ b/internal/clustersim/handoff_step.go
@@ -8,106 +8,115 @@
 )
 
 const (
-	batchDuplicates  = 0.03  // share of batches that arrive twice
-	duplicateDelayMS = 400.0 // the largest delay of the second: a datagram's timeout, and a call's way
+	batchDuplication    = 0.03  // probability that a batch arrives twice
+	maxDuplicateDelayMS = 400.0 // largest delay of the duplicate: a datagram timeout and the network delay of a call
 )
 
-// stepHandoff hands an event to a node's manager and carries out the effects. It returns the manager's verdict on the event.
-func (c *HandoffCluster) stepHandoff(k int, ev *handoff.Event) handoff.EffectKind {
-	ev.LeaseHeld = c.leaseHeld(k)
-	now := c.LocalTime(k)
-	effects := slices.Clone(c.HandoffNodes[k].Manager.Step(now, ev))
-	encoded := make([][]byte, len(effects)) // before any effect is carried out, as the transport does it
-	for i, e := range effects {
-		if e.Kind == handoff.SendBatch {
-			encoded[i] = e.Batch.Append(nil, now)
+// stepHandoff passes an event to a node's handoff manager and applies the effects. It returns the effect that decides
+// on the request or attempt of the event: HoldAttempt, BlockAttempt, WithholdAnswer, or Admit if there is none of
+// them.
+func (c *HandoffCluster) stepHandoff(nodeIndex int, event *handoff.Event) handoff.EffectKind {
+	event.LeaseHeld = c.leaseHeld(nodeIndex)
+	now := c.LocalTime(nodeIndex)
+	effects := slices.Clone(c.HandoffNodes[nodeIndex].Manager.Step(now, event))
+	encoded := make([][]byte, len(effects)) // encoded before any effect is applied, as the real transport does
+	for i, effect := range effects {
+		if effect.Kind == handoff.SendBatch {
+			encoded[i] = effect.Batch.Append(nil, now)
 		}
 	}
 	verdict := handoff.Admit
-	for i, e := range effects {
-		switch e.Kind {
+	for i, effect := range effects {
+		switch effect.Kind {
 		case handoff.HoldAttempt, handoff.BlockAttempt, handoff.WithholdAnswer:
-			verdict = e.Kind
+			verdict = effect.Kind
 		case handoff.Admit:
-			c.startWaiting(k, ev.ID, false)
+			c.startWaitingRequest(nodeIndex, event.ID, false)
 		case handoff.SendBatch:
-			c.sendBatch(k, e, encoded[i])
+			c.sendBatch(nodeIndex, effect, encoded[i])
 		case handoff.ReplyBatch:
-			c.replyBatch(k, e)
+			c.replyBatch(nodeIndex, effect)
 		case handoff.Propose:
-			c.propose(k, consensus.PlacementProposal(consensus.EntryKind(e.Proposal), e.Claim, e.Version))
+			c.propose(nodeIndex, consensus.PlacementProposal(consensus.EntryKind(effect.Proposal), effect.Claim, effect.Version))
 		case handoff.RefreshPlacement:
-			c.refreshPlacement(k)
+			c.refreshPlacement(nodeIndex)
 		default:
-			c.applyRequestEffect(k, e)
+			c.applyRequestEffect(nodeIndex, effect)
 		}
 	}
 	return verdict
 }
 
-// applyRequestEffect carries out an effect on one request.
-func (c *HandoffCluster) applyRequestEffect(k int, e handoff.Effect) {
-	own := c.HandoffNodes[k]
-	switch e.Kind {
+// applyRequestEffect applies an effect that concerns a single request.
+func (c *HandoffCluster) applyRequestEffect(nodeIndex int, effect handoff.Effect) {
+	handoffNode := c.HandoffNodes[nodeIndex]
+	switch effect.Kind {
 	case handoff.Resume:
-		c.startWaiting(k, e.ID, e.Prior.At != 0)
+		c.startWaitingRequest(nodeIndex, effect.ID, effect.Prior.At != 0)
 	case handoff.AnswerSuspended:
-		if r := own.waiting[e.ID]; r != nil {
-			delete(own.waiting, e.ID)
-			c.answerClient(r, e.Outcome)
+		if request := handoffNode.waiting[effect.ID]; request != nil {
+			delete(handoffNode.waiting, effect.ID)
+			c.answerClient(request, effect.Outcome)
 		}
 	case handoff.DeliverAnswer:
-		if r := own.open[e.ID]; r != nil {
-			delete(own.open, e.ID)
-			c.answerClient(r, e.Outcome)
+		if request := handoffNode.open[effect.ID]; request != nil {
+			delete(handoffNode.open, effect.ID)
+			c.answerClient(request, effect.Outcome)
 		}
 	case handoff.ReleaseAttempt:
-		if r := own.open[e.ID]; r != nil {
-			c.releaseAttempt(k, r)
+		if request := handoffNode.open[effect.ID]; request != nil {
+			c.releaseAttempt(nodeIndex, request)
 		}
 	case handoff.FailAttempt:
-		if r := own.open[e.ID]; r != nil && r.outstanding && !r.sent {
-			r.outstanding = false
-			c.stepHandoff(k, &handoff.Event{Kind: handoff.AttemptEnded, ID: r.id, Attempt: e.Attempt, NeverRan: true})
-			c.finishRequest(k, r, r.unsentOutcome())
+		if request := handoffNode.open[effect.ID]; request != nil && request.outstanding && !request.sent {
+			request.outstanding = false
+			c.stepHandoff(nodeIndex, &handoff.Event{
+				Kind: handoff.AttemptEnded, ID: request.id, Attempt: effect.Attempt, NeverRan: true,
+			})
+			c.finishRequest(nodeIndex, request, request.unsentOutcome())
 		}
 	case handoff.Adopt:
-		if own.open[e.Copy.ID] == nil {
-			r := &request{id: e.Copy.ID, key: e.Copy.IdempotencyKey, class: e.Copy.Class, deadline: e.Copy.Deadline}
-			own.waiting[r.id] = r
-			c.startRequest(k, r, e.Prior.At != 0)
+		if handoffNode.open[effect.Copy.ID] == nil {
+			request := &nodeRequest{
+				id:       effect.Copy.ID,
+				key:      effect.Copy.IdempotencyKey,
+				class:    effect.Copy.Class,
+				deadline: effect.Copy.Deadline,
+			}
+			handoffNode.waiting[request.id] = request
+			c.startRequest(nodeIndex, request, effect.Prior.At != 0)
 		}
 	case handoff.CancelLocal:
-		delete(own.open, e.ID)
+		delete(handoffNode.open, effect.ID)
 	}
 }
 
-// propose hands a proposal to every node: the leader takes it up.
-func (c *HandoffCluster) propose(k int, data []byte) {
+// propose sends a proposal to every node's consensus group. Only the leader acts on it.
+func (c *HandoffCluster) propose(nodeIndex int, data []byte) {
 	for to := range c.Nodes {
-		c.call(k, to, func() {
+		c.sendCall(nodeIndex, to, func() {
 			c.stepConsensus(to, consensus.Event{Kind: consensus.ProposalReceived, Data: data})
 		}, nil)
 	}
 }
 
-// replyBatch hands a batch to what waits for the reply of a received one.
-func (c *HandoffCluster) replyBatch(k int, e handoff.Effect) {
-	own := c.HandoffNodes[k]
-	if reply := own.replies[e.Token]; reply != nil {
-		delete(own.replies, e.Token)
-		reply(e.Batch)
+// replyBatch sends a batch as the reply to a received batch, which its token identifies.
+func (c *HandoffCluster) replyBatch(nodeIndex int, effect handoff.Effect) {
+	handoffNode := c.HandoffNodes[nodeIndex]
+	if reply := handoffNode.batchReplyHandlers[effect.Token]; reply != nil {
+		delete(handoffNode.batchReplyHandlers, effect.Token)
+		reply(effect.Batch)
 	}
 }
 
-// sendBatch carries a batch in its wire format, and the reply. A reply that is late or lost is lost to the sender; the receiver may have
-// acted on the batch all the same.
-func (c *HandoffCluster) sendBatch(k int, e handoff.Effect, data []byte) {
-	to, run := c.nodeNamed(e.To), c.Nodes[k].run
+// sendBatch sends a batch in its wire format to another node and delivers the reply. If the reply is lost, the sender
+// does not learn that the receiver may have acted on the batch.
+func (c *HandoffCluster) sendBatch(nodeIndex int, effect handoff.Effect, data []byte) {
+	to, generation := c.nodeIndexOf(effect.To), c.Nodes[nodeIndex].generation
 	failed := func() {
-		c.whenAwake(k, func() {
-			if c.Nodes[k].run == run {
-				c.stepHandoff(k, &handoff.Event{Kind: handoff.BatchAnswered, To: e.To, Sent: e.Batch})
+		c.afterStall(nodeIndex, func() {
+			if c.Nodes[nodeIndex].generation == generation {
+				c.stepHandoff(nodeIndex, &handoff.Event{Kind: handoff.BatchAnswered, To: effect.To, Sent: effect.Batch})
 			}
 		})
 	}
@@ -116,11 +125,13 @@
 		return
 	}
 	replied := func(data []byte) {
-		if c.Nodes[k].run != run {
+		if c.Nodes[nodeIndex].generation != generation {
 			return
 		}
-		if batch := c.readBatch(k, data); batch != nil {
-			c.stepHandoff(k, &handoff.Event{Kind: handoff.BatchAnswered, To: e.To, Sent: e.Batch, Batch: batch})
+		if batch := c.readBatch(nodeIndex, data); batch != nil {
+			c.stepHandoff(nodeIndex, &handoff.Event{
+				Kind: handoff.BatchAnswered, To: effect.To, Sent: effect.Batch, Batch: batch,
+			})
 		}
 	}
 	arrived := func() {
@@ -130,23 +141,24 @@
 		}
 		receiver := c.HandoffNodes[to]
 		receiver.lastToken++
-		receiver.replies[receiver.lastToken] = func(reply *handoff.Batch) {
+		receiver.batchReplyHandlers[receiver.lastToken] = func(reply *handoff.Batch) {
 			data := reply.Append(nil, c.LocalTime(to))
-			c.call(to, k, func() { replied(data) }, nil)
+			c.sendCall(to, nodeIndex, func() { replied(data) }, nil)
 		}
 		c.stepHandoff(to, &handoff.Event{Kind: handoff.BatchReceived, Batch: batch, Token: receiver.lastToken})
 	}
-	c.call(k, to, arrived, failed)
-	if c.random.Float64() < batchDuplicates {
-		c.Schedule(c.Now+duplicateDelayMS*c.random.Float64(), func() { c.call(k, to, arrived, nil) })
+	c.sendCall(nodeIndex, to, arrived, failed)
+	if c.random.Float64() < batchDuplication {
+		c.Schedule(c.Now+maxDuplicateDelayMS*c.random.Float64(), func() { c.sendCall(nodeIndex, to, arrived, nil) })
 	}
 }
 
-// readBatch decodes a batch at its receiver. One that can't be read is a violation, and nil.
-func (c *HandoffCluster) readBatch(k int, data []byte) *handoff.Batch {
-	batch, err := handoff.ReadBatch(data, c.LocalTime(k))
+// readBatch decodes a batch by the receiver's clock. It records a violation and returns nil if the batch is
+// malformed.
+func (c *HandoffCluster) readBatch(nodeIndex int, data []byte) *handoff.Batch {
+	batch, err := handoff.ReadBatch(data, c.LocalTime(nodeIndex))
 	if err != nil {
-		c.Violations = append(c.Violations, violation(InvalidMessage, "%v", err))
+		c.Violations = append(c.Violations, newViolation(InvalidMessage, "batch received by node %d: %v", nodeIndex, err))
 		return nil
 	}
 	return batch
--- a/internal/clustersim/handoff_test.go
+++ b/internal/clustersim/handoff_test.go
@@ -7,47 +7,54 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Without faults all requests succeed once, whichever node is asked, and nothing waits for a quorum that is not there.
+// Without faults requests must succeed exactly once at any node, and none may wait for a quorum in vain.
 func TestRunHandoff_SucceedsWithoutFaults(t *testing.T) {
 	result := RunHandoff(HandoffScenario{Seed: 1, DedupWindowMS: 20_000, Faults: []Fault{}})
 	assert.Empty(t, result.Violations)
 	t.Logf("%+v", result)
-	require.Greater(t, result.Succeeded, 500)
+	require.Greater(t, result.Succeeded, 500, "too few requests succeeded without faults")
 }
 
-// Histories with kills, stalls, partitions and loss: no key runs twice, with executors that drop repeats for long, for less than a stall
-// takes, or not at all; each request has one answer; what a lost node left is adopted.
+// Under kills, stalls, partitions and message loss, no key may be executed twice, each request must have one answer,
+// and the requests of a lost node must be adopted. This must hold for executors without deduplication, with a window
+// shorter than stalls, and with a long window.
 func TestRunHandoff_HoldsInvariantsUnderFaults(t *testing.T) {
 	requests, succeeded, adopted := 0, 0, 0
 	for seed := range uint64(10) {
 		for _, window := range []float64{0, 6000, 20_000} {
 			result := RunHandoff(HandoffScenario{Seed: seed, DedupWindowMS: window})
-			assert.Empty(t, result.Violations, "seed %d, window %.0f: %v", seed, window, result.Faults)
+			assert.Empty(t, result.Violations, "seed %d, deduplication window %.0f ms, faults %v", seed, window, result.Faults)
 			requests += result.Requests
 			succeeded += result.Succeeded
 			adopted += result.Adopted
 		}
 	}
 	t.Logf("requests %d succeeded %d adopted %d", requests, succeeded, adopted)
-	assert.Greater(t, adopted, 50, "there was something to take over")
+	assert.Greater(t, adopted, 50, "too few requests adopted to test the invariants")
 }
 
-// Two controllers stand still for longer than executors drop repeats, and wake up with attempts on their way to a socket. Leases keep those
-// from leaving. Where leases are ignored, the same check finds keys that ran twice: it can see them.
+// Leases must stop controllers that stall for longer than the deduplication window from sending the attempts that
+// they had in progress. With leases ignored, the same histories must have keys that were executed twice, which shows
+// that the check detects them.
 func TestRunHandoff_LeasesStopStalledOwners(t *testing.T) {
 	ranTwice := map[bool]int{}
 	for seed := range uint64(20) {
-		faults := []Fault{{At: 12_000 + 40*float64(seed), Kind: FaultStall, Node: 4, DurationMS: 24_000}, {At: 14_000, Kind: FaultStall, Node: 3, DurationMS: 24_000}}
+		faults := []Fault{
+			{At: 12_000 + 40*float64(seed), Kind: FaultStall, Node: 4, DurationMS: 24_000},
+			{At: 14_000, Kind: FaultStall, Node: 3, DurationMS: 24_000},
+		}
 		for _, ignoreLeases := range []bool{false, true} {
-			result := RunHandoff(HandoffScenario{Seed: seed, DedupWindowMS: 10_000, Faults: faults, IgnoreLeases: ignoreLeases})
-			for _, v := range result.Violations {
-				if v.Kind == RanTwice {
+			result := RunHandoff(HandoffScenario{
+				Seed: seed, DedupWindowMS: 10_000, Faults: faults, IgnoreLeases: ignoreLeases,
+			})
+			for _, violation := range result.Violations {
+				if violation.Kind == RanTwice {
 					ranTwice[ignoreLeases]++
 				}
 			}
 		}
 	}
-	assert.Zero(t, ranTwice[false])
-	assert.NotZero(t, ranTwice[true])
-	t.Logf("ran twice without leases: %d", ranTwice[true])
+	assert.Zero(t, ranTwice[false], "keys executed twice with leases")
+	assert.NotZero(t, ranTwice[true], "keys executed twice with leases ignored")
+	t.Logf("executed twice with leases ignored: %d", ranTwice[true])
 }
--- a/internal/clustersim/helpers_test.go
+++ b/internal/clustersim/helpers_test.go
@@ -8,7 +8,7 @@
 	"liftshift/internal/membership"
 )
 
-// startCluster returns a cluster whose n nodes are started and have converged.
+// startCluster returns a cluster of n running nodes whose views have converged.
 func startCluster(t *testing.T, n int, seed uint64) *Cluster {
 	t.Helper()
 	c := New(n, seed)
@@ -19,28 +19,30 @@
 	return c
 }
 
-// requireConvergence waits until the views have converged.
-func requireConvergence(t *testing.T, c *Cluster, timeout float64, what string) {
+// requireConvergence advances the simulation until the views have converged, and fails the test if they have not
+// within the timeout. The description of the situation appears in messages.
+func requireConvergence(t *testing.T, c *Cluster, timeoutMS float64, situation string) {
 	t.Helper()
-	took := c.RunUntilConverged(timeout, 50)
-	require.GreaterOrEqual(t, took, 0.0, "%d nodes, %s: not converged after %.0f ms", len(c.Nodes), what, timeout)
-	t.Logf("%d nodes, %s: converged in %.0f ms", len(c.Nodes), what, took)
+	elapsedMS := c.RunUntilConverged(timeoutMS, 50)
+	require.GreaterOrEqual(t, elapsedMS, 0.0, "%d nodes, %s: views not converged after %.0f ms", len(c.Nodes), situation,
+		timeoutMS)
+	t.Logf("%d nodes, %s: converged in %.0f ms", len(c.Nodes), situation, elapsedMS)
 }
 
-// countFalselyDead counts the nodes that are taken for dead though they are up.
+// countFalselyDead counts, from now on, how often a view declares a running node dead.
 func countFalselyDead(c *Cluster) *int {
-	n := new(int)
+	count := new(int)
 	c.OnEffect = func(_ int, e *membership.Effect) {
 		for _, node := range c.Nodes {
 			if e.Kind == membership.MemberChanged && e.Member.State == membership.Dead && node.Name == e.Member.Name && node.Up {
-				*n++
+				*count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// recordDatagrams returns what one node sends to another within ten seconds.
+// recordDatagrams runs the simulation for ten seconds and returns the datagrams that arrive at one node from another.
 func recordDatagrams(c *Cluster, to, from int) (list [][]byte) {
 	c.OnDatagram = func(a, b int, data []byte) {
 		if a == from && b == to {
@@ -52,7 +54,7 @@
 	return list
 }
 
-// startConsensusCluster returns a cluster whose n nodes are started and hold their leases.
+// startConsensusCluster returns a cluster of n running nodes that all hold their leases.
 func startConsensusCluster(t *testing.T, n, initialVoters int, seed uint64) *ConsensusCluster {
 	t.Helper()
 	c := NewConsensusCluster(n, initialVoters, seed)
@@ -60,9 +62,11 @@
 		c.Start(k)
 	}
 	c.RunUntil(c.Now + 8000)
-	require.NotEmpty(t, c.Leader, "seed %d", seed)
+	require.NotEmpty(t, c.Leader, "seed %d: no leader was elected", seed)
 	for k := range n {
-		require.True(t, c.ConsensusNodes[k].Group.LeaseHeld(c.LocalTime(k)), "seed %d: %d holds its lease: %+v", seed, k, c.ConsensusNodes[k].Group.Status(c.LocalTime(k)))
+		group := c.ConsensusNodes[k].Group
+		require.True(t, group.LeaseHeld(c.LocalTime(k)), "seed %d: node %d does not hold its lease: %+v", seed, k,
+			group.Status(c.LocalTime(k)))
 	}
 	return c
 }
--- a/internal/clustersim/lease.go
+++ b/internal/clustersim/lease.go
@@ -2,61 +2,73 @@
 
 import "liftshift/internal/consensus"
 
-// requestLease carries a request for a lease to the node that grants, and its reply back.
-func (c *ConsensusCluster) requestLease(k, run, to int, e consensus.Effect) {
+// requestLease sends a lease request to the node that grants leases, and delivers its reply.
+func (c *ConsensusCluster) requestLease(nodeIndex, generation, to int, effect consensus.Effect) {
 	calledAt := c.Now
 	failed := func() {
-		c.deliverConsensus(k, run, consensus.Event{Kind: consensus.LeaseReplied, Token: e.Token, Failed: true})
+		c.deliverConsensus(nodeIndex, generation,
+			consensus.Event{Kind: consensus.LeaseReplied, Token: effect.Token, Failed: true})
 	}
 	if to < 0 {
 		failed()
 		return
 	}
 	replied := func(reply consensus.LeaseReply) {
-		c.recordReply(k, &e, reply, calledAt)
-		c.deliverConsensus(k, run, consensus.Event{Kind: consensus.LeaseReplied, Token: e.Token, Reply: reply})
+		c.recordReply(nodeIndex, &effect, reply, calledAt)
+		c.deliverConsensus(nodeIndex, generation,
+			consensus.Event{Kind: consensus.LeaseReplied, Token: effect.Token, Reply: reply})
 	}
-	c.call(k, to, func() {
+	c.sendCall(nodeIndex, to, func() {
 		c.lastToken++
 		token := c.lastToken
-		c.answers[token] = func(reply consensus.LeaseReply) {
-			c.call(to, k, func() { replied(reply) }, failed)
+		c.leaseReplyHandlers[token] = func(reply consensus.LeaseReply) {
+			c.sendCall(to, nodeIndex, func() { replied(reply) }, failed)
 		}
-		c.stepConsensus(to, consensus.Event{Kind: consensus.LeaseRequested, Token: token, Name: e.Name, Incarnation: e.Incarnation})
+		c.stepConsensus(to, consensus.Event{
+			Kind: consensus.LeaseRequested, Token: token, Name: effect.Name, Incarnation: effect.Incarnation,
+		})
 	}, failed)
 }
 
-// recordReply adds a reply that decides something to the operations.
-func (c *ConsensusCluster) recordReply(k int, e *consensus.Effect, reply consensus.LeaseReply, calledAt float64) {
-	o := Operation{Node: k, Member: e.Name, Incarnation: e.Incarnation, CalledAt: calledAt, ReturnedAt: c.Now}
+// recordReply records a lease reply as a completed operation if it grants a lease or reports the incarnation as lost.
+func (c *ConsensusCluster) recordReply(
+	nodeIndex int, effect *consensus.Effect, reply consensus.LeaseReply, calledAt float64,
+) {
+	operation := Operation{Node: nodeIndex, Member: effect.Name, Incarnation: effect.Incarnation, CalledAt: calledAt,
+		ReturnedAt: c.Now}
 	switch reply.Verdict {
 	case consensus.Granted:
-		o.Kind = LeaseGranted
+		operation.Kind = LeaseGranted
 	case consensus.IncarnationLost:
-		o.Kind = LeaseRefused
+		operation.Kind = LeaseRefused
 	default:
 		return
 	}
-	c.Operations = append(c.Operations, o)
+	c.Operations = append(c.Operations, operation)
 }
 
-// declareLost records that an incarnation is declared lost, and checks that it does not act on its lease.
-func (c *ConsensusCluster) declareLost(subject incarnation) {
-	if !c.lost[subject] {
-		c.lost[subject] = true
+// declareLost records that an incarnation is declared lost, and checks that it no longer holds its lease.
+func (c *ConsensusCluster) declareLost(subject memberIncarnation) {
+	if !c.lostIncarnations[subject] {
+		c.lostIncarnations[subject] = true
 		c.DeclaredLost++
-		if o, pending := c.pending[subject]; pending {
-			o.ReturnedAt = c.Now
-			c.Operations = append(c.Operations, o)
-			delete(c.pending, subject)
+		if operation, pending := c.pendingDeclarations[subject]; pending {
+			operation.ReturnedAt = c.Now
+			c.Operations = append(c.Operations, operation)
+			delete(c.pendingDeclarations, subject)
 		}
 	}
-	k := c.nodeNamed(subject.member)
-	if k < 0 || !c.Nodes[k].Up || c.Now < c.Nodes[k].stalledUntil { // one that stands still looks at its clock before anything leaves
+	nodeIndex := c.nodeIndexOf(subject.member)
+	if nodeIndex < 0 || !c.Nodes[nodeIndex].Up {
 		return
 	}
-	own := c.ConsensusNodes[k]
-	if own.incarnation == subject.number && own.Group.LeaseHeld(c.LocalTime(k)) {
-		c.Violations = append(c.Violations, violation(LeaseAfterLoss, "%.0f: %s holds the lease of incarnation %d, which is declared lost", c.Now, subject.member, subject.number))
+	if c.Now < c.Nodes[nodeIndex].stalledUntil { // a stalled node checks its clock before it sends anything
+		return
+	}
+	consensusNode := c.ConsensusNodes[nodeIndex]
+	if consensusNode.incarnation == subject.number && consensusNode.Group.LeaseHeld(c.LocalTime(nodeIndex)) {
+		c.Violations = append(c.Violations, newViolation(LeaseAfterLoss,
+			"at %.0f ms: member %s holds the lease of incarnation %d, which is declared lost",
+			c.Now, subject.member, subject.number))
 	}
 }
--- a/internal/clustersim/linearizability.go
+++ b/internal/clustersim/linearizability.go
@@ -7,13 +7,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// OperationKind is what came of an operation on an incarnation's lease.
+// OperationKind is the outcome of an operation on an incarnation's lease.
 type OperationKind int
 
-// The operations.
+// The outcomes of operations.
 const (
-	LeaseGranted OperationKind = iota // a lease was granted
-	LeaseRefused                      // a lease was refused, because the incarnation is lost
+	LeaseGranted OperationKind = iota // the lease was granted
+	LeaseRefused                      // the lease was refused because the incarnation is declared lost
 	LossDeclared                      // the incarnation was declared lost
 )
 
@@ -22,7 +22,8 @@
 // String returns the name of the kind.
 func (k OperationKind) String() string { return operationNames[k] }
 
-// Operation is one operation on the consensus group's leases and what came of it. Times are true ones.
+// Operation is one operation on a lease of the consensus group. Its times are in milliseconds of true simulated time,
+// not of a node's clock.
 type Operation struct {
 	Node                 int
 	Kind                 OperationKind
@@ -31,48 +32,58 @@
 	CalledAt, ReturnedAt float64
 }
 
-// incarnation is one run of a member.
-type incarnation struct {
+// memberIncarnation identifies one incarnation of a member.
+type memberIncarnation struct {
 	member string
 	number uint64
 }
 
-// String returns the member and its incarnation.
-func (i incarnation) String() string { return fmt.Sprint(i.member, "/", i.number) }
+// String returns the member and its incarnation, separated by a slash.
+func (i memberIncarnation) String() string { return fmt.Sprint(i.member, "/", i.number) }
 
-func (o Operation) subject() incarnation { return incarnation{o.Member, o.Incarnation} }
+// subject returns the incarnation whose lease the operation concerns.
+func (o Operation) subject() memberIncarnation { return memberIncarnation{o.Member, o.Incarnation} }
 
-// Linearizable reports whether there is an order in which all operations make sense: nothing is granted to an incarnation after it was
-// declared lost, nor refused as lost before. Pending declarations may have taken effect at any time since their call.
+// Linearizable reports whether the operations are linearizable: no lease is granted to an incarnation after it was
+// declared lost, and none is refused as lost before. Pending declarations may have taken effect at any time since
+// their call.
 func Linearizable(completed, pending []Operation) bool {
 	var operations []porcupine.Operation
-	subjects := map[incarnation]int{}
-	add := func(o Operation, returned int64) {
-		subject, known := subjects[o.subject()]
+	subjects := map[memberIncarnation]int{}
+	add := func(operation Operation, returned int64) {
+		subject, known := subjects[operation.subject()]
 		if !known {
 			subject = len(subjects)
-			subjects[o.subject()] = subject
+			subjects[operation.subject()] = subject
 		}
-		operations = append(operations, porcupine.Operation{ClientId: o.Node, Input: subject, Output: o.Kind, Call: microseconds(o.CalledAt), Return: returned})
+		operations = append(operations, porcupine.Operation{
+			ClientId: operation.Node,
+			Input:    subject,
+			Output:   operation.Kind,
+			Call:     microseconds(operation.CalledAt),
+			Return:   returned,
+		})
 	}
-	for _, o := range completed {
-		add(o, microseconds(o.ReturnedAt))
+	for _, operation := range completed {
+		add(operation, microseconds(operation.ReturnedAt))
 	}
-	for _, o := range pending {
-		add(o, math.MaxInt64)
+	for _, operation := range pending {
+		add(operation, math.MaxInt64)
 	}
 	return porcupine.CheckOperations(leaseModel(len(subjects)), operations)
 }
 
+// microseconds converts milliseconds to the whole microseconds that porcupine orders operations by.
 func microseconds(ms float64) int64 { return int64(ms * 1000) }
 
-// leaseModel is the sequential behaviour of an incarnation's lease. Its state is whether the incarnation is lost.
+// leaseModel returns the sequential specification of leases, partitioned by incarnation. The state of a partition is
+// whether the incarnation is declared lost.
 func leaseModel(subjects int) porcupine.Model {
 	return porcupine.Model{
 		Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
 			parts := make([][]porcupine.Operation, subjects)
-			for _, o := range operations {
-				parts[o.Input.(int)] = append(parts[o.Input.(int)], o)
+			for _, operation := range operations {
+				parts[operation.Input.(int)] = append(parts[operation.Input.(int)], operation)
 			}
 			return parts
 		},
--- a/internal/clustersim/locality.go
+++ b/internal/clustersim/locality.go
@@ -9,16 +9,16 @@
 	"liftshift/scheduler"
 )
 
-// LocalityPolicy is how requests are sent between zones.
+// LocalityPolicy determines how controllers send requests to executors of other zones.
 type LocalityPolicy int
 
-// The policies: the one in use, the one before it, and plainer ones.
+// SharedPlan is the policy that controllers use in production. The other policies are baselines for comparison.
 const (
-	SharedPlan    LocalityPolicy = iota // the controllers agree on a plan
-	NoLocality                          // zones do not count
-	LocalFirst                          // the own zone first, the others without a cap
-	RandomGroup                         // zones do not count, and requests have no preferred executors
-	Uncoordinated                       // the rules of SharedPlan, but each controller follows a plan of what it alone sees
+	SharedPlan    LocalityPolicy = iota // the controllers agree on one plan with caps between zones
+	NoLocality                          // zones are ignored
+	LocalFirst                          // the own zone is preferred, and all others are used without caps
+	RandomGroup                         // zones are ignored, and random table groups spread requests evenly
+	Uncoordinated                       // as SharedPlan, but each controller plans from its own observations alone
 )
 
 var policyNames = [...]string{"shared plan", "no locality", "local first", "random group", "uncoordinated"}
@@ -29,30 +29,30 @@
 // usesMonitor reports whether controllers run a locality monitor.
 func (p LocalityPolicy) usesMonitor() bool { return p == SharedPlan || p == Uncoordinated }
 
-// LocalityScenario is the loss and the return of a zone under load. Times are in milliseconds.
+// LocalityScenario describes the loss and the return of zone 0 under load.
 type LocalityScenario struct {
 	Policy                        LocalityPolicy
 	Zones, Controllers, Executors int
-	Load                          float64 // of the whole capacity
-	Cores                         float64 // of an executor
-	CrossZoneRTTMS                float64 // to another zone and back
+	Load                          float64 // offered load as a fraction of the total capacity
+	Cores                         float64 // per executor
+	CrossZoneRTTMS                float64 // round-trip time between zones
 	LostAtMS, BackAtMS, EndMS     float64
 	Seed                          uint64
-	CutOffControllers             int // of the lost zone: the others don't reach them either
+	CutOffControllers             int // controllers of the lost zone that the other controllers can't reach either
 }
 
-// LocalityResult is what a LocalityScenario came to.
+// LocalityResult is the result of a LocalityScenario.
 type LocalityResult struct {
-	ValueShare           float64 // earned, of what could be, from the loss to the end
-	LocalShare           float64 // of the attempts while all zones were there
-	CapViolations        int     // looks at a pair of zones at which more threads were in use than the caps in force allow
-	Collapses            int     // of executors that got too much while they warmed up
-	Oscillations         int     // changes of direction of a zone's remote share, from the loss on
-	OtherZonesP99Ratio   float64 // of the latency in zones that stay: during the loss against before
+	ValueShare           float64 // earned share of the possible value, from the loss to the end
+	LocalShare           float64 // share of attempts sent to the own zone before the loss
+	CapViolations        int     // samples of zone pairs with more threads in use than the caps in force allow
+	Collapses            int     // executors that collapsed under too much load during their warmup
+	Oscillations         int     // changes of direction in the remote shares of zones after the loss
+	OtherZonesP99Ratio   float64 // p99 latency in the other zones during the loss, relative to that before it
 	Succeeded, Requests  int
-	PlanInForceMS        float64 // from the loss until 95% of the controllers have a plan that says so
-	ReportBytesPerSecond float64 // that a controller's monitor sends
-	RecoveryMS           float64 // from the return until 95% of the zone's requests are local again; 0: they were not
+	PlanInForceMS        float64 // from the loss until 95% of the reachable controllers have a plan that reflects it
+	ReportBytesPerSecond float64 // sent by the monitor of one controller
+	RecoveryMS           float64 // from the return until 95% of the zone's threads are local again; 0 if they never are
 }
 
 const (
@@ -60,41 +60,42 @@
 	requestWorkMS      = 100.0
 	warmupMS           = 8000.0
 	collapseWindowMS   = 2000.0
-	coldCapacity       = 0.1 // of an executor that starts
+	coldCapacityShare  = 0.1 // share of its capacity that an executor has when it starts
 	localityLeaseMS    = 3000.0
 	localityStageMS    = 2000.0
 	recoveryWaitMS     = 1500.0
-	listDelayMS        = 500.0 // until the endpoint list tells of a change: up to twice as long
+	listDelayMS        = 500.0 // minimum delay of an endpoint list update; the maximum is twice as long
 	localRTTMS         = 0.5
 	threadsPerCore     = 1.2
 	softDeadlineMS     = 1000.0
-	localityLimitMS    = 5000.0
-	lateValue          = 0.3 // of a request that succeeds past its soft deadline
+	localityDeadlineMS = 5000.0
+	lateValueShare     = 0.3 // value share of a request that succeeds after its soft deadline
 	requestGroups      = 400
-	settledAtMS        = 3000.0 // measurements of the time before the loss begin here
-	beforeLossMarginMS = 1000.0 // and end this long before the loss
+	measuredFromMS     = 3000.0 // start of the measurements of the time before the loss
+	beforeLossMarginMS = 1000.0 // the latency measurements of that time end this long before the loss
 )
 
-// lookupClass is the class of all requests.
+// lookupClass is the request class of all requests.
 const lookupClass = "look"
 
-// localityController is a simulated controller.
+// localityController is a simulated controller with its scheduler and locality monitor.
 type localityController struct {
 	scheduler   *scheduler.Scheduler
 	monitor     *locality.Monitor
-	demand      float64 // its open requests
-	open        map[string]*localityRequest
-	appliedPlan uint64
+	demand      float64                     // number of open requests, each of which needs one thread
+	open        map[string]*localityRequest // by request id
+	appliedPlan uint64                      // number of the plan whose reach the scheduler uses
 }
 
-// localityRequest is an open request.
+// localityRequest is an open request of a controller.
 type localityRequest struct {
 	arrivedAt float64
 	attempts  int
 	finished  bool
 }
 
-// localitySim is a LocalityScenario that runs.
+// localitySim is a running simulation of a LocalityScenario. Controllers and zones are identified by their indexes,
+// and times are in milliseconds.
 type localitySim struct {
 	LocalityScenario
 	now          float64
@@ -102,23 +103,26 @@
 	random       *rand.Rand
 	executors    []*localityExecutor
 	controllers  []*localityController
-	agreed       []agreedPlan // by time
+	agreed       []agreedPlan // ordered by time
 	requestCount int
 	metrics      localityMetrics
 	result       LocalityResult
 }
 
-func zoneName(zone int) string         { return fmt.Sprint("z", zone) }
-func controllerName(number int) string { return fmt.Sprintf("c%03d", number) }
+func zoneName(zone int) string                  { return fmt.Sprint("z", zone) }
+func controllerName(controllerIndex int) string { return fmt.Sprintf("c%03d", controllerIndex) }
 
+// zoneOf returns the zone of a controller.
 func (s *localitySim) zoneOf(controller int) int { return controller % s.Zones }
 
-// schedulerTime is the time that schedulers get: the executors are warm at its beginning.
+// schedulerTime returns the time that is passed to schedulers. It is offset by the warmup time so that the executors,
+// which started at schedulerTime 0, are warm when the simulation starts.
 func (s *localitySim) schedulerTime() float64 { return s.now + warmupMS }
 
+// after calls a function after a delay.
 func (s *localitySim) after(ms float64, call func()) { s.queue.schedule(s.now+ms, call) }
 
-// RunLocality runs a scenario in which zone 0 is lost and comes back.
+// RunLocality simulates a scenario in which zone 0 is lost and comes back.
 func RunLocality(scenario LocalityScenario) LocalityResult {
 	s := newLocalitySim(scenario)
 	rate := s.Load * threadsPerCore * s.Cores * float64(s.Executors) / requestWorkMS / float64(s.Controllers)
@@ -132,10 +136,17 @@
 	return s.summarize()
 }
 
+// newLocalitySim returns a simulation at time 0, whose controllers know all executors.
 func newLocalitySim(scenario LocalityScenario) *localitySim {
-	s := &localitySim{LocalityScenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, 11)), metrics: newLocalityMetrics(scenario.Zones)}
+	s := &localitySim{
+		LocalityScenario: scenario,
+		random:           rand.New(rand.NewPCG(scenario.Seed, 11)),
+		metrics:          newLocalityMetrics(scenario.Zones),
+	}
 	for k := range s.Executors {
-		s.executors = append(s.executors, &localityExecutor{id: uint32(k + 1), zone: k % s.Zones, up: true, startedAt: -warmupMS})
+		s.executors = append(s.executors, &localityExecutor{
+			id: uint32(k + 1), zone: k % s.Zones, up: true, startedAt: -warmupMS,
+		})
 	}
 	settings := localitySchedulerSettings(scenario)
 	bounds := locality.DefaultSettings()
@@ -152,12 +163,13 @@
 		s.stepScheduler(k, &scheduler.Event{Kind: scheduler.Started})
 		s.sendEndpointList(k)
 		if s.Policy == LocalFirst {
-			s.reachAllZones(k)
+			s.allowAllZones(k)
 		}
 	}
 	return s
 }
 
+// localitySchedulerSettings returns the scheduler settings of all controllers, without the controller index.
 func localitySchedulerSettings(scenario LocalityScenario) scheduler.Settings {
 	settings := scheduler.DefaultSettings()
 	settings.Controllers = scenario.Controllers
@@ -169,31 +181,32 @@
 	settings.RetryBudget = scheduler.RetryBudget{WindowMS: 10000, Floor: 3, Share: 0.1}
 	settings.CollapseWindowMS = collapseWindowMS
 	settings.CollapseMultiple = 1
-	settings.ColdCapacity = coldCapacity
+	settings.ColdCapacity = coldCapacityShare
 	settings.WarmupMS = warmupMS
 	settings.Kinds = []scheduler.ExecutorKind{{Name: "big", Cores: scenario.Cores, MemoryMB: 65536}}
 	lookup := scheduler.DefaultClass(lookupClass, scheduler.Idempotent)
 	lookup.SoftDeadlineMS = softDeadlineMS
-	lookup.DeadlineMS = localityLimitMS
-	lookup.LateValueShare = lateValue
+	lookup.DeadlineMS = localityDeadlineMS
+	lookup.LateValueShare = lateValueShare
 	settings.Classes = []scheduler.RequestClass{lookup}
 	settings.SendsRetryAfter = true
 	settings.MaxRetryAfterMS = 500
 	return settings
 }
 
-// reachAllZones has a controller send to all other zones without a cap.
-func (s *localitySim) reachAllZones(k int) {
+// allowAllZones lets a controller send to all other zones without a cap.
+func (s *localitySim) allowAllZones(controllerIndex int) {
 	var reaches []scheduler.ZoneReach
 	for zone := range s.Zones {
-		if zone != s.zoneOf(k) {
+		if zone != s.zoneOf(controllerIndex) {
 			reaches = append(reaches, scheduler.ZoneReach{Zone: zoneName(zone), Tier: 1, Capacity: math.Inf(1)})
 		}
 	}
-	s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: reaches})
+	s.stepScheduler(controllerIndex, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: reaches})
 }
 
-// runStep does what is due, and what happens in one step of time.
+// runStep simulates one step of time: it runs the due events, applies the loss or return of the zone, and lets
+// executors and monitors work.
 func (s *localitySim) runStep(step int) {
 	for {
 		_, call, due := s.queue.popDue(s.now)
@@ -207,8 +220,8 @@
 	} else if s.isFirstStepFrom(s.BackAtMS) {
 		s.recoverZone()
 	}
-	for _, e := range s.executors {
-		s.runJobs(e)
+	for _, executor := range s.executors {
+		s.runJobs(executor)
 	}
 	if s.Policy.usesMonitor() {
 		s.runMonitors(step)
@@ -218,47 +231,50 @@
 	}
 }
 
+// isFirstStepFrom reports whether the current step is the first one at or after a time.
 func (s *localitySim) isFirstStepFrom(at float64) bool {
 	return s.now-localityStepMS < at && s.now >= at
 }
 
-// loseZone ends the executors of zone 0.
+// loseZone stops all executors of zone 0.
 func (s *localitySim) loseZone() {
-	for _, e := range s.executors {
-		if e.zone == 0 {
-			e.up = false
-			s.dropJobs(e)
+	for _, executor := range s.executors {
+		if executor.zone == 0 {
+			executor.up = false
+			s.dropJobs(executor)
 		}
 	}
 	s.announceEndpoints()
 }
 
-// recoverZone starts the executors of zone 0 anew.
+// recoverZone restarts all executors of zone 0, which are cold then.
 func (s *localitySim) recoverZone() {
-	for _, e := range s.executors {
-		if e.zone == 0 {
-			e.up = true
-			e.restart(s.now)
+	for _, executor := range s.executors {
+		if executor.zone == 0 {
+			executor.up = true
+			executor.restart(s.now)
 		}
 	}
 	s.announceEndpoints()
 	s.metrics.backAt = s.now
 }
 
-// announceEndpoints has the controllers get the endpoint list a little later.
+// announceEndpoints schedules an endpoint list update for each controller after a random delay.
 func (s *localitySim) announceEndpoints() {
 	for k := range s.controllers {
 		s.after(listDelayMS*(1+s.random.Float64()), func() { s.sendEndpointList(k) })
 	}
 }
 
-// sendEndpointList gives a controller the executors there are.
-func (s *localitySim) sendEndpointList(k int) {
-	ev := &scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListComplete}
-	for _, e := range s.executors {
-		if e.up {
-			ev.Endpoints = append(ev.Endpoints, scheduler.Endpoint{Executor: e.id, Zone: zoneName(e.zone), Kind: "big", StartedAt: max(0, e.startedAt)})
+// sendEndpointList passes the list of all running executors to a controller's scheduler.
+func (s *localitySim) sendEndpointList(controllerIndex int) {
+	event := &scheduler.Event{Kind: scheduler.EndpointsUpdated, List: scheduler.ListComplete}
+	for _, executor := range s.executors {
+		if executor.up {
+			event.Endpoints = append(event.Endpoints, scheduler.Endpoint{
+				Executor: executor.id, Zone: zoneName(executor.zone), Kind: "big", StartedAt: max(0, executor.startedAt),
+			})
 		}
 	}
-	s.stepScheduler(k, ev)
+	s.stepScheduler(controllerIndex, event)
 }
--- a/internal/clustersim/locality_executor.go
+++ b/internal/clustersim/locality_executor.go
@@ -7,17 +7,17 @@
 	"liftshift/scheduler"
 )
 
-// localityExecutor is a simulated executor that shares its threads evenly among its jobs.
+// localityExecutor is a simulated executor that divides its threads evenly among its jobs.
 type localityExecutor struct {
 	id         uint32
 	zone       int
 	up         bool
 	startedAt  float64
 	jobs       []*localityJob
-	warmupJobs []float64 // when jobs came while it warmed up, within the collapse window
+	warmupJobs []float64 // arrival times of jobs during the warmup, within the collapse window
 }
 
-// localityJob is one attempt at an executor.
+// localityJob is an attempt that an executor works on.
 type localityJob struct {
 	controller, attempt int
 	request             string
@@ -25,100 +25,121 @@
 	startedAt           float64
 }
 
+// restart makes the executor cold again.
 func (e *localityExecutor) restart(now float64) {
 	e.startedAt = now
 	e.warmupJobs = nil
 }
 
-// capacity returns how many threads an executor has.
-func (s *localitySim) capacity(e *localityExecutor) float64 {
-	warm := min(1, max(0, (s.now-e.startedAt)/warmupMS))
-	return s.Cores * (coldCapacity + (1-coldCapacity)*warm)
+// capacity returns the number of threads that an executor can use. It grows linearly during the warmup.
+func (s *localitySim) capacity(executor *localityExecutor) float64 {
+	warm := min(1, max(0, (s.now-executor.startedAt)/warmupMS))
+	return s.Cores * (coldCapacityShare + (1-coldCapacityShare)*warm)
 }
 
-// roundTrip returns the time from a controller to an executor and back.
-func (s *localitySim) roundTrip(k int, e *localityExecutor) float64 {
-	if e.zone != s.zoneOf(k) {
+// roundTrip returns the round-trip time between a controller and an executor.
+func (s *localitySim) roundTrip(controllerIndex int, executor *localityExecutor) float64 {
+	if executor.zone != s.zoneOf(controllerIndex) {
 		return s.CrossZoneRTTMS
 	}
 	return localRTTMS
 }
 
-// receiveAttempt has an attempt of a controller arrive at an executor.
-func (s *localitySim) receiveAttempt(k, attempt int, a *scheduler.Action, e *localityExecutor) {
-	if !e.up {
-		s.endAttemptAfter(1, k, scheduler.Event{Request: a.Request, Attempt: attempt, Executor: e.id, Outcome: scheduler.ConnectFailed})
+// receiveAttempt delivers an attempt of a controller to an executor.
+func (s *localitySim) receiveAttempt(
+	controllerIndex, attempt int, action *scheduler.Action, executor *localityExecutor,
+) {
+	if !executor.up {
+		s.endAttemptAfter(1, controllerIndex, scheduler.Event{
+			Request: action.Request, Attempt: attempt, Executor: executor.id, Outcome: scheduler.ConnectFailed,
+		})
 		return
 	}
-	e.jobs = append(e.jobs, &localityJob{controller: k, attempt: attempt, request: a.Request, remainingMS: requestWorkMS, startedAt: s.now})
-	s.countWarmupJob(e)
-	if s.LostAtMS > s.now && s.now > settledAtMS {
+	executor.jobs = append(executor.jobs, &localityJob{
+		controller:  controllerIndex,
+		attempt:     attempt,
+		request:     action.Request,
+		remainingMS: requestWorkMS,
+		startedAt:   s.now,
+	})
+	s.countWarmupJob(executor)
+	if s.LostAtMS > s.now && s.now > measuredFromMS {
 		s.metrics.attempts++
-		if e.zone == s.zoneOf(k) {
+		if executor.zone == s.zoneOf(controllerIndex) {
 			s.metrics.localAttempts++
 		}
 	}
 }
 
-// countWarmupJob counts a job of an executor that warms up; one that gets too many collapses, and begins anew.
-func (s *localitySim) countWarmupJob(e *localityExecutor) {
-	if s.now >= e.startedAt+warmupMS {
+// countWarmupJob counts a job that arrives during the warmup of an executor. An executor that gets too many of them
+// collapses: it loses its jobs and restarts cold.
+func (s *localitySim) countWarmupJob(executor *localityExecutor) {
+	if s.now >= executor.startedAt+warmupMS {
 		return
 	}
-	e.warmupJobs = append(e.warmupJobs, s.now)
-	for len(e.warmupJobs) > 0 && e.warmupJobs[0] < s.now-collapseWindowMS {
-		e.warmupJobs = e.warmupJobs[1:]
+	executor.warmupJobs = append(executor.warmupJobs, s.now)
+	for len(executor.warmupJobs) > 0 && executor.warmupJobs[0] < s.now-collapseWindowMS {
+		executor.warmupJobs = executor.warmupJobs[1:]
 	}
-	expected := s.capacity(e) * collapseWindowMS / requestWorkMS
-	if float64(len(e.warmupJobs)) > expected+3*math.Sqrt(expected)+3 { // past three deviations of random arrivals
+	expected := s.capacity(executor) * collapseWindowMS / requestWorkMS
+	// The limit is three standard deviations above the expected number of Poisson arrivals, plus a constant margin that
+	// matters for small numbers.
+	if float64(len(executor.warmupJobs)) > expected+3*math.Sqrt(expected)+3 {
 		s.result.Collapses++
-		s.dropJobs(e)
-		e.restart(s.now)
+		s.dropJobs(executor)
+		executor.restart(s.now)
 	}
 }
 
-// dropJobs loses all jobs of an executor.
-func (s *localitySim) dropJobs(e *localityExecutor) {
-	jobs := e.jobs
-	e.jobs = nil
+// dropJobs fails all jobs of an executor as lost connections.
+func (s *localitySim) dropJobs(executor *localityExecutor) {
+	jobs := executor.jobs
+	executor.jobs = nil
 	for _, job := range jobs {
-		s.endAttemptAfter(1, job.controller, scheduler.Event{Request: job.request, Attempt: job.attempt, Executor: e.id, Outcome: scheduler.ConnectionLost})
+		s.endAttemptAfter(1, job.controller, scheduler.Event{
+			Request: job.request, Attempt: job.attempt, Executor: executor.id, Outcome: scheduler.ConnectionLost,
+		})
 	}
 }
 
-// cancelJob ends an attempt at whichever executor has it.
-func (s *localitySim) cancelJob(k int, request string, attempt int) {
-	for _, e := range s.executors {
-		e.jobs = slices.DeleteFunc(e.jobs, func(job *localityJob) bool {
-			return job.controller == k && job.request == request && job.attempt == attempt
+// cancelJob removes the job of an attempt from whichever executor has it, and reports the attempt as cancelled.
+func (s *localitySim) cancelJob(controllerIndex int, request string, attempt int) {
+	for _, executor := range s.executors {
+		executor.jobs = slices.DeleteFunc(executor.jobs, func(job *localityJob) bool {
+			return job.controller == controllerIndex && job.request == request && job.attempt == attempt
 		})
 	}
-	s.endAttemptAfter(0.1, k, scheduler.Event{Request: request, Attempt: attempt, Outcome: scheduler.Cancelled})
+	s.endAttemptAfter(0.1, controllerIndex, scheduler.Event{
+		Request: request, Attempt: attempt, Outcome: scheduler.Cancelled,
+	})
 }
 
-func (s *localitySim) endAttemptAfter(ms float64, k int, ev scheduler.Event) {
-	ev.Kind = scheduler.AttemptEnded
-	s.after(ms, func() { s.stepScheduler(k, &ev) })
+// endAttemptAfter reports the end of an attempt to a controller's scheduler after a delay. It sets the kind of the
+// event.
+func (s *localitySim) endAttemptAfter(ms float64, controllerIndex int, event scheduler.Event) {
+	event.Kind = scheduler.AttemptEnded
+	s.after(ms, func() { s.stepScheduler(controllerIndex, &event) })
 }
 
-// runJobs has an executor work for one step of time.
-func (s *localitySim) runJobs(e *localityExecutor) {
-	if len(e.jobs) == 0 {
+// runJobs lets an executor work on its jobs for one step of time.
+func (s *localitySim) runJobs(executor *localityExecutor) {
+	if len(executor.jobs) == 0 {
 		return
 	}
-	share := min(1, s.capacity(e)/float64(len(e.jobs)))
-	remaining := e.jobs[:0]
-	for _, job := range e.jobs {
+	share := min(1, s.capacity(executor)/float64(len(executor.jobs)))
+	remaining := executor.jobs[:0]
+	for _, job := range executor.jobs {
 		job.remainingMS -= localityStepMS * share
 		if job.remainingMS > 0 {
 			remaining = append(remaining, job)
 			continue
 		}
-		s.after(s.roundTrip(job.controller, e)/2, func() {
+		s.after(s.roundTrip(job.controller, executor)/2, func() {
 			s.finishRequest(job.controller, job.request, true)
-			s.stepScheduler(job.controller, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: job.request, Attempt: job.attempt, Executor: e.id,
-				Outcome: scheduler.Succeeded, ElapsedMS: s.now - job.startedAt, Final: true})
+			s.stepScheduler(job.controller, &scheduler.Event{Kind: scheduler.AttemptEnded, Request: job.request,
+				Attempt: job.attempt, Executor: executor.id, Outcome: scheduler.Succeeded,
+				ElapsedMS: s.now - job.startedAt, Final: true})
 		})
 	}
-	e.jobs = remaining
+	executor.jobs = remaining
 }
--- a/internal/clustersim/locality_metrics.go
+++ b/internal/clustersim/locality_metrics.go
@@ -8,71 +8,74 @@
 )
 
 const (
-	planSpreadMS       = 1000.0 // until controllers act on a plan that follows
+	planActivationMS   = 1000.0 // time within which all controllers apply a new plan
 	minLatencySamples  = 100
-	oscillationStep    = 0.05 // of a share: smaller changes of direction do not count
-	shareSmoothing     = 0.1
-	recoverySmoothing  = 0.2
+	oscillationStep    = 0.05 // smallest change of a share that counts as a change of direction
+	shareSmoothing     = 0.1  // weight of a new sample in a shareTrend
+	recoverySmoothing  = 0.2  // weight of a new sample in a recoveryTrend
 	recoveredShare     = 0.95
 	minRecoveryMS      = 1000.0
 	planInForcePercent = 95
 )
 
-// localityMetrics are the counts from which a LocalityResult is made.
+// localityMetrics holds the measurements from which a LocalityResult is computed.
 type localityMetrics struct {
-	possible, earned             float64 // value of the requests since the loss
-	attempts, localAttempts      float64 // while all zones were there
-	latencyBefore, latencyDuring []float64
+	possible, earned             float64      // value of the requests that arrived after the loss
+	attempts, localAttempts      float64      // before the loss
+	latencyBefore, latencyDuring []float64    // of requests in zones other than 0, before and during the loss
 	trends                       []shareTrend // by zone
-	backAt                       float64
+	backAt                       float64      // time of the return of zone 0; 0 before it
 	recovery                     recoveryTrend
 }
 
-// shareTrend follows the remote share of a zone's threads.
+// shareTrend tracks the remote share of a zone's threads and the direction in which it moves.
 type shareTrend struct {
 	share     float64 // smoothed
-	extreme   float64 // the furthest that it came in its direction
-	direction int     // 1, -1, or 0 as long as it has none
+	extreme   float64 // most extreme share so far in the current direction
+	direction int     // 1 for rising, -1 for falling, 0 if not known yet
 }
 
-// recoveryTrend follows the threads of the lost zone's controllers, smoothed.
+// recoveryTrend holds the smoothed numbers of local and all threads that the controllers of the lost zone use.
 type recoveryTrend struct{ local, all float64 }
 
 func newLocalityMetrics(zones int) localityMetrics {
 	return localityMetrics{trends: make([]shareTrend, zones)}
 }
 
+// countValue adds the value of a finished request, which depends on whether it met its soft deadline.
 func (m *localityMetrics) countValue(succeeded bool, latency float64) {
 	m.possible++
 	switch {
 	case succeeded && latency <= softDeadlineMS:
 		m.earned++
 	case succeeded:
-		m.earned += lateValue
+		m.earned += lateValueShare
 	}
 }
 
-// summarize returns the result at the end.
+// summarize computes the result at the end of the simulation.
 func (s *localitySim) summarize() LocalityResult {
-	r, m := &s.result, &s.metrics
-	r.Requests = s.requestCount
+	result, metrics := &s.result, &s.metrics
+	result.Requests = s.requestCount
 	for _, c := range s.controllers {
-		r.ReportBytesPerSecond += float64(c.monitor.Counts.Bytes) / float64(len(s.controllers)) / (s.EndMS / 1000)
+		result.ReportBytesPerSecond += float64(c.monitor.Counts.Bytes) / float64(len(s.controllers)) / (s.EndMS / 1000)
 	}
-	r.ValueShare = m.earned / max(1, m.possible)
-	r.LocalShare = m.localAttempts / max(1, m.attempts)
-	if len(m.latencyBefore) > minLatencySamples && len(m.latencyDuring) > minLatencySamples {
-		r.OtherZonesP99Ratio = p99(m.latencyDuring) / p99(m.latencyBefore)
+	result.ValueShare = metrics.earned / max(1, metrics.possible)
+	result.LocalShare = metrics.localAttempts / max(1, metrics.attempts)
+	if len(metrics.latencyBefore) > minLatencySamples && len(metrics.latencyDuring) > minLatencySamples {
+		result.OtherZonesP99Ratio = p99(metrics.latencyDuring) / p99(metrics.latencyBefore)
 	}
-	return *r
+	return *result
 }
 
+// p99 returns the 99th percentile of values, and sorts them.
 func p99(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)*99/100]
 }
 
-// measure compares the threads that each zone uses in each other with the caps, and follows the recovery.
+// measure compares the threads that each zone uses in other zones with the caps, and updates the trends of remote
+// shares and recovery.
 func (s *localitySim) measure() {
 	threads := s.countThreads()
 	for from := range threads {
@@ -97,34 +100,35 @@
 	s.measurePlanInForce()
 }
 
-// countThreads returns the threads in use by the zone of the controller and that of the executor.
+// countThreads returns the threads in use, indexed by the zone of the controller and then the zone of the executor.
 func (s *localitySim) countThreads() [][]float64 {
 	threads := make([][]float64, s.Zones)
 	for zone := range threads {
 		threads[zone] = make([]float64, s.Zones)
 	}
-	for _, e := range s.executors {
-		for _, job := range e.jobs {
-			threads[s.zoneOf(job.controller)][e.zone]++
+	for _, executor := range s.executors {
+		for _, job := range executor.jobs {
+			threads[s.zoneOf(job.controller)][executor.zone]++
 		}
 	}
 	return threads
 }
 
-// measureRecovery notes when the requests of the lost zone are local again.
+// measureRecovery records the time after which the threads of the lost zone's controllers are local again.
 func (s *localitySim) measureRecovery(local, all float64) {
-	m := &s.metrics
-	if m.backAt == 0 || s.result.RecoveryMS != 0 {
+	metrics := &s.metrics
+	if metrics.backAt == 0 || s.result.RecoveryMS != 0 {
 		return
 	}
-	m.recovery.local += recoverySmoothing * (local - m.recovery.local)
-	m.recovery.all += recoverySmoothing * (all - m.recovery.all)
-	if m.recovery.local > recoveredShare*m.recovery.all && s.now > m.backAt+minRecoveryMS {
-		s.result.RecoveryMS = s.now - m.backAt
+	metrics.recovery.local += recoverySmoothing * (local - metrics.recovery.local)
+	metrics.recovery.all += recoverySmoothing * (all - metrics.recovery.all)
+	if metrics.recovery.local > recoveredShare*metrics.recovery.all && s.now > metrics.backAt+minRecoveryMS {
+		s.result.RecoveryMS = s.now - metrics.backAt
 	}
 }
 
-// measurePlanInForce notes when enough controllers that are not cut off have a plan in which the zone is lost.
+// measurePlanInForce records the time after which enough of the reachable controllers have a plan in which zone 0 is
+// lost.
 func (s *localitySim) measurePlanInForce() {
 	if s.now < s.LostAtMS || s.result.PlanInForceMS != 0 || s.Policy != SharedPlan {
 		return
@@ -142,12 +146,13 @@
 	}
 }
 
-// maxCap returns the largest cap that can be in force between two zones: that of the current plan, and those of earlier ones as long as
-// their leases last. What is under way when a cap shrinks runs to its end: so much longer.
+// maxCap returns the largest cap that can be in force between two zones: that of the current plan, or of an earlier
+// plan whose lease may not have expired everywhere. The lease is extended by planActivationMS for controllers that
+// apply the next plan late, and for attempts in progress, which are not interrupted when a cap shrinks.
 func (s *localitySim) maxCap(from, to int) (largest float64) {
 	for i, agreed := range s.agreed {
 		isCurrent := i == len(s.agreed)-1
-		if !isCurrent && s.agreed[i+1].at+localityLeaseMS+planSpreadMS < s.now {
+		if !isCurrent && s.agreed[i+1].at+localityLeaseMS+planActivationMS < s.now {
 			continue
 		}
 		if pair := agreed.plan.Pair(zoneName(from), zoneName(to)); pair != nil {
@@ -157,7 +162,7 @@
 	return largest
 }
 
-// add adds a share, and reports whether its trend has changed its direction by more than the step.
+// add adds a sample, and reports whether the share has changed direction by more than oscillationStep.
 func (t *shareTrend) add(share float64) (turned bool) {
 	t.share += shareSmoothing * (share - t.share)
 	change := t.share - t.extreme
--- a/internal/clustersim/locality_monitor.go
+++ b/internal/clustersim/locality_monitor.go
@@ -8,34 +8,34 @@
 	"liftshift/scheduler"
 )
 
-// agreedPlan is a plan and the time of the agreement.
+// agreedPlan is a plan with the time at which the controllers agreed on it.
 type agreedPlan struct {
 	at   float64
 	plan locality.Plan
 }
 
 const (
-	planLeader    = 1      // the controller that leads; it is not in the lost zone
-	agreementMS   = 20.0   // a consensus group's time for a plan
-	maxEvidenceMS = 10_000 // the age at which what is known of an executor is out of date
+	planLeader       = 1      // index of the leading controller, which is not in the lost zone
+	agreementMS      = 20.0   // time that a consensus group takes to agree on a plan
+	maxEvidenceAgeMS = 10_000 // age from which the knowledge of an executor is out of date
 )
 
-// The intervals of monitors, in steps of localityStepMS.
+// Intervals of the monitors, in steps of localityStepMS.
 const (
-	monitorSteps   = 5
-	observeSteps   = 10
-	reportSteps    = 50 // a look is left out here
-	memberSteps    = 25
-	confirmSteps   = 100 // each controller confirms the plan so often,
-	confirmStagger = 20  // not all at once
+	monitorIntervalSteps = 5
+	observeIntervalSteps = 10
+	reportIntervalSteps  = 50 // no observation is made in these steps
+	memberIntervalSteps  = 25
+	confirmIntervalSteps = 100 // between two confirmations of the plan by a controller
+	confirmSlots         = 20  // the controllers spread their confirmations over this many slots of an interval
 )
 
-// isCutOff reports whether a controller reaches no other.
-func (s *localitySim) isCutOff(k int) bool {
-	return s.now >= s.LostAtMS && s.zoneOf(k) == 0 && k/s.Zones < s.CutOffControllers
+// isCutOff reports whether a controller can't reach any other controller.
+func (s *localitySim) isCutOff(controllerIndex int) bool {
+	return s.now >= s.LostAtMS && s.zoneOf(controllerIndex) == 0 && controllerIndex/s.Zones < s.CutOffControllers
 }
 
-// currentPlan returns the agreed plan.
+// currentPlan returns the latest agreed plan, or an empty plan if there is none.
 func (s *localitySim) currentPlan() locality.Plan {
 	if len(s.agreed) == 0 {
 		return locality.Plan{}
@@ -43,24 +43,26 @@
 	return s.agreed[len(s.agreed)-1].plan
 }
 
-// runMonitors gives the monitors what they see, and their ticks. In place of a consensus group, a plan that follows the current one is
-// agreed at once.
+// runMonitors passes observations, members, plan confirmations and ticks to all monitors, each at its interval. There
+// is no consensus group: see proposePlan.
 func (s *localitySim) runMonitors(step int) {
-	if step%monitorSteps != 0 {
+	if step%monitorIntervalSteps != 0 {
 		return
 	}
 	var members []locality.Member
 	for k := range s.controllers {
-		members = append(members, locality.Member{Name: controllerName(k), Zone: zoneName(s.zoneOf(k)), Region: "r", Live: !s.isCutOff(k)})
+		members = append(members, locality.Member{
+			Name: controllerName(k), Zone: zoneName(s.zoneOf(k)), Region: "r", Live: !s.isCutOff(k),
+		})
 	}
 	for k := range s.controllers {
-		if step%observeSteps == 0 && step%reportSteps != 0 {
+		if step%observeIntervalSteps == 0 && step%reportIntervalSteps != 0 {
 			s.stepMonitor(k, s.observation(k))
 		}
-		if step%memberSteps == 0 {
+		if step%memberIntervalSteps == 0 {
 			s.sendMembers(k, members)
 		}
-		if step%confirmSteps == k%confirmStagger*monitorSteps && !s.isCutOff(k) {
+		if step%confirmIntervalSteps == k%confirmSlots*monitorIntervalSteps && !s.isCutOff(k) {
 			number := s.currentPlan().Number
 			if s.Policy == Uncoordinated {
 				number = s.controllers[k].monitor.Plan().Number
@@ -71,33 +73,35 @@
 	}
 }
 
-// sendMembers gives a monitor the members and what its controller sees. Without coordination each leads, and takes its zone's demand for
-// what it has itself.
-func (s *localitySim) sendMembers(k int, members []locality.Member) {
-	changed := &locality.Event{Kind: locality.MembersChanged, Members: members, Leader: controllerName(planLeader), Leads: k == planLeader}
-	observed := s.observation(k)
+// sendMembers passes the members and an observation to a controller's monitor. With the Uncoordinated policy each
+// controller leads, and extrapolates the demand of its zone from its own demand.
+func (s *localitySim) sendMembers(controllerIndex int, members []locality.Member) {
+	changed := &locality.Event{Kind: locality.MembersChanged, Members: members, Leader: controllerName(planLeader),
+		Leads: controllerIndex == planLeader}
+	observed := s.observation(controllerIndex)
 	if s.Policy == Uncoordinated {
-		changed.Leader = controllerName(k)
+		changed.Leader = controllerName(controllerIndex)
 		changed.Leads = true
 		observed.DemandThreads *= float64(s.Controllers) / float64(s.Zones)
 	}
-	s.stepMonitor(k, changed)
-	s.stepMonitor(k, observed)
+	s.stepMonitor(controllerIndex, changed)
+	s.stepMonitor(controllerIndex, observed)
 }
 
-// observation is what a controller sees of the executors.
-func (s *localitySim) observation(k int) *locality.Event {
-	own := s.controllers[k]
-	ev := &locality.Event{Kind: locality.Observed, DemandThreads: own.demand, Applied: own.appliedPlan}
-	for _, view := range own.scheduler.ExecutorViews(s.schedulerTime(), nil) {
-		e := s.executors[view.Executor-1]
-		ev.Executors = append(ev.Executors, locality.Executor{Zone: zoneName(e.zone), Kind: "big", Cores: s.Cores, Listed: view.Availability == scheduler.Active,
-			Ejected: view.Ejected, WarmingUp: view.WarmingUp, InFlight: float64(view.Threads), Known: hasEvidence(&view)})
+// observation returns a controller's demand and its view of the executors, as input for its monitor.
+func (s *localitySim) observation(controllerIndex int) *locality.Event {
+	controller := s.controllers[controllerIndex]
+	event := &locality.Event{Kind: locality.Observed, DemandThreads: controller.demand, Applied: controller.appliedPlan}
+	for _, view := range controller.scheduler.ExecutorViews(s.schedulerTime(), nil) {
+		executor := s.executors[view.Executor-1]
+		event.Executors = append(event.Executors, locality.Executor{Zone: zoneName(executor.zone), Kind: "big",
+			Cores: s.Cores, Listed: view.Availability == scheduler.Active, Ejected: view.Ejected,
+			WarmingUp: view.WarmingUp, InFlight: float64(view.Threads), Known: hasEvidence(&view)})
 	}
-	return ev
+	return event
 }
 
-// hasEvidence reports whether a controller knows how an executor is.
+// hasEvidence reports whether a controller has up-to-date knowledge of an executor's state.
 func hasEvidence(view *scheduler.ExecutorView) bool {
 	if view.Ejected || view.InFlight > 0 {
 		return true
@@ -105,35 +109,40 @@
 	return isRecent(view.SinceActivityMS) || isRecent(view.SinceReportMS)
 }
 
-// isRecent reports whether something came lately; a negative age is of what never came.
-func isRecent(ageMS float64) bool { return ageMS >= 0 && ageMS < maxEvidenceMS }
+// isRecent reports whether the last contact with an executor is recent enough to be evidence of its state. A negative
+// age means that there was none.
+func isRecent(ageMS float64) bool { return ageMS >= 0 && ageMS < maxEvidenceAgeMS }
 
-// stepMonitor hands an event to a controller's monitor and carries out the effects.
-func (s *localitySim) stepMonitor(k int, ev *locality.Event) {
-	for _, e := range slices.Clone(s.controllers[k].monitor.Step(s.now, ev)) {
-		switch e.Kind {
+// stepMonitor passes an event to a controller's monitor and applies the effects.
+func (s *localitySim) stepMonitor(controllerIndex int, event *locality.Event) {
+	for _, effect := range slices.Clone(s.controllers[controllerIndex].monitor.Step(s.now, event)) {
+		switch effect.Kind {
 		case locality.SendReport:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.ReportReceived, Data: e.Data})
+			s.sendToMonitor(controllerIndex, effect.To, locality.Event{Kind: locality.ReportReceived, Data: effect.Data})
 		case locality.AnnouncePlan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.PlanAnnounced, PlanNumber: e.Number})
+			s.sendToMonitor(controllerIndex, effect.To, locality.Event{Kind: locality.PlanAnnounced, PlanNumber: effect.Number})
 		case locality.RequestLoan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanRequested, Zone: e.Zone, PlanNumber: e.Number})
+			s.sendToMonitor(controllerIndex, effect.To,
+				locality.Event{Kind: locality.LoanRequested, Zone: effect.Zone, PlanNumber: effect.Number})
 		case locality.GrantLoan:
-			s.sendToMonitor(k, e.To, locality.Event{Kind: locality.LoanGranted, Zone: e.Zone, PlanNumber: e.Number, Threads: e.Threads})
+			s.sendToMonitor(controllerIndex, effect.To, locality.Event{
+				Kind: locality.LoanGranted, Zone: effect.Zone, PlanNumber: effect.Number, Threads: effect.Threads,
+			})
 		case locality.FetchPlan:
-			s.carry(k, e.To, func(int) { s.deliverPlan(k, s.currentPlan()) })
+			s.sendToController(controllerIndex, effect.To, func(int) { s.deliverPlan(controllerIndex, s.currentPlan()) })
 		case locality.ProposePlan:
-			s.proposePlan(k, *e.Plan)
+			s.proposePlan(controllerIndex, *effect.Plan)
 		case locality.SetReach:
-			s.controllers[k].appliedPlan = e.Number
-			s.stepScheduler(k, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: e.Reaches})
+			s.controllers[controllerIndex].appliedPlan = effect.Number
+			s.stepScheduler(controllerIndex, &scheduler.Event{Kind: scheduler.ReachabilityChanged, RemoteZones: effect.Reaches})
 		}
 	}
 }
 
-// carry calls a function after the way to a controller; it gets the controller's number, or -1 where none is named. Nothing passes to or
-// from a controller that is cut off.
-func (s *localitySim) carry(from int, name string, arrived func(to int)) {
+// sendToController simulates a message between controllers. It calls arrived after a network delay with the index of
+// the named receiver, or with -1 if the name is not that of a controller. Messages from or to a controller that is
+// cut off are lost.
+func (s *localitySim) sendToController(from int, name string, arrived func(to int)) {
 	to := -1
 	_, _ = fmt.Sscanf(name, "c%d", &to)
 	if s.isCutOff(from) || to >= 0 && s.isCutOff(to) {
@@ -142,14 +151,18 @@
 	s.after(1+10*s.random.Float64(), func() { arrived(to) })
 }
 
-func (s *localitySim) sendToMonitor(from int, name string, ev locality.Event) {
-	ev.From = controllerName(from)
-	s.carry(from, name, func(to int) { s.stepMonitor(to, &ev) })
+// sendToMonitor sends an event from one controller to the monitor of another.
+func (s *localitySim) sendToMonitor(from int, name string, event locality.Event) {
+	event.From = controllerName(from)
+	s.sendToController(from, name, func(to int) { s.stepMonitor(to, &event) })
 }
 
-func (s *localitySim) proposePlan(k int, plan locality.Plan) {
+// proposePlan simulates the agreement on a plan. It stands in for a consensus group, which accepts a plan only if its
+// number follows that of the current plan. With the Uncoordinated policy a controller uses its plan without an
+// agreement.
+func (s *localitySim) proposePlan(controllerIndex int, plan locality.Plan) {
 	if s.Policy == Uncoordinated {
-		s.deliverPlan(k, plan)
+		s.deliverPlan(controllerIndex, plan)
 		return
 	}
 	s.after(agreementMS, func() {
@@ -160,6 +173,7 @@
 	})
 }
 
-func (s *localitySim) deliverPlan(k int, plan locality.Plan) {
-	s.stepMonitor(k, &locality.Event{Kind: locality.PlanAgreed, Plan: &plan})
+// deliverPlan passes an agreed plan to a controller's monitor.
+func (s *localitySim) deliverPlan(controllerIndex int, plan locality.Plan) {
+	s.stepMonitor(controllerIndex, &locality.Event{Kind: locality.PlanAgreed, Plan: &plan})
 }
--- a/internal/clustersim/locality_scheduler.go
+++ b/internal/clustersim/locality_scheduler.go
@@ -7,9 +7,10 @@
 	"liftshift/scheduler"
 )
 
-// scheduleArrival has requests come to a controller at a rate by the millisecond, the next one after the time at, whatever the step of the
-// simulation is.
-func (s *localitySim) scheduleArrival(k int, rate, at float64) {
+// scheduleArrival schedules the next arrival in a Poisson process of requests to a controller. The rate is per
+// millisecond. The interval counts from the exact time of the previous arrival, at, so that the rate does not depend
+// on the simulation step.
+func (s *localitySim) scheduleArrival(controllerIndex int, rate, at float64) {
 	at += s.random.ExpFloat64() / rate
 	s.after(at-s.now, func() {
 		s.requestCount++
@@ -18,63 +19,69 @@
 		if s.Policy == RandomGroup {
 			group = s.random.Uint64()
 		}
-		s.controllers[k].open[id] = &localityRequest{arrivedAt: s.now}
-		s.controllers[k].demand++
-		s.stepScheduler(k, &scheduler.Event{Kind: scheduler.RequestArrived, Request: id, Class: lookupClass, TableGroup: group, MemoryMB: 1, WorkMS: requestWorkMS,
-			Deadline: s.schedulerTime() + localityLimitMS})
-		s.scheduleArrival(k, rate, at)
+		s.controllers[controllerIndex].open[id] = &localityRequest{arrivedAt: s.now}
+		s.controllers[controllerIndex].demand++
+		s.stepScheduler(controllerIndex, &scheduler.Event{Kind: scheduler.RequestArrived, Request: id, Class: lookupClass,
+			TableGroup: group, MemoryMB: 1, WorkMS: requestWorkMS, Deadline: s.schedulerTime() + localityDeadlineMS})
+		s.scheduleArrival(controllerIndex, rate, at)
 	})
 }
 
-// stepScheduler hands an event to a controller's scheduler and carries out the actions.
-func (s *localitySim) stepScheduler(k int, ev *scheduler.Event) {
-	for _, a := range slices.Clone(s.controllers[k].scheduler.Step(s.schedulerTime(), ev, nil)) {
-		switch a.Kind {
+// stepScheduler passes an event to a controller's scheduler and executes the actions.
+func (s *localitySim) stepScheduler(controllerIndex int, event *scheduler.Event) {
+	for _, action := range slices.Clone(s.controllers[controllerIndex].scheduler.Step(s.schedulerTime(), event, nil)) {
+		switch action.Kind {
 		case scheduler.SetTimer:
-			s.after(a.AfterMS, func() { s.stepScheduler(k, &scheduler.Event{Kind: scheduler.TimerFired, Token: a.Token}) })
+			s.after(action.AfterMS, func() {
+				s.stepScheduler(controllerIndex, &scheduler.Event{Kind: scheduler.TimerFired, Token: action.Token})
+			})
 		case scheduler.Send:
-			s.sendAttempt(k, &a)
+			s.sendAttempt(controllerIndex, &action)
 		case scheduler.HealthCheck:
-			s.checkHealth(k, s.executors[a.Executor-1])
+			s.checkHealth(controllerIndex, s.executors[action.Executor-1])
 		case scheduler.Cancel:
-			s.cancelJob(k, a.Request, a.Attempt)
+			s.cancelJob(controllerIndex, action.Request, action.Attempt)
 		case scheduler.Reject, scheduler.Fail:
-			s.finishRequest(k, a.Request, false)
+			s.finishRequest(controllerIndex, action.Request, false)
 		}
 	}
 }
 
-func (s *localitySim) sendAttempt(k int, a *scheduler.Action) {
-	e, request := s.executors[a.Executor-1], s.controllers[k].open[a.Request]
+// sendAttempt sends an attempt of an open request to the executor that the scheduler has chosen.
+func (s *localitySim) sendAttempt(controllerIndex int, action *scheduler.Action) {
+	executor, request := s.executors[action.Executor-1], s.controllers[controllerIndex].open[action.Request]
 	if request == nil || request.finished {
 		return
 	}
 	attempt := request.attempts
 	request.attempts++
-	s.after(s.roundTrip(k, e)/2, func() { s.receiveAttempt(k, attempt, a, e) })
+	s.after(s.roundTrip(controllerIndex, executor)/2, func() {
+		s.receiveAttempt(controllerIndex, attempt, action, executor)
+	})
 }
 
-func (s *localitySim) checkHealth(k int, e *localityExecutor) {
-	s.after(1+s.roundTrip(k, e), func() {
-		ev := &scheduler.Event{Kind: scheduler.HealthChecked, Executor: e.id, Outcome: scheduler.ConnectFailed}
-		if e.up {
-			ev.Outcome = scheduler.Succeeded
-			ev.LoadReport = []float64{float64(len(e.jobs))}
+// checkHealth simulates a health check, whose reply from a running executor carries a load report.
+func (s *localitySim) checkHealth(controllerIndex int, executor *localityExecutor) {
+	s.after(1+s.roundTrip(controllerIndex, executor), func() {
+		event := &scheduler.Event{Kind: scheduler.HealthChecked, Executor: executor.id, Outcome: scheduler.ConnectFailed}
+		if executor.up {
+			event.Outcome = scheduler.Succeeded
+			event.LoadReport = []float64{float64(len(executor.jobs))}
 		}
-		s.stepScheduler(k, ev)
+		s.stepScheduler(controllerIndex, event)
 	})
 }
 
-// finishRequest answers a request, and counts what its answer is worth.
-func (s *localitySim) finishRequest(k int, id string, succeeded bool) {
-	own := s.controllers[k]
-	request := own.open[id]
+// finishRequest closes a request and measures its value and latency.
+func (s *localitySim) finishRequest(controllerIndex int, id string, succeeded bool) {
+	controller := s.controllers[controllerIndex]
+	request := controller.open[id]
 	if request == nil || request.finished {
 		return
 	}
 	request.finished = true
-	delete(own.open, id)
-	own.demand--
+	delete(controller.open, id)
+	controller.demand--
 	latency := s.now - request.arrivedAt
 	if request.arrivedAt >= s.LostAtMS {
 		s.metrics.countValue(succeeded, latency)
@@ -83,11 +90,11 @@
 		return
 	}
 	s.result.Succeeded++
-	if s.zoneOf(k) == 0 {
+	if s.zoneOf(controllerIndex) == 0 {
 		return
 	}
 	switch at := request.arrivedAt; {
-	case at > settledAtMS && at < s.LostAtMS-beforeLossMarginMS:
+	case at > measuredFromMS && at < s.LostAtMS-beforeLossMarginMS:
 		s.metrics.latencyBefore = append(s.metrics.latencyBefore, latency)
 	case at >= s.LostAtMS && at < s.BackAtMS:
 		s.metrics.latencyDuring = append(s.metrics.latencyDuring, latency)
