--- a/internal/clustersim/clustersim_test.go
+++ b/internal/clustersim/clustersim_test.go
@@ -56,9 +56,9 @@
 func TestCluster_ToleratesLossAndDuplicates(t *testing.T) {
 	c := startCluster(t, 12, 8)
 	c.Network = Network{MinDelayMS: 1, MaxDelayMS: 80, Loss: 0.3, Duplication: 0.2}
-	lost := countFalselyDead(c)
+	falselyDead := countFalselyDead(c)
 	c.RunUntil(c.Now + 60_000)
-	assert.LessOrEqual(t, *lost, 1, "running nodes declared dead under 30% loss, duplication and reordering")
+	assert.LessOrEqual(t, *falselyDead, 1, "running nodes declared dead under 30% loss, duplication and reordering")
 	c.Network = Network{MinDelayMS: 1, MaxDelayMS: 2}
 	requireConvergence(t, c, 10_000, "network repaired")
 }
@@ -94,21 +94,21 @@
 func TestCluster_StalledNodeRejoins(t *testing.T) {
 	for seed := range uint64(30) {
 		c := startCluster(t, 20, seed)
-		lost := countFalselyDead(c)
+		falselyDead := countFalselyDead(c)
 		c.Stall(3, 2000)
 		c.RunUntil(c.Now + 10_000)
-		assert.Zero(t, *lost, "seed %d: running nodes declared dead after a stall of 2 s", seed)
+		assert.Zero(t, *falselyDead, "seed %d: running nodes declared dead after a stall of 2 s", seed)
 	}
 	c := startCluster(t, 20, 4)
-	lost := countFalselyDead(c)
+	falselyDead := countFalselyDead(c)
 	c.Stall(3, 30_000)
 	c.RunUntil(c.Now + 29_000)
 	member, _ := c.Nodes[0].View.Find("n3")
 	assert.Equal(t, membership.Dead, member.State)
 	c.RunUntil(c.Now + 1000)
-	*lost = 0
+	*falselyDead = 0
 	requireConvergence(t, c, 8000, "stall over")
-	assert.Zero(t, *lost, "a stalled node must not declare others dead because of its own stall")
+	assert.Zero(t, *falselyDead, "a stalled node must not declare others dead because of its own stall")
 }
 
 // Two members with the same name must both flag themselves as duplicated, and the others must see the flag until one
--- a/internal/clustersim/consensus.go
+++ b/internal/clustersim/consensus.go
@@ -122,8 +122,8 @@
 	return list
 }
 
-// sendCall simulates a call from one node to another. It calls arrived after the network delay if the receiver is
-// still in the same generation, and failed otherwise. failed may be nil.
+// sendCall simulates a call from one node to another. It calls arrived after the network delay, and after a stall
+// of the receiver, if the receiver is still in the same generation. Otherwise it calls failed, which may be nil.
 func (c *ConsensusCluster) sendCall(from, to int, arrived, failed func()) {
 	if c.dropsMessage(from, to) {
 		if failed != nil {
--- a/internal/clustersim/consensus_test.go
+++ b/internal/clustersim/consensus_test.go
@@ -7,17 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
+// The loss of a member must be declared, and the group must elect a new leader after the loss of its leader.
 func TestConsensusCluster_ReplacesLeaderAndDeclaresLost(t *testing.T) {
 	c := startConsensusCluster(t, 7, 3, 1)
 	t.Logf("leader %s since %.0f ms", c.Leader, c.LeaderSince)
 	c.Kill(5)
 	c.RunUntil(c.Now + 20_000)
 	assert.Equal(t, 1, c.DeclaredLost, "incarnations declared lost after n5 was killed")
-	first := c.Leader
+	firstLeader := c.Leader
 	killedAt := c.Now
-	c.Kill(c.nodeIndexOf(first))
+	c.Kill(c.nodeIndexOf(firstLeader))
 	c.RunUntil(c.Now + 5000)
-	assert.NotEqual(t, first, c.Leader, "the killed leader was not replaced")
+	assert.NotEqual(t, firstLeader, c.Leader, "the killed leader was not replaced")
 	t.Logf("new leader %s after %.0f ms", c.Leader, c.LeaderSince-killedAt)
 	c.RunUntil(c.Now + 40_000)
 	assert.Equal(t, 2, c.DeclaredLost, "incarnations declared lost after the leader was killed, too")
@@ -40,8 +41,8 @@
 		operations += result.Operations
 		declared += result.DeclaredLost
 		if len(result.Violations) > 0 {
-			small := Shrink(result)
-			require.Empty(t, small.Violations, "seed %d, shrunk to the faults %v", seed, small.Faults)
+			shrunk := Shrink(result)
+			require.Empty(t, shrunk.Violations, "seed %d, shrunk to the faults %v", seed, shrunk.Faults)
 		}
 	}
 	assert.Greater(t, declared, 20, "too few incarnations declared lost to test the invariants")
--- a/internal/clustersim/locality_metrics.go
+++ b/internal/clustersim/locality_metrics.go
@@ -38,6 +38,7 @@
 // recoveryTrend holds the smoothed numbers of local and all threads that the controllers of the lost zone use.
 type recoveryTrend struct{ local, all float64 }
 
+// newLocalityMetrics returns empty metrics for a number of zones.
 func newLocalityMetrics(zones int) localityMetrics {
 	return localityMetrics{trends: make([]shareTrend, zones)}
 }
