--- a/internal/chaostest/cluster.go
+++ b/internal/chaostest/cluster.go
@@ -12,54 +12,79 @@
 )
 
 const (
-	defaultDedupWindow  = 100 * time.Millisecond // of executors
-	settingsDedupWindow = 20 * time.Second       // of the settings, unless the configuration has one
-	drainGrace          = 550 * time.Millisecond // of the settings, and what sockets need on top
-	terminateTimeout    = 10 * time.Second       // from SIGTERM until a controller is killed
-	convergeInterval    = 20 * time.Millisecond
+	// defaultExecutorDedupWindow is the deduplication window of the executors when the configuration sets none.
+	defaultExecutorDedupWindow = 100 * time.Millisecond
+	// defaultDeclaredDedupWindow is the deduplication window in the controllers' settings when the configuration sets
+	// none.
+	defaultDeclaredDedupWindow = 20 * time.Second
+	// drainGrace is the drain grace of the controllers' settings plus an allowance for the delay of the sockets.
+	drainGrace = 550 * time.Millisecond
+	// terminateTimeout is how long a controller may run after SIGTERM before it is killed.
+	terminateTimeout = 10 * time.Second
+	// convergePollInterval is the interval at which the views of the controllers are polled.
+	convergePollInterval = 20 * time.Millisecond
 )
 
-// Config is what a cluster is made of.
+// Config describes the processes and the settings of a cluster.
 type Config struct {
-	Program            string // path of liftshift
-	Directory          string // for the files of all controllers
-	Controllers        int
-	Executors          int
-	Zones              int
-	Founders           int // of the consensus group; 0: none
-	Store              bool
-	Seed               uint64
-	WithoutCluster     bool   // no cluster block in the controllers' files
-	Direct             bool   // no relay between controllers: no fault of links can be made
-	ClusterSettings    string // further lines of the cluster block
-	HandoffSettings    string // lines of the handoff block; empty: no such block
-	LocalitySettings   string // lines of the locality block; empty: no such block
-	SecondAddressUsers []int  // controllers that know executors by their second addresses
-	WorkMS             float64
-	WorkByClass        map[string]time.Duration
-	DedupWindow        time.Duration // of executors and settings; 0: the default, below 0: executors drop no repeats
-	Cores              int           // of an executor; 0: without limit
-	MaxInFlight        int           // of an executor; 0: without limit
-	OutcomeTimeout     time.Duration // in which requests must have an outcome once the cluster has recovered; 0: 5 s
+	// Program is the path of the liftshift program.
+	Program string
+	// Directory holds the files of all controllers.
+	Directory   string
+	Controllers int
+	Executors   int
+	Zones       int
+	// Founders is the number of controllers that form the consensus group; 0 means that there is no group.
+	Founders int
+	// Store gives each controller a store on disk.
+	Store bool
+	Seed  uint64
+	// WithoutCluster leaves the cluster block out of the controllers' files.
+	WithoutCluster bool
+	// Direct connects the controllers without a relay, so that no link faults can be injected.
+	Direct bool
+	// ClusterSettings holds additional lines of the cluster block.
+	ClusterSettings string
+	// HandoffSettings holds the lines of the handoff block; if it is empty, there is no such block.
+	HandoffSettings string
+	// LocalitySettings holds the lines of the locality block; if it is empty, there is no such block.
+	LocalitySettings string
+	// SecondAddressUsers lists the controllers that reach the executors by their second addresses.
+	SecondAddressUsers []int
+	// WorkMS is how many milliseconds an executor works on a request.
+	WorkMS float64
+	// WorkByClass overrides WorkMS for request classes.
+	WorkByClass map[string]time.Duration
+	// DedupWindow is the deduplication window of the executors and of the controllers' settings; 0 means the
+	// defaults, a negative value that executors don't drop repeated requests.
+	DedupWindow time.Duration
+	// Cores is the number of cores of an executor; 0 means no limit.
+	Cores int
+	// MaxInFlight is how many requests an executor with a limit on Cores accepts at once; 0 means no limit.
+	MaxInFlight int
+	// OutcomeTimeout is how long after the recovery of the cluster the outcomes of all requests must be known; 0
+	// means 5 s.
+	OutcomeTimeout time.Duration
 }
 
-// dedupWindow returns the window that the settings announce.
-func (c *Config) dedupWindow() time.Duration {
+// declaredDedupWindow returns the deduplication window that the controllers' settings declare.
+func (c *Config) declaredDedupWindow() time.Duration {
 	if c.DedupWindow == 0 {
-		return settingsDedupWindow
+		return defaultDeclaredDedupWindow
 	}
 	return max(0, c.DedupWindow)
 }
 
-// executorDedupWindow returns the window for which executors drop repeats.
+// executorDedupWindow returns the window within which executors drop repeated requests.
 func (c *Config) executorDedupWindow() time.Duration {
 	if c.DedupWindow == 0 {
-		return defaultDedupWindow
+		return defaultExecutorDedupWindow
 	}
 	return max(0, c.DedupWindow)
 }
 
-// Cluster is several real controllers with test servers for executors and discovery, and a relay between the controllers.
+// Cluster runs several real controllers, test servers in place of the executors and the discovery service, and a relay
+// that carries the traffic between the controllers.
 type Cluster struct {
 	Config      Config
 	Relay       *Relay
@@ -67,40 +92,42 @@
 	Executors   []*testservers.Executor
 	RunLog      *testservers.RunLog
 	discovery   *testservers.Discovery
-	drained     map[string]time.Time // by executor: when it was published as terminating
-	onClose     []func()
+	// drained maps the name of an executor to the time at which it was published as terminating.
+	drained map[string]time.Time
+	onClose []func()
 }
 
-// New writes the controllers' files and starts the executors, the discovery service and the relay. No controller runs yet.
-func New(config Config) (cl *Cluster, err error) {
-	cl = &Cluster{Config: config, RunLog: &testservers.RunLog{}, drained: map[string]time.Time{}}
+// New writes the controllers' files and starts the executors, the discovery service and the relay. It starts no
+// controller.
+func New(config Config) (cluster *Cluster, err error) {
+	cluster = &Cluster{Config: config, RunLog: &testservers.RunLog{}, drained: map[string]time.Time{}}
 	defer func() {
 		if err != nil {
-			cl.Close()
+			cluster.Close()
 		}
 	}()
-	if cl.Relay, err = NewRelay(config.Controllers, config.Seed, config.Direct); err != nil {
+	if cluster.Relay, err = NewRelay(config.Controllers, config.Seed, config.Direct); err != nil {
 		return nil, err
 	}
-	if err := cl.startExecutors(); err != nil {
+	if err := cluster.startExecutors(); err != nil {
 		return nil, err
 	}
-	if cl.discovery, err = testservers.NewDiscovery(); err != nil {
+	if cluster.discovery, err = testservers.NewDiscovery(); err != nil {
 		return nil, err
 	}
-	cl.onClose = append(cl.onClose, cl.discovery.Stop)
+	cluster.onClose = append(cluster.onClose, cluster.discovery.Stop)
 	for k := range config.Controllers {
-		if err := cl.writeController(k); err != nil {
+		if err := cluster.writeController(k); err != nil {
 			return nil, err
 		}
 	}
-	return cl, nil
+	return cluster, nil
 }
 
 func (cl *Cluster) startExecutors() error {
 	config := &cl.Config
 	for k := range max(1, config.Executors) {
-		e := &testservers.Executor{
+		executor := &testservers.Executor{
 			Name:        fmt.Sprint("s-", k),
 			Zone:        cl.ZoneOf(k),
 			DedupWindow: config.executorDedupWindow(),
@@ -110,21 +137,21 @@
 			Cores:       config.Cores,
 			MaxInFlight: config.MaxInFlight,
 		}
-		if err := e.Start(); err != nil {
-			return err
+		if err := executor.Start(); err != nil {
+			return fmt.Errorf("start executor %s: %w", executor.Name, err)
 		}
-		cl.Executors = append(cl.Executors, e)
+		cl.Executors = append(cl.Executors, executor)
 	}
 	return nil
 }
 
-// ZoneOf returns the zone of a controller or an executor by its number.
-func (cl *Cluster) ZoneOf(k int) string { return fmt.Sprint("z", k%max(1, cl.Config.Zones)) }
+// ZoneOf returns the zone of the controller or the executor with the given index.
+func (cl *Cluster) ZoneOf(index int) string { return fmt.Sprint("z", index%max(1, cl.Config.Zones)) }
 
-// Start starts a controller.
-func (cl *Cluster) Start(k int) error { return cl.Controllers[k].start(cl.Config.Program) }
+// Start starts the controller with the given index.
+func (cl *Cluster) Start(index int) error { return cl.Controllers[index].start(cl.Config.Program) }
 
-// StartAll starts all controllers that do not run.
+// StartAll starts all controllers that are not running.
 func (cl *Cluster) StartAll() error {
 	for _, c := range cl.Controllers {
 		if c.Running() {
@@ -137,63 +164,63 @@
 	return nil
 }
 
-// Signal sends a signal to a controller.
-func (cl *Cluster) Signal(k int, s syscall.Signal) error {
-	c := cl.Controllers[k]
+// Signal sends a signal to the process of a running controller.
+func (cl *Cluster) Signal(index int, signal syscall.Signal) error {
+	c := cl.Controllers[index]
 	if !c.Running() {
 		return fmt.Errorf("%s does not run", c.Name)
 	}
-	return c.cmd.Process.Signal(s)
+	return c.cmd.Process.Signal(signal)
 }
 
-// Kill kills a controller and waits for its end.
-func (cl *Cluster) Kill(k int) { cl.Controllers[k].kill() }
+// Kill kills a controller with SIGKILL and waits until its process has ended.
+func (cl *Cluster) Kill(index int) { cl.Controllers[index].kill() }
 
-// Terminate stops a controller gracefully and returns its exit code; -1 if it does not run.
-func (cl *Cluster) Terminate(k int) int { return cl.Controllers[k].terminate() }
+// Terminate stops a controller with SIGTERM and returns its exit code, or -1 if it was not running.
+func (cl *Cluster) Terminate(index int) int { return cl.Controllers[index].terminate() }
 
-// PID returns the process ID of a controller; 0 if it does not run.
-func (cl *Cluster) PID(k int) int {
-	if c := cl.Controllers[k]; c.Running() {
+// PID returns the process ID of a controller, or 0 if it is not running.
+func (cl *Cluster) PID(index int) int {
+	if c := cl.Controllers[index]; c.Running() {
 		return c.cmd.Process.Pid
 	}
 	return 0
 }
 
-// SetDiskState sets how the disk of a controller is from now on: "sound", "full", "failing" or "slow 300ms". It works with programs that
-// are built with the tag faults.
-func (cl *Cluster) SetDiskState(k int, state string) error {
-	return os.WriteFile(cl.Controllers[k].diskFile(), []byte(state), 0o600)
+// SetDiskState sets the state that the disk of a controller simulates: "sound", "full", "failing" or "slow 300ms". Only
+// programs that are built with the tag faults honour it.
+func (cl *Cluster) SetDiskState(index int, state string) error {
+	return os.WriteFile(cl.Controllers[index].diskFile(), []byte(state), 0o600)
 }
 
-// wipeStore removes the store of a controller that does not run.
-func (cl *Cluster) wipeStore(k int) error {
-	c := cl.Controllers[k]
+// wipeStore removes the store of a controller, which must not be running.
+func (cl *Cluster) wipeStore(index int) error {
+	c := cl.Controllers[index]
 	if c.Running() {
 		return fmt.Errorf("%s runs: its store is not wiped", c.Name)
 	}
 	return os.RemoveAll(c.storeDirectory())
 }
 
-// DrainExecutor publishes an executor as terminating. It goes on answering.
-func (cl *Cluster) DrainExecutor(k int) error {
-	if err := cl.discovery.Publish(cl.Executors[k], "Terminating"); err != nil {
+// DrainExecutor publishes an executor as terminating. The executor goes on answering requests.
+func (cl *Cluster) DrainExecutor(index int) error {
+	if err := cl.discovery.Publish(cl.Executors[index], "Terminating"); err != nil {
 		return err
 	}
-	cl.drained[cl.Executors[k].Name] = time.Now()
+	cl.drained[cl.Executors[index].Name] = time.Now()
 	return nil
 }
 
-// RemoveExecutor publishes an executor as gone and stops it.
-func (cl *Cluster) RemoveExecutor(k int) error {
-	defer cl.Executors[k].Stop()
-	return cl.discovery.Publish(cl.Executors[k], "Gone")
+// RemoveExecutor publishes an executor as removed and stops it.
+func (cl *Cluster) RemoveExecutor(index int) error {
+	defer cl.Executors[index].Stop()
+	return cl.discovery.Publish(cl.Executors[index], "Gone")
 }
 
 // StopDiscovery stops the discovery service.
 func (cl *Cluster) StopDiscovery() { cl.discovery.Stop() }
 
-// Close ends all processes and servers.
+// Close kills all controllers and stops the executors, the relay and the discovery service.
 func (cl *Cluster) Close() {
 	for _, c := range cl.Controllers {
 		c.kill()
@@ -209,12 +236,12 @@
 	}
 }
 
-// healLinks removes all faults of links.
+// healLinks removes all link faults.
 func (cl *Cluster) healLinks() { cl.Relay.SetLinks(func(int, int) Link { return Link{} }) }
 
-// writeController adds a controller and writes its files.
-func (cl *Cluster) writeController(k int) error {
-	name := fmt.Sprint("c", k)
+// writeController adds the controller with the given index to the cluster and writes its files.
+func (cl *Cluster) writeController(index int) error {
+	name := fmt.Sprint("c", index)
 	c := &Controller{Name: name, Directory: filepath.Join(cl.Config.Directory, name)}
 	cl.Controllers = append(cl.Controllers, c)
 	if err := os.MkdirAll(c.Directory, 0o700); err != nil {
@@ -225,10 +252,14 @@
 		return err
 	}
 	c.ControlSocket = filepath.Join(c.Directory, "sock")
-	c.env = append(os.Environ(), "RELAY_CONFIG="+c.nodeFile(), "LIFTSHIFT_DISK="+c.diskFile(), "LIFTSHIFT_FILE="+c.operatorFile())
-	node, err := cl.nodeConfig(k)
+	c.env = append(os.Environ(),
+		"RELAY_CONFIG="+c.nodeFile(), "LIFTSHIFT_DISK="+c.diskFile(), "LIFTSHIFT_FILE="+c.operatorFile())
+	node, err := cl.nodeConfig(index)
 	if err != nil {
 		return err
 	}
-	return errors.Join(os.WriteFile(c.nodeFile(), node, 0o600), os.WriteFile(c.operatorFile(), []byte(cl.operatorConfig(k)), 0o600))
+	return errors.Join(
+		os.WriteFile(c.nodeFile(), node, 0o600),
+		os.WriteFile(c.operatorFile(), []byte(cl.operatorConfig(index)), 0o600),
+	)
 }
--- a/internal/chaostest/control.go
+++ b/internal/chaostest/control.go
@@ -9,45 +9,49 @@
 	"liftshift/internal/placement"
 )
 
-// controlTimeout is for one question at a control socket.
+// controlTimeout limits one call to a control socket.
 const controlTimeout = time.Second
 
-// The states of a member, as the control socket names them.
+// handoffPollInterval is the interval at which the controllers are asked whether they are ready to hand off requests.
+const handoffPollInterval = 50 * time.Millisecond
+
+// The states of a member in the replies of the control socket.
 const (
 	stateAlive = "here"
 	stateDead  = "gone"
 	stateLeft  = "left"
 )
 
-// Call asks the control socket of a controller a question in its wire form; ask is the typed one.
-func (cl *Cluster) Call(k int, question string, fields map[string]any) (map[string]any, error) {
+// Call sends a question to the control socket of a controller and returns the undecoded reply. The function ask decodes
+// the reply into a type.
+func (cl *Cluster) Call(index int, question string, fields map[string]any) (map[string]any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	return adminapi.Call(ctx, cl.Controllers[k].ControlSocket, question, fields)
+	return adminapi.Call(ctx, cl.Controllers[index].ControlSocket, question, fields)
 }
 
-// ask asks the control socket of a controller a question.
-func ask[Reply any](cl *Cluster, k int, question string, request any) (Reply, error) {
+// ask sends a question to the control socket of a controller and decodes the reply.
+func ask[Reply any](cl *Cluster, index int, question string, request any) (Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	return adminapi.Ask[Reply](ctx, cl.Controllers[k].ControlSocket, question, request)
+	return adminapi.Ask[Reply](ctx, cl.Controllers[index].ControlSocket, question, request)
 }
 
-func (cl *Cluster) members(k int) (adminapi.MembersReply, error) {
-	return ask[adminapi.MembersReply](cl, k, adminapi.QuestionMembers, adminapi.Empty{})
+func (cl *Cluster) members(index int) (adminapi.MembersReply, error) {
+	return ask[adminapi.MembersReply](cl, index, adminapi.QuestionMembers, adminapi.Empty{})
 }
 
-func (cl *Cluster) consensus(k int) (adminapi.ConsensusReply, error) {
-	return ask[adminapi.ConsensusReply](cl, k, adminapi.QuestionConsensus, adminapi.Empty{})
+func (cl *Cluster) consensus(index int) (adminapi.ConsensusReply, error) {
+	return ask[adminapi.ConsensusReply](cl, index, adminapi.QuestionConsensus, adminapi.Empty{})
 }
 
-func (cl *Cluster) handoff(k int) (adminapi.HandoffReply, error) {
-	return ask[adminapi.HandoffReply](cl, k, adminapi.QuestionHandoff, adminapi.Empty{})
+func (cl *Cluster) handoff(index int) (adminapi.HandoffReply, error) {
+	return ask[adminapi.HandoffReply](cl, index, adminapi.QuestionHandoff, adminapi.Empty{})
 }
 
-// MembershipView returns the state of each member as a controller has it.
-func (cl *Cluster) MembershipView(k int) (map[string]string, error) {
-	reply, err := cl.members(k)
+// MembershipView returns the state of each member, by name, as seen by one controller.
+func (cl *Cluster) MembershipView(index int) (map[string]string, error) {
+	reply, err := cl.members(index)
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +62,8 @@
 	return view, nil
 }
 
-// Converged reports whether each controller that runs sees those that run as alive and no others; if not, it says who does not.
+// Converged reports whether each running controller sees exactly the running controllers as alive. If not, the reason
+// names a controller whose view differs.
 func (cl *Cluster) Converged() (converged bool, reason string) {
 	for k, c := range cl.Controllers {
 		if !c.Running() {
@@ -77,7 +82,7 @@
 	return true, ""
 }
 
-// matchesProcess reports whether the state of a member is right for a process that runs or does not.
+// matchesProcess reports whether the state of a member agrees with whether its process is running.
 func matchesProcess(state string, running bool) bool {
 	if running {
 		return state == stateAlive
@@ -85,7 +90,7 @@
 	return state == "" || state == stateDead || state == stateLeft
 }
 
-// WaitUntilConverged waits until all views have converged and returns the time that it took.
+// WaitUntilConverged waits until Converged reports true and returns the time that this took.
 func (cl *Cluster) WaitUntilConverged(timeout time.Duration) (time.Duration, error) {
 	start := time.Now()
 	for {
@@ -97,11 +102,12 @@
 		if elapsed > timeout {
 			return elapsed, fmt.Errorf("not converged within %v: %s (seed %d)", timeout, reason, cl.Config.Seed)
 		}
-		time.Sleep(convergeInterval)
+		time.Sleep(convergePollInterval)
 	}
 }
 
-// WaitUntilHandoffReady waits until all controllers that run know the replicas of all partitions and hold their leases.
+// WaitUntilHandoffReady waits until all running controllers hold their leases and all partitions have settled on their
+// replicas.
 func (cl *Cluster) WaitUntilHandoffReady(timeout time.Duration) error {
 	start := time.Now()
 	for {
@@ -112,11 +118,12 @@
 		if time.Since(start) > timeout {
 			return fmt.Errorf("not ready within %v: %s (seed %d)", timeout, reason, cl.Config.Seed)
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(handoffPollInterval)
 	}
 }
 
-// handoffUnready says which controller that runs is not ready to hand off its requests, and why; empty: none.
+// handoffUnready names a running controller that is not ready to hand off its requests, and why. The reason is empty if
+// all are ready.
 func (cl *Cluster) handoffUnready() (reason string) {
 	for k, c := range cl.Controllers {
 		if !c.Running() {
--- a/internal/chaostest/controller.go
+++ b/internal/chaostest/controller.go
@@ -10,15 +10,19 @@
 	"time"
 )
 
-// Controller is one controller process with its files.
+// Controller is a controller process and the files that it uses.
 type Controller struct {
-	Name          string
-	ClientAddress string // where clients connect
+	Name string
+	// ClientAddress is where the controller accepts the connections of clients.
+	ClientAddress string
 	ControlSocket string
-	Directory     string
-	env           []string
-	cmd           *exec.Cmd     // nil: it does not run
-	exited        chan struct{} // closed at the end of cmd
+	// Directory holds the files of the controller.
+	Directory string
+	env       []string
+	// cmd is the running process; nil if the controller is not running.
+	cmd *exec.Cmd
+	// exited is closed when cmd has ended.
+	exited chan struct{}
 
 	mu  sync.Mutex
 	log bytes.Buffer
@@ -29,21 +33,21 @@
 func (c *Controller) diskFile() string       { return filepath.Join(c.Directory, "disk") }
 func (c *Controller) storeDirectory() string { return filepath.Join(c.Directory, "store") }
 
-// Write appends to the log of the controller; its process writes there.
+// Write appends to the log of the controller. The standard error of its process is written here.
 func (c *Controller) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.log.Write(b)
 }
 
-// Log returns what the controller has logged so far.
+// Log returns everything that the controller has logged, over all its starts.
 func (c *Controller) Log() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.log.String()
 }
 
-// Running reports whether the controller was started and not ended since.
+// Running reports whether the controller has been started and has not been stopped or killed since.
 func (c *Controller) Running() bool { return c.cmd != nil }
 
 func (c *Controller) start(program string) error {
--- a/internal/chaostest/drill.go
+++ b/internal/chaostest/drill.go
@@ -13,25 +13,35 @@
 )
 
 const (
+	// drillJoinTimeout is how long the controllers may take to join the cluster before the first step.
 	drillJoinTimeout = 30 * time.Second
+	// drillClientPause is how long a client waits after a reply before it sends the next request.
 	drillClientPause = 5 * time.Millisecond
 	sampleInterval   = 250 * time.Millisecond
+
+	// logExcerptLead is how many bytes of a log precede the text that is reported as a violation.
+	logExcerptLead = 100
 )
 
-// faultTexts are texts in the log of a controller that are violations.
-var faultTexts = []string{"does not hold", "panic:", "DATA RACE"}
+// violationTexts lists the texts that are violations when they appear in the log of a controller: a broken invariant, a
+// panic or a data race.
+var violationTexts = []string{"does not hold", "panic:", "DATA RACE"}
 
-// Sample is the state of a cluster at a time of a drill.
+// Sample is the state of a cluster at one moment of a drill.
 type Sample struct {
-	At        time.Duration
-	Present   map[string]int // how many members each controller sees alive
+	// At is the time since the start of the drill.
+	At time.Duration
+	// AliveMembers maps the name of a controller to the number of members that it sees as alive.
+	AliveMembers map[string]int
+	// Datagrams and Bytes count what the relay has received since it was started.
 	Datagrams uint64
 	Bytes     uint64
 }
 
-// DrillResult is the result of a drill.
+// DrillResult holds what was observed in a drill and the violations that were found.
 type DrillResult struct {
-	Seed       uint64
+	Seed uint64
+	// Timeline holds the lines that the drill has printed.
 	Timeline   []string
 	Samples    []Sample
 	Requests   []SentRequest
@@ -39,7 +49,7 @@
 	Violations []string
 }
 
-// drill is a drill that is being played.
+// drill is the state of a drill in progress.
 type drill struct {
 	script  *Script
 	cluster *Cluster
@@ -47,36 +57,47 @@
 	out     io.Writer
 }
 
-// Play plays a script with a program in a scratch directory, and writes its timeline as it goes.
-func Play(s *Script, program, directory string, out io.Writer) (*DrillResult, error) {
-	result := &DrillResult{Seed: uint64(s.Seed), Start: time.Now()}
+// Play plays a script with controllers of the given program, keeps their files in the given directory, and writes the
+// timeline to out as the drill goes on.
+func Play(script *Script, program, directory string, out io.Writer) (*DrillResult, error) {
+	result := &DrillResult{Seed: uint64(script.Seed), Start: time.Now()}
 	if result.Seed == 0 {
 		result.Seed = uint64(time.Now().UnixNano() % 1e9)
 	}
-	if len(s.Deprecated) > 0 {
-		fmt.Fprintf(out, "warning: the drill uses deprecated names: %s\n", strings.Join(s.Deprecated, ", "))
+	if len(script.Deprecated) > 0 {
+		fmt.Fprintf(out, "warning: the drill uses deprecated names: %s\n", strings.Join(script.Deprecated, ", "))
 	}
-	failsDisks := slices.ContainsFunc(s.Steps, func(p Step) bool { return len(p.Disks) > 0 })
-	if failsDisks && !hasFaults(program+"-full") {
+	setsDisks := slices.ContainsFunc(script.Steps, func(step Step) bool { return len(step.Disks) > 0 })
+	if setsDisks && !hasDiskFaults(program+"-full") {
 		return nil, fmt.Errorf("%s can't make its disk fail: build it with -tags faults", program)
 	}
-	cl, err := New(Config{Program: program, Directory: directory, Controllers: s.Controllers, Executors: max(1, s.Executors), Zones: max(1, s.Zones),
-		Founders: s.Founders, Store: s.Store, Seed: result.Seed, ClusterSettings: s.Cluster, WorkMS: s.WorkMS})
+	cluster, err := New(Config{
+		Program:         program,
+		Directory:       directory,
+		Controllers:     script.Controllers,
+		Executors:       max(1, script.Executors),
+		Zones:           max(1, script.Zones),
+		Founders:        script.Founders,
+		Store:           script.Store,
+		Seed:            result.Seed,
+		ClusterSettings: script.Cluster,
+		WorkMS:          script.WorkMS,
+	})
 	if err != nil {
 		return nil, err
 	}
-	defer cl.Close()
-	d := &drill{script: s, cluster: cl, result: result, out: out}
-	d.say("seed %d: %d controllers start", result.Seed, s.Controllers)
-	if err := cl.StartAll(); err != nil {
+	defer cluster.Close()
+	d := &drill{script: script, cluster: cluster, result: result, out: out}
+	d.logf("seed %d: %d controllers start", result.Seed, script.Controllers)
+	if err := cluster.StartAll(); err != nil {
 		return nil, err
 	}
-	elapsed, err := cl.WaitUntilConverged(drillJoinTimeout)
+	elapsed, err := cluster.WaitUntilConverged(drillJoinTimeout)
 	if err != nil {
 		return result, fmt.Errorf("before any fault: %w", err)
 	}
-	d.say("all views have converged after %.2fs", elapsed.Seconds())
-	history, endLoad := cl.StartLoad(s.Clients, drillClientPause)
+	d.logf("all views have converged after %.2fs", elapsed.Seconds())
+	history, endLoad := cluster.StartLoad(script.Clients, drillClientPause)
 	defer endLoad()
 	d.playSteps()
 	d.heal()
@@ -86,30 +107,31 @@
 	return result, nil
 }
 
-// say adds a line to the timeline.
-func (d *drill) say(format string, args ...any) {
+// logf adds a line with the elapsed time to the timeline and prints it.
+func (d *drill) logf(format string, args ...any) {
 	line := fmt.Sprintf("%7.2fs  ", time.Since(d.result.Start).Seconds()) + fmt.Sprintf(format, args...)
 	d.result.Timeline = append(d.result.Timeline, line)
 	fmt.Fprintln(d.out, line)
 }
 
-// playSteps plays all steps at their times, until the length of the script; samples are taken meanwhile.
+// playSteps applies each step at its time, waits until the length of the script has passed, and takes samples
+// meanwhile.
 func (d *drill) playSteps() {
 	start := time.Now()
 	stopSampling := d.startSampling()
 	defer stopSampling()
 	for k := range d.script.Steps {
-		p := &d.script.Steps[k]
-		time.Sleep(time.Until(start.Add(p.at)))
-		d.say("%s", p)
-		if err := d.cluster.apply(p); err != nil {
+		step := &d.script.Steps[k]
+		time.Sleep(time.Until(start.Add(step.at)))
+		d.logf("%s", step)
+		if err := d.cluster.apply(step); err != nil {
 			d.result.Violations = append(d.result.Violations, err.Error())
 		}
 	}
 	time.Sleep(time.Until(start.Add(d.script.length)))
 }
 
-// startSampling takes samples until the returned function is called, which waits for the last one.
+// startSampling takes samples until the returned function is called, which waits for the last sample.
 func (d *drill) startSampling() (stop func()) {
 	stopping, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -131,7 +153,8 @@
 	}
 }
 
-// heal removes all faults but those of controllers that do not run, and waits until all views have converged.
+// heal removes the link faults, resumes suspended controllers and waits until all views have converged. It doesn't
+// start controllers that are not running.
 func (d *drill) heal() {
 	d.cluster.healLinks()
 	for k, c := range d.cluster.Controllers {
@@ -144,19 +167,21 @@
 		d.result.Violations = append(d.result.Violations, err.Error())
 		return
 	}
-	d.say("healed: all views have converged after %.2fs", elapsed.Seconds())
+	d.logf("healed: all views have converged after %.2fs", elapsed.Seconds())
 }
 
-// check checks what clients, executors and logs have, and adds the results to the timeline.
+// check looks for violations in the results of the clients, the runs of the executors and the logs of the controllers,
+// and adds them to the timeline.
 func (d *drill) check() {
 	result, runs := d.result, d.cluster.RunLog.Runs()
 	result.Violations = append(result.Violations, Check(result.Requests, runs, d.script.Controllers)...)
 	result.Violations = append(result.Violations, RunsAfterDrain(runs, d.cluster.drained)...)
 	for _, c := range d.cluster.Controllers {
 		log := c.Log()
-		for _, text := range faultTexts {
+		for _, text := range violationTexts {
 			if at := strings.Index(log, text); at >= 0 {
-				result.Violations = append(result.Violations, fmt.Sprintf("%s logged: %.600s", c.Name, log[max(0, at-100):]))
+				excerpt := log[max(0, at-logExcerptLead):]
+				result.Violations = append(result.Violations, fmt.Sprintf("%s logged: %.600s", c.Name, excerpt))
 			}
 		}
 	}
@@ -164,76 +189,82 @@
 	for _, r := range result.Requests {
 		counts[r.Result]++
 	}
-	d.say("%d requests: %d handled, %d rejected, %d failed, %d disconnected", len(result.Requests), counts[ResultHandled], counts[ResultRejected],
-		counts[ResultFailed], counts[ResultDisconnected])
+	d.logf("%d requests: %d handled, %d rejected, %d failed, %d disconnected", len(result.Requests),
+		counts[ResultHandled], counts[ResultRejected], counts[ResultFailed], counts[ResultDisconnected])
 	for _, violation := range result.Violations {
-		d.say("WRONG: %s", violation)
+		d.logf("WRONG: %s", violation)
 	}
 }
 
-// hasFaults reports whether a program is built with the layer that makes disks fail.
-func hasFaults(program string) bool {
+// hasDiskFaults reports whether a program is built with the tag faults, so that it can simulate disk faults.
+func hasDiskFaults(program string) bool {
 	info, err := buildinfo.ReadFile(program)
 	return err == nil && slices.ContainsFunc(info.Settings, func(s debug.BuildSetting) bool {
 		return s.Key == "-tags" && slices.Contains(strings.Split(s.Value, ","), "faults")
 	})
 }
 
-// apply does what a step says, all of it also where something fails, and returns the first error.
-func (cl *Cluster) apply(p *Step) (first error) {
-	note := func(err error) {
-		if first == nil {
-			first = err
+// apply performs all actions of a step, even if some of them fail, and returns the first error.
+func (cl *Cluster) apply(step *Step) (firstErr error) {
+	recordError := func(err error) {
+		if firstErr == nil {
+			firstErr = err
 		}
 	}
-	each := func(names []string, do func(k int) error) {
+	each := func(names []string, action func(index int) error) {
 		for _, name := range names {
-			note(do(controllerNumber(name)))
+			recordError(action(controllerIndex(name)))
 		}
 	}
-	each(p.Kill, func(k int) error { cl.Kill(k); return nil })
-	each(p.Term, func(k int) error {
-		if code := cl.Terminate(k); code != 0 {
-			return fmt.Errorf("c%d ended with %d at a planned stop", k, code)
+	each(step.Kill, func(index int) error { cl.Kill(index); return nil })
+	each(step.Terminate, func(index int) error {
+		if code := cl.Terminate(index); code != 0 {
+			return fmt.Errorf("c%d ended with %d at a planned stop", index, code)
 		}
 		return nil
 	})
-	each(p.Wipe, cl.wipeStore)
-	each(p.Disks, func(k int) error { return cl.SetDiskState(k, p.Disk) })
-	each(p.Start, cl.Start)
-	each(p.Stop, func(k int) error { return cl.Signal(k, syscall.SIGSTOP) })
-	each(p.Go, func(k int) error { return cl.Signal(k, syscall.SIGCONT) })
-	for _, name := range p.Drain {
-		note(cl.DrainExecutor(executorNumber(name)))
-	}
-	if p.changesLinks() {
-		cl.Relay.SetLinks(p.links())
-	}
-	return first
+	each(step.Wipe, cl.wipeStore)
+	each(step.Disks, func(index int) error { return cl.SetDiskState(index, step.Disk) })
+	each(step.Start, cl.Start)
+	each(step.Suspend, func(index int) error { return cl.Signal(index, syscall.SIGSTOP) })
+	each(step.Resume, func(index int) error { return cl.Signal(index, syscall.SIGCONT) })
+	for _, name := range step.Drain {
+		recordError(cl.DrainExecutor(executorIndex(name)))
+	}
+	if step.changesLinks() {
+		cl.Relay.SetLinks(step.links())
+	}
+	return firstErr
 }
 
-// links returns the state of all links from a step on. Controllers that are in no partition are in one together.
+// links returns the state of each link after the step. Controllers that are in none of the step's partitions form a
+// partition of their own.
 func (p *Step) links() func(from, to int) Link {
-	partition, muted := map[int]int{}, map[int]bool{}
+	partitions, muted := map[int]int{}, map[int]bool{}
 	for n, group := range p.Partitions {
 		for _, name := range group {
-			partition[controllerNumber(name)] = n + 1
+			partitions[controllerIndex(name)] = n + 1
 		}
 	}
 	for _, name := range p.Mute {
-		muted[controllerNumber(name)] = true
+		muted[controllerIndex(name)] = true
 	}
 	link := Link{Loss: p.Loss, Duplication: p.Duplicate, DelayMS: float64(p.delay.Milliseconds())}
 	return func(from, to int) Link {
-		l := link
-		l.Cut = partition[from] != partition[to] || muted[from]
-		return l
+		state := link
+		state.Cut = partitions[from] != partitions[to] || muted[from]
+		return state
 	}
 }
 
-// takeSample asks each controller that answers how many members it sees alive.
+// takeSample asks each controller how many members it sees as alive and leaves out those that don't answer.
 func (cl *Cluster) takeSample(at time.Duration) Sample {
-	s := Sample{At: at, Present: map[string]int{}, Datagrams: cl.Relay.Datagrams.Load(), Bytes: cl.Relay.DatagramBytes.Load()}
+	sample := Sample{
+		At:           at,
+		AliveMembers: map[string]int{},
+		Datagrams:    cl.Relay.Datagrams.Load(),
+		Bytes:        cl.Relay.DatagramBytes.Load(),
+	}
 	for k, c := range cl.Controllers {
 		if _, err := os.Stat(c.ControlSocket); err != nil {
 			continue
@@ -244,9 +275,9 @@
 		}
 		for _, state := range view {
 			if state == stateAlive {
-				s.Present[c.Name]++
+				sample.AliveMembers[c.Name]++
 			}
 		}
 	}
-	return s
+	return sample
 }
--- a/internal/chaostest/faults.go
+++ b/internal/chaostest/faults.go
@@ -9,41 +9,66 @@
 	"time"
 )
 
-// The faults of PlayTakeover. Each is injected while requests are in flight at a controller, their owner. The texts are values of settings
-// of measurements.
+// The faults of PlayTakeover. Each is injected while requests are in flight at one controller, which is their owner.
+// The texts are accepted values of the settings of measurements.
 const (
-	FaultKill                   = "kill"
-	FaultRestart                = "restart"
-	FaultOwnerAndOther          = "owner and heir"
+	// FaultKill kills the owner.
+	FaultKill = "kill"
+	// FaultRestart kills the owner and starts it again at once.
+	FaultRestart = "restart"
+	// FaultOwnerAndOther kills the owner and another controller.
+	FaultOwnerAndOther = "owner and heir"
+	// FaultSuccessorWhileAdopting kills the owner, and then a successor that is adopting its requests.
 	FaultSuccessorWhileAdopting = "heir at work"
-	FaultSuspended              = "asleep" // the owner, for longer than its lease
-	FaultPartitioned            = "cut off"
-	FaultClientsDisconnected    = "clients cut" // and nothing else happens
-	FaultReplicaWiped           = "holder wiped"
-	FaultGracefulStop           = "planned"
-	FaultTwoOfZone              = "two of a zone"
-	FaultQuorumLost             = "council gone"
+	// FaultSuspended suspends the owner for longer than its lease.
+	FaultSuspended = "asleep"
+	// FaultPartitioned cuts all links of the owner for a time.
+	FaultPartitioned = "cut off"
+	// FaultClientsDisconnected ends the connections of the clients; no controller fails.
+	FaultClientsDisconnected = "clients cut"
+	// FaultReplicaWiped restarts another controller with an empty store and kills the owner.
+	FaultReplicaWiped = "holder wiped"
+	// FaultGracefulStop stops the owner with SIGTERM.
+	FaultGracefulStop = "planned"
+	// FaultTwoOfZone kills the owner and another controller, for clusters whose controllers are all in one zone.
+	FaultTwoOfZone = "two of a zone"
+	// FaultQuorumLost kills the owner and two founders of the consensus group.
+	FaultQuorumLost = "council gone"
 )
 
-// TakeoverFaults lists the faults that rounds go through in turn.
-var TakeoverFaults = []string{FaultKill, FaultRestart, FaultOwnerAndOther, FaultSuccessorWhileAdopting, FaultSuspended, FaultPartitioned,
-	FaultClientsDisconnected, FaultReplicaWiped, FaultGracefulStop, FaultTwoOfZone, FaultQuorumLost}
+// TakeoverFaults lists the faults that a series of rounds goes through in turn.
+var TakeoverFaults = []string{
+	FaultKill,
+	FaultRestart,
+	FaultOwnerAndOther,
+	FaultSuccessorWhileAdopting,
+	FaultSuspended,
+	FaultPartitioned,
+	FaultClientsDisconnected,
+	FaultReplicaWiped,
+	FaultGracefulStop,
+	FaultTwoOfZone,
+	FaultQuorumLost,
+}
 
 const (
-	suspension       = 4500 * time.Millisecond
-	partitionTime    = 5 * time.Second
-	successorTimeout = 6 * time.Second
-	successorPoll    = 10 * time.Millisecond
+	suspendDuration       = 4500 * time.Millisecond // longer than a lease
+	partitionDuration     = 5 * time.Second
+	successorTimeout      = 6 * time.Second
+	successorPollInterval = 10 * time.Millisecond
+	// maxAdoptionDelayMS bounds, in milliseconds, how long a successor has been adopting requests when it is killed.
+	maxAdoptionDelayMS = 60
 )
 
-// injectFault injects a fault at the owner of requests and returns the controllers that have to be started again.
+// injectFault injects a fault at the owner of the requests of a round. It returns the controllers that are not running
+// afterwards, so that the caller can start them again.
 func (cl *Cluster) injectFault(fault string, owner int, random *rand.Rand) (down []int, err error) {
-	kill := func(k int) {
-		cl.Kill(k)
-		down = append(down, k)
+	kill := func(index int) {
+		cl.Kill(index)
+		down = append(down, index)
 	}
-	n := len(cl.Controllers)
-	other := (owner + 1 + random.IntN(n-1)) % n
+	count := len(cl.Controllers)
+	other := (owner + 1 + random.IntN(count-1)) % count
 	switch fault {
 	case FaultKill:
 		kill(owner)
@@ -56,17 +81,17 @@
 	case FaultSuccessorWhileAdopting:
 		kill(owner)
 		if successor := cl.waitForSuccessor(owner, successorTimeout); successor >= 0 {
-			time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
+			time.Sleep(time.Duration(random.IntN(maxAdoptionDelayMS)) * time.Millisecond)
 			kill(successor)
 		}
 	case FaultSuspended:
 		err = cl.Signal(owner, syscall.SIGSTOP)
-		time.Sleep(suspension)
+		time.Sleep(suspendDuration)
 		err = errors.Join(err, cl.Signal(owner, syscall.SIGCONT))
 	case FaultPartitioned:
 		cl.Relay.SetLinks(func(from, to int) Link { return Link{Cut: from == owner || to == owner} })
-		time.Sleep(partitionTime)
-	case FaultClientsDisconnected:
+		time.Sleep(partitionDuration)
+	case FaultClientsDisconnected: // the clients end their own connections
 	case FaultReplicaWiped:
 		cl.Kill(other)
 		err = errors.Join(os.RemoveAll(cl.Controllers[other].storeDirectory()), cl.Start(other))
@@ -78,18 +103,19 @@
 		down = append(down, owner)
 	case FaultQuorumLost:
 		kill(owner)
-		for k := range 2 {
-			kill(k)
+		for founder := range 2 {
+			kill(founder)
 		}
 	default:
-		err = fmt.Errorf("no fault %q", fault)
+		err = fmt.Errorf("unknown fault %q", fault)
 	}
 	return down, err
 }
 
-// waitForSuccessor waits until a controller that runs has claimed requests of an owner that is down, and returns its number; -1: none has.
+// waitForSuccessor waits until a running controller reports that a successor has claimed the requests of an owner that
+// is down. It returns the index of the successor, or -1 if there is no claim within the timeout.
 func (cl *Cluster) waitForSuccessor(owner int, timeout time.Duration) int {
-	for start := time.Now(); time.Since(start) < timeout; time.Sleep(successorPoll) {
+	for start := time.Now(); time.Since(start) < timeout; time.Sleep(successorPollInterval) {
 		for k, c := range cl.Controllers {
 			if k == owner || !c.Running() {
 				continue
@@ -102,9 +128,10 @@
 	return -1
 }
 
-// successorOf returns the successor of an owner that runs, by the claims that a controller has; -1: there is none.
-func (cl *Cluster) successorOf(owner, k int) int {
-	reply, err := cl.handoff(k)
+// successorOf returns the index of the running successor of an owner according to the claims that another controller,
+// the observer, reports, or -1 if there is none.
+func (cl *Cluster) successorOf(owner, observer int) int {
+	reply, err := cl.handoff(observer)
 	if err != nil {
 		return -1
 	}
@@ -112,9 +139,9 @@
 		if claim.Member != cl.Controllers[owner].Name {
 			continue
 		}
-		for number, c := range cl.Controllers {
+		for k, c := range cl.Controllers {
 			if c.Name == claim.Successor && c.Running() {
-				return number
+				return k
 			}
 		}
 	}
--- a/internal/chaostest/files.go
+++ b/internal/chaostest/files.go
@@ -9,16 +9,16 @@
 	"liftshift/internal/testservers"
 )
 
-// maxSeeds is how many controllers a controller knows at its start.
+// maxSeeds is how many controllers are listed as seeds in the cluster block.
 const maxSeeds = 3
 
-// nodeConfig returns the settings file of a controller.
-func (cl *Cluster) nodeConfig(k int) ([]byte, error) {
-	c := cl.Controllers[k]
-	text := testservers.NodeConfig(c.ClientAddress, cl.discovery.Address, cl.Config.dedupWindow(), cl.Executors...)
-	if slices.Contains(cl.Config.SecondAddressUsers, k) {
-		for _, e := range cl.Executors {
-			text = []byte(strings.ReplaceAll(string(text), `"`+e.Address()+`"`, `"`+e.SecondAddress()+`"`))
+// nodeConfig returns the content of the settings file (node.json) of a controller.
+func (cl *Cluster) nodeConfig(index int) ([]byte, error) {
+	c := cl.Controllers[index]
+	text := testservers.NodeConfig(c.ClientAddress, cl.discovery.Address, cl.Config.declaredDedupWindow(), cl.Executors...)
+	if slices.Contains(cl.Config.SecondAddressUsers, index) {
+		for _, executor := range cl.Executors {
+			text = []byte(strings.ReplaceAll(string(text), `"`+executor.Address()+`"`, `"`+executor.SecondAddress()+`"`))
 		}
 	}
 	node := map[string]any{}
@@ -27,18 +27,18 @@
 	}
 	node["name"] = c.Name
 	settings := node["settings"].(map[string]any)
-	settings["Siblings"], settings["SlotNo"] = cl.Config.Controllers, k
+	settings["Siblings"], settings["SlotNo"] = cl.Config.Controllers, index
 	return json.Marshal(node)
 }
 
-// operatorConfig returns the operators' file of a controller. Its blocks and keys have the names that programs of the version before read,
-// too.
-func (cl *Cluster) operatorConfig(k int) string {
-	config, c := &cl.Config, cl.Controllers[k]
+// operatorConfig returns the content of the operator file of a controller. It uses the deprecated names of blocks and
+// keys, which the previous release reads as well, so that clusters of mixed versions can be tested.
+func (cl *Cluster) operatorConfig(index int) string {
+	config, c := &cl.Config, cl.Controllers[index]
 	var hcl strings.Builder
 	fmt.Fprintf(&hcl, "control { socket = %q }\n", c.ControlSocket)
 	if !config.WithoutCluster {
-		cl.writeClusterBlock(&hcl, k)
+		cl.writeClusterBlock(&hcl, index)
 	}
 	if config.HandoffSettings != "" {
 		fmt.Fprintf(&hcl, "estate {\n%s\n}\n", config.HandoffSettings)
@@ -52,25 +52,26 @@
 	return hcl.String()
 }
 
-func (cl *Cluster) writeClusterBlock(hcl *strings.Builder, k int) {
+func (cl *Cluster) writeClusterBlock(hcl *strings.Builder, index int) {
 	seeds := make([]string, 0, maxSeeds)
-	for s := range min(maxSeeds, cl.Config.Controllers) {
-		seeds = append(seeds, cl.Relay.AdvertiseAddress(s))
+	for k := range min(maxSeeds, cl.Config.Controllers) {
+		seeds = append(seeds, cl.Relay.AdvertiseAddress(k))
 	}
 	fmt.Fprintf(hcl, "fleet {\n  name = \"rehearsal\"\n  address = %q\n  listen = %q\n  zone = %q\n  seeds = %s\n  %s\n",
-		cl.Relay.AdvertiseAddress(k), cl.Relay.ListenAddress(k), cl.ZoneOf(k), quotedList(seeds), cl.Config.ClusterSettings)
+		cl.Relay.AdvertiseAddress(index), cl.Relay.ListenAddress(index), cl.ZoneOf(index), hclList(seeds),
+		cl.Config.ClusterSettings)
 	if cl.Config.Founders > 0 {
 		var founders []string
-		for n := range cl.Config.Founders {
-			founders = append(founders, fmt.Sprint("c", n))
+		for k := range cl.Config.Founders {
+			founders = append(founders, fmt.Sprint("c", k))
 		}
-		fmt.Fprintf(hcl, "  founders = %s\n", quotedList(founders))
+		fmt.Fprintf(hcl, "  founders = %s\n", hclList(founders))
 	}
 	hcl.WriteString("}\n")
 }
 
-// quotedList returns a list of texts as HCL has it.
-func quotedList(texts []string) string {
+// hclList returns a list of strings in HCL syntax.
+func hclList(texts []string) string {
 	list, _ := json.Marshal(texts)
 	return string(list)
 }
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -11,56 +11,60 @@
 
 const (
 	loadDialTimeout = 50 * time.Millisecond
-	loadDeadline    = 2 * time.Second
+	loadDeadline    = 2 * time.Second // of each request
 )
 
-// The request classes of the settings, by what may be done with a request.
+// The request classes of the test configuration, named by how requests of the class may be retried.
 const (
 	classIdempotent    = "look"
-	classKeyed         = "mark" // idempotent with an idempotency key
+	classKeyed         = "mark" // idempotent by its idempotency key
 	classNonIdempotent = "once"
 )
 
-// Result is how a request ended for its client.
+// Result is how a request ended from the point of view of its client.
 type Result string
 
 // The results of a request.
 const (
-	ResultHandled      Result = "handled"
-	ResultRejected     Result = "rejected"
-	ResultFailed       Result = "failed"
-	ResultDisconnected Result = "disconnected" // the connection ended without a reply
+	// ResultHandled means that the reply reports success.
+	ResultHandled Result = "handled"
+	// ResultRejected means that the controller refused the request.
+	ResultRejected Result = "rejected"
+	// ResultFailed means that the reply reports any other error.
+	ResultFailed Result = "failed"
+	// ResultDisconnected means that the connection ended, or could not be opened, before there was a reply.
+	ResultDisconnected Result = "disconnected"
 )
 
-// resultOf returns the result of a call.
-func resultOf(answer testservers.Reply, err error) Result {
+// resultOf classifies the reply, or the error, that a client received.
+func resultOf(reply testservers.Reply, err error) Result {
 	switch {
 	case err != nil:
 		return ResultDisconnected
-	case answer.Code == 0:
+	case reply.Code == 0:
 		return ResultHandled
-	case answer.Code == testservers.CodeRejected:
+	case reply.Code == testservers.CodeRejected:
 		return ResultRejected
 	}
 	return ResultFailed
 }
 
-// SentRequest is one request as its client saw it.
+// SentRequest is a request that a client has sent, and how it ended.
 type SentRequest struct {
 	ID, IdempotencyKey, Class string
-	Controller                int
+	Controller                int // index of the controller that the request was sent to
 	At                        time.Time
 	Latency                   time.Duration
 	Result                    Result
 }
 
-// History is what all clients saw.
+// History records the requests of all clients of a load.
 type History struct {
 	mu       sync.Mutex
 	requests []SentRequest
 }
 
-// List returns the requests that have ended so far.
+// List returns a copy of the requests that have ended so far.
 func (h *History) List() []SentRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,15 +77,15 @@
 	h.requests = append(h.requests, r)
 }
 
-// StartLoad starts clients that send requests until the returned function is called, which waits for them. Each client has one controller,
-// so that a controller that is suspended holds up its own clients alone.
+// StartLoad starts clients that send requests until the returned function is called, which waits for them to end. Each
+// client uses one controller, so that a suspended controller delays only its own clients.
 func (cl *Cluster) StartLoad(clients int, pause time.Duration) (history *History, stop func()) {
 	history = &History{}
 	stopping := make(chan struct{})
 	var running sync.WaitGroup
 	var lastNumber atomic.Uint64
-	for w := range clients {
-		c := &loadClient{cluster: cl, controller: w % len(cl.Controllers), history: history}
+	for k := range clients {
+		c := &loadClient{cluster: cl, controller: k % len(cl.Controllers), history: history}
 		running.Add(1)
 		go func() {
 			defer running.Done()
@@ -103,12 +107,12 @@
 	}
 }
 
-// loadClient is a client of one controller.
+// loadClient is a client that sends requests to one controller over one connection at a time.
 type loadClient struct {
 	cluster    *Cluster
 	controller int
 	history    *History
-	conn       *testservers.Client // nil: not connected
+	conn       *testservers.Client // nil while not connected
 }
 
 func (c *loadClient) close() {
@@ -118,7 +122,7 @@
 	}
 }
 
-// submit sends one request. One whose connection ends is not sent again: whether it ran is in the run log.
+// submit sends one request. It doesn't retry: if the connection ends, only the run log tells whether the request ran.
 func (c *loadClient) submit(number uint64) {
 	r := SentRequest{
 		ID:         fmt.Sprintf("%016x", number),
@@ -136,9 +140,9 @@
 		}
 		c.conn = conn
 	}
-	answer, err := c.conn.Submit(r.Class, r.ID, r.IdempotencyKey, loadDeadline)
+	reply, err := c.conn.Submit(r.Class, r.ID, r.IdempotencyKey, loadDeadline)
 	r.Latency = time.Since(r.At)
-	r.Result = resultOf(answer, err)
+	r.Result = resultOf(reply, err)
 	if err != nil {
 		c.close()
 	}
--- a/internal/chaostest/report.go
+++ b/internal/chaostest/report.go
@@ -19,50 +19,54 @@
 )
 
 const (
-	width  = 22 * vg.Centimeter
-	height = 8 * vg.Centimeter
+	plotWidth  = 22 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
 
-	headroom = 1.35 // above the highest line, for the legend
+	// legendHeadroom stretches the y axis, so that the legend fits above the highest line.
+	legendHeadroom = 1.35
+	// maxLegendLines is the number of lines above which a plot has no legend.
+	maxLegendLines = 12
 )
 
-// line is one line of a plot.
+// line is a named series of points in a plot.
 type line struct {
 	name   string
 	points plotter.XYs
 }
 
-// renderPlot returns a plot as SVG.
-func renderPlot(title, y string, lines []line) (template.HTML, error) {
+// renderPlot draws lines over the time in seconds and returns the plot as SVG.
+func renderPlot(title, yLabel string, lines []line) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", yLabel
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.Left = true, true
 	for k, l := range lines {
 		if len(l.points) == 0 {
 			continue
 		}
-		x, err := plotter.NewLine(l.points)
+		plotted, err := plotter.NewLine(l.points)
 		if err != nil {
 			return "", err
 		}
-		x.Color, x.StepStyle = plotutil.Color(k), plotter.PostStep
-		p.Add(x)
-		if len(lines) <= 12 {
-			p.Legend.Add(l.name, x)
+		plotted.Color, plotted.StepStyle = plotutil.Color(k), plotter.PostStep
+		p.Add(plotted)
+		if len(lines) <= maxLegendLines {
+			p.Legend.Add(l.name, plotted)
 		}
 	}
-	p.Y.Max *= headroom
-	c := vgsvg.New(width, height)
+	p.Y.Max *= legendHeadroom
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
 	svg := b.String()
-	return template.HTML(svg[max(0, strings.Index(svg, "<svg")):]), nil // #nosec: drawn here from numbers
+	return template.HTML(svg[max(0, strings.Index(svg, "<svg")):]), nil // #nosec: the SVG is generated here
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+// reportTemplate is the HTML page of a report.
+var reportTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Drill</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:60em}pre{background:#f4f4f4;padding:1em;overflow:auto}.wrong{color:#b00020}</style></head>
 <body><h1>Drill, seed {{.Seed}}</h1>
@@ -72,13 +76,14 @@
 {{end}}</pre></body></html>
 `))
 
-// reportPlot is one plot of a report.
+// reportPlot is the content of one plot of a report.
 type reportPlot struct {
-	title, y string
-	lines    []line
+	title, yLabel string
+	lines         []line
 }
 
-// Report writes the result of a drill as one HTML file: views over time, replies by result, datagrams.
+// Report writes the result of a drill as one HTML page: the violations, the timeline, and plots of the views of the
+// controllers, of the replies by result and of the datagram rate.
 func Report(out io.Writer, result *DrillResult) error {
 	var plots []template.HTML
 	for _, p := range []reportPlot{
@@ -86,21 +91,26 @@
 		{"Replies by result", "a second", resultLines(result)},
 		{"Messages between controllers", "a second", []line{datagramLine(result.Samples)}},
 	} {
-		svg, err := renderPlot(p.title, p.y, p.lines)
+		svg, err := renderPlot(p.title, p.yLabel, p.lines)
 		if err != nil {
-			return fmt.Errorf("report: %w", err)
+			return fmt.Errorf("draw plot %q: %w", p.title, err)
 		}
 		plots = append(plots, svg)
 	}
-	return page.Execute(out, map[string]any{"Seed": result.Seed, "Violations": result.Violations, "Timeline": result.Timeline, "Plots": plots})
+	return reportTemplate.Execute(out, map[string]any{
+		"Seed":       result.Seed,
+		"Violations": result.Violations,
+		"Timeline":   result.Timeline,
+		"Plots":      plots,
+	})
 }
 
-// viewLines returns a line a controller: how many members it sees alive.
+// viewLines returns a line for each controller: the number of members that it sees as alive.
 func viewLines(samples []Sample) (lines []line) {
 	views := map[string]plotter.XYs{}
-	for _, s := range samples {
-		for name, n := range s.Present {
-			views[name] = append(views[name], plotter.XY{X: s.At.Seconds(), Y: float64(n)})
+	for _, sample := range samples {
+		for name, alive := range sample.AliveMembers {
+			views[name] = append(views[name], plotter.XY{X: sample.At.Seconds(), Y: float64(alive)})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(views)) {
@@ -109,19 +119,20 @@
 	return lines
 }
 
-// datagramLine returns the rate of datagrams over all links.
+// datagramLine returns the number of datagrams per second over all links.
 func datagramLine(samples []Sample) line {
 	l := line{name: "datagrams a second, all links"}
 	for k := 1; k < len(samples); k++ {
-		last, s := samples[k-1], samples[k]
-		if gap := (s.At - last.At).Seconds(); gap > 0 {
-			l.points = append(l.points, plotter.XY{X: s.At.Seconds(), Y: float64(s.Datagrams-last.Datagrams) / gap})
+		previous, sample := samples[k-1], samples[k]
+		if seconds := (sample.At - previous.At).Seconds(); seconds > 0 {
+			rate := float64(sample.Datagrams-previous.Datagrams) / seconds
+			l.points = append(l.points, plotter.XY{X: sample.At.Seconds(), Y: rate})
 		}
 	}
 	return l
 }
 
-// resultLines returns a line a result: how many requests ended with it in each second.
+// resultLines returns a line for each result: the number of requests that ended with it in each second.
 func resultLines(result *DrillResult) (lines []line) {
 	counts := map[Result]map[int]int{}
 	lastSecond := 0
--- a/internal/chaostest/rounds.go
+++ b/internal/chaostest/rounds.go
@@ -10,45 +10,65 @@
 )
 
 const (
-	recoveryTimeout    = 90 * time.Second // until all controllers have converged and are ready after a fault
-	outcomeTimeout     = 5 * time.Second  // until all outcomes are agreed after that
-	outcomePoll        = 50 * time.Millisecond
-	roundDialTimeout   = 200 * time.Millisecond
-	roundDeadline      = 5 * time.Second
-	retryFor           = 2 * time.Second // a client looks for a controller that takes its retry
-	retryInterval      = 20 * time.Millisecond
-	killAfter          = 300 * time.Millisecond // all requests of PlayKillInFlight have been accepted by then
-	outcomeCallTimeout = 3 * time.Second
+	// recoveryTimeout limits each of the two waits after a fault: until all controllers have converged, and until
+	// they are ready to hand off requests.
+	recoveryTimeout = 90 * time.Second
+	// outcomeTimeout is how long after the recovery the controllers may take to agree on all outcomes.
+	outcomeTimeout      = 5 * time.Second
+	outcomePollInterval = 50 * time.Millisecond
+	outcomeCallTimeout  = 3 * time.Second
+	roundDialTimeout    = 200 * time.Millisecond
+	roundDeadline       = 5 * time.Second // of each request
+	// retryPeriod is how long a client looks for a controller that accepts its retry.
+	retryPeriod   = 2 * time.Second
+	retryInterval = 20 * time.Millisecond
+	// killDelay is how long after the requests of PlayKillInFlight are sent their owner is killed. All of them have
+	// been accepted by then.
+	killDelay = 300 * time.Millisecond
 )
 
-// Round is what came of one fault while requests were in flight.
+// Round holds the observations of one round: requests in flight at a controller, a fault, and the recovery from it.
 type Round struct {
-	Fault             string
-	Requests          int
-	RanTwice          []string // idempotency keys and IDs
-	Contradictions    []string // requests with two final results that contradict each other
-	WithoutOutcome    []string // requests that ran, or were in flight, and have no outcome
-	Disconnected      int      // requests whose connection ended
-	Retried           int      // of those with an idempotency key, sent again to another controller
-	RetriesHandled    int
-	RetriesNotHandled []string       // and what became of them
-	Outcomes          map[string]int // by class and result
-	FirstAttempt      time.Duration  // from the fault to the first attempt of a request that was accepted and not yet sent; 0: there was none
-	OutcomesAgreed    time.Duration  // from the recovery until all controllers agree on the last outcome
-	UnsentAtFault     int            // keyed requests that had not been sent to an executor when their controller failed
-	SentLater         int            // of those that have run by now
+	Fault    string
+	Requests int
+	// RanTwice describes the requests that ran more than once and must not have.
+	RanTwice []string
+	// Contradictions describes the requests whose outcome contradicts their runs or the result that their client
+	// received.
+	Contradictions []string
+	// WithoutOutcome describes the requests that are still open, and those that ran and have no outcome.
+	WithoutOutcome []string
+	// Disconnected counts the requests whose connection ended without a reply.
+	Disconnected int
+	// Retried counts the requests that were sent again, to another controller.
+	Retried        int
+	RetriesHandled int
+	// RetriesNotHandled describes the retries that ended in any other way.
+	RetriesNotHandled []string
+	// Outcomes counts the requests by class and result, and by class and outcome.
+	Outcomes map[string]int
+	// FirstAttempt is the time from the fault to the first attempt of a keyed request that had not run before the
+	// fault; 0 if there was none.
+	FirstAttempt time.Duration
+	// OutcomesAgreed is the time from the recovery until all controllers agreed on the last outcome.
+	OutcomesAgreed time.Duration
+	// UnsentAtFault counts the keyed requests that lost their connection and had not run when the fault was injected.
+	UnsentAtFault int
+	// SentLater counts those of UnsentAtFault that have run since.
+	SentLater int
 }
 
-// roundRequest is a request of a round, as its client has it.
+// roundRequest is a request of a round with the results that its client received.
 type roundRequest struct {
 	id, key, class      string
-	result, retryResult Result // retryResult is empty where there was no retry
+	result, retryResult Result // retryResult is empty if there was no retry
 	retryLatency        time.Duration
 }
 
-// name is what the run log and the controllers know the request by.
+// name returns the name by which the run log and the controllers identify the request.
 func (r *roundRequest) name() string { return requestName(r.id, r.key) }
 
+// handled reports whether the client was told, at the first try or at the retry, that the request is handled.
 func (r *roundRequest) handled() bool {
 	return r.result == ResultHandled || r.retryResult == ResultHandled
 }
@@ -61,29 +81,32 @@
 	return id
 }
 
-// submitOnce sends a request on a connection of its own, which is ended after some time unless that is 0.
-func (cl *Cluster) submitOnce(k int, class, id, key string, disconnectAfter time.Duration) Result {
-	c, err := testservers.Dial(cl.Controllers[k].ClientAddress, roundDialTimeout)
+// submitOnce sends a request on a connection of its own. If disconnectAfter is not 0, the connection is closed after
+// that time.
+func (cl *Cluster) submitOnce(index int, class, id, key string, disconnectAfter time.Duration) Result {
+	client, err := testservers.Dial(cl.Controllers[index].ClientAddress, roundDialTimeout)
 	if err != nil {
 		return ResultDisconnected
 	}
-	defer c.Close()
+	defer client.Close()
 	if disconnectAfter > 0 {
-		defer time.AfterFunc(disconnectAfter, c.Close).Stop()
+		defer time.AfterFunc(disconnectAfter, client.Close).Stop()
 	}
-	return resultOf(c.Submit(class, id, key, roundDeadline))
+	return resultOf(client.Submit(class, id, key, roundDeadline))
 }
 
-// PlayTakeover plays one round: requests of all classes at one controller, a fault, clients that retry once at another controller, and the
-// recovery. The tag must be another each time.
+// PlayTakeover plays one round: clients send requests of all classes to one controller, a fault is injected, the
+// clients of keyed requests retry at another controller, and the cluster recovers. The tag is part of the request IDs
+// and must be unique for each round of a cluster.
 func (cl *Cluster) PlayTakeover(fault, tag string, requests int, random *rand.Rand) (round Round, err error) {
 	round = Round{Fault: fault, Requests: requests, Outcomes: map[string]int{}}
-	owner := len(cl.Controllers) - 1 - random.IntN(2) // no founder: a quorum that is lost is a fault of its own
-	ranBefore := len(cl.RunLog.Runs())
-	list := make([]roundRequest, requests)
+	// The owner is one of the last two controllers, which are no founders: the loss of a quorum is a fault of its own.
+	owner := len(cl.Controllers) - 1 - random.IntN(2)
+	runsBefore := len(cl.RunLog.Runs())
+	sent := make([]roundRequest, requests)
 	var clients sync.WaitGroup
-	for n := range list {
-		r := &list[n]
+	for n := range sent {
+		r := &sent[n]
 		r.id = fmt.Sprintf("%s-%d", tag, n)
 		r.class = []string{classKeyed, classKeyed, classNonIdempotent, classIdempotent}[n%4]
 		if r.class == classKeyed {
@@ -102,7 +125,7 @@
 		}()
 	}
 	time.Sleep(time.Duration(random.IntN(700)) * time.Millisecond)
-	check := cl.newRoundCheck(&round, ranBefore)
+	check := cl.newRoundCheck(&round, runsBefore)
 	down, err := cl.injectFault(fault, owner, random)
 	if err != nil {
 		return round, err
@@ -120,20 +143,21 @@
 	if err := cl.WaitUntilHandoffReady(recoveryTimeout); err != nil {
 		return round, err
 	}
-	check.run(list)
+	check.evaluate(sent)
 	return round, nil
 }
 
-// roundClient sends one request of a round.
+// roundClient is a client that sends one request of a round.
 type roundClient struct {
 	cluster         *Cluster
 	request         *roundRequest
-	owner, retryAt  int // controllers
-	pause           time.Duration
-	disconnectAfter time.Duration
+	owner, retryAt  int           // indexes of the controllers for the first try and for the retry
+	pause           time.Duration // before the request is sent
+	disconnectAfter time.Duration // see submitOnce
 }
 
-// run sends the request, and retries once if it has an idempotency key and its connection ends: at any controller that takes connections.
+// run sends the request. If the request has an idempotency key and its connection ends, run retries it at the
+// controllers in turn, beginning with retryAt, until one of them replies.
 func (c *roundClient) run() {
 	r := c.request
 	time.Sleep(c.pause)
@@ -141,7 +165,7 @@
 	if r.result != ResultDisconnected || r.key == "" {
 		return
 	}
-	for start := time.Now(); time.Since(start) < retryFor; time.Sleep(retryInterval) {
+	for start := time.Now(); time.Since(start) < retryPeriod; time.Sleep(retryInterval) {
 		r.retryResult = c.cluster.submitOnce(c.retryAt, r.class, r.id+"b", r.key, 0)
 		if r.retryResult != ResultDisconnected {
 			return
@@ -150,14 +174,14 @@
 	}
 }
 
-// PlayKillInFlight plays a round in which a controller is killed with keyed requests in flight, all accepted by then; each client retries
-// once at another controller.
+// PlayKillInFlight plays a round in which a controller is killed with keyed requests in flight, all of which it has
+// accepted. Each client retries once at another controller.
 func (cl *Cluster) PlayKillInFlight(tag string, requests int) (round Round, err error) {
-	owner, ranBefore := len(cl.Controllers)-1, len(cl.RunLog.Runs())
-	list := make([]roundRequest, requests)
+	owner, runsBefore := len(cl.Controllers)-1, len(cl.RunLog.Runs())
+	sent := make([]roundRequest, requests)
 	var clients sync.WaitGroup
-	for n := range list {
-		r := &list[n]
+	for n := range sent {
+		r := &sent[n]
 		r.id = fmt.Sprintf("%s-%d", tag, n)
 		r.class = classKeyed
 		r.key = "m-" + r.id
@@ -173,8 +197,8 @@
 			r.retryLatency = time.Since(start)
 		}()
 	}
-	time.Sleep(killAfter)
-	check := cl.newRoundCheck(&round, ranBefore)
+	time.Sleep(killDelay)
+	check := cl.newRoundCheck(&round, runsBefore)
 	cl.Kill(owner)
 	clients.Wait()
 	if err := cl.Start(owner); err != nil {
@@ -189,6 +213,6 @@
 		}
 	}
 	round = Round{Fault: FaultKill, Requests: requests, Outcomes: map[string]int{}}
-	check.run(list)
+	check.evaluate(sent)
 	return round, nil
 }
--- a/internal/chaostest/script.go
+++ b/internal/chaostest/script.go
@@ -14,7 +14,7 @@
 	defaultConvergeTimeout = 15 * time.Second
 )
 
-// Script is a drill as an operator writes it, in HCL.
+// Script is a drill that an operator has written in HCL.
 type Script struct {
 	Controllers int     `hcl:"controllers"`
 	Executors   int     `hcl:"executors,optional"`
@@ -24,48 +24,63 @@
 	Seed        int     `hcl:"seed,optional"`
 	Clients     int     `hcl:"clients,optional"`
 	WorkMS      float64 `hcl:"work_ms,optional"`
-	Cluster     string  `hcl:"cluster,optional"` // lines of the cluster block of the operators' file
-	Length      string  `hcl:"length"`
-	Settled     string  `hcl:"settled,optional"` // after the last step, until all views agree
-	Steps       []Step  `hcl:"step,block"`
+	// Cluster holds additional lines of the cluster block of the operator files.
+	Cluster string `hcl:"cluster,optional"`
+	// Length is how long the drill lasts before all faults are healed.
+	Length string `hcl:"length"`
+	// ConvergeTimeout is how long the views of all controllers may then take to converge.
+	ConvergeTimeout string `hcl:"settled,optional"`
+	Steps           []Step `hcl:"step,block"`
 
-	// Deprecated lists the names of before that the script uses, each with its new name.
+	// Deprecated lists the deprecated names that the script uses, each with its present name.
 	Deprecated []string
 
-	// The names of before.
-	OldEngines *int    `hcl:"engines,optional"`
-	OldFleet   *string `hcl:"fleet,optional"`
+	// DeprecatedEngines and DeprecatedFleet hold the values that are given under deprecated names.
+	DeprecatedEngines *int    `hcl:"engines,optional"`
+	DeprecatedFleet   *string `hcl:"fleet,optional"`
 
 	length, convergeTimeout time.Duration
 }
 
-// Step is what is done at a time.
+// Step lists the actions of a drill at one time. Lists of strings name controllers (c0, c1, ...), except where noted.
 type Step struct {
-	At         string     `hcl:"at,label"`
-	Kill       []string   `hcl:"kill,optional"`
-	Start      []string   `hcl:"start,optional"`
-	Term       []string   `hcl:"term,optional"`
-	Stop       []string   `hcl:"stop,optional"` // SIGSTOP
-	Go         []string   `hcl:"go,optional"`   // SIGCONT
-	Wipe       []string   `hcl:"wipe,optional"` // the store of controllers that do not run
+	// At is the time since the start of the steps.
+	At    string   `hcl:"at,label"`
+	Kill  []string `hcl:"kill,optional"`
+	Start []string `hcl:"start,optional"`
+	// Terminate sends SIGTERM.
+	Terminate []string `hcl:"term,optional"`
+	// Suspend sends SIGSTOP.
+	Suspend []string `hcl:"stop,optional"`
+	// Resume sends SIGCONT.
+	Resume []string `hcl:"go,optional"`
+	// Wipe removes the stores of controllers, which must not be running.
+	Wipe []string `hcl:"wipe,optional"`
+	// Partitions cuts the links between its groups of controllers.
 	Partitions [][]string `hcl:"partitions,optional"`
-	Mute       []string   `hcl:"mute,optional"` // nobody receives from these; they receive from others
-	Loss       float64    `hcl:"loss,optional"`
-	Duplicate  float64    `hcl:"duplicate,optional"`
-	Delay      string     `hcl:"delay,optional"`
-	Heal       bool       `hcl:"heal,optional"`
-	Drain      []string   `hcl:"drain,optional"` // executors: s0, s1, ...
-	Disks      []string   `hcl:"disks,optional"` // controllers whose disks become as Disk says, with a program that is built with the tag faults
-	Disk       string     `hcl:"disk,optional"`
-
-	// The names of before.
-	OldParts [][]string `hcl:"parts,optional"`
-	OldTwice *float64   `hcl:"twice,optional"`
+	// Mute cuts the links from these controllers. Datagrams from others still reach them.
+	Mute      []string `hcl:"mute,optional"`
+	Loss      float64  `hcl:"loss,optional"`
+	Duplicate float64  `hcl:"duplicate,optional"`
+	// Delay is the maximum delay of a datagram.
+	Delay string `hcl:"delay,optional"`
+	// Heal removes all link faults.
+	Heal bool `hcl:"heal,optional"`
+	// Drain names executors (s0, s1, ...).
+	Drain []string `hcl:"drain,optional"`
+	// Disks names the controllers whose disks are set to the state Disk. The programs must be built with the tag
+	// faults.
+	Disks []string `hcl:"disks,optional"`
+	Disk  string   `hcl:"disk,optional"`
+
+	// DeprecatedParts and DeprecatedTwice hold the values that are given under deprecated names.
+	DeprecatedParts [][]string `hcl:"parts,optional"`
+	DeprecatedTwice *float64   `hcl:"twice,optional"`
 
 	at, delay time.Duration
 }
 
-// ReadScript reads a script and checks it. It refuses names that do not exist and times that are out of order.
+// ReadScript reads and checks a script. It rejects unknown controllers and executors, and steps that are out of order.
 func ReadScript(path string) (*Script, error) {
 	s := &Script{}
 	if err := hclsimple.DecodeFile(path, nil, s); err != nil {
@@ -77,7 +92,7 @@
 	return s, nil
 }
 
-// check resolves deprecated names and times, and checks all values.
+// check resolves deprecated names, parses the times and checks all values.
 func (s *Script) check() error {
 	if err := s.resolveDeprecated(); err != nil {
 		return err
@@ -103,22 +118,27 @@
 	return nil
 }
 
-// resolveDeprecated takes over values that stand under the names of before, and lists those names.
+// resolveDeprecated copies the values that are given under deprecated names to the present fields and lists those
+// names.
 func (s *Script) resolveDeprecated() error {
-	engines := renamed(s, "engines", "executors", s.OldEngines != nil, s.Executors != 0, func() { s.Executors = *s.OldEngines })
-	fleet := renamed(s, "fleet", "cluster", s.OldFleet != nil, s.Cluster != "", func() { s.Cluster = *s.OldFleet })
+	engines := s.resolveRename("engines", "executors", s.DeprecatedEngines != nil, s.Executors != 0,
+		func() { s.Executors = *s.DeprecatedEngines })
+	fleet := s.resolveRename("fleet", "cluster", s.DeprecatedFleet != nil, s.Cluster != "",
+		func() { s.Cluster = *s.DeprecatedFleet })
 	for _, err := range []error{engines, fleet} {
 		if err != nil {
 			return err
 		}
 	}
 	for k := range s.Steps {
-		p := &s.Steps[k]
-		parts := renamed(s, "parts", "partitions", p.OldParts != nil, p.Partitions != nil, func() { p.Partitions = p.OldParts })
-		twice := renamed(s, "twice", "duplicate", p.OldTwice != nil, p.Duplicate != 0, func() { p.Duplicate = *p.OldTwice })
+		step := &s.Steps[k]
+		parts := s.resolveRename("parts", "partitions", step.DeprecatedParts != nil, step.Partitions != nil,
+			func() { step.Partitions = step.DeprecatedParts })
+		twice := s.resolveRename("twice", "duplicate", step.DeprecatedTwice != nil, step.Duplicate != 0,
+			func() { step.Duplicate = *step.DeprecatedTwice })
 		for _, err := range []error{parts, twice} {
 			if err != nil {
-				return fmt.Errorf("step %q: %w", p.At, err)
+				return fmt.Errorf("step %q: %w", step.At, err)
 			}
 		}
 	}
@@ -127,92 +147,106 @@
 	return nil
 }
 
-// renamed takes over a value that stands under a deprecated name; standing under both names is an error.
-func renamed(s *Script, before, now string, underOld, underNew bool, takeOver func()) error {
-	if !underOld {
+// resolveRename calls copyValue if a value is given under its deprecated name. It is an error if a value is given under
+// both names.
+func (s *Script) resolveRename(deprecated, present string, hasDeprecated, hasPresent bool, copyValue func()) error {
+	if !hasDeprecated {
 		return nil
 	}
-	if underNew {
-		return fmt.Errorf("%s is the deprecated name of %s: give one of them", before, now)
+	if hasPresent {
+		return fmt.Errorf("%s is the deprecated name of %s: give one of them", deprecated, present)
 	}
-	takeOver()
-	s.Deprecated = append(s.Deprecated, fmt.Sprintf("%s (now %s)", before, now))
+	copyValue()
+	s.Deprecated = append(s.Deprecated, fmt.Sprintf("%s (now %s)", deprecated, present))
 	return nil
 }
 
-// parseTimes parses all times; steps must be in order and within the length.
+// parseTimes parses all times and checks that the steps are in order and within the length of the drill.
 func (s *Script) parseTimes() (err error) {
-	if s.length, err = parseTime(s.Length, 0); err != nil {
+	if s.length, err = parseDuration("length", s.Length, 0); err != nil {
 		return err
 	}
-	if s.convergeTimeout, err = parseTime(s.Settled, defaultConvergeTimeout); err != nil {
+	if s.convergeTimeout, err = parseDuration("settled", s.ConvergeTimeout, defaultConvergeTimeout); err != nil {
 		return err
 	}
 	last := time.Duration(0)
 	for k := range s.Steps {
-		p := &s.Steps[k]
-		if p.at, err = parseTime(p.At, 0); err != nil {
+		step := &s.Steps[k]
+		if step.at, err = parseDuration("step", step.At, 0); err != nil {
 			return err
 		}
-		if p.delay, err = parseTime(p.Delay, 0); err != nil {
+		if step.delay, err = parseDuration(fmt.Sprintf("step %q: delay", step.At), step.Delay, 0); err != nil {
 			return err
 		}
-		if p.at < last || p.at > s.length {
-			return fmt.Errorf("step %q is out of order, or past the length", p.At)
+		if step.at < last || step.at > s.length {
+			return fmt.Errorf("step %q is out of order, or past the length", step.At)
 		}
-		last = p.at
+		last = step.at
 	}
 	return nil
 }
 
-func parseTime(text string, otherwise time.Duration) (time.Duration, error) {
+// parseDuration parses the duration of a field, which must not be negative. An empty text stands for the default.
+func parseDuration(field, text string, defaultValue time.Duration) (time.Duration, error) {
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return 0, fmt.Errorf("%q is no time such as \"2s\"", text)
+		return 0, fmt.Errorf("%s: %q is not a duration such as \"2s\"", field, text)
 	}
 	return d, nil
 }
 
 // checkNames checks that the controllers and executors of a step exist.
-func (s *Script) checkNames(p *Step) error {
-	for _, name := range slices.Concat(p.Kill, p.Start, p.Term, p.Stop, p.Go, p.Wipe, p.Mute, p.Disks, slices.Concat(p.Partitions...)) {
-		if n := controllerNumber(name); n < 0 || n >= s.Controllers {
-			return fmt.Errorf("step %q: there is no controller %q; they are c0 to c%d", p.At, name, s.Controllers-1)
+func (s *Script) checkNames(step *Step) error {
+	partitioned := slices.Concat(step.Partitions...)
+	for _, name := range slices.Concat(step.Kill, step.Start, step.Terminate, step.Suspend, step.Resume, step.Wipe,
+		step.Mute, step.Disks, partitioned) {
+		if index := controllerIndex(name); index < 0 || index >= s.Controllers {
+			return fmt.Errorf("step %q: there is no controller %q; they are c0 to c%d", step.At, name, s.Controllers-1)
 		}
 	}
-	for _, name := range p.Drain {
-		if n := executorNumber(name); n < 0 || n >= max(1, s.Executors) {
-			return fmt.Errorf("step %q: there is no executor %q", p.At, name)
+	for _, name := range step.Drain {
+		if index := executorIndex(name); index < 0 || index >= max(1, s.Executors) {
+			return fmt.Errorf("step %q: there is no executor %q", step.At, name)
 		}
 	}
 	return nil
 }
 
-// controllerNumber returns the number in a name such as c0; -1: it is none.
-func controllerNumber(name string) int { return numberAfter("c", name) }
+// controllerIndex returns the index in the name of a controller such as c0, or -1 if the name has another form.
+func controllerIndex(name string) int { return indexAfter("c", name) }
 
-// executorNumber returns the number in a name such as s0; -1: it is none.
-func executorNumber(name string) int { return numberAfter("s", name) }
+// executorIndex returns the index in the name of an executor such as s0, or -1 if the name has another form.
+func executorIndex(name string) int { return indexAfter("s", name) }
 
-func numberAfter(prefix, name string) int {
-	n := -1
-	if _, err := fmt.Sscanf(name, prefix+"%d", &n); err != nil || fmt.Sprint(prefix, n) != name {
+// indexAfter returns the number that follows the prefix in a name, or -1 if the name has another form.
+func indexAfter(prefix, name string) int {
+	index := -1
+	if _, err := fmt.Sscanf(name, prefix+"%d", &index); err != nil || fmt.Sprint(prefix, index) != name {
 		return -1
 	}
-	return n
+	return index
 }
 
-// String returns what a step does.
+// String describes the actions of the step for the timeline.
 func (p *Step) String() string {
 	var actions []string
 	for _, action := range []struct {
 		name    string
 		targets []string
-	}{{"kill", p.Kill}, {"start", p.Start}, {"stop gracefully", p.Term}, {"suspend", p.Stop}, {"resume", p.Go}, {"wipe", p.Wipe}, {"mute", p.Mute},
-		{"drain", p.Drain}, {"disk " + p.Disk + ":", p.Disks}} {
+	}{
+		{"kill", p.Kill},
+		{"start", p.Start},
+		{"stop gracefully", p.Terminate},
+		{"suspend", p.Suspend},
+		{"resume", p.Resume},
+		{"wipe", p.Wipe},
+		{"mute", p.Mute},
+		{"drain", p.Drain},
+		{"disk " + p.Disk + ":", p.Disks},
+	} {
 		if len(action.targets) > 0 {
 			actions = append(actions, action.name+" "+strings.Join(action.targets, " "))
 		}
