--- a/internal/chaostest/drill.go
+++ b/internal/chaostest/drill.go
@@ -15,7 +15,7 @@
 const (
 	// drillJoinTimeout is how long the controllers may take to join the cluster before the first step.
 	drillJoinTimeout = 30 * time.Second
-	// drillClientPause is how long a client waits after a reply before it sends the next request.
+	// drillClientPause is how long a client waits before each request.
 	drillClientPause = 5 * time.Millisecond
 	sampleInterval   = 250 * time.Millisecond
 
--- a/internal/chaostest/rounds.go
+++ b/internal/chaostest/rounds.go
@@ -27,6 +27,15 @@
 	killDelay = 300 * time.Millisecond
 )
 
+// The bounds, in milliseconds, of the random times of PlayTakeover.
+const (
+	maxClientPauseMS = 400 // before a client sends its request
+	maxFaultDelayMS  = 700 // after the clients are started
+	// minDisconnectMS and disconnectSpanMS bound when a client of FaultClientsDisconnected closes its connection.
+	minDisconnectMS  = 100
+	disconnectSpanMS = 900
+)
+
 // Round holds the observations of one round: requests in flight at a controller, a fault, and the recovery from it.
 type Round struct {
 	Fault    string
@@ -114,9 +123,9 @@
 		}
 		c := roundClient{cluster: cl, request: r, owner: owner}
 		if fault == FaultClientsDisconnected {
-			c.disconnectAfter = time.Duration(100+random.IntN(900)) * time.Millisecond
+			c.disconnectAfter = time.Duration(minDisconnectMS+random.IntN(disconnectSpanMS)) * time.Millisecond
 		}
-		c.pause = time.Duration(random.IntN(400)) * time.Millisecond
+		c.pause = time.Duration(random.IntN(maxClientPauseMS)) * time.Millisecond
 		c.retryAt = (owner + 1 + random.IntN(len(cl.Controllers)-1)) % len(cl.Controllers)
 		clients.Add(1)
 		go func() {
@@ -124,7 +133,7 @@
 			c.run()
 		}()
 	}
-	time.Sleep(time.Duration(random.IntN(700)) * time.Millisecond)
+	time.Sleep(time.Duration(random.IntN(maxFaultDelayMS)) * time.Millisecond)
 	check := cl.newRoundCheck(&round, runsBefore)
 	down, err := cl.injectFault(fault, owner, random)
 	if err != nil {
@@ -151,7 +160,7 @@
 type roundClient struct {
 	cluster         *Cluster
 	request         *roundRequest
-	owner, retryAt  int           // indexes of the controllers for the first try and for the retry
+	owner, retryAt  int           // indexes of the controllers of the first try and of the next retry
 	pause           time.Duration // before the request is sent
 	disconnectAfter time.Duration // see submitOnce
 }
