--- a/internal/benchmark/consensus.go
+++ b/internal/benchmark/consensus.go
@@ -48,7 +48,7 @@
 	cluster.RunUntil(10_000)
 	for n := range admissions {
 		observation := consensus.Observation{Name: fmt.Sprint("x", n), Incarnation: 1, Alive: true}
-		cluster.Observations = append(cluster.Observations, observation)
+		cluster.ExtraObservations = append(cluster.ExtraObservations, observation)
 	}
 	start := cluster.Now
 	for cluster.Now < start+120_000 {
--- a/internal/clustersim/consensus.go
+++ b/internal/clustersim/consensus.go
@@ -31,14 +31,14 @@
 // the invariants of leases as the history runs.
 type ConsensusCluster struct {
 	*Cluster
-	ConsensusNodes []*ConsensusNode
-	InitialVoters  []string
-	Operations     []Operation
-	Violations     []Violation
-	Leader         string
-	LeaderSince    float64
-	DeclaredLost   int                     // number of incarnations that were declared lost
-	Observations   []consensus.Observation // added to the observations of every node, to simulate more members
+	ConsensusNodes    []*ConsensusNode
+	InitialVoters     []string
+	Operations        []Operation
+	Violations        []Violation
+	Leader            string
+	LeaderSince       float64
+	DeclaredLost      int                     // number of incarnations that were declared lost
+	ExtraObservations []consensus.Observation // added to the observations of every node, to simulate more members
 
 	pendingDeclarations map[memberIncarnation]Operation // proposed losses that are not committed yet
 	lostIncarnations    map[memberIncarnation]bool
@@ -103,7 +103,7 @@
 	}
 	if c.Now >= consensusNode.lastObservedAt+observeIntervalMS {
 		consensusNode.lastObservedAt = c.Now
-		consensusNode.Group.Observe(append(observations(node.View), c.Observations...))
+		consensusNode.Group.Observe(append(observations(node.View), c.ExtraObservations...))
 	}
 	c.stepConsensus(nodeIndex, consensus.Event{Kind: consensus.Ticked})
 	next := max(c.Now+minTickIntervalMS, min(consensusNode.Group.Next()/node.ClockRate, c.Now+maxTickIntervalMS))
