--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -69,7 +69,7 @@
 	Data   json.RawMessage `json:"Data,omitempty"`
 }
 
-// PlacementProposal encodes an entry about placement of the kind EntryReady, EntryClaim, EntrySettled or
+// PlacementProposal encodes a log entry that changes the placement, of the kind EntryReady, EntryClaim, EntrySettled or
 // EntryReinitialize.
 func PlacementProposal(kind EntryKind, c placement.AdoptionClaim, version uint64) []byte {
 	data, _ := json.Marshal(&entry{Kind: kind, Name: c.Name, Incarnation: c.Incarnation, Successor: c.Successor,
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -117,7 +117,7 @@
 	RequestLease
 	// ReplyLease has the caller answer the LeaseRequested event with this Token by Reply.
 	ReplyLease
-	// RequestHello has the caller ask the member To for its Hello. A HelloReceived event follows.
+	// RequestHello has the caller request the Hello of the member To. A HelloReceived event follows.
 	RequestHello
 	// MemberLost reports that Name's Incarnation has been declared lost, in Term. Each member that replicates the
 	// record emits it once. Reason is empty unless the member shut down gracefully.
--- a/internal/handoff/adoption.go
+++ b/internal/handoff/adoption.go
@@ -26,8 +26,8 @@
 	copy  Copy
 }
 
-// updateClaimedPartitions follows the agreed claims of this controller: it drops partitions that are no longer claimed and adds
-// new ones.
+// updateClaimedPartitions follows the agreed claims of this controller: it drops partitions that are no longer claimed
+// and adds new ones.
 func (m *Manager) updateClaimedPartitions() {
 	m.claimedPartitions = slices.DeleteFunc(m.claimedPartitions, func(claimed *claimedPartition) bool {
 		owner := claimed.owner
@@ -46,7 +46,8 @@
 	owner := Member{claim.Name, claim.Incarnation}
 	for partition := range placement.PartitionCount {
 		if claim.Partitions&(1<<partition) != 0 && m.findClaimedPartition(owner, partition) == nil {
-			m.claimedPartitions = append(m.claimedPartitions, &claimedPartition{owner: owner, partition: partition, since: m.now})
+			m.claimedPartitions = append(m.claimedPartitions,
+				&claimedPartition{owner: owner, partition: partition, since: m.now})
 			m.counts.AdoptionClaims++
 		}
 	}
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// fetchClaimedPartitions fetches the lost owners' open requests in claimed partitions and queues them for adoption. It fetches
-// from a quorum of replicas, as this controller may have missed requests that a quorum stored.
+// fetchClaimedPartitions fetches the lost owners' open requests in claimed partitions and queues them for adoption. It
+// fetches from a quorum of replicas, as this controller may have missed requests that a quorum stored.
 func (m *Manager) fetchClaimedPartitions() {
 	running := 0
 	for _, claimed := range m.claimedPartitions {
@@ -191,8 +192,8 @@
 	}
 }
 
-// completeAdoption passes a request to the decision module once a quorum has recorded its adoption. A request that must
-// not be sent is closed instead.
+// completeAdoption has a request dispatched here once a quorum has recorded its adoption. A request that must not be
+// sent is closed instead.
 func (m *Manager) completeAdoption(req *ownedRequest) {
 	m.counts.AdoptionsStarted++
 	req.phase = phaseActive
--- a/internal/handoff/attempts.go
+++ b/internal/handoff/attempts.go
@@ -8,8 +8,8 @@
 	since   float64
 }
 
-// gateAttempt decides whether an attempt may be sent: only while this controller holds the lease, within the dedup
-// window if an earlier attempt may have run, and after a quorum of replicas has stored the attempt.
+// gateAttempt decides whether an attempt may be sent: only while this controller holds the lease, within the
+// deduplication window if an earlier attempt may have run, and after a quorum of replicas has stored the attempt.
 func (m *Manager) gateAttempt(ev *Event) {
 	req := m.ownedByID[ev.ID]
 	switch {
--- a/internal/handoff/helpers_test.go
+++ b/internal/handoff/helpers_test.go
@@ -188,7 +188,7 @@
 	return list
 }
 
-// startAttempt starts an startAttempt of a request, and reports whether an startAttempt of the request has been released.
+// startAttempt starts an attempt of a request, and reports whether an attempt of the request has been released.
 func (c *testCluster) startAttempt(k int, id string) bool {
 	c.step(k, &Event{Kind: AttemptStarting, ID: id, Zone: "here"})
 	return len(c.effectsFor(k, ReleaseAttempt, id)) > 0
--- a/internal/handoff/pacer.go
+++ b/internal/handoff/pacer.go
@@ -24,7 +24,7 @@
 	pacePercentileRank = 99
 )
 
-// durationBaseline has the latest durationBaseline of successful requests of one class, and their usual duration.
+// durationBaseline holds the latest durations of successful requests of one class, and their usual duration.
 type durationBaseline struct {
 	samples     [paceSamples]float64 // ring buffer, in ms
 	count       int                  // of all samples added
--- a/internal/handoff/recent.go
+++ b/internal/handoff/recent.go
@@ -54,8 +54,8 @@
 	req.sends = 1
 }
 
-// timesSince returns the times of an ascending list that are not before the given one. It returns nil if there are none, so
-// that the list's memory is freed.
+// timesSince returns the times of an ascending list that are not before the given one. It returns nil if there are
+// none, so that the list's memory is freed.
 func timesSince(times []float64, at float64) []float64 {
 	n := 0
 	for n < len(times) && times[n] < at {
--- a/internal/handoff/settings.go
+++ b/internal/handoff/settings.go
@@ -18,10 +18,10 @@
 	MaxCopies int
 	// MaxAnswerBytes is the length up to which answers are replicated.
 	MaxAnswerBytes int
-	// KeyRetentionMS is how long an idempotency key is stored after its dedup window.
+	// KeyRetentionMS is how long an idempotency key is stored after its deduplication window.
 	KeyRetentionMS float64
 	// QuorumLossMS is how long requests of a partition that lost its quorum are rejected before the partition is
-	// reinitialized, if that is longer than the longest dedup window and deadline of a keyed class.
+	// reinitialized, if that is longer than the longest deduplication window and deadline of a keyed class.
 	QuorumLossMS float64
 	// SendWithoutReplicas admits requests whose replicas cannot form a quorum, without registering them.
 	SendWithoutReplicas bool
--- a/internal/handoffnet/peerstream.go
+++ b/internal/handoffnet/peerstream.go
@@ -68,7 +68,7 @@
 	if s := a.streams[to]; s != nil {
 		return s
 	}
-	if len(a.streams) >= maxStreams { // most of these members have left the cluster
+	if len(a.streams) >= maxStreams { // most of these members have left the fleet
 		for name, old := range a.streams {
 			close(old.queue)
 			delete(a.streams, name)
--- a/internal/handoffnet/peerstream_test.go
+++ b/internal/handoffnet/peerstream_test.go
@@ -129,7 +129,7 @@
 	require.NotNil(t, answer.reply.Items[0].Copy)
 	assert.Len(t, answer.reply.Items[0].Copy.Answer, 3000)
 	assert.EqualValues(t, 2, a.agent.calls.Load())
-	assert.Zero(t, a.agent.unanswered.Load(), "the datagram was answered by the demand for a call")
+	assert.Zero(t, a.agent.unanswered.Load(), "a reply that asks for a call counts as an answer to the datagram")
 }
 
 // storeAnswered has the member store a copy of a request of member c that succeeded with an answer of some bytes.
