--- a/internal/locality/events.go
+++ b/internal/locality/events.go
@@ -7,7 +7,8 @@
 
 // Kinds of events.
 const (
-	// Observed carries this controller's observation in Executors, DemandThreads, WithoutList and Applied.
+	// Observed carries this controller's observation in Executors, DemandThreads, ListUnavailable and
+	// AppliedReachVersion.
 	Observed EventKind = iota
 	// MembersChanged carries the membership view in Members, the leader of the consensus group in Leader, and in Leads
 	// whether this controller is the leader.
@@ -16,15 +17,14 @@
 	ReportReceived
 	// PlanAgreed carries the agreed Plan and Orders. A nil Plan leaves the plan unchanged.
 	PlanAgreed
-	// PlanConfirmed states that the plan PlanNumber was in force at some time after At, when its confirmation was
+	// PlanConfirmed states that the plan Number was in force at some time after RequestedAt, when its confirmation was
 	// requested.
 	PlanConfirmed
-	// PlanAnnounced states that the member From knows the plan PlanNumber.
+	// PlanAnnounced states that the member From knows the plan Number.
 	PlanAnnounced
-	// LoanRequested is a request of the member From for a loan of its share of Zone. PlanNumber is the ID of the
-	// request.
+	// LoanRequested is a request of the member From for a loan of its share of Zone. Number is the ID of the request.
 	LoanRequested
-	// LoanGranted is a loan of Threads in Zone by the member From. PlanNumber is the ID of the request.
+	// LoanGranted is a loan of Threads in Zone by the member From. Number is the ID of the request.
 	LoanGranted
 	// Ticked lets the monitor do what is due. It is expected about every 50 ms.
 	Ticked
@@ -64,7 +64,7 @@
 	FetchPlan
 	// ProposePlan proposes Plan to the consensus group.
 	ProposePlan
-	// SetReach passes Reaches to the scheduler. Number comes back in Event.Applied.
+	// SetReach passes Reaches to the scheduler. Number comes back in Event.AppliedReachVersion.
 	SetReach
 	// LogWarning logs Text.
 	LogWarning
--- a/internal/locality/types.go
+++ b/internal/locality/types.go
@@ -62,8 +62,8 @@
 	Threads float64 `json:"Threads"` // that the controller may have in flight
 }
 
-// ZonePair caps the threads that the controllers of one zone may have in flight on the executors of another zone. The two
-// zones are the same while a zone is not fully open to its own controllers.
+// ZonePair caps the threads that the controllers of one zone may have in flight on the executors of another zone. The
+// two zones are the same while a zone is not fully open to its own controllers.
 type ZonePair struct {
 	From   string  `json:"From"` // zone of the controllers
 	To     string  `json:"To"`   // zone of the executors
@@ -125,7 +125,7 @@
 	SpanMS float64   `json:"SpanMS,omitempty"` // duration from when the group agreed on the order; 0: Until applies
 }
 
-// Member is a controller in the membership view of the cluster.
+// Member is a controller in the membership view of the fleet.
 type Member struct {
 	Name, Zone, Region string
 	Live               bool
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -122,9 +122,9 @@
 // LivePeers returns the number of other members that are live.
 func (v *View) LivePeers() int { return v.livePeers }
 
-// ControllerCount returns the number of controllers, this one included, by which shared limits are divided. A controller that
-// has no majority of the members that have not left assumes that it is partitioned and returns the number of all of
-// them, so that its share does not grow.
+// ControllerCount returns the number of controllers, this one included, by which shared limits are divided. A
+// controller that has no majority of the members that have not left assumes that it is partitioned and returns the
+// number of all of them, so that its share does not grow.
 func (v *View) ControllerCount() float64 {
 	known := 0
 	for _, m := range v.byName {
@@ -142,7 +142,8 @@
 // Counts returns the counters since the start of the view.
 func (v *View) Counts() Counts { return v.counts }
 
-// LocalHealthScore returns Lifeguard's local health score: 0 is healthy, a higher value means that this controller is slower.
+// LocalHealthScore returns Lifeguard's local health score: 0 is healthy, a higher value means that this controller is
+// slower.
 func (v *View) LocalHealthScore() int { return v.localHealth }
 
 // Members returns all members, this controller included, sorted by name.
