--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), name)
+	assert.Equal(t, string(want), string(got), "%s differs from the golden file", name)
 	return want
 }
 
--- a/internal/assembly/golden_test.go
+++ b/internal/assembly/golden_test.go
@@ -24,7 +24,7 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "encoding differs from the golden file %s", name)
+	assert.Equal(t, string(want), string(got), "%s differs from the golden file", name)
 	return want
 }
 
--- a/internal/attribution/attribution.go
+++ b/internal/attribution/attribution.go
@@ -10,7 +10,8 @@
 	"liftshift/internal/ipprefix"
 )
 
-// Source is a property of a request by which it can be attributed to a team. The values are names in the operator file.
+// Source is a property of a request by which it can be attributed to a team. The values are names in the operators'
+// file.
 type Source string
 
 // The sources.
--- a/internal/benchmark/quota_processes.go
+++ b/internal/benchmark/quota_processes.go
@@ -58,7 +58,8 @@
 	requestCount atomic.Int64
 }
 
-// newTestBed starts a controller with a number of executors. The operator file may be empty, for none.
+// newTestBed starts a controller with a number of executors. OperatorFile is the text of the operators' file; empty:
+// there is none.
 func newTestBed(dir, programs, operatorFile string, work map[string]time.Duration, executors int) (*testBed, error) {
 	b := &testBed{runLog: &testservers.RunLog{}}
 	for k := range executors {
--- a/internal/benchmark/store_processes.go
+++ b/internal/benchmark/store_processes.go
@@ -24,7 +24,7 @@
 	log    bytes.Buffer
 }
 
-// startController starts a controller with executors. The path of the operator file may be empty, for none.
+// startController starts a controller with executors. The path of the operators' file may be empty, for none.
 func startController(dir, program, operatorFile string, executors []*testservers.Executor) (*controller, error) {
 	discovery, _, err := testservers.StartEmptyDiscovery() // ends with this program
 	if err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// SetAddress continues the log at another address, from the last event on, without waiting for the poll in progress. If the
-// address is the same, it opens a new connection all the same, because the old one may be dead.
+// SetAddress continues the log at another address, from the last event on, without waiting for the poll in progress.
+// If the address is the same, it still opens a new connection, because the old one may be dead.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatch/extension.go
+++ b/internal/dispatch/extension.go
@@ -72,7 +72,7 @@
 	Body            []byte                 // RequestEnding, RequestClosed: the answer
 	CostMS          float64                // RequestClosed: the work that the request took; 0: unknown
 	RetryAfterMS    float64                // RequestRejecting: when the client may retry, as the scheduler chose it
-	EndpointsUpdate *scheduler.Event       // EndpointsUpdated: the event that the scheduler got
+	EndpointsUpdate *scheduler.Event       // EndpointsUpdated: the scheduler's event
 	Peer            int                    // PeerMessage
 	Payload         []byte                 // PeerMessage
 	Message         any                    // MessagePosted
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -28,7 +28,7 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(want), string(got), "encoding differs from golden file %s", name)
+	assert.Equal(t, string(want), string(got), "%s differs from the golden file", name)
 	return want
 }
 
--- a/internal/netconn/conn.go
+++ b/internal/netconn/conn.go
@@ -38,8 +38,8 @@
 	lingerBufferBytes = 4 << 10
 )
 
-// IOTimeSlice is the time slice for a write, and then for a read, while the remote end accepts no data. It is a fifth of
-// the time within which a cancellation must be noticed.
+// IOTimeSlice is the time slice for a write, and then for a read, while the remote end accepts no data. It is a fifth
+// of the time within which a cancellation must be noticed.
 const IOTimeSlice = 20 * time.Millisecond
 
 // LingerBytes limits the input that is read and dropped after the last output, so that a reset of the connection does
--- a/internal/operatorconfig/store.go
+++ b/internal/operatorconfig/store.go
@@ -8,7 +8,7 @@
 	SegmentBytes int64         // size of one log file
 	FlushDelay   time.Duration // longest time that a record which no attempt waits for stays unwritten
 
-	RetentionMS    float64 // how long an idempotency key is kept past the window of its class
+	RetentionMS    float64 // how long an idempotency key is kept past the deduplication window of its class
 	MaxAnswerBytes int     // longer answers are not kept
 	MaxRecords     int     // limit of keys, and of requests
 }
