--- a/internal/tools/repocheck/knownred.go
+++ b/internal/tools/repocheck/knownred.go
@@ -68,7 +68,8 @@
 // parseKnownRedEntry reads the lines of one entry.
 func parseKnownRedEntry(lines []string) (knownRedEntry, error) {
 	if len(lines) != len(knownRedFields) {
-		return knownRedEntry{}, fmt.Errorf("an entry has the lines 'test:', 'command:', 'seen:' and 'issue:', this one has %d lines", len(lines))
+		return knownRedEntry{}, fmt.Errorf(
+			"an entry has the lines 'test:', 'command:', 'seen:' and 'issue:', this one has %d lines", len(lines))
 	}
 	values := make([]string, len(lines))
 	for i, line := range lines {
@@ -88,7 +89,8 @@
 	return entry, nil
 }
 
-// checkKnownRed finds entries whose test does not exist, or stands in several packages, all of which would be passed over.
+// checkKnownRed finds entries whose test does not exist, or exists in several packages, in all of which it would be
+// skipped.
 func checkKnownRed(root string, source *Source) ([]string, error) {
 	entries, err := readKnownRed(root)
 	if err != nil {
--- a/internal/tools/repocheck/knownred_test.go
+++ b/internal/tools/repocheck/knownred_test.go
@@ -29,7 +29,9 @@
 	require.NoError(t, err)
 	require.Len(t, entries, len(names))
 	for i, name := range names {
-		assert.Equal(t, knownRedEntry{test: name, command: "go test ./a -run '^" + name + "$'", seen: "it fails: at times", issue: "28"}, entries[i])
+		assert.Equal(t, knownRedEntry{
+			test: name, command: "go test ./a -run '^" + name + "$'", seen: "it fails: at times", issue: "28",
+		}, entries[i])
 	}
 }
 
@@ -61,7 +63,9 @@
 	out, err := check(t, map[string]string{knownRedFile: entryText("TestA") + "\n" + entryText("TestB")}, "skip")
 	require.NoError(t, err)
 	pattern := regexp.MustCompile(strings.TrimSpace(out))
-	for name, want := range map[string]bool{"TestA": true, "TestB": true, "TestAB": false, "ATestA": false, "Test": false} {
+	for name, want := range map[string]bool{
+		"TestA": true, "TestB": true, "TestAB": false, "ATestA": false, "Test": false,
+	} {
 		assert.Equal(t, want, pattern.MatchString(name), name)
 	}
 	for _, text := range []string{"", "\n"} {
--- a/internal/tools/repocheck/main.go
+++ b/internal/tools/repocheck/main.go
@@ -1,10 +1,10 @@
-// Command repocheck checks what the Go tools do not: that the tests and paths that the repository's pages name exist, and that
-// exported names have doc comments. It also prints counts of the source.
+// Command repocheck checks what the Go tools do not: that the tests and paths that the repository's pages name exist,
+// and that exported names have doc comments. It also prints counts of the source.
 //
 // Usage, at the root of the repository:
 //
 //	repocheck            checks everything and prints the counts
-//	repocheck skip       prints the tests of KNOWN-RED.txt as a pattern for go test -skip; an empty line if there are none
+//	repocheck skip       prints the tests of KNOWN-RED.txt as a pattern for go test -skip, or an empty line if none
 //	repocheck known-red  runs the tests of KNOWN-RED.txt and prints their outcome, which does not count
 package main
 
--- a/internal/vrrp/vrrp_test.go
+++ b/internal/vrrp/vrrp_test.go
@@ -182,9 +182,9 @@
 	assert.EqualValues(t, 50, m.Priority(), "the reserved priorities are ignored")
 }
 
-// Routers crash or are restarted as planned on a network that loses, delays and duplicates packets. Once the network has
-// been reliable for long enough, one router of the highest priority must be active, and after its crash another one
-// within three intervals and the skew time.
+// Routers crash or are restarted as planned on a network that loses, delays and duplicates packets. Once the network
+// has been reliable for long enough, one router of the highest priority must be active, and after its crash another
+// one within three intervals and the skew time.
 func TestMachine_OneIsActiveOnReliableNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 4).Draw(t, "routers")
