--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -160,7 +160,7 @@
 // The controller counts as notified of missed changes 2 s after a response that breaks off, 2 s after the end of a poll
 // without a response, and 4 s after a change of the address. The time of the last contact with the list is the start of
 // the last successful poll, not its end.
-func TestClient_PresumesOwedChangesInTime(t *testing.T) {
+func TestClient_PresumesMissedChangesNotifiedInTime(t *testing.T) {
 	for name, dueMS := range map[string]float64{
 		"cut":                     2000,
 		"silent":                  pollTimeoutMS + 2000,
